--- a/spokestall/src/main/java/spokestall/wire/Codec.java
+++ b/spokestall/src/main/java/spokestall/wire/Codec.java
@@ -56,6 +56,11 @@
         BY_CLASS.put(type, number);
     }
 
+    /** A copy of the table of numbers, for tests of the format. */
+    static synchronized Map<Integer, Class<? extends Record>> numbered() {
+        return Map.copyOf(BY_NUMBER);
+    }
+
     /** A numbered note as bytes, in a version. Example: {@code byte[] frame = Codec.note(beat, Codec.VERSION);} */
     public static byte[] note(final Note note, final int version) {
         final Integer number = BY_CLASS.get(note.getClass());
