--- /dev/null
+++ b/spokestall/src/test/java/spokestall/ballot/StoredRecords.java
@@ -0,0 +1,11 @@
+package spokestall.ballot;
+
+/** Names to tests of other packages the stored records that only this package knows. */
+public final class StoredRecords {
+    private StoredRecords() {}
+
+    /** What a core keeps about the ballot for a new generation. */
+    public static Class<? extends Record> formationBallot() {
+        return Formation.Kept.class;
+    }
+}
