--- a/spokestall/src/main/java/spokestall/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/CoreStorage.java
@@ -20,8 +20,8 @@
     /** How many of the newest changes followers may start from. */
     static final int POLICY_KEPT = 1024;
 
-    private static final String POLICY = "~policy";
-    private static final String COUNCIL = "~council";
+    static final String POLICY = "~policy";
+    static final String COUNCIL = "~council";
     /** The share of the ring that registers of versions that are in the snapshot may take. */
     private static final double POLICY_KEPT_SHARE = 0.1;
 
--- a/spokestall/src/main/java/spokestall/Discovery.java
+++ b/spokestall/src/main/java/spokestall/Discovery.java
@@ -9,7 +9,7 @@
 
 /** What this node knows of upstreams; a core reads the list and probes too, and stores the list on its disk. */
 final class Discovery {
-    private static final String KEPT = "~listed";
+    static final String KEPT = "~listed";
     private static final int LISTED_MAX = 8192;
     /** For how many leave bounds an entry is kept that is absent. */
     private static final int ABSENT_BOUNDS = 30;
--- a/spokestall/src/main/java/spokestall/Keeping.java
+++ b/spokestall/src/main/java/spokestall/Keeping.java
@@ -61,9 +61,9 @@
         if (window >= 0) {
             return (window + 1) * windowMs + claimKeepMs < fleet.nowMs();
         }
-        return key.startsWith("voters/")
-                && !key.equals("voters/" + voters.get().generation() + "/"
-                        + (voters.get().epoch() + 1));
+        return key.startsWith(Voters.KEYS)
+                && !key.equals(
+                        Voters.key(voters.get().generation(), voters.get().epoch() + 1));
     }
 
     /** Claims come by the thousand, versions may be large; what keeps the fleet itself going must still fit when they don't. */
--- a/spokestall/src/main/java/spokestall/UsageDuty.java
+++ b/spokestall/src/main/java/spokestall/UsageDuty.java
@@ -17,8 +17,8 @@
 /** A core's part in the usage report: the counts of all edges, the lease on reporting them, and the report. */
 final class UsageDuty {
     private static final String DUTY = "usage_report";
-    private static final String LEASE = "duty/" + DUTY;
-    private static final String KEPT = "~usage";
+    static final String LEASE = "duty/" + DUTY;
+    static final String KEPT = "~usage";
     private static final Register NO_LEASE = new Register(Ballot.NONE, Ballot.NONE, null);
     private static final int WINDOWS_KEPT = 16;
     private final NodeContext context;
--- a/spokestall/src/main/java/spokestall/ballot/Formation.java
+++ b/spokestall/src/main/java/spokestall/ballot/Formation.java
@@ -56,7 +56,7 @@
     private record Heard(FormNote.Standing standing, long heardMs, long written) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final String FORM = "~form";
+    static final String FORM = "~form";
     /** So many rounds a founding waits for a core that is heard and has state but does not promise. */
     private static final int ROUNDS_WAITED = 4;
 
@@ -227,8 +227,8 @@
         proposer.adopt(table);
         if (newer) {
             for (final String key :
-                    List.copyOf(voter.registers().tailMap("voters/").keySet())) {
-                if (key.startsWith("voters/")) {
+                    List.copyOf(voter.registers().tailMap(Voters.KEYS).keySet())) {
+                if (key.startsWith(Voters.KEYS)) {
                     voter.drop(key);
                 }
             }
@@ -721,7 +721,7 @@
         changing = true;
         final byte[] mine = Codec.bytes(next);
         proposer.change(
-                "voters/" + next.generation() + "/" + next.epoch(),
+                Voters.key(next.generation(), next.epoch()),
                 pace.roundMs() * 2,
                 now -> now == null ? new Edit.Set(mine) : Edit.LEAVE,
                 this::changed);
--- a/spokestall/src/main/java/spokestall/ballot/Voter.java
+++ b/spokestall/src/main/java/spokestall/ballot/Voter.java
@@ -29,10 +29,10 @@
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final String VOTERS = "~voters";
-    private static final String CAUGHT = "~caught";
-    private static final String DISK = "~disk";
-    private static final String FLOOR = "~floor";
+    static final String VOTERS = "~voters";
+    static final String CAUGHT = "~caught";
+    static final String DISK = "~disk";
+    static final String FLOOR = "~floor";
     private static final int PAGE_BYTES = 256 << 10;
     private final String name;
     private final Ring ring;
--- a/spokestall/src/main/java/spokestall/ballot/Voters.java
+++ b/spokestall/src/main/java/spokestall/ballot/Voters.java
@@ -11,6 +11,14 @@
     /** No table has more seats. */
     public static final int SEATS_MAX = 63;
 
+    /** What the keys of the registers of tables begin with. */
+    public static final String KEYS = "voters/";
+
+    /** The key of the register that a table is agreed in. Example: {@code Voters.key(1700000000, 2)} */
+    public static String key(final long generation, final long epoch) {
+        return KEYS + generation + "/" + epoch;
+    }
+
     /** The first number of this generation. Example: {@code long version = voters.firstNumber();} */
     public long firstNumber() {
         return generation << GENERATION_SHIFT;
