--- a/spokestall/src/test/java/spokestall/ballot/StoredRecords.java
+++ b/spokestall/src/test/java/spokestall/ballot/StoredRecords.java
@@ -8,4 +8,9 @@
     public static Class<? extends Record> formationBallot() {
         return Formation.Kept.class;
     }
+
+    /** A ballot in which nothing was accepted yet. */
+    public static Record formationBallot(final long base, final Ballot promised) {
+        return new Formation.Kept(base, promised, Ballot.NONE, null);
+    }
 }
