--- a/spokestall/src/main/java/spokestall/wire/Codec.java
+++ b/spokestall/src/main/java/spokestall/wire/Codec.java
@@ -61,6 +61,13 @@
         return Map.copyOf(BY_NUMBER);
     }
 
+    /** Puts a copy that was taken back in place of the table of numbers, for tests of the format. */
+    static synchronized void restore(final Map<Integer, Class<? extends Record>> numbered) {
+        BY_NUMBER.clear();
+        BY_CLASS.clear();
+        numbered.forEach(Codec::number);
+    }
+
     /** A numbered note as bytes, in a version. Example: {@code byte[] frame = Codec.note(beat, Codec.VERSION);} */
     public static byte[] note(final Note note, final int version) {
         final Integer number = BY_CLASS.get(note.getClass());
--- a/spokestall/src/test/java/spokestall/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/CoreDataStabilityTest.java
@@ -14,6 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.api.io.TempDir;
 import spokestall.audit.Chain;
 import spokestall.ballot.Ballot;
@@ -34,12 +35,14 @@
 import spokestall.ring.FileSegments;
 import spokestall.ring.MemorySegments;
 import spokestall.wire.Codec;
+import spokestall.wire.RestoredNumbers;
 
 /**
  * A core's data folder as it was written once and is kept as a test resource: the present program finds in it what was put
  * there, and writes the same bytes where nothing is by chance. The audit's key and signatures are, so the audit is only read
  * and gone on with. The key in the resource signs nothing else.
  */
+@ExtendWith(RestoredNumbers.class)
 class CoreDataStabilityTest {
     private static final Path RESOURCE = Path.of("src", "test", "resources", "golden", "data");
 
--- a/spokestall/src/test/java/spokestall/wire/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/wire/FormatStabilityTest.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import spokestall.NumberedNotes;
 import spokestall.ballot.BallotNote;
 import spokestall.edge.Claim;
@@ -17,6 +18,7 @@
  * The bytes of every numbered message in every version that is read, against literal bytes. Numbers, the order of fields and
  * the ordinals of enums are the format; Java names are not, so a renaming must leave the resource as it is.
  */
+@ExtendWith(RestoredNumbers.class)
 class FormatStabilityTest {
     private static final HexFormat HEX = HexFormat.of();
 
