--- /dev/null
+++ b/spokestall/src/test/java/spokestall/rpc/RepliesFormatTest.java
@@ -0,0 +1,115 @@
+package spokestall.rpc;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import spokestall.GoldenFile;
+import spokestall.ballot.Voter;
+import spokestall.duty.LeaseKeeper;
+import spokestall.edge.Ran;
+import spokestall.edge.Ticket;
+import spokestall.listing.Status;
+import spokestall.ring.Ring;
+
+/** The calls of operators as they are sent and answered: their names and parameters, and the words of the replies. */
+class RepliesFormatTest {
+    private static String reply(final String method, final String params) {
+        final List<String> replies = new ArrayList<>();
+        new Calls()
+                .run(
+                        method,
+                        GoldenFile.parsed(params),
+                        reply -> replies.add(reply.json().toString()));
+        assertThat(replies).hasSize(1);
+        return replies.get(0);
+    }
+
+    private static String described(final String name, final JsonNode params) {
+        final List<String> required = new ArrayList<>();
+        params.path("required").forEach(each -> required.add(each.asText()));
+        final StringBuilder line = new StringBuilder(name);
+        params.path("properties")
+                .fieldNames()
+                .forEachRemaining(param -> line.append(' ').append(param).append(required.contains(param) ? "*" : ""));
+        return line.toString();
+    }
+
+    @Test
+    void everyResultHasItsNumberStatusNameAndText() {
+        final List<String> found = Stream.of(Result.values())
+                .map(result -> result.number() + " " + result.httpStatus() + " " + result.name() + " " + result.text())
+                .toList();
+        assertThat(found).isEqualTo(GoldenFile.lines("results.txt"));
+    }
+
+    @Test
+    void everyCallHasItsNameAndParameters() {
+        final List<String> found = new ArrayList<>();
+        new Calls()
+                .file()
+                .path("methods")
+                .fields()
+                .forEachRemaining(method ->
+                        found.add(described(method.getKey(), method.getValue().path("params"))));
+        assertThat(found).isEqualTo(GoldenFile.lines("calls.txt"));
+    }
+
+    @Test
+    void theSchemaFileSaysWhichSchemaItIsOf() {
+        final JsonNode file = new Calls().file();
+        final List<String> parts = new ArrayList<>();
+        file.fieldNames().forEachRemaining(parts::add);
+        assertThat(parts).containsExactly("$schema", "title", "methods", "$defs");
+        assertThat(file.path("$schema").asText()).isEqualTo("https://json-schema.org/draft/2020-12/schema");
+        assertThat(file.at("/$defs/policy/$schema").asText()).isEqualTo("https://json-schema.org/draft/2020-12/schema");
+    }
+
+    @Test
+    void aReplyIsACodeATextAndAResult() {
+        assertThat(Reply.of(Result.OK, GoldenFile.parsed("{\"version\":18}"))
+                        .json()
+                        .toString())
+                .isEqualTo("{\"code\":1000,\"text\":\"done\",\"result\":{\"version\":18}}");
+        assertThat(reply("policy.burn", "{}")).isEqualTo("{\"code\":4004,\"text\":\"no such method\",\"result\":{}}");
+    }
+
+    @Test
+    void parametersThatDoNotFitAreToldByTheirPlaces() {
+        final List<String> replies = new ArrayList<>();
+        final Calls calls = new Calls();
+        calls.on("usage.get", (params, done) -> done.accept(Reply.of(Result.OK, null)));
+        calls.run(
+                "usage.get",
+                GoldenFile.parsed("{\"window\":-1}"),
+                each -> replies.add(each.json().toString()));
+        assertThat(replies)
+                .containsExactly("{\"code\":4005,\"text\":\"the parameters don't fit the schema\","
+                        + "\"result\":{\"troubles\":[{\"pointer\":\"$.window\","
+                        + "\"reason\":\"$.window: must have a minimum value of 0\"}]}}");
+        assertThat(reply("usage.get", "{}"))
+                .as("a call that nobody carries out here")
+                .isEqualTo("{\"code\":4006,\"text\":\"this node can't do that now\",\"result\":{}}");
+    }
+
+    @Test
+    void theStatesThatRepliesTellHaveTheirWords() {
+        assertThat(Stream.of(Status.values()).map(Status::name)).containsExactly("READY", "LEAVING", "DOWN", "FOREIGN");
+        assertThat(Stream.of(Voter.State.values()).map(Voter.State::name))
+                .containsExactly("BLANK", "CATCHING_UP", "VOTING", "RESIGNED", "STOPPED");
+        assertThat(Stream.of(Ring.State.values()).map(Ring.State::name))
+                .containsExactly("OPEN", "FULL", "REFUSING", "BROKEN");
+        assertThat(Stream.of(LeaseKeeper.State.values()).map(LeaseKeeper.State::name))
+                .containsExactly("WATCHING", "ACQUIRING", "HOLDING", "RELEASING", "STOPPED");
+        assertThat(Stream.of(Ran.values()).map(Ran::word)).containsExactly("ran", "not-run", "undecided");
+    }
+
+    @Test
+    void aTicketIsWrittenAndReadAsOneText() {
+        assertThat(new Ticket(17, 1000).text()).isEqualTo("t1-17-1000");
+        assertThat(Ticket.of("t1-17-1000.pay-4")).isEqualTo(new Ticket(17, 1000));
+    }
+}
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
@@ -0,0 +1,87 @@
+package spokestall.settings;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import spokestall.GoldenFile;
+
+/** The settings file as operators write it: its keys, their defaults and what each is read as. */
+class SettingsFormatTest {
+    private static Settings.Read read(final Path folder, final String text) throws Exception {
+        final Path file = folder.resolve("settings.json");
+        Files.writeString(file, text);
+        return Settings.read(file, Map.of(), true);
+    }
+
+    private static Settings everyKey(final Path folder) throws Exception {
+        final Settings.Read read = read(folder, GoldenFile.text("settings.json"));
+        assertThat(read).isInstanceOf(Settings.Read.Good.class);
+        return ((Settings.Read.Good) read).settings();
+    }
+
+    @Test
+    void theFileWithEveryKeyIsReadAsWritten(@TempDir final Path folder) throws Exception {
+        final Settings settings = everyKey(folder);
+        final JsonNode written = GoldenFile.json("settings.json");
+        written.fields().forEachRemaining(entry -> {
+            final String key = entry.getKey();
+            assertThat(settings.text(key)).as(key).isEqualTo(entry.getValue().asText());
+            if (entry.getValue().isNumber()) {
+                assertThat(settings.number(key))
+                        .as(key)
+                        .isEqualTo(entry.getValue().asDouble());
+                assertThat(settings.ms(key)).as(key).isEqualTo(entry.getValue().asLong());
+            }
+        });
+    }
+
+    @Test
+    void theKeysAreThoseOfTheFileAndNoOthers(@TempDir final Path folder) throws Exception {
+        final List<String> written = new ArrayList<>();
+        GoldenFile.json("settings.json").fieldNames().forEachRemaining(written::add);
+        assertThat(everyKey(folder).values()).containsOnlyKeys(written);
+    }
+
+    @Test
+    void theTextsThatHaveAFormAreTakenApart(@TempDir final Path folder) throws Exception {
+        final Settings settings = everyKey(folder);
+        assertThat(settings.listen()).isEqualTo("10.1.0.2:7101");
+        assertThat(settings.operators()).isEqualTo("10.1.0.1:8090");
+        assertThat(settings.peers()).isEqualTo("10.1.0.0/16,10.2.0.0/16");
+        assertThat(settings.seeds()).containsExactly("10.1.0.1:7100", "10.2.0.1:7100", "10.3.0.1:7100");
+        assertThat(settings.districts()).isEqualTo(Map.of("d1", "r1", "d2", "r2", "d3", "r2"));
+        assertThat(settings.regions()).containsExactly("r1", "r2");
+        assertThat(settings.region()).isEqualTo("r1");
+        assertThat(settings.region("d3")).isEqualTo("r2");
+    }
+
+    @Test
+    void theHelpNamesEveryKeyWithItsDefault() {
+        final List<String> found = new ArrayList<>();
+        Settings.help().lines().forEach(line -> found.add(keyAndDefault(line)));
+        assertThat(found).isEqualTo(GoldenFile.lines("settings-defaults.txt"));
+    }
+
+    private static String keyAndDefault(final String line) {
+        final String key = line.strip().split(" ")[0];
+        if (line.endsWith(" (must be given)")) {
+            return key + " (must be given)";
+        }
+        return line.endsWith("]") ? key + line.substring(line.lastIndexOf(" [")) : key;
+    }
+
+    @Test
+    void troublesAreToldByTheirKeysAndReasons(@TempDir final Path folder) throws Exception {
+        final Settings.Read read = read(folder, GoldenFile.text("settings-broken.json"));
+        final List<String> told = new ArrayList<>();
+        ((Settings.Read.Bad) read).troubles().forEach(trouble -> told.add(trouble.toString()));
+        assertThat(told).isEqualTo(GoldenFile.lines("settings-broken-troubles.txt"));
+    }
+}
