--- /dev/null
+++ b/spokestall/src/test/java/spokestall/rim/HeadsFormatTest.java
@@ -0,0 +1,153 @@
+package spokestall.rim;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.undertow.util.HeaderMap;
+import io.undertow.util.HttpString;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import spokestall.GoldenFile;
+import spokestall.duty.Sealed;
+import spokestall.edge.Answer;
+import spokestall.edge.AskHead;
+import spokestall.edge.Go;
+import spokestall.edge.GoResult;
+import spokestall.edge.Ran;
+import spokestall.listing.Listed;
+import spokestall.listing.Prober;
+import spokestall.rpc.Result;
+import spokestall.wire.Content;
+import spokestall.wire.Header;
+
+/** The heads of spokestall's own interface: with callers, with upstreams and with a platform. */
+class HeadsFormatTest {
+    private static final OwnAsks ASKS = new OwnAsks();
+    private static final OwnGoes GOES = new OwnGoes();
+    private static final OwnPlatform PLATFORM = new OwnPlatform();
+    private static final byte[] BODY = "{}".getBytes(StandardCharsets.UTF_8);
+    private static final Go GO = new Go(
+            "t1-17-1000.pay-4",
+            "tenant-1",
+            "i-1",
+            "transfers",
+            "10.3.0.1:80",
+            "POST",
+            "/transfers/17",
+            List.of(new Header("Content-Type", "application/json")),
+            BODY,
+            700,
+            1000,
+            false);
+
+    /** The header fields of a head whose first line is its start line. */
+    private static HeaderMap fields(final List<String> head) {
+        final HeaderMap fields = new HeaderMap();
+        for (final String line : head.subList(1, head.size())) {
+            final int colon = line.indexOf(": ");
+            fields.add(new HttpString(line.substring(0, colon)), line.substring(colon + 2));
+        }
+        return fields;
+    }
+
+    private static String written(final List<Header> headers) {
+        final StringBuilder text = new StringBuilder();
+        headers.forEach(header ->
+                text.append(header.name()).append(": ").append(header.value()).append('\n'));
+        return text.toString();
+    }
+
+    /** The fields in the order of their names: a map of them has none of its own. */
+    private static String sorted(final HeaderMap headers) {
+        final List<String> lines = new ArrayList<>();
+        headers.forEach(values -> values.forEach(value -> lines.add(values.getHeaderName() + ": " + value + "\n")));
+        lines.sort(null);
+        return String.join("", lines);
+    }
+
+    private static String answered(final String title, final Answer answer) {
+        final HeaderMap headers = new HeaderMap();
+        ASKS.headers(answer, headers);
+        final String body =
+                answer.content() == null ? new String(ASKS.body(answer), StandardCharsets.UTF_8) + "\n" : "";
+        return title + "\nstatus " + ASKS.status(answer) + "\n" + sorted(headers) + body + "\n";
+    }
+
+    private static GoResult judged(final String head) {
+        return GOES.judge(GO, new HttpResult.Whole(201, fields(head.lines().toList()), BODY));
+    }
+
+    @Test
+    void theHeadOfAnAskIsRead() {
+        final HeaderMap fields = fields(GoldenFile.lines("ask-request-head.txt"));
+        final AskHead head = ASKS.head("POST", "a.example", "/transfers/17?full=1", fields, 12);
+        assertThat(head.key()).isEqualTo("key-1");
+        assertThat(head.askId()).isEqualTo("t1-17-1000.pay-4");
+        assertThat(head.spanMs()).isEqualTo(2500);
+        assertThat(head.headers())
+                .as("what is passed on")
+                .containsExactlyInAnyOrder(new Header("Content-Type", "application/json"), new Header("X-Trace", "7"));
+    }
+
+    @Test
+    void answersToCallersAreWritten() {
+        final Content content = new Content(201, List.of(), BODY);
+        final String written = answered("of the upstream", new Answer(Result.OK, Ran.RAN, content, "i-1", 2, 0))
+                + answered("of spokestall", new Answer(Result.NO_UPSTREAM, Ran.NOT_RUN, null, null, 0, 1001))
+                + answered("of spokestall, undecided", new Answer(Result.LOST, Ran.UNDECIDED, null, null, 1, 0));
+        assertThat(written).isEqualTo(GoldenFile.text("ask-answer-heads.txt"));
+    }
+
+    @Test
+    void theHeadOfAGoIsWritten() {
+        assertThat(written(GOES.headers(GO))).isEqualTo(GoldenFile.text("go-request-head.txt"));
+    }
+
+    @Test
+    void theHeadOfAnUpstreamsAnswerIsRead() {
+        final GoResult result = judged(GoldenFile.text("go-answer-head.txt"));
+        assertThat(result).isInstanceOf(GoResult.Whole.class);
+        final Content content = ((GoResult.Whole) result).content();
+        assertThat(content.status()).isEqualTo(201);
+        assertThat(content.headers())
+                .containsExactlyInAnyOrder(new Header("Content-Type", "application/json"), new Header("X-Trace", "7"));
+    }
+
+    @Test
+    void anUpstreamsRefusalIsRead() {
+        final String head = GoldenFile.text("go-answer-head.txt");
+        assertThat(judged(head + "Spokestall-Outcome: not-run\n")).isInstanceOf(GoResult.NotRun.class);
+        assertThat(judged(head.replace("Spokestall-Instance: i-1", "Spokestall-Instance: i-2")))
+                .isInstanceOf(GoResult.Lost.class);
+        assertThat(judged(head.replace("pay-4", "pay-5"))).isInstanceOf(GoResult.Lost.class);
+    }
+
+    @Test
+    void aReportOfUsageIsWritten() {
+        final PlatformSpeech.Report report =
+                PLATFORM.report("d1-core", 9, new Sealed(345, Map.of("tenant-1", 6L), "d1-core", 9, false));
+        final String body = new String(report.body(), StandardCharsets.UTF_8);
+        assertThat("POST " + report.target() + " HTTP/1.1\n" + written(report.headers()) + "\n" + body + "\n")
+                .isEqualTo(GoldenFile.text("usage-report.txt"));
+    }
+
+    @Test
+    void theListOfUpstreamsIsRead() {
+        assertThat(PLATFORM.listTarget()).isEqualTo("/upstreams");
+        final PlatformSpeech.Page page = PLATFORM.page(GoldenFile.json("upstreams-page.json"));
+        assertThat(page.next()).isNull();
+        assertThat(page.listed())
+                .containsExactly(
+                        Listed.read("i-1", "transfers", "10.3.0.1:80", "d1", "r1", true, 1500, 8),
+                        Listed.read("i-2", "records", "10.3.0.2:80", "d2", "r2", false, -1, 0));
+    }
+
+    @Test
+    void anUpstreamsStatusIsRead() {
+        assertThat(PLATFORM.statusTarget()).isEqualTo("/spokestall/status");
+        assertThat(PLATFORM.status(GoldenFile.json("upstream-status.json")))
+                .isEqualTo(new Prober.Probe("i-1", "transfers", true, 1500));
+    }
+}
