--- a/spokestall/src/main/java/spokestall/rpc/Calls.java
+++ b/spokestall/src/main/java/spokestall/api/CallRegistry.java
@@ -1,4 +1,4 @@
-package spokestall.rpc;
+package spokestall.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 
 /** The calls of the one schema file, each checked against it before it is carried out. */
-public final class Calls {
+public final class CallRegistry {
     /** Carries one call out. */
     public interface Call {
         /** Example: {@code calls.on("status", (params, done) -> done.accept(reply));} */
@@ -30,9 +30,9 @@
 
     private final Map<String, Call> calls = new TreeMap<>();
 
-    /** Reads the schema file in the program. Example: {@code Calls calls = new Calls();} */
-    public Calls() {
-        try (InputStream in = Calls.class.getResourceAsStream("/spokestall.schema.json")) {
+    /** Reads the schema file in the program. Example: {@code CallRegistry calls = new CallRegistry();} */
+    public CallRegistry() {
+        try (InputStream in = CallRegistry.class.getResourceAsStream("/spokestall.schema.json")) {
             file = new ObjectMapper().readTree(in);
         } catch (final IOException e) {
             throw new IllegalStateException("the schema file can't be read", e);
@@ -56,7 +56,7 @@
     public void run(final String method, final JsonNode params, final Consumer<Reply> done) {
         final Call call = calls.get(method);
         if (call == null) {
-            final Result why = known(method) ? Result.NOT_READY : Result.UNKNOWN_METHOD;
+            final ResultCode why = known(method) ? ResultCode.NOT_READY : ResultCode.UNKNOWN_METHOD;
             done.accept(Reply.of(why, null));
             return;
         }
@@ -67,7 +67,7 @@
             troubles.forEach(t -> list.addObject()
                     .put("pointer", t.getInstanceLocation().toString())
                     .put("reason", t.getMessage()));
-            done.accept(Reply.of(Result.BAD_PARAMS, out));
+            done.accept(Reply.of(ResultCode.BAD_PARAMS, out));
             return;
         }
         call.run(params, done);
--- a/spokestall/src/main/java/spokestall/rpc/Reply.java
+++ b/spokestall/src/main/java/spokestall/api/Reply.java
@@ -1,13 +1,13 @@
-package spokestall.rpc;
+package spokestall.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** The reply to a call: a numbered result and its fields. */
-public record Reply(Result result, JsonNode fields) {
-    /** Example: {@code Reply.of(Result.OK, fields)} */
-    public static Reply of(final Result result, final JsonNode fields) {
+public record Reply(ResultCode result, JsonNode fields) {
+    /** Example: {@code Reply.of(ResultCode.OK, fields)} */
+    public static Reply of(final ResultCode result, final JsonNode fields) {
         return new Reply(result, fields);
     }
 
--- a/spokestall/src/main/java/spokestall/rpc/Result.java
+++ b/spokestall/src/main/java/spokestall/api/ResultCode.java
@@ -1,7 +1,7 @@
-package spokestall.rpc;
+package spokestall.api;
 
 /** The numbered result codes; docs/result-codes.md has the same table, and a test compares the two. */
-public enum Result {
+public enum ResultCode {
     OK(1000, 200, "done"),
     REPEATED(1001, 200, "the recorded answer of an ask that ran before"),
     RAN_ANSWER_GONE(1002, 409, "the ask ran before; its answer is no longer kept"),
@@ -37,23 +37,23 @@
     private final int httpStatus;
     private final String text;
 
-    Result(final int number, final int httpStatus, final String text) {
+    ResultCode(final int number, final int httpStatus, final String text) {
         this.number = number;
         this.httpStatus = httpStatus;
         this.text = text;
     }
 
-    /** Example: {@code Result.OK.number() == 1000} */
+    /** Example: {@code ResultCode.OK.number() == 1000} */
     public int number() {
         return number;
     }
 
-    /** Example: {@code Result.OK.httpStatus() == 200} */
+    /** Example: {@code ResultCode.OK.httpStatus() == 200} */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** Example: {@code Result.OK.text()} */
+    /** Example: {@code ResultCode.OK.text()} */
     public String text() {
         return text;
     }
--- a/spokestall/src/main/java/spokestall/rpc/package-info.java
+++ b/spokestall/src/main/java/spokestall/api/package-info.java
@@ -8,4 +8,4 @@
  *
  * <p>Callers: {@code Desk} registers the calls; the servers in {@code rim} and the platform module run them.
  */
-package spokestall.rpc;
+package spokestall.api;
--- a/spokestall/src/main/java/spokestall/audit/Chain.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditChain.java
@@ -20,7 +20,7 @@
 import java.util.List;
 
 /** Signed entries (JWS, ES256), one a line, each with its number and the digest of the line before. */
-public final class Chain {
+public final class AuditChain {
     /** What a check found. */
     public sealed interface Verdict {
         /** Every line is whole, signed and follows the one before. */
@@ -40,8 +40,8 @@
     private String before;
     private long next;
 
-    /** Goes on after a line, or from the start with null. Example: {@code new Chain(key, null)} */
-    public Chain(final ECKey key, final String lastLine) throws JOSEException, ParseException {
+    /** Goes on after a line, or from the start with null. Example: {@code new AuditChain(key, null)} */
+    public AuditChain(final ECKey key, final String lastLine) throws JOSEException, ParseException {
         this.key = key;
         this.signer = new ECDSASigner(key);
         this.before = lastLine == null ? "" : digest(lastLine);
@@ -85,7 +85,7 @@
     }
 
     /** Checks lines in their order; wholeEnd says whether the last one ended with a line's end.
-     * Example: {@code Chain.check(publicKey, lines, true) instanceof Chain.Verdict.Good} */
+     * Example: {@code AuditChain.check(publicKey, lines, true) instanceof AuditChain.Verdict.Good} */
     public static Verdict check(final ECKey publicKey, final List<String> lines, final boolean wholeEnd) {
         long first = 0;
         long last = 0;
--- a/spokestall/src/main/java/spokestall/audit/Audit.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditSink.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** Where a core's decisions are written down, at the rim; it never holds a decision up. */
-public interface Audit {
+public interface AuditSink {
     /** Writes nothing down. */
-    Audit NONE = new Audit() {
+    AuditSink NONE = new AuditSink() {
         @Override
         public void note(final String kind, final ObjectNode what) {
             // Nothing is kept.
--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -7,29 +7,29 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
-import spokestall.ballot.Voters;
-import spokestall.duty.Lease;
-import spokestall.duty.Sealed;
-import spokestall.policy.Book;
-import spokestall.policy.Change;
-import spokestall.policy.KeyHash;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.KeyHash;
+import spokestall.consensus.VoterSet;
+import spokestall.lease.Lease;
+import spokestall.usage.SealedWindow;
 
 /** Sees what was decided, as this core knows it, and has each of it written down once. */
 public final class Auditor {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int WINDOWS_KEPT = 64;
-    private final Audit audit;
-    private final Book book;
+    private final AuditSink audit;
+    private final ConfigurationStore book;
     private final LongSupplier fleetMs;
     private final TreeSet<Long> windows = new TreeSet<>();
     private Map<String, Set<String>> keys = new TreeMap<>();
     private Set<String> holds = Set.of();
     private long version;
     private long token;
-    private Voters table;
+    private VoterSet table;
 
     /** Example: {@code new Auditor(rim.audit(), book, fleet::nowMs)} */
-    public Auditor(final Audit audit, final Book book, final LongSupplier fleetMs) {
+    public Auditor(final AuditSink audit, final ConfigurationStore book, final LongSupplier fleetMs) {
         this.audit = audit;
         this.book = book;
         this.fleetMs = fleetMs;
@@ -45,7 +45,7 @@
         if (now == version) {
             return;
         }
-        final Map<Long, Change> changes = book.kept(version);
+        final Map<Long, ConfigurationChange> changes = book.kept(version);
         if (changes.isEmpty()) {
             audit.note(
                     "snapshot",
@@ -56,7 +56,7 @@
                     "policy",
                     entry().put("version", v)
                             .put("changeId", change.changeId())
-                            .put("whole", change.kind() == Change.Kind.PUT)
+                            .put("whole", change.kind() == ConfigurationChange.Kind.PUT)
                             .put("digest", KeyHash.hex(change.json()))));
         }
         version = now;
@@ -101,7 +101,7 @@
     }
 
     /** A window whose report was marked as sent, so its counts were decided. Example: {@code auditor.window(sealed);} */
-    public void window(final Sealed sealed) {
+    public void window(final SealedWindow sealed) {
         if (sealed.completed() && windows.add(sealed.window())) {
             final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.token());
             new TreeMap<>(sealed.counts()).forEach(entry.putObject("counts")::put);
@@ -113,7 +113,7 @@
     }
 
     /** The table of voters in force. Example: {@code auditor.table(proposer.voters());} */
-    public void table(final Voters now) {
+    public void table(final VoterSet now) {
         if (now != null && now.newerThan(table)) {
             table = now;
             final ObjectNode entry = entry().put("generation", now.generation()).put("epoch", now.epoch());
--- a/spokestall/src/main/java/spokestall/AuditCheck.java
+++ b/spokestall/src/main/java/spokestall/cli/AuditVerifier.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.cli;
 
 import com.nimbusds.jose.jwk.ECKey;
 import java.io.IOException;
@@ -12,11 +12,11 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import spokestall.audit.Chain;
-import spokestall.rim.AuditFiles;
+import spokestall.audit.AuditChain;
+import spokestall.io.AuditFiles;
 
 /** Checks an audit: 0 it is whole, 1 it is not, 2 it could not be checked, 3 whole but for a last line cut off. */
-final class AuditCheck {
+public final class AuditVerifier {
     /** The flags. */
     static final class Flags {
         @Option(
@@ -38,9 +38,9 @@
         private boolean help;
     }
 
-    private AuditCheck() {}
+    private AuditVerifier() {}
 
-    static int run(final String[] args) {
+    public static int run(final String[] args) {
         final Flags flags = new Flags();
         final CmdLineParser parser = new CmdLineParser(flags);
         try {
@@ -59,7 +59,7 @@
             for (final Path path : Files.isDirectory(flags.file) ? AuditFiles.files(flags.file) : List.of(flags.file)) {
                 text.append(Files.readString(path, StandardCharsets.ISO_8859_1));
             }
-            return verdict(Chain.check(
+            return verdict(AuditChain.check(
                     key, lines(text.toString()), text.length() == 0 || text.charAt(text.length() - 1) == '\n'));
         } catch (final IOException | ParseException e) {
             System.err.println("can't be checked: " + e.toString().split("\n")[0]);
@@ -75,9 +75,9 @@
         return all;
     }
 
-    private static int verdict(final Chain.Verdict verdict) {
+    private static int verdict(final AuditChain.Verdict verdict) {
         System.out.println(
                 "audit=" + verdict.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT) + " " + verdict);
-        return verdict instanceof Chain.Verdict.Good ? 0 : verdict instanceof Chain.Verdict.Torn ? 3 : 1;
+        return verdict instanceof AuditChain.Verdict.Good ? 0 : verdict instanceof AuditChain.Verdict.Torn ? 3 : 1;
     }
 }
--- a/spokestall/src/main/java/spokestall/Demand.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadGenerator.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -29,13 +29,13 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
-import spokestall.policy.Book;
-import spokestall.rim.HttpCall;
-import spokestall.rim.HttpClient;
-import spokestall.rim.HttpResult;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.io.http.HttpCall;
+import spokestall.io.http.HttpClient;
+import spokestall.io.http.HttpResult;
 
 /** The load generator: callers that ask where to go, then ask, at a set rate, and a verdict at the end. */
-final class Demand {
+final class LoadGenerator {
     private static final int ANSWER_MAX = 16 << 20;
     private static final String WRONG = "wrong-answer";
 
@@ -94,11 +94,11 @@
     private final int total;
     private final Queue<String> recorded = new ConcurrentLinkedQueue<>();
 
-    private Demand(final Flags flags) throws IOException {
+    private LoadGenerator(final Flags flags) throws IOException {
         this.flags = flags;
         this.total = (int) (flags.rate * flags.seconds);
         this.left = new CountDownLatch(total);
-        for (final JsonNode k : Book.JSON.readTree(flags.plan.toFile())) {
+        for (final JsonNode k : ConfigurationStore.JSON.readTree(flags.plan.toFile())) {
             for (int i = 0; i < k.path("weight").asInt(1); i++) {
                 kinds.add(new Kind(
                         k.path("key").asText(),
@@ -139,7 +139,7 @@
             return 0;
         }
         try {
-            return new Demand(flags).drive();
+            return new LoadGenerator(flags).drive();
         } catch (final IOException e) {
             System.err.println("--plan or --record: " + e.getMessage().split("\n")[0]);
             return 2;
@@ -187,7 +187,7 @@
         final String[] nodes = flags.to.split(",");
         final String node = nodes[Math.floorMod(askId.hashCode() + turn, nodes.length)];
         final ObjectNode params =
-                Book.JSON.createObjectNode().put("client", who).put("key", kind.key);
+                ConfigurationStore.JSON.createObjectNode().put("client", who).put("key", kind.key);
         client.call(
                 HttpCall.plain(
                         node,
@@ -211,7 +211,8 @@
     private static Place place(final HttpResult result) {
         try {
             if (result instanceof HttpResult.Whole whole && whole.status() == 200) {
-                final JsonNode r = Book.JSON.readTree(whole.body()).path("result");
+                final JsonNode r =
+                        ConfigurationStore.JSON.readTree(whole.body()).path("result");
                 final List<String> edges = new ArrayList<>();
                 r.path("edges").forEach(e -> edges.add(e.path("address").asText()));
                 return new Place(
@@ -294,7 +295,7 @@
 
     private static boolean echoes(final byte[] body, final String name) {
         try {
-            final JsonNode read = Book.JSON.readTree(body);
+            final JsonNode read = ConfigurationStore.JSON.readTree(body);
             return read != null && read.path("answerTo").asText().equals(name);
         } catch (final IOException e) {
             return false;
--- a/spokestall/src/main/java/spokestall/Main.java
+++ b/spokestall/src/main/java/spokestall/cli/Main.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.cli;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -9,10 +9,10 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import spokestall.rim.Daemon;
-import spokestall.rim.Hangup;
-import spokestall.rim.LogLine;
-import spokestall.rim.Speech;
+import spokestall.io.LogLineFormatter;
+import spokestall.io.process.HangupSignal;
+import spokestall.io.process.NodeProcess;
+import spokestall.io.protocol.ProtocolAdapter;
 import spokestall.settings.FileSettings;
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsSource;
@@ -38,16 +38,16 @@
 
     /** Example: {@code java -jar spokestall.jar core --settings d1-core.json} */
     public static void main(final String[] args) throws Exception {
-        Hangup.install();
-        LogLine.install();
+        HangupSignal.install();
+        LogLineFormatter.install();
         final String role = args.length == 0 ? "--help" : args[0];
         final String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
         final int code = switch (role) {
             case "core" -> daemon(true, rest);
             case "edge" -> daemon(false, rest);
-            case "operator" -> Operator.run(rest);
-            case "demand" -> Demand.run(rest);
-            case "audit" -> AuditCheck.run(rest);
+            case "operator" -> OperatorCommand.run(rest);
+            case "demand" -> LoadGenerator.run(rest);
+            case "audit" -> AuditVerifier.run(rest);
             case "--help", "help" -> help(0);
             default -> {
                 System.err.println("no such subcommand: " + role);
@@ -98,6 +98,6 @@
             return 2;
         }
         final Settings settings = ((Settings.Read.Good) read).settings();
-        return flags.check ? 0 : new Daemon(settings, source, core, Speech.own()).run();
+        return flags.check ? 0 : new NodeProcess(settings, source, core, ProtocolAdapter.own()).run();
     }
 }
--- a/spokestall/src/main/java/spokestall/Operator.java
+++ b/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,20 +10,20 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import spokestall.policy.Book;
-import spokestall.rim.HttpCall;
-import spokestall.rim.HttpClient;
-import spokestall.rim.HttpResult;
-import spokestall.rpc.Calls;
+import spokestall.api.CallRegistry;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.io.http.HttpCall;
+import spokestall.io.http.HttpClient;
+import spokestall.io.http.HttpResult;
 
 /** One call to any node, its flags made from the schema file. */
-final class Operator {
+final class OperatorCommand {
     private static final int ANSWER_MAX = 64 << 20;
 
-    private Operator() {}
+    private OperatorCommand() {}
 
     static int run(final String[] args) throws Exception {
-        final JsonNode methods = new Calls().file().path("methods");
+        final JsonNode methods = new CallRegistry().file().path("methods");
         if (args.length == 0 || args[0].equals("--help")) {
             System.out.println("spokestall operator <method> --to IP:PORT [flags]; a value of @FILE is read from it");
             methods.fields().forEachRemaining(e -> describe(e.getKey(), e.getValue()));
@@ -34,7 +34,7 @@
             System.err.println("no such method: " + args[0]);
             return 2;
         }
-        final ObjectNode params = Book.JSON.createObjectNode();
+        final ObjectNode params = ConfigurationStore.JSON.createObjectNode();
         String to = null;
         long waitMs = 10_000;
         for (int i = 1; i < args.length; i++) {
@@ -90,7 +90,7 @@
             if (schema.path("type").asText().equals("string")) {
                 params.put(flag, text);
             } else {
-                params.set(flag, Book.JSON.readTree(text));
+                params.set(flag, ConfigurationStore.JSON.readTree(text));
             }
             return true;
         } catch (final IOException e) {
@@ -101,7 +101,7 @@
 
     private static int call(final String to, final String method, final ObjectNode params, final long waitMs)
             throws Exception {
-        final HttpClient client = Demand.client(1);
+        final HttpClient client = LoadGenerator.client(1);
         final AtomicReference<HttpResult> got = new AtomicReference<>();
         final CountDownLatch done = new CountDownLatch(1);
         client.call(
@@ -119,8 +119,9 @@
                 });
         done.await(waitMs + 1000, TimeUnit.MILLISECONDS);
         if (got.get() instanceof HttpResult.Whole whole) {
-            final JsonNode out = Book.JSON.readTree(whole.body());
-            System.out.println(Book.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(out));
+            final JsonNode out = ConfigurationStore.JSON.readTree(whole.body());
+            System.out.println(
+                    ConfigurationStore.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(out));
             return out.path("code").asInt() == 1000 ? 0 : 1;
         }
         System.err.println("no answer from " + to + ": " + got.get());
--- a/spokestall/src/main/java/spokestall/policy/AcceptedOrder.java
+++ b/spokestall/src/main/java/spokestall/configuration/CommittedChange.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 /** An order that was accepted: the id it came with, the version it became, and the fleet's time in the agreed change. */
-public record AcceptedOrder(String changeId, long version, long acceptedMs) {}
+public record CommittedChange(String changeId, long version, long acceptedMs) {}
--- a/spokestall/src/main/java/spokestall/policy/AcceptedOrders.java
+++ b/spokestall/src/main/java/spokestall/configuration/CommittedChanges.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -11,7 +11,7 @@
  * {@link #KEPT_MS} after it was accepted, longer while fewer than {@link #KEPT_LEAST} came after it, and at most until
  * {@link #KEPT_MOST} did.
  */
-final class AcceptedOrders {
+final class CommittedChanges {
     /** For how long an operator may send an order again, by the times in the changes. */
     static final long KEPT_MS = 600_000;
     /** So many are known however old they are. */
@@ -19,12 +19,12 @@
     /** No more are known, so that memory, disks and snapshots stay bounded. */
     static final int KEPT_MOST = 2048;
 
-    private final Map<String, AcceptedOrder> orders = new LinkedHashMap<>();
+    private final Map<String, CommittedChange> orders = new LinkedHashMap<>();
     private long newestMs;
 
     /** The version that an order became, or null. */
     Long versionOf(final String changeId) {
-        final AcceptedOrder found = orders.get(changeId);
+        final CommittedChange found = orders.get(changeId);
         return found == null ? null : found.version();
     }
 
@@ -32,12 +32,12 @@
     void accept(final String changeId, final long version, final long acceptedMs) {
         newestMs = Math.max(newestMs, acceptedMs);
         orders.remove(changeId);
-        orders.put(changeId, new AcceptedOrder(changeId, version, newestMs));
+        orders.put(changeId, new CommittedChange(changeId, version, newestMs));
         forget();
     }
 
     private void forget() {
-        final Iterator<AcceptedOrder> oldest = orders.values().iterator();
+        final Iterator<CommittedChange> oldest = orders.values().iterator();
         while (orders.size() > KEPT_LEAST) {
             final boolean over = oldest.next().acceptedMs() + KEPT_MS < newestMs;
             if (!over && orders.size() <= KEPT_MOST) {
@@ -48,14 +48,14 @@
     }
 
     /** Takes the orders of elsewhere in place of these. */
-    void replace(final List<AcceptedOrder> others) {
+    void replace(final List<CommittedChange> others) {
         orders.clear();
         newestMs = 0;
         others.forEach(o -> accept(o.changeId(), o.version(), o.acceptedMs()));
     }
 
     /** All that are known, the oldest first. */
-    List<AcceptedOrder> all() {
+    List<CommittedChange> all() {
         return List.copyOf(orders.values());
     }
 }
--- a/spokestall/src/main/java/spokestall/policy/Policy.java
+++ b/spokestall/src/main/java/spokestall/configuration/Configuration.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collection;
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /** One version of the policy, made ready for use. */
-public final class Policy {
+public final class Configuration {
     /** What a host, path and key lead to: a tenant, or null where none is needed or none has the key, and a binding. */
-    public record Found(Tenant tenant, Binding binding) {
+    public record Found(Tenant tenant, Route binding) {
         /** Whether a key is missing that would be needed. Example: {@code if (found.keyMissing()) deny();} */
         public boolean keyMissing() {
             return tenant == null && (binding == null || !binding.open());
@@ -20,18 +20,18 @@
     private final JsonNode tree;
     private final Map<String, Tenant> tenants = new HashMap<>();
     private final Map<String, Tenant> byKey = new HashMap<>();
-    private final Map<String, Bindings> byHost = new HashMap<>();
-    private final Map<String, ServiceRule> services;
+    private final Map<String, RouteTable> byHost = new HashMap<>();
+    private final Map<String, ServiceLimits> services;
     private final Set<String> holds;
     private final ClientLimits limits;
 
-    /** Example: {@code new Policy(17, tree, tenants, bindings, services, holds, limits)} */
-    public Policy(
+    /** Example: {@code new Configuration(17, tree, tenants, bindings, services, holds, limits)} */
+    public Configuration(
             final long version,
             final JsonNode tree,
             final Collection<Tenant> tenants,
-            final Collection<Binding> bindings,
-            final Map<String, ServiceRule> services,
+            final Collection<Route> bindings,
+            final Map<String, ServiceLimits> services,
             final Set<String> holds,
             final ClientLimits limits) {
         this.version = version;
@@ -45,8 +45,8 @@
                 byKey.put(key, tenant);
             }
         }
-        for (final Binding binding : bindings) {
-            byHost.computeIfAbsent(binding.host(), h -> new Bindings()).add(binding);
+        for (final Route binding : bindings) {
+            byHost.computeIfAbsent(binding.host(), h -> new RouteTable()).add(binding);
         }
     }
 
@@ -69,7 +69,7 @@
      * keyHash is null where no key came. Example: {@code policy.find("a.example", "/pay/17", hash).binding()} */
     public Found find(final String host, final String path, final String keyHash) {
         final Tenant tenant = keyHash == null ? null : byKey.get(keyHash);
-        Binding binding = tenant == null ? null : tenant.binding(path);
+        Route binding = tenant == null ? null : tenant.binding(path);
         if (binding == null) {
             binding = shared(host, path);
         }
@@ -79,8 +79,8 @@
         return new Found(tenant, binding);
     }
 
-    private Binding shared(final String host, final String path) {
-        final Bindings of = byHost.get(host);
+    private Route shared(final String host, final String path) {
+        final RouteTable of = byHost.get(host);
         return of == null ? null : of.find(path);
     }
 
@@ -90,12 +90,12 @@
     }
 
     /** A service's bounds, or null. Example: {@code policy.service("transfers").goMs()} */
-    public ServiceRule service(final String name) {
+    public ServiceLimits service(final String name) {
         return services.get(name);
     }
 
     /** Names of the services. Example: {@code policy.services().keySet()} */
-    public Map<String, ServiceRule> services() {
+    public Map<String, ServiceLimits> services() {
         return services;
     }
 
--- a/spokestall/src/main/java/spokestall/policy/Change.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationChange.java
@@ -1,18 +1,18 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import java.util.List;
-import spokestall.wire.Since;
+import spokestall.message.SinceVersion;
 
 /**
  * One accepted change: the whole policy anew, or a part as a JSON merge patch, and the fleet's time when it was proposed. A
  * generation's first change also says which orders were accepted before it.
  */
-public record Change(
+public record ConfigurationChange(
         String changeId,
         Kind kind,
         byte[] json,
-        @Since(4) long acceptedMs,
-        @Since(4) List<AcceptedOrder> before) {
+        @SinceVersion(4) long acceptedMs,
+        @SinceVersion(4) List<CommittedChange> before) {
     /** Whole or part. */
     public enum Kind {
         PUT,
@@ -20,12 +20,12 @@
     }
 
     /** Programs of older versions tell no orders. */
-    public Change {
+    public ConfigurationChange {
         before = before == null ? List.of() : before;
     }
 
-    /** Example: {@code new Change("chg-1", Change.Kind.PATCH, json, fleet.nowMs())} */
-    public Change(final String changeId, final Kind kind, final byte[] json, final long acceptedMs) {
+    /** Example: {@code new ConfigurationChange("chg-1", ConfigurationChange.Kind.PATCH, json, fleet.nowMs())} */
+    public ConfigurationChange(final String changeId, final Kind kind, final byte[] json, final long acceptedMs) {
         this(changeId, kind, json, acceptedMs, List.of());
     }
 }
--- a/spokestall/src/main/java/spokestall/policy/Book.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationStore.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 
 /** The policy a node has applied, with the newest changes for those who follow from a place on. */
-public final class Book {
+public final class ConfigurationStore {
     /** The one reader of JSON. */
     public static final ObjectMapper JSON = new ObjectMapper();
 
@@ -18,28 +18,28 @@
     private static final int CHANGES_AT_ONCE = 32;
 
     private final int changesKept;
-    private final TreeMap<Long, Change> changes = new TreeMap<>();
-    private final AcceptedOrders orders = new AcceptedOrders();
+    private final TreeMap<Long, ConfigurationChange> changes = new TreeMap<>();
+    private final CommittedChanges orders = new CommittedChanges();
     private long changesBytes;
-    private Snapshot snapshot;
+    private ConfigurationSnapshot snapshot;
     private long bytesMost;
-    private final PolicyForm form;
-    private Policy policy;
+    private final ConfigurationFormat form;
+    private Configuration policy;
 
-    /** Example: {@code new Book(1024)} keeps that many changes for followers. */
-    public Book(final int changesKept) {
-        this(changesKept, new OwnForm(null));
+    /** Example: {@code new ConfigurationStore(1024)} keeps that many changes for followers. */
+    public ConfigurationStore(final int changesKept) {
+        this(changesKept, new NativeConfigurationFormat(null));
     }
 
-    /** Example: {@code new Book(1024, form)} keeps policies of that form. */
-    public Book(final int changesKept, final PolicyForm form) {
+    /** Example: {@code new ConfigurationStore(1024, form)} keeps policies of that form. */
+    public ConfigurationStore(final int changesKept, final ConfigurationFormat form) {
         this.changesKept = changesKept;
         this.form = form;
         this.policy = form.read(0, JSON.createObjectNode(), null);
     }
 
     /** The version in force here. Example: {@code book.policy().version()} */
-    public Policy policy() {
+    public Configuration policy() {
         return policy;
     }
 
@@ -55,20 +55,20 @@
     }
 
     /** The tree after a change, not yet applied. Example: {@code book.preview(change)} */
-    public JsonNode preview(final Change change) {
+    public JsonNode preview(final ConfigurationChange change) {
         try {
             final JsonNode json = JSON.readTree(change.json());
-            return change.kind() == Change.Kind.PUT ? json : Patch.apply(policy.tree(), json);
+            return change.kind() == ConfigurationChange.Kind.PUT ? json : MergePatch.apply(policy.tree(), json);
         } catch (final IOException e) {
             throw new IllegalArgumentException("a change that is no JSON was accepted", e);
         }
     }
 
     /** Applies the next change. Example: {@code book.apply(book.policy().version() + 1, change);} */
-    public void apply(final long version, final Change change) {
+    public void apply(final long version, final ConfigurationChange change) {
         assert version > policy.version() : version + " after " + policy.version();
         policy = form.read(version, preview(change), policy);
-        bytesMost = (change.kind() == Change.Kind.PUT ? 0 : bytesMost) + change.json().length;
+        bytesMost = (change.kind() == ConfigurationChange.Kind.PUT ? 0 : bytesMost) + change.json().length;
         keep(version, change);
         if (!change.before().isEmpty()) {
             orders.replace(change.before());
@@ -77,7 +77,7 @@
     }
 
     /** The newest one is kept however large it is: it is told to all. */
-    private void keep(final long version, final Change change) {
+    private void keep(final long version, final ConfigurationChange change) {
         changes.put(version, change);
         changesBytes += change.json().length;
         while (changes.size() > changesKept || changesBytes > CHANGES_BYTES_MOST && changes.size() > 1) {
@@ -85,13 +85,13 @@
         }
     }
 
-    /** The orders that were accepted lately, the oldest first. Example: {@code new Snapshot(17, json, book.orders())} */
-    public List<AcceptedOrder> orders() {
+    /** The orders that were accepted lately, the oldest first. Example: {@code new ConfigurationSnapshot(17, json, book.orders())} */
+    public List<CommittedChange> orders() {
         return orders.all();
     }
 
     /** Starts from a snapshot if it is newer. Example: {@code book.load(snapshot);} */
-    public boolean load(final Snapshot snapshot) {
+    public boolean load(final ConfigurationSnapshot snapshot) {
         if (snapshot.version() <= policy.version()) {
             return false;
         }
@@ -108,12 +108,12 @@
     }
 
     /** This version whole. Example: {@code post.send(to, book.snapshot());} */
-    public Snapshot snapshot() {
+    public ConfigurationSnapshot snapshot() {
         if (snapshot != null && snapshot.version() == policy.version()) {
             return snapshot;
         }
         try {
-            snapshot = new Snapshot(policy.version(), JSON.writeValueAsBytes(policy.tree()), orders.all());
+            snapshot = new ConfigurationSnapshot(policy.version(), JSON.writeValueAsBytes(policy.tree()), orders.all());
             return snapshot;
         } catch (final JsonProcessingException e) {
             throw new IllegalStateException(e);
@@ -121,13 +121,13 @@
     }
 
     /** The changes that are kept from after a place, however far they reach back. Example: {@code book.kept(17)} */
-    public Map<Long, Change> kept(final long place) {
+    public Map<Long, ConfigurationChange> kept(final long place) {
         return changes.tailMap(place, false);
     }
 
     /** The changes after a place, or null when they don't reach back that far or are so many that the snapshot is
      * quicker. Example: {@code book.after(17)} */
-    public Map<Long, Change> after(final long place) {
+    public Map<Long, ConfigurationChange> after(final long place) {
         if (place == policy.version()) {
             return Map.of();
         }
--- a/spokestall/src/main/java/spokestall/policy/Rules.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationValidator.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -14,7 +14,7 @@
 import java.util.function.BinaryOperator;
 
 /** Checks a whole policy against the schema file and in meaning; every trouble is named with its place. */
-public final class Rules {
+public final class ConfigurationValidator {
     /** One thing wrong: where, and why. */
     public record Trouble(String pointer, String reason) {}
 
@@ -22,8 +22,8 @@
     private final Set<String> regions;
     private final Set<String> districts;
 
-    /** Example: {@code new Rules(schemaFile.at("/$defs/policy"), Set.of("r1"), Set.of("d1"))} */
-    public Rules(final JsonNode policySchema, final Set<String> regions, final Set<String> districts) {
+    /** Example: {@code new ConfigurationValidator(schemaFile.at("/$defs/policy"), Set.of("r1"), Set.of("d1"))} */
+    public ConfigurationValidator(final JsonNode policySchema, final Set<String> regions, final Set<String> districts) {
         schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(policySchema);
         this.regions = regions;
         this.districts = districts;
@@ -83,7 +83,7 @@
             if (b == good.path("bindings").path(e.getKey()) && tree.path("services") == good.path("services")) {
                 return;
             }
-            if (!(Target.of(path) instanceof Target.Good)) {
+            if (!(RequestTarget.of(path) instanceof RequestTarget.Good)) {
                 troubles.add(new Trouble(place + "/path", "is no path that can be read in one way only"));
             }
             if (b.has("service") && !tree.path("services").has(b.path("service").asText())) {
@@ -175,7 +175,8 @@
             }
             final String path = b.getValue().path("path").asText();
             if (b.getValue() != was.path("bindings").path(b.getKey())
-                    && (!(Target.of(path) instanceof Target.Good) || path.length() > 1 && path.endsWith("/"))) {
+                    && (!(RequestTarget.of(path) instanceof RequestTarget.Good)
+                            || path.length() > 1 && path.endsWith("/"))) {
                 troubles.add(new Trouble(place + "/path", "is no path that can be read in one way only"));
             }
             final String had = paths.putIfAbsent(path, place);
--- a/spokestall/src/main/java/spokestall/policy/KeyHash.java
+++ b/spokestall/src/main/java/spokestall/configuration/KeyHash.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import com.github.benmanes.caffeine.cache.Caffeine;
 import com.github.benmanes.caffeine.cache.LoadingCache;
--- a/spokestall/src/main/java/spokestall/policy/Patch.java
+++ b/spokestall/src/main/java/spokestall/configuration/MergePatch.java
@@ -1,14 +1,14 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** JSON merge patch (RFC 7396) that shares what does not change with the tree it was made from. */
-public final class Patch {
-    private Patch() {}
+public final class MergePatch {
+    private MergePatch() {}
 
-    /** Example: {@code Patch.apply(tree, patch)}; null in the patch takes a member away. */
+    /** Example: {@code MergePatch.apply(tree, patch)}; null in the patch takes a member away. */
     public static JsonNode apply(final JsonNode target, final JsonNode patch) {
         if (!patch.isObject()) {
             return patch;
--- a/spokestall/src/main/java/spokestall/policy/OwnForm.java
+++ b/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -9,24 +9,24 @@
 import java.util.Set;
 
 /** spokestall's own form of a policy: cells with their tenants, bindings for all, services and holds. */
-public final class OwnForm implements PolicyForm {
+public final class NativeConfigurationFormat implements ConfigurationFormat {
     private static final int HEAD_MAX_BYTES = 16 << 10;
     private static final long HEAD_WAIT_MS = 10_000;
     private static final long REST_MAX_MS = 60_000;
-    private final Rules rules;
+    private final ConfigurationValidator rules;
 
-    /** Example: {@code new OwnForm(new Rules(schema, regions, districts))}; a book that checks nothing may have null. */
-    public OwnForm(final Rules rules) {
+    /** Example: {@code new NativeConfigurationFormat(new ConfigurationValidator(schema, regions, districts))}; a book that checks nothing may have null. */
+    public NativeConfigurationFormat(final ConfigurationValidator rules) {
         this.rules = rules;
     }
 
     @Override
-    public List<Rules.Trouble> check(final JsonNode tree, final JsonNode good) {
+    public List<ConfigurationValidator.Trouble> check(final JsonNode tree, final JsonNode good) {
         return rules.check(tree, good);
     }
 
     @Override
-    public Policy read(final long version, final JsonNode tree, final Policy before) {
+    public Configuration read(final long version, final JsonNode tree, final Configuration before) {
         final List<Tenant> tenants = new ArrayList<>();
         tree.path("cells")
                 .fields()
@@ -34,13 +34,13 @@
                         .path("tenants")
                         .fields()
                         .forEachRemaining(t -> tenants.add(tenant(cell.getKey(), t.getKey(), t.getValue(), before))));
-        final List<Binding> bindings = new ArrayList<>();
+        final List<Route> bindings = new ArrayList<>();
         tree.path("bindings").fields().forEachRemaining(b -> bindings.add(binding(b.getKey(), b.getValue())));
-        final Map<String, ServiceRule> services = new HashMap<>();
+        final Map<String, ServiceLimits> services = new HashMap<>();
         tree.path("services").fields().forEachRemaining(e -> services.put(e.getKey(), rule(e.getKey(), e.getValue())));
         final Set<String> holds = new HashSet<>();
         tree.path("holds").fieldNames().forEachRemaining(holds::add);
-        return new Policy(version, tree, tenants, bindings, services, holds, limits(tree.path("limits")));
+        return new Configuration(version, tree, tenants, bindings, services, holds, limits(tree.path("limits")));
     }
 
     private static ClientLimits limits(final JsonNode l) {
@@ -50,23 +50,24 @@
                 l.path("restMaxMs").asLong(REST_MAX_MS));
     }
 
-    private static Tenant tenant(final String cell, final String name, final JsonNode source, final Policy before) {
+    private static Tenant tenant(
+            final String cell, final String name, final JsonNode source, final Configuration before) {
         final Tenant had = before == null ? null : before.tenants().get(name);
         return had != null && had.madeFrom(source) && had.cell().equals(cell) ? had : Tenant.read(name, cell, source);
     }
 
-    private static Binding binding(final String name, final JsonNode b) {
-        final List<Binding.Share> split = new ArrayList<>();
+    private static Route binding(final String name, final JsonNode b) {
+        final List<Route.Share> split = new ArrayList<>();
         b.path("split")
                 .fields()
-                .forEachRemaining(s ->
-                        split.add(new Binding.Share(s.getKey(), s.getValue().asInt())));
+                .forEachRemaining(
+                        s -> split.add(new Route.Share(s.getKey(), s.getValue().asInt())));
         if (split.isEmpty()) {
-            split.add(new Binding.Share(b.path("service").asText(), 1));
+            split.add(new Route.Share(b.path("service").asText(), 1));
         }
         final Set<String> regions = new HashSet<>();
         b.path("regions").forEach(r -> regions.add(r.asText()));
-        return new Binding(
+        return new Route(
                 name,
                 b.path("host").asText(""),
                 b.path("path").asText(),
@@ -80,8 +81,8 @@
                 regions);
     }
 
-    private static ServiceRule rule(final String name, final JsonNode s) {
-        return new ServiceRule(
+    private static ServiceLimits rule(final String name, final JsonNode s) {
+        return new ServiceLimits(
                 name,
                 s.path("askMaxBytes").asInt(64 << 10),
                 s.path("answerMaxBytes").asInt(256 << 10),
--- a/spokestall/src/main/java/spokestall/policy/Target.java
+++ b/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
@@ -1,18 +1,18 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 /**
  * An ask's target as it came. It is forwarded to the letter, and matched only if its path can be read in one way: two
  * programs that each tidy a path after their own manner must not see two different paths in it.
  */
-public sealed interface Target {
+public sealed interface RequestTarget {
     /** A path with one reading, and the whole target as it came. */
-    record Good(String path, String raw) implements Target {}
+    record Good(String path, String raw) implements RequestTarget {}
 
     /** No path, or one that can be read in two ways. */
-    record Bad(String why) implements Target {}
+    record Bad(String why) implements RequestTarget {}
 
-    /** Reads a request target. Example: {@code Target.of("/transfers/17?full=1") instanceof Target.Good} */
-    static Target of(final String raw) {
+    /** Reads a request target. Example: {@code RequestTarget.of("/transfers/17?full=1") instanceof RequestTarget.Good} */
+    static RequestTarget of(final String raw) {
         final int mark = raw.indexOf('?');
         final String path = mark < 0 ? raw : raw.substring(0, mark);
         if (!path.startsWith("/")) {
--- a/spokestall/src/main/java/spokestall/policy/Binding.java
+++ b/spokestall/src/main/java/spokestall/configuration/Route.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import java.util.List;
 import java.util.Random;
@@ -9,7 +9,7 @@
  * below it. Spans and goes that are zero are not bounded by the binding; no regions means all of them; an open one needs
  * no key.
  */
-public record Binding(
+public record Route(
         String name,
         String host,
         String path,
@@ -24,9 +24,9 @@
     /** One service's weight in a split. */
     public record Share(String service, int weight) {}
 
-    /** A tenant's own binding. Example: {@code Binding.of("pay", "/pay", "transfers", true)} */
-    public static Binding of(final String name, final String path, final String service, final boolean runOnce) {
-        return new Binding(name, "", path, List.of(new Share(service, 1)), runOnce, 0, 0, 0, 0, false, Set.of());
+    /** A tenant's own binding. Example: {@code Route.of("pay", "/pay", "transfers", true)} */
+    public static Route of(final String name, final String path, final String service, final boolean runOnce) {
+        return new Route(name, "", path, List.of(new Share(service, 1)), runOnce, 0, 0, 0, 0, false, Set.of());
     }
 
     /** One of the services, each as often as its weight says. Example: {@code binding.service(random)} */
--- a/spokestall/src/main/java/spokestall/policy/Bindings.java
+++ b/spokestall/src/main/java/spokestall/configuration/RouteTable.java
@@ -1,13 +1,13 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Bindings by path, of which the longest that leads to an ask's path counts. */
-final class Bindings {
-    private final Map<String, Binding> byPath = new HashMap<>();
+final class RouteTable {
+    private final Map<String, Route> byPath = new HashMap<>();
 
-    void add(final Binding binding) {
+    void add(final Route binding) {
         byPath.put(binding.path(), binding);
     }
 
@@ -16,8 +16,8 @@
     }
 
     /** A path that ends with a slash leads to what is below it only; another one to itself too. */
-    Binding find(final String path) {
-        Binding found = byPath.get(path);
+    Route find(final String path) {
+        Route found = byPath.get(path);
         int at = path.length();
         while (found == null && at > 0) {
             at = path.lastIndexOf('/', at - 1);
--- a/spokestall/src/main/java/spokestall/policy/ServiceRule.java
+++ b/spokestall/src/main/java/spokestall/configuration/ServiceLimits.java
@@ -1,5 +1,5 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 /** A service's bounds: sizes of asks and answers, the longest go, and how a cold upstream warms up. */
-public record ServiceRule(
+public record ServiceLimits(
         String name, int askMaxBytes, int answerMaxBytes, long goMs, long warmupMs, double warmPerS) {}
--- a/spokestall/src/main/java/spokestall/policy/Tenant.java
+++ b/spokestall/src/main/java/spokestall/configuration/Tenant.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
     private final Set<String> homeRegions;
     private final Set<String> keys;
     private final Integer priority;
-    private final Bindings bindings = new Bindings();
+    private final RouteTable bindings = new RouteTable();
 
     /** Example: {@code new Tenant("t-1", "cell-1", source, Set.of("r1"), Set.of(hash), null, List.of())}; priority is null
      * where the binding's own counts. */
@@ -25,7 +25,7 @@
             final Set<String> homeRegions,
             final Set<String> keys,
             final Integer priority,
-            final List<Binding> bindings) {
+            final List<Route> bindings) {
         this.name = name;
         this.cell = cell;
         this.source = source;
@@ -38,12 +38,12 @@
     static Tenant read(final String name, final String cell, final JsonNode source) {
         final Set<String> homes = new HashSet<>();
         final Set<String> hashes = new HashSet<>();
-        final List<Binding> own = new ArrayList<>();
+        final List<Route> own = new ArrayList<>();
         source.path("homeRegions").forEach(r -> homes.add(r.asText()));
         source.path("keys").forEach(k -> hashes.add(k.path("sha256").asText()));
         source.path("bindings").fields().forEachRemaining(e -> {
             final JsonNode b = e.getValue();
-            own.add(Binding.of(
+            own.add(Route.of(
                     e.getKey(),
                     b.path("path").asText(),
                     b.path("service").asText(),
@@ -91,7 +91,7 @@
 
     /** The binding with the longest path that leads to this one, or null.
      * Example: {@code tenant.binding("/transfers/17/status")} */
-    public Binding binding(final String path) {
+    public Route binding(final String path) {
         return bindings.find(path);
     }
 
--- a/spokestall/src/main/java/spokestall/policy/Acceptance.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration.change;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,24 +10,29 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
-import spokestall.ballot.Edit;
-import spokestall.ballot.Outcome;
-import spokestall.ballot.Proposer;
-import spokestall.feed.Follower;
-import spokestall.feed.Versions;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.Configuration;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationFormat;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.ConfigurationValidator;
+import spokestall.configuration.feed.ConfigurationKeys;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.RegisterEdit;
+import spokestall.message.MessageCodec;
 import spokestall.time.Clock;
-import spokestall.wire.Codec;
 
 /** Takes changes to the policy: each is checked whole, then agreed as the one next version, or denied. */
-public final class Acceptance {
+public final class ChangeCoordinator {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
-    private final Book book;
-    private final PolicyForm form;
+    private final ConfigurationStore book;
+    private final ConfigurationFormat form;
     private final Proposer proposer;
-    private final Follower follower;
+    private final FeedClient follower;
     private final Clock clock;
     private final LongSupplier fleetMs;
     private final long waitMs;
@@ -36,12 +41,12 @@
     private final List<Attempt> attempts = new ArrayList<>();
 
     /** The fleet's time is zero while it isn't known. Example: see {@code Node}. */
-    public Acceptance(
+    public ChangeCoordinator(
             final String name,
-            final Book book,
-            final PolicyForm form,
+            final ConfigurationStore book,
+            final ConfigurationFormat form,
             final Proposer proposer,
-            final Follower follower,
+            final FeedClient follower,
             final Clock clock,
             final LongSupplier fleetMs,
             final long waitMs,
@@ -61,29 +66,30 @@
 
     /** Takes a change made against one version; it is judged as {@link #agree} judges every order.
      * Example: {@code acceptance.take(base, "chg-1", tree -> new Drafted.Write(PATCH, patch), reply -> ...);} */
-    public void take(final long base, final String changeId, final Draft draft, final Consumer<Reply> done) {
+    public void take(final long base, final String changeId, final ChangeDraft draft, final Consumer<Reply> done) {
         agree(
                 changeId,
-                tree -> book.policy().version() == base ? draft.on(tree) : new Draft.Drafted.Stale(),
+                tree -> book.policy().version() == base ? draft.on(tree) : new ChangeDraft.Drafted.Stale(),
                 waitMs,
                 done);
     }
 
     /** Why a change can't be made on top of the policy here, or null. */
-    private Reply check(final Change change) {
+    private Reply check(final ConfigurationChange change) {
         final JsonNode after = book.preview(change);
-        final List<Rules.Trouble> troubles = form.check(after, book.policy().tree());
+        final List<ConfigurationValidator.Trouble> troubles =
+                form.check(after, book.policy().tree());
         if (tooLarge(change, after)) {
-            troubles.add(new Rules.Trouble("", "larger than policyMaxBytes"));
+            troubles.add(new ConfigurationValidator.Trouble("", "larger than policyMaxBytes"));
         }
         return troubles.isEmpty() ? null : invalid(change.changeId(), troubles);
     }
 
-    private Reply invalid(final String changeId, final List<Rules.Trouble> troubles) {
+    private Reply invalid(final String changeId, final List<ConfigurationValidator.Trouble> troubles) {
         final ObjectNode out = fields(book.policy().version(), changeId);
         final ArrayNode list = out.putArray("troubles");
         troubles.forEach(t -> list.addObject().put("pointer", t.pointer()).put("reason", t.reason()));
-        return Reply.of(Result.INVALID, out);
+        return Reply.of(ResultCode.INVALID, out);
     }
 
     /**
@@ -92,7 +98,8 @@
      * order is never called stale, invalid, missing or taken because this node is behind or was left behind.
      * Example: {@code acceptance.agree("hold-1", tree -> ..., 2000, reply -> ...);}
      */
-    public void agree(final String changeId, final Draft draft, final long waitLeftMs, final Consumer<Reply> done) {
+    public void agree(
+            final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
         final long deadlineMs = clock.nowMs() + waitLeftMs;
         follower.current(waitLeftMs, current -> {
             if (!current || !governed()) {
@@ -110,7 +117,7 @@
      * Example: {@code acceptance.takeUnnamed("hold-5f", tree -> ..., 2000, reply -> ...);}
      */
     public void takeUnnamed(
-            final String changeId, final Draft draft, final long waitLeftMs, final Consumer<Reply> done) {
+            final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
         if (follower.fresh()) {
             agree(changeId, draft, waitLeftMs, done);
         } else {
@@ -124,34 +131,35 @@
                 && book.policy().version() >= proposer.voters().firstNumber();
     }
 
-    private void judge(final String changeId, final Draft draft, final long deadlineMs, final Consumer<Reply> done) {
+    private void judge(
+            final String changeId, final ChangeDraft draft, final long deadlineMs, final Consumer<Reply> done) {
         final Long known = book.versionOf(changeId);
         if (known != null) {
             done.accept(accepted(known, changeId));
             return;
         }
         final long version = book.policy().version();
-        final Draft.Drafted drafted = draft.on(book.policy().tree());
-        if (drafted instanceof Draft.Drafted.Already) {
+        final ChangeDraft.Drafted drafted = draft.on(book.policy().tree());
+        if (drafted instanceof ChangeDraft.Drafted.Already) {
             done.accept(accepted(version, changeId));
-        } else if (drafted instanceof Draft.Drafted.Stale) {
-            done.accept(Reply.of(Result.STALE_BASE, fields(version, changeId)));
-        } else if (drafted instanceof Draft.Drafted.Missing) {
-            done.accept(Reply.of(Result.NOT_FOUND, fields(version, changeId)));
-        } else if (drafted instanceof Draft.Drafted.Bad bad) {
-            done.accept(invalid(changeId, List.of(new Rules.Trouble(bad.pointer(), bad.reason()))));
-        } else if (drafted instanceof Draft.Drafted.Write write) {
+        } else if (drafted instanceof ChangeDraft.Drafted.Stale) {
+            done.accept(Reply.of(ResultCode.STALE_BASE, fields(version, changeId)));
+        } else if (drafted instanceof ChangeDraft.Drafted.Missing) {
+            done.accept(Reply.of(ResultCode.NOT_FOUND, fields(version, changeId)));
+        } else if (drafted instanceof ChangeDraft.Drafted.Bad bad) {
+            done.accept(invalid(changeId, List.of(new ConfigurationValidator.Trouble(bad.pointer(), bad.reason()))));
+        } else if (drafted instanceof ChangeDraft.Drafted.Write write) {
             write(changeId, draft, write, deadlineMs, done);
         }
     }
 
     private void write(
             final String changeId,
-            final Draft draft,
-            final Draft.Drafted.Write write,
+            final ChangeDraft draft,
+            final ChangeDraft.Drafted.Write write,
             final long deadlineMs,
             final Consumer<Reply> done) {
-        final Change change = change(changeId, write);
+        final ConfigurationChange change = change(changeId, write);
         final Reply denied = check(change);
         if (denied != null) {
             done.accept(denied);
@@ -167,13 +175,14 @@
      * Another change was first. What still fits on top of it is proposed at once, for that is taken only where nothing newer
      * is; any other end is judged by what is proved newest, never by what the order lost against.
      */
-    private void again(final String changeId, final Draft draft, final long deadlineMs, final Consumer<Reply> done) {
+    private void again(
+            final String changeId, final ChangeDraft draft, final long deadlineMs, final Consumer<Reply> done) {
         final long leftMs = deadlineMs - clock.nowMs();
         if (leftMs <= 0) {
             done.accept(notReady(changeId));
         } else if (governed()
                 && book.versionOf(changeId) == null
-                && draft.on(book.policy().tree()) instanceof Draft.Drafted.Write write
+                && draft.on(book.policy().tree()) instanceof ChangeDraft.Drafted.Write write
                 && check(change(changeId, write)) == null) {
             write(changeId, draft, write, deadlineMs, done);
         } else {
@@ -181,30 +190,30 @@
         }
     }
 
-    private Change change(final String changeId, final Draft.Drafted.Write write) {
-        return new Change(changeId, write.kind(), bytes(write.json()), fleetMs.getAsLong());
+    private ConfigurationChange change(final String changeId, final ChangeDraft.Drafted.Write write) {
+        return new ConfigurationChange(changeId, write.kind(), bytes(write.json()), fleetMs.getAsLong());
     }
 
     /** The newest policy, proved newest after the call came; null when that can't be had in time.
      * Example: {@code acceptance.newest(1000, policy -> ...);} */
-    public void newest(final long waitLeftMs, final Consumer<Policy> done) {
+    public void newest(final long waitLeftMs, final Consumer<Configuration> done) {
         follower.current(waitLeftMs, current -> done.accept(current && governed() ? book.policy() : null));
     }
 
     /** A part can't make the whole larger than the two are together, so the whole is written out only near the bound. */
-    private boolean tooLarge(final Change change, final JsonNode after) {
-        final long before = change.kind() == Change.Kind.PUT ? 0 : book.bytesMost();
+    private boolean tooLarge(final ConfigurationChange change, final JsonNode after) {
+        final long before = change.kind() == ConfigurationChange.Kind.PUT ? 0 : book.bytesMost();
         return before + change.json().length > bytesMax && bytes(after).length > bytesMax;
     }
 
     /** A proposal under way: what follows where its own end is known, and where another change was first. */
     private static final class Attempt {
         private final long next;
-        private final Change change;
+        private final ConfigurationChange change;
         private final Consumer<Reply> known;
         private final Runnable beaten;
 
-        Attempt(final long next, final Change change, final Consumer<Reply> known, final Runnable beaten) {
+        Attempt(final long next, final ConfigurationChange change, final Consumer<Reply> known, final Runnable beaten) {
             this.next = next;
             this.change = change;
             this.known = known;
@@ -213,28 +222,31 @@
     }
 
     private void propose(final Attempt attempt, final long leftMs) {
-        final byte[] value = Codec.bytes(attempt.change);
+        final byte[] value = MessageCodec.bytes(attempt.change);
         attempts.add(attempt);
         proposer.change(
-                Versions.key(attempt.next),
+                ConfigurationKeys.key(attempt.next),
                 leftMs,
                 now -> edit(attempt.next, attempt.change, value, now),
                 outcome -> ended(attempt, outcome));
     }
 
-    private void ended(final Attempt attempt, final Outcome outcome) {
-        if (outcome instanceof Outcome.Done done && done.value() != null) {
+    private void ended(final Attempt attempt, final ProposalOutcome outcome) {
+        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
             chosen(attempt, done.value());
         }
         if (!attempts.remove(attempt)) {
             return;
         }
         final String changeId = attempt.change.changeId();
-        if (outcome instanceof Outcome.Done done && done.value() != null && same(done.value(), attempt.change)) {
+        if (outcome instanceof ProposalOutcome.Done done
+                && done.value() != null
+                && same(done.value(), attempt.change)) {
             attempt.known.accept(accepted(attempt.next, changeId));
-        } else if (outcome instanceof Outcome.Undecided) {
-            attempt.known.accept(Reply.of(Result.UNDECIDED, fields(book.policy().version(), changeId)));
-        } else if (outcome instanceof Outcome.NotDone) {
+        } else if (outcome instanceof ProposalOutcome.Undecided) {
+            attempt.known.accept(
+                    Reply.of(ResultCode.UNDECIDED, fields(book.policy().version(), changeId)));
+        } else if (outcome instanceof ProposalOutcome.NotDone) {
             attempt.known.accept(notReady(changeId));
         } else {
             attempt.beaten.run();
@@ -257,15 +269,15 @@
         }
     }
 
-    private Edit edit(final long next, final Change change, final byte[] value, final byte[] now) {
+    private RegisterEdit edit(final long next, final ConfigurationChange change, final byte[] value, final byte[] now) {
         if (now == null) {
-            return next == book.policy().version() + 1 ? new Edit.Set(value) : Edit.LEAVE;
+            return next == book.policy().version() + 1 ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE;
         }
-        return same(now, change) ? new Edit.Set(now) : Edit.LEAVE;
+        return same(now, change) ? new RegisterEdit.Set(now) : RegisterEdit.LEAVE;
     }
 
-    private static boolean same(final byte[] value, final Change change) {
-        return Codec.record(value, Change.class).changeId().equals(change.changeId());
+    private static boolean same(final byte[] value, final ConfigurationChange change) {
+        return MessageCodec.record(value, ConfigurationChange.class).changeId().equals(change.changeId());
     }
 
     private void chosen(final Attempt attempt, final byte[] value) {
@@ -277,22 +289,25 @@
     }
 
     private Reply notReady(final String changeId) {
-        return Reply.of(Result.NOT_READY, fields(book.policy().version(), changeId));
+        return Reply.of(ResultCode.NOT_READY, fields(book.policy().version(), changeId));
     }
 
     private Reply accepted(final long version, final String changeId) {
-        final ObjectNode out = Book.JSON.createObjectNode();
+        final ObjectNode out = ConfigurationStore.JSON.createObjectNode();
         out.put("version", version).put("changeId", changeId);
-        return Reply.of(Result.OK, out);
+        return Reply.of(ResultCode.OK, out);
     }
 
     private static ObjectNode fields(final long current, final String changeId) {
-        return Book.JSON.createObjectNode().put("current", current).put("changeId", changeId);
+        return ConfigurationStore.JSON
+                .createObjectNode()
+                .put("current", current)
+                .put("changeId", changeId);
     }
 
     private static byte[] bytes(final JsonNode json) {
         try {
-            return Book.JSON.writeValueAsBytes(json);
+            return ConfigurationStore.JSON.writeValueAsBytes(json);
         } catch (final JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
--- a/spokestall/src/main/java/spokestall/policy/Draft.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeDraft.java
@@ -1,13 +1,14 @@
-package spokestall.policy;
+package spokestall.configuration.change;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import spokestall.configuration.ConfigurationChange;
 
 /** An order that is made into a change on top of whatever policy is newest, for as long as it still fits there. */
-public interface Draft {
+public interface ChangeDraft {
     /** What the order comes to. */
     sealed interface Drafted {
         /** This change is to be made. */
-        record Write(Change.Kind kind, JsonNode json) implements Drafted {}
+        record Write(ConfigurationChange.Kind kind, JsonNode json) implements Drafted {}
 
         /** What it asks for is so already. */
         record Already() implements Drafted {}
--- a/spokestall/src/main/java/spokestall/feed/Versions.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/ConfigurationKeys.java
@@ -1,30 +1,30 @@
-package spokestall.feed;
+package spokestall.configuration.feed;
 
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import spokestall.ballot.Ballot;
-import spokestall.ballot.Register;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.Register;
 
 /** The register keys of policy versions. */
-public final class Versions {
+public final class ConfigurationKeys {
     private static final String PREFIX = "policy/";
 
-    private Versions() {}
+    private ConfigurationKeys() {}
 
-    /** Example: {@code Versions.key(17)} gives {@code policy/0000000000000000017}. */
+    /** Example: {@code ConfigurationKeys.key(17)} gives {@code policy/0000000000000000017}. */
     public static String key(final long version) {
         return PREFIX + String.format("%019d", version);
     }
 
-    /** The version of a key, or -1. Example: {@code Versions.of("policy/0000000000000000017") == 17} */
+    /** The version of a key, or -1. Example: {@code ConfigurationKeys.of("policy/0000000000000000017") == 17} */
     public static long of(final String key) {
         return key.startsWith(PREFIX) ? Long.parseLong(key.substring(PREFIX.length())) : -1;
     }
 
     /** The version up to which registers may be let go when all up to {@code snapshot} is kept in another form: those after
      * it are the newest of at most so many and so many bytes in all, the newest one always among them.
-     * Example: {@code Versions.floor(registers, 18, 1024, 1 << 20)} */
+     * Example: {@code ConfigurationKeys.floor(registers, 18, 1024, 1 << 20)} */
     public static long floor(
             final TreeMap<String, Register> registers, final long snapshot, final int most, final long mostBytes) {
         long floor = snapshot - 1;
@@ -45,16 +45,16 @@
         return register == null || register.value() == null ? 0 : register.value().length;
     }
 
-    /** The keys of versions up to one, and of no others. Example: {@code Versions.upTo(registers, floor)} */
+    /** The keys of versions up to one, and of no others. Example: {@code ConfigurationKeys.upTo(registers, floor)} */
     public static List<String> upTo(final TreeMap<String, Register> registers, final long version) {
         return List.copyOf(registers.subMap(PREFIX, true, key(version), true).keySet());
     }
 
-    /** The newest version for which a voter accepted anything. Example: {@code Versions.newest(voter.registers())} */
+    /** The newest version for which a voter accepted anything. Example: {@code ConfigurationKeys.newest(voter.registers())} */
     public static long newest(final TreeMap<String, Register> registers) {
         for (final Map.Entry<String, Register> e :
                 registers.subMap(PREFIX, true, "policy0", false).descendingMap().entrySet()) {
-            if (e.getValue().accepted().compareTo(Ballot.NONE) > 0) {
+            if (e.getValue().accepted().compareTo(ProposalNumber.NONE) > 0) {
                 return of(e.getKey());
             }
         }
--- a/spokestall/src/main/java/spokestall/feed/Follower.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -1,4 +1,4 @@
-package spokestall.feed;
+package spokestall.configuration.feed;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayDeque;
@@ -12,21 +12,21 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Seat;
-import spokestall.ballot.Voters;
-import spokestall.listing.Listing;
-import spokestall.policy.Book;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.discovery.EndpointRegistry;
+import spokestall.gossip.NodeInfo;
+import spokestall.message.Fingerprints;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
-import spokestall.view.Member;
-import spokestall.wire.Marks;
-import spokestall.wire.Post;
 
 /**
  * Follows the numbered feed from a place on and keeps the freshness proof: the newest version that a majority of
  * voters confirmed, aged from when this node asked them.
  */
-public final class Follower {
+public final class FeedClient {
     /** Spans and counts, from the settings: a core that gave no news for so long is left for another, and every so many
      * asks another is asked once; whole asks are for programs that know no others. */
     public record Pace(long freshMs, int asksOpenMax, long newsWaitMs, int roveEvery, boolean whole) {}
@@ -43,9 +43,9 @@
     private static final class Open {
         private final long askedMs;
         private final Map<String, Long> newest = new HashMap<>();
-        private final Voters table;
+        private final VoterSet table;
 
-        Open(final long askedMs, final Voters table) {
+        Open(final long askedMs, final VoterSet table) {
             this.askedMs = askedMs;
             this.table = table;
         }
@@ -60,15 +60,15 @@
     private static final int WAITING_MAX = 256;
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String address;
-    private final Supplier<Member> self;
-    private final Book book;
-    private final Listing listing;
+    private final Supplier<NodeInfo> self;
+    private final ConfigurationStore book;
+    private final EndpointRegistry listing;
     private final Proposer proposer;
-    private final Post post;
+    private final MessageSender post;
     private final Clock clock;
     private Pace pace;
     private final Supplier<List<String>> strangers;
-    private final Consumer<Voters> adopt;
+    private final Consumer<VoterSet> adopt;
     private final Runnable applied;
     private final IntSupplier open;
     private final TreeMap<Long, Open> asks = new TreeMap<>();
@@ -85,21 +85,21 @@
     private String newsOf;
 
     private long newsOfMs;
-    private List<Member> edges = List.of();
+    private List<NodeInfo> edges = List.of();
     private long edgesMark;
     private long edgesMs = Long.MIN_VALUE / 2;
 
     /** Example: see {@code Node}. */
-    public Follower(
-            final Supplier<Member> self,
-            final Book book,
-            final Listing listing,
+    public FeedClient(
+            final Supplier<NodeInfo> self,
+            final ConfigurationStore book,
+            final EndpointRegistry listing,
             final Proposer proposer,
-            final Post post,
+            final MessageSender post,
             final Clock clock,
             final Pace pace,
             final Supplier<List<String>> strangers,
-            final Consumer<Voters> adopt,
+            final Consumer<VoterSet> adopt,
             final Runnable applied,
             final IntSupplier open,
             final Distance distance) {
@@ -150,18 +150,18 @@
     }
 
     /** The edges that a core named so short a while ago. Example: {@code follower.edges(1200)} */
-    public List<Member> edges(final long spanMs) {
+    public List<NodeInfo> edges(final long spanMs) {
         return clock.nowMs() - edgesMs <= spanMs ? edges : List.of();
     }
 
     /** One beat: asks every core what is newest, and one of them for news. Example: {@code follower.tick();} */
     public void tick() {
-        final Voters table = proposer.voters();
+        final VoterSet table = proposer.voters();
         final List<String> cores = new ArrayList<>();
         if (table == null) {
             cores.addAll(strangers.get());
         } else {
-            for (final Seat seat : table.seats()) {
+            for (final Voter seat : table.seats()) {
                 cores.add(seat.address());
             }
         }
@@ -182,10 +182,10 @@
             if (core.equals(newsFrom) || pace.whole()) {
                 post.send(core, ask(core, askId, core.equals(newsFrom)));
             } else {
-                final Member me = self.get();
+                final NodeInfo me = self.get();
                 post.send(
                         core,
-                        new FeedNote.ProofAsk(
+                        new FeedMessage.ProofAsk(
                                 address,
                                 me.life(),
                                 me.serves(),
@@ -250,9 +250,9 @@
         return others.get((turn + (asked % pace.roveEvery() == 0 ? 1 + asked / pace.roveEvery() : 0)) % others.size());
     }
 
-    private FeedNote.FeedAsk ask(final String core, final long askId, final boolean news) {
-        final Voters table = proposer.voters();
-        return new FeedNote.FeedAsk(
+    private FeedMessage.FeedAsk ask(final String core, final long askId, final boolean news) {
+        final VoterSet table = proposer.voters();
+        return new FeedMessage.FeedAsk(
                 address,
                 self.get(),
                 fresh(),
@@ -279,29 +279,29 @@
     }
 
     /** Asks the nearest that is known to be ahead, if any is. */
-    private void newsOfAhead(final Voters table) {
+    private void newsOfAhead(final VoterSet table) {
         table.seats().stream()
                 .filter(s -> last.containsKey(s.name())
                         && last.get(s.name()).applied() > book.policy().version())
-                .map(Seat::address)
+                .map(Voter::address)
                 .filter(a -> !a.equals(address))
                 .min(Comparator.comparingInt(distance::of))
                 .ifPresent(this::news);
     }
 
     /** Hears a core's reply or its news. Example: {@code follower.hear(note);} */
-    public void hear(final FeedNote note) {
-        if (note instanceof FeedNote.FeedNews n) {
+    public void hear(final FeedMessage note) {
+        if (note instanceof FeedMessage.FeedNews n) {
             news(n);
-        } else if (note instanceof FeedNote.FeedBack back) {
+        } else if (note instanceof FeedMessage.FeedBack back) {
             back(back);
-        } else if (note instanceof FeedNote.ProofBack back) {
+        } else if (note instanceof FeedMessage.ProofBack back) {
             back(back);
         }
     }
 
     /** What is told was chosen, so it may be in force before any proof names it. */
-    private void news(final FeedNote.FeedNews told) {
+    private void news(final FeedMessage.FeedNews told) {
         if (told.change() != null && proposer.voters() != null) {
             learn(told.version(), told.change());
         }
@@ -310,12 +310,12 @@
         }
     }
 
-    private void back(final FeedNote.FeedBack back) {
+    private void back(final FeedMessage.FeedBack back) {
         if (back.table() != null && back.table().newerThan(proposer.voters())) {
             adopt.accept(back.table());
         }
-        final Voters table = proposer.voters();
-        final Seat seat = table == null ? null : table.seat(back.name());
+        final VoterSet table = proposer.voters();
+        final Voter seat = table == null ? null : table.seat(back.name());
         if (seat != null) {
             listing.take(seat.address(), back.listingLife(), back.listingPlace(), back.listed(), back.reports());
         }
@@ -344,7 +344,7 @@
         }
     }
 
-    private void edges(final FeedNote.FeedBack back) {
+    private void edges(final FeedMessage.FeedBack back) {
         if (!back.brief()) {
             edges = back.edges();
             edgesMark = back.edgesMark();
@@ -354,9 +354,9 @@
         edgesMs = clock.nowMs();
     }
 
-    private void back(final FeedNote.ProofBack back) {
-        final Voters table = proposer.voters();
-        final Seat seat = table == null ? null : table.seat(back.name());
+    private void back(final FeedMessage.ProofBack back) {
+        final VoterSet table = proposer.voters();
+        final Voter seat = table == null ? null : table.seat(back.name());
         if (back.stranger() && seat != null) {
             post.send(seat.address(), ask(seat.address(), 0, false));
         }
@@ -365,7 +365,7 @@
                 new Word(back.voting(), back.newest() - back.behind(), back.newest()),
                 back.askId(),
                 table != null && table.same(back.generation(), back.epoch()),
-                seat != null && Marks.of(seat.diskId()) == back.diskMark());
+                seat != null && Fingerprints.of(seat.diskId()) == back.diskMark());
     }
 
     private void heard(
@@ -375,13 +375,13 @@
         if (!sameTable) {
             return;
         }
-        final Voters table = proposer.voters();
+        final VoterSet table = proposer.voters();
         final Open ask = asks.get(askId);
         if (ask != null && ask.table == table && word.voting() && ownDisk) {
             ask.newest.put(core, word.newest());
         }
         prove(table);
-        final Seat seat = table.seat(core);
+        final Voter seat = table.seat(core);
         if (word.applied() > book.policy().version() && seat != null && askId != 0) {
             if (!awaited()) {
                 news(seat.address());
@@ -391,12 +391,12 @@
         }
     }
 
-    private void take(final FeedNote.FeedBack back) {
+    private void take(final FeedMessage.FeedBack back) {
         final long before = book.policy().version();
         if (back.snapshot() != null) {
             book.load(back.snapshot());
         }
-        for (final FeedNote.Numbered n : back.changes()) {
+        for (final FeedMessage.Numbered n : back.changes()) {
             if (n.version() == book.policy().version() + 1) {
                 book.apply(n.version(), n.change());
             }
@@ -410,7 +410,7 @@
     }
 
     /** Finds the newest ask whose majority's newest version is in force here. */
-    private void prove(final Voters table) {
+    private void prove(final VoterSet table) {
         proof(table);
         while (!waiting.isEmpty() && waiting.peek().sinceMs <= provedMs) {
             final Waiting proved = waiting.poll();
@@ -418,7 +418,7 @@
         }
     }
 
-    private void proof(final Voters table) {
+    private void proof(final VoterSet table) {
         final Iterator<Map.Entry<Long, Open>> it =
                 asks.descendingMap().entrySet().iterator();
         while (it.hasNext()) {
@@ -435,7 +435,7 @@
     private boolean finishing;
 
     /** A version was begun, and no one is known to have seen its end: reads it, which ends it. */
-    private void finish(final Voters table) {
+    private void finish(final VoterSet table) {
         if (finishing) {
             return;
         }
@@ -446,9 +446,9 @@
             }
         }
         finishing = true;
-        proposer.read(Versions.key(next), pace.freshMs() / 2, outcome -> {
+        proposer.read(ConfigurationKeys.key(next), pace.freshMs() / 2, outcome -> {
             finishing = false;
-            if (outcome instanceof spokestall.ballot.Outcome.Done done
+            if (outcome instanceof spokestall.consensus.ProposalOutcome.Done done
                     && done.value() != null
                     && proposer.voters() == table) {
                 learn(next, done.value());
@@ -458,12 +458,14 @@
 
     /** Applies a chosen change that this node has seen itself. Example: {@code follower.learn(18, bytes);} */
     public void learn(final long version, final byte[] value) {
-        final Voters table = proposer.voters();
+        final VoterSet table = proposer.voters();
         final boolean next = version == book.policy().version() + 1
                 || version == table.firstNumber() && version > book.policy().version();
         if (next) {
             final long before = book.policy().version();
-            book.apply(version, spokestall.wire.Codec.record(value, spokestall.policy.Change.class));
+            book.apply(
+                    version,
+                    spokestall.message.MessageCodec.record(value, spokestall.configuration.ConfigurationChange.class));
             LOG.atInfo().log(
                     "event=policy node=%s version=%s before=%s", self.get().name(), version, before);
             applied.run();
--- a/spokestall/src/main/java/spokestall/feed/FeedNote.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
@@ -1,22 +1,22 @@
-package spokestall.feed;
+package spokestall.configuration.feed;
 
 import java.util.List;
-import spokestall.ballot.Voters;
-import spokestall.listing.Listed;
-import spokestall.listing.Report;
-import spokestall.policy.Change;
-import spokestall.policy.Snapshot;
-import spokestall.view.Member;
-import spokestall.wire.Note;
-import spokestall.wire.Since;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationSnapshot;
+import spokestall.consensus.VoterSet;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthObservation;
+import spokestall.gossip.NodeInfo;
+import spokestall.message.Message;
+import spokestall.message.SinceVersion;
 
 /** What followers and cores say to each other. */
-public sealed interface FeedNote extends Note {
+public sealed interface FeedMessage extends Message {
     /** Asks what is newest, and, of one core, for the news from two places on. It says what the asker has already: the table
      * of voters and the list of edges (by its mark), which are then left out of the reply; zero when it has none. */
     record FeedAsk(
             String from,
-            Member self,
+            NodeInfo self,
             boolean fresh,
             int open,
             long askId,
@@ -24,13 +24,13 @@
             long place,
             long listingLife,
             long listingPlace,
-            @Since(3) long generation,
-            @Since(3) long epoch,
-            @Since(3) long edgesMark)
-            implements FeedNote {}
+            @SinceVersion(3) long generation,
+            @SinceVersion(3) long epoch,
+            @SinceVersion(3) long edgesMark)
+            implements FeedMessage {}
 
     /** One numbered change. */
-    record Numbered(long version, Change change) {}
+    record Numbered(long version, ConfigurationChange change) {}
 
     /** The reply: what this voter knows to be newest, and news if it was asked for some. The table is null if the asker has
      * it; edges are left out if brief. */
@@ -38,26 +38,26 @@
             String name,
             String diskId,
             long askId,
-            Voters table,
+            VoterSet table,
             boolean voting,
             long applied,
             long newest,
             List<Numbered> changes,
-            Snapshot snapshot,
-            List<Member> edges,
+            ConfigurationSnapshot snapshot,
+            List<NodeInfo> edges,
             long listingLife,
             long listingPlace,
-            List<Listed> listed,
-            List<Report> reports,
-            @Since(3) long generation,
-            @Since(3) long epoch,
-            @Since(3) boolean brief,
-            @Since(3) long edgesMark)
-            implements FeedNote {}
+            List<Endpoint> listed,
+            List<HealthObservation> reports,
+            @SinceVersion(3) long generation,
+            @SinceVersion(3) long epoch,
+            @SinceVersion(3) boolean brief,
+            @SinceVersion(3) long edgesMark)
+            implements FeedMessage {}
 
     /** Says that a version was accepted, and how it changes the one before unless that is large, so that followers need
      * not wait for their beat. */
-    record FeedNews(long version, @Since(3) byte[] change) implements FeedNote {}
+    record FeedNews(long version, @SinceVersion(3) byte[] change) implements FeedMessage {}
 
     /** Asks for a proof alone. Nodes that serve callers are known by their address and life. */
     record ProofAsk(
@@ -70,7 +70,7 @@
             long askId,
             long generation,
             long epoch)
-            implements FeedNote {}
+            implements FeedMessage {}
 
     /** The reply to {@link ProofAsk}: what is newest here, by which disk (its mark) and in which table, and by how many
      * versions this node's own is behind. A stranger is asked to say who it is. */
@@ -84,5 +84,5 @@
             boolean stranger,
             long newest,
             long behind)
-            implements FeedNote {}
+            implements FeedMessage {}
 }
--- a/spokestall/src/main/java/spokestall/ballot/Voter.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import com.google.common.flogger.FluentLogger;
 import java.nio.ByteBuffer;
@@ -10,15 +10,15 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import spokestall.ring.Ring;
-import spokestall.wire.Codec;
-import spokestall.wire.Post;
+import spokestall.message.MessageCodec;
+import spokestall.message.MessageSender;
+import spokestall.storage.SegmentedLog;
 
 /**
  * A voter's registers. It answers only when what it answers is synced, and only for the table of voters it is in.
  * Keys that start with a tilde are its own and are no registers.
  */
-public final class Voter {
+public final class Acceptor {
     /** Explicit states of a voter. */
     public enum State {
         BLANK,
@@ -35,9 +35,9 @@
     static final String FLOOR = "~floor";
     private static final int PAGE_BYTES = 256 << 10;
     private final String name;
-    private final Ring ring;
-    private final Post post;
-    private final Guard guard;
+    private final SegmentedLog ring;
+    private final MessageSender post;
+    private final RegisterGuard guard;
     private final TreeMap<String, Register> registers = new TreeMap<>();
     private final Map<String, String> catchUp = new HashMap<>();
     private final Map<String, Boolean> caughtFrom = new HashMap<>();
@@ -46,15 +46,20 @@
     private final Map<String, Integer> onTheWay = new HashMap<>();
     private final boolean openedBlank;
     private String diskId;
-    private Voters voters;
+    private VoterSet voters;
     private State state = State.BLANK;
     private long tableEpochDown;
     private long floor;
     private long floorOfOthers;
     private boolean diskTakes = true;
 
-    /** Example: {@code new Voter("d1-core", ring, post, guard, freshId)}; freshId is used only on a blank disk. */
-    public Voter(final String name, final Ring ring, final Post post, final Guard guard, final String freshId) {
+    /** Example: {@code new Acceptor("d1-core", ring, post, guard, freshId)}; freshId is used only on a blank disk. */
+    public Acceptor(
+            final String name,
+            final SegmentedLog ring,
+            final MessageSender post,
+            final RegisterGuard guard,
+            final String freshId) {
         this.name = name;
         this.ring = ring;
         this.post = post;
@@ -68,10 +73,10 @@
         final byte[] kept = ring.table().get(FLOOR);
         floor = kept == null ? 0 : ByteBuffer.wrap(kept).getLong();
         final byte[] table = ring.table().get(VOTERS);
-        voters = table == null ? null : Codec.record(table, Voters.class);
+        voters = table == null ? null : MessageCodec.record(table, VoterSet.class);
         ring.table().forEach((key, value) -> {
             if (!key.startsWith("~")) {
-                registers.put(key, Codec.record(value, Register.class));
+                registers.put(key, MessageCodec.record(value, Register.class));
             }
         });
         final byte[] caught = ring.table().get(CAUGHT);
@@ -107,10 +112,10 @@
     }
 
     /** Whether its state is still on its disk, also after it resigned: a later round of a founding needs it as much as the
-     * first. Example: {@code new Remains(..., voter.keepsState(), registers)} */
+     * first. Example: {@code new SurvivingState(..., voter.keepsState(), registers)} */
     public boolean keepsState() {
         final byte[] caught = ring.table().get(CAUGHT);
-        return ring.state() != Ring.State.BROKEN
+        return ring.state() != SegmentedLog.State.BROKEN
                 && seated()
                 && caught != null
                 && new String(caught, StandardCharsets.UTF_8).equals(caughtMark());
@@ -138,17 +143,17 @@
         watchers.add(watcher);
     }
 
-    /** Example: {@code if (voter.state() != Voter.State.VOTING) ...} */
+    /** Example: {@code if (voter.state() != Acceptor.State.VOTING) ...} */
     public State state() {
         return ring.canWrite() ? state : State.STOPPED;
     }
 
     /** The table this voter knows, or null. Example: {@code voter.voters().epoch()} */
-    public Voters voters() {
+    public VoterSet voters() {
         return voters;
     }
 
-    /** This disk's identity. Example: {@code new Seat(name, address, voter.diskId())} */
+    /** This disk's identity. Example: {@code new Voter(name, address, voter.diskId())} */
     public String diskId() {
         return diskId;
     }
@@ -168,7 +173,7 @@
     }
 
     private boolean seated() {
-        final Seat seat = voters == null ? null : voters.seat(name);
+        final Voter seat = voters == null ? null : voters.seat(name);
         return seat != null && seat.diskId().equals(diskId);
     }
 
@@ -182,7 +187,7 @@
     }
 
     /** Takes a newer table. Votes of older tables are denied from here on. Example: {@code voter.adopt(table);} */
-    public void adopt(final Voters table) {
+    public void adopt(final VoterSet table) {
         if (!table.newerThan(voters) || !ring.canWrite()) {
             return;
         }
@@ -197,7 +202,7 @@
         if (was != State.RESIGNED || newGeneration) {
             change(State.CATCHING_UP, "table");
         }
-        ring.put(VOTERS, Codec.bytes(table), ok -> {
+        ring.put(VOTERS, MessageCodec.bytes(table), ok -> {
             if (!ok || mark != tableEpochDown || state == State.RESIGNED) {
                 return;
             }
@@ -266,7 +271,7 @@
     }
 
     /** Takes a new generation's first registers. Example: {@code voter.found(table, entries);} */
-    public void found(final Voters table, final List<BallotNote.Entry> entries) {
+    public void found(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
         if (voters != null && !table.newerThan(voters)) {
             return;
         }
@@ -274,8 +279,8 @@
         voters = table;
         final long mark = ++tableEpochDown;
         change(State.CATCHING_UP, "founded");
-        ring.put(VOTERS, Codec.bytes(table), ok -> {});
-        for (final BallotNote.Entry entry : entries) {
+        ring.put(VOTERS, MessageCodec.bytes(table), ok -> {});
+        for (final ConsensusMessage.Entry entry : entries) {
             store(entry.key(), entry.register(), ok -> {});
         }
         finishCatchUp(mark);
@@ -283,8 +288,8 @@
 
     /** A seat of the first table that missed the founding begins with it, late, as long as it has never voted.
      * Example: {@code voter.foundLate(table, entries);} */
-    public void foundLate(final Voters table, final List<BallotNote.Entry> entries) {
-        final Seat first = table.seat(name);
+    public void foundLate(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
+        final Voter first = table.seat(name);
         if (state != State.CATCHING_UP
                 || voters == null
                 || voters.generation() != table.generation()
@@ -294,7 +299,7 @@
                 || !first.diskId().equals(diskId)) {
             return;
         }
-        for (final BallotNote.Entry entry : entries) {
+        for (final ConsensusMessage.Entry entry : entries) {
             merge(entry.key(), entry.register());
         }
         finishCatchUp(tableEpochDown);
@@ -322,7 +327,7 @@
         if (state() != State.CATCHING_UP || !seated()) {
             return;
         }
-        for (final Seat seat : voters.seats()) {
+        for (final Voter seat : voters.seats()) {
             if (!seat.name().equals(name) && !caughtFrom.containsKey(seat.name())) {
                 askPage(address, seat);
             }
@@ -337,91 +342,91 @@
         }
     }
 
-    private void askPage(final String address, final Seat seat) {
+    private void askPage(final String address, final Voter seat) {
         post.send(
                 seat.address(),
-                new BallotNote.CatchAsk(
+                new ConsensusMessage.CatchAsk(
                         address, name, voters.generation(), voters.epoch(), catchUp.getOrDefault(seat.name(), "")));
     }
 
     /** Hears a proposer or another voter. Example: {@code voter.hear(note, address);} */
-    public void hear(final BallotNote note, final String address) {
-        if (note instanceof BallotNote.Prepare prepare) {
+    public void hear(final ConsensusMessage note, final String address) {
+        if (note instanceof ConsensusMessage.Prepare prepare) {
             prepare(prepare);
-        } else if (note instanceof BallotNote.Accept accept) {
+        } else if (note instanceof ConsensusMessage.Accept accept) {
             accept(accept);
-        } else if (note instanceof BallotNote.Chosen chosen) {
+        } else if (note instanceof ConsensusMessage.Chosen chosen) {
             chosen(chosen);
-        } else if (note instanceof BallotNote.HoldAsk ask) {
+        } else if (note instanceof ConsensusMessage.HoldAsk ask) {
             hold(ask);
-        } else if (note instanceof BallotNote.CatchAsk ask) {
+        } else if (note instanceof ConsensusMessage.CatchAsk ask) {
             page(ask);
-        } else if (note instanceof BallotNote.CatchBack back) {
+        } else if (note instanceof ConsensusMessage.CatchBack back) {
             caught(back, address);
         }
     }
 
-    private BallotNote.Reply ready(final long generation, final long epoch, final String from) {
-        if (voters != null && new Voters(generation, epoch, List.of()).newerThan(voters) || voters == null) {
-            return BallotNote.Reply.BLANK;
+    private ConsensusMessage.Reply ready(final long generation, final long epoch, final String from) {
+        if (voters != null && new VoterSet(generation, epoch, List.of()).newerThan(voters) || voters == null) {
+            return ConsensusMessage.Reply.BLANK;
         }
         if (!voters.same(generation, epoch)) {
-            post.send(from, new BallotNote.Table(voters));
-            return BallotNote.Reply.OLD_TABLE;
+            post.send(from, new ConsensusMessage.Table(voters));
+            return ConsensusMessage.Reply.OLD_TABLE;
         }
-        return state() == State.VOTING && guard.ready() ? BallotNote.Reply.YES : BallotNote.Reply.BLANK;
+        return state() == State.VOTING && guard.ready() ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.BLANK;
     }
 
-    private void prepare(final BallotNote.Prepare ask) {
-        BallotNote.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
-        if (reply == BallotNote.Reply.YES && guard.gone(ask.key())) {
-            reply = BallotNote.Reply.GONE;
+    private void prepare(final ConsensusMessage.Prepare ask) {
+        ConsensusMessage.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
+        if (reply == ConsensusMessage.Reply.YES && guard.gone(ask.key())) {
+            reply = ConsensusMessage.Reply.GONE;
         }
-        if (reply == BallotNote.Reply.YES
+        if (reply == ConsensusMessage.Reply.YES
                 && !ask.peek()
                 && !registers.containsKey(ask.key())
                 && !guard.room(ask.key())) {
-            reply = BallotNote.Reply.DENIED;
+            reply = ConsensusMessage.Reply.DENIED;
         }
         final Register had = registers.getOrDefault(ask.key(), Register.EMPTY);
-        if (reply != BallotNote.Reply.YES || ask.peek()) {
+        if (reply != ConsensusMessage.Reply.YES || ask.peek()) {
             // A look must not show what a power loss could still take away.
             promise(ask, reply, before.getOrDefault(ask.key(), had));
             return;
         }
         if (ask.ballot().compareTo(had.promised()) < 0) {
-            promise(ask, BallotNote.Reply.LOWER, had);
+            promise(ask, ConsensusMessage.Reply.LOWER, had);
             return;
         }
         final Register now = new Register(ask.ballot(), had.accepted(), had.value());
-        store(ask.key(), now, ok -> promise(ask, ok ? BallotNote.Reply.YES : BallotNote.Reply.DISK, now));
+        store(ask.key(), now, ok -> promise(ask, ok ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.DISK, now));
     }
 
-    private void promise(final BallotNote.Prepare ask, final BallotNote.Reply reply, final Register r) {
+    private void promise(final ConsensusMessage.Prepare ask, final ConsensusMessage.Reply reply, final Register r) {
         post.send(
                 ask.from(),
-                new BallotNote.Promise(
+                new ConsensusMessage.Promise(
                         ask.goId(),
                         name,
                         diskId,
                         reply,
                         r.promised(),
                         r.accepted(),
-                        reply == BallotNote.Reply.YES ? r.value() : null));
+                        reply == ConsensusMessage.Reply.YES ? r.value() : null));
     }
 
-    private void accept(final BallotNote.Accept ask) {
-        BallotNote.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
-        if (reply == BallotNote.Reply.YES && guard.gone(ask.key())) {
-            reply = BallotNote.Reply.GONE;
-        } else if (reply == BallotNote.Reply.YES && !guard.takes(ask.key(), ask.value())) {
-            reply = BallotNote.Reply.DENIED;
+    private void accept(final ConsensusMessage.Accept ask) {
+        ConsensusMessage.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
+        if (reply == ConsensusMessage.Reply.YES && guard.gone(ask.key())) {
+            reply = ConsensusMessage.Reply.GONE;
+        } else if (reply == ConsensusMessage.Reply.YES && !guard.takes(ask.key(), ask.value())) {
+            reply = ConsensusMessage.Reply.DENIED;
         }
         final Register had = registers.getOrDefault(ask.key(), Register.EMPTY);
-        if (reply == BallotNote.Reply.YES && ask.ballot().compareTo(had.promised()) < 0) {
-            reply = BallotNote.Reply.LOWER;
+        if (reply == ConsensusMessage.Reply.YES && ask.ballot().compareTo(had.promised()) < 0) {
+            reply = ConsensusMessage.Reply.LOWER;
         }
-        if (reply != BallotNote.Reply.YES) {
+        if (reply != ConsensusMessage.Reply.YES) {
             accepted(ask, reply, had.promised());
             return;
         }
@@ -429,14 +434,15 @@
         store(
                 ask.key(),
                 new Register(ask.ballot().next(), ask.ballot(), ask.value()),
-                ok -> accepted(ask, ok ? BallotNote.Reply.YES : BallotNote.Reply.DISK, ask.ballot()));
+                ok -> accepted(ask, ok ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.DISK, ask.ballot()));
     }
 
-    private void accepted(final BallotNote.Accept ask, final BallotNote.Reply reply, final Ballot promised) {
-        post.send(ask.from(), new BallotNote.Accepted(ask.goId(), name, diskId, reply, promised));
+    private void accepted(
+            final ConsensusMessage.Accept ask, final ConsensusMessage.Reply reply, final ProposalNumber promised) {
+        post.send(ask.from(), new ConsensusMessage.Accepted(ask.goId(), name, diskId, reply, promised));
     }
 
-    private void chosen(final BallotNote.Chosen chosen) {
+    private void chosen(final ConsensusMessage.Chosen chosen) {
         if (voters == null
                 || !voters.same(chosen.generation(), chosen.epoch())
                 || state() != State.VOTING
@@ -456,7 +462,7 @@
         assert had == null || had.accepted().compareTo(now.accepted()) <= 0 : "an accepted rank fell on " + key;
         before.putIfAbsent(key, had == null ? Register.EMPTY : had);
         onTheWay.merge(key, 1, Integer::sum);
-        ring.put(key, Codec.bytes(now), ok -> {
+        ring.put(key, MessageCodec.bytes(now), ok -> {
             if (onTheWay.merge(key, -1, Integer::sum) == 0) {
                 onTheWay.remove(key);
                 before.remove(key);
@@ -477,26 +483,26 @@
     }
 
     /** Names what it lacks on its disk of what another voter holds. */
-    private void hold(final BallotNote.HoldAsk ask) {
-        if (ready(ask.generation(), ask.epoch(), ask.from()) != BallotNote.Reply.YES) {
+    private void hold(final ConsensusMessage.HoldAsk ask) {
+        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.YES) {
             return;
         }
         final List<String> lacking = new ArrayList<>();
-        for (final BallotNote.Held held : ask.held()) {
+        for (final ConsensusMessage.Held held : ask.held()) {
             final Register had = registers.getOrDefault(held.key(), Register.EMPTY);
             final Register synced = before.getOrDefault(held.key(), had);
             if (synced.accepted().compareTo(held.accepted()) < 0 && !guard.gone(held.key())) {
                 lacking.add(held.key());
             }
         }
-        post.send(ask.from(), new BallotNote.HoldBack(name, ask.generation(), ask.epoch(), lacking));
+        post.send(ask.from(), new ConsensusMessage.HoldBack(name, ask.generation(), ask.epoch(), lacking));
     }
 
-    private void page(final BallotNote.CatchAsk ask) {
-        if (ready(ask.generation(), ask.epoch(), ask.from()) != BallotNote.Reply.YES) {
+    private void page(final ConsensusMessage.CatchAsk ask) {
+        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.YES) {
             return;
         }
-        final List<BallotNote.Entry> entries = new ArrayList<>();
+        final List<ConsensusMessage.Entry> entries = new ArrayList<>();
         int bytes = 0;
         boolean last = true;
         for (final Map.Entry<String, Register> e :
@@ -505,17 +511,17 @@
                 last = false;
                 break;
             }
-            entries.add(new BallotNote.Entry(e.getKey(), e.getValue()));
+            entries.add(new ConsensusMessage.Entry(e.getKey(), e.getValue()));
             bytes += e.getKey().length()
                     + 64
                     + (e.getValue().value() == null ? 0 : e.getValue().value().length);
         }
         post.send(
                 ask.from(),
-                new BallotNote.CatchBack(name, ask.generation(), ask.epoch(), ask.after(), entries, last, floor));
+                new ConsensusMessage.CatchBack(name, ask.generation(), ask.epoch(), ask.after(), entries, last, floor));
     }
 
-    private void caught(final BallotNote.CatchBack back, final String address) {
+    private void caught(final ConsensusMessage.CatchBack back, final String address) {
         if (state() != State.CATCHING_UP
                 || !seated()
                 || !voters.same(back.generation(), back.epoch())
@@ -524,7 +530,7 @@
             return;
         }
         floorOfOthers = Math.max(floorOfOthers, back.floor());
-        for (final BallotNote.Entry entry : back.entries()) {
+        for (final ConsensusMessage.Entry entry : back.entries()) {
             merge(entry.key(), entry.register());
             catchUp.put(back.name(), entry.key());
         }
@@ -547,7 +553,8 @@
     private void merge(final String key, final Register other) {
         final Register had = registers.getOrDefault(key, Register.EMPTY);
         final boolean later = other.accepted().compareTo(had.accepted()) > 0;
-        final Ballot promised = other.promised().compareTo(had.promised()) > 0 ? other.promised() : had.promised();
+        final ProposalNumber promised =
+                other.promised().compareTo(had.promised()) > 0 ? other.promised() : had.promised();
         final Register now =
                 new Register(promised, later ? other.accepted() : had.accepted(), later ? other.value() : had.value());
         if (later || promised != had.promised()) {
--- a/spokestall/src/main/java/spokestall/ballot/BallotNote.java
+++ b/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
@@ -1,34 +1,43 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import java.util.List;
-import spokestall.wire.Note;
-import spokestall.wire.Since;
+import spokestall.message.Message;
+import spokestall.message.SinceVersion;
 
 /** What proposers and voters say to each other. */
-public sealed interface BallotNote extends Note {
+public sealed interface ConsensusMessage extends Message {
     /** Phase one, or with peek only a look at what is accepted. */
-    record Prepare(long goId, String from, long generation, long epoch, String key, Ballot ballot, boolean peek)
-            implements BallotNote {}
+    record Prepare(long goId, String from, long generation, long epoch, String key, ProposalNumber ballot, boolean peek)
+            implements ConsensusMessage {}
 
     /** The reply to {@link Prepare}. */
-    record Promise(long goId, String voter, String diskId, Reply reply, Ballot promised, Ballot accepted, byte[] value)
-            implements BallotNote {}
+    record Promise(
+            long goId,
+            String voter,
+            String diskId,
+            Reply reply,
+            ProposalNumber promised,
+            ProposalNumber accepted,
+            byte[] value)
+            implements ConsensusMessage {}
 
     /** Phase two. */
-    record Accept(long goId, String from, long generation, long epoch, String key, Ballot ballot, byte[] value)
-            implements BallotNote {}
+    record Accept(long goId, String from, long generation, long epoch, String key, ProposalNumber ballot, byte[] value)
+            implements ConsensusMessage {}
 
     /** The reply to {@link Accept}. */
-    record Accepted(long goId, String voter, String diskId, Reply reply, Ballot promised) implements BallotNote {}
+    record Accepted(long goId, String voter, String diskId, Reply reply, ProposalNumber promised)
+            implements ConsensusMessage {}
 
     /** News that a value has been chosen at a rank. */
-    record Chosen(long generation, long epoch, String key, Ballot ballot, byte[] value) implements BallotNote {}
+    record Chosen(long generation, long epoch, String key, ProposalNumber ballot, byte[] value)
+            implements ConsensusMessage {}
 
     /** A table of voters, said by whoever sees that the other has an older one. */
-    record Table(Voters voters) implements BallotNote {}
+    record Table(VoterSet voters) implements ConsensusMessage {}
 
     /** A voter that lost its disk asks the others for all they have, page by page. */
-    record CatchAsk(String from, String name, long generation, long epoch, String after) implements BallotNote {}
+    record CatchAsk(String from, String name, long generation, long epoch, String after) implements ConsensusMessage {}
 
     /** One page of a voter's registers, and the version up to which it has let registers of versions go. */
     record CatchBack(
@@ -38,17 +47,17 @@
             String after,
             List<Entry> entries,
             boolean last,
-            @Since(4) long floor)
-            implements BallotNote {}
+            @SinceVersion(4) long floor)
+            implements ConsensusMessage {}
 
     /** A voter that leaves asks another whether it has accepted as much; the reply names what it lacks. */
-    record HoldAsk(String from, long generation, long epoch, List<Held> held) implements BallotNote {}
+    record HoldAsk(String from, long generation, long epoch, List<Held> held) implements ConsensusMessage {}
 
     /** The reply to {@link HoldAsk}: the keys of which this voter has only older ranks, or none, on its disk. */
-    record HoldBack(String name, long generation, long epoch, List<String> lacking) implements BallotNote {}
+    record HoldBack(String name, long generation, long epoch, List<String> lacking) implements ConsensusMessage {}
 
     /** A register's key, and the rank at which its value was accepted. */
-    record Held(String key, Ballot accepted) {}
+    record Held(String key, ProposalNumber accepted) {}
 
     /** One register under its key. */
     record Entry(String key, Register register) {}
--- a/spokestall/src/main/java/spokestall/ballot/Ballot.java
+++ b/spokestall/src/main/java/spokestall/consensus/ProposalNumber.java
@@ -1,17 +1,17 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 /** A ballot's rank: a count, and who cast it in which life, so that no two proposers ever share one. */
-public record Ballot(long count, String by) implements Comparable<Ballot> {
+public record ProposalNumber(long count, String by) implements Comparable<ProposalNumber> {
     /** Below every ballot that can be cast. */
-    public static final Ballot NONE = new Ballot(0, "");
+    public static final ProposalNumber NONE = new ProposalNumber(0, "");
 
     /** The rank that whoever had this one accepted may use next without asking first. */
-    Ballot next() {
-        return new Ballot(count + 1, by);
+    ProposalNumber next() {
+        return new ProposalNumber(count + 1, by);
     }
 
     @Override
-    public int compareTo(final Ballot other) {
+    public int compareTo(final ProposalNumber other) {
         final int byCount = Long.compare(count, other.count);
         return byCount != 0 ? byCount : by.compareTo(other.by);
     }
--- a/spokestall/src/main/java/spokestall/ballot/Proposer.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposer.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,8 +9,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
-import spokestall.wire.Post;
 
 /**
  * Changes one register at a time by rounds of ballots among the voters. Any node may propose; there is no leader.
@@ -24,7 +24,7 @@
     public static final String DENIED = "denied";
 
     /** What this proposer had accepted last for a key: the rank it may use next, and the value that stands. */
-    private record Held(Voters table, Ballot next, byte[] value) {}
+    private record Held(VoterSet table, ProposalNumber next, byte[] value) {}
 
     private enum Phase {
         PEEK,
@@ -36,7 +36,7 @@
     private static final int KEYS_KEPT = 4096;
     private final String by;
     private final String address;
-    private final Post post;
+    private final MessageSender post;
     private final Clock clock;
     private final Random random;
     private final Pace pace;
@@ -44,7 +44,7 @@
     private final Map<String, Long> counts;
     private final Map<String, Held> held;
     private final BiConsumer<String, String> missed;
-    private Voters voters;
+    private VoterSet voters;
     private long nextGoId;
 
     /** {@code missed} is told which voter did not take part in a change of which key in time.
@@ -52,7 +52,7 @@
     public Proposer(
             final String by,
             final String address,
-            final Post post,
+            final MessageSender post,
             final Clock clock,
             final Random random,
             final Pace pace,
@@ -79,12 +79,12 @@
     }
 
     /** The table rounds are held by, or null. Example: {@code proposer.voters()} */
-    public Voters voters() {
+    public VoterSet voters() {
         return voters;
     }
 
     /** Takes a newer table; rounds under way are begun again with it. Example: {@code proposer.adopt(table);} */
-    public void adopt(final Voters table) {
+    public void adopt(final VoterSet table) {
         if (table.newerThan(voters)) {
             voters = table;
         }
@@ -95,26 +95,29 @@
         return rounds.size();
     }
 
-    /** Changes a register. Example: {@code proposer.change("once/t/1", 2000, now -> now == null ? new Edit.Set(v)
-     * : Edit.LEAVE, outcome -> ...);} */
+    /** Changes a register. Example: {@code proposer.change("once/t/1", 2000, now -> now == null ? new RegisterEdit.Set(v)
+     * : RegisterEdit.LEAVE, outcome -> ...);} */
     public void change(
-            final String key, final long waitMs, final Function<byte[], Edit> edit, final Consumer<Outcome> done) {
+            final String key,
+            final long waitMs,
+            final Function<byte[], RegisterEdit> edit,
+            final Consumer<ProposalOutcome> done) {
         new Round(key, clock.nowMs() + waitMs, edit, done).change();
     }
 
     /** Reads a register so that no earlier finished change is missed. Example: {@code proposer.read(key, 500, o -> ...);} */
-    public void read(final String key, final long waitMs, final Consumer<Outcome> done) {
-        new Round(key, clock.nowMs() + waitMs, now -> Edit.LEAVE, done).begin(Phase.PEEK);
+    public void read(final String key, final long waitMs, final Consumer<ProposalOutcome> done) {
+        new Round(key, clock.nowMs() + waitMs, now -> RegisterEdit.LEAVE, done).begin(Phase.PEEK);
     }
 
     /** Hears a voter's reply. Example: {@code proposer.hear(promise);} */
-    public void hear(final BallotNote note) {
-        if (note instanceof BallotNote.Promise promise) {
+    public void hear(final ConsensusMessage note) {
+        if (note instanceof ConsensusMessage.Promise promise) {
             final Round round = rounds.get(promise.goId());
             if (round != null) {
                 round.promise(promise);
             }
-        } else if (note instanceof BallotNote.Accepted accepted) {
+        } else if (note instanceof ConsensusMessage.Accepted accepted) {
             final Round round = rounds.get(accepted.goId());
             if (round != null) {
                 round.accepted(accepted);
@@ -126,19 +129,19 @@
     private final class Round {
         private final String key;
         private final long deadlineMs;
-        private final Function<byte[], Edit> edit;
-        private final Consumer<Outcome> done;
+        private final Function<byte[], RegisterEdit> edit;
+        private final Consumer<ProposalOutcome> done;
         private final Set<String> yes = new HashSet<>();
         private final Set<String> no = new HashSet<>();
-        private final Set<Ballot> seen = new HashSet<>();
+        private final Set<ProposalNumber> seen = new HashSet<>();
         private Phase phase;
         private long goId;
         private int goes;
         private boolean mayHold;
         private boolean gone;
-        private Voters table;
-        private Ballot ballot;
-        private Ballot highest;
+        private VoterSet table;
+        private ProposalNumber ballot;
+        private ProposalNumber highest;
         private byte[] highestValue;
         private byte[] proposed;
         private boolean wrote;
@@ -148,8 +151,8 @@
         Round(
                 final String key,
                 final long deadlineMs,
-                final Function<byte[], Edit> edit,
-                final Consumer<Outcome> done) {
+                final Function<byte[], RegisterEdit> edit,
+                final Consumer<ProposalOutcome> done) {
             this.key = key;
             this.deadlineMs = deadlineMs;
             this.edit = edit;
@@ -159,10 +162,10 @@
         /** The first phase is left out where this proposer's last change still stands, as far as it knows. */
         void change() {
             final Held last = held.remove(key);
-            final Edit wanted = last != null && last.table == voters && clock.nowMs() < deadlineMs
+            final RegisterEdit wanted = last != null && last.table == voters && clock.nowMs() < deadlineMs
                     ? edit.apply(last.value)
-                    : Edit.LEAVE;
-            if (wanted instanceof Edit.Set set) {
+                    : RegisterEdit.LEAVE;
+            if (wanted instanceof RegisterEdit.Set set) {
                 open(Phase.ACCEPT);
                 counts.merge(key, last.next.count(), Math::max);
                 ballot = last.next;
@@ -192,18 +195,18 @@
                 return;
             }
             open(first);
-            highest = Ballot.NONE;
+            highest = ProposalNumber.NONE;
             highestValue = null;
             if (table == null) {
                 later(first);
                 return;
             }
             final long count = counts.merge(key, 1L, Long::sum);
-            ballot = new Ballot(count, by);
-            for (final Seat seat : table.seats()) {
+            ballot = new ProposalNumber(count, by);
+            for (final Voter seat : table.seats()) {
                 post.send(
                         seat.address(),
-                        new BallotNote.Prepare(
+                        new ConsensusMessage.Prepare(
                                 goId, address, table.generation(), table.epoch(), key, ballot, first == Phase.PEEK));
             }
             expire();
@@ -252,7 +255,7 @@
             rounds.put(goId, this);
             clock.after(pace.roundMs(), () -> {
                 rounds.remove(goId);
-                for (final Seat seat : table.seats()) {
+                for (final Voter seat : table.seats()) {
                     if (!yes.contains(seat.name())) {
                         missed.accept(seat.name(), key);
                     }
@@ -260,28 +263,29 @@
             });
         }
 
-        private Outcome giveUp(final String why) {
-            return mayHold ? new Outcome.Undecided() : new Outcome.NotDone(why);
+        private ProposalOutcome giveUp(final String why) {
+            return mayHold ? new ProposalOutcome.Undecided() : new ProposalOutcome.NotDone(why);
         }
 
-        private void end(final Outcome outcome) {
+        private void end(final ProposalOutcome outcome) {
             rounds.remove(goId);
             phase = Phase.ENDED;
             done.accept(outcome);
         }
 
-        private boolean counts(final String voter, final String diskId, final BallotNote.Reply reply) {
-            final Seat seat = table.seat(voter);
+        private boolean counts(final String voter, final String diskId, final ConsensusMessage.Reply reply) {
+            final Voter seat = table.seat(voter);
             if (seat == null || voters != table) {
                 if (voters != table) {
                     later(Phase.PREPARE);
                 }
                 return false;
             }
-            final boolean good = reply == BallotNote.Reply.YES && seat.diskId().equals(diskId);
-            gone |= reply == BallotNote.Reply.GONE;
-            denied |= reply == BallotNote.Reply.DENIED;
-            outranked |= reply == BallotNote.Reply.LOWER;
+            final boolean good =
+                    reply == ConsensusMessage.Reply.YES && seat.diskId().equals(diskId);
+            gone |= reply == ConsensusMessage.Reply.GONE;
+            denied |= reply == ConsensusMessage.Reply.DENIED;
+            outranked |= reply == ConsensusMessage.Reply.LOWER;
             (good ? yes : no).add(voter);
             return true;
         }
@@ -290,15 +294,15 @@
             return no.size() > table.seats().size() - table.majority();
         }
 
-        void promise(final BallotNote.Promise promise) {
+        void promise(final ConsensusMessage.Promise promise) {
             if (phase != Phase.PREPARE && phase != Phase.PEEK
                     || !counts(promise.voter(), promise.diskId(), promise.reply())) {
                 return;
             }
-            if (promise.reply() == BallotNote.Reply.LOWER) {
+            if (promise.reply() == ConsensusMessage.Reply.LOWER) {
                 counts.merge(key, promise.promised().count() + 1, Math::max);
             }
-            if (yes.contains(promise.voter()) && promise.reply() == BallotNote.Reply.YES) {
+            if (yes.contains(promise.voter()) && promise.reply() == ConsensusMessage.Reply.YES) {
                 seen.add(promise.accepted());
                 if (promise.accepted().compareTo(highest) > 0) {
                     highest = promise.accepted();
@@ -309,7 +313,7 @@
                 promised();
             } else if (lost()) {
                 if (gone) {
-                    end(mayHold ? new Outcome.Undecided() : new Outcome.Gone());
+                    end(mayHold ? new ProposalOutcome.Undecided() : new ProposalOutcome.Gone());
                 } else if (denied) {
                     end(giveUp(DENIED));
                 } else {
@@ -321,7 +325,7 @@
         private void promised() {
             if (phase == Phase.PEEK) {
                 if (seen.size() == 1) {
-                    end(new Outcome.Done(highestValue, false));
+                    end(new ProposalOutcome.Done(highestValue, false));
                 } else {
                     begin(Phase.PREPARE);
                 }
@@ -331,11 +335,11 @@
                 end(giveUp("deadline"));
                 return;
             }
-            final Edit wanted = edit.apply(highestValue);
-            if (wanted instanceof Edit.Set set) {
+            final RegisterEdit wanted = edit.apply(highestValue);
+            if (wanted instanceof RegisterEdit.Set set) {
                 propose(set.value(), true);
             } else if (seen.size() == 1) {
-                end(new Outcome.Done(highestValue, false));
+                end(new ProposalOutcome.Done(highestValue, false));
             } else {
                 propose(highestValue, false);
             }
@@ -347,34 +351,35 @@
             mayHold |= wrote;
             phase = Phase.ACCEPT;
             clear();
-            for (final Seat seat : table.seats()) {
+            for (final Voter seat : table.seats()) {
                 post.send(
                         seat.address(),
-                        new BallotNote.Accept(goId, address, table.generation(), table.epoch(), key, ballot, proposed));
+                        new ConsensusMessage.Accept(
+                                goId, address, table.generation(), table.epoch(), key, ballot, proposed));
             }
             expire();
         }
 
-        void accepted(final BallotNote.Accepted accepted) {
-            if (phase == Phase.ENDED && accepted.reply() == BallotNote.Reply.YES) {
+        void accepted(final ConsensusMessage.Accepted accepted) {
+            if (phase == Phase.ENDED && accepted.reply() == ConsensusMessage.Reply.YES) {
                 yes.add(accepted.voter());
             }
             if (phase != Phase.ACCEPT || !counts(accepted.voter(), accepted.diskId(), accepted.reply())) {
                 return;
             }
-            if (accepted.reply() == BallotNote.Reply.LOWER) {
+            if (accepted.reply() == ConsensusMessage.Reply.LOWER) {
                 counts.merge(key, accepted.promised().count() + 1, Math::max);
             }
             if (yes.size() >= table.majority()) {
                 held.put(key, new Held(table, ballot.next(), proposed));
-                for (final Seat seat : table.seats()) {
+                for (final Voter seat : table.seats()) {
                     if (!yes.contains(seat.name())) {
                         post.send(
                                 seat.address(),
-                                new BallotNote.Chosen(table.generation(), table.epoch(), key, ballot, proposed));
+                                new ConsensusMessage.Chosen(table.generation(), table.epoch(), key, ballot, proposed));
                     }
                 }
-                end(new Outcome.Done(proposed, wrote));
+                end(new ProposalOutcome.Done(proposed, wrote));
                 awaitTheRest();
             } else if (lost()) {
                 if (denied || gone) {
--- a/spokestall/src/main/java/spokestall/ballot/Guard.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
@@ -1,7 +1,7 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 /** Says which keys a voter still keeps, and which values it will never take. */
-public interface Guard {
+public interface RegisterGuard {
     /** Whether what registers up to a version decided is on this disk in another form, so that they may be missing here.
      * Example: {@code if (guard.holds(voter.floor())) vote();} */
     default boolean holds(final long floor) {
--- a/spokestall/src/main/java/spokestall/ballot/Voters.java
+++ b/spokestall/src/main/java/spokestall/consensus/VoterSet.java
@@ -1,11 +1,11 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** The table of voters. A generation starts from what was left after a loss; an epoch
  * changes one seat: swaps its disk, gives it to another core, adds one or removes one. */
-public record Voters(long generation, long epoch, List<Seat> seats) {
+public record VoterSet(long generation, long epoch, List<Voter> seats) {
     /** How far the generation is shifted up in versions and tokens. */
     public static final int GENERATION_SHIFT = 20;
     /** No table has more seats. */
@@ -14,7 +14,7 @@
     /** What the keys of the registers of tables begin with. */
     public static final String KEYS = "voters/";
 
-    /** The key of the register that a table is agreed in. Example: {@code Voters.key(1700000000, 2)} */
+    /** The key of the register that a table is agreed in. Example: {@code VoterSet.key(1700000000, 2)} */
     public static String key(final long generation, final long epoch) {
         return KEYS + generation + "/" + epoch;
     }
@@ -36,7 +36,7 @@
     }
 
     /** Whether this table replaces the other. Example: {@code if (heard.newerThan(mine)) adopt(heard);} */
-    public boolean newerThan(final Voters other) {
+    public boolean newerThan(final VoterSet other) {
         return other == null || generation > other.generation || generation == other.generation && epoch > other.epoch;
     }
 
@@ -46,8 +46,8 @@
     }
 
     /** A seat by its name, or null. Example: {@code voters.seat("d1-core").diskId()} */
-    public Seat seat(final String name) {
-        for (final Seat seat : seats) {
+    public Voter seat(final String name) {
+        for (final Voter seat : seats) {
             if (seat.name().equals(name)) {
                 return seat;
             }
@@ -55,36 +55,36 @@
         return null;
     }
 
-    /** The next epoch, with one seat's disk swapped. Example: {@code voters.swap(new Seat("d1-core", at, disk))} */
-    public Voters swap(final Seat fresh) {
+    /** The next epoch, with one seat's disk swapped. Example: {@code voters.swap(new Voter("d1-core", at, disk))} */
+    public VoterSet swap(final Voter fresh) {
         return replace(fresh.name(), fresh);
     }
 
-    /** The next epoch, with one seat more. Example: {@code voters.add(new Seat("d7-core", at, disk))} */
-    public Voters add(final Seat fresh) {
+    /** The next epoch, with one seat more. Example: {@code voters.add(new Voter("d7-core", at, disk))} */
+    public VoterSet add(final Voter fresh) {
         assert seat(fresh.name()) == null && seats.size() < SEATS_MAX : fresh;
-        final List<Seat> next = new ArrayList<>(seats);
+        final List<Voter> next = new ArrayList<>(seats);
         next.add(fresh);
-        return new Voters(generation, epoch + 1, next);
+        return new VoterSet(generation, epoch + 1, next);
     }
 
     /** The next epoch, with the seat of a core that is gone given to another. Example:
-     * {@code voters.replace("d1-core", new Seat("d1-core-2", at, disk))} */
-    public Voters replace(final String goneSeatName, final Seat fresh) {
+     * {@code voters.replace("d1-core", new Voter("d1-core-2", at, disk))} */
+    public VoterSet replace(final String goneSeatName, final Voter fresh) {
         assert seat(goneSeatName) != null : goneSeatName;
         assert goneSeatName.equals(fresh.name()) || seat(fresh.name()) == null : fresh;
-        final List<Seat> next = new ArrayList<>(seats);
+        final List<Voter> next = new ArrayList<>(seats);
         next.replaceAll(s -> s.name().equals(goneSeatName) ? fresh : s);
-        return new Voters(generation, epoch + 1, next);
+        return new VoterSet(generation, epoch + 1, next);
     }
 
     /** The next epoch, with one seat fewer. Only a table of an even number may lose one: its majority has a seat more
      * than the next one needs, so what a majority accepted is with a majority of those that stay.
      * Example: {@code voters.remove("d1-core")} */
-    public Voters remove(final String goneSeatName) {
+    public VoterSet remove(final String goneSeatName) {
         assert seat(goneSeatName) != null && seats.size() % 2 == 0 : goneSeatName;
-        final List<Seat> next = new ArrayList<>(seats);
+        final List<Voter> next = new ArrayList<>(seats);
         next.removeIf(s -> s.name().equals(goneSeatName));
-        return new Voters(generation, epoch + 1, next);
+        return new VoterSet(generation, epoch + 1, next);
     }
 }
--- a/spokestall/src/main/java/spokestall/listing/Listing.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
@@ -1,4 +1,4 @@
-package spokestall.listing;
+package spokestall.discovery;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,7 +11,7 @@
  * Upstreams as mergeable state: for each instance the newest word of the platform, and of each core that probes it.
  * Merging is by newest stamp, so order and repeats don't matter.
  */
-public final class Listing {
+public final class EndpointRegistry {
     private record Heard(long life, long place) {}
 
     private record Numbered<T>(long place, T value) {}
@@ -20,8 +20,8 @@
     private final int entriesMax;
     private final long freshMs;
     private final boolean probed;
-    private final Map<String, Numbered<Listed>> listed = new TreeMap<>();
-    private final Map<String, Map<String, Numbered<Report>>> reports = new TreeMap<>();
+    private final Map<String, Numbered<Endpoint>> listed = new TreeMap<>();
+    private final Map<String, Map<String, Numbered<HealthObservation>>> reports = new TreeMap<>();
     /** The upstreams of each service that are listed and not leaving, in the order of their names; made anew after the list
      * changed. */
     private final Map<String, List<Upstream>> serving = new HashMap<>();
@@ -32,8 +32,8 @@
     private long changes;
 
     /** Where nothing is probed, what is listed and not leaving counts as ready.
-     * Example: {@code new Listing(life, 4096, 4000, true)} */
-    public Listing(final long life, final int entriesMax, final long freshMs, final boolean probed) {
+     * Example: {@code new EndpointRegistry(life, 4096, 4000, true)} */
+    public EndpointRegistry(final long life, final int entriesMax, final long freshMs, final boolean probed) {
         this.probed = probed;
         this.life = life;
         this.entriesMax = entriesMax;
@@ -56,8 +56,9 @@
     }
 
     /** What a core last said of an instance, or null. Example: {@code listing.said("i1", "d1-core")} */
-    Report said(final String instance, final String by) {
-        final Numbered<Report> had = reports.getOrDefault(instance, Map.of()).get(by);
+    HealthObservation said(final String instance, final String by) {
+        final Numbered<HealthObservation> had =
+                reports.getOrDefault(instance, Map.of()).get(by);
         return had == null ? null : had.value;
     }
 
@@ -83,8 +84,8 @@
             final String core,
             final long coreLife,
             final long corePlace,
-            final List<Listed> entries,
-            final List<Report> words) {
+            final List<Endpoint> entries,
+            final List<HealthObservation> words) {
         if (coreLife != 0) {
             heard.put(core, new Heard(coreLife, corePlace));
             merge(entries, words);
@@ -92,13 +93,13 @@
     }
 
     /** Merges entries from anywhere. Example: {@code listing.merge(push.listed(), push.reports());} */
-    public void merge(final Collection<Listed> entries, final Collection<Report> words) {
+    public void merge(final Collection<Endpoint> entries, final Collection<HealthObservation> words) {
         entries.forEach(this::merge);
         words.forEach(this::merge);
     }
 
-    private void merge(final Listed entry) {
-        final Numbered<Listed> had = listed.get(entry.instance());
+    private void merge(final Endpoint entry) {
+        final Numbered<Endpoint> had = listed.get(entry.instance());
         if (had == null ? listed.size() < entriesMax : entry.stampMs() > had.value.stampMs()) {
             put(new Numbered<>(++place, had == null ? entry : kept(had.value, entry)));
         } else if (had != null && entry.firstMs() < had.value.firstMs()) {
@@ -106,14 +107,14 @@
         }
     }
 
-    private void put(final Numbered<Listed> entry) {
+    private void put(final Numbered<Endpoint> entry) {
         changes++;
         serving.clear();
         listed.put(entry.value.instance(), entry);
     }
 
     /** The later entry, listed first when the earlier one was, if it was there all the time. */
-    private static Listed kept(final Listed earlier, final Listed later) {
+    private static Endpoint kept(final Endpoint earlier, final Endpoint later) {
         return earlier.present()
                         && later.present()
                         && earlier.address().equals(later.address())
@@ -122,9 +123,10 @@
                 : later;
     }
 
-    private void merge(final Report word) {
-        final Map<String, Numbered<Report>> of = reports.computeIfAbsent(word.instance(), i -> new TreeMap<>());
-        final Numbered<Report> had = of.get(word.by());
+    private void merge(final HealthObservation word) {
+        final Map<String, Numbered<HealthObservation>> of =
+                reports.computeIfAbsent(word.instance(), i -> new TreeMap<>());
+        final Numbered<HealthObservation> had = of.get(word.by());
         if (had == null || word.stampMs() > had.value.stampMs()) {
             of.put(word.by(), new Numbered<>(++place, word));
         }
@@ -140,8 +142,8 @@
     }
 
     /** Entries after a place. Example: {@code listing.listedAfter(12)} */
-    public List<Listed> listedAfter(final long after) {
-        final List<Listed> found = new ArrayList<>();
+    public List<Endpoint> listedAfter(final long after) {
+        final List<Endpoint> found = new ArrayList<>();
         listed.values().forEach(l -> {
             if (l.place > after) {
                 found.add(l.value);
@@ -151,8 +153,8 @@
     }
 
     /** Reports after a place. Example: {@code listing.reportsAfter(12)} */
-    public List<Report> reportsAfter(final long after) {
-        final List<Report> found = new ArrayList<>();
+    public List<HealthObservation> reportsAfter(final long after) {
+        final List<HealthObservation> found = new ArrayList<>();
         reports.values()
                 .forEach(of -> of.values().forEach(r -> {
                     if (r.place > after) {
@@ -168,7 +170,7 @@
     }
 
     /** Everything the platform lists or listed of late. Example: {@code listing.listed()} */
-    public List<Listed> listed() {
+    public List<Endpoint> listed() {
         return listedAfter(0);
     }
 
@@ -180,8 +182,8 @@
         }
         final List<Upstream> found = new ArrayList<>();
         for (final Upstream u : all) {
-            final Report word = word(u.instance(), nowMs);
-            if (word != null && word.status() == Status.READY) {
+            final HealthObservation word = word(u.instance(), nowMs);
+            if (word != null && word.status() == HealthStatus.READY) {
                 found.add(u.readySince(word.readySinceMs()));
             }
         }
@@ -190,8 +192,8 @@
 
     private List<Upstream> serving(final String service) {
         final List<Upstream> found = new ArrayList<>();
-        for (final Numbered<Listed> n : listed.values()) {
-            final Listed l = n.value;
+        for (final Numbered<Endpoint> n : listed.values()) {
+            final Endpoint l = n.value;
             if (l.present() && !l.leaving() && l.service().equals(service)) {
                 found.add(new Upstream(
                         l.instance(),
@@ -208,21 +210,22 @@
     }
 
     /** What the cores together say now: leaving or foreign from any one holds; ready from any one beats down. */
-    public Report word(final String instance, final long nowMs) {
+    public HealthObservation word(final String instance, final long nowMs) {
         if (!probed) {
-            final Numbered<Listed> n = listed.get(instance);
+            final Numbered<Endpoint> n = listed.get(instance);
             return n == null || !n.value.present()
                     ? null
-                    : new Report(
+                    : new HealthObservation(
                             instance,
                             "",
-                            n.value.leaving() ? Status.LEAVING : Status.READY,
+                            n.value.leaving() ? HealthStatus.LEAVING : HealthStatus.READY,
                             n.value.firstMs(),
                             n.value.stampMs());
         }
-        Report best = null;
-        for (final Numbered<Report> n : reports.getOrDefault(instance, Map.of()).values()) {
-            final Report r = n.value;
+        HealthObservation best = null;
+        for (final Numbered<HealthObservation> n :
+                reports.getOrDefault(instance, Map.of()).values()) {
+            final HealthObservation r = n.value;
             if (nowMs - r.stampMs() > freshMs) {
                 continue;
             }
@@ -235,7 +238,7 @@
         return best;
     }
 
-    private static int rank(final Status status) {
+    private static int rank(final HealthStatus status) {
         return switch (status) {
             case DOWN -> 0;
             case READY -> 1;
--- a/spokestall/src/main/java/spokestall/listing/Status.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthStatus.java
@@ -1,7 +1,7 @@
-package spokestall.listing;
+package spokestall.discovery;
 
 /** What a probe found an upstream to be. */
-public enum Status {
+public enum HealthStatus {
     READY,
     LEAVING,
     DOWN,
--- a/spokestall/src/main/java/spokestall/listing/Upstream.java
+++ b/spokestall/src/main/java/spokestall/discovery/Upstream.java
@@ -1,4 +1,4 @@
-package spokestall.listing;
+package spokestall.discovery;
 
 /** An upstream as an edge sees it when it elects. coldUntilMs is zero when only the beginning of its warm-up is known. */
 public record Upstream(
--- a/spokestall/src/main/java/spokestall/view/ViewNote.java
+++ b/spokestall/src/main/java/spokestall/gossip/GossipMessage.java
@@ -1,19 +1,19 @@
-package spokestall.view;
+package spokestall.gossip;
 
 import java.util.List;
-import spokestall.wire.Note;
+import spokestall.message.Message;
 
 /** What neighbours say to each other. */
-public sealed interface ViewNote extends Note {
+public sealed interface GossipMessage extends Message {
     /** A sample of a view, offered for another, with the sender's time. */
     record Shuffle(
             String from,
-            Member self,
+            NodeInfo self,
             long sentMs,
             boolean reply,
             long echoMs,
             long fleetMs,
             boolean settled,
-            List<Member> sample)
-            implements ViewNote {}
+            List<NodeInfo> sample)
+            implements GossipMessage {}
 }
--- a/spokestall/src/main/java/spokestall/view/View.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -1,4 +1,4 @@
-package spokestall.view;
+package spokestall.gossip;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,27 +11,27 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
-import spokestall.wire.Post;
 
 /**
  * A partial view of the fleet, shuffled with a neighbour on each beat. A neighbour that doesn't answer is dropped
  * for a while; the seeds are asked again now and then, so that a view that split joins again.
  */
-public final class View {
+public final class PartialView {
     /** Sizes and spans, from the settings. For a while after it learned of a node, or that one is gone, a view is eager:
      * it shuffles on each beat, not on every other, and says more. */
     public record Pace(int size, int sample, long goneMs, long eagerMs) {}
 
-    private final Member self;
+    private final NodeInfo self;
     private List<String> seeds;
-    private final Post post;
+    private final MessageSender post;
     private final Clock clock;
     private final FleetClock fleet;
     private final Random random;
     private final Pace pace;
-    private final Map<String, Member> known = new TreeMap<>();
+    private final Map<String, NodeInfo> known = new TreeMap<>();
     private final Map<String, Long> learnedMs = new HashMap<>();
     private final Map<String, Long> newMs = new HashMap<>();
     private final Map<String, Long> offeredMs = new HashMap<>();
@@ -42,11 +42,11 @@
     /** No member is unheard for too long before then. */
     private long nextGoneMs;
 
-    /** Example: {@code new View(self, settings.seeds(), post, clock, fleet, random, pace)} */
-    public View(
-            final Member self,
+    /** Example: {@code new PartialView(self, settings.seeds(), post, clock, fleet, random, pace)} */
+    public PartialView(
+            final NodeInfo self,
             final List<String> seeds,
-            final Post post,
+            final MessageSender post,
             final Clock clock,
             final FleetClock fleet,
             final Random random,
@@ -62,7 +62,7 @@
     }
 
     /** This node as others should know it. Example: {@code view.self().name()} */
-    public Member self() {
+    public NodeInfo self() {
         return self.at(fleet.nowMs(), leaving);
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** The members known now, this node not among them. Example: {@code view.members().size()} */
-    public Collection<Member> members() {
+    public Collection<NodeInfo> members() {
         final long nowMs = clock.nowMs();
         if (nowMs <= nextGoneMs) {
             return known.values();
@@ -103,14 +103,14 @@
     }
 
     /** A member by its name, or null. Example: {@code view.member("d2-edge")} */
-    public Member member(final String name) {
+    public NodeInfo member(final String name) {
         return name.equals(self.name()) ? self() : known.get(name);
     }
 
     /** One beat: offers a sample to the neighbour that was left alone longest, and now and then to a seed.
      * Example: {@code view.tick();} */
     public void tick() {
-        final List<Member> all = new ArrayList<>(members());
+        final List<NodeInfo> all = new ArrayList<>(members());
         final int turn = beat++;
         if (!eager() && turn % 2 != 0) {
             return;
@@ -144,16 +144,16 @@
             return;
         }
         final long nowMs = clock.nowMs();
-        final List<Member> sample = new ArrayList<>(known.values());
+        final List<NodeInfo> sample = new ArrayList<>(known.values());
         Collections.shuffle(sample, random);
         sample.removeIf(m -> m.address().equals(to));
         sample.sort(Comparator.comparing(
                 m -> nowMs - newMs.getOrDefault(m.name(), Long.MIN_VALUE / 2) >= pace.eagerMs()));
-        final List<Member> part =
+        final List<NodeInfo> part =
                 sample.subList(0, Math.min(sample.size(), eager() ? pace.sample() : pace.sample() / 2));
         post.send(
                 to,
-                new ViewNote.Shuffle(
+                new GossipMessage.Shuffle(
                         self.address(),
                         self(),
                         nowMs,
@@ -165,24 +165,24 @@
     }
 
     /** Hears a neighbour's sample. Example: {@code view.hear(shuffle);} */
-    public void hear(final ViewNote note) {
-        final ViewNote.Shuffle s = (ViewNote.Shuffle) note;
+    public void hear(final GossipMessage note) {
+        final GossipMessage.Shuffle s = (GossipMessage.Shuffle) note;
         learn(s.self(), 0);
         if (s.reply()) {
             fleet.heard(s.self().name(), s.fleetMs(), s.settled(), s.echoMs());
         } else {
             offer(s.from(), true, s.sentMs());
         }
-        for (final Member m : s.sample()) {
+        for (final NodeInfo m : s.sample()) {
             learn(m, Math.max(0, s.fleetMs() - m.heardMs()));
         }
     }
 
-    private void learn(final Member m, final long ageMs) {
+    private void learn(final NodeInfo m, final long ageMs) {
         if (m.name().equals(self.name()) || ageMs > pace.goneMs()) {
             return;
         }
-        final Member had = known.get(m.name());
+        final NodeInfo had = known.get(m.name());
         final boolean newer =
                 had == null || m.life() > had.life() || m.life() == had.life() && m.heardMs() > had.heardMs();
         if (!newer) {
--- a/spokestall/src/main/java/spokestall/view/package-info.java
+++ b/spokestall/src/main/java/spokestall/gossip/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Which nodes there are (gossip).
  *
- * <p>Owns: a bounded, partial list of the other nodes ({@link spokestall.view.View}), shuffled with a neighbour on each
+ * <p>Owns: a bounded, partial list of the other nodes ({@link spokestall.gossip.PartialView}), shuffled with a neighbour on each
  * heartbeat.
  *
  * <p>Invariants: what it says is a hint and no vote depends on it being whole. A member that was not heard for a while is dropped,
@@ -9,4 +9,4 @@
  *
  * <p>Callers: {@code Node} ticks it and hands it messages; other packages get lists of members.
  */
-package spokestall.view;
+package spokestall.gossip;
--- a/spokestall/src/main/java/spokestall/hand/Hints.java
+++ b/spokestall/src/main/java/spokestall/handoff/HintStore.java
@@ -1,4 +1,4 @@
-package spokestall.hand;
+package spokestall.handoff;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 
 /** Names of registers that a missing voter should have heard of, kept by another until it is back; bounded for each. */
-public final class Hints {
+public final class HintStore {
     private final int most;
     private final Map<String, LinkedHashSet<String>> kept = new TreeMap<>();
 
-    /** Example: {@code new Hints(4096)}; beyond it the oldest are let go, and found again by later rounds. */
-    public Hints(final int most) {
+    /** Example: {@code new HintStore(4096)}; beyond it the oldest are let go, and found again by later rounds. */
+    public HintStore(final int most) {
         this.most = most;
     }
 
--- a/spokestall/src/main/java/spokestall/hand/Shelf.java
+++ b/spokestall/src/main/java/spokestall/handoff/ResponseCache.java
@@ -1,18 +1,18 @@
-package spokestall.hand;
+package spokestall.handoff;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /** Answers kept in memory, bounded by their bytes; the oldest used go first. */
-public final class Shelf {
-    private final Cache<String, HandNote.Keep> kept;
+public final class ResponseCache {
+    private final Cache<String, HandoffMessage.Keep> kept;
 
-    /** Example: {@code new Shelf(16 << 20)} */
-    public Shelf(final long bytesMax) {
+    /** Example: {@code new ResponseCache(16 << 20)} */
+    public ResponseCache(final long bytesMax) {
         kept = Caffeine.newBuilder()
                 .maximumWeight(bytesMax)
                 .executor(Runnable::run)
-                .weigher((String k, HandNote.Keep v) -> 256
+                .weigher((String k, HandoffMessage.Keep v) -> 256
                         + k.length()
                         + v.content().body().length
                         + 64 * v.content().headers().size())
@@ -20,13 +20,13 @@
     }
 
     /** Example: {@code shelf.keep(note);} */
-    public void keep(final HandNote.Keep answer) {
+    public void keep(final HandoffMessage.Keep answer) {
         kept.put(answer.key(), answer);
     }
 
     /** The answer if it is the one with this digest, else null. Example: {@code shelf.find(key, digest)} */
-    public HandNote.Keep find(final String key, final String digest) {
-        final HandNote.Keep found = kept.getIfPresent(key);
+    public HandoffMessage.Keep find(final String key, final String digest) {
+        final HandoffMessage.Keep found = kept.getIfPresent(key);
         return found != null && found.digest().equals(digest) ? found : null;
     }
 }
--- a/spokestall/src/main/java/spokestall/rim/Addresses.java
+++ b/spokestall/src/main/java/spokestall/io/Addresses.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/spokestall/src/main/java/spokestall/rim/AuditFiles.java
+++ b/spokestall/src/main/java/spokestall/io/AuditFiles.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -23,15 +23,15 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
-import spokestall.audit.Audit;
-import spokestall.audit.Chain;
-import spokestall.ring.Folders;
+import spokestall.audit.AuditChain;
+import spokestall.audit.AuditSink;
+import spokestall.storage.DirectorySync;
 
 /**
  * A core's audit on disk: a few files of bounded size, the oldest going first, beside the key that signs them and the one
  * that checks them. It is written by a thread of its own; what can't be written is counted and said in the next entry that can.
  */
-public final class AuditFiles implements Audit {
+public final class AuditFiles implements AuditSink {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int WAITING_MAX = 1024;
@@ -45,7 +45,7 @@
     private final AtomicInteger waiting = new AtomicInteger();
     private final AtomicInteger dropped = new AtomicInteger();
     private final ArrayDeque<String> newest = new ArrayDeque<>();
-    private Chain chain;
+    private AuditChain chain;
     private String lastLine;
     private FileChannel file;
     private long number;
@@ -96,8 +96,8 @@
         put(fresh, made.toJSONString());
         put(folder.resolve("public.jwk"), made.toPublicJWK().toJSONString());
         Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE);
-        Folders.sync(folder);
-        Folders.sync(folder.toAbsolutePath().getParent());
+        DirectorySync.sync(folder);
+        DirectorySync.sync(folder.toAbsolutePath().getParent());
         return made;
     }
 
@@ -142,14 +142,14 @@
                 ? 1
                 : Long.parseLong(
                         files.get(files.size() - 1).getFileName().toString().substring(6, 14));
-        chain = new Chain(key, lastLine);
+        chain = new AuditChain(key, lastLine);
         append();
         note("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
     }
 
     private void append() throws IOException {
         file = FileChannel.open(path(number), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        Folders.sync(folder);
+        DirectorySync.sync(folder);
     }
 
     @Override
@@ -196,7 +196,7 @@
         try {
             put(line);
         } catch (final IOException e) {
-            chain = new Chain(key, lastLine);
+            chain = new AuditChain(key, lastLine);
             file.truncate(at);
             throw e;
         }
--- a/spokestall/src/main/java/spokestall/rim/DataFolder.java
+++ b/spokestall/src/main/java/spokestall/io/DataDirectory.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -9,15 +9,15 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import spokestall.ring.Folders;
+import spokestall.storage.DirectorySync;
 
 /** The data folder's owner: one node, one format, one process at a time. What is another's is never overwritten. */
-public final class DataFolder {
+public final class DataDirectory {
     private static final int FORMAT = 1;
 
-    private DataFolder() {}
+    private DataDirectory() {}
 
-    /** Takes the folder for a node; why it can't be had, or null. Example: {@code DataFolder.open(path, "d1-core")} */
+    /** Takes the folder for a node; why it can't be had, or null. Example: {@code DataDirectory.open(path, "d1-core")} */
     public static String open(final Path folder, final String name) throws IOException {
         final String mine = "spokestall format=" + FORMAT + " node=" + name + "\n";
         final Path owner = folder.resolve("owner");
@@ -45,7 +45,7 @@
             file.force(true);
         }
         Files.move(fresh, owner, StandardCopyOption.ATOMIC_MOVE);
-        Folders.sync(folder);
+        DirectorySync.sync(folder);
         return null;
     }
 }
--- a/spokestall/src/main/java/spokestall/rim/Stage.java
+++ b/spokestall/src/main/java/spokestall/io/EventLoop.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -9,7 +9,7 @@
  * A stage: a bounded queue whose events run one at a time on the shared workers. What comes from outside is offered
  * and may be turned away; what a stage's own work brings back (a timer, a sync, an answer) was bounded when it began.
  */
-public final class Stage implements Executor {
+public final class EventLoop implements Executor {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int TURN = 64;
     private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
@@ -17,8 +17,8 @@
     private final Executor workers;
     private final int bound;
 
-    /** Example: {@code new Stage(workers, 4096)} */
-    public Stage(final Executor workers, final int bound) {
+    /** Example: {@code new EventLoop(workers, 4096)} */
+    public EventLoop(final Executor workers, final int bound) {
         this.workers = workers;
         this.bound = bound;
     }
--- a/spokestall/src/main/java/spokestall/rim/LogLine.java
+++ b/spokestall/src/main/java/spokestall/io/LogLineFormatter.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -12,18 +12,18 @@
 import java.util.logging.Logger;
 
 /** One line of key=value pairs for each event. */
-public final class LogLine extends Formatter {
+public final class LogLineFormatter extends Formatter {
     private static final List<Logger> QUIET =
             List.of(Logger.getLogger("io.undertow"), Logger.getLogger("org.xnio"), Logger.getLogger("org.jboss"));
 
-    /** Sends all logs through this form. Example: {@code LogLine.install();} */
+    /** Sends all logs through this form. Example: {@code LogLineFormatter.install();} */
     public static void install() {
         final Logger root = Logger.getLogger("");
         for (final Handler had : root.getHandlers()) {
             root.removeHandler(had);
         }
         final Handler handler = new ConsoleHandler();
-        handler.setFormatter(new LogLine());
+        handler.setFormatter(new LogLineFormatter());
         root.addHandler(handler);
         QUIET.forEach(l -> l.setLevel(Level.WARNING));
     }
--- a/spokestall/src/main/java/spokestall/rim/SystemClock.java
+++ b/spokestall/src/main/java/spokestall/io/SystemClock.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
--- a/spokestall/src/main/java/spokestall/rim/Fields.java
+++ b/spokestall/src/main/java/spokestall/io/http/HeaderFields.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HeaderValues;
@@ -8,10 +8,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import spokestall.wire.Header;
+import spokestall.message.Header;
 
 /** Header fields between wires: which ones go on, and whether they frame a message in one way only. */
-public final class Fields {
+public final class HeaderFields {
     /** Fields that speak of one wire, or that each wire is given anew. */
     private static final Set<HttpString> OF_THE_WIRE = Set.of(
             Headers.CONNECTION,
@@ -32,10 +32,10 @@
     private static final String NOT_IN_NAMES = "\"(),/:;<=>?@[\\]{}";
     private static final int LENGTH_DIGITS = 18;
 
-    private Fields() {}
+    private HeaderFields() {}
 
     /** The end-to-end fields: none of the wire's, none that Connection names, none of spokestall's own.
-     * Example: {@code Fields.endToEnd(exchange.getRequestHeaders())} */
+     * Example: {@code HeaderFields.endToEnd(exchange.getRequestHeaders())} */
     public static List<Header> endToEnd(final HeaderMap from) {
         final Set<HttpString> named = new HashSet<>();
         final HeaderValues connection = from.get(Headers.CONNECTION);
@@ -63,13 +63,13 @@
         return name.regionMatches(true, 0, OWN, 0, OWN.length());
     }
 
-    static void put(final HeaderMap into, final List<Header> headers) {
+    public static void put(final HeaderMap into, final List<Header> headers) {
         headers.forEach(h -> into.add(new HttpString(h.name()), h.value()));
     }
 
     /** What is odd about the fields of a message, or null: names and values that could be read as something else, a
      * length given twice or beside chunks, any coding but chunks alone. */
-    static String odd(final HeaderMap headers) {
+    public static String odd(final HeaderMap headers) {
         for (final HeaderValues values : headers) {
             final String name = values.getHeaderName().toString();
             for (int i = 0; i < name.length(); i++) {
--- a/spokestall/src/main/java/spokestall/rim/HttpCall.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpCall.java
@@ -1,11 +1,11 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Executor;
 import java.util.function.LongSupplier;
-import spokestall.wire.Header;
+import spokestall.message.Header;
 
 /**
  * One HTTP exchange to be had with an instance at an address; a connection kept from another instance, which had the
--- a/spokestall/src/main/java/spokestall/rim/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import io.undertow.client.ClientCallback;
 import io.undertow.client.ClientConnection;
@@ -54,7 +54,7 @@
     private final ByteBufferPool pool;
     private final long restMs;
     private final LongSupplier nowMs;
-    private final IdleConnections idle = new IdleConnections();
+    private final IdleConnectionPool idle = new IdleConnectionPool();
 
     /** A wire rests for less than its other end says, and for restMs where that says nothing.
      * Example: {@code new HttpClient(worker, new DefaultByteBufferPool(true, 16384), 1000)} */
@@ -86,7 +86,7 @@
     private final class Exchange implements ClientCallback<ClientExchange> {
         private final HttpCall call;
         private final Judge judge;
-        private final IdleConnections.Peer peer;
+        private final IdleConnectionPool.Peer peer;
         private final AtomicBoolean over = new AtomicBoolean();
         private final ByteArrayOutputStream read = new ByteArrayOutputStream();
         private volatile boolean sent;
@@ -98,7 +98,7 @@
         Exchange(final HttpCall call, final Judge judge) {
             this.call = call;
             this.judge = judge;
-            this.peer = new IdleConnections.Peer(call.address(), call.instance());
+            this.peer = new IdleConnectionPool.Peer(call.address(), call.instance());
         }
 
         void begin() {
@@ -186,7 +186,7 @@
             if (call.body().length > 0 || !BODILESS.contains(call.method())) {
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(call.body().length));
             }
-            Fields.put(request.getRequestHeaders(), call.headers());
+            HeaderFields.put(request.getRequestHeaders(), call.headers());
             if (!request.getRequestHeaders().contains(Headers.HOST)) {
                 request.getRequestHeaders().put(Headers.HOST, call.address());
             }
--- a/spokestall/src/main/java/spokestall/rim/HttpPort.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
@@ -20,11 +20,11 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
-import spokestall.Connections;
-import spokestall.policy.ClientLimits;
+import spokestall.configuration.ClientLimits;
+import spokestall.node.ClientConnections;
 
 /** Listens for HTTP at some addresses, keeps to the clients' limits in force, and ends connections in order. */
-public final class HttpPort implements Connections {
+public final class HttpListener implements ClientConnections {
     private record Listener(InetSocketAddress at, HttpHandler handler) {}
 
     private static final int SMALL_HEAP = 128 << 20;
@@ -54,12 +54,12 @@
             return System.nanoTime() / 1_000_000;
         }
     };
-    private final RestLimit rest;
+    private final IdleLimit rest;
     private volatile ClientLimits limits;
     private volatile boolean ending;
 
-    /** Example: {@code new HttpPort(worker, OptionMap.EMPTY, OptionMap.EMPTY, policy.limits())} */
-    public HttpPort(
+    /** Example: {@code new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, policy.limits())} */
+    public HttpListener(
             final XnioWorker worker,
             final OptionMap socketOptions,
             final OptionMap httpOptions,
@@ -68,7 +68,7 @@
         this.socketOptions = socketOptions;
         this.httpOptions = httpOptions;
         this.limits = limits;
-        this.rest = new RestLimit(limits.restMaxMs(), terms.nowMs());
+        this.rest = new IdleLimit(limits.restMaxMs(), terms.nowMs());
     }
 
     /** Listens at an address too, from its start on. Example: {@code port.listen(Addresses.of("10.0.0.1:80"), asks::handle);} */
--- a/spokestall/src/main/java/spokestall/rim/HttpResult.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpResult.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import io.undertow.util.HeaderMap;
 
--- a/spokestall/src/main/java/spokestall/rim/IdleConnections.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import io.undertow.client.ClientConnection;
 import java.util.ArrayDeque;
@@ -13,7 +13,7 @@
  * Connections kept between two exchanges, by the peer that they were opened to. Each rests for a time of its own and is
  * forgotten once it is closed. The number of peers and of connections to each is bounded.
  */
-final class IdleConnections {
+final class IdleConnectionPool {
     /** Who answers at the other end: an address, and the instance that had it then; an instance is empty if any will do. */
     record Peer(String address, String instance) {}
 
--- a/spokestall/src/main/java/spokestall/rim/RestLimit.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleLimit.java
@@ -1,15 +1,15 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 /**
  * How long a client's connection may rest. A limit that is lowered counts only when a rest that was begun under the
  * older one is over, so that no client is cut short that kept to what it knew.
  */
-final class RestLimit {
+final class IdleLimit {
     private long limitMs;
     private long olderMs;
     private long olderUntilMs;
 
-    RestLimit(final long limitMs, final long nowMs) {
+    IdleLimit(final long limitMs, final long nowMs) {
         this.limitMs = limitMs;
         this.olderMs = limitMs;
         this.olderUntilMs = nowMs;
--- a/spokestall/src/main/java/spokestall/rim/ResponseHead.java
+++ b/spokestall/src/main/java/spokestall/io/http/ResponseHead.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import io.undertow.client.ClientResponse;
 import io.undertow.util.HeaderValues;
@@ -29,11 +29,11 @@
         if (joined(response)) {
             return "two responses in one";
         }
-        final String field = Fields.odd(response.getResponseHeaders());
+        final String field = HeaderFields.odd(response.getResponseHeaders());
         if (field != null) {
             return field;
         }
-        if (Fields.size(response.getResponseHeaders()) > SIZE_MAX) {
+        if (HeaderFields.size(response.getResponseHeaders()) > SIZE_MAX) {
             return "size";
         }
         return framed(response, method) ? null : "status " + response.getResponseCode();
--- a/spokestall/src/main/java/spokestall/rim/Hangup.java
+++ b/spokestall/src/main/java/spokestall/io/process/HangupSignal.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.process;
 
 import com.google.common.flogger.FluentLogger;
 import java.lang.reflect.Proxy;
@@ -7,22 +7,22 @@
  * The signal SIGHUP, which says that the settings have changed. Without a handler the Java runtime takes it for a request
  * to end, so it is caught first thing in a process; one that comes before anyone listens is kept for the listener.
  */
-public final class Hangup {
+public final class HangupSignal {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final String NAME = "HUP";
-    private static final Hangup PROCESS = new Hangup();
+    private static final HangupSignal PROCESS = new HangupSignal();
     private Runnable listener;
     private boolean pending;
 
     /** A signal of its own, for tests; a process has {@link #process}. */
-    Hangup() {}
+    HangupSignal() {}
 
-    /** The process's own. Example: {@code Hangup.process().listen(watch::signalled);} */
-    public static Hangup process() {
+    /** The process's own. Example: {@code HangupSignal.process().listen(watch::signalled);} */
+    public static HangupSignal process() {
         return PROCESS;
     }
 
-    /** Catches the signal from now on, where the machine has it. Example: {@code Hangup.install();} */
+    /** Catches the signal from now on, where the machine has it. Example: {@code HangupSignal.install();} */
     public static void install() {
         try {
             handle();
@@ -37,7 +37,7 @@
         final Class<?> signal = Class.forName("sun.misc.Signal");
         final Class<?> handler = Class.forName("sun.misc.SignalHandler");
         final Object raise = Proxy.newProxyInstance(
-                Hangup.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
+                HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                     if (method.getName().equals("handle")) {
                         PROCESS.raised();
                     }
--- a/spokestall/src/main/java/spokestall/rim/Daemon.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.process;
 
 import com.google.common.flogger.FluentLogger;
 import io.undertow.server.DefaultByteBufferPool;
@@ -16,26 +16,37 @@
 import org.xnio.Xnio;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import spokestall.Node;
-import spokestall.audit.Audit;
-import spokestall.duty.Reporter;
-import spokestall.ring.FileSegments;
-import spokestall.ring.Segments;
+import spokestall.audit.AuditSink;
+import spokestall.io.Addresses;
+import spokestall.io.AuditFiles;
+import spokestall.io.DataDirectory;
+import spokestall.io.EventLoop;
+import spokestall.io.SystemClock;
+import spokestall.io.http.HttpClient;
+import spokestall.io.protocol.HttpUpstreamClient;
+import spokestall.io.protocol.Listener;
+import spokestall.io.protocol.ProtocolAdapter;
+import spokestall.io.transport.TcpTransport;
+import spokestall.io.transport.TrustedNetworks;
+import spokestall.node.Node;
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsSource;
+import spokestall.storage.FileSegmentStore;
+import spokestall.storage.SegmentStore;
 import spokestall.time.Clock;
+import spokestall.usage.UsageReporter;
 
 /** A node as a process: the rim around it, from its start to a clean stop. */
-public final class Daemon {
+public final class NodeProcess {
     /** What may stand between a node and its machine; the shipped program puts nothing there. */
     public interface Around {
         /** Example: {@code around.disk(segments)} */
-        default Segments disk(final Segments disk) {
+        default SegmentStore disk(final SegmentStore disk) {
             return disk;
         }
 
         /** Example: {@code around.platform(outside)} */
-        default Reporter.Platform platform(final Reporter.Platform platform) {
+        default UsageReporter.Platform platform(final UsageReporter.Platform platform) {
             return platform;
         }
     }
@@ -54,36 +65,37 @@
     private final SettingsSource source;
     private final boolean core;
     private final Around around;
-    private final Speech speech;
+    private final ProtocolAdapter speech;
     private Node node;
 
-    /** Example: {@code new Daemon(settings, true).run()} */
-    public Daemon(final Settings settings, final boolean core) {
-        this(settings, core, new Around() {}, Speech.own());
+    /** Example: {@code new NodeProcess(settings, true).run()} */
+    public NodeProcess(final Settings settings, final boolean core) {
+        this(settings, core, new Around() {}, ProtocolAdapter.own());
     }
 
-    /** Example: {@code new Daemon(settings, true, Speech.own()).run()} */
-    public Daemon(final Settings settings, final boolean core, final Speech speech) {
+    /** Example: {@code new NodeProcess(settings, true, ProtocolAdapter.own()).run()} */
+    public NodeProcess(final Settings settings, final boolean core, final ProtocolAdapter speech) {
         this(settings, core, new Around() {}, speech);
     }
 
-    /** With settings that may change while it runs. Example: {@code new Daemon(settings, source, true, Speech.own()).run()} */
-    public Daemon(final Settings settings, final SettingsSource source, final boolean core, final Speech speech) {
+    /** With settings that may change while it runs. Example: {@code new NodeProcess(settings, source, true, ProtocolAdapter.own()).run()} */
+    public NodeProcess(
+            final Settings settings, final SettingsSource source, final boolean core, final ProtocolAdapter speech) {
         this(settings, source, core, new Around() {}, speech);
     }
 
-    /** Example: {@code new Daemon(settings, true, new Daemon.Around() { }, Speech.own()).run()} */
-    public Daemon(final Settings settings, final boolean core, final Around around, final Speech speech) {
+    /** Example: {@code new NodeProcess(settings, true, new NodeProcess.Around() { }, Speech.own()).run()} */
+    public NodeProcess(final Settings settings, final boolean core, final Around around, final ProtocolAdapter speech) {
         this(settings, SettingsSource.constant(settings), core, around, speech);
     }
 
-    /** All of it. Example: {@code new Daemon(settings, source, true, new Daemon.Around() { }, Speech.own()).run()} */
-    public Daemon(
+    /** All of it. Example: {@code new NodeProcess(settings, source, true, new NodeProcess.Around() { }, Speech.own()).run()} */
+    public NodeProcess(
             final Settings settings,
             final SettingsSource source,
             final boolean core,
             final Around around,
-            final Speech speech) {
+            final ProtocolAdapter speech) {
         this.source = source;
         this.speech = speech;
         this.around = around;
@@ -101,36 +113,36 @@
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         final XnioIoThread timer = worker.getIoThread();
-        final Stage stage = new Stage(turns(timer), STAGE_BOUND);
+        final EventLoop stage = new EventLoop(turns(timer), STAGE_BOUND);
         final ExecutorService disk = Executors.newSingleThreadExecutor();
         if (core) {
-            final String why = DataFolder.open(Path.of(settings.text("data")), settings.text("name"));
+            final String why = DataDirectory.open(Path.of(settings.text("data")), settings.text("name"));
             if (why != null) {
                 return refused("data: " + why);
             }
         }
-        final Segments segments;
+        final SegmentStore segments;
         try {
             segments = core
-                    ? around.disk(FileSegments.open(
+                    ? around.disk(FileSegmentStore.open(
                             Path.of(settings.text("data"), "ring"),
                             (int) settings.ms("ringSegments"),
                             (int) settings.ms("ringSegmentBytes"),
-                            new Stage(disk, 1 << 16),
+                            new EventLoop(disk, 1 << 16),
                             stage))
                     : null;
         } catch (final IOException e) {
             return refused("data: the ring's files can't be made: " + e.getMessage());
         }
-        final Audit audit = audit(Executors.newSingleThreadExecutor());
+        final AuditSink audit = audit(Executors.newSingleThreadExecutor());
         final Clock clock = new SystemClock(timer, stage);
-        final Wires wires = new Wires(
+        final TcpTransport wires = new TcpTransport(
                 worker,
                 note -> stage.offer(() -> node.hear(note)),
                 settings.part("leaveBoundMs", 0.25),
                 (int) settings.ms("noteVersion"),
-                new Peers(settings.peers()));
-        final Outside outside = new Outside(
+                new TrustedNetworks(settings.peers()));
+        final HttpUpstreamClient outside = new HttpUpstreamClient(
                 new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), settings.ms("wireRestMs")),
                 stage,
                 settings.text("platform"),
@@ -161,7 +173,7 @@
         if (node == null) {
             return refused("the node could not be made; see the log");
         }
-        final Front server = speech.front(node, settings, stage, worker);
+        final Listener server = speech.front(node, settings, stage, worker);
         try {
             wires.listen(Addresses.of(settings.listen()));
             server.start();
@@ -191,10 +203,12 @@
     }
 
     /** Settings are read and checked off the stage, and taken on it. */
-    private void watch(final XnioIoThread timer, final Executor reader, final Stage stage, final Front server) {
-        final SettingsWatch watch = new SettingsWatch(
-                source, new Stage(reader, STAGE_BOUND), newer -> stage.execute(() -> server.renew(node.renew(newer))));
-        Hangup.process().listen(watch::signalled);
+    private void watch(final XnioIoThread timer, final Executor reader, final EventLoop stage, final Listener server) {
+        final SettingsReloader watch = new SettingsReloader(
+                source,
+                new EventLoop(reader, STAGE_BOUND),
+                newer -> stage.execute(() -> server.renew(node.renew(newer))));
+        HangupSignal.process().listen(watch::signalled);
         if (source.file().isPresent()) {
             timer.executeAtInterval(watch::look, LOOK_MS, TimeUnit.MILLISECONDS);
         }
@@ -208,9 +222,9 @@
     }
 
     /** A core goes on without its audit, and says so, rather than not at all. */
-    private Audit audit(final ExecutorService writer) {
+    private AuditSink audit(final ExecutorService writer) {
         if (!core || settings.ms("auditFiles") == 0) {
-            return Audit.NONE;
+            return AuditSink.NONE;
         }
         try {
             return AuditFiles.open(
@@ -221,7 +235,7 @@
                     writer);
         } catch (final IOException e) {
             LOG.atWarning().log("event=audit_trouble node=%s why=\"%s\"", settings.text("name"), e.getMessage());
-            return Audit.NONE;
+            return AuditSink.NONE;
         }
     }
 
--- a/spokestall/src/main/java/spokestall/rim/SettingsWatch.java
+++ b/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.process;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.IOException;
@@ -16,7 +16,7 @@
  * Notices that the settings have changed, by a signal or by the file's state, reads them anew and hands on what is good.
  * Settings that can't be read or are wrong are logged and leave those in force.
  */
-final class SettingsWatch {
+final class SettingsReloader {
     /** What tells two states of a file apart without reading it. */
     private record FileState(FileTime modified, long bytes, Object fileKey) {}
 
@@ -26,8 +26,8 @@
     private final Consumer<Settings> taker;
     private Optional<FileState> seen;
 
-    /** The reader carries out one task after the other. Example: {@code new SettingsWatch(source, workers, this::renew)} */
-    SettingsWatch(final SettingsSource source, final Executor reader, final Consumer<Settings> taker) {
+    /** The reader carries out one task after the other. Example: {@code new SettingsReloader(source, workers, this::renew)} */
+    SettingsReloader(final SettingsSource source, final Executor reader, final Consumer<Settings> taker) {
         this.source = source;
         this.reader = reader;
         this.taker = taker;
--- a/spokestall/src/main/java/spokestall/rim/HttpServer.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpServer.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.undertow.server.HttpServerExchange;
@@ -11,19 +11,21 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.XnioWorker;
-import spokestall.Connections;
-import spokestall.Node;
-import spokestall.policy.Book;
-import spokestall.policy.ClientLimits;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ClientLimits;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.io.EventLoop;
+import spokestall.io.http.HttpListener;
+import spokestall.node.ClientConnections;
+import spokestall.node.Node;
 import spokestall.settings.Settings;
 
 /**
  * HTTP for callers and, at an address of their own, for operators. Callers have {@code POST /rpc/where} on every node and
  * asks, which edges answer; operators have {@code POST /rpc/<method>}, and no asks.
  */
-public final class HttpServer implements Front {
+public final class HttpServer implements Listener {
     /** Sizes and spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask
      * was answered before its body had come ends after lingering so long, in which the answer can be read. */
     record Bounds(
@@ -32,14 +34,14 @@
     private static final String RPC = "/rpc/";
     private static final String WHERE = RPC + "where";
     private final Node node;
-    private final Stage stage;
+    private final EventLoop stage;
     private final Bounds bounds;
-    private final AskPort asks;
-    private final HttpPort port;
+    private final RequestHandler asks;
+    private final HttpListener port;
 
     HttpServer(
             final Node node,
-            final Stage stage,
+            final EventLoop stage,
             final XnioWorker worker,
             final InetSocketAddress callers,
             final InetSocketAddress operators,
@@ -47,8 +49,12 @@
         this.node = node;
         this.stage = stage;
         this.bounds = bounds;
-        this.asks = new AskPort(node, stage, new OwnAsks(), new AskPort.Pace(bounds.answerWaitMs(), bounds.lingerMs()));
-        this.port = new HttpPort(
+        this.asks = new RequestHandler(
+                node,
+                stage,
+                new NativeClientProtocol(),
+                new RequestHandler.Pace(bounds.answerWaitMs(), bounds.lingerMs()));
+        this.port = new HttpListener(
                 worker,
                 OptionMap.builder()
                         .set(Options.CONNECTION_HIGH_WATER, bounds.wiresMax())
@@ -76,13 +82,13 @@
     }
 
     @Override
-    public Connections connections() {
+    public ClientConnections connections() {
         return port;
     }
 
     private void handle(final HttpServerExchange exchange, final boolean operator) {
         final long cameMs = System.nanoTime() / 1_000_000;
-        final String odd = AskPort.odd(exchange);
+        final String odd = RequestHandler.odd(exchange);
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             if (odd != null) {
                 asks.malformed(exchange);
@@ -91,7 +97,7 @@
             } else if (!operator && exchange.getRequestPath().equals(WHERE)) {
                 rpc(exchange, bounds.whereMaxBytes());
             } else if (operator || exchange.getRequestPath().startsWith(RPC)) {
-                reply(exchange, Reply.of(Result.UNKNOWN_METHOD, null));
+                reply(exchange, Reply.of(ResultCode.UNKNOWN_METHOD, null));
             } else {
                 asks.ask(exchange, cameMs);
             }
@@ -100,17 +106,19 @@
 
     private void rpc(final HttpServerExchange exchange, final int maxBytes) {
         if (!exchange.getRequestMethod().equals(Methods.POST)) {
-            reply(exchange, Reply.of(Result.UNKNOWN_METHOD, null));
+            reply(exchange, Reply.of(ResultCode.UNKNOWN_METHOD, null));
             return;
         }
         exchange.getRequestReceiver().setMaxBufferSize(maxBytes);
-        AskPort.endUnless(exchange, bounds.bodyWaitMs(), exchange::isRequestComplete);
+        RequestHandler.endUnless(exchange, bounds.bodyWaitMs(), exchange::isRequestComplete);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (e, body) -> {
                             JsonNode read;
                             try {
-                                read = body.length == 0 ? Book.JSON.createObjectNode() : Book.JSON.readTree(body);
+                                read = body.length == 0
+                                        ? ConfigurationStore.JSON.createObjectNode()
+                                        : ConfigurationStore.JSON.readTree(body);
                             } catch (final IOException bad) {
                                 read = null;
                             }
@@ -119,25 +127,27 @@
                                 reply(
                                         e,
                                         Reply.of(
-                                                Result.BAD_PARAMS,
-                                                Book.JSON.createObjectNode().put("reason", "not JSON")));
+                                                ResultCode.BAD_PARAMS,
+                                                ConfigurationStore.JSON
+                                                        .createObjectNode()
+                                                        .put("reason", "not JSON")));
                                 return;
                             }
                             final String method = e.getRequestPath().substring(RPC.length());
                             e.dispatch(SameThreadExecutor.INSTANCE, () -> {
                                 if (!stage.offer(() -> call(e, method, params))) {
-                                    reply(e, Reply.of(Result.BUSY, null));
+                                    reply(e, Reply.of(ResultCode.BUSY, null));
                                 }
                             });
                         },
-                        (e, trouble) -> reply(e, Reply.of(Result.TOO_LARGE, null)));
+                        (e, trouble) -> reply(e, Reply.of(ResultCode.TOO_LARGE, null)));
     }
 
     private void call(final HttpServerExchange exchange, final String method, final JsonNode params) {
         try {
             node.call(method, params, r -> exchange.getIoThread().execute(() -> reply(exchange, r)));
         } catch (final RuntimeException e) {
-            exchange.getIoThread().execute(() -> reply(exchange, Reply.of(Result.FAULT, null)));
+            exchange.getIoThread().execute(() -> reply(exchange, Reply.of(ResultCode.FAULT, null)));
             throw e;
         }
     }
--- a/spokestall/src/main/java/spokestall/rim/Outside.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -7,33 +7,36 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import spokestall.duty.Reporter;
-import spokestall.duty.Sealed;
-import spokestall.edge.Go;
-import spokestall.edge.GoResult;
-import spokestall.edge.Upstreams;
-import spokestall.listing.Listed;
-import spokestall.listing.Prober;
-import spokestall.policy.Book;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthChecker;
+import spokestall.io.http.HttpCall;
+import spokestall.io.http.HttpClient;
+import spokestall.io.http.HttpResult;
+import spokestall.proxy.Attempt;
+import spokestall.proxy.AttemptResult;
+import spokestall.proxy.UpstreamClient;
+import spokestall.usage.SealedWindow;
+import spokestall.usage.UsageReporter;
 
 /** Upstreams and the platform over HTTP, in whichever speech. */
-public final class Outside implements Upstreams, Prober.Reach, Reporter.Platform {
+public final class HttpUpstreamClient implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
     private static final int LIST_MAX = 4 << 20;
     private static final int PAGES_MAX = 1000;
     private final HttpClient client;
     private final Executor stage;
     private final String address;
-    private final GoSpeech goes;
-    private final PlatformSpeech platform;
+    private final UpstreamProtocol goes;
+    private final PlatformProtocol platform;
     private final long connectMs;
 
-    /** {@code address} is the platform's. Example: {@code new Outside(client, stage, "127.0.0.1:7900", goes, platform, 500)} */
-    public Outside(
+    /** {@code address} is the platform's. Example: {@code new HttpUpstreamClient(client, stage, "127.0.0.1:7900", goes, platform, 500)} */
+    public HttpUpstreamClient(
             final HttpClient client,
             final Executor stage,
             final String address,
-            final GoSpeech goes,
-            final PlatformSpeech platform,
+            final UpstreamProtocol goes,
+            final PlatformProtocol platform,
             final long connectMs) {
         this.client = client;
         this.stage = stage;
@@ -44,7 +47,8 @@
     }
 
     @Override
-    public void go(final Go go, final LongSupplier until, final Runnable sent, final Consumer<GoResult> done) {
+    public void go(
+            final Attempt go, final LongSupplier until, final Runnable sent, final Consumer<AttemptResult> done) {
         client.judged(
                 new HttpCall(
                         go.address(),
@@ -62,18 +66,18 @@
                         until,
                         () -> stage.execute(sent)),
                 result -> {
-                    final GoResult judged = judge(go, result);
+                    final AttemptResult judged = judge(go, result);
                     stage.execute(() -> done.accept(judged));
-                    return !(judged instanceof GoResult.Lost);
+                    return !(judged instanceof AttemptResult.Lost);
                 });
     }
 
-    private GoResult judge(final Go go, final HttpResult result) {
+    private AttemptResult judge(final Attempt go, final HttpResult result) {
         if (result instanceof HttpResult.NotSent n) {
-            return new GoResult.NotSent(n.why());
+            return new AttemptResult.NotSent(n.why());
         }
         return result instanceof HttpResult.Lost l
-                ? new GoResult.Lost(l.why())
+                ? new AttemptResult.Lost(l.why())
                 : goes.judge(go, (HttpResult.Whole) result);
     }
 
@@ -104,7 +108,7 @@
                     JsonNode found = null;
                     if (result instanceof HttpResult.Whole whole && whole.status() == 200) {
                         try {
-                            found = Book.JSON.readTree(whole.body());
+                            found = ConfigurationStore.JSON.readTree(whole.body());
                         } catch (final IOException e) {
                             found = null;
                         }
@@ -115,18 +119,18 @@
     }
 
     @Override
-    public void list(final long waitMs, final Consumer<List<Listed>> done) {
+    public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
         page(platform.listTarget(), waitMs, new ArrayList<>(), 1, done);
     }
 
     private void page(
             final String target,
             final long waitMs,
-            final List<Listed> before,
+            final List<Endpoint> before,
             final int pages,
-            final Consumer<List<Listed>> done) {
+            final Consumer<List<Endpoint>> done) {
         get(address, target, waitMs, false, tree -> {
-            final PlatformSpeech.Page page = tree == null ? null : platform.page(tree);
+            final PlatformProtocol.Page page = tree == null ? null : platform.page(tree);
             if (page == null || pages > PAGES_MAX) {
                 done.accept(null);
                 return;
@@ -141,7 +145,7 @@
     }
 
     @Override
-    public void probe(final String at, final long waitMs, final Consumer<Prober.Probe> done) {
+    public void probe(final String at, final long waitMs, final Consumer<HealthChecker.Probe> done) {
         get(
                 at,
                 platform.statusTarget(),
@@ -154,11 +158,11 @@
     public void report(
             final String holder,
             final long token,
-            final Sealed sealed,
+            final SealedWindow sealed,
             final long waitMs,
             final LongSupplier until,
             final Consumer<Boolean> done) {
-        final PlatformSpeech.Report report = platform.report(holder, token, sealed);
+        final PlatformProtocol.Report report = platform.report(holder, token, sealed);
         client.call(
                 new HttpCall(
                         address,
--- a/spokestall/src/main/java/spokestall/rim/Front.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/Listener.java
@@ -1,12 +1,12 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import java.io.IOException;
-import spokestall.Connections;
-import spokestall.policy.ClientLimits;
+import spokestall.configuration.ClientLimits;
+import spokestall.node.ClientConnections;
 import spokestall.settings.Settings;
 
 /** What listens to those outside the fleet. */
-public interface Front {
+public interface Listener {
     /** Begins to listen; throws when an address can't be had. Example: {@code front.start();} */
     void start() throws IOException;
 
@@ -17,5 +17,5 @@
     void limits(ClientLimits newer);
 
     /** The connections to those outside. Example: {@code node.leave(front.connections(), exit);} */
-    Connections connections();
+    ClientConnections connections();
 }
