--- a/spokestall/src/main/java/spokestall/rim/OwnAsks.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
@@ -1,24 +1,25 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.undertow.util.HeaderMap;
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
 import java.nio.charset.StandardCharsets;
-import spokestall.edge.Answer;
-import spokestall.edge.AskHead;
-import spokestall.policy.Book;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.io.http.HeaderFields;
+import spokestall.proxy.RequestHead;
+import spokestall.proxy.Response;
 
 /** spokestall's own speech with callers; docs/protocols.md has it. */
-final class OwnAsks implements AskSpeech {
+final class NativeClientProtocol implements ClientProtocol {
     @Override
-    public AskHead head(
+    public RequestHead head(
             final String method,
             final String host,
             final String target,
             final HeaderMap headers,
             final long bodyBytes) {
-        return new AskHead(
+        return new RequestHead(
                 method,
                 host,
                 target,
@@ -26,7 +27,7 @@
                 headers.getFirst("Spokestall-Ask-Id"),
                 span(headers),
                 bodyBytes,
-                Fields.endToEnd(headers));
+                HeaderFields.endToEnd(headers));
     }
 
     private static long span(final HeaderMap headers) {
@@ -38,12 +39,12 @@
     }
 
     @Override
-    public int status(final Answer a) {
+    public int status(final Response a) {
         return a.content() != null ? a.content().status() : a.result().httpStatus();
     }
 
     @Override
-    public void headers(final Answer a, final HeaderMap headers) {
+    public void headers(final Response a, final HeaderMap headers) {
         headers.put(new HttpString("Spokestall-Code"), a.result().number());
         headers.put(new HttpString("Spokestall-Outcome"), a.ran().word());
         headers.put(new HttpString("Spokestall-Goes"), a.goes());
@@ -59,8 +60,8 @@
     }
 
     @Override
-    public byte[] body(final Answer a) {
-        final ObjectNode out = Book.JSON
+    public byte[] body(final Response a) {
+        final ObjectNode out = ConfigurationStore.JSON
                 .createObjectNode()
                 .put("code", a.result().number())
                 .put("text", a.result().text())
--- a/spokestall/src/main/java/spokestall/rim/OwnPlatform.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
@@ -1,18 +1,18 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import spokestall.duty.Sealed;
-import spokestall.listing.Listed;
-import spokestall.listing.Prober;
-import spokestall.policy.Book;
-import spokestall.wire.Header;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthChecker;
+import spokestall.message.Header;
+import spokestall.usage.SealedWindow;
 
 /** spokestall's own speech with a platform; docs/protocols.md has it. */
-final class OwnPlatform implements PlatformSpeech {
+final class NativePlatformProtocol implements PlatformProtocol {
     @Override
     public String listTarget() {
         return "/upstreams";
@@ -23,12 +23,12 @@
         if (!tree.path("upstreams").isArray()) {
             return null;
         }
-        final List<Listed> found = new ArrayList<>();
+        final List<Endpoint> found = new ArrayList<>();
         for (final JsonNode u : tree.path("upstreams")) {
             final String address = u.path("address").asText();
             if (address.matches("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}")
                     && !u.path("instance").asText().isEmpty()) {
-                found.add(Listed.read(
+                found.add(Endpoint.read(
                         u.path("instance").asText(),
                         u.path("service").asText(),
                         address,
@@ -43,8 +43,8 @@
     }
 
     @Override
-    public Report report(final String holder, final long token, final Sealed sealed) {
-        final ObjectNode out = Book.JSON.createObjectNode().put("window", sealed.window());
+    public Report report(final String holder, final long token, final SealedWindow sealed) {
+        final ObjectNode out = ConfigurationStore.JSON.createObjectNode().put("window", sealed.window());
         final ObjectNode counts = out.putObject("counts");
         sealed.counts().forEach(counts::put);
         return new Report(
@@ -62,10 +62,10 @@
     }
 
     @Override
-    public Prober.Probe status(final JsonNode tree) {
+    public HealthChecker.Probe status(final JsonNode tree) {
         return !tree.has("instance")
                 ? null
-                : new Prober.Probe(
+                : new HealthChecker.Probe(
                         tree.path("instance").asText(),
                         tree.path("service").asText(),
                         tree.path("leaving").asBoolean(false),
--- a/spokestall/src/main/java/spokestall/rim/OwnSpeech.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
@@ -1,29 +1,31 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import org.xnio.XnioWorker;
-import spokestall.Node;
-import spokestall.policy.PolicyForm;
+import spokestall.configuration.ConfigurationFormat;
+import spokestall.io.Addresses;
+import spokestall.io.EventLoop;
+import spokestall.node.Node;
 import spokestall.settings.Settings;
 
 /** spokestall's own speech, as docs/protocols.md has it. */
-final class OwnSpeech implements Speech {
+final class NativeProtocolAdapter implements ProtocolAdapter {
     @Override
-    public PolicyForm form() {
+    public ConfigurationFormat form() {
         return null;
     }
 
     @Override
-    public GoSpeech goes() {
-        return new OwnGoes();
+    public UpstreamProtocol goes() {
+        return new NativeUpstreamProtocol();
     }
 
     @Override
-    public PlatformSpeech platform() {
-        return new OwnPlatform();
+    public PlatformProtocol platform() {
+        return new NativePlatformProtocol();
     }
 
     @Override
-    public Front front(final Node node, final Settings settings, final Stage stage, final XnioWorker worker) {
+    public Listener front(final Node node, final Settings settings, final EventLoop stage, final XnioWorker worker) {
         return new HttpServer(
                 node,
                 stage,
--- a/spokestall/src/main/java/spokestall/rim/OwnGoes.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
@@ -1,16 +1,18 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import java.util.ArrayList;
 import java.util.List;
-import spokestall.edge.Go;
-import spokestall.edge.GoResult;
-import spokestall.wire.Content;
-import spokestall.wire.Header;
+import spokestall.io.http.HeaderFields;
+import spokestall.io.http.HttpResult;
+import spokestall.message.Header;
+import spokestall.message.ResponseContent;
+import spokestall.proxy.Attempt;
+import spokestall.proxy.AttemptResult;
 
 /** spokestall's own speech with upstreams; docs/protocols.md has it. */
-final class OwnGoes implements GoSpeech {
+final class NativeUpstreamProtocol implements UpstreamProtocol {
     @Override
-    public List<Header> headers(final Go go) {
+    public List<Header> headers(final Attempt go) {
         final List<Header> headers = new ArrayList<>(go.headers());
         headers.add(new Header("Spokestall-Ask-Id", go.askId()));
         if (go.tenant() != null) {
@@ -24,23 +26,23 @@
 
     /** An answer counts only if the upstream says it is that instance's answer to that ask. */
     @Override
-    public GoResult judge(final Go go, final HttpResult.Whole whole) {
+    public AttemptResult judge(final Attempt go, final HttpResult.Whole whole) {
         if (!go.askId().equals(whole.header("Spokestall-Ask-Id"))) {
-            return new GoResult.Lost("answer to another ask");
+            return new AttemptResult.Lost("answer to another ask");
         }
         if (whole.status() == 421 && "not-run".equals(whole.header("Spokestall-Outcome"))) {
-            return new GoResult.NotRun("not the instance that was meant");
+            return new AttemptResult.NotRun("not the instance that was meant");
         }
         if (!go.instance().equals(whole.header("Spokestall-Instance"))) {
-            return new GoResult.Lost("answer of another instance");
+            return new AttemptResult.Lost("answer of another instance");
         }
         if ("not-run".equals(whole.header("Spokestall-Outcome"))) {
-            return new GoResult.NotRun("status " + whole.status());
+            return new AttemptResult.NotRun("status " + whole.status());
         }
-        final List<Header> headers = Fields.endToEnd(whole.headers());
+        final List<Header> headers = HeaderFields.endToEnd(whole.headers());
         if (go.method().equals("HEAD") && whole.header("Content-Length") != null) {
             headers.add(new Header("Content-Length", whole.header("Content-Length")));
         }
-        return new GoResult.Whole(new Content(whole.status(), headers, whole.body()));
+        return new AttemptResult.Whole(new ResponseContent(whole.status(), headers, whole.body()));
     }
 }
--- a/spokestall/src/main/java/spokestall/rim/PlatformSpeech.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
@@ -1,16 +1,16 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
-import spokestall.duty.Sealed;
-import spokestall.listing.Listed;
-import spokestall.listing.Prober;
-import spokestall.wire.Header;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthChecker;
+import spokestall.message.Header;
+import spokestall.usage.SealedWindow;
 
 /** How the platform that lists upstreams and takes reports is spoken to, and how an upstream tells its status. */
-public interface PlatformSpeech {
+public interface PlatformProtocol {
     /** One page of the list; next is the target of the one after it, or null. */
-    record Page(List<Listed> listed, String next) {}
+    record Page(List<Endpoint> listed, String next) {}
 
     /** A report as it goes out. */
     record Report(String target, List<Header> headers, byte[] body) {}
@@ -22,11 +22,11 @@
     Page page(JsonNode tree);
 
     /** Example: {@code speech.report("d1-core", 17, sealed).target().equals("/usage")} */
-    Report report(String holder, long token, Sealed sealed);
+    Report report(String holder, long token, SealedWindow sealed);
 
     /** Where an upstream tells its status. Example: {@code speech.statusTarget()} */
     String statusTarget();
 
     /** Reads a status, or null where it is none. Example: {@code speech.status(tree)} */
-    Prober.Probe status(JsonNode tree);
+    HealthChecker.Probe status(JsonNode tree);
 }
--- a/spokestall/src/main/java/spokestall/rim/AskPort.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import io.undertow.io.IoCallback;
 import io.undertow.io.Receiver;
@@ -18,30 +18,33 @@
 import java.util.regex.Pattern;
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
-import spokestall.Node;
-import spokestall.edge.Admitted;
-import spokestall.edge.Answer;
-import spokestall.edge.AskHead;
-import spokestall.edge.Edge;
-import spokestall.edge.Opened;
-import spokestall.edge.Ran;
-import spokestall.rpc.Result;
+import spokestall.api.ResultCode;
+import spokestall.io.EventLoop;
+import spokestall.io.http.HeaderFields;
+import spokestall.node.Node;
+import spokestall.proxy.AdmissionController;
+import spokestall.proxy.AdmissionResult;
+import spokestall.proxy.AdmittedRequest;
+import spokestall.proxy.ExecutionStatus;
+import spokestall.proxy.RequestHead;
+import spokestall.proxy.Response;
 
 /** Takes callers' asks off their wires and brings the answers back, in whichever speech. */
-public final class AskPort {
+public final class RequestHandler {
     /** Spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask was answered
      * before its body had come ends after lingering so long, in which the answer can be read. */
     public record Pace(long answerWaitMs, long lingerMs) {}
 
-    private static final AttachmentKey<AtomicReference<Admitted>> ASK = AttachmentKey.create(AtomicReference.class);
+    private static final AttachmentKey<AtomicReference<AdmittedRequest>> ASK =
+            AttachmentKey.create(AtomicReference.class);
     private static final Pattern PORT = Pattern.compile(":\\d*$");
     private final Node node;
-    private final Stage stage;
-    private final AskSpeech speech;
+    private final EventLoop stage;
+    private final ClientProtocol speech;
     private final Pace pace;
 
-    /** Example: {@code new AskPort(node, stage, speech, new AskPort.Pace(30_000, 1000))} */
-    public AskPort(final Node node, final Stage stage, final AskSpeech speech, final Pace pace) {
+    /** Example: {@code new RequestHandler(node, stage, speech, new RequestHandler.Pace(30_000, 1000))} */
+    public RequestHandler(final Node node, final EventLoop stage, final ClientProtocol speech, final Pace pace) {
         this.node = node;
         this.stage = stage;
         this.speech = speech;
@@ -63,13 +66,13 @@
 
     void malformed(final HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        answer(exchange, new Answer(Result.MALFORMED, Ran.UNDECIDED, null, null, 0, 0));
+        answer(exchange, new Response(ResultCode.MALFORMED, ExecutionStatus.UNDECIDED, null, null, 0, 0));
     }
 
     /** What keeps a message from being read in one way only, or null. */
     static String odd(final HttpServerExchange exchange) {
         final var hosts = exchange.getRequestHeaders().get(Headers.HOST);
-        return hosts != null && hosts.size() > 1 ? "Host" : Fields.odd(exchange.getRequestHeaders());
+        return hosts != null && hosts.size() > 1 ? "Host" : HeaderFields.odd(exchange.getRequestHeaders());
     }
 
     /** Ends the wire of an exchange that is not that far by then. */
@@ -116,27 +119,32 @@
     }
 
     void ask(final HttpServerExchange exchange, final long cameMs) {
-        final Edge edge = node.edge();
-        final AskHead head = speech.head(
+        final AdmissionController edge = node.edge();
+        final RequestHead head = speech.head(
                 exchange.getRequestMethod().toString(),
                 host(exchange),
                 target(exchange),
                 exchange.getRequestHeaders(),
                 bodyBytes(exchange));
         if (edge == null) {
-            answer(exchange, new Answer(Result.NO_BINDING, Ran.NOT_RUN, null, null, 0, 0));
+            answer(exchange, new Response(ResultCode.NO_BINDING, ExecutionStatus.NOT_RUN, null, null, 0, 0));
         } else if (!stage.offer(() -> open(exchange, edge, head, cameMs))) {
             answer(exchange, edge.crowded(head));
         }
     }
 
-    private void open(final HttpServerExchange exchange, final Edge edge, final AskHead came, final long cameMs) {
-        final AskHead head = came.later(System.nanoTime() / 1_000_000 - cameMs);
-        final Opened opened = edge.open(head, a -> exchange.getIoThread().execute(() -> answer(exchange, a)));
-        if (opened instanceof Opened.Deny deny) {
+    private void open(
+            final HttpServerExchange exchange,
+            final AdmissionController edge,
+            final RequestHead came,
+            final long cameMs) {
+        final RequestHead head = came.later(System.nanoTime() / 1_000_000 - cameMs);
+        final AdmissionResult opened =
+                edge.open(head, a -> exchange.getIoThread().execute(() -> answer(exchange, a)));
+        if (opened instanceof AdmissionResult.Deny deny) {
             exchange.getIoThread().execute(() -> answer(exchange, deny.answer()));
         } else {
-            final Admitted ask = ((Opened.Admit) opened).ask();
+            final AdmittedRequest ask = ((AdmissionResult.Admit) opened).ask();
             exchange.getIoThread().execute(() -> body(exchange, ask));
         }
     }
@@ -161,20 +169,20 @@
     }
 
     /** Which ask a wire carries now, so that it is told when the wire ends; one listener serves a wire for all its asks. */
-    private void carry(final HttpServerExchange exchange, final Admitted ask) {
-        AtomicReference<Admitted> carried = exchange.getConnection().getAttachment(ASK);
+    private void carry(final HttpServerExchange exchange, final AdmittedRequest ask) {
+        AtomicReference<AdmittedRequest> carried = exchange.getConnection().getAttachment(ASK);
         if (carried == null) {
-            final AtomicReference<Admitted> made = new AtomicReference<>();
+            final AtomicReference<AdmittedRequest> made = new AtomicReference<>();
             exchange.getConnection().putAttachment(ASK, made);
             exchange.getConnection().addCloseListener(c -> {
-                final Admitted left = made.getAndSet(null);
+                final AdmittedRequest left = made.getAndSet(null);
                 if (left != null) {
                     stage.execute(left::gone);
                 }
             });
             carried = made;
         }
-        final AtomicReference<Admitted> here = carried;
+        final AtomicReference<AdmittedRequest> here = carried;
         here.set(ask);
         exchange.addExchangeCompleteListener((e, next) -> {
             if (here.compareAndSet(ask, null)) {
@@ -185,7 +193,7 @@
     }
 
     /** Who sends the body only when told to is told so now, when the ask is let in. */
-    private void body(final HttpServerExchange exchange, final Admitted ask) {
+    private void body(final HttpServerExchange exchange, final AdmittedRequest ask) {
         carry(exchange, ask);
         if (!HttpContinue.requiresContinueResponse(exchange)) {
             receive(exchange, ask);
@@ -199,12 +207,12 @@
 
             @Override
             public void onException(final HttpServerExchange e, final Sender sender, final IOException trouble) {
-                stage.execute(() -> ask.drop(Result.MALFORMED));
+                stage.execute(() -> ask.drop(ResultCode.MALFORMED));
             }
         });
     }
 
-    private void receive(final HttpServerExchange exchange, final Admitted ask) {
+    private void receive(final HttpServerExchange exchange, final AdmittedRequest ask) {
         // The receiver's own bound leaves the wire open for the answer; an entity bound would cut it.
         final Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(Math.max(1, ask.rule().askMaxBytes()));
@@ -214,16 +222,16 @@
                         SameThreadExecutor.INSTANCE,
                         () -> stage.execute(() -> ask.drop(
                                 trouble instanceof Receiver.RequestToLargeException
-                                        ? Result.TOO_LARGE
-                                        : Result.MALFORMED))));
+                                        ? ResultCode.TOO_LARGE
+                                        : ResultCode.MALFORMED))));
     }
 
-    private void answer(final HttpServerExchange exchange, final Answer a) {
+    private void answer(final HttpServerExchange exchange, final Response a) {
         if (answered(exchange)) {
             return;
         }
         if (a.content() != null) {
-            Fields.put(exchange.getResponseHeaders(), a.content().headers());
+            HeaderFields.put(exchange.getResponseHeaders(), a.content().headers());
         }
         speech.headers(a, exchange.getResponseHeaders());
         send(exchange, speech.status(a), a.content() != null ? a.content().body() : speech.body(a));
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/io/protocol/UpstreamProtocol.java
@@ -0,0 +1,16 @@
+package spokestall.io.protocol;
+
+import java.util.List;
+import spokestall.io.http.HttpResult;
+import spokestall.message.Header;
+import spokestall.proxy.Attempt;
+import spokestall.proxy.AttemptResult;
+
+/** How upstreams are spoken to: names and forms, nothing that decides. */
+public interface UpstreamProtocol {
+    /** All headers of a go, but for its host's and its framing. Example: {@code speech.headers(go)} */
+    List<Header> headers(Attempt go);
+
+    /** What an upstream's whole answer means. Example: {@code speech.judge(go, whole) instanceof AttemptResult.NotRun} */
+    AttemptResult judge(Attempt go, HttpResult.Whole whole);
+}
--- a/spokestall/src/main/java/spokestall/rim/Wires.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.transport;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.IOException;
@@ -21,15 +21,16 @@
 import org.xnio.channels.AcceptingChannel;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
-import spokestall.wire.Codec;
-import spokestall.wire.Note;
-import spokestall.wire.Post;
-import spokestall.wire.UnknownNote;
+import spokestall.io.Addresses;
+import spokestall.message.Message;
+import spokestall.message.MessageCodec;
+import spokestall.message.MessageSender;
+import spokestall.message.UnknownMessageException;
 
 /** The wires to other processes: framed notes over TCP, one wire out to each, with a bounded queue in front. */
-public final class Wires implements Post {
+public final class TcpTransport implements MessageSender {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int FRAME_MAX = Codec.FIELD_MAX + (1 << 20);
+    private static final int FRAME_MAX = MessageCodec.FIELD_MAX + (1 << 20);
     private static final int QUEUE_FRAMES = 4096;
     private static final long QUEUE_BYTES = 2L * FRAME_MAX;
     private static final long AGAIN_MS = 200;
@@ -40,7 +41,7 @@
     private static final int ECHOES = 64;
 
     private final XnioWorker worker;
-    private final Consumer<Note> heard;
+    private final Consumer<Message> heard;
     private final long silentMs;
     private final int version;
     private final Predicate<InetAddress> peers;
@@ -49,10 +50,10 @@
     private AcceptingChannel<StreamConnection> server;
 
     /** A wire out that gives no sign of being heard for so long is given up and opened anew.
-     * Example: {@code new Wires(worker, note -> stage.offer(() -> node.hear(note)), 1000, 2, peers)} */
-    public Wires(
+     * Example: {@code new TcpTransport(worker, note -> stage.offer(() -> node.hear(note)), 1000, 2, peers)} */
+    public TcpTransport(
             final XnioWorker worker,
-            final Consumer<Note> heard,
+            final Consumer<Message> heard,
             final long silentMs,
             final int version,
             final Predicate<InetAddress> peers) {
@@ -101,8 +102,8 @@
     }
 
     @Override
-    public void send(final String address, final Note note) {
-        outs.computeIfAbsent(address, Out::new).send(Codec.note(note, version));
+    public void send(final String address, final Message note) {
+        outs.computeIfAbsent(address, Out::new).send(MessageCodec.note(note, version));
     }
 
     private void read(final StreamConnection wire) {
@@ -178,10 +179,10 @@
         /** What came after this program is skipped, and named once; the wire stays. */
         private void take() throws IOException {
             try {
-                heard.accept(Codec.note(frame.array()));
-            } catch (final UnknownNote e) {
+                heard.accept(MessageCodec.note(frame.array()));
+            } catch (final UnknownMessageException e) {
                 if (unknown.size() < UNKNOWN_MAX && unknown.add(e.getMessage())) {
-                    LOG.atWarning().log("event=note_unknown what=\"%s\" own=%s", e.getMessage(), Codec.VERSION);
+                    LOG.atWarning().log("event=note_unknown what=\"%s\" own=%s", e.getMessage(), MessageCodec.VERSION);
                 }
             }
         }
--- a/spokestall/src/main/java/spokestall/rim/Peers.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TrustedNetworks.java
@@ -1,18 +1,19 @@
-package spokestall.rim;
+package spokestall.io.transport;
 
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
+import spokestall.io.Addresses;
 
 /** Whose wires a node takes: those from some networks, given as IP numbers with how many of their bits count. */
-final class Peers implements Predicate<InetAddress> {
+public final class TrustedNetworks implements Predicate<InetAddress> {
     private record Net(int address, int mask) {}
 
     private final List<Net> nets = new ArrayList<>();
 
     /** From a checked setting, such as {@code 10.1.0.0/16,10.2.3.4}. */
-    Peers(final String setting) {
+    public TrustedNetworks(final String setting) {
         for (final String one : setting.split(",")) {
             final String[] parts = one.split("/");
             final int bits = parts.length == 1 ? 32 : Integer.parseInt(parts[1]);
--- a/spokestall/src/main/java/spokestall/duty/Lease.java
+++ b/spokestall/src/main/java/spokestall/lease/Lease.java
@@ -1,4 +1,4 @@
-package spokestall.duty;
+package spokestall.lease;
 
 /** The register of a duty: a fresh owner value per acquisition, how often it was renewed, and the fence token. */
 public record Lease(String owner, String holder, long renewal, long token, long spanMs, boolean released) {
--- a/spokestall/src/main/java/spokestall/duty/LeaseKeeper.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -1,22 +1,22 @@
-package spokestall.duty;
+package spokestall.lease;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.Random;
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
-import spokestall.ballot.Edit;
-import spokestall.ballot.Outcome;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Register;
-import spokestall.ballot.Seat;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Register;
+import spokestall.consensus.RegisterEdit;
+import spokestall.consensus.Voter;
+import spokestall.message.MessageCodec;
 import spokestall.time.Clock;
-import spokestall.wire.Codec;
 
 /**
  * Acquires, renews and releases the lease of one duty. With no clock in common, a rival takes an expired lease only
  * after it saw the same owner and renewal unchanged for the whole span and a margin on its own monotonic clock.
  */
-public final class LeaseKeeper {
+public final class LeaseManager {
     /** Explicit states. */
     public enum State {
         WATCHING,
@@ -35,7 +35,7 @@
     /** Told when an execution begins; it ends by itself when it may no longer work. */
     public interface Work {
         /** Example: {@code work.begin(execution)} */
-        void begin(Execution execution);
+        void begin(LeaseSession execution);
 
         /** Whether no call made under an ended execution may still arrive. Only then may a new execution follow without waiting
          * for the lease to expire. Work that makes no calls is always idle. Example: {@code if (work.idle()) release();} */
@@ -63,15 +63,15 @@
     private boolean reading;
     private boolean renewing;
     private long renewAskedMs;
-    private Execution execution;
+    private LeaseSession execution;
     /** When this node last may have acted as the holder: an earlier life of it until this one was made. */
     private long ceasedMs;
 
     /** The owner value of the last execution that ended in this life, or null. */
     private String endedOwner;
 
-    /** Example: {@code new LeaseKeeper("usage_report", "d1-core", proposer, clock, random, pace, reporter)} */
-    public LeaseKeeper(
+    /** Example: {@code new LeaseManager("usage_report", "d1-core", proposer, clock, random, pace, reporter)} */
+    public LeaseManager(
             final String duty,
             final String name,
             final Proposer proposer,
@@ -84,7 +84,7 @@
 
     /** One that votes looks at its own copy of the register first; without one it looks at the store on each beat.
      * Example: see {@code Node}; {@code own} gives null when there is no copy to go by. */
-    public LeaseKeeper(
+    public LeaseManager(
             final String duty,
             final String name,
             final Proposer proposer,
@@ -104,7 +104,7 @@
         this.ceasedMs = clock.nowMs();
     }
 
-    /** Example: {@code keeper.state() == LeaseKeeper.State.HOLDING} */
+    /** Example: {@code keeper.state() == LeaseManager.State.HOLDING} */
     public State state() {
         return state;
     }
@@ -115,7 +115,7 @@
     }
 
     /** The execution under way, or null. Example: {@code keeper.execution()} */
-    public Execution execution() {
+    public LeaseSession execution() {
         return execution;
     }
 
@@ -147,7 +147,7 @@
         }
         final Register copy = own.get();
         if (copy != null) {
-            glance(copy.value() == null ? null : Codec.record(copy.value(), Lease.class));
+            glance(copy.value() == null ? null : MessageCodec.record(copy.value(), Lease.class));
         }
         if (copy != null && looked && !strange && !due()) {
             return;
@@ -155,9 +155,9 @@
         reading = true;
         proposer.read(Lease.key(duty), pace.storeWaitMs(), outcome -> {
             reading = false;
-            if (state == State.WATCHING && outcome instanceof Outcome.Done done) {
+            if (state == State.WATCHING && outcome instanceof ProposalOutcome.Done done) {
                 strange = false;
-                looked(done.value() == null ? null : Codec.record(done.value(), Lease.class));
+                looked(done.value() == null ? null : MessageCodec.record(done.value(), Lease.class));
             }
         });
     }
@@ -237,7 +237,7 @@
     private long turnMs(final Lease expired) {
         final String salt = expired == null ? "" : expired.owner() + expired.renewal();
         int before = 0;
-        for (final Seat seat : proposer.voters().seats()) {
+        for (final Voter seat : proposer.voters().seats()) {
             before += (expired == null || !seat.name().equals(expired.holder()))
                             && (seat.name() + salt).hashCode() < (name + salt).hashCode()
                     ? 1
@@ -257,9 +257,9 @@
                 Lease.key(duty),
                 pace.storeWaitMs(),
                 value -> {
-                    final Lease now = value == null ? null : Codec.record(value, Lease.class);
+                    final Lease now = value == null ? null : MessageCodec.record(value, Lease.class);
                     if (now != null && now.owner().equals(owner)) {
-                        return new Edit.Set(value);
+                        return new RegisterEdit.Set(value);
                     }
                     final boolean free = now == null
                             || now.released()
@@ -269,8 +269,9 @@
                     final long first = proposer.voters().firstNumber();
                     final long token = Math.max(now == null ? 0 : now.token(), first) + 1;
                     return free
-                            ? new Edit.Set(Codec.bytes(new Lease(owner, name, 0, token, pace.leaseMs(), false)))
-                            : Edit.LEAVE;
+                            ? new RegisterEdit.Set(
+                                    MessageCodec.bytes(new Lease(owner, name, 0, token, pace.leaseMs(), false)))
+                            : RegisterEdit.LEAVE;
                 },
                 outcome -> acquired(outcome, owner, executionId, askedMs));
     }
@@ -285,17 +286,18 @@
         return expired.released() ? "released" : "expired";
     }
 
-    private void acquired(final Outcome outcome, final String owner, final String executionId, final long askedMs) {
+    private void acquired(
+            final ProposalOutcome outcome, final String owner, final String executionId, final long askedMs) {
         final long nowMs = clock.nowMs();
         seen = null;
         looked = false;
-        if (outcome instanceof Outcome.Done done && done.value() != null) {
-            final Lease now = Codec.record(done.value(), Lease.class);
+        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+            final Lease now = MessageCodec.record(done.value(), Lease.class);
             seen = now;
             seenMs = nowMs;
             looked = true;
             if (done.wrote() && now.owner().equals(owner) && nowMs - askedMs <= pace.storeWaitMs()) {
-                execution = new Execution(
+                execution = new LeaseSession(
                         executionId,
                         owner,
                         now.token(),
@@ -309,7 +311,7 @@
         }
         // Denied, late or unclear: nothing is begun. If it took hold all the same, the next look finds it and begins
         // anew.
-        change(State.WATCHING, outcome instanceof Outcome.Done ? "denied" : "unclear");
+        change(State.WATCHING, outcome instanceof ProposalOutcome.Done ? "denied" : "unclear");
     }
 
     private void hold() {
@@ -323,13 +325,13 @@
     }
 
     /** Compares and sets: the lease is changed only while it is this execution's and not released. */
-    private static Edit ifOwned(final byte[] value, final Execution mine, final UnaryOperator<Lease> next) {
-        final Lease now = value == null ? null : Codec.record(value, Lease.class);
+    private static RegisterEdit ifOwned(final byte[] value, final LeaseSession mine, final UnaryOperator<Lease> next) {
+        final Lease now = value == null ? null : MessageCodec.record(value, Lease.class);
         final boolean own = now != null && now.owner().equals(mine.owner()) && !now.released();
-        return own ? new Edit.Set(Codec.bytes(next.apply(now))) : Edit.LEAVE;
+        return own ? new RegisterEdit.Set(MessageCodec.bytes(next.apply(now))) : RegisterEdit.LEAVE;
     }
 
-    private void renew(final Execution mine) {
+    private void renew(final LeaseSession mine) {
         renewing = true;
         final long askedMs = clock.nowMs();
         renewAskedMs = askedMs;
@@ -347,16 +349,16 @@
     }
 
     /** The milliseconds a renewal gained; zero is not renewed. */
-    private long remainingMs(final Execution mine, final Outcome outcome, final long askedMs) {
+    private long remainingMs(final LeaseSession mine, final ProposalOutcome outcome, final long askedMs) {
         final long nowMs = clock.nowMs();
-        final boolean good = outcome instanceof Outcome.Done done
+        final boolean good = outcome instanceof ProposalOutcome.Done done
                 && done.wrote()
-                && Codec.record(done.value(), Lease.class).owner().equals(mine.owner());
+                && MessageCodec.record(done.value(), Lease.class).owner().equals(mine.owner());
         final boolean timely = nowMs - askedMs <= pace.storeWaitMs() && mine.mayWork(nowMs);
         return good && timely ? Math.max(0, askedMs + pace.leaseMs() - pace.marginMs() - nowMs) : 0;
     }
 
-    private void renewed(final Execution mine, final long remainingMs, final long askedMs) {
+    private void renewed(final LeaseSession mine, final long remainingMs, final long askedMs) {
         if (mine != execution || state != State.HOLDING) {
             return;
         }
@@ -370,7 +372,7 @@
 
     /** Ends the execution. The lease is released only if no call of it is under way; else it is left to expire. */
     private void release(final String why) {
-        final Execution mine = execution;
+        final LeaseSession mine = execution;
         mine.cancel();
         ceasedMs = clock.nowMs();
         endedOwner = mine.owner();
@@ -386,7 +388,7 @@
                         value,
                         mine,
                         now -> new Lease(now.owner(), now.holder(), now.renewal(), now.token(), now.spanMs(), true)),
-                outcome -> ended(outcome instanceof Outcome.Done ? "released" : "unclear"));
+                outcome -> ended(outcome instanceof ProposalOutcome.Done ? "released" : "unclear"));
     }
 
     private void ended(final String why) {
--- a/spokestall/src/main/java/spokestall/duty/Execution.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseSession.java
@@ -1,7 +1,7 @@
-package spokestall.duty;
+package spokestall.lease;
 
 /** One acquisition and the work done under it. Once uncertain it stays so; nothing brings it back. */
-public final class Execution {
+public final class LeaseSession {
     private final String executionId;
     private final String owner;
     private final long token;
@@ -10,7 +10,8 @@
     private boolean uncertain;
     private boolean cancelled;
 
-    Execution(final String executionId, final String owner, final long token, final long deadlineMs, final long endMs) {
+    public LeaseSession(
+            final String executionId, final String owner, final long token, final long deadlineMs, final long endMs) {
         this.executionId = executionId;
         this.owner = owner;
         this.token = token;
--- a/spokestall/src/main/java/spokestall/duty/package-info.java
+++ b/spokestall/src/main/java/spokestall/lease/package-info.java
@@ -1,9 +1,9 @@
 /**
  * The lease on the usage report, and the report.
  *
- * <p>Owns: the lease's life cycle at one core ({@link spokestall.duty.LeaseKeeper}), the counts of requests that upstreams
- * began ({@link spokestall.duty.UsageCounter} at an edge, {@link spokestall.duty.UsageBook} at a core), and the report of
- * each closed window ({@link spokestall.duty.Reporter}).
+ * <p>Owns: the lease's life cycle at one core ({@link spokestall.lease.LeaseManager}), the counts of requests that upstreams
+ * began ({@link spokestall.usage.UsageCounter} at an edge, {@link spokestall.usage.UsageTable} at a core), and the report of
+ * each closed window ({@link spokestall.usage.UsageReporter}).
  *
  * <p>Invariants: a rival takes a lease only after it saw it unchanged for the whole span and a margin on its own monotonic
  * clock; the holder acts only within its own, shorter view of it. A window's counts are sealed in a write-once register before
@@ -12,4 +12,4 @@
  *
  * <p>Callers: {@code Node} ticks them and hands them messages; an edge counts through {@code UsageCounter}.
  */
-package spokestall.duty;
+package spokestall.lease;
--- a/spokestall/src/main/java/spokestall/ballot/Council.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -1,34 +1,37 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import spokestall.wire.Post;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.VoterSet;
+import spokestall.message.MessageSender;
 
 /**
  * A seed's vote on the first generation, on a core or on an edge. It is kept in memory only. That is enough, since only
  * a life that was told it is the fleet's very first one, on a blank disk if it has one, ever votes: what a seed forgets
  * by a restart it is never asked about again.
  */
-public final class Council {
+public final class BootstrapAcceptor {
     private final String address;
     private final List<String> seeds;
     private final boolean first;
-    private final Post post;
-    private final Supplier<Voters> table;
+    private final MessageSender post;
+    private final Supplier<VoterSet> table;
     private final Consumer<Runnable> marked;
-    private Ballot promised = Ballot.NONE;
-    private Ballot accepted = Ballot.NONE;
-    private Founding founding;
+    private ProposalNumber promised = ProposalNumber.NONE;
+    private ProposalNumber accepted = ProposalNumber.NONE;
+    private InitialState founding;
 
     /** {@code first}: this life may vote; {@code marked} runs what it is given once the disk, if there is one, can't be
-     * taken for blank any more. Example: {@code new Council(address, seeds, true, post, proposer::voters, Runnable::run)} */
-    public Council(
+     * taken for blank any more. Example: {@code new BootstrapAcceptor(address, seeds, true, post, proposer::voters, Runnable::run)} */
+    public BootstrapAcceptor(
             final String address,
             final List<String> seeds,
             final boolean first,
-            final Post post,
-            final Supplier<Voters> table,
+            final MessageSender post,
+            final Supplier<VoterSet> table,
             final Consumer<Runnable> marked) {
         this.address = address;
         this.seeds = seeds.stream().sorted().distinct().toList();
@@ -39,21 +42,21 @@
     }
 
     /** Hears a founder. Example: {@code council.hear(ask);} */
-    public void hear(final CouncilNote note) {
-        if (note instanceof CouncilNote.Ask ask && mayVote(ask.from(), ask.seeds())) {
+    public void hear(final BootstrapMessage note) {
+        if (note instanceof BootstrapMessage.Ask ask && mayVote(ask.from(), ask.seeds())) {
             final boolean yes = ask.ballot().compareTo(promised) >= 0;
             promised = yes ? ask.ballot() : promised;
-            final CouncilNote.Promise reply =
-                    new CouncilNote.Promise(address, ask.ballot(), yes, promised, accepted, yes ? founding : null);
+            final BootstrapMessage.Promise reply =
+                    new BootstrapMessage.Promise(address, ask.ballot(), yes, promised, accepted, yes ? founding : null);
             marked.accept(() -> post.send(ask.from(), reply));
-        } else if (note instanceof CouncilNote.Offer offer && mayVote(offer.from(), offer.seeds())) {
+        } else if (note instanceof BootstrapMessage.Offer offer && mayVote(offer.from(), offer.seeds())) {
             final boolean yes = offer.ballot().compareTo(promised) >= 0;
             if (yes) {
                 promised = offer.ballot();
                 accepted = offer.ballot();
                 founding = offer.founding();
             }
-            final CouncilNote.Taken reply = new CouncilNote.Taken(address, offer.ballot(), yes, promised);
+            final BootstrapMessage.Taken reply = new BootstrapMessage.Taken(address, offer.ballot(), yes, promised);
             marked.accept(() -> post.send(offer.from(), reply));
         }
     }
@@ -61,7 +64,7 @@
     /** Whoever asks after the founding is told of it; whoever goes by other seeds gets nothing. */
     private boolean mayVote(final String from, final List<String> asked) {
         if (table.get() != null) {
-            post.send(from, new BallotNote.Table(table.get()));
+            post.send(from, new ConsensusMessage.Table(table.get()));
             return false;
         }
         return first && asked.equals(seeds);
--- a/spokestall/src/main/java/spokestall/ballot/Founder.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
@@ -8,14 +8,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Function;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
-import spokestall.wire.Post;
 
 /**
  * Founds the first generation of a fleet whose size nobody was told: proposes the cores it has heard, once no new one has
- * come for a while, to the seeds. A majority of the seeds' {@link Council}s decides; whoever is not in the table joins it.
+ * come for a while, to the seeds. A majority of the seeds' {@link BootstrapAcceptor}s decides; whoever is not in the table joins it.
  */
-public final class Founder {
+public final class BootstrapProposer {
     /** Explicit states. */
     private enum Phase {
         IDLE,
@@ -32,31 +35,31 @@
     private final String address;
     private final String by;
     private final List<String> seeds;
-    private final Post post;
+    private final MessageSender post;
     private final Clock clock;
     private final Pace pace;
-    private final Function<List<Seat>, Founding> make;
+    private final Function<List<Voter>, InitialState> make;
     private final long startedMs;
-    private final Map<String, Seat> known = new TreeMap<>();
-    private final Map<String, CouncilNote.Promise> promises = new TreeMap<>();
+    private final Map<String, Voter> known = new TreeMap<>();
+    private final Map<String, BootstrapMessage.Promise> promises = new TreeMap<>();
     private final Set<String> taken = new HashSet<>();
     private Phase phase = Phase.IDLE;
-    private Ballot ballot = Ballot.NONE;
+    private ProposalNumber ballot = ProposalNumber.NONE;
     private long count;
     private long changedMs;
     private long phaseMs;
-    private Founding proposed;
+    private InitialState proposed;
 
     /** Example: see {@code Node}; {@code make} makes a founding of the seats. */
-    public Founder(
+    public BootstrapProposer(
             final String name,
             final String address,
             final String by,
             final List<String> seeds,
-            final Post post,
+            final MessageSender post,
             final Clock clock,
             final Pace pace,
-            final Function<List<Seat>, Founding> make) {
+            final Function<List<Voter>, InitialState> make) {
         this.name = name;
         this.address = address;
         this.by = by;
@@ -77,7 +80,7 @@
 
     /** One beat while no table is known, with the cores that may be in the first one.
      * Example: {@code founder.tick(blanks);} */
-    public void tick(final Map<String, Seat> blanks) {
+    public void tick(final Map<String, Voter> blanks) {
         final long nowMs = clock.nowMs();
         if (!known.keySet().containsAll(blanks.keySet())) {
             changedMs = nowMs;
@@ -94,7 +97,7 @@
         if (phase == Phase.IDLE
                 && known.containsKey(name)
                 && known.size() >= Math.min(2, seeds.size())
-                && known.size() <= Voters.SEATS_MAX
+                && known.size() <= VoterSet.SEATS_MAX
                 && nowMs - startedMs >= pace.sinceStartMs()
                 && nowMs - changedMs >= pace.settleMs() + waitMs
                 && nowMs - phaseMs >= waitMs) {
@@ -103,12 +106,12 @@
     }
 
     private void ask() {
-        ballot = new Ballot(++count, by);
+        ballot = new ProposalNumber(++count, by);
         promises.clear();
         taken.clear();
         change(Phase.ASK, "cores-" + known.size());
         for (final String seed : seeds) {
-            post.send(seed, new CouncilNote.Ask(address, seeds, ballot));
+            post.send(seed, new BootstrapMessage.Ask(address, seeds, ballot));
         }
     }
 
@@ -117,8 +120,8 @@
     }
 
     /** Hears a seed. Example: {@code founder.hear(promise);} */
-    public void hear(final CouncilNote note) {
-        if (note instanceof CouncilNote.Promise p && seeds.contains(p.seed())) {
+    public void hear(final BootstrapMessage note) {
+        if (note instanceof BootstrapMessage.Promise p && seeds.contains(p.seed())) {
             if (phase == Phase.ASK && p.ballot().equals(ballot) && p.yes()) {
                 promises.put(p.seed(), p);
                 if (promises.size() >= majority()) {
@@ -126,16 +129,16 @@
                 }
             }
             count = Math.max(count, p.promised().count());
-        } else if (note instanceof CouncilNote.Taken t && seeds.contains(t.seed())) {
+        } else if (note instanceof BootstrapMessage.Taken t && seeds.contains(t.seed())) {
             if (phase == Phase.OFFER && t.ballot().equals(ballot) && t.yes()) {
                 taken.add(t.seed());
                 if (taken.size() >= majority()) {
                     change(Phase.FOUNDED, "taken");
-                    for (final Seat seat : proposed.table().seats()) {
-                        post.send(seat.address(), new FormNote.Founded(proposed));
+                    for (final Voter seat : proposed.table().seats()) {
+                        post.send(seat.address(), new MembershipMessage.Founded(proposed));
                     }
                     if (proposed.table().seat(name) == null) {
-                        post.send(address, new FormNote.Founded(proposed));
+                        post.send(address, new MembershipMessage.Founded(proposed));
                     }
                 }
             }
@@ -144,8 +147,8 @@
     }
 
     private void offer() {
-        CouncilNote.Promise highest = null;
-        for (final CouncilNote.Promise p : promises.values()) {
+        BootstrapMessage.Promise highest = null;
+        for (final BootstrapMessage.Promise p : promises.values()) {
             if (p.founding() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
                 highest = p;
             }
@@ -153,7 +156,7 @@
         proposed = highest != null ? highest.founding() : make.apply(List.copyOf(known.values()));
         change(Phase.OFFER, highest != null ? "finishing" : "promised");
         for (final String seed : seeds) {
-            post.send(seed, new CouncilNote.Offer(address, seeds, ballot, proposed));
+            post.send(seed, new BootstrapMessage.Offer(address, seeds, ballot, proposed));
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/ballot/Handover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -1,40 +1,45 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.Register;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
-import spokestall.wire.Post;
 
 /**
  * What a voter does last before it leaves: it sees to it that a majority of the seats without its own hold whatever it has
  * accepted. What another lacks is sent to it as any late word of an accepted value. It ends after a bounded time, done or
  * not: its seat stays, and it may be back in a moment.
  */
-public final class Handover {
+public final class GracefulHandover {
     /** How often it asks anew, and how long it may take. */
     public record Pace(long askMs, long mostMs) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
     private final String address;
-    private final Voter voter;
-    private final Post post;
+    private final Acceptor voter;
+    private final MessageSender post;
     private final Clock clock;
     private final Pace pace;
     private final Set<String> holders = new HashSet<>();
     private long untilMs;
-    private Voters table;
+    private VoterSet table;
     private Runnable done;
 
-    /** Example: {@code new Handover("d1-core", address, voter, post, clock, new Pace(110, 880))} */
-    public Handover(
+    /** Example: {@code new GracefulHandover("d1-core", address, voter, post, clock, new Pace(110, 880))} */
+    public GracefulHandover(
             final String name,
             final String address,
-            final Voter voter,
-            final Post post,
+            final Acceptor voter,
+            final MessageSender post,
             final Clock clock,
             final Pace pace) {
         this.name = name;
@@ -66,31 +71,32 @@
             table = voter.voters();
             holders.clear();
         }
-        final List<BallotNote.Held> held = held();
-        for (final Seat seat : table.seats()) {
+        final List<ConsensusMessage.Held> held = held();
+        for (final Voter seat : table.seats()) {
             if (!seat.name().equals(name) && !holders.contains(seat.name())) {
-                post.send(seat.address(), new BallotNote.HoldAsk(address, table.generation(), table.epoch(), held));
+                post.send(
+                        seat.address(), new ConsensusMessage.HoldAsk(address, table.generation(), table.epoch(), held));
             }
         }
         clock.after(pace.askMs(), this::ask);
     }
 
-    private List<BallotNote.Held> held() {
-        final List<BallotNote.Held> held = new ArrayList<>();
+    private List<ConsensusMessage.Held> held() {
+        final List<ConsensusMessage.Held> held = new ArrayList<>();
         voter.registers().forEach((key, register) -> {
             if (register.value() != null) {
-                held.add(new BallotNote.Held(key, register.accepted()));
+                held.add(new ConsensusMessage.Held(key, register.accepted()));
             }
         });
         return held;
     }
 
     /** Hears what another voter lacks. Example: {@code handover.hear(back);} */
-    public void hear(final BallotNote.HoldBack back) {
+    public void hear(final ConsensusMessage.HoldBack back) {
         if (done == null || table == null || !table.same(back.generation(), back.epoch())) {
             return;
         }
-        final Seat seat = table.seat(back.name());
+        final Voter seat = table.seat(back.name());
         if (seat == null) {
             return;
         }
@@ -102,7 +108,7 @@
             if (register != null && register.value() != null) {
                 post.send(
                         seat.address(),
-                        new BallotNote.Chosen(
+                        new ConsensusMessage.Chosen(
                                 table.generation(), table.epoch(), key, register.accepted(), register.value()));
             }
         }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/membership/InitialState.java
@@ -0,0 +1,8 @@
+package spokestall.membership;
+
+import java.util.List;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.VoterSet;
+
+/** What a new generation starts from: its table of voters and its first registers. */
+public record InitialState(VoterSet table, List<ConsensusMessage.Entry> entries) {}
--- a/spokestall/src/main/java/spokestall/ballot/Formation.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
@@ -10,17 +10,25 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import java.util.function.ToIntFunction;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.RegisterEdit;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.message.Fingerprints;
+import spokestall.message.MessageCodec;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
-import spokestall.wire.Codec;
-import spokestall.wire.Marks;
-import spokestall.wire.Post;
 
 /**
  * How the cores become voters: the first table, the swap of a lost disk's seat, a seat more, and a new generation when so many
  * disks are lost that no majority with state can be. A core that takes part in a new generation's ballot has resigned
  * from the old one first, so the two can never both have a majority.
  */
-public final class Formation {
+public final class MembershipCoordinator {
     /** Explicit states of the new generation's proposer. */
     private enum Phase {
         IDLE,
@@ -32,7 +40,7 @@
     /** Makes a founding out of what is left. */
     public interface Merger {
         /** Example: {@code merger.merge(base, remains, seats)} */
-        Founding merge(long base, List<Remains> remains, List<Seat> seats);
+        InitialState merge(long base, List<SurvivingState> remains, List<Voter> seats);
     }
 
     /** Spans and sizes, from the settings; cores is 0 if nobody said how many. A settled core says its standing each
@@ -50,43 +58,43 @@
             long goneMs) {}
 
     /** What an acceptor keeps on disk about a new generation's ballot. */
-    record Kept(long base, Ballot promised, Ballot accepted, Founding founding) {}
+    record Kept(long base, ProposalNumber promised, ProposalNumber accepted, InitialState founding) {}
 
     /** What a core said last, and how far its disk was written at the most. */
-    private record Heard(FormNote.Standing standing, long heardMs, long written) {}
+    private record Heard(MembershipMessage.Standing standing, long heardMs, long written) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    static final String FORM = "~form";
+    public static final String FORM = "~form";
     /** So many rounds a founding waits for a core that is heard and has state but does not promise. */
     private static final int ROUNDS_WAITED = 4;
 
     private final String name;
     private final String address;
     private final String by;
-    private final Voter voter;
+    private final Acceptor voter;
     private final Proposer proposer;
-    private final Post post;
+    private final MessageSender post;
     private final Clock clock;
     private final Pace pace;
     private final Merger merger;
-    private final Supplier<Remains> own;
+    private final Supplier<SurvivingState> own;
     private final Supplier<List<String>> others;
     private final Supplier<List<String>> cores;
-    private final Founder founder;
+    private final BootstrapProposer founder;
     private final Supplier<String> freshId;
     private final BooleanSupplier ready;
-    private final Membership membership;
-    private final Silence silence;
+    private final ReconfigurationPlanner membership;
+    private final PeerLiveness silence;
     private final Map<String, Heard> heard = new TreeMap<>();
-    private final Map<String, Remains> remains = new TreeMap<>();
-    private final Map<String, FormNote.FormPromise> promises = new TreeMap<>();
+    private final Map<String, SurvivingState> remains = new TreeMap<>();
+    private final Map<String, MembershipMessage.FormPromise> promises = new TreeMap<>();
     private final Set<String> accepted = new HashSet<>();
     /** Rounds of a founding that this core began and that came to nothing. */
     private int roundsWaited;
 
     private Kept kept;
     private Phase phase = Phase.IDLE;
-    private Ballot ballot = Ballot.NONE;
+    private ProposalNumber ballot = ProposalNumber.NONE;
     private long base;
     private long phaseMs;
     private long count;
@@ -94,32 +102,32 @@
     private long stuckSinceMs = -1;
     private boolean changing;
     private long unseatedSinceMs = -1;
-    private Founding proposed;
-    private Founding founded;
-    private FormNote.Standing said;
+    private InitialState proposed;
+    private InitialState founded;
+    private MembershipMessage.Standing said;
     private long saidMs = Long.MIN_VALUE / 2;
     private long changedMs;
 
     /** {@code others} are all other nodes known, {@code cores} the cores among them; {@code founder} is null on a core
      * that may not found the first generation by the seeds; {@code mostLost} tells how many of some seats the largest loss
      * that must be borne can take. Example: see {@code Node}, which joins it to the voter, the proposer and the view. */
-    public Formation(
+    public MembershipCoordinator(
             final String name,
             final String address,
             final String by,
-            final Voter voter,
+            final Acceptor voter,
             final Proposer proposer,
-            final Post post,
+            final MessageSender post,
             final Clock clock,
             final Pace pace,
             final Merger merger,
-            final Supplier<Remains> own,
+            final Supplier<SurvivingState> own,
             final Supplier<List<String>> others,
             final Supplier<List<String>> cores,
-            final Founder founder,
+            final BootstrapProposer founder,
             final Supplier<String> freshId,
             final BooleanSupplier ready,
-            final ToIntFunction<List<Seat>> mostLost) {
+            final ToIntFunction<List<Voter>> mostLost) {
         this.name = name;
         this.address = address;
         this.by = by;
@@ -135,10 +143,10 @@
         this.founder = founder;
         this.freshId = freshId;
         this.ready = ready;
-        this.membership = new Membership(name, mostLost);
-        this.silence = new Silence(pace.sayMs());
+        this.membership = new ReconfigurationPlanner(name, mostLost);
+        this.silence = new PeerLiveness(pace.sayMs());
         final byte[] had = voter.own(FORM);
-        kept = had == null ? null : Codec.record(had, Kept.class);
+        kept = had == null ? null : MessageCodec.record(had, Kept.class);
         if (kept != null && kept.base == generation()) {
             voter.resign(kept.base);
         }
@@ -149,14 +157,14 @@
     }
 
     /** What this core says of itself. Example: {@code post.send(peer, formation.standing());} */
-    public FormNote.Standing standing() {
-        return new FormNote.Standing(
+    public MembershipMessage.Standing standing() {
+        return new MembershipMessage.Standing(
                 name,
                 address,
                 voter.diskId(),
                 voter.voters(),
                 voter.hasState(),
-                voter.state() == Voter.State.VOTING,
+                voter.state() == Acceptor.State.VOTING,
                 voter.canWrite(),
                 0,
                 0,
@@ -170,15 +178,15 @@
     }
 
     private long unheard(final long boundMs) {
-        final Voters table = voter.voters();
+        final VoterSet table = voter.voters();
         return table == null ? 0 : silence.silentSeats(table, name, boundMs, clock.nowMs());
     }
 
-    private void say(final String to, final FormNote.Standing what) {
-        FormNote.Standing with = what.written(voter.written(), 0, 0);
+    private void say(final String to, final MembershipMessage.Standing what) {
+        MembershipMessage.Standing with = what.written(voter.written(), 0, 0);
         for (final Heard h : heard.values()) {
             if (h.standing.address().equals(to)) {
-                with = what.written(voter.written(), Marks.of(h.standing.diskId()), h.written);
+                with = what.written(voter.written(), Fingerprints.of(h.standing.diskId()), h.written);
             }
         }
         post.send(to, with);
@@ -187,19 +195,19 @@
     /** Whether so many others have spoken in this life that one of any majority has: had this disk been written further
      * than it is, one of them would have said so before the first vote. */
     public boolean checked() {
-        final Voters table = voter.voters();
+        final VoterSet table = voter.voters();
         if (table == null) {
             return false;
         }
         int told = 0;
-        for (final Seat seat : table.seats()) {
+        for (final Voter seat : table.seats()) {
             told += !seat.name().equals(name) && heard.containsKey(seat.name()) ? 1 : 0;
         }
         return told >= table.majority() - 1;
     }
 
     /** What this core once promised may not be on a disk that was put back to an older state: it starts over. */
-    private void older(final FormNote.Standing s) {
+    private void older(final MembershipMessage.Standing s) {
         LOG.atSevere().log(
                 "event=disk_older node=%s written=%s heard=%s from=%s",
                 name, voter.written(), s.yourWritten(), s.name());
@@ -209,8 +217,8 @@
     }
 
     /** The cores heard of late, by name, with what they said. Example: {@code formation.fresh().size()} */
-    public Map<String, FormNote.Standing> fresh() {
-        final Map<String, FormNote.Standing> fresh = new TreeMap<>();
+    public Map<String, MembershipMessage.Standing> fresh() {
+        final Map<String, MembershipMessage.Standing> fresh = new TreeMap<>();
         heard.forEach((peer, h) -> {
             if (clock.nowMs() - h.heardMs <= pace.freshMs()) {
                 fresh.put(peer, h.standing);
@@ -221,14 +229,14 @@
     }
 
     /** Takes a newer table from anywhere. Example: {@code formation.adopt(table);} */
-    public void adopt(final Voters table) {
+    public void adopt(final VoterSet table) {
         final boolean newer = table.newerThan(voter.voters());
         voter.adopt(table);
         proposer.adopt(table);
         if (newer) {
             for (final String key :
-                    List.copyOf(voter.registers().tailMap(Voters.KEYS).keySet())) {
-                if (key.startsWith(Voters.KEYS)) {
+                    List.copyOf(voter.registers().tailMap(VoterSet.KEYS).keySet())) {
+                if (key.startsWith(VoterSet.KEYS)) {
                     voter.drop(key);
                 }
             }
@@ -248,14 +256,14 @@
      * theirs may be the last there is. */
     private void say() {
         final long nowMs = clock.nowMs();
-        final FormNote.Standing mine = standing();
+        final MembershipMessage.Standing mine = standing();
         if (!mine.equals(said)) {
             said = mine;
             changedMs = nowMs;
         }
         final boolean settled = phase == Phase.IDLE
                 && nowMs - changedMs > 3 * pace.sayMs()
-                && (voter.state() == Voter.State.VOTING || voter.state() == Voter.State.STOPPED);
+                && (voter.state() == Acceptor.State.VOTING || voter.state() == Acceptor.State.STOPPED);
         if (settled && nowMs - saidMs < pace.sayMs()) {
             return;
         }
@@ -267,9 +275,9 @@
                 have.add(h.standing.address());
             }
         });
-        final FormNote.Standing lean = pace.alwaysTable()
+        final MembershipMessage.Standing lean = pace.alwaysTable()
                 ? mine
-                : new FormNote.Standing(
+                : new MembershipMessage.Standing(
                         name,
                         address,
                         mine.diskId(),
@@ -298,7 +306,7 @@
         }
         say();
         voter.tick(address);
-        final Map<String, FormNote.Standing> fresh = fresh();
+        final Map<String, MembershipMessage.Standing> fresh = fresh();
         if (founded != null
                 && founded.table().seats().stream()
                         .allMatch(seat -> fresh.containsKey(seat.name())
@@ -319,11 +327,11 @@
         }
     }
 
-    private static Map<String, Seat> blanks(final Map<String, FormNote.Standing> fresh) {
-        final Map<String, Seat> blanks = new TreeMap<>();
+    private static Map<String, Voter> blanks(final Map<String, MembershipMessage.Standing> fresh) {
+        final Map<String, Voter> blanks = new TreeMap<>();
         fresh.forEach((peer, s) -> {
             if (s.founding() && s.canWrite()) {
-                blanks.put(peer, new Seat(peer, s.address(), s.diskId()));
+                blanks.put(peer, new Voter(peer, s.address(), s.diskId()));
             }
         });
         return blanks;
@@ -343,14 +351,14 @@
     }
 
     /** True when no majority with state can be put together from the cores there are. */
-    private boolean wanted(final Map<String, FormNote.Standing> fresh) {
+    private boolean wanted(final Map<String, MembershipMessage.Standing> fresh) {
         if (!voter.canWrite() || !ready.getAsBoolean() || !elects(name)) {
             return false;
         }
         int canWrite = 0;
         int withState = 0;
         int catchingUp = 0;
-        for (final FormNote.Standing s : fresh.values()) {
+        for (final MembershipMessage.Standing s : fresh.values()) {
             if (s.newerThan(voter.voters())) {
                 return false;
             }
@@ -369,7 +377,7 @@
         return canWrite >= majority() && canWrite - soon > size() - majority();
     }
 
-    private void consider(final Map<String, FormNote.Standing> fresh) {
+    private void consider(final Map<String, MembershipMessage.Standing> fresh) {
         final long nowMs = clock.nowMs();
         if (wantedSinceMs < 0) {
             wantedSinceMs = nowMs;
@@ -380,13 +388,13 @@
             base = generation();
             remains.clear();
             for (final String other : others.get()) {
-                post.send(other, new FormNote.RemainsAsk(address));
+                post.send(other, new MembershipMessage.RemainsAsk(address));
             }
             change(Phase.GATHER, "no-majority-with-state");
         }
     }
 
-    private void advance(final Map<String, FormNote.Standing> fresh) {
+    private void advance(final Map<String, MembershipMessage.Standing> fresh) {
         final long spentMs = clock.nowMs() - phaseMs;
         if (phase == Phase.GATHER && spentMs >= pace.settleMs()) {
             prepare(fresh);
@@ -404,7 +412,7 @@
 
     /** Whether a core that told of its state and is still heard has not promised yet: it is slow, and until it has promised
      * it may confirm what no other has. */
-    private boolean awaitsState(final Map<String, FormNote.Standing> fresh) {
+    private boolean awaitsState(final Map<String, MembershipMessage.Standing> fresh) {
         return roundsWaited < ROUNDS_WAITED
                 && remains.values().stream()
                         .anyMatch(r -> r.hasState()
@@ -414,66 +422,66 @@
                                 && !promises.containsKey(r.name()));
     }
 
-    private void prepare(final Map<String, FormNote.Standing> fresh) {
+    private void prepare(final Map<String, MembershipMessage.Standing> fresh) {
         count = Math.max(count, kept == null ? 0 : kept.promised.count()) + 1;
-        ballot = new Ballot(count, by);
+        ballot = new ProposalNumber(count, by);
         promises.clear();
         accepted.clear();
         change(Phase.PREPARE, "gathered");
         final long epoch = voter.voters() == null ? 0 : voter.voters().epoch();
-        for (final FormNote.Standing s : fresh.values()) {
+        for (final MembershipMessage.Standing s : fresh.values()) {
             if (elects(s.name())) {
-                post.send(s.address(), new FormNote.FormPrepare(address, base, ballot, epoch));
+                post.send(s.address(), new MembershipMessage.FormPrepare(address, base, ballot, epoch));
             }
         }
     }
 
     private void propose() {
-        FormNote.FormPromise highest = null;
-        final List<Seat> seats = new ArrayList<>();
-        final List<Remains> left = new ArrayList<>(remains.values());
-        for (final FormNote.FormPromise p : promises.values()) {
+        MembershipMessage.FormPromise highest = null;
+        final List<Voter> seats = new ArrayList<>();
+        final List<SurvivingState> left = new ArrayList<>(remains.values());
+        for (final MembershipMessage.FormPromise p : promises.values()) {
             if (p.founding() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
                 highest = p;
             }
-            seats.add(new Seat(p.name(), p.address(), p.diskId()));
+            seats.add(new Voter(p.name(), p.address(), p.diskId()));
             left.add(p.remains());
         }
         if (voter.voters() != null) {
-            for (final Seat old : voter.voters().seats()) {
+            for (final Voter old : voter.voters().seats()) {
                 if (!promises.containsKey(old.name())) {
-                    seats.add(new Seat(old.name(), old.address(), ""));
+                    seats.add(new Voter(old.name(), old.address(), ""));
                 }
             }
         }
         proposed = highest != null ? highest.founding() : merger.merge(base, left, seats);
         change(Phase.ACCEPT, "promised-by-" + promises.size());
-        for (final Seat seat : seats) {
-            post.send(seat.address(), new FormNote.FormAccept(address, base, ballot, proposed));
+        for (final Voter seat : seats) {
+            post.send(seat.address(), new MembershipMessage.FormAccept(address, base, ballot, proposed));
         }
     }
 
     /** Hears the other cores. Example: {@code formation.hear(note);} */
-    public void hear(final FormNote note) {
-        if (note instanceof FormNote.Standing s) {
+    public void hear(final MembershipMessage note) {
+        if (note instanceof MembershipMessage.Standing s) {
             standing(s);
-        } else if (note instanceof FormNote.FormPrepare p) {
+        } else if (note instanceof MembershipMessage.FormPrepare p) {
             prepare(p);
-        } else if (note instanceof FormNote.FormPromise p) {
+        } else if (note instanceof MembershipMessage.FormPromise p) {
             promise(p);
-        } else if (note instanceof FormNote.FormAccept a) {
+        } else if (note instanceof MembershipMessage.FormAccept a) {
             accept(a);
-        } else if (note instanceof FormNote.FormAccepted a) {
+        } else if (note instanceof MembershipMessage.FormAccepted a) {
             accepted(a);
-        } else if (note instanceof FormNote.Founded f) {
+        } else if (note instanceof MembershipMessage.Founded f) {
             found(f.founding());
-        } else if (note instanceof FormNote.RemainsBack back && phase == Phase.GATHER) {
+        } else if (note instanceof MembershipMessage.RemainsBack back && phase == Phase.GATHER) {
             remains.put(back.remains().name(), back.remains());
         }
     }
 
-    private void standing(final FormNote.Standing s) {
-        if (heard.size() >= 4 * Voters.SEATS_MAX && !heard.containsKey(s.name())) {
+    private void standing(final MembershipMessage.Standing s) {
+        if (heard.size() >= 4 * VoterSet.SEATS_MAX && !heard.containsKey(s.name())) {
             return;
         }
         silence.heard(s.name(), clock.nowMs());
@@ -492,9 +500,11 @@
         } else if (s.lacks(voter.voters())) {
             post.send(
                     s.address(),
-                    missedFounding(s) ? new FormNote.Founded(founded) : new BallotNote.Table(voter.voters()));
+                    missedFounding(s)
+                            ? new MembershipMessage.Founded(founded)
+                            : new ConsensusMessage.Table(voter.voters()));
         } else if (missedFounding(s)) {
-            post.send(s.address(), new FormNote.Founded(founded));
+            post.send(s.address(), new MembershipMessage.Founded(founded));
         }
         if (had == null || clock.nowMs() - had.heardMs > pace.freshMs()) {
             // Whoever has just come should not have to wait for the next beat.
@@ -503,8 +513,8 @@
     }
 
     /** A seat of the first table that has not voted yet must have missed what it starts from. */
-    private boolean missedFounding(final FormNote.Standing s) {
-        final Seat seat = founded == null || founded.table().generation() != generation()
+    private boolean missedFounding(final MembershipMessage.Standing s) {
+        final Voter seat = founded == null || founded.table().generation() != generation()
                 ? null
                 : founded.table().seat(s.name());
         return seat != null
@@ -513,7 +523,7 @@
                 && (s.generation() == 0 || s.generation() <= generation());
     }
 
-    private void prepare(final FormNote.FormPrepare p) {
+    private void prepare(final MembershipMessage.FormPrepare p) {
         // A ballot by an older table would have other voters: none is given once a newer one is known.
         final boolean older = voter.voters() != null
                 && (p.base() < generation()
@@ -522,7 +532,7 @@
                                 && p.epoch() < voter.voters().epoch());
         if (older || p.base() != generation() || !voter.canWrite() || !elects(name)) {
             if (older) {
-                post.send(p.from(), new BallotNote.Table(voter.voters()));
+                post.send(p.from(), new ConsensusMessage.Table(voter.voters()));
             }
             return;
         }
@@ -532,15 +542,15 @@
             return;
         }
         // What is still here must be read before the resignation changes how it is told.
-        final Remains left = own.get();
-        kept = new Kept(p.base(), p.ballot(), same ? kept.accepted : Ballot.NONE, same ? kept.founding : null);
+        final SurvivingState left = own.get();
+        kept = new Kept(p.base(), p.ballot(), same ? kept.accepted : ProposalNumber.NONE, same ? kept.founding : null);
         voter.resign(p.base());
         final Kept now = kept;
-        voter.keepOwn(FORM, Codec.bytes(now), ok -> {
+        voter.keepOwn(FORM, MessageCodec.bytes(now), ok -> {
             if (ok) {
                 post.send(
                         p.from(),
-                        new FormNote.FormPromise(
+                        new MembershipMessage.FormPromise(
                                 p.base(),
                                 p.ballot(),
                                 name,
@@ -555,10 +565,10 @@
         });
     }
 
-    private void reply(final FormNote.FormPrepare p, final boolean yes) {
+    private void reply(final MembershipMessage.FormPrepare p, final boolean yes) {
         post.send(
                 p.from(),
-                new FormNote.FormPromise(
+                new MembershipMessage.FormPromise(
                         p.base(),
                         p.ballot(),
                         name,
@@ -571,7 +581,7 @@
                         null));
     }
 
-    private void promise(final FormNote.FormPromise p) {
+    private void promise(final MembershipMessage.FormPromise p) {
         if (phase != Phase.PREPARE || p.base() != base || !p.ballot().equals(ballot) || !elects(p.name())) {
             return;
         }
@@ -582,24 +592,24 @@
         }
     }
 
-    private void accept(final FormNote.FormAccept a) {
+    private void accept(final MembershipMessage.FormAccept a) {
         if (a.base() != generation() || !voter.canWrite() || !elects(name)) {
             return;
         }
         if (kept != null && kept.base == a.base() && a.ballot().compareTo(kept.promised) < 0) {
-            post.send(a.from(), new FormNote.FormAccepted(a.base(), a.ballot(), name, false, kept.promised));
+            post.send(a.from(), new MembershipMessage.FormAccepted(a.base(), a.ballot(), name, false, kept.promised));
             return;
         }
         kept = new Kept(a.base(), a.ballot(), a.ballot(), a.founding());
         voter.resign(a.base());
-        voter.keepOwn(FORM, Codec.bytes(kept), ok -> {
+        voter.keepOwn(FORM, MessageCodec.bytes(kept), ok -> {
             if (ok) {
-                post.send(a.from(), new FormNote.FormAccepted(a.base(), a.ballot(), name, true, a.ballot()));
+                post.send(a.from(), new MembershipMessage.FormAccepted(a.base(), a.ballot(), name, true, a.ballot()));
             }
         });
     }
 
-    private void accepted(final FormNote.FormAccepted a) {
+    private void accepted(final MembershipMessage.FormAccepted a) {
         if (phase != Phase.ACCEPT || a.base() != base || !a.ballot().equals(ballot) || !elects(a.name())) {
             return;
         }
@@ -609,18 +619,18 @@
         }
         accepted.add(a.name());
         if (accepted.size() >= majority()) {
-            final Founding founding = proposed;
+            final InitialState founding = proposed;
             change(Phase.IDLE, "founded");
-            for (final Seat seat : founding.table().seats()) {
+            for (final Voter seat : founding.table().seats()) {
                 if (!seat.name().equals(name)) {
-                    post.send(seat.address(), new FormNote.Founded(founding));
+                    post.send(seat.address(), new MembershipMessage.Founded(founding));
                 }
             }
             found(founding);
         }
     }
 
-    private void found(final Founding founding) {
+    private void found(final InitialState founding) {
         if (voter.voters() != null && founding.table().generation() == generation()) {
             voter.foundLate(founding.table(), founding.entries());
             founded = founding;
@@ -630,7 +640,7 @@
             return;
         }
         founded = founding;
-        final Seat seat = founding.table().seat(name);
+        final Voter seat = founding.table().seat(name);
         if (seat == null || !seat.diskId().equals(voter.diskId())) {
             adopt(founding.table());
             return;
@@ -646,8 +656,8 @@
     }
 
     /** Asks for one change of the table, once a majority is there to agree. One seat is changed by each epoch. */
-    private void changeSeats(final Map<String, FormNote.Standing> fresh) {
-        final Voters table = voter.voters();
+    private void changeSeats(final Map<String, MembershipMessage.Standing> fresh) {
+        final VoterSet table = voter.voters();
         if (table == null || changing || !voter.canWrite() || !majorityVotes(table, fresh)) {
             return;
         }
@@ -670,14 +680,14 @@
         }
     }
 
-    private Seat seat() {
-        return new Seat(name, address, voter.diskId());
+    private Voter seat() {
+        return new Voter(name, address, voter.diskId());
     }
 
     /** Whether a majority of the seats vote, this core's own not among them unless it votes. */
-    private boolean majorityVotes(final Voters table, final Map<String, FormNote.Standing> fresh) {
+    private boolean majorityVotes(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
         int voting = 0;
-        for (final FormNote.Standing s : fresh.values()) {
+        for (final MembershipMessage.Standing s : fresh.values()) {
             voting += s.voting() && table.seat(s.name()) != null ? 1 : 0;
         }
         if (voting >= table.majority()) {
@@ -698,8 +708,8 @@
     }
 
     /** This core's disk has its seat under another address. */
-    private boolean moved(final Voters table) {
-        final Seat seat = table.seat(name);
+    private boolean moved(final VoterSet table) {
+        final Voter seat = table.seat(name);
         return seat != null
                 && seat.diskId().equals(voter.diskId())
                 && !seat.address().equals(address);
@@ -707,7 +717,7 @@
 
     /** A core without a seat of its own asks for one. A disk that has voted and lost its seat meanwhile gets a fresh
      * identity first. */
-    private void join(final Voters table, final Map<String, FormNote.Standing> fresh) {
+    private void join(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
         if (voter.hasVoted()) {
             voter.restart(freshId.get());
             return;
@@ -717,23 +727,23 @@
         membership.joined(table, seat(), fresh, waited).ifPresent(this::propose);
     }
 
-    private void propose(final Voters next) {
+    private void propose(final VoterSet next) {
         changing = true;
-        final byte[] mine = Codec.bytes(next);
+        final byte[] mine = MessageCodec.bytes(next);
         proposer.change(
-                Voters.key(next.generation(), next.epoch()),
+                VoterSet.key(next.generation(), next.epoch()),
                 pace.roundMs() * 2,
-                now -> now == null ? new Edit.Set(mine) : Edit.LEAVE,
+                now -> now == null ? new RegisterEdit.Set(mine) : RegisterEdit.LEAVE,
                 this::changed);
     }
 
-    private void changed(final Outcome outcome) {
+    private void changed(final ProposalOutcome outcome) {
         changing = false;
-        if (outcome instanceof Outcome.Done done && done.value() != null) {
-            final Voters table = Codec.record(done.value(), Voters.class);
+        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+            final VoterSet table = MessageCodec.record(done.value(), VoterSet.class);
             adopt(table);
             for (final String other : others.get()) {
-                post.send(other, new BallotNote.Table(table));
+                post.send(other, new ConsensusMessage.Table(table));
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/ballot/Membership.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -1,21 +1,23 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.ToIntFunction;
 import java.util.function.ToLongFunction;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
 
 /**
  * Decides which one seat the next epoch's table changes. A seat counts as silent, or as gone, only when a majority of the
  * seats say so under the very same table. It decides only: a table is agreed in its register.
  */
-final class Membership {
+final class ReconfigurationPlanner {
     private final String name;
-    private final ToIntFunction<List<Seat>> mostLost;
+    private final ToIntFunction<List<Voter>> mostLost;
 
     /** {@code mostLost}: how many of these seats the largest loss that must be borne can take. */
-    Membership(final String name, final ToIntFunction<List<Seat>> mostLost) {
+    ReconfigurationPlanner(final String name, final ToIntFunction<List<Voter>> mostLost) {
         this.name = name;
         this.mostLost = mostLost;
     }
@@ -23,19 +25,22 @@
     /** The table with this core's seat in it, or none while it should wait: the seat of its own name, else the seat of a
      * core that is gone, else one more. A seat is added while others are unheard only once it has waited long enough
      * that they would have been called silent. */
-    Optional<Voters> joined(
-            final Voters table, final Seat own, final Map<String, FormNote.Standing> fresh, final boolean waited) {
+    Optional<VoterSet> joined(
+            final VoterSet table,
+            final Voter own,
+            final Map<String, MembershipMessage.Standing> fresh,
+            final boolean waited) {
         if (table.seat(name) != null) {
             return Optional.of(table.swap(own));
         }
-        for (final Seat seat : table.seats()) {
+        for (final Voter seat : table.seats()) {
             if (seat.address().equals(own.address())) {
                 return Optional.of(table.replace(seat.name(), own));
             }
         }
         for (int place = 0; place < table.seats().size(); place++) {
             final String seat = table.seats().get(place).name();
-            if (!fresh.containsKey(seat) && agreed(table, fresh, place, FormNote.Standing::silentSeats)) {
+            if (!fresh.containsKey(seat) && agreed(table, fresh, place, MembershipMessage.Standing::silentSeats)) {
                 return Optional.of(table.replace(seat, own));
             }
         }
@@ -45,15 +50,15 @@
 
     /** Whether one seat more is no harm: the table bears the largest loss with all seats that are waited for, or doesn't
      * bear it now. A third seat of four in one region would be a majority's end with that region. */
-    private boolean helps(final Voters table, final Seat own, final Map<String, FormNote.Standing> fresh) {
-        if (table.seats().size() >= Voters.SEATS_MAX) {
+    private boolean helps(final VoterSet table, final Voter own, final Map<String, MembershipMessage.Standing> fresh) {
+        if (table.seats().size() >= VoterSet.SEATS_MAX) {
             return false;
         }
-        Voters all = table.add(own);
-        for (final FormNote.Standing s : fresh.values()) {
+        VoterSet all = table.add(own);
+        for (final MembershipMessage.Standing s : fresh.values()) {
             final boolean waits = s.canWrite() && all.seat(s.name()) == null;
-            if (waits && all.seats().size() < Voters.SEATS_MAX) {
-                all = all.add(new Seat(s.name(), s.address(), s.diskId()));
+            if (waits && all.seats().size() < VoterSet.SEATS_MAX) {
+                all = all.add(new Voter(s.name(), s.address(), s.diskId()));
             }
         }
         return bears(all) || bears(table.add(own)) || !bears(table);
@@ -61,14 +66,14 @@
 
     /** The table without a seat that is gone, or none. An odd table keeps it: with one seat silent it needs as many votes
      * as the even one below it. */
-    Optional<Voters> thinned(final Voters table, final Map<String, FormNote.Standing> fresh) {
+    Optional<VoterSet> thinned(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
         if (table.seats().size() % 2 != 0 || !proposes(table, fresh) || joinerWaits(table, fresh)) {
             return Optional.empty();
         }
         for (int place = 0; place < table.seats().size(); place++) {
             final String seat = table.seats().get(place).name();
-            if (!fresh.containsKey(seat) && agreed(table, fresh, place, FormNote.Standing::goneSeats)) {
-                final Voters next = table.remove(seat);
+            if (!fresh.containsKey(seat) && agreed(table, fresh, place, MembershipMessage.Standing::goneSeats)) {
+                final VoterSet next = table.remove(seat);
                 return bears(next) ? Optional.of(next) : Optional.empty();
             }
         }
@@ -76,13 +81,13 @@
     }
 
     /** Whether a majority is left after the largest loss that must be borne. */
-    private boolean bears(final Voters table) {
+    private boolean bears(final VoterSet table) {
         return table.seats().size() - mostLost.applyAsInt(table.seats()) >= table.majority();
     }
 
     /** The first by name of those that vote, so that they don't all propose the same at once. */
-    private boolean proposes(final Voters table, final Map<String, FormNote.Standing> fresh) {
-        for (final FormNote.Standing s : fresh.values()) {
+    private boolean proposes(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
+        for (final MembershipMessage.Standing s : fresh.values()) {
             if (votes(table, s)) {
                 return s.name().equals(name);
             }
@@ -91,24 +96,24 @@
     }
 
     /** A core without a seat takes the one that is gone. */
-    private static boolean joinerWaits(final Voters table, final Map<String, FormNote.Standing> fresh) {
+    private static boolean joinerWaits(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
         return fresh.values().stream().anyMatch(s -> table.seat(s.name()) == null && s.canWrite());
     }
 
     private static boolean agreed(
-            final Voters table,
-            final Map<String, FormNote.Standing> fresh,
+            final VoterSet table,
+            final Map<String, MembershipMessage.Standing> fresh,
             final int place,
-            final ToLongFunction<FormNote.Standing> places) {
+            final ToLongFunction<MembershipMessage.Standing> places) {
         int say = 0;
-        for (final FormNote.Standing s : fresh.values()) {
+        for (final MembershipMessage.Standing s : fresh.values()) {
             say += votes(table, s) && (places.applyAsLong(s) >> place & 1) == 1 ? 1 : 0;
         }
         return say >= table.majority();
     }
 
-    private static boolean votes(final Voters table, final FormNote.Standing s) {
-        final Seat seat = table.seat(s.name());
+    private static boolean votes(final VoterSet table, final MembershipMessage.Standing s) {
+        final Voter seat = table.seat(s.name());
         return s.voting() && seat != null && seat.diskId().equals(s.diskId()) && table.same(s.generation(), s.epoch());
     }
 }
--- a/spokestall/src/main/java/spokestall/ballot/Remains.java
+++ b/spokestall/src/main/java/spokestall/membership/SurvivingState.java
@@ -1,13 +1,14 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import java.util.List;
+import spokestall.consensus.ConsensusMessage;
 
 /** What a node still has after a loss: numbers it has seen, its policy as a snapshot, and a voter's registers. */
-public record Remains(
+public record SurvivingState(
         String name,
         long generation,
         long policyVersion,
         byte[] policy,
         long token,
         boolean hasState,
-        List<BallotNote.Entry> registers) {}
+        List<ConsensusMessage.Entry> registers) {}
--- a/spokestall/src/main/java/spokestall/wire/Marks.java
+++ b/spokestall/src/main/java/spokestall/message/Fingerprints.java
@@ -1,10 +1,10 @@
-package spokestall.wire;
+package spokestall.message;
 
 /** Long texts as one number each, to be compared in their place. */
-public final class Marks {
-    private Marks() {}
+public final class Fingerprints {
+    private Fingerprints() {}
 
-    /** Never zero. Example: {@code Marks.of(seat.diskId())} */
+    /** Never zero. Example: {@code Fingerprints.of(seat.diskId())} */
     public static long of(final String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
--- a/spokestall/src/main/java/spokestall/wire/Codec.java
+++ b/spokestall/src/main/java/spokestall/message/MessageCodec.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -22,9 +22,9 @@
  * its version, but for the first one, which has none: there a kind's number stands first, whose upper byte is zero. A
  * program reads the versions up to its own and writes whichever it is told to. Records alone (values that are kept) have
  * the first version's fields, and behind them their later ones, which older programs leave unread. From the third version on, whole numbers and lengths take as many bytes as they need
- * ({@link Numbers}).
+ * ({@link VarInts}).
  */
-public final class Codec {
+public final class MessageCodec {
     /** No list, text or byte field may say it is longer than this. */
     public static final int FIELD_MAX = 32 << 20;
     /** The version of notes that this program has, and the oldest that it can read and write. */
@@ -42,9 +42,9 @@
         }
     };
 
-    private Codec() {}
+    private MessageCodec() {}
 
-    /** Gives a kind of note its number. Example: {@code Codec.number(7, Beat.class);} */
+    /** Gives a kind of note its number. Example: {@code MessageCodec.number(7, Beat.class);} */
     public static synchronized void number(final int number, final Class<? extends Record> type) {
         if (number < 1 || number > 255) {
             throw new IllegalStateException(number + " is no number for a note");
@@ -65,11 +65,11 @@
     static synchronized void restore(final Map<Integer, Class<? extends Record>> numbered) {
         BY_NUMBER.clear();
         BY_CLASS.clear();
-        numbered.forEach(Codec::number);
+        numbered.forEach(MessageCodec::number);
     }
 
-    /** A numbered note as bytes, in a version. Example: {@code byte[] frame = Codec.note(beat, Codec.VERSION);} */
-    public static byte[] note(final Note note, final int version) {
+    /** A numbered note as bytes, in a version. Example: {@code byte[] frame = MessageCodec.note(beat, MessageCodec.VERSION);} */
+    public static byte[] note(final Message note, final int version) {
         final Integer number = BY_CLASS.get(note.getClass());
         if (number == null) {
             throw new IllegalStateException("no number for " + note.getClass());
@@ -77,13 +77,13 @@
         return bytes(number, note, version);
     }
 
-    /** Reads a numbered note; throws {@link UnknownNote} on one that came after this program, and another exception on
-     * anything odd. Example: {@code Note note = Codec.note(frame);} */
-    public static Note note(final byte[] frame) throws IOException {
+    /** Reads a numbered note; throws {@link UnknownMessageException} on one that came after this program, and another exception on
+     * anything odd. Example: {@code Message note = MessageCodec.note(frame);} */
+    public static Message note(final byte[] frame) throws IOException {
         final DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame));
         final int version = Math.max(OLDEST, frame[0]);
         if (version > VERSION) {
-            throw new UnknownNote("version " + version);
+            throw new UnknownMessageException("version " + version);
         }
         if (version > OLDEST) {
             in.readByte();
@@ -91,21 +91,21 @@
         final int number = in.readShort();
         final Class<? extends Record> type = BY_NUMBER.get(number);
         if (type == null) {
-            throw new UnknownNote("kind " + number + " of version " + version);
+            throw new UnknownMessageException("kind " + number + " of version " + version);
         }
-        final Note note = (Note) read(in, type, version);
+        final Message note = (Message) read(in, type, version);
         if (in.available() > 0) {
             throw new IOException("bytes left over after " + type.getSimpleName());
         }
         return note;
     }
 
-    /** A record alone as bytes. Example: {@code byte[] value = Codec.bytes(lease);} */
+    /** A record alone as bytes. Example: {@code byte[] value = MessageCodec.bytes(lease);} */
     public static byte[] bytes(final Record record) {
         return bytes(-1, record, OLDEST);
     }
 
-    /** Reads a record alone. Example: {@code Lease lease = Codec.record(value, Lease.class);} */
+    /** Reads a record alone. Example: {@code Lease lease = MessageCodec.record(value, Lease.class);} */
     public static <T extends Record> T record(final byte[] bytes, final Class<T> type) {
         try {
             return type.cast(readAlone(new DataInputStream(new ByteArrayInputStream(bytes)), type));
@@ -155,7 +155,7 @@
             writeMany(out, p, value, version);
         } else if (version >= COMPACT && (type == String.class || type == byte[].class)) {
             final byte[] bytes = value instanceof String text ? text.getBytes(StandardCharsets.UTF_8) : (byte[]) value;
-            Numbers.write(out, bytes == null ? 0 : bytes.length + 1L);
+            VarInts.write(out, bytes == null ? 0 : bytes.length + 1L);
             if (bytes != null) {
                 out.write(bytes);
             }
@@ -170,7 +170,7 @@
     private static void number(final DataOutputStream out, final long value, final boolean wide, final int version)
             throws IOException {
         if (version >= COMPACT) {
-            Numbers.write(out, Numbers.folded(value));
+            VarInts.write(out, VarInts.folded(value));
         } else if (wide) {
             out.writeLong(value);
         } else {
@@ -180,7 +180,7 @@
 
     private static void size(final DataOutputStream out, final int size, final int version) throws IOException {
         if (version >= COMPACT) {
-            Numbers.write(out, size);
+            VarInts.write(out, size);
         } else {
             out.writeInt(size);
         }
@@ -227,9 +227,9 @@
 
     private static Object read(final DataInputStream in, final Type type, final int version) throws IOException {
         if (type == long.class) {
-            return version >= COMPACT ? Numbers.unfolded(Numbers.read(in)) : in.readLong();
+            return version >= COMPACT ? VarInts.unfolded(VarInts.read(in)) : in.readLong();
         } else if (type == int.class) {
-            return version >= COMPACT ? (int) inInt(Numbers.unfolded(Numbers.read(in))) : in.readInt();
+            return version >= COMPACT ? (int) inInt(VarInts.unfolded(VarInts.read(in))) : in.readInt();
         } else if (type == double.class) {
             return in.readDouble();
         } else if (type == boolean.class) {
@@ -251,7 +251,7 @@
     }
 
     private static Object readText(final DataInputStream in, final Type type) throws IOException {
-        final long length = Numbers.read(in);
+        final long length = VarInts.read(in);
         if (length == 0) {
             return null;
         }
@@ -262,7 +262,7 @@
 
     private static Object readMany(final DataInputStream in, final ParameterizedType p, final int version)
             throws IOException {
-        final int size = size(in, version >= COMPACT ? Numbers.read(in) : in.readInt());
+        final int size = size(in, version >= COMPACT ? VarInts.read(in) : in.readInt());
         if (p.getRawType() == List.class) {
             final List<Object> list = new ArrayList<>(Math.min(size, 1024));
             for (int i = 0; i < size; i++) {
@@ -335,7 +335,7 @@
             try {
                 for (final Field field : fields) {
                     if (field.since <= version) {
-                        Codec.write(out, field.type, field.get.invoke(value), version);
+                        MessageCodec.write(out, field.type, field.get.invoke(value), version);
                     }
                 }
             } catch (final ReflectiveOperationException e) {
@@ -348,7 +348,7 @@
             try {
                 for (final Field field : fields) {
                     if (field.since > OLDEST) {
-                        Codec.write(out, field.type, field.get.invoke(value), OLDEST);
+                        MessageCodec.write(out, field.type, field.get.invoke(value), OLDEST);
                     }
                 }
             } catch (final ReflectiveOperationException e) {
@@ -357,7 +357,7 @@
         }
 
         private static int since(final RecordComponent part) {
-            final Since since = part.getAnnotation(Since.class);
+            final SinceVersion since = part.getAnnotation(SinceVersion.class);
             return since == null ? OLDEST : since.value();
         }
 
@@ -376,7 +376,7 @@
             final Object[] values = values(in, OLDEST);
             for (int i = 0; i < fields.length; i++) {
                 if (fields[i].since > OLDEST && in.available() > 0) {
-                    values[i] = Codec.read(in, fields[i].type, OLDEST);
+                    values[i] = MessageCodec.read(in, fields[i].type, OLDEST);
                 }
             }
             return made(values);
@@ -385,7 +385,8 @@
         private Object[] values(final DataInputStream in, final int version) throws IOException {
             final Object[] values = new Object[fields.length];
             for (int i = 0; i < fields.length; i++) {
-                values[i] = fields[i].since > version ? fields[i].absent : Codec.read(in, fields[i].type, version);
+                values[i] =
+                        fields[i].since > version ? fields[i].absent : MessageCodec.read(in, fields[i].type, version);
             }
             return values;
         }
--- a/spokestall/src/main/java/spokestall/wire/Since.java
+++ b/spokestall/src/main/java/spokestall/message/SinceVersion.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import java.lang.annotation.ElementType;
 import java.lang.annotation.Retention;
@@ -9,7 +9,7 @@
  * record alone has such fields behind all others, where older programs don't look. */
 @Target(ElementType.RECORD_COMPONENT)
 @Retention(RetentionPolicy.RUNTIME)
-public @interface Since {
+public @interface SinceVersion {
     /** The first version with it. */
     int value();
 }
--- a/spokestall/src/main/java/spokestall/wire/Numbers.java
+++ b/spokestall/src/main/java/spokestall/message/VarInts.java
@@ -1,14 +1,14 @@
-package spokestall.wire;
+package spokestall.message;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
 
 /** Whole numbers in as many bytes as they need: seven bits a byte, the lowest first, the upper bit says that more come. */
-final class Numbers {
+final class VarInts {
     private static final int BYTES_MAX = 10;
 
-    private Numbers() {}
+    private VarInts() {}
 
     /** Small negative numbers become small ones: 0, -1, 1, -2 are folded to 0, 1, 2, 3. */
     static long folded(final long value) {
--- a/spokestall/src/main/java/spokestall/Connections.java
+++ b/spokestall/src/main/java/spokestall/node/ClientConnections.java
@@ -1,7 +1,7 @@
-package spokestall;
+package spokestall.node;
 
 /** The connections of those outside the fleet to a node, as far as its leaving goes. */
-public interface Connections {
+public interface ClientConnections {
     /** From now on each answer is the last one on its connection, and says so. Example: {@code connections.endWithAnswers();} */
     void endWithAnswers();
 
--- a/spokestall/src/main/java/spokestall/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -1,19 +1,19 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import spokestall.ballot.Register;
-import spokestall.ballot.Voter;
-import spokestall.ballot.Voters;
-import spokestall.feed.Follower;
-import spokestall.feed.Versions;
-import spokestall.policy.Book;
-import spokestall.policy.Snapshot;
-import spokestall.ring.Ring;
-import spokestall.ring.Segments;
-import spokestall.wire.Codec;
+import spokestall.configuration.ConfigurationSnapshot;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.feed.ConfigurationKeys;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.Register;
+import spokestall.consensus.VoterSet;
+import spokestall.message.MessageCodec;
+import spokestall.storage.SegmentStore;
+import spokestall.storage.SegmentedLog;
 
 /** A core's disk: its voter's registers, which of them are kept, and the configuration's snapshot beside them. */
 final class CoreStorage {
@@ -26,24 +26,24 @@
     private static final double POLICY_KEPT_SHARE = 0.1;
 
     private final NodeContext context;
-    private final Book book;
-    private final Keeping keeping;
+    private final ConfigurationStore book;
+    private final RegisterRetention keeping;
     private boolean policyDirty;
     private boolean keepingPolicy;
     private long snapshotDown;
-    final Ring ring;
-    final Voter voter;
+    final SegmentedLog ring;
+    final Acceptor voter;
 
     CoreStorage(
             final NodeContext context,
-            final Segments segments,
-            final Book book,
-            final Supplier<Voters> voters,
+            final SegmentStore segments,
+            final ConfigurationStore book,
+            final Supplier<VoterSet> voters,
             final BooleanSupplier ready) {
         this.context = context;
         this.book = book;
-        this.ring = new Ring(segments);
-        this.keeping = new Keeping(
+        this.ring = new SegmentedLog(segments);
+        this.keeping = new RegisterRetention(
                 ready,
                 context.fleet,
                 context.settings().ms("claimKeepMs"),
@@ -53,7 +53,7 @@
                 this::floor,
                 () -> snapshotDown,
                 ring::fill);
-        this.voter = new Voter(context.name, ring, context.post, keeping, context.freshDiskId());
+        this.voter = new Acceptor(context.name, ring, context.post, keeping, context.freshDiskId());
     }
 
     private long floor() {
@@ -64,7 +64,7 @@
     void open() {
         final byte[] stored = voter.own(POLICY);
         if (stored != null) {
-            final Snapshot snapshot = Codec.record(stored, Snapshot.class);
+            final ConfigurationSnapshot snapshot = MessageCodec.record(stored, ConfigurationSnapshot.class);
             book.load(snapshot);
             snapshotDown = snapshot.version();
             raiseFloor();
@@ -73,7 +73,7 @@
 
     /** Whether the voter may give votes now. */
     boolean votes() {
-        return voter.state() == Voter.State.VOTING && keeping.ready();
+        return voter.state() == Acceptor.State.VOTING && keeping.ready();
     }
 
     /** Marks the disk as one that took part in a bootstrap. */
@@ -99,7 +99,7 @@
         policyDirty = false;
         keepingPolicy = true;
         final long version = book.policy().version();
-        voter.keepOwn(POLICY, Codec.bytes(book.snapshot()), ok -> {
+        voter.keepOwn(POLICY, MessageCodec.bytes(book.snapshot()), ok -> {
             keepingPolicy = false;
             if (ok) {
                 snapshotDown = version;
@@ -111,23 +111,24 @@
 
     private void raiseFloor() {
         final long bytesMost = (long) (ring.capacityBytes() * POLICY_KEPT_SHARE);
-        voter.raiseFloor(Versions.floor(voter.registers(), snapshotDown, POLICY_KEPT, bytesMost), this::letVersionsGo);
+        voter.raiseFloor(
+                ConfigurationKeys.floor(voter.registers(), snapshotDown, POLICY_KEPT, bytesMost), this::letVersionsGo);
     }
 
     /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
     private void letVersionsGo() {
-        Versions.upTo(voter.registers(), voter.floor()).forEach(voter::drop);
+        ConfigurationKeys.upTo(voter.registers(), voter.floor()).forEach(voter::drop);
     }
 
     /** A new generation's first version is chosen by being in the founding. */
-    void learnFounded(final Follower follower) {
-        final Voters table = voter.voters();
+    void learnFounded(final FeedClient follower) {
+        final VoterSet table = voter.voters();
         if (table == null
-                || voter.state() != Voter.State.VOTING
+                || voter.state() != Acceptor.State.VOTING
                 || book.policy().version() >= table.firstNumber()) {
             return;
         }
-        final Register first = voter.registers().get(Versions.key(table.firstNumber()));
+        final Register first = voter.registers().get(ConfigurationKeys.key(table.firstNumber()));
         if (first != null && first.value() != null) {
             follower.learn(table.firstNumber(), first.value());
         }
@@ -135,7 +136,7 @@
 
     /** Drops the registers that nothing refers to any more. */
     void tidy() {
-        if (voter.state() != Voter.State.VOTING || !context.fleet.settled()) {
+        if (voter.state() != Acceptor.State.VOTING || !context.fleet.settled()) {
             return;
         }
         final List<String> over = new ArrayList<>();
--- a/spokestall/src/main/java/spokestall/Discovery.java
+++ b/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
@@ -1,27 +1,27 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.List;
-import spokestall.ballot.Voter;
-import spokestall.listing.Listing;
-import spokestall.listing.ListingNote;
-import spokestall.listing.Prober;
-import spokestall.view.View;
+import spokestall.consensus.Acceptor;
+import spokestall.discovery.DiscoveryMessage;
+import spokestall.discovery.EndpointRegistry;
+import spokestall.discovery.HealthChecker;
+import spokestall.gossip.PartialView;
 
 /** What this node knows of upstreams; a core reads the list and probes too, and stores the list on its disk. */
-final class Discovery {
+final class DiscoveryComponent {
     static final String KEPT = "~listed";
     private static final int LISTED_MAX = 8192;
     /** For how many leave bounds an entry is kept that is absent. */
     private static final int ABSENT_BOUNDS = 30;
 
     private final NodeContext context;
-    private Prober prober;
-    private Kept kept;
-    final Listing listing;
+    private HealthChecker prober;
+    private PersistedState kept;
+    final EndpointRegistry listing;
 
-    Discovery(final NodeContext context) {
+    DiscoveryComponent(final NodeContext context) {
         this.context = context;
-        this.listing = new Listing(
+        this.listing = new EndpointRegistry(
                 context.life,
                 LISTED_MAX,
                 context.settings().ms("leaveBoundMs"),
@@ -29,8 +29,12 @@
     }
 
     /** On a core: reads what its disk has from before, and is ready to probe. */
-    void open(final Neighbours neighbours, final View view, final Voter voter, final Prober.Reach reach) {
-        prober = new Prober(
+    void open(
+            final PeerDirectory neighbours,
+            final PartialView view,
+            final Acceptor voter,
+            final HealthChecker.Reach reach) {
+        prober = new HealthChecker(
                 context.self(),
                 listing,
                 reach,
@@ -39,8 +43,9 @@
                 context.paces().prober(),
                 neighbours::otherCores,
                 view::members);
-        kept = new Kept(voter, KEPT, listing::changes, () -> new ListingNote.Push(listing.listed(), List.of(), 0));
-        final ListingNote.Push before = kept.read(ListingNote.Push.class);
+        kept = new PersistedState(
+                voter, KEPT, listing::changes, () -> new DiscoveryMessage.Push(listing.listed(), List.of(), 0));
+        final DiscoveryMessage.Push before = kept.read(DiscoveryMessage.Push.class);
         if (before != null) {
             listing.merge(before.listed(), List.of());
         }
@@ -59,7 +64,7 @@
         listing.prune(context.fleet.nowMs() - context.settings().part("leaveBoundMs", ABSENT_BOUNDS));
     }
 
-    void hear(final ListingNote.Push push) {
+    void hear(final DiscoveryMessage.Push push) {
         listing.merge(push.listed(), push.reports());
         listing.read(Math.min(push.readMs(), context.fleet.nowMs()));
     }
--- a/spokestall/src/main/java/spokestall/Feeds.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,20 +8,20 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import spokestall.ballot.Voter;
-import spokestall.ballot.Voters;
-import spokestall.feed.FeedNote;
-import spokestall.feed.Versions;
-import spokestall.policy.Change;
-import spokestall.policy.Snapshot;
-import spokestall.view.Member;
-import spokestall.wire.Codec;
-import spokestall.wire.Marks;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationSnapshot;
+import spokestall.configuration.feed.ConfigurationKeys;
+import spokestall.configuration.feed.FeedMessage;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.VoterSet;
+import spokestall.gossip.NodeInfo;
+import spokestall.message.Fingerprints;
+import spokestall.message.MessageCodec;
 
 /** What a core tells those who follow the feed, and what it learns of edges by their asking. */
-final class Feeds {
+final class FeedServer {
     /** An edge as it last asked. */
-    record Present(Member member, boolean fresh, int open, long heardMs) {}
+    record Present(NodeInfo member, boolean fresh, int open, long heardMs) {}
 
     /** A larger change is fetched, not told to all. */
     private static final int NEWS_BYTES_MAX = 16 << 10;
@@ -33,7 +33,7 @@
     /** The name that was last heard from an address. */
     private final Map<String, String> names = new HashMap<>();
 
-    Feeds(final Node node) {
+    FeedServer(final Node node) {
         this.node = node;
     }
 
@@ -58,42 +58,42 @@
         final Set<String> all = new TreeSet<>();
         node.view.members().forEach(m -> all.add(m.address()));
         edges.values().forEach(p -> all.add(p.member().address()));
-        final Map<Long, Change> after = node.book.after(version - 1);
-        final Change change = after == null ? null : after.get(version);
-        final FeedNote.FeedNews news = new FeedNote.FeedNews(
-                version, change == null || change.json().length > NEWS_BYTES_MAX ? null : Codec.bytes(change));
+        final Map<Long, ConfigurationChange> after = node.book.after(version - 1);
+        final ConfigurationChange change = after == null ? null : after.get(version);
+        final FeedMessage.FeedNews news = new FeedMessage.FeedNews(
+                version, change == null || change.json().length > NEWS_BYTES_MAX ? null : MessageCodec.bytes(change));
         all.forEach(to -> node.context.post.send(to, news));
     }
 
     /** Answers one who follows: what is newest here, and the news from its places on. */
-    void answer(final FeedNote.FeedAsk ask) {
+    void answer(final FeedMessage.FeedAsk ask) {
         if (ask.self().serves()) {
             heard(new Present(ask.self(), ask.fresh(), ask.open(), node.context.clock.nowMs()));
         }
-        final boolean voting = node.storage.voter.state() == Voter.State.VOTING;
+        final boolean voting = node.storage.voter.state() == Acceptor.State.VOTING;
         final long applied = node.book.policy().version();
-        final List<FeedNote.Numbered> changes = new ArrayList<>();
-        Snapshot snapshot = null;
+        final List<FeedMessage.Numbered> changes = new ArrayList<>();
+        ConfigurationSnapshot snapshot = null;
         final boolean ready = ready();
         if (ask.news() && ready && ask.place() < applied) {
-            final Map<Long, Change> after = node.book.after(ask.place());
+            final Map<Long, ConfigurationChange> after = node.book.after(ask.place());
             if (after == null) {
                 snapshot = node.book.snapshot();
             } else {
-                after.forEach((version, change) -> changes.add(new FeedNote.Numbered(version, change)));
+                after.forEach((version, change) -> changes.add(new FeedMessage.Numbered(version, change)));
             }
         }
         final long from = ask.listingLife() == node.discovery.listing.life() ? ask.listingPlace() : 0;
         final boolean news = ask.news() && ready;
-        final Voters table = node.storage.voter.voters();
+        final VoterSet table = node.storage.voter.voters();
         final boolean terse = node.context.settings().ms("noteVersion") >= TERSE;
         final boolean had = terse && table != null && table.same(ask.generation(), ask.epoch());
-        final Collection<Member> fresh = freshEdges();
+        final Collection<NodeInfo> fresh = freshEdges();
         final long mark = terse ? mark(fresh) : 0;
         final boolean brief = terse && (ask.edgesMark() == mark || !ask.news());
         node.context.post.send(
                 ask.from(),
-                new FeedNote.FeedBack(
+                new FeedMessage.FeedBack(
                         node.context.name,
                         node.storage.voter.diskId(),
                         ask.askId(),
@@ -115,16 +115,16 @@
     }
 
     /** Answers one who wants a proof alone; one whose table is older gets this one's. */
-    void answer(final FeedNote.ProofAsk ask) {
-        final Voters table = node.storage.voter.voters();
+    void answer(final FeedMessage.ProofAsk ask) {
+        final VoterSet table = node.storage.voter.voters();
         final long newest = newest();
-        final boolean voting = node.storage.voter.state() == Voter.State.VOTING;
+        final boolean voting = node.storage.voter.state() == Acceptor.State.VOTING;
         final long applied = ready() ? node.book.policy().version() : 0;
         final boolean stranger = ask.serves() && !present(ask);
-        if (table != null && table.newerThan(new Voters(ask.generation(), ask.epoch(), List.of()))) {
+        if (table != null && table.newerThan(new VoterSet(ask.generation(), ask.epoch(), List.of()))) {
             node.context.post.send(
                     ask.from(),
-                    new FeedNote.FeedBack(
+                    new FeedMessage.FeedBack(
                             node.context.name,
                             node.storage.voter.diskId(),
                             ask.askId(),
@@ -147,12 +147,12 @@
         }
         node.context.post.send(
                 ask.from(),
-                new FeedNote.ProofBack(
+                new FeedMessage.ProofBack(
                         node.context.name,
                         ask.askId(),
                         table == null ? 0 : table.generation(),
                         table == null ? 0 : table.epoch(),
-                        Marks.of(node.storage.voter.diskId()),
+                        Fingerprints.of(node.storage.voter.diskId()),
                         voting,
                         stranger,
                         newest,
@@ -160,24 +160,24 @@
     }
 
     private boolean ready() {
-        return node.storage.voter.state() == Voter.State.VOTING
+        return node.storage.voter.state() == Acceptor.State.VOTING
                 && node.storage.voter.voters().firstNumber()
                         <= node.book.policy().version();
     }
 
     private long newest() {
         final long applied = node.book.policy().version();
-        return node.storage.voter.state() == Voter.State.VOTING
-                ? Math.max(applied, Versions.newest(node.storage.voter.registers()))
+        return node.storage.voter.state() == Acceptor.State.VOTING
+                ? Math.max(applied, ConfigurationKeys.newest(node.storage.voter.registers()))
                 : applied;
     }
 
     /** Whether the asker is known, as the same life; then it was heard now. */
-    private boolean present(final FeedNote.ProofAsk ask) {
+    private boolean present(final FeedMessage.ProofAsk ask) {
         final Present had = edges.get(names.getOrDefault(ask.from(), ""));
-        Member found = had != null && is(had.member(), ask) ? had.member() : null;
+        NodeInfo found = had != null && is(had.member(), ask) ? had.member() : null;
         if (found == null) {
-            for (final Member m : node.view.members()) {
+            for (final NodeInfo m : node.view.members()) {
                 found = is(m, ask) ? m : found;
             }
         }
@@ -192,7 +192,7 @@
         return true;
     }
 
-    private static boolean is(final Member member, final FeedNote.ProofAsk asker) {
+    private static boolean is(final NodeInfo member, final FeedMessage.ProofAsk asker) {
         return member.life() == asker.life() && member.address().equals(asker.from());
     }
 
@@ -202,8 +202,8 @@
     }
 
     /** Edges heard a moment ago that may serve. */
-    Collection<Member> freshEdges() {
-        final List<Member> found = new ArrayList<>();
+    Collection<NodeInfo> freshEdges() {
+        final List<NodeInfo> found = new ArrayList<>();
         for (final Present p : edges.values()) {
             if (p.fresh()
                     && !p.member().leaving()
@@ -216,9 +216,9 @@
     }
 
     /** The mark of what {@code where} needs of edges, in their order. */
-    private static long mark(final Collection<Member> edges) {
+    private static long mark(final Collection<NodeInfo> edges) {
         final StringBuilder all = new StringBuilder();
-        for (final Member m : edges) {
+        for (final NodeInfo m : edges) {
             all.append(m.name())
                     .append(' ')
                     .append(m.httpAddress())
@@ -231,6 +231,6 @@
                     .append(m.leaving())
                     .append('\n');
         }
-        return Marks.of(all.toString());
+        return Fingerprints.of(all.toString());
     }
 }
--- a/spokestall/src/main/java/spokestall/Departure.java
+++ b/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.node;
 
 import spokestall.time.Clock;
 
@@ -7,7 +7,7 @@
  * then takes no more of them; then denies what still comes, which has not run; then ends the connections at rest; and at
  * the end of its time answers what is still under way. It is over sooner when no connection is open.
  */
-final class Departure {
+final class GracefulShutdown {
     /** How long after its begin each step comes, the last one ending it, and how often it is looked at. An answer that
      * was given has so long to be written. */
     record Pace(long acceptMs, long admitMs, long restMs, long mostMs, long lookMs, long writeMs) {}
@@ -38,7 +38,7 @@
         }
     }
 
-    private final Connections connections;
+    private final ClientConnections connections;
     private final Requests requests;
     private final Clock clock;
     private final Pace pace;
@@ -48,8 +48,8 @@
     private boolean denying;
     private boolean ending;
 
-    Departure(
-            final Connections connections,
+    GracefulShutdown(
+            final ClientConnections connections,
             final Requests requests,
             final Clock clock,
             final Pace pace,
--- a/spokestall/src/main/java/spokestall/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,27 +6,27 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
-import spokestall.edge.Directory;
-import spokestall.feed.Follower;
-import spokestall.view.Member;
-import spokestall.view.View;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.gossip.NodeInfo;
+import spokestall.gossip.PartialView;
+import spokestall.proxy.EdgeDirectory;
 
 /** The edges that clients are told of. */
 final class KnownEdges {
     private final NodeContext context;
-    private final View view;
-    private final Follower follower;
-    private final Feeds feeds;
+    private final PartialView view;
+    private final FeedClient follower;
+    private final FeedServer feeds;
     private final BooleanSupplier ready;
     private final long startedMs;
-    final Directory directory = new Directory();
+    final EdgeDirectory directory = new EdgeDirectory();
 
     /** ready tells whether this node serves now. */
     KnownEdges(
             final NodeContext context,
-            final View view,
-            final Follower follower,
-            final Feeds feeds,
+            final PartialView view,
+            final FeedClient follower,
+            final FeedServer feeds,
             final BooleanSupplier ready) {
         this.context = context;
         this.view = view;
@@ -40,8 +40,8 @@
      * The edges believed to serve: those whose own word is fresh, this one among them, or those last named while no core answers.
      * One that is known but said nothing of itself is not named: a caller would be refused there, and leave what it has.
      */
-    Collection<Member> forClients() {
-        final Map<String, Member> found = new TreeMap<>();
+    Collection<NodeInfo> forClients() {
+        final Map<String, NodeInfo> found = new TreeMap<>();
         heard().forEach(e -> found.put(e.name(), e));
         if (ready.getAsBoolean() && (!found.isEmpty() || !justStarted())) {
             // Alone it is named only once the others have had time to be heard, or all callers would come to it.
@@ -57,16 +57,16 @@
     }
 
     /** A core that has just started, or that nobody asks since it has no seat, goes by the word of another core. */
-    private Collection<Member> heard() {
+    private Collection<NodeInfo> heard() {
         final long spanMs = context.settings().heardMs();
         if (!context.core) {
             return follower.edges(spanMs);
         }
-        final Collection<Member> asking = feeds.freshEdges();
+        final Collection<NodeInfo> asking = feeds.freshEdges();
         if (!asking.isEmpty() && !justStarted()) {
             return asking;
         }
-        final List<Member> both = new ArrayList<>(follower.edges(spanMs));
+        final List<NodeInfo> both = new ArrayList<>(follower.edges(spanMs));
         both.addAll(asking);
         return both;
     }
--- a/spokestall/src/main/java/spokestall/Membership.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -1,45 +1,45 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
-import spokestall.ballot.BallotNote;
-import spokestall.ballot.Council;
-import spokestall.ballot.CouncilNote;
-import spokestall.ballot.FormNote;
-import spokestall.ballot.Formation;
-import spokestall.ballot.Founder;
-import spokestall.ballot.Handover;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Remains;
-import spokestall.ballot.Voter;
-import spokestall.ballot.Voters;
-import spokestall.policy.Book;
-import spokestall.wire.Codec;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.VoterSet;
+import spokestall.membership.BootstrapAcceptor;
+import spokestall.membership.BootstrapMessage;
+import spokestall.membership.BootstrapProposer;
+import spokestall.membership.GracefulHandover;
+import spokestall.membership.MembershipCoordinator;
+import spokestall.membership.MembershipMessage;
+import spokestall.membership.SurvivingState;
+import spokestall.message.MessageCodec;
 
 /**
  * Who votes: the first table of voters, its changes, and what this node gives to a new generation. An edge has no voter and
  * no formation; it follows the table, and as a seed it votes on the first one.
  */
-final class Membership {
+final class MembershipComponent {
     private final NodeContext context;
     private final Proposer proposer;
-    private final Book book;
-    private final Voter voter;
+    private final ConfigurationStore book;
+    private final Acceptor voter;
     private final LongSupplier tokenSeen;
-    private final Council council;
-    private final Founder founder;
-    private final Formation formation;
-    private final Handover handover;
+    private final BootstrapAcceptor council;
+    private final BootstrapProposer founder;
+    private final MembershipCoordinator formation;
+    private final GracefulHandover handover;
 
     /** The storage is null on an edge; tokenSeen is the highest fencing token that was stored here. */
-    Membership(
+    MembershipComponent(
             final NodeContext context,
-            final Neighbours neighbours,
+            final PeerDirectory neighbours,
             final Proposer proposer,
-            final Book book,
+            final ConfigurationStore book,
             final CoreStorage storage,
-            final Losses losses,
+            final ToleratedSeatLoss losses,
             final LongSupplier tokenSeen) {
         this.context = context;
         this.proposer = proposer;
@@ -47,7 +47,7 @@
         this.voter = storage == null ? null : storage.voter;
         this.tokenSeen = tokenSeen;
         final boolean first = isFirstLife();
-        this.council = new Council(
+        this.council = new BootstrapAcceptor(
                 context.address,
                 context.settings().seeds(),
                 first,
@@ -66,8 +66,8 @@
                 && (voter == null || voter.openedBlank());
     }
 
-    private Founder founder() {
-        return new Founder(
+    private BootstrapProposer founder() {
+        return new BootstrapProposer(
                 context.name,
                 context.address,
                 context.proposerId(),
@@ -75,11 +75,11 @@
                 context.post,
                 context.clock,
                 context.paces().founder(),
-                seats -> new Merge(context.fleet).merge(0, List.of(remains()), seats));
+                seats -> new GenerationMerger(context.fleet).merge(0, List.of(remains()), seats));
     }
 
-    private Formation formation(final Neighbours neighbours, final Losses losses) {
-        return new Formation(
+    private MembershipCoordinator formation(final PeerDirectory neighbours, final ToleratedSeatLoss losses) {
+        return new MembershipCoordinator(
                 context.name,
                 context.address,
                 context.proposerId(),
@@ -88,7 +88,7 @@
                 context.post,
                 context.clock,
                 context.paces().formation(),
-                new Merge(context.fleet),
+                new GenerationMerger(context.fleet),
                 this::remains,
                 neighbours::coreAndEdgeAddresses,
                 neighbours::otherCoreAddresses,
@@ -98,8 +98,8 @@
                 losses);
     }
 
-    private Handover handover() {
-        return new Handover(
+    private GracefulHandover handover() {
+        return new GracefulHandover(
                 context.name,
                 context.address,
                 voter,
@@ -125,7 +125,7 @@
     }
 
     /** Goes by a table, if it is newer than the one here. */
-    void adopt(final Voters table) {
+    void adopt(final VoterSet table) {
         if (formation == null) {
             proposer.adopt(table);
         } else {
@@ -133,14 +133,14 @@
         }
     }
 
-    void hear(final BallotNote message) {
-        if (message instanceof BallotNote.Table table) {
+    void hear(final ConsensusMessage message) {
+        if (message instanceof ConsensusMessage.Table table) {
             adopt(table.voters());
-        } else if (message instanceof BallotNote.HoldBack back) {
+        } else if (message instanceof ConsensusMessage.HoldBack back) {
             if (handover != null) {
                 handover.hear(back);
             }
-        } else if (message instanceof BallotNote.Promise || message instanceof BallotNote.Accepted) {
+        } else if (message instanceof ConsensusMessage.Promise || message instanceof ConsensusMessage.Accepted) {
             proposer.hear(message);
         } else if (voter != null) {
             voter.hear(message, context.address);
@@ -152,46 +152,46 @@
         handover.begin(done);
     }
 
-    void hear(final CouncilNote message) {
+    void hear(final BootstrapMessage message) {
         council.hear(message);
         if (founder != null) {
             founder.hear(message);
         }
     }
 
-    void hear(final FormNote message) {
-        if (message instanceof FormNote.RemainsAsk ask) {
-            context.post.send(ask.from(), new FormNote.RemainsBack(remains()));
+    void hear(final MembershipMessage message) {
+        if (message instanceof MembershipMessage.RemainsAsk ask) {
+            context.post.send(ask.from(), new MembershipMessage.RemainsBack(remains()));
         } else if (formation != null) {
             formation.hear(message);
-        } else if (message instanceof FormNote.Standing standing) {
+        } else if (message instanceof MembershipMessage.Standing standing) {
             hear(standing);
         }
     }
 
     /** An edge and a core tell each other of the newer table. */
-    private void hear(final FormNote.Standing standing) {
+    private void hear(final MembershipMessage.Standing standing) {
         if (standing.table() != null && standing.table().newerThan(proposer.voters())) {
             proposer.adopt(standing.table());
         } else if (standing.lacks(proposer.voters())) {
-            context.post.send(standing.address(), new BallotNote.Table(proposer.voters()));
+            context.post.send(standing.address(), new ConsensusMessage.Table(proposer.voters()));
         }
     }
 
     /** What this node has for a new generation. */
-    private Remains remains() {
-        final List<BallotNote.Entry> registers = new ArrayList<>();
+    private SurvivingState remains() {
+        final List<ConsensusMessage.Entry> registers = new ArrayList<>();
         final boolean hasState = voter != null && voter.keepsState();
         if (hasState) {
-            voter.registers().forEach((key, register) -> registers.add(new BallotNote.Entry(key, register)));
+            voter.registers().forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
         }
-        final Voters table = proposer.voters();
+        final VoterSet table = proposer.voters();
         final long version = book.policy().version();
-        return new Remains(
+        return new SurvivingState(
                 context.name,
                 table == null ? 0 : table.generation(),
                 version,
-                version == 0 ? null : Codec.bytes(book.snapshot()),
+                version == 0 ? null : MessageCodec.bytes(book.snapshot()),
                 tokenSeen.getAsLong(),
                 hasState,
                 registers);
--- a/spokestall/src/main/java/spokestall/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -1,50 +1,50 @@
-package spokestall;
+package spokestall.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.google.common.flogger.FluentLogger;
 import java.util.List;
 import java.util.Random;
 import java.util.function.Consumer;
-import spokestall.audit.Audit;
+import spokestall.api.CallRegistry;
+import spokestall.api.Reply;
+import spokestall.audit.AuditSink;
 import spokestall.audit.Auditor;
-import spokestall.ballot.BallotNote;
-import spokestall.ballot.CouncilNote;
-import spokestall.ballot.FormNote;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Register;
-import spokestall.ballot.Voter;
-import spokestall.ballot.Voters;
-import spokestall.duty.LeaseKeeper;
-import spokestall.duty.Reporter;
-import spokestall.duty.Sealed;
-import spokestall.duty.UsageCounter;
-import spokestall.duty.UsageNote;
-import spokestall.edge.Directory;
-import spokestall.edge.Edge;
-import spokestall.edge.Upstreams;
-import spokestall.feed.FeedNote;
-import spokestall.feed.Follower;
-import spokestall.hand.HandNote;
-import spokestall.listing.Listing;
-import spokestall.listing.ListingNote;
-import spokestall.listing.Prober;
-import spokestall.policy.Acceptance;
-import spokestall.policy.Book;
-import spokestall.policy.OwnForm;
-import spokestall.policy.Policy;
-import spokestall.policy.PolicyForm;
-import spokestall.policy.Rules;
-import spokestall.ring.Segments;
-import spokestall.rpc.Calls;
-import spokestall.rpc.Reply;
-import spokestall.settings.Renewal;
+import spokestall.configuration.Configuration;
+import spokestall.configuration.ConfigurationFormat;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.ConfigurationValidator;
+import spokestall.configuration.NativeConfigurationFormat;
+import spokestall.configuration.change.ChangeCoordinator;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.configuration.feed.FeedMessage;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Register;
+import spokestall.consensus.VoterSet;
+import spokestall.discovery.DiscoveryMessage;
+import spokestall.discovery.EndpointRegistry;
+import spokestall.discovery.HealthChecker;
+import spokestall.gossip.GossipMessage;
+import spokestall.gossip.PartialView;
+import spokestall.handoff.HandoffMessage;
+import spokestall.lease.LeaseManager;
+import spokestall.membership.BootstrapMessage;
+import spokestall.membership.MembershipMessage;
+import spokestall.message.Message;
+import spokestall.message.MessageCodec;
+import spokestall.message.MessageSender;
+import spokestall.proxy.AdmissionController;
+import spokestall.proxy.EdgeDirectory;
+import spokestall.proxy.UpstreamClient;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsUpdate;
+import spokestall.storage.SegmentStore;
 import spokestall.time.Clock;
-import spokestall.view.View;
-import spokestall.view.ViewNote;
-import spokestall.wire.Codec;
-import spokestall.wire.Note;
-import spokestall.wire.Post;
+import spokestall.usage.SealedWindow;
+import spokestall.usage.UsageCounter;
+import spokestall.usage.UsageMessage;
+import spokestall.usage.UsageReporter;
 
 /**
  * One node, whole: its state machines joined to each other and to the rim. Everything here runs on one stage; time,
@@ -55,45 +55,45 @@
     public record Rim(
             Clock clock,
             Random random,
-            Post post,
-            Segments segments,
-            Prober.Reach reach,
-            Upstreams upstreams,
-            Reporter.Platform platform,
-            Audit audit) {}
+            MessageSender post,
+            SegmentStore segments,
+            HealthChecker.Reach reach,
+            UpstreamClient upstreams,
+            UsageReporter.Platform platform,
+            AuditSink audit) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int HURRIED = 4;
 
     static {
-        Notes.number();
+        MessageNumbers.number();
     }
 
     final NodeContext context;
-    final View view;
-    final Book book;
-    final Discovery discovery;
-    final Handoff handoff;
+    final PartialView view;
+    final ConfigurationStore book;
+    final DiscoveryComponent discovery;
+    final HandoffComponent handoff;
     final Proposer proposer;
-    final Follower follower;
-    final Acceptance acceptance;
-    final Audit audit;
-    final Calls calls = new Calls();
-    final Feeds feeds = new Feeds(this);
-    final Neighbours neighbours;
-    private final Membership membership;
+    final FeedClient follower;
+    final ChangeCoordinator acceptance;
+    final AuditSink audit;
+    final CallRegistry calls = new CallRegistry();
+    final FeedServer feeds = new FeedServer(this);
+    final PeerDirectory neighbours;
+    private final MembershipComponent membership;
     final KnownEdges knownEdges;
     /** Null on a node without a disk. */
     final CoreStorage storage;
     /** Null on a node without a disk. */
-    final UsageDuty duty;
+    final UsageComponent duty;
     /** Null on a node without a disk. */
     private final Auditor auditor;
     /** Null on a node that answers no clients. */
-    private final Serving serving;
+    private final ProxyComponent serving;
 
     private boolean stopped;
-    private Consumer<Policy> watcher = policy -> {};
+    private Consumer<Configuration> watcher = policy -> {};
 
     /** Example: {@code new Node(settings, true, rim).start();} */
     public Node(final Settings settings, final boolean core, final Rim rim) {
@@ -101,11 +101,11 @@
     }
 
     /** With policies in another form than spokestall's own. Example: {@code new Node(settings, true, rim, form).start();} */
-    public Node(final Settings settings, final boolean core, final Rim rim, final PolicyForm other) {
-        final PolicyForm form = other == null ? ownForm(settings) : other;
+    public Node(final Settings settings, final boolean core, final Rim rim, final ConfigurationFormat other) {
+        final ConfigurationFormat form = other == null ? ownForm(settings) : other;
         this.context = new NodeContext(settings, core, rim, this::hear);
-        this.book = new Book(CoreStorage.POLICY_KEPT, form);
-        this.view = new View(
+        this.book = new ConfigurationStore(CoreStorage.POLICY_KEPT, form);
+        this.view = new PartialView(
                 context.self(),
                 settings.seeds(),
                 context.post,
@@ -113,9 +113,9 @@
                 context.fleet,
                 context.random,
                 context.paces().view());
-        this.neighbours = new Neighbours(context, view, this::voters);
-        this.discovery = new Discovery(context);
-        this.handoff = new Handoff(context, this::voters, this::heardMs);
+        this.neighbours = new PeerDirectory(context, view, this::voters);
+        this.discovery = new DiscoveryComponent(context);
+        this.handoff = new HandoffComponent(context, this::voters, this::heardMs);
         this.proposer = new Proposer(
                 context.proposerId(),
                 context.address,
@@ -126,17 +126,17 @@
                 handoff::missed);
         this.storage = core ? new CoreStorage(context, rim.segments(), book, this::voters, this::mayVote) : null;
         this.duty = core
-                ? new UsageDuty(context, neighbours, storage.voter, proposer, rim.platform(), feeds::presentLife)
+                ? new UsageComponent(context, neighbours, storage.voter, proposer, rim.platform(), feeds::presentLife)
                 : null;
-        this.membership = new Membership(
+        this.membership = new MembershipComponent(
                 context,
                 neighbours,
                 proposer,
                 book,
                 storage,
-                new Losses(settings, view),
+                new ToleratedSeatLoss(settings, view),
                 core ? duty::tokenSeen : () -> 0);
-        this.follower = new Follower(
+        this.follower = new FeedClient(
                 view::self,
                 book,
                 discovery.listing,
@@ -151,7 +151,7 @@
                 neighbours::distance);
         this.knownEdges = new KnownEdges(context, view, follower, feeds, this::ready);
         this.serving = context.serves ? serving(rim) : null;
-        this.acceptance = new Acceptance(
+        this.acceptance = new ChangeCoordinator(
                 context.name,
                 book,
                 form,
@@ -167,21 +167,21 @@
         if (core) {
             open(rim);
         }
-        new Desk(this).open();
+        new OperatorCallHandler(this).open();
     }
 
-    private PolicyForm ownForm(final Settings settings) {
-        return new OwnForm(new Rules(
+    private ConfigurationFormat ownForm(final Settings settings) {
+        return new NativeConfigurationFormat(new ConfigurationValidator(
                 calls.file().at("/$defs/policy"),
                 settings.regions(),
                 settings.districts().keySet()));
     }
 
-    private Serving serving(final Rim rim) {
-        return new Serving(
+    private ProxyComponent serving(final Rim rim) {
+        return new ProxyComponent(
                 context,
                 neighbours,
-                new Serving.Sources(
+                new ProxyComponent.Sources(
                         view.self(), book, discovery.listing, follower, proposer, handoff.shelf, rim.upstreams()));
     }
 
@@ -196,15 +196,15 @@
 
     private void stored(final String key, final Register register) {
         duty.seen(key, register);
-        if (register.value() != null && Sealed.windowOf(key) >= 0) {
-            auditor.window(Codec.record(register.value(), Sealed.class));
+        if (register.value() != null && SealedWindow.windowOf(key) >= 0) {
+            auditor.window(MessageCodec.record(register.value(), SealedWindow.class));
         }
     }
 
     /** Takes what a running node can change of newer settings, and tells which settings it goes on with. A founding
      * that is under way keeps the seeds it began with. Example: {@code front.renew(node.renew(newer));} */
     public Settings renew(final Settings newer) {
-        final Renewal renewal = Renewal.of(context.settings(), newer, context.core);
+        final SettingsUpdate renewal = SettingsUpdate.of(context.settings(), newer, context.core);
         context.renew(renewal.settings());
         view.seeds(renewal.settings().seeds());
         follower.pace(context.paces().follower());
@@ -321,7 +321,7 @@
     }
 
     /** The edge part, or null on a core. Example: {@code node.edge().open(head)} */
-    public Edge edge() {
+    public AdmissionController edge() {
         return serving == null ? null : serving.edge;
     }
 
@@ -331,7 +331,7 @@
     }
 
     /** The voter part, or null on an edge. Example: {@code node.voter().state()} */
-    public Voter voter() {
+    public Acceptor voter() {
         return storage == null ? null : storage.voter;
     }
 
@@ -346,22 +346,22 @@
     }
 
     /** The duty's keeper, or null on an edge. Example: {@code node.keeper().execution()} */
-    public LeaseKeeper keeper() {
+    public LeaseManager keeper() {
         return duty == null ? null : duty.keeper;
     }
 
     /** The policy in force here. Example: {@code node.book().policy().version()} */
-    public Book book() {
+    public ConfigurationStore book() {
         return book;
     }
 
     /** The follower of the feed. Example: {@code node.follower().fresh()} */
-    public Follower follower() {
+    public FeedClient follower() {
         return follower;
     }
 
     /** The upstreams known here. Example: {@code node.listing().listed()} */
-    public Listing listing() {
+    public EndpointRegistry listing() {
         return discovery.listing;
     }
 
@@ -372,13 +372,15 @@
 
     /** Leaves: where answers first, then what is in flight and the connections, then the duties; done is run when all
      * is given up. Example: {@code node.leave(front.connections(), () -> System.exit(0));} */
-    public void leave(final Connections connections, final Runnable done) {
+    public void leave(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=leaving node=%s", context.name);
         view.leave();
         follower.tick();
         knownEdges.publish();
-        final Departure.Requests requests = serving == null ? new Departure.Idle() : serving;
-        new Departure(connections, requests, context.clock, context.paces().departure(), () -> giveUp(done)).begin();
+        final GracefulShutdown.Requests requests = serving == null ? new GracefulShutdown.Idle() : serving;
+        new GracefulShutdown(
+                        connections, requests, context.clock, context.paces().departure(), () -> giveUp(done))
+                .begin();
     }
 
     /** The duty goes last: what edges count until their end is still told by whoever holds it. */
@@ -399,7 +401,7 @@
         done.run();
     }
 
-    Voters voters() {
+    VoterSet voters() {
         return proposer.voters();
     }
 
@@ -416,7 +418,7 @@
     }
 
     /** Has someone told of the policy in force, now and each time it moves. Example: {@code node.watch(p -> ...);} */
-    public void watch(final Consumer<Policy> newer) {
+    public void watch(final Consumer<Configuration> newer) {
         watcher = newer;
         watcher.accept(book.policy());
     }
@@ -432,44 +434,44 @@
         }
     }
 
-    /** Hears a note from another process. Example: {@code node.hear(Codec.note(frame));} */
-    public void hear(final Note note) {
+    /** Hears a note from another process. Example: {@code node.hear(MessageCodec.note(frame));} */
+    public void hear(final Message note) {
         if (stopped) {
             return;
         }
-        if (note instanceof ViewNote message) {
+        if (note instanceof GossipMessage message) {
             view.hear(message);
-        } else if (note instanceof BallotNote message) {
+        } else if (note instanceof ConsensusMessage message) {
             membership.hear(message);
-        } else if (note instanceof CouncilNote message) {
+        } else if (note instanceof BootstrapMessage message) {
             membership.hear(message);
-        } else if (note instanceof FormNote message) {
+        } else if (note instanceof MembershipMessage message) {
             hear(message);
-        } else if (note instanceof FeedNote message) {
+        } else if (note instanceof FeedMessage message) {
             hear(message);
-        } else if (note instanceof ListingNote.Push message) {
+        } else if (note instanceof DiscoveryMessage.Push message) {
             discovery.hear(message);
-        } else if (note instanceof UsageNote message) {
+        } else if (note instanceof UsageMessage message) {
             hear(message);
-        } else if (note instanceof HandNote message) {
+        } else if (note instanceof HandoffMessage message) {
             handoff.hear(message, edge());
         }
     }
 
-    private void hear(final FormNote message) {
+    private void hear(final MembershipMessage message) {
         membership.hear(message);
-        if (context.core && message instanceof FormNote.Standing standing && standing.voting()) {
+        if (context.core && message instanceof MembershipMessage.Standing standing && standing.voting()) {
             handoff.handOver(standing, storage.voter);
         }
     }
 
     /** Questions are for cores, answers for all. */
-    private void hear(final FeedNote message) {
-        if (message instanceof FeedNote.FeedAsk ask) {
+    private void hear(final FeedMessage message) {
+        if (message instanceof FeedMessage.FeedAsk ask) {
             if (context.core) {
                 feeds.answer(ask);
             }
-        } else if (message instanceof FeedNote.ProofAsk ask) {
+        } else if (message instanceof FeedMessage.ProofAsk ask) {
             if (context.core) {
                 feeds.answer(ask);
             }
@@ -478,8 +480,8 @@
         }
     }
 
-    private void hear(final UsageNote message) {
-        if (message instanceof UsageNote.CountsHad had && serving != null) {
+    private void hear(final UsageMessage message) {
+        if (message instanceof UsageMessage.CountsHad had && serving != null) {
             serving.hear(had);
         }
         if (duty != null) {
@@ -488,7 +490,7 @@
     }
 
     /** The edges that callers are told of, for any thread. Example: {@code Where.near(node.directory().edges(), "r1", "d1")} */
-    public Directory directory() {
+    public EdgeDirectory directory() {
         return knownEdges.directory;
     }
 
@@ -503,7 +505,7 @@
     }
 
     /** Takes operators' orders. Example: {@code node.acceptance().agree("hold-1", draft, 2000, reply -> ...);} */
-    public Acceptance acceptance() {
+    public ChangeCoordinator acceptance() {
         return acceptance;
     }
 }
--- a/spokestall/src/main/java/spokestall/NodeContext.java
+++ b/spokestall/src/main/java/spokestall/node/NodeContext.java
@@ -1,12 +1,12 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.Random;
+import spokestall.gossip.NodeInfo;
+import spokestall.message.Message;
+import spokestall.message.MessageSender;
 import spokestall.settings.Settings;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
-import spokestall.view.Member;
-import spokestall.wire.Note;
-import spokestall.wire.Post;
 
 /** What every part of one node is made with: who the node is, its settings, and how it gets time, chance and messages out. */
 final class NodeContext {
@@ -18,7 +18,7 @@
     final Clock clock;
     final Random random;
     final FleetClock fleet;
-    final Post post;
+    final MessageSender post;
     private Settings settings;
 
     /** A message to this node itself goes to the receiver, as an event of its own. */
@@ -26,7 +26,7 @@
             final Settings settings,
             final boolean core,
             final Node.Rim rim,
-            final java.util.function.Consumer<Note> receiver) {
+            final java.util.function.Consumer<Message> receiver) {
         this.settings = settings;
         this.core = core;
         this.name = settings.text("name");
@@ -54,8 +54,8 @@
         settings = newer;
     }
 
-    Paces paces() {
-        return new Paces(settings, core);
+    Timings paces() {
+        return new Timings(settings, core);
     }
 
     /** This node's life as a proposer: no two lives share it. */
@@ -69,8 +69,8 @@
     }
 
     /** This node as others speak of it. */
-    Member self() {
-        return new Member(
+    NodeInfo self() {
+        return new NodeInfo(
                 name,
                 address,
                 settings.text("http"),
--- a/spokestall/src/main/java/spokestall/Desk.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -1,33 +1,33 @@
-package spokestall;
+package spokestall.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.Consumer;
-import spokestall.ballot.Outcome;
-import spokestall.ballot.Seat;
-import spokestall.duty.Sealed;
-import spokestall.edge.Ticket;
-import spokestall.edge.Where;
-import spokestall.feed.Follower;
-import spokestall.listing.Listed;
-import spokestall.listing.Report;
-import spokestall.policy.Book;
-import spokestall.policy.Change;
-import spokestall.policy.Draft;
-import spokestall.policy.KeyHash;
-import spokestall.policy.Tenant;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
-import spokestall.view.Member;
-import spokestall.wire.Codec;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.KeyHash;
+import spokestall.configuration.Tenant;
+import spokestall.configuration.change.ChangeDraft;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.Voter;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthObservation;
+import spokestall.gossip.NodeInfo;
+import spokestall.message.MessageCodec;
+import spokestall.proxy.EdgeSelector;
+import spokestall.proxy.RequestTicket;
+import spokestall.usage.SealedWindow;
 
 /** The calls of operators and of {@code where}, each read and answered at one node. */
-final class Desk {
+final class OperatorCallHandler {
     private final Node node;
 
-    Desk(final Node node) {
+    OperatorCallHandler(final Node node) {
         this.node = node;
     }
 
@@ -35,34 +35,36 @@
     void open() {
         node.calls.on("where", this::where);
         node.calls.on("policy.get", (p, done) -> policyGet(done));
-        node.calls.on("status", (p, done) -> done.accept(Reply.of(Result.OK, status())));
-        node.calls.on("upstreams", (p, done) -> done.accept(Reply.of(Result.OK, upstreams())));
+        node.calls.on("status", (p, done) -> done.accept(Reply.of(ResultCode.OK, status())));
+        node.calls.on("upstreams", (p, done) -> done.accept(Reply.of(ResultCode.OK, upstreams())));
         node.calls.on("usage.get", this::usageGet);
         if (node.context.core) {
-            node.calls.on("policy.put", (p, done) -> take(p, write(Change.Kind.PUT, p.get("policy")), done));
-            node.calls.on("policy.patch", (p, done) -> take(p, write(Change.Kind.PATCH, p.get("patch")), done));
+            node.calls.on(
+                    "policy.put", (p, done) -> take(p, write(ConfigurationChange.Kind.PUT, p.get("policy")), done));
+            node.calls.on(
+                    "policy.patch", (p, done) -> take(p, write(ConfigurationChange.Kind.PATCH, p.get("patch")), done));
             node.calls.on(
                     "key.add",
                     (p, done) -> key(
                             p,
-                            Book.JSON
+                            ConfigurationStore.JSON
                                     .createObjectNode()
                                     .put("sha256", KeyHash.of(p.get("key").asText())),
                             done));
-            node.calls.on("key.withdraw", (p, done) -> key(p, Book.JSON.nullNode(), done));
+            node.calls.on("key.withdraw", (p, done) -> key(p, ConfigurationStore.JSON.nullNode(), done));
             node.calls.on(
                     "hold.set",
                     (p, done) -> hold(
                             p,
-                            Book.JSON
+                            ConfigurationStore.JSON
                                     .createObjectNode()
                                     .put("reason", p.path("reason").asText("")),
                             done));
             node.calls.on("audit.get", (p, done) -> {
                 final ObjectNode newest = node.audit.newest(p.path("most").asInt(50));
-                done.accept(newest == null ? Reply.of(Result.NOT_FOUND, null) : Reply.of(Result.OK, newest));
+                done.accept(newest == null ? Reply.of(ResultCode.NOT_FOUND, null) : Reply.of(ResultCode.OK, newest));
             });
-            node.calls.on("hold.clear", (p, done) -> hold(p, Book.JSON.nullNode(), done));
+            node.calls.on("hold.clear", (p, done) -> hold(p, ConfigurationStore.JSON.nullNode(), done));
         }
     }
 
@@ -70,53 +72,55 @@
     private void policyGet(final Consumer<Reply> done) {
         node.acceptance.newest(node.context.settings().ms("policyBoundMs"), policy -> {
             if (policy == null) {
-                done.accept(Reply.of(Result.NOT_READY, null));
+                done.accept(Reply.of(ResultCode.NOT_READY, null));
                 return;
             }
-            final ObjectNode out = Book.JSON.createObjectNode().put("version", policy.version());
+            final ObjectNode out = ConfigurationStore.JSON.createObjectNode().put("version", policy.version());
             out.put("ageMs", node.follower.ageMs()).set("policy", policy.tree());
-            done.accept(Reply.of(Result.OK, out));
+            done.accept(Reply.of(ResultCode.OK, out));
         });
     }
 
-    private void take(final JsonNode p, final Draft draft, final Consumer<Reply> done) {
+    private void take(final JsonNode p, final ChangeDraft draft, final Consumer<Reply> done) {
         node.acceptance.take(p.get("base").asLong(), p.get("changeId").asText(), draft, done);
     }
 
-    private static Draft write(final Change.Kind kind, final JsonNode json) {
-        return tree -> new Draft.Drafted.Write(kind, json);
+    private static ChangeDraft write(final ConfigurationChange.Kind kind, final JsonNode json) {
+        return tree -> new ChangeDraft.Drafted.Write(kind, json);
     }
 
     private void key(final JsonNode p, final JsonNode value, final Consumer<Reply> done) {
         final String cell = p.get("cell").asText();
         final String tenant = p.get("tenant").asText();
         final String keyId = p.get("keyId").asText();
-        final ObjectNode patch = Book.JSON.createObjectNode();
+        final ObjectNode patch = ConfigurationStore.JSON.createObjectNode();
         patch.putObject("cells")
                 .putObject(cell)
                 .putObject("tenants")
                 .putObject(tenant)
                 .putObject("keys")
                 .set(keyId, value);
-        final Draft draft = tree -> {
+        final ChangeDraft draft = tree -> {
             final JsonNode of = tree.path("cells").path(cell).path("tenants").path(tenant);
             final boolean missing =
                     of.isMissingNode() || value.isNull() && !of.path("keys").has(keyId);
-            return missing ? new Draft.Drafted.Missing() : new Draft.Drafted.Write(Change.Kind.PATCH, patch);
+            return missing
+                    ? new ChangeDraft.Drafted.Missing()
+                    : new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         };
         take(p, draft, done);
     }
 
     private void hold(final JsonNode p, final JsonNode value, final Consumer<Reply> done) {
-        final ObjectNode patch = Book.JSON.createObjectNode();
+        final ObjectNode patch = ConfigurationStore.JSON.createObjectNode();
         patch.putObject("holds").set(p.get("district").asText(), value);
-        take(p, write(Change.Kind.PATCH, patch), done);
+        take(p, write(ConfigurationChange.Kind.PATCH, patch), done);
     }
 
     /** A fresh proof is enough to name edges; a key is called bad only by what is proved newest after the call came. */
     private void where(final JsonNode p, final Consumer<Reply> done) {
         if (!node.follower.fresh() || node.voters() == null) {
-            done.accept(Reply.of(Result.NOT_FRESH, null));
+            done.accept(Reply.of(ResultCode.NOT_FRESH, null));
             return;
         }
         final String key = KeyHash.of(p.get("key").asText());
@@ -127,9 +131,9 @@
         }
         node.acceptance.newest(node.context.settings().ms("freshMs"), policy -> {
             if (policy == null) {
-                done.accept(Reply.of(Result.NOT_FRESH, null));
+                done.accept(Reply.of(ResultCode.NOT_FRESH, null));
             } else if (policy.tenantOf(key) == null) {
-                done.accept(Reply.of(Result.BAD_KEY, null));
+                done.accept(Reply.of(ResultCode.BAD_KEY, null));
             } else {
                 where(p, policy.tenantOf(key), done);
             }
@@ -137,45 +141,47 @@
     }
 
     private void where(final JsonNode p, final Tenant tenant, final Consumer<Reply> done) {
-        final List<Member> found = Where.elect(
+        final List<NodeInfo> found = EdgeSelector.elect(
                 p.get("client").asText(),
                 node.knownEdges.forClients(),
                 tenant.homeRegions(),
                 node.book.policy().holds(),
                 2);
         if (found.isEmpty()) {
-            done.accept(Reply.of(Result.NO_UPSTREAM, null));
+            done.accept(Reply.of(ResultCode.NO_UPSTREAM, null));
             return;
         }
-        final ObjectNode out = Book.JSON.createObjectNode();
+        final ObjectNode out = ConfigurationStore.JSON.createObjectNode();
         final ArrayNode list = out.putArray("edges");
         found.forEach(m -> list.addObject()
                 .put("name", m.name())
                 .put("address", m.httpAddress())
                 .put("region", m.region()));
         out.put("forMs", node.context.settings().part("leaveBoundMs", 0.4));
-        out.put("ticket", new Ticket(node.voters().generation(), node.context.fleet.nowMs()).text());
-        done.accept(Reply.of(Result.OK, out));
+        out.put("ticket", new RequestTicket(node.voters().generation(), node.context.fleet.nowMs()).text());
+        done.accept(Reply.of(ResultCode.OK, out));
     }
 
     private void usageGet(final JsonNode p, final Consumer<Reply> done) {
         node.proposer.read(
-                Sealed.key(p.get("window").asLong()), node.context.settings().ms("policyBoundMs"), outcome -> {
-                    if (outcome instanceof Outcome.Done d && d.value() != null) {
-                        final Sealed sealed = Codec.record(d.value(), Sealed.class);
-                        final ObjectNode out = Book.JSON
+                SealedWindow.key(p.get("window").asLong()),
+                node.context.settings().ms("policyBoundMs"),
+                outcome -> {
+                    if (outcome instanceof ProposalOutcome.Done d && d.value() != null) {
+                        final SealedWindow sealed = MessageCodec.record(d.value(), SealedWindow.class);
+                        final ObjectNode out = ConfigurationStore.JSON
                                 .createObjectNode()
                                 .put("window", sealed.window())
                                 .put("completed", sealed.completed())
                                 .put("token", sealed.token());
                         final ObjectNode counts = out.putObject("counts");
                         sealed.counts().forEach(counts::put);
-                        done.accept(Reply.of(Result.OK, out));
+                        done.accept(Reply.of(ResultCode.OK, out));
                     } else {
                         done.accept(Reply.of(
-                                outcome instanceof Outcome.Done || outcome instanceof Outcome.Gone
-                                        ? Result.NOT_FOUND
-                                        : Result.NOT_READY,
+                                outcome instanceof ProposalOutcome.Done || outcome instanceof ProposalOutcome.Gone
+                                        ? ResultCode.NOT_FOUND
+                                        : ResultCode.NOT_READY,
                                 null));
                     }
                 });
@@ -190,11 +196,11 @@
     }
 
     private ObjectNode upstreams() {
-        final ObjectNode out = Book.JSON.createObjectNode();
+        final ObjectNode out = ConfigurationStore.JSON.createObjectNode();
         local(out);
         final ArrayNode list = out.putArray("upstreams");
-        for (final Listed l : node.discovery.listing.listed()) {
-            final Report word = node.discovery.listing.word(l.instance(), node.context.fleet.nowMs());
+        for (final Endpoint l : node.discovery.listing.listed()) {
+            final HealthObservation word = node.discovery.listing.word(l.instance(), node.context.fleet.nowMs());
             list.addObject()
                     .put("instance", l.instance())
                     .put("service", l.service())
@@ -208,13 +214,13 @@
     }
 
     private ObjectNode status() {
-        final ObjectNode out = Book.JSON.createObjectNode();
+        final ObjectNode out = ConfigurationStore.JSON.createObjectNode();
         out.put("node", node.context.name)
                 .put("role", node.context.core ? "core" : "edge")
                 .put("fleetMs", node.context.fleet.nowMs());
         local(out);
         final ObjectNode nodes = out.putObject("nodes");
-        for (final Member m : node.view.members()) {
+        for (final NodeInfo m : node.view.members()) {
             nodes.putObject(m.name())
                     .put("role", m.core() ? "core" : "edge")
                     .put("address", m.address())
@@ -228,8 +234,8 @@
             final ObjectNode table = out.putObject("voters")
                     .put("generation", node.voters().generation())
                     .put("epoch", node.voters().epoch());
-            for (final Seat s : node.voters().seats()) {
-                final Follower.Word back = node.follower.last().get(s.name());
+            for (final Voter s : node.voters().seats()) {
+                final FeedClient.Word back = node.follower.last().get(s.name());
                 final boolean heard = back != null
                         && node.follower.heardMs(s.name())
                                 < Math.max(
@@ -254,7 +260,7 @@
                                     .asText());
             if (node.context.core) {
                 int open = 0;
-                for (final Feeds.Present p : node.feeds.edges().values()) {
+                for (final FeedServer.Present p : node.feeds.edges().values()) {
                     open += p.member().district().equals(district) ? p.open() : 0;
                 }
                 hold.put("open", open).put("empty", open == 0);
--- a/spokestall/src/main/java/spokestall/Neighbours.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -1,27 +1,27 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Supplier;
-import spokestall.ballot.Seat;
-import spokestall.ballot.Voters;
-import spokestall.view.Member;
-import spokestall.view.View;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.gossip.NodeInfo;
+import spokestall.gossip.PartialView;
 
 /** The other nodes as this one knows them, by its view and by the table of voters. */
-final class Neighbours {
+final class PeerDirectory {
     private static final int SAME_DISTRICT = 0;
     private static final int SAME_REGION = 1;
     private static final int ELSEWHERE = 2;
     private final NodeContext context;
-    private final View view;
-    private final Supplier<Voters> voters;
+    private final PartialView view;
+    private final Supplier<VoterSet> voters;
     private int sharersMost = 1;
     private long sharersSeen = -1;
 
-    Neighbours(final NodeContext context, final View view, final Supplier<Voters> voters) {
+    PeerDirectory(final NodeContext context, final PartialView view, final Supplier<VoterSet> voters) {
         this.context = context;
         this.view = view;
         this.voters = voters;
@@ -29,7 +29,7 @@
 
     /** How far the node at an address is: 0 is this node's district, 1 its region, 2 any other place. */
     int distance(final String of) {
-        for (final Member member : view.members()) {
+        for (final NodeInfo member : view.members()) {
             if (member.address().equals(of)) {
                 return distance(member);
             }
@@ -37,24 +37,24 @@
         return ELSEWHERE;
     }
 
-    private int distance(final Member member) {
+    private int distance(final NodeInfo member) {
         if (member.district().equals(context.settings().text("district"))) {
             return SAME_DISTRICT;
         }
         return member.region().equals(context.settings().region()) ? SAME_REGION : ELSEWHERE;
     }
 
-    List<Member> otherCores() {
-        return view.members().stream().filter(Member::core).toList();
+    List<NodeInfo> otherCores() {
+        return view.members().stream().filter(NodeInfo::core).toList();
     }
 
     /** The voters, or before there are any the cores that are known. */
     List<String> coreAddresses() {
         if (voters.get() != null) {
-            return voters.get().seats().stream().map(Seat::address).toList();
+            return voters.get().seats().stream().map(Voter::address).toList();
         }
         final List<String> found =
-                new ArrayList<>(otherCores().stream().map(Member::address).toList());
+                new ArrayList<>(otherCores().stream().map(NodeInfo::address).toList());
         if (context.core) {
             found.add(context.address);
         }
@@ -64,7 +64,7 @@
     /** All nodes that are known, voters too, but for this one. */
     List<String> coreAndEdgeAddresses() {
         final Set<String> found =
-                new TreeSet<>(view.members().stream().map(Member::address).toList());
+                new TreeSet<>(view.members().stream().map(NodeInfo::address).toList());
         if (voters.get() != null) {
             voters.get().seats().forEach(s -> found.add(s.address()));
         }
@@ -74,7 +74,7 @@
 
     List<String> otherCoreAddresses() {
         final Set<String> found =
-                new TreeSet<>(otherCores().stream().map(Member::address).toList());
+                new TreeSet<>(otherCores().stream().map(NodeInfo::address).toList());
         found.addAll(coreAddresses());
         found.remove(context.address);
         return List.copyOf(found);
@@ -83,13 +83,13 @@
     List<String> homeCores(final Set<String> regions) {
         return view.members().stream()
                 .filter(m -> m.core() && regions.contains(m.region()))
-                .map(Member::address)
+                .map(NodeInfo::address)
                 .toList();
     }
 
     /** The address of a core's seat, or its name where it has none. */
     String seatAddress(final String core) {
-        final Seat seat = voters.get() == null ? null : voters.get().seat(core);
+        final Voter seat = voters.get() == null ? null : voters.get().seat(core);
         return seat == null ? core : seat.address();
     }
 
@@ -103,7 +103,7 @@
         }
         sharersSeen = view.changes();
         int serving = context.serves ? 1 : 0;
-        for (final Member member : view.members()) {
+        for (final NodeInfo member : view.members()) {
             serving += member.serves() ? 1 : 0;
         }
         sharersMost = Math.max(sharersMost, serving);
@@ -112,13 +112,13 @@
 
     /** Nodes configured with other counts of nodes than this one: shared bounds are divided by them. */
     List<String> differing() {
-        final Member self = view.self();
+        final NodeInfo self = view.self();
         if (self.edges() == 0) {
             return List.of();
         }
         return view.members().stream()
                 .filter(m -> m.edges() != 0 && (m.edges() != self.edges() || m.cores() != self.cores()))
-                .map(Member::name)
+                .map(NodeInfo::name)
                 .toList();
     }
 }
--- a/spokestall/src/main/java/spokestall/Kept.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -1,28 +1,28 @@
-package spokestall;
+package spokestall.node;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.IOException;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import spokestall.ballot.Voter;
-import spokestall.wire.Codec;
-import spokestall.wire.Note;
+import spokestall.consensus.Acceptor;
+import spokestall.message.Message;
+import spokestall.message.MessageCodec;
 
 /**
  * A part of a core's memory that also lies on its disk, so that a core that starts need not wait for others to tell it: what
  * it was before the last loss, written as a note of the newest version, at most once a beat and while no write is under way.
  */
-final class Kept {
+final class PersistedState {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int BYTES_MAX = 256 << 10;
-    private final Voter voter;
+    private final Acceptor voter;
     private final String key;
     private final LongSupplier changes;
-    private final Supplier<Note> now;
+    private final Supplier<Message> now;
     private long written;
     private boolean writing;
 
-    Kept(final Voter voter, final String key, final LongSupplier changes, final Supplier<Note> now) {
+    PersistedState(final Acceptor voter, final String key, final LongSupplier changes, final Supplier<Message> now) {
         this.voter = voter;
         this.key = key;
         this.changes = changes;
@@ -30,10 +30,10 @@
     }
 
     /** What was kept, or null. */
-    <T extends Note> T read(final Class<T> type) {
+    <T extends Message> T read(final Class<T> type) {
         final byte[] had = voter.own(key);
         try {
-            return had == null ? null : type.cast(Codec.note(had));
+            return had == null ? null : type.cast(MessageCodec.note(had));
         } catch (final IOException | ClassCastException e) {
             LOG.atWarning().log("event=kept_unread key=%s why=\"%s\"", key, e.getMessage());
             return null;
@@ -45,7 +45,7 @@
         if (writing || change == written) {
             return;
         }
-        final byte[] bytes = Codec.note(now.get(), Codec.VERSION);
+        final byte[] bytes = MessageCodec.note(now.get(), MessageCodec.VERSION);
         if (bytes.length > BYTES_MAX) {
             return;
         }
--- a/spokestall/src/main/java/spokestall/Serving.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -1,50 +1,50 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import spokestall.ballot.Proposer;
-import spokestall.duty.UsageCounter;
-import spokestall.duty.UsageNote;
-import spokestall.edge.Edge;
-import spokestall.edge.Elector;
-import spokestall.edge.Parts;
-import spokestall.edge.Upstreams;
-import spokestall.feed.Follower;
-import spokestall.hand.Shelf;
-import spokestall.listing.Listed;
-import spokestall.listing.Listing;
-import spokestall.policy.Book;
-import spokestall.policy.ServiceRule;
-import spokestall.view.Member;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.ServiceLimits;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.Proposer;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.EndpointRegistry;
+import spokestall.gossip.NodeInfo;
+import spokestall.handoff.ResponseCache;
+import spokestall.proxy.AdmissionController;
+import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.ProxyContext;
+import spokestall.proxy.UpstreamClient;
+import spokestall.usage.UsageCounter;
+import spokestall.usage.UsageMessage;
 
 /** The part of a node that answers clients: their requests, the choice of upstreams, and the count of what was begun. */
-final class Serving implements Departure.Requests {
+final class ProxyComponent implements GracefulShutdown.Requests {
     private final NodeContext context;
-    private final Neighbours neighbours;
-    private final Book book;
-    private final Listing listing;
-    private final Elector elector;
+    private final PeerDirectory neighbours;
+    private final ConfigurationStore book;
+    private final EndpointRegistry listing;
+    private final LoadBalancer elector;
     private Set<String> heldBefore = Set.of();
-    final Edge edge;
+    final AdmissionController edge;
     final UsageCounter counter;
 
     /** What it takes of the other parts of its node. */
     record Sources(
-            Member self,
-            Book book,
-            Listing listing,
-            Follower follower,
+            NodeInfo self,
+            ConfigurationStore book,
+            EndpointRegistry listing,
+            FeedClient follower,
             Proposer proposer,
-            Shelf shelf,
-            Upstreams upstreams) {}
+            ResponseCache shelf,
+            UpstreamClient upstreams) {}
 
-    Serving(final NodeContext context, final Neighbours neighbours, final Sources sources) {
+    ProxyComponent(final NodeContext context, final PeerDirectory neighbours, final Sources sources) {
         this.context = context;
         this.neighbours = neighbours;
         this.book = sources.book();
         this.listing = sources.listing();
-        this.elector = new Elector(
+        this.elector = new LoadBalancer(
                 context.settings().region(),
                 context.settings().text("district"),
                 service -> listing.ready(service, context.fleet.nowMs()),
@@ -64,9 +64,9 @@
         this.edge = edge(sources);
     }
 
-    private Edge edge(final Sources sources) {
-        return new Edge(
-                new Parts(
+    private AdmissionController edge(final Sources sources) {
+        return new AdmissionController(
+                new ProxyContext(
                         sources.self(),
                         book,
                         sources.follower(),
@@ -96,10 +96,10 @@
 
     /** Forgets what was learnt of upstreams that are listed no more. */
     void retain() {
-        elector.retain(listing.listed().stream().map(Listed::instance).collect(Collectors.toUnmodifiableSet()));
+        elector.retain(listing.listed().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
     }
 
-    void hear(final UsageNote.CountsHad message) {
+    void hear(final UsageMessage.CountsHad message) {
         counter.hear(message, neighbours.seatAddress(message.name()));
     }
 
@@ -115,8 +115,8 @@
     }
 
     private void chill(final String district) {
-        for (final Listed listed : listing.listed()) {
-            final ServiceRule rule = book.policy().service(listed.service());
+        for (final Endpoint listed : listing.listed()) {
+            final ServiceLimits rule = book.policy().service(listed.service());
             if (listed.district().equals(district) && rule != null) {
                 elector.chill(
                         List.of(listed.instance()),
--- a/spokestall/src/main/java/spokestall/Paces.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -1,33 +1,33 @@
-package spokestall;
+package spokestall.node;
 
 import java.util.function.IntSupplier;
-import spokestall.ballot.Formation;
-import spokestall.ballot.Founder;
-import spokestall.ballot.Handover;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Voters;
-import spokestall.duty.LeaseKeeper;
-import spokestall.duty.Reporter;
-import spokestall.duty.UsageCounter;
-import spokestall.edge.Edge;
-import spokestall.edge.Elector;
-import spokestall.edge.Habits;
-import spokestall.feed.Follower;
-import spokestall.listing.Prober;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.VoterSet;
+import spokestall.discovery.HealthChecker;
+import spokestall.gossip.PartialView;
+import spokestall.lease.LeaseManager;
+import spokestall.membership.BootstrapProposer;
+import spokestall.membership.GracefulHandover;
+import spokestall.membership.MembershipCoordinator;
+import spokestall.proxy.AdmissionController;
+import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
-import spokestall.view.View;
+import spokestall.usage.UsageCounter;
+import spokestall.usage.UsageReporter;
 
 /** The time spans and bounds of each part of a node, taken from the settings. */
-final class Paces {
+final class Timings {
     /** What a count that was not told is taken for where a table needs a bound. */
-    private static final int UNTOLD = Voters.SEATS_MAX;
+    private static final int UNTOLD = VoterSet.SEATS_MAX;
     /** The version of messages since which an asker is told only what it lacks. */
     private static final int TERSE = 3;
 
     private final Settings settings;
     private final boolean core;
 
-    Paces(final Settings settings, final boolean core) {
+    Timings(final Settings settings, final boolean core) {
         this.settings = settings;
         this.core = core;
     }
@@ -46,8 +46,8 @@
         return settings.ms("reportWindowS") * 1000;
     }
 
-    View.Pace view() {
-        return new View.Pace(
+    PartialView.Pace view() {
+        return new PartialView.Pace(
                 2 * (told("cores") + told("edges")),
                 6,
                 settings.part("leaveBoundMs", 4),
@@ -59,8 +59,8 @@
         return new Proposer.Pace(4 * farMs, Math.max(1, farMs / 2), 64);
     }
 
-    Follower.Pace follower() {
-        return new Follower.Pace(
+    FeedClient.Pace follower() {
+        return new FeedClient.Pace(
                 settings.ms("freshMs"),
                 32,
                 3 * settings.ms("proofMs"),
@@ -68,13 +68,13 @@
                 settings.ms("noteVersion") < TERSE);
     }
 
-    Founder.Pace founder() {
-        return new Founder.Pace(
+    BootstrapProposer.Pace founder() {
+        return new BootstrapProposer.Pace(
                 settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
     }
 
-    Formation.Pace formation() {
-        return new Formation.Pace(
+    MembershipCoordinator.Pace formation() {
+        return new MembershipCoordinator.Pace(
                 (int) settings.ms("cores"),
                 settings.part("leaveBoundMs", 0.6),
                 settings.part("leaveBoundMs", 0.15),
@@ -86,12 +86,12 @@
                 settings.part("leaveBoundMs", 8));
     }
 
-    Handover.Pace handover() {
-        return new Handover.Pace(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
+    GracefulHandover.Pace handover() {
+        return new GracefulHandover.Pace(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
-    Prober.Pace prober() {
-        return new Prober.Pace(
+    HealthChecker.Pace prober() {
+        return new HealthChecker.Pace(
                 settings.part("leaveBoundMs", 0.25),
                 settings.part("leaveBoundMs", 0.5),
                 2,
@@ -111,8 +111,8 @@
                 settings.ms("farMs") / 2);
     }
 
-    Reporter.Pace reporter() {
-        return new Reporter.Pace(
+    UsageReporter.Pace reporter() {
+        return new UsageReporter.Pace(
                 windowMs(),
                 settings.part("reportDueMs", 0.15),
                 settings.part("reportDueMs", 0.5),
@@ -123,8 +123,8 @@
                 settings.number("dutiesPerS"));
     }
 
-    LeaseKeeper.Pace lease() {
-        return new LeaseKeeper.Pace(
+    LeaseManager.Pace lease() {
+        return new LeaseManager.Pace(
                 settings.ms("leaseMs"),
                 settings.part("leaseMs", 0.2),
                 settings.part("leaseMs", 0.4),
@@ -134,8 +134,8 @@
                 settings.ms("restMs"));
     }
 
-    Elector.Pace elector(final IntSupplier sharers) {
-        return new Elector.Pace(
+    LoadBalancer.Pace elector(final IntSupplier sharers) {
+        return new LoadBalancer.Pace(
                 sharers,
                 settings.number("warmRatio"),
                 settings.number("warmSlack"),
@@ -145,8 +145,8 @@
                 settings.number("regionCost"));
     }
 
-    Edge.Pace edge() {
-        return new Edge.Pace(
+    AdmissionController.Pace edge() {
+        return new AdmissionController.Pace(
                 (int) settings.ms("askOpenMax"),
                 settings.ms("heldMaxBytes"),
                 settings.ms("claimKeepMs"),
@@ -158,7 +158,7 @@
                 settings.number("retryAllowance"),
                 settings.ms("askSpanMaxMs"),
                 settings.part("claimKeepMs", 0.01),
-                new Habits(
+                new RequestConventions(
                         settings.ms("keyed") == 1,
                         settings.ms("claims") == 1,
                         settings.ms("homeEdges") == 1,
@@ -167,8 +167,8 @@
                         settings.ms("any500") == 1));
     }
 
-    Departure.Pace departure() {
-        return new Departure.Pace(
+    GracefulShutdown.Pace departure() {
+        return new GracefulShutdown.Pace(
                 settings.part("stopWaitMs", 0.2),
                 settings.part("stopWaitMs", 0.75),
                 settings.part("stopWaitMs", 0.9),
--- a/spokestall/src/main/java/spokestall/UsageDuty.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -1,50 +1,50 @@
-package spokestall;
+package spokestall.node;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Function;
-import spokestall.ballot.Ballot;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Register;
-import spokestall.ballot.Voter;
-import spokestall.duty.Lease;
-import spokestall.duty.LeaseKeeper;
-import spokestall.duty.Reporter;
-import spokestall.duty.UsageBook;
-import spokestall.duty.UsageNote;
-import spokestall.wire.Codec;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Register;
+import spokestall.lease.Lease;
+import spokestall.lease.LeaseManager;
+import spokestall.message.MessageCodec;
+import spokestall.usage.UsageMessage;
+import spokestall.usage.UsageReporter;
+import spokestall.usage.UsageTable;
 
 /** A core's part in the usage report: the counts of all edges, the lease on reporting them, and the report. */
-final class UsageDuty {
+final class UsageComponent {
     private static final String DUTY = "usage_report";
     static final String LEASE = "duty/" + DUTY;
     static final String KEPT = "~usage";
-    private static final Register NO_LEASE = new Register(Ballot.NONE, Ballot.NONE, null);
+    private static final Register NO_LEASE = new Register(ProposalNumber.NONE, ProposalNumber.NONE, null);
     private static final int WINDOWS_KEPT = 16;
     private final NodeContext context;
-    private final Voter voter;
-    private final UsageBook counts;
-    private final Kept kept;
-    private List<UsageNote.Count> countsBefore = List.of();
+    private final Acceptor voter;
+    private final UsageTable counts;
+    private final PersistedState kept;
+    private List<UsageMessage.Count> countsBefore = List.of();
     private long tokenSeen;
-    final Reporter reporter;
-    final LeaseKeeper keeper;
+    final UsageReporter reporter;
+    final LeaseManager keeper;
 
-    UsageDuty(
+    UsageComponent(
             final NodeContext context,
-            final Neighbours neighbours,
-            final Voter voter,
+            final PeerDirectory neighbours,
+            final Acceptor voter,
             final Proposer proposer,
-            final Reporter.Platform platform,
+            final UsageReporter.Platform platform,
             final Function<String, Long> presentLife) {
         this.context = context;
         this.voter = voter;
-        final Paces paces = context.paces();
+        final Timings paces = context.paces();
         final long windowMs = paces.windowMs();
-        this.counts = new UsageBook(() -> context.fleet.nowMs() / windowMs, WINDOWS_KEPT);
-        this.kept =
-                new Kept(voter, KEPT, counts::changes, () -> new UsageNote.Counts(context.address, 0, counts.all()));
-        this.reporter = new Reporter(
+        this.counts = new UsageTable(() -> context.fleet.nowMs() / windowMs, WINDOWS_KEPT);
+        this.kept = new PersistedState(
+                voter, KEPT, counts::changes, () -> new UsageMessage.Counts(context.address, 0, counts.all()));
+        this.reporter = new UsageReporter(
                 context.name,
                 context.address,
                 counts,
@@ -57,13 +57,13 @@
                 neighbours::coreAddresses,
                 this::floorMs,
                 presentLife);
-        this.keeper = new LeaseKeeper(
+        this.keeper = new LeaseManager(
                 DUTY, context.name, proposer, context.clock, context.random, paces.lease(), reporter, this::leaseHere);
     }
 
     /** Reads what this core's disk has from before. */
     void open() {
-        final UsageNote.Counts before = kept.read(UsageNote.Counts.class);
+        final UsageMessage.Counts before = kept.read(UsageMessage.Counts.class);
         if (before != null) {
             countsBefore = before.counts();
         }
@@ -74,7 +74,8 @@
     void seen(final String key, final Register register) {
         if (key.equals(LEASE) && register.value() != null) {
             tokenSeen = Math.max(
-                    tokenSeen, Codec.record(register.value(), Lease.class).token());
+                    tokenSeen,
+                    MessageCodec.record(register.value(), Lease.class).token());
         }
     }
 
@@ -88,8 +89,8 @@
      * doesn't vote: without the registers it can't tell which windows it may report.
      */
     void tickLease(final boolean leaving) {
-        final boolean mayAcquire = voter.state() == Voter.State.VOTING && !leaving;
-        if (context.fleet.settled() && (keeper.state() == LeaseKeeper.State.HOLDING || mayAcquire)) {
+        final boolean mayAcquire = voter.state() == Acceptor.State.VOTING && !leaving;
+        if (context.fleet.settled() && (keeper.state() == LeaseManager.State.HOLDING || mayAcquire)) {
             keeper.tick();
         }
     }
@@ -106,14 +107,14 @@
         }
     }
 
-    void hear(final UsageNote message) {
-        if (message instanceof UsageNote.Counts told) {
+    void hear(final UsageMessage message) {
+        if (message instanceof UsageMessage.Counts told) {
             told.counts().forEach(counts::merge);
-            context.post.send(told.from(), new UsageNote.CountsHad(context.name, told.stamp(), context.life));
-        } else if (message instanceof UsageNote.CountAsk ask) {
+            context.post.send(told.from(), new UsageMessage.CountsHad(context.name, told.stamp(), context.life));
+        } else if (message instanceof UsageMessage.CountAsk ask) {
             context.post.send(
-                    ask.from(), new UsageNote.CountBack(context.name, ask.window(), counts.counts(ask.window())));
-        } else if (message instanceof UsageNote.CountBack back) {
+                    ask.from(), new UsageMessage.CountBack(context.name, ask.window(), counts.counts(ask.window())));
+        } else if (message instanceof UsageMessage.CountBack back) {
             reporter.hear(back);
         }
     }
@@ -125,11 +126,11 @@
 
     /** This voter's copy of the lease, or null while it doesn't vote. */
     private Register leaseHere() {
-        return voter.state() != Voter.State.VOTING ? null : voter.registers().getOrDefault(LEASE, NO_LEASE);
+        return voter.state() != Acceptor.State.VOTING ? null : voter.registers().getOrDefault(LEASE, NO_LEASE);
     }
 
     private long floorMs() {
-        final Register floor = voter.registers().get(Merge.FLOOR);
+        final Register floor = voter.registers().get(GenerationMerger.FLOOR);
         return floor == null || floor.value() == null
                 ? context.fleet.nowMs()
                 : Long.parseLong(new String(floor.value(), StandardCharsets.UTF_8));
