--- a/spokestall/src/main/java/spokestall/edge/Edge.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.EnumMap;
@@ -9,21 +9,21 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
-import spokestall.hand.HandNote;
-import spokestall.policy.Binding;
-import spokestall.policy.KeyHash;
-import spokestall.policy.Policy;
-import spokestall.policy.ServiceRule;
-import spokestall.policy.Target;
-import spokestall.policy.Tenant;
-import spokestall.rpc.Result;
-import spokestall.wire.Content;
+import spokestall.api.ResultCode;
+import spokestall.configuration.Configuration;
+import spokestall.configuration.KeyHash;
+import spokestall.configuration.RequestTarget;
+import spokestall.configuration.Route;
+import spokestall.configuration.ServiceLimits;
+import spokestall.configuration.Tenant;
+import spokestall.handoff.HandoffMessage;
+import spokestall.message.ResponseContent;
 
 /**
  * An edge's asks: admission, before a body is read, and what all asks share. Without a fresh proof of the policy nothing
  * is admitted and no go is begun. "Not run" is said only when it is proven.
  */
-public final class Edge {
+public final class AdmissionController {
     /** Bounds, from the settings. */
     public record Pace(
             int asksOpenMax,
@@ -37,7 +37,7 @@
             double retryAllowance,
             long spanMaxMs,
             long ticketAheadMs,
-            Habits habits) {}
+            RequestConventions habits) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** Methods that speak of the wire, not of what is behind it. */
@@ -45,22 +45,22 @@
 
     private static final Pattern ASK_ID = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
-    private final Parts parts;
+    private final ProxyContext parts;
     private Pace pace;
-    private final Places places;
+    private final ConcurrencyLimiter places;
     private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private final Map<Long, Consumer<HandNote.Back>> handAsks = new HashMap<>();
-    private final Map<Result, Long> told = new EnumMap<>(Result.class);
-    private final Map<Result, Long> said = new EnumMap<>(Result.class);
-    private final Set<Run> underway = new HashSet<>();
+    private final Map<Long, Consumer<HandoffMessage.Back>> handAsks = new HashMap<>();
+    private final Map<ResultCode, Long> told = new EnumMap<>(ResultCode.class);
+    private final Map<ResultCode, Long> said = new EnumMap<>(ResultCode.class);
+    private final Set<RequestExecution> underway = new HashSet<>();
     private boolean leaving;
     private long nextHandId = 1;
 
     /** Example: see {@code Node}. */
-    public Edge(final Parts parts, final Pace pace) {
+    public AdmissionController(final ProxyContext parts, final Pace pace) {
         this.parts = parts;
         this.pace = pace;
-        this.places = new Places(pace.asksOpenMax(), pace.heldMaxBytes());
+        this.places = new ConcurrencyLimiter(pace.asksOpenMax(), pace.heldMaxBytes());
     }
 
     /** Keeps to other bounds from now on; places and bytes stay as they were handed out.
@@ -73,7 +73,7 @@
         return pace;
     }
 
-    Places places() {
+    ConcurrencyLimiter places() {
         return places;
     }
 
@@ -87,8 +87,8 @@
         return places.bytes();
     }
 
-    /** How often each result was told. Example: {@code edge.told().get(Result.OK)} */
-    public Map<Result, Long> told() {
+    /** How often each result was told. Example: {@code edge.told().get(ResultCode.OK)} */
+    public Map<ResultCode, Long> told() {
         return told;
     }
 
@@ -99,77 +99,77 @@
 
     /** Answers all that is under way; what may have run is said to be undecided. Example: {@code edge.giveUp();} */
     public void giveUp() {
-        List.copyOf(underway).forEach(Run::giveUp);
+        List.copyOf(underway).forEach(RequestExecution::giveUp);
     }
 
     /** Admission, before the body is read; done hears the final answer of an ask that was let in.
-     * Example: {@code edge.open(head, answer -> ...) instanceof Opened.Admit} */
-    public Opened open(final AskHead head, final Consumer<Answer> done) {
-        final Ticket ticket = Ticket.of(head.askId());
-        final Ran doubt = ticket != null ? Ran.UNDECIDED : Ran.NOT_RUN;
+     * Example: {@code edge.open(head, answer -> ...) instanceof AdmissionResult.Admit} */
+    public AdmissionResult open(final RequestHead head, final Consumer<Response> done) {
+        final RequestTicket ticket = RequestTicket.of(head.askId());
+        final ExecutionStatus doubt = ticket != null ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN;
         if (pace.habits().keyed() && head.key() == null
                 || head.askId() == null
                 || !ASK_ID.matcher(head.askId()).matches()
                 || head.spanMs() == Long.MIN_VALUE
                 || NOT_PROXIED.contains(head.method())) {
-            return denied(Result.MALFORMED, doubt);
+            return denied(ResultCode.MALFORMED, doubt);
         }
-        if (!(Target.of(head.target()) instanceof Target.Good target)) {
-            return denied(Result.BAD_TARGET, doubt);
+        if (!(RequestTarget.of(head.target()) instanceof RequestTarget.Good target)) {
+            return denied(ResultCode.BAD_TARGET, doubt);
         }
         if (!parts.follower().fresh() || !parts.fleet().settled()) {
-            return denied(Result.NOT_FRESH, doubt);
+            return denied(ResultCode.NOT_FRESH, doubt);
         }
         if (!parts.counter().mayBegin()) {
-            return denied(Result.UNCOUNTED, doubt);
+            return denied(ResultCode.UNCOUNTED, doubt);
         }
-        final Policy policy = parts.book().policy();
+        final Configuration policy = parts.book().policy();
         if (leaving || held(policy)) {
-            return denied(Result.HELD, doubt);
+            return denied(ResultCode.HELD, doubt);
         }
         final String hash = head.key() == null ? null : KeyHash.of(head.key());
-        final Policy.Found found = policy.find(head.host(), target.path(), hash);
+        final Configuration.Found found = policy.find(head.host(), target.path(), hash);
         final Tenant tenant = found.tenant();
-        final Binding binding = found.binding();
+        final Route binding = found.binding();
         if (pace.habits().keyed() ? tenant == null : binding != null && found.keyMissing()) {
-            return denied(Result.BAD_KEY, doubt);
+            return denied(ResultCode.BAD_KEY, doubt);
         }
         if (!athome(tenant)) {
-            return denied(Result.WRONG_REGION, doubt);
+            return denied(ResultCode.WRONG_REGION, doubt);
         }
-        final ServiceRule rule = binding == null ? null : policy.service(binding.service(parts.random()));
+        final ServiceLimits rule = binding == null ? null : policy.service(binding.service(parts.random()));
         if (rule == null) {
-            return denied(Result.NO_BINDING, doubt);
+            return denied(ResultCode.NO_BINDING, doubt);
         }
         final boolean claims = binding.runOnce() && pace.habits().claims();
-        final Ran unproven = claims ? Ran.UNDECIDED : doubt;
+        final ExecutionStatus unproven = claims ? ExecutionStatus.UNDECIDED : doubt;
         if (claims && ticket == null) {
-            return denied(Result.TICKET_MISSING, unproven);
+            return denied(ResultCode.TICKET_MISSING, unproven);
         }
         if (head.spanMs() <= 0) {
-            return denied(Result.DEADLINE, unproven);
+            return denied(ResultCode.DEADLINE, unproven);
         }
         if (head.bodyBytes() > rule.askMaxBytes()) {
-            return denied(Result.TOO_LARGE, unproven);
+            return denied(ResultCode.TOO_LARGE, unproven);
         }
         if (!parts.elector()
                 .mayReserve(
                         rule,
                         nameOf(tenant),
                         u -> binding.home(tenant, u.region()) && !policy.holds().contains(u.district()))) {
-            say(Result.NO_UPSTREAM, tenant, binding);
-            return denied(Result.NO_UPSTREAM, unproven);
+            say(ResultCode.NO_UPSTREAM, tenant, binding);
+            return denied(ResultCode.NO_UPSTREAM, unproven);
         }
         // The longest that both bodies may be is kept free for the ask from here on.
         final long bytes =
                 (head.bodyBytes() < 0 ? rule.askMaxBytes() : head.bodyBytes()) + (long) rule.answerMaxBytes();
         if (!places.take(nameOf(tenant), bytes)) {
-            return denied(Result.BUSY, unproven);
+            return denied(ResultCode.BUSY, unproven);
         }
-        final Run run = new Run(
+        final RequestExecution run = new RequestExecution(
                 this,
                 parts,
-                new Run.Grant(
+                new RequestExecution.Grant(
                         head, target, hash, tenant, binding, rule, parts.clock().nowMs() + spanMs(head, binding)),
                 bytes,
                 done);
@@ -177,16 +177,16 @@
         if (head.bodyBytes() == 0) {
             run.keep();
         }
-        return new Opened.Admit(run);
+        return new AdmissionResult.Admit(run);
     }
 
-    private long spanMs(final AskHead head, final Binding binding) {
+    private long spanMs(final RequestHead head, final Route binding) {
         final long spanMs = Math.min(head.spanMs(), pace.spanMaxMs());
         return binding.spanMs() > 0 ? Math.min(spanMs, binding.spanMs()) : spanMs;
     }
 
     /** Whether this node's own district is to be empty of asks too, not only of goes. */
-    boolean held(final Policy policy) {
+    boolean held(final Configuration policy) {
         return pace.habits().holdsEdges()
                 && policy.holds().contains(parts.self().district());
     }
@@ -204,12 +204,15 @@
     }
 
     /** What is told when there is no room even to look at an ask. Example: {@code answer(edge.crowded(head));} */
-    public Answer crowded(final AskHead head) {
-        return deny(Result.BUSY, Ticket.of(head.askId()) != null ? Ran.UNDECIDED : Ran.NOT_RUN, 0);
+    public Response crowded(final RequestHead head) {
+        return deny(
+                ResultCode.BUSY,
+                RequestTicket.of(head.askId()) != null ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN,
+                0);
     }
 
     /** One line a second for each reason at the most; {@link #told} has the counts. */
-    void say(final Result why, final Tenant tenant, final Binding binding) {
+    void say(final ResultCode why, final Tenant tenant, final Route binding) {
         final long nowMs = parts.clock().nowMs();
         final Long saidMs = said.get(why);
         if (saidMs == null || nowMs - saidMs >= 1000) {
@@ -225,24 +228,24 @@
         }
     }
 
-    private Opened denied(final Result result, final Ran ran) {
+    private AdmissionResult denied(final ResultCode result, final ExecutionStatus ran) {
         told.merge(result, 1L, Long::sum);
-        return new Opened.Deny(deny(result, ran, 0));
+        return new AdmissionResult.Deny(deny(result, ran, 0));
     }
 
-    Answer deny(final Result result, final Ran ran, final int goes) {
+    Response deny(final ResultCode result, final ExecutionStatus ran, final int goes) {
         final boolean later = result.httpStatus() == 503 || result.httpStatus() == 504;
         final long waitMs = later ? pace.retryAfterMs() + parts.random().nextInt((int) pace.retryAfterMs()) : 0;
-        return new Answer(result, ran, null, null, goes, waitMs);
+        return new Response(result, ran, null, null, goes, waitMs);
     }
 
-    void ended(final Run run, final String tenant, final Result result) {
+    void ended(final RequestExecution run, final String tenant, final ResultCode result) {
         underway.remove(run);
         places.leave(tenant);
         told.merge(result, 1L, Long::sum);
     }
 
-    RetryBudget budget(final ServiceRule rule) {
+    RetryBudget budget(final ServiceLimits rule) {
         return budgets.computeIfAbsent(
                 rule.name(),
                 s -> new RetryBudget(
@@ -251,16 +254,16 @@
     }
 
     /** Hears what another node kept. Example: {@code edge.hear(back);} */
-    public void hear(final HandNote.Back back) {
-        final Consumer<HandNote.Back> waiting = handAsks.remove(back.askId());
+    public void hear(final HandoffMessage.Back back) {
+        final Consumer<HandoffMessage.Back> waiting = handAsks.remove(back.askId());
         if (waiting != null) {
             waiting.accept(back);
         }
     }
 
     /** A kept answer, from here or from a core of the tenant's home regions; null if none has it in time. */
-    void fetch(final Tenant tenant, final String key, final String digest, final Consumer<Content> done) {
-        final HandNote.Keep own = parts.shelf().find(key, digest);
+    void fetch(final Tenant tenant, final String key, final String digest, final Consumer<ResponseContent> done) {
+        final HandoffMessage.Keep own = parts.shelf().find(key, digest);
         if (own != null) {
             done.accept(own.content());
             return;
@@ -270,7 +273,7 @@
         final int[] left = {cores.size()};
         handAsks.put(id, new Consumer<>() {
             @Override
-            public void accept(final HandNote.Back back) {
+            public void accept(final HandoffMessage.Back back) {
                 if (back.content() == null && --left[0] > 0) {
                     handAsks.put(id, this);
                 } else {
@@ -279,7 +282,7 @@
             }
         });
         for (final String core : cores) {
-            parts.post().send(core, new HandNote.Ask(parts.self().address(), id, key, digest));
+            parts.post().send(core, new HandoffMessage.Ask(parts.self().address(), id, key, digest));
         }
         parts.clock().after(pace.handWaitMs(), () -> {
             if (handAsks.remove(id) != null) {
--- a/spokestall/src/main/java/spokestall/edge/Go.java
+++ b/spokestall/src/main/java/spokestall/proxy/Attempt.java
@@ -1,10 +1,10 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.List;
-import spokestall.wire.Header;
+import spokestall.message.Header;
 
 /** One attempt to have an upstream answer an ask. */
-public record Go(
+public record Attempt(
         String askId,
         String tenant,
         String instance,
--- a/spokestall/src/main/java/spokestall/edge/Goes.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
@@ -1,11 +1,11 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 /**
  * The goes of one ask: how many there were, and whether one more may be. Each further one is paid for from the retry
  * budget and counts against the most that there may be; where what was never sent is free, only a go that may have
  * arrived is counted, and paid for by the one after it; one that is begun while another is under way is always paid for.
  */
-final class Goes {
+final class AttemptBudget {
     /** However free they are. */
     static final int MOST = 6;
 
@@ -15,7 +15,7 @@
     private int unsent;
     private boolean unsentLast;
 
-    Goes(final boolean unsentFree) {
+    AttemptBudget(final boolean unsentFree) {
         this.unsentFree = unsentFree;
     }
 
--- a/spokestall/src/main/java/spokestall/edge/Places.java
+++ b/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * bytes, only while it holds no more than is free: one alone gets half, and however many want all, some stays free for
  * one more.
  */
-final class Places {
+final class ConcurrencyLimiter {
     private static final class Use {
         private int asks;
         private long bytes;
@@ -20,7 +20,7 @@
     private int asks;
     private long bytes;
 
-    Places(final int asksMax, final long bytesMax) {
+    ConcurrencyLimiter(final int asksMax, final long bytesMax) {
         this.asksMax = asksMax;
         this.bytesMax = bytesMax;
     }
--- a/spokestall/src/main/java/spokestall/edge/Directory.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
@@ -1,35 +1,35 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.Collection;
 import java.util.List;
-import spokestall.view.Member;
+import spokestall.gossip.NodeInfo;
 
 /**
  * The edges that callers are told of, as an immutable list: published by the node's stage, read by any thread. An answer made
  * from it does not wait for the stage, and holds for as long as the list is the same object.
  */
-public final class Directory {
-    private volatile List<Member> edges = List.of();
+public final class EdgeDirectory {
+    private volatile List<NodeInfo> edges = List.of();
 
     /** Takes the edges as they are believed to serve now; a list that names the same ones keeps its place.
      * Example: {@code directory.publish(node.edgesForClients());} */
-    public void publish(final Collection<Member> now) {
+    public void publish(final Collection<NodeInfo> now) {
         if (!same(now)) {
             edges = List.copyOf(now);
         }
     }
 
     /** The edges last published. Example: {@code directory.edges() == answeredFor} */
-    public List<Member> edges() {
+    public List<NodeInfo> edges() {
         return edges;
     }
 
-    private boolean same(final Collection<Member> now) {
+    private boolean same(final Collection<NodeInfo> now) {
         if (now.size() != edges.size()) {
             return false;
         }
         int i = 0;
-        for (final Member member : now) {
+        for (final NodeInfo member : now) {
             if (!same(member, edges.get(i++))) {
                 return false;
             }
@@ -37,7 +37,7 @@
         return true;
     }
 
-    private static boolean same(final Member one, final Member other) {
+    private static boolean same(final NodeInfo one, final NodeInfo other) {
         return one.httpAddress().equals(other.httpAddress())
                 && one.district().equals(other.district())
                 && one.region().equals(other.region())
--- a/spokestall/src/main/java/spokestall/edge/Where.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
@@ -1,41 +1,41 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Set;
-import spokestall.view.Member;
+import spokestall.gossip.NodeInfo;
 
 /** Elects the edges a client is to use: the same ones for the same client, spread over all edges. */
-public final class Where {
-    private Where() {}
+public final class EdgeSelector {
+    private EdgeSelector() {}
 
-    /** Example: {@code Where.elect("client-7", edges, tenant.homeRegions(), policy.holds(), 2)} */
-    public static List<Member> elect(
+    /** Example: {@code EdgeSelector.elect("client-7", edges, tenant.homeRegions(), policy.holds(), 2)} */
+    public static List<NodeInfo> elect(
             final String client,
-            final Collection<Member> edges,
+            final Collection<NodeInfo> edges,
             final Set<String> homeRegions,
             final Set<String> holds,
             final int most) {
-        final List<Member> fit = new ArrayList<>();
-        for (final Member edge : edges) {
+        final List<NodeInfo> fit = new ArrayList<>();
+        for (final NodeInfo edge : edges) {
             if (!edge.leaving() && homeRegions.contains(edge.region()) && !holds.contains(edge.district())) {
                 fit.add(edge);
             }
         }
-        fit.sort(
-                Comparator.comparingLong((Member e) -> weight(client, e.name())).thenComparing(Member::name));
+        fit.sort(Comparator.comparingLong((NodeInfo e) -> weight(client, e.name()))
+                .thenComparing(NodeInfo::name));
         return fit.subList(0, Math.min(most, fit.size()));
     }
 
     /** Those of the district, of the region where the district has but one, or all where the region has none.
-     * Example: {@code Where.near(edges, "r1", "d1")} */
-    public static List<Member> near(final Collection<Member> edges, final String region, final String district) {
-        final List<Member> here = new ArrayList<>();
-        final List<Member> around = new ArrayList<>();
-        final List<Member> all = new ArrayList<>();
-        for (final Member edge : edges) {
+     * Example: {@code EdgeSelector.near(edges, "r1", "d1")} */
+    public static List<NodeInfo> near(final Collection<NodeInfo> edges, final String region, final String district) {
+        final List<NodeInfo> here = new ArrayList<>();
+        final List<NodeInfo> around = new ArrayList<>();
+        final List<NodeInfo> all = new ArrayList<>();
+        for (final NodeInfo edge : edges) {
             if (!edge.leaving()) {
                 all.add(edge);
                 if (edge.region().equals(region)) {
--- a/spokestall/src/main/java/spokestall/edge/Ran.java
+++ b/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
@@ -1,18 +1,18 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 /** What is known of whether an ask ran. */
-public enum Ran {
+public enum ExecutionStatus {
     RAN("ran"),
     NOT_RUN("not-run"),
     UNDECIDED("undecided");
 
     private final String word;
 
-    Ran(final String word) {
+    ExecutionStatus(final String word) {
         this.word = word;
     }
 
-    /** The header's word. Example: {@code Ran.NOT_RUN.word().equals("not-run")} */
+    /** The header's word. Example: {@code ExecutionStatus.NOT_RUN.word().equals("not-run")} */
     public String word() {
         return word;
     }
--- a/spokestall/src/main/java/spokestall/edge/Claim.java
+++ b/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
@@ -1,7 +1,7 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 /** The register of a run-once ask: who may send it, for which body, and how it ended. */
-public record Claim(
+public record IdempotencyClaim(
         String claimId,
         String digest,
         long ticketMs,
@@ -17,17 +17,17 @@
         NOT_RUN
     }
 
-    /** The register's key. Example: {@code Claim.key("tenant-1", "pay-17")} */
+    /** The register's key. Example: {@code IdempotencyClaim.key("tenant-1", "pay-17")} */
     public static String key(final String tenant, final String askId) {
         return "once/" + tenant + "/" + askId;
     }
 
-    /** Whether a register key is a claim's. Example: {@code Claim.isKey("once/t/1")} */
+    /** Whether a register key is a claim's. Example: {@code IdempotencyClaim.isKey("once/t/1")} */
     public static boolean isKey(final String key) {
         return key.startsWith("once/");
     }
 
-    Claim ended(final State to, final int endStatus, final String digestOfAnswer, final String by) {
-        return new Claim(claimId, digest, ticketMs, claimedMs, to, endStatus, digestOfAnswer, by);
+    IdempotencyClaim ended(final State to, final int endStatus, final String digestOfAnswer, final String by) {
+        return new IdempotencyClaim(claimId, digest, ticketMs, claimedMs, to, endStatus, digestOfAnswer, by);
     }
 }
--- a/spokestall/src/main/java/spokestall/edge/Quickness.java
+++ b/spokestall/src/main/java/spokestall/proxy/LatencyTracker.java
@@ -1,11 +1,11 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 
 /** How quick each upstream is beside the others of its service: a moving mean of its answers' time over theirs. */
-final class Quickness {
+final class LatencyTracker {
     private static final double SHARE = 0.1;
     private final Map<String, Double> services = new HashMap<>();
     private final Map<String, Double> instances = new HashMap<>();
--- a/spokestall/src/main/java/spokestall/edge/Elector.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,8 +9,8 @@
 import java.util.function.Function;
 import java.util.function.IntSupplier;
 import java.util.function.Predicate;
-import spokestall.listing.Upstream;
-import spokestall.policy.ServiceRule;
+import spokestall.configuration.ServiceLimits;
+import spokestall.discovery.Upstream;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
 
@@ -18,7 +18,7 @@
  * Elects the upstream of each go: the one that would be done soonest, by the goes that are open there over what it works on
  * at a time, by how quick it was, and by how far it is. Where nothing is known of slots, two random ones are compared.
  */
-public final class Elector {
+public final class LoadBalancer {
     /** Bounds, from the settings: the edges that a cold upstream's ramp is divided among, the ramp's share that is
      * used and what may come over it each second in the whole fleet, and how long one in trouble is put aside. What it
      * costs to leave the district, and the region, is a part of a slot's work. */
@@ -50,17 +50,17 @@
     private final FleetClock fleet;
     private final Random random;
     private Pace pace;
-    private final Map<String, Limit> limits = new HashMap<>();
+    private final Map<String, AdaptiveLimit> limits = new HashMap<>();
     private final Map<String, Integer> reserved = new HashMap<>();
     private final Map<String, Integer> held = new HashMap<>();
     private final Map<String, Ejected> ejected = new HashMap<>();
     private final Map<String, Integer> losses = new HashMap<>();
-    private final Map<String, Warmth> warmth = new HashMap<>();
+    private final Map<String, SlowStart> warmth = new HashMap<>();
     private final Map<String, Long> coldUntilMs = new HashMap<>();
-    private final Quickness quickness = new Quickness();
+    private final LatencyTracker quickness = new LatencyTracker();
 
     /** Example: see {@code Node}. */
-    public Elector(
+    public LoadBalancer(
             final String region,
             final String district,
             final Function<String, List<Upstream>> ready,
@@ -84,7 +84,7 @@
 
     /** The upstream for a go, or null when none may take it.
      * Example: {@code elector.elect(rule, u -> binding.home(tenant, u.region()), Set.of())} */
-    public Upstream elect(final ServiceRule rule, final Predicate<Upstream> fits, final Set<String> tried) {
+    public Upstream elect(final ServiceLimits rule, final Predicate<Upstream> fits, final Set<String> tried) {
         final Set<String> passed = new HashSet<>(tried);
         Upstream best = cheapest(rule, fits, passed);
         while (best != null && !warmEnough(rule, best)) {
@@ -95,7 +95,7 @@
     }
 
     /** The one of the least cost that has room; one that was put aside only if there is no other. */
-    private Upstream cheapest(final ServiceRule rule, final Predicate<Upstream> fits, final Set<String> passed) {
+    private Upstream cheapest(final ServiceLimits rule, final Predicate<Upstream> fits, final Set<String> passed) {
         final long nowMs = clock.nowMs();
         Upstream best = null;
         boolean bestAside = true;
@@ -104,7 +104,7 @@
             if (!fits.test(u) || passed.contains(u.instance())) {
                 continue;
             }
-            final Limit limit = limits.get(u.instance());
+            final AdaptiveLimit limit = limits.get(u.instance());
             final boolean aside = ejected(u.instance(), nowMs);
             if (aside && !bestAside || limit != null && limit.room() <= 0) {
                 continue;
@@ -119,7 +119,7 @@
         return best;
     }
 
-    private double cost(final ServiceRule rule, final Upstream u, final int open) {
+    private double cost(final ServiceLimits rule, final Upstream u, final int open) {
         final double quick = Math.max(QUICK_LEAST, Math.min(QUICK_MOST, quickness.of(rule.name(), u.instance())));
         final double queue = (open + 1.0) / Math.max(1, u.slots()) * quick;
         return queue
@@ -129,13 +129,13 @@
     }
 
     private int room(final Upstream u) {
-        final Limit limit = limits.get(u.instance());
-        return limit == null ? Limit.FIRST : limit.room();
+        final AdaptiveLimit limit = limits.get(u.instance());
+        return limit == null ? AdaptiveLimit.FIRST : limit.room();
     }
 
     /** Whether upstreams have room for one more go of the tenant: more than is kept for others already, and than the
      * tenant has. Example: {@code if (!elector.mayReserve(rule, "tenant-1", fits)) deny();} */
-    public boolean mayReserve(final ServiceRule rule, final String tenant, final Predicate<Upstream> fits) {
+    public boolean mayReserve(final ServiceLimits rule, final String tenant, final Predicate<Upstream> fits) {
         final int taken = reserved.getOrDefault(rule.name(), 0) + held.getOrDefault(tenant + " " + rule.name(), 0);
         int room = 0;
         for (final Upstream u : ready.apply(rule.name())) {
@@ -149,13 +149,13 @@
 
     /** Keeps the room that {@link #mayReserve} found in the same event, so that the ask finds it once it is claimed. It is
      * given back by {@link #release}, and the ask itself by {@link #over}. Example: {@code elector.keep(rule, "tenant-1");} */
-    public void keep(final ServiceRule rule, final String tenant) {
+    public void keep(final ServiceLimits rule, final String tenant) {
         reserved.merge(rule.name(), 1, Integer::sum);
         held.merge(tenant + " " + rule.name(), 1, Integer::sum);
     }
 
     /** One of the tenant's asks is over. Example: {@code elector.over(rule, "tenant-1");} */
-    public void over(final ServiceRule rule, final String tenant) {
+    public void over(final ServiceLimits rule, final String tenant) {
         less(held, tenant + " " + rule.name());
     }
 
@@ -164,7 +164,7 @@
     }
 
     /** The ask goes now, or never. Example: {@code elector.release(rule);} */
-    public void release(final ServiceRule rule) {
+    public void release(final ServiceLimits rule) {
         less(reserved, rule.name());
     }
 
@@ -179,7 +179,7 @@
         instances.forEach(i -> coldUntilMs.merge(i, clock.nowMs() + spanMs, Math::max));
     }
 
-    private boolean warmEnough(final ServiceRule rule, final Upstream u) {
+    private boolean warmEnough(final ServiceLimits rule, final Upstream u) {
         final long nowMs = fleet.nowMs();
         final long ageMs = Math.max(
                 0, u.coldUntilMs() > 0 ? rule.warmupMs() - (u.coldUntilMs() - nowMs) : nowMs - u.readySinceMs());
@@ -193,13 +193,13 @@
         final double ramp = pace.warmSlack() > 0 ? 1 : cold ? 0.5 : (double) ageMs / rule.warmupMs();
         final double perS = (pace.warmRatio() * rule.warmPerS() * ramp + pace.warmSlack())
                 / pace.edges().getAsInt();
-        return warmth.computeIfAbsent(u.instance(), i -> new Warmth(clock.nowMs()))
+        return warmth.computeIfAbsent(u.instance(), i -> new SlowStart(clock.nowMs()))
                 .spend(clock.nowMs(), perS, 1);
     }
 
     /** A go to it has begun. Example: {@code elector.begun(upstream.instance());} */
     public void begun(final String instance) {
-        limits.computeIfAbsent(instance, i -> new Limit()).begun();
+        limits.computeIfAbsent(instance, i -> new AdaptiveLimit()).begun();
     }
 
     /** A go to it has ended after so long; slow is what should be the most.
--- a/spokestall/src/main/java/spokestall/edge/Parts.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
@@ -1,32 +1,32 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.IntSupplier;
-import spokestall.ballot.Proposer;
-import spokestall.duty.UsageCounter;
-import spokestall.feed.Follower;
-import spokestall.hand.Shelf;
-import spokestall.policy.Book;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.Proposer;
+import spokestall.gossip.NodeInfo;
+import spokestall.handoff.ResponseCache;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
-import spokestall.view.Member;
-import spokestall.wire.Post;
+import spokestall.usage.UsageCounter;
 
 /** What an edge works with: itself, the policy and its proof, the store of claims, upstreams, and time; sharers are the edges
  * that shared bounds are divided among. */
-public record Parts(
-        Member self,
-        Book book,
-        Follower follower,
+public record ProxyContext(
+        NodeInfo self,
+        ConfigurationStore book,
+        FeedClient follower,
         Proposer proposer,
-        Elector elector,
-        Upstreams upstreams,
+        LoadBalancer elector,
+        UpstreamClient upstreams,
         UsageCounter counter,
-        Shelf shelf,
-        Post post,
+        ResponseCache shelf,
+        MessageSender post,
         Clock clock,
         FleetClock fleet,
         Random random,
--- a/spokestall/src/main/java/spokestall/edge/Habits.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestConventions.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 /**
  * How asks are taken, as the deployment's callers need it. Keyed: each must have a key, and is looked up by it; else a
@@ -7,5 +7,5 @@
  * Any500: an answer of 500 or above to what may be repeated is trouble, not only 502 and 503.
  * UnsentFree: a further go after one that was never sent is no retry; else each further go is one.
  */
-public record Habits(
+public record RequestConventions(
         boolean keyed, boolean claims, boolean homeEdges, boolean holdsEdges, boolean unsentFree, boolean any500) {}
--- a/spokestall/src/main/java/spokestall/edge/Run.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -1,31 +1,31 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import spokestall.hand.HandNote;
-import spokestall.listing.Upstream;
-import spokestall.policy.Binding;
-import spokestall.policy.KeyHash;
-import spokestall.policy.Policy;
-import spokestall.policy.ServiceRule;
-import spokestall.policy.Target;
-import spokestall.policy.Tenant;
-import spokestall.rpc.Result;
-import spokestall.wire.Codec;
+import spokestall.api.ResultCode;
+import spokestall.configuration.Configuration;
+import spokestall.configuration.KeyHash;
+import spokestall.configuration.RequestTarget;
+import spokestall.configuration.Route;
+import spokestall.configuration.ServiceLimits;
+import spokestall.configuration.Tenant;
+import spokestall.discovery.Upstream;
+import spokestall.handoff.HandoffMessage;
+import spokestall.message.MessageCodec;
 
 /** One ask on its way, from the moment it got its place to its final answer. */
-final class Run implements Admitted {
+final class RequestExecution implements AdmittedRequest {
     /** What an ask was let in by. */
     record Grant(
-            AskHead head,
-            Target.Good target,
+            RequestHead head,
+            RequestTarget.Good target,
             String keyHash,
             Tenant tenant,
-            Binding binding,
-            ServiceRule rule,
+            Route binding,
+            ServiceLimits rule,
             long deadlineMs) {}
 
     private enum Stage {
@@ -39,27 +39,32 @@
     private static final double LATE = 0.6;
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private final Edge edge;
-    private final Parts parts;
+    private final AdmissionController edge;
+    private final ProxyContext parts;
     private final Grant ask;
-    private final Consumer<Answer> done;
+    private final Consumer<Response> done;
     private final Set<String> tried = new HashSet<>();
-    private final ClaimDesk desk;
+    private final ClaimManager desk;
     private Stage stage = Stage.READING;
     private byte[] body;
-    private Claim claim;
-    private final Goes goes;
+    private IdempotencyClaim claim;
+    private final AttemptBudget goes;
     private boolean mayHaveRun;
-    private Answer held;
+    private Response held;
     private boolean callerGone;
     private boolean out;
     private boolean holding;
     private boolean reserved;
     private long heldBytes;
-    private ServiceRule rule;
-    private Binding binding;
-
-    Run(final Edge edge, final Parts parts, final Grant ask, final long heldBytes, final Consumer<Answer> done) {
+    private ServiceLimits rule;
+    private Route binding;
+
+    RequestExecution(
+            final AdmissionController edge,
+            final ProxyContext parts,
+            final Grant ask,
+            final long heldBytes,
+            final Consumer<Response> done) {
         this.edge = edge;
         this.parts = parts;
         this.ask = ask;
@@ -67,14 +72,14 @@
         this.done = done;
         this.rule = ask.rule();
         this.binding = ask.binding();
-        this.goes = new Goes(edge.pace().habits().unsentFree());
+        this.goes = new AttemptBudget(edge.pace().habits().unsentFree());
         this.desk = ask.binding().runOnce() && edge.pace().habits().claims()
-                ? new ClaimDesk(
+                ? new ClaimManager(
                         parts,
                         edge.pace(),
-                        Claim.key(ask.tenant().name(), ask.head().askId()))
+                        IdempotencyClaim.key(ask.tenant().name(), ask.head().askId()))
                 : null;
-        parts.clock().after(Math.max(0, ask.deadlineMs() - parts.clock().nowMs()), () -> give(Result.DEADLINE));
+        parts.clock().after(Math.max(0, ask.deadlineMs() - parts.clock().nowMs()), () -> give(ResultCode.DEADLINE));
     }
 
     private void change(final Stage to) {
@@ -83,12 +88,12 @@
     }
 
     @Override
-    public ServiceRule rule() {
+    public ServiceLimits rule() {
         return rule;
     }
 
     private String tenantName() {
-        return Edge.nameOf(ask.tenant());
+        return AdmissionController.nameOf(ask.tenant());
     }
 
     private boolean fits(final Upstream u) {
@@ -103,13 +108,13 @@
         }
         body = whole;
         hold(whole.length + (long) ask.rule().answerMaxBytes());
-        final Result barred = barred();
+        final ResultCode barred = barred();
         if (barred != null) {
             give(barred);
             return;
         }
         if (!reserve()) {
-            give(Result.NO_UPSTREAM);
+            give(ResultCode.NO_UPSTREAM);
             return;
         }
         if (desk == null) {
@@ -119,7 +124,7 @@
         }
         change(Stage.CLAIMING);
         desk.claim(
-                Ticket.of(ask.head().askId()),
+                RequestTicket.of(ask.head().askId()),
                 body,
                 ask.deadlineMs() - parts.clock().nowMs(),
                 () -> barred() == null,
@@ -127,7 +132,7 @@
     }
 
     @Override
-    public void drop(final Result why) {
+    public void drop(final ResultCode why) {
         if (stage == Stage.READING) {
             give(why);
         }
@@ -136,7 +141,7 @@
     @Override
     public void gone() {
         callerGone = true;
-        drop(Result.MALFORMED);
+        drop(ResultCode.MALFORMED);
         written();
     }
 
@@ -178,7 +183,7 @@
         heldBytes = bytes;
     }
 
-    private void end(final Answer answer) {
+    private void end(final Response answer) {
         if (stage == Stage.ENDED) {
             return;
         }
@@ -196,49 +201,52 @@
     /** Ends it with what is known of it, as this node is going. */
     void giveUp() {
         if (stage != Stage.ENDED) {
-            stopBefore(Result.HELD);
+            stopBefore(ResultCode.HELD);
         }
     }
 
     /** Ends it in spokestall's own words: proven not to have run only if this call sent nothing that may have, or may yet. */
-    private void give(final Result result) {
-        final boolean before = Ticket.of(ask.head().askId()) != null;
+    private void give(final ResultCode result) {
+        final boolean before = RequestTicket.of(ask.head().askId()) != null;
         end(edge.deny(
                 result,
-                desk != null || before || mayHaveRun || goes.open() > 0 ? Ran.UNDECIDED : Ran.NOT_RUN,
+                desk != null || before || mayHaveRun || goes.open() > 0
+                        ? ExecutionStatus.UNDECIDED
+                        : ExecutionStatus.NOT_RUN,
                 goes.begun()));
     }
 
     /** Whether the ask may still be sent: fresh, with its key, region, binding and district as they are now. */
-    private Result barred() {
+    private ResultCode barred() {
         if (stage == Stage.ENDED || callerGone || parts.clock().nowMs() >= ask.deadlineMs()) {
-            return Result.DEADLINE;
+            return ResultCode.DEADLINE;
         }
         if (!parts.follower().fresh()) {
-            return Result.NOT_FRESH;
+            return ResultCode.NOT_FRESH;
         }
         if (!parts.counter().mayBegin()) {
-            return Result.UNCOUNTED;
+            return ResultCode.UNCOUNTED;
         }
-        final Policy policy = parts.book().policy();
-        final Policy.Found now = policy.find(ask.head().host(), ask.target().path(), ask.keyHash());
+        final Configuration policy = parts.book().policy();
+        final Configuration.Found now =
+                policy.find(ask.head().host(), ask.target().path(), ask.keyHash());
         if (!(now.binding() != null && now.binding().open())
-                && !Edge.nameOf(now.tenant()).equals(tenantName())) {
-            return Result.BAD_KEY;
+                && !AdmissionController.nameOf(now.tenant()).equals(tenantName())) {
+            return ResultCode.BAD_KEY;
         }
         if (!edge.athome(now.tenant())) {
-            return Result.WRONG_REGION;
+            return ResultCode.WRONG_REGION;
         }
         if (now.binding() == null
                 || now.binding().runOnce() != ask.binding().runOnce()
                 || !follow(policy, now.binding())) {
-            return Result.NO_BINDING;
+            return ResultCode.NO_BINDING;
         }
-        return edge.held(policy) ? Result.HELD : null;
+        return edge.held(policy) ? ResultCode.HELD : null;
     }
 
     /** The binding may have been changed since the ask was let in; what is sent from now on goes by the new one. */
-    private boolean follow(final Policy policy, final Binding now) {
+    private boolean follow(final Configuration policy, final Route now) {
         if (!now.equals(binding)) {
             binding = now;
             if (!now.leadsTo(rule.name())) {
@@ -248,8 +256,8 @@
         return rule != null;
     }
 
-    private void claimed(final ClaimDesk.Claimed how) {
-        if (how instanceof ClaimDesk.Claimed.Mine mine) {
+    private void claimed(final ClaimManager.Claimed how) {
+        if (how instanceof ClaimManager.Claimed.Mine mine) {
             claim = mine.claim();
             if (stage == Stage.ENDED) {
                 desk.voided(claim, proven -> {});
@@ -257,50 +265,53 @@
             }
             change(Stage.GOING);
             go();
-        } else if (how instanceof ClaimDesk.Claimed.Ran before) {
+        } else if (how instanceof ClaimManager.Claimed.Ran before) {
             edge.fetch(
                     ask.tenant(),
                     desk.key(),
                     before.claim().answerDigest(),
                     kept -> end(
                             kept != null
-                                    ? new Answer(
-                                            Result.REPEATED,
-                                            Ran.RAN,
+                                    ? new Response(
+                                            ResultCode.REPEATED,
+                                            ExecutionStatus.RAN,
                                             kept,
                                             before.claim().instance(),
                                             0,
                                             0)
-                                    : new Answer(
-                                            Result.RAN_ANSWER_GONE,
-                                            Ran.RAN,
+                                    : new Response(
+                                            ResultCode.RAN_ANSWER_GONE,
+                                            ExecutionStatus.RAN,
                                             null,
                                             before.claim().instance(),
                                             0,
                                             0)));
-        } else if (how instanceof ClaimDesk.Claimed.Not not) {
-            final Result barred = not.why() == Result.UNCLEAR ? barred() : null;
+        } else if (how instanceof ClaimManager.Claimed.Not not) {
+            final ResultCode barred = not.why() == ResultCode.UNCLEAR ? barred() : null;
             give(barred != null ? barred : not.why());
         }
     }
 
     /** Nothing more is sent. Under a claim that was not used, that is said in its register first, then to the caller. */
-    private void stopBefore(final Result why) {
+    private void stopBefore(final ResultCode why) {
         if (claim != null && !mayHaveRun) {
-            desk.voided(claim, proven -> end(edge.deny(why, proven ? Ran.NOT_RUN : Ran.UNDECIDED, goes.begun())));
+            desk.voided(
+                    claim,
+                    proven -> end(edge.deny(
+                            why, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, goes.begun())));
         } else {
             give(why);
         }
     }
 
     private void go() {
-        final Result barred = barred();
+        final ResultCode barred = barred();
         final Upstream to = barred != null ? null : parts.elector().elect(rule, this::fits, tried);
         if (to == null) {
             if (goes.open() == 0 && held != null) {
                 end(held);
             } else if (goes.open() == 0) {
-                stopBefore(barred != null ? barred : mayHaveRun ? Result.LOST : Result.NO_UPSTREAM);
+                stopBefore(barred != null ? barred : mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
             }
             return;
         }
@@ -309,7 +320,7 @@
             edge.budget(rule).asked();
         }
         tried.add(to.instance());
-        final AskHead head = ask.head();
+        final RequestHead head = ask.head();
         final long waitMs =
                 Math.min(rule.goMs(), ask.deadlineMs() - parts.clock().nowMs());
         final long begunMs = parts.clock().nowMs();
@@ -324,7 +335,7 @@
                 : Math.min(ask.deadlineMs(), parts.follower().freshUntilMs());
         parts.upstreams()
                 .go(
-                        new Go(
+                        new Attempt(
                                 head.askId(),
                                 ask.tenant() == null ? null : tenantName(),
                                 to.instance(),
@@ -357,36 +368,39 @@
         }
     }
 
-    private void went(final Upstream to, final GoResult result, final long begunMs) {
-        goes.ended(!(result instanceof GoResult.NotSent));
-        mayHaveRun |= result instanceof GoResult.Whole || result instanceof GoResult.Lost;
+    private void went(final Upstream to, final AttemptResult result, final long begunMs) {
+        goes.ended(!(result instanceof AttemptResult.NotSent));
+        mayHaveRun |= result instanceof AttemptResult.Whole || result instanceof AttemptResult.Lost;
         final boolean barredHere =
-                result instanceof GoResult.NotSent n && n.why().equals("barred");
+                result instanceof AttemptResult.NotSent n && n.why().equals("barred");
         final long slowMs = binding.aimMs() > 0 ? binding.aimMs() : rule.goMs() / 4;
         parts.elector()
                 .ended(
                         to.service(),
                         to.instance(),
-                        barredHere || result instanceof GoResult.Whole
-                                ? Elector.End.WELL
-                                : result instanceof GoResult.NotRun
-                                        ? Elector.End.DENIED
-                                        : result instanceof GoResult.NotSent ? Elector.End.UNREACHED : Elector.End.LOST,
+                        barredHere || result instanceof AttemptResult.Whole
+                                ? LoadBalancer.End.WELL
+                                : result instanceof AttemptResult.NotRun
+                                        ? LoadBalancer.End.DENIED
+                                        : result instanceof AttemptResult.NotSent
+                                                ? LoadBalancer.End.UNREACHED
+                                                : LoadBalancer.End.LOST,
                         parts.clock().nowMs() - begunMs,
                         slowMs);
-        if (result instanceof GoResult.Whole whole) {
+        if (result instanceof AttemptResult.Whole whole) {
             whole(to, whole);
         } else {
             trouble(to, result);
         }
     }
 
-    private void whole(final Upstream to, final GoResult.Whole whole) {
+    private void whole(final Upstream to, final AttemptResult.Whole whole) {
         final int status = whole.content().status();
         if (claim != null) {
             record(to, whole);
         }
-        final Answer answer = new Answer(Result.OK, Ran.RAN, whole.content(), to.instance(), goes.begun(), 0);
+        final Response answer =
+                new Response(ResultCode.OK, ExecutionStatus.RAN, whole.content(), to.instance(), goes.begun(), 0);
         final boolean poor = status == 502
                 || status == 503
                 || status >= 500 && edge.pace().habits().any500();
@@ -399,7 +413,7 @@
         end(answer);
     }
 
-    private void trouble(final Upstream to, final GoResult result) {
+    private void trouble(final Upstream to, final AttemptResult result) {
         LOG.atFine().log(
                 "event=trouble node=%s instance=%s ask=%s result=%s",
                 parts.self().name(), to.instance(), ask.head().askId(), result);
@@ -410,7 +424,7 @@
             return;
         }
         if (ask.binding().runOnce() && mayHaveRun) {
-            give(Result.LOST);
+            give(ResultCode.LOST);
             return;
         }
         if (goes.open() > 0) {
@@ -420,11 +434,11 @@
             end(held);
             return;
         }
-        final Result barred = barred();
+        final ResultCode barred = barred();
         if (barred != null) {
             stopBefore(barred);
         } else if (!again()) {
-            stopBefore(mayHaveRun ? Result.LOST : Result.NO_UPSTREAM);
+            stopBefore(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
     }
 
@@ -440,9 +454,9 @@
     }
 
     /** The claim's end and the answer go to the store and to home cores; the caller need not wait for it. */
-    private void record(final Upstream to, final GoResult.Whole whole) {
-        final HandNote.Keep keep =
-                new HandNote.Keep(desk.key(), KeyHash.hex(Codec.bytes(whole.content())), whole.content());
+    private void record(final Upstream to, final AttemptResult.Whole whole) {
+        final HandoffMessage.Keep keep =
+                new HandoffMessage.Keep(desk.key(), KeyHash.hex(MessageCodec.bytes(whole.content())), whole.content());
         parts.shelf().keep(keep);
         for (final String core : parts.homeCores().apply(ask.tenant().homeRegions())) {
             parts.post().send(core, keep);
--- a/spokestall/src/main/java/spokestall/edge/AskHead.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestHead.java
@@ -1,10 +1,10 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.List;
-import spokestall.wire.Header;
+import spokestall.message.Header;
 
 /** What is known of an ask before its body is read; headers are the end-to-end ones, host is empty where it does not count, key is null where none came, target is as it came, spanMs is what remains until its deadline. */
-public record AskHead(
+public record RequestHead(
         String method,
         String host,
         String target,
@@ -14,9 +14,9 @@
         long bodyBytes,
         List<Header> headers) {
     /** The same, after so much of its span is over. Example: {@code head.later(waitedMs)} */
-    public AskHead later(final long waitedMs) {
+    public RequestHead later(final long waitedMs) {
         return spanMs == Long.MIN_VALUE
                 ? this
-                : new AskHead(method, host, target, key, askId, spanMs - waitedMs, bodyBytes, headers);
+                : new RequestHead(method, host, target, key, askId, spanMs - waitedMs, bodyBytes, headers);
     }
 }
--- a/spokestall/src/main/java/spokestall/edge/Ticket.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestTicket.java
@@ -1,8 +1,8 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 /** What a caller needs for a run-once ask: the generation and the fleet's time at which it was given out. */
-public record Ticket(long generation, long issuedMs) {
-    /** Example: {@code new Ticket(17, 1000).text().equals("t1-17-1000")} */
+public record RequestTicket(long generation, long issuedMs) {
+    /** Example: {@code new RequestTicket(17, 1000).text().equals("t1-17-1000")} */
     public String text() {
         return "t1-" + generation + "-" + issuedMs;
     }
@@ -10,13 +10,13 @@
     /**
      * The ticket that a run-once ask's id begins with, or null when it has none. A repeat has the same id and so the
      * same ticket: with a fresh one it could run again after its claim was lost or let go.
-     * Example: {@code Ticket.of("t1-17-1000.pay-4").generation() == 17}
+     * Example: {@code RequestTicket.of("t1-17-1000.pay-4").generation() == 17}
      */
-    public static Ticket of(final String askId) {
+    public static RequestTicket of(final String askId) {
         if (askId == null || !askId.matches("t1-\\d{1,15}-\\d{1,15}\\..+")) {
             return null;
         }
         final String[] parts = askId.substring(0, askId.indexOf('.')).split("-");
-        return new Ticket(Long.parseLong(parts[1]), Long.parseLong(parts[2]));
+        return new RequestTicket(Long.parseLong(parts[1]), Long.parseLong(parts[2]));
     }
 }
--- a/spokestall/src/main/java/spokestall/edge/RetryBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/RetryBudget.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import java.util.function.DoubleSupplier;
 
--- a/spokestall/src/main/java/spokestall/edge/Warmth.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStart.java
@@ -1,11 +1,11 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 /** How fast this edge may send to one cold upstream: its part of the upstream's ramp, a few in advance at most. */
-final class Warmth {
+final class SlowStart {
     private double tokens;
     private long filledMs;
 
-    Warmth(final long nowMs) {
+    SlowStart(final long nowMs) {
         this.filledMs = nowMs;
     }
 
--- a/spokestall/src/main/java/spokestall/settings/Renewal.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsUpdate.java
@@ -13,7 +13,7 @@
  * whose new values wait for its next start. Addresses, identities, sizes of what was allocated and spans that nodes
  * agree on (leases, windows) are never changed in a running node.
  */
-public record Renewal(Settings settings, Set<String> taken, Set<String> waiting) {
+public record SettingsUpdate(Settings settings, Set<String> taken, Set<String> waiting) {
     /** Keys whose values a running node can replace: nothing allocated or agreed on depends on them. */
     static final Set<String> LIVE = Set.of(
             "seeds",
@@ -28,8 +28,8 @@
             "whereS");
 
     /** What a node that runs with some settings makes of newer ones, each set good by itself. A new value that does
-     * not fit what stays in force waits too. Example: {@code Renewal.of(inForce, newer).taken()} */
-    public static Renewal of(final Settings inForce, final Settings newer, final boolean core) {
+     * not fit what stays in force waits too. Example: {@code SettingsUpdate.of(inForce, newer).taken()} */
+    public static SettingsUpdate of(final Settings inForce, final Settings newer, final boolean core) {
         final Set<String> changed = changed(inForce.values(), newer.values());
         final Set<String> taken = new TreeSet<>(changed);
         taken.retainAll(LIVE);
@@ -42,7 +42,7 @@
         }
         final Set<String> waiting = new TreeSet<>(changed);
         waiting.removeAll(taken);
-        return new Renewal(((Settings.Read.Good) mixed).settings(), taken, waiting);
+        return new SettingsUpdate(((Settings.Read.Good) mixed).settings(), taken, waiting);
     }
 
     private static Set<String> changed(final Map<String, String> before, final Map<String, String> after) {
--- a/spokestall/src/main/java/spokestall/ring/Folders.java
+++ b/spokestall/src/main/java/spokestall/storage/DirectorySync.java
@@ -1,4 +1,4 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -6,10 +6,10 @@
 import java.nio.file.StandardOpenOption;
 
 /** Folders on disk: a name that was made, renamed or removed in one lasts once it is synced. */
-public final class Folders {
-    private Folders() {}
+public final class DirectorySync {
+    private DirectorySync() {}
 
-    /** Syncs the names in a folder. Example: {@code Folders.sync(data.resolve("ring"));} */
+    /** Syncs the names in a folder. Example: {@code DirectorySync.sync(data.resolve("ring"));} */
     public static void sync(final Path folder) throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
--- a/spokestall/src/main/java/spokestall/ring/FileSegments.java
+++ b/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
@@ -1,4 +1,4 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.IOException;
@@ -16,15 +16,15 @@
 import java.util.function.Consumer;
 
 /** Preallocated files in the data folder. Writes and syncs run on the disk stage, never on the caller's. */
-public final class FileSegments implements Segments {
+public final class FileSegmentStore implements SegmentStore {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final List<FileChannel> files = new ArrayList<>();
     private final int sizeBytes;
     private final Executor disk;
     private final Executor back;
 
-    /** Example: {@code FileSegments.open(Path.of("data/ring"), 8, 4 << 20, diskStage, controlStage)} */
-    public static FileSegments open(
+    /** Example: {@code FileSegmentStore.open(Path.of("data/ring"), 8, 4 << 20, diskStage, controlStage)} */
+    public static FileSegmentStore open(
             final Path folder, final int count, final int sizeBytes, final Executor disk, final Executor back)
             throws IOException {
         Files.createDirectories(folder);
@@ -36,15 +36,15 @@
             LOG.atSevere().log("event=ring_files_lost folder=%s", folder);
             clear(paths);
         }
-        final FileSegments made = new FileSegments(sizeBytes, disk, back);
+        final FileSegmentStore made = new FileSegmentStore(sizeBytes, disk, back);
         for (final Path path : paths) {
             final FileChannel file = FileChannel.open(
                     path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
             made.fill(file);
             made.files.add(file);
         }
-        Folders.sync(folder);
-        Folders.sync(folder.toAbsolutePath().getParent());
+        DirectorySync.sync(folder);
+        DirectorySync.sync(folder.toAbsolutePath().getParent());
         return made;
     }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    private FileSegments(final int sizeBytes, final Executor disk, final Executor back) {
+    private FileSegmentStore(final int sizeBytes, final Executor disk, final Executor back) {
         this.sizeBytes = sizeBytes;
         this.disk = disk;
         this.back = back;
--- a/spokestall/src/main/java/spokestall/ring/Segments.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentStore.java
@@ -1,10 +1,10 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import java.util.List;
 import java.util.function.Consumer;
 
 /** The preallocated files under a ring, at the rim: real files in a process, a losing disk in the simulator. */
-public interface Segments {
+public interface SegmentStore {
     /** A piece to be written at a place in one file. */
     record Piece(int segment, int at, byte[] bytes) {}
 
--- a/spokestall/src/main/java/spokestall/ring/Ring.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentedLog.java
@@ -1,4 +1,4 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
@@ -22,7 +22,7 @@
  * in what had been synced makes the ring blank rather than wrong. What the disk refuses to take is written again until it
  * takes it; till then nothing is told as done.
  */
-public final class Ring {
+public final class SegmentedLog {
     /** Explicit states of a ring: it takes puts, or refuses some for want of room, or its disk refuses writes and is asked
      * again, or what it holds can't be read. */
     public enum State {
@@ -47,14 +47,14 @@
     private record Found(
             int segment, int from, int next, int life, long seq, long batch, long floor, String key, byte[] value) {}
 
-    private final Segments segments;
+    private final SegmentStore segments;
     private final Map<String, byte[]> table = new HashMap<>();
     private final Map<String, Place> places = new HashMap<>();
     private final List<Set<String>> keysIn = new ArrayList<>();
     private final long[] firstSeq;
     private final ArrayDeque<Put> waiting = new ArrayDeque<>();
     private final List<Put> batch = new ArrayList<>();
-    private final List<Segments.Piece> pieces = new ArrayList<>();
+    private final List<SegmentStore.Piece> pieces = new ArrayList<>();
     private State state = State.OPEN;
     private boolean blank = true;
     private boolean committing;
@@ -67,8 +67,8 @@
     private long commits;
     private long syncedSeq;
 
-    /** Opens the files and reads what is live. Example: {@code Ring ring = new Ring(segments); if (ring.blank()) ...} */
-    public Ring(final Segments segments) {
+    /** Opens the files and reads what is live. Example: {@code SegmentedLog ring = new SegmentedLog(segments); if (ring.blank()) ...} */
+    public SegmentedLog(final SegmentStore segments) {
         this.segments = segments;
         this.firstSeq = new long[segments.count()];
         for (int i = 0; i < segments.count(); i++) {
@@ -82,7 +82,7 @@
         return blank;
     }
 
-    /** The ring's state. Example: {@code if (ring.state() == Ring.State.BROKEN) stopVoting();} */
+    /** The ring's state. Example: {@code if (ring.state() == SegmentedLog.State.BROKEN) stopVoting();} */
     public State state() {
         return state;
     }
@@ -228,7 +228,7 @@
             at = 0;
             firstSeq[head] = nextSeq;
         }
-        pieces.add(new Segments.Piece(head, at, encode(nextSeq++, batchSeq, key, value)));
+        pieces.add(new SegmentStore.Piece(head, at, encode(nextSeq++, batchSeq, key, value)));
         at += bytes;
         index(key, value, head, bytes);
     }
--- a/spokestall/src/main/java/spokestall/duty/UsageCounter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageCounter.java
@@ -1,4 +1,4 @@
-package spokestall.duty;
+package spokestall.usage;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Supplier;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
-import spokestall.wire.Post;
 
 /**
  * An edge's own count of the asks that upstreams began. What changed is pushed to every core, again to those that don't say
@@ -44,7 +44,7 @@
     private final Pace pace;
     private final Clock clock;
     private final FleetClock fleet;
-    private final Post post;
+    private final MessageSender post;
     private final Supplier<List<String>> cores;
     private final TreeMap<Long, Map<String, Long>> begun = new TreeMap<>();
     private final Map<Long, Set<String>> changed = new TreeMap<>();
@@ -63,7 +63,7 @@
             final Pace pace,
             final Clock clock,
             final FleetClock fleet,
-            final Post post,
+            final MessageSender post,
             final Supplier<List<String>> cores) {
         this.edge = edge;
         this.address = address;
@@ -157,22 +157,22 @@
     }
 
     private void send(final long stamp, final Push push) {
-        final List<UsageNote.Count> counts = new ArrayList<>();
+        final List<UsageMessage.Count> counts = new ArrayList<>();
         push.what.forEach((window, tenants) -> {
             final Map<String, Long> of = new TreeMap<>(begun.getOrDefault(window, Map.of()));
             of.keySet().retainAll(tenants);
-            counts.add(new UsageNote.Count(edge, life, window, of, over(window)));
+            counts.add(new UsageMessage.Count(edge, life, window, of, over(window)));
         });
         push.sentMs = clock.nowMs();
         for (final String core : cores.get()) {
             if (!push.had.contains(core)) {
-                post.send(core, new UsageNote.Counts(address, stamp, counts));
+                post.send(core, new UsageMessage.Counts(address, stamp, counts));
             }
         }
     }
 
     /** Hears that a core has the counts of a push. Example: {@code counter.hear(had, "10.0.1.1:7100");} */
-    public void hear(final UsageNote.CountsHad note, final String core) {
+    public void hear(final UsageMessage.CountsHad note, final String core) {
         final Long before = lives.put(note.name(), note.life());
         if (before != null && before != note.life()) {
             // It came back, without what it had.
--- a/spokestall/src/main/java/spokestall/duty/Reporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -1,4 +1,4 @@
-package spokestall.duty;
+package spokestall.usage;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.HashSet;
@@ -10,20 +10,22 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import spokestall.ballot.Edit;
-import spokestall.ballot.Outcome;
-import spokestall.ballot.Proposer;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.RegisterEdit;
+import spokestall.lease.LeaseManager;
+import spokestall.lease.LeaseSession;
+import spokestall.message.MessageCodec;
+import spokestall.message.MessageSender;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
-import spokestall.wire.Codec;
-import spokestall.wire.Post;
 
 /**
  * The holder's work: closes each window after a grace, seals its counts in a write-once register, sends them, and
  * records that they were sent. Whoever sends a window sends the sealed counts. A window that can't be sent in time is
  * not sent; its sealed counts stay readable.
  */
-public final class Reporter implements LeaseKeeper.Work {
+public final class UsageReporter implements LeaseManager.Work {
     /** Spans, from the settings. */
     public record Pace(
             long windowMs,
@@ -38,7 +40,13 @@
     /** Sends one report to the platform. */
     public interface Platform {
         /** {@code until} tells, on the monotonic clock, until when the bytes may leave. Example: see {@code Outside}. */
-        void report(String holder, long token, Sealed sealed, long waitMs, LongSupplier until, Consumer<Boolean> done);
+        void report(
+                String holder,
+                long token,
+                SealedWindow sealed,
+                long waitMs,
+                LongSupplier until,
+                Consumer<Boolean> done);
     }
 
     private enum Stage {
@@ -56,7 +64,7 @@
         private final Set<String> answered = new HashSet<>();
         private long askedMs = -1;
         private long firstMs = -1;
-        private Sealed sealed;
+        private SealedWindow sealed;
 
         Unit(final long window) {
             this.window = window;
@@ -66,10 +74,10 @@
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
     private final String address;
-    private final UsageBook book;
+    private final UsageTable book;
     private final Proposer proposer;
     private final Platform platform;
-    private final Post post;
+    private final MessageSender post;
     private final Clock clock;
     private final FleetClock fleet;
     private final Pace pace;
@@ -77,7 +85,7 @@
     private final LongSupplier floorMs;
     private final Function<String, Long> presentLife;
     private final TreeMap<Long, Unit> units = new TreeMap<>();
-    private Execution execution;
+    private LeaseSession execution;
     private long next;
     private long sentMs;
     private long lastSealed;
@@ -86,13 +94,13 @@
     private boolean unanswered;
 
     /** Example: see {@code Node}. */
-    public Reporter(
+    public UsageReporter(
             final String name,
             final String address,
-            final UsageBook book,
+            final UsageTable book,
             final Proposer proposer,
             final Platform platform,
-            final Post post,
+            final MessageSender post,
             final Clock clock,
             final FleetClock fleet,
             final Pace pace,
@@ -124,7 +132,7 @@
     }
 
     @Override
-    public void begin(final Execution begun) {
+    public void begin(final LeaseSession begun) {
         execution = begun;
         units.clear();
         unanswered = false;
@@ -176,7 +184,7 @@
         return (window + 1) * pace.windowMs();
     }
 
-    private void step(final Execution mine, final Unit unit) {
+    private void step(final LeaseSession mine, final Unit unit) {
         final long lateMs = fleet.nowMs() - endMs(unit.window);
         if (unit.stage == Stage.GATHER) {
             gather(mine, unit, lateMs);
@@ -194,7 +202,7 @@
     }
 
     /** Seals once the others were asked and could answer, and every edge has closed the window or the wait is over. */
-    private void gather(final Execution mine, final Unit unit, final long lateMs) {
+    private void gather(final LeaseSession mine, final Unit unit, final long lateMs) {
         // Whatever was begun in the window is with a majority by then, or never will be.
         if (lateMs < pace.graceMs() - pace.gatherMs()) {
             return;
@@ -208,7 +216,7 @@
             unit.askedMs = nowMs;
             unit.firstMs = unit.firstMs < 0 ? nowMs : unit.firstMs;
             for (final String core : cores.get()) {
-                post.send(core, new UsageNote.CountAsk(address, unit.window));
+                post.send(core, new UsageMessage.CountAsk(address, unit.window));
             }
         }
         final boolean heard = unit.answered.size() >= all || majority && nowMs - unit.firstMs >= pace.gatherMs();
@@ -219,7 +227,7 @@
     }
 
     /** Hears what another core has of a window. Example: {@code reporter.hear(back);} */
-    public void hear(final UsageNote.CountBack back) {
+    public void hear(final UsageMessage.CountBack back) {
         back.counts().forEach(book::merge);
         final Unit unit = units.get(back.window());
         if (unit != null) {
@@ -227,29 +235,30 @@
         }
     }
 
-    private void seal(final Execution mine, final Unit unit) {
+    private void seal(final LeaseSession mine, final Unit unit) {
         unit.stage = Stage.SEALING;
         final Map<String, Long> counts = book.sum(unit.window);
-        final byte[] value = Codec.bytes(new Sealed(unit.window, counts, mine.owner(), mine.token(), false));
+        final byte[] value =
+                MessageCodec.bytes(new SealedWindow(unit.window, counts, mine.owner(), mine.token(), false));
         proposer.change(
-                Sealed.key(unit.window),
+                SealedWindow.key(unit.window),
                 pace.storeWaitMs(),
                 now -> now == null && mine.mayWork(clock.nowMs()) && reportable(unit.window)
-                        ? new Edit.Set(value)
-                        : Edit.LEAVE,
+                        ? new RegisterEdit.Set(value)
+                        : RegisterEdit.LEAVE,
                 outcome -> {
-                    if (outcome instanceof Outcome.Done done && done.value() != null) {
-                        unit.sealed = Codec.record(done.value(), Sealed.class);
+                    if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+                        unit.sealed = MessageCodec.record(done.value(), SealedWindow.class);
                         lastSealed = Math.max(lastSealed, unit.window);
                         unit.stage = unit.sealed.completed() ? Stage.OVER : Stage.SEND;
                     } else {
-                        final boolean over = outcome instanceof Outcome.Gone || !reportable(unit.window);
+                        final boolean over = outcome instanceof ProposalOutcome.Gone || !reportable(unit.window);
                         unit.stage = over ? Stage.OVER : Stage.GATHER;
                     }
                 });
     }
 
-    private void send(final Execution mine, final Unit unit, final long waitMs) {
+    private void send(final LeaseSession mine, final Unit unit, final long waitMs) {
         if (!mine.mayWork(clock.nowMs())) {
             return;
         }
@@ -281,18 +290,20 @@
                 });
     }
 
-    private void complete(final Execution mine, final Unit unit) {
+    private void complete(final LeaseSession mine, final Unit unit) {
         unit.stage = Stage.COMPLETING;
         proposer.change(
-                Sealed.key(unit.window),
+                SealedWindow.key(unit.window),
                 pace.storeWaitMs(),
                 value -> {
-                    final Sealed now = value == null ? null : Codec.record(value, Sealed.class);
-                    return now == null || now.completed() ? Edit.LEAVE : new Edit.Set(Codec.bytes(now.complete()));
+                    final SealedWindow now = value == null ? null : MessageCodec.record(value, SealedWindow.class);
+                    return now == null || now.completed()
+                            ? RegisterEdit.LEAVE
+                            : new RegisterEdit.Set(MessageCodec.bytes(now.complete()));
                 },
                 outcome -> {
                     unit.stage = Stage.OVER;
-                    if (!(outcome instanceof Outcome.Done)) {
+                    if (!(outcome instanceof ProposalOutcome.Done)) {
                         LOG.atWarning().log(
                                 "event=completion_unclear node=%s window=%s executionId=%s",
                                 name, unit.window, mine.executionId());
--- a/spokestall/src/main/java/spokestall/duty/UsageBook.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageTable.java
@@ -1,4 +1,4 @@
-package spokestall.duty;
+package spokestall.usage;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,7 +11,7 @@
 import java.util.function.LongSupplier;
 
 /** Begun asks by window, edge life and tenant. Merging takes the larger count, so order and repeats don't matter. */
-public final class UsageBook {
+public final class UsageTable {
     private static final int TENANTS_MAX = 4096;
     private static final int LIVES_MAX = 1024;
     private final LongSupplier window;
@@ -20,14 +20,14 @@
     private final TreeMap<Long, Map<String, Map<String, Long>>> windows = new TreeMap<>();
     private final TreeMap<Long, Set<String>> closed = new TreeMap<>();
 
-    /** Example: {@code new UsageBook(() -> fleet.nowMs() / windowMs, 12)}; windows far from now are not taken. */
-    public UsageBook(final LongSupplier window, final int windowsKept) {
+    /** Example: {@code new UsageTable(() -> fleet.nowMs() / windowMs, 12)}; windows far from now are not taken. */
+    public UsageTable(final LongSupplier window, final int windowsKept) {
         this.window = window;
         this.windowsKept = windowsKept;
     }
 
     /** Merges one edge life's counts. Example: {@code book.merge(count);} */
-    public void merge(final UsageNote.Count count) {
+    public void merge(final UsageMessage.Count count) {
         final long now = window.getAsLong();
         changes++;
         if (count.window() < now - windowsKept || count.window() > now + 1) {
@@ -75,8 +75,8 @@
     }
 
     /** What is known of every window, to keep it beyond this life. Example: {@code voter.keepOwn("~usage", bytes(book.all()))} */
-    public List<UsageNote.Count> all() {
-        final List<UsageNote.Count> found = new ArrayList<>();
+    public List<UsageMessage.Count> all() {
+        final List<UsageMessage.Count> found = new ArrayList<>();
         windows.keySet().forEach(w -> found.addAll(counts(w)));
         return found;
     }
@@ -87,11 +87,11 @@
     }
 
     /** What is known of a window, to hand to another core. Example: {@code book.counts(345)} */
-    public List<UsageNote.Count> counts(final long of) {
-        final List<UsageNote.Count> found = new ArrayList<>();
+    public List<UsageMessage.Count> counts(final long of) {
+        final List<UsageMessage.Count> found = new ArrayList<>();
         windows.getOrDefault(of, Map.of()).forEach((life, begun) -> {
             final int at = life.lastIndexOf('#');
-            found.add(new UsageNote.Count(
+            found.add(new UsageMessage.Count(
                     life.substring(0, at),
                     Long.parseUnsignedLong(life.substring(at + 1), 16),
                     of,
--- a/spokestall/src/test/java/spokestall/ArchitectureTest.java
+++ b/spokestall/src/test/java/spokestall/ArchitectureTest.java
@@ -5,22 +5,14 @@
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.lang.ArchRule;
-import com.tngtech.archunit.library.dependencies.SliceAssignment;
-import com.tngtech.archunit.library.dependencies.SliceIdentifier;
-import com.tngtech.archunit.library.dependencies.SliceRule;
 import java.time.Instant;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
-import spokestall.feed.Follower;
-import spokestall.feed.Versions;
-import spokestall.policy.Acceptance;
-import spokestall.ring.FileSegments;
-import spokestall.ring.Folders;
+import spokestall.storage.DirectorySync;
+import spokestall.storage.FileSegmentStore;
 
 /** Which package may use what. docs/architecture.md shows the same picture. */
 class ArchitectureTest {
@@ -28,28 +20,25 @@
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("spokestall");
 
-    private static final String INPUT_AND_OUTPUT = "spokestall.rim..";
-    private static final String PROGRAMS = "programs";
-    private static final String NODE = "node";
+    private static final String INPUT_AND_OUTPUT = "spokestall.io..";
+    private static final String NODE = "spokestall.node..";
+    private static final String COMMANDS = "spokestall.cli..";
 
     /** State machines: time, chance, network and disk come in from outside. */
     private static final String[] STATE_MACHINES = {
-        "spokestall.ballot..",
-        "spokestall.duty..",
-        "spokestall.feed..",
-        "spokestall.hand..",
-        "spokestall.listing..",
-        "spokestall.policy..",
-        "spokestall.time..",
-        "spokestall.view..",
-        "spokestall.edge..",
         "spokestall.audit..",
+        "spokestall.configuration..",
+        "spokestall.consensus..",
+        "spokestall.discovery..",
+        "spokestall.gossip..",
+        "spokestall.handoff..",
+        "spokestall.lease..",
+        "spokestall.membership..",
+        "spokestall.proxy..",
+        "spokestall.time..",
+        "spokestall.usage..",
     };
 
-    /** Commands that are run by people, as against what makes up a node. */
-    private static final Set<String> COMMANDS =
-            Set.of(Main.class.getName(), Operator.class.getName(), Demand.class.getName(), AuditCheck.class.getName());
-
     @Test
     void stateMachinesKnowNoSocketsFilesClocksThreads() {
         noSockets(STATE_MACHINES).check(PRODUCT);
@@ -64,7 +53,7 @@
         assertThat(broken(noSockets(INPUT_AND_OUTPUT))).contains("HttpClient");
         assertThat(broken(noFiles(INPUT_AND_OUTPUT))).contains("AuditFiles");
         assertThat(broken(noClockAndNoThread(INPUT_AND_OUTPUT))).contains("SystemClock");
-        assertThat(broken(noInputAndOutput("spokestall"))).contains("Daemon");
+        assertThat(broken(noInputAndOutput(COMMANDS))).contains("NodeProcess");
     }
 
     private static String broken(final ArchRule rule) {
@@ -119,7 +108,7 @@
                 .resideInAPackage(INPUT_AND_OUTPUT)
                 .orShould()
                 .dependOnClassesThat()
-                .belongToAnyOf(FileSegments.class, Folders.class);
+                .belongToAnyOf(FileSegmentStore.class, DirectorySync.class);
     }
 
     /** The log itself is driven by the simulator too; two classes touch files: its own, and the sync of folders. */
@@ -127,9 +116,9 @@
     void twoClassesOfTheLogTouchFiles() {
         classes()
                 .that()
-                .resideInAPackage("spokestall.ring..")
+                .resideInAPackage("spokestall.storage..")
                 .and()
-                .doNotBelongToAnyOf(FileSegments.class, Folders.class)
+                .doNotBelongToAnyOf(FileSegmentStore.class, DirectorySync.class)
                 .should()
                 .onlyDependOnClassesThat()
                 .resideOutsideOfPackages("java.nio.file..", "java.nio.channels..")
@@ -141,9 +130,7 @@
     void aNodeKnowsNoSocketsAndNoFiles() {
         noClasses()
                 .that()
-                .resideInAPackage("spokestall")
-                .and()
-                .doNotBelongToAnyOf(Main.class, Operator.class, Demand.class, AuditCheck.class)
+                .resideInAPackage(NODE)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -156,42 +143,17 @@
                 .check(PRODUCT);
     }
 
-    /**
-     * No package needs another that needs it. The root package is two parts, a node and the commands that people run.
-     * One cycle is left: {@link Acceptance} is where a change is proposed, so it asks {@link Follower} for the newest
-     * version in force, while the feed carries what the policy package defines.
-     */
+    /** No package needs another that needs it. */
     @Test
     void noPackagesNeedEachOther() {
-        final SliceRule rule =
-                slices().assignedFrom(new PackagesAndCommands()).should().beFreeOfCycles();
-        assertThat(broken(rule)).as("the cycle that is left").contains(Acceptance.class.getName());
-        rule.ignoreDependency(Acceptance.class, Follower.class)
-                .ignoreDependency(Acceptance.class, Versions.class)
-                .check(PRODUCT);
+        slices().matching("spokestall.(**)").should().beFreeOfCycles().check(PRODUCT);
     }
 
-    private static final class PackagesAndCommands implements SliceAssignment {
-        @Override
-        public SliceIdentifier getIdentifierOf(final JavaClass type) {
-            return SliceIdentifier.of(slice(type));
-        }
-
-        @Override
-        public String getDescription() {
-            return "packages, with the root package in two parts";
-        }
-    }
-
-    private static String slice(final JavaClass type) {
-        final String name = type.getPackageName();
-        if (!name.equals("spokestall")) {
-            return name;
-        }
-        return COMMANDS.stream()
-                        .anyMatch(
-                                c -> type.getName().equals(c) || type.getName().startsWith(c + "$"))
-                ? PROGRAMS
-                : NODE;
+    /** The rule above looks at every package: none of the product's lies outside its pattern. */
+    @Test
+    void everyPackageIsLookedAt() {
+        assertThat(PRODUCT.stream().map(type -> type.getPackageName()).distinct())
+                .contains("spokestall.node", "spokestall.cli", "spokestall.configuration.feed", "spokestall.io.http")
+                .allMatch(name -> name.startsWith("spokestall."));
     }
 }
--- a/spokestall/src/test/java/spokestall/PagesTest.java
+++ b/spokestall/src/test/java/spokestall/PagesTest.java
@@ -51,8 +51,10 @@
 
     @Test
     void everyClassThatIsNamedExists() throws IOException {
-        assertThat(unknown("`edge.Run`, `Run.late`, `Node.Rim`, `duty.Run`, `Gone`, `Run.gone2`"))
-                .containsExactly("`duty.Run`", "`Gone`", "`Run.gone2`");
+        assertThat(
+                        unknown(
+                                "`proxy.RequestExecution`, `RequestExecution.late`, `Node.start`, `usage.RequestExecution`, `Gone`, `Node.gone2`"))
+                .containsExactly("`usage.RequestExecution`", "`Gone`", "`Node.gone2`");
         for (final String page : List.of("docs/architecture.md", "docs/glossary.md")) {
             assertThat(unknown(Files.readString(ROOT.resolve(page)))).as(page).isEmpty();
         }
--- a/spokestall/src/test/java/spokestall/rpc/RepliesFormatTest.java
+++ b/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
@@ -1,4 +1,4 @@
-package spokestall.rpc;
+package spokestall.api;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,18 +8,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import spokestall.GoldenFile;
-import spokestall.ballot.Voter;
-import spokestall.duty.LeaseKeeper;
-import spokestall.edge.Ran;
-import spokestall.edge.Ticket;
-import spokestall.listing.Status;
-import spokestall.ring.Ring;
+import spokestall.consensus.Acceptor;
+import spokestall.discovery.HealthStatus;
+import spokestall.lease.LeaseManager;
+import spokestall.proxy.ExecutionStatus;
+import spokestall.proxy.RequestTicket;
+import spokestall.storage.SegmentedLog;
 
 /** The calls of operators as they are sent and answered: their names and parameters, and the words of the replies. */
 class RepliesFormatTest {
     private static String reply(final String method, final String params) {
         final List<String> replies = new ArrayList<>();
-        new Calls()
+        new CallRegistry()
                 .run(
                         method,
                         GoldenFile.parsed(params),
@@ -40,7 +40,7 @@
 
     @Test
     void everyResultHasItsNumberStatusNameAndText() {
-        final List<String> found = Stream.of(Result.values())
+        final List<String> found = Stream.of(ResultCode.values())
                 .map(result -> result.number() + " " + result.httpStatus() + " " + result.name() + " " + result.text())
                 .toList();
         assertThat(found).isEqualTo(GoldenFile.lines("results.txt"));
@@ -49,7 +49,7 @@
     @Test
     void everyCallHasItsNameAndParameters() {
         final List<String> found = new ArrayList<>();
-        new Calls()
+        new CallRegistry()
                 .file()
                 .path("methods")
                 .fields()
@@ -60,7 +60,7 @@
 
     @Test
     void theSchemaFileSaysWhichSchemaItIsOf() {
-        final JsonNode file = new Calls().file();
+        final JsonNode file = new CallRegistry().file();
         final List<String> parts = new ArrayList<>();
         file.fieldNames().forEachRemaining(parts::add);
         assertThat(parts).containsExactly("$schema", "title", "methods", "$defs");
@@ -70,7 +70,7 @@
 
     @Test
     void aReplyIsACodeATextAndAResult() {
-        assertThat(Reply.of(Result.OK, GoldenFile.parsed("{\"version\":18}"))
+        assertThat(Reply.of(ResultCode.OK, GoldenFile.parsed("{\"version\":18}"))
                         .json()
                         .toString())
                 .isEqualTo("{\"code\":1000,\"text\":\"done\",\"result\":{\"version\":18}}");
@@ -80,8 +80,8 @@
     @Test
     void parametersThatDoNotFitAreToldByTheirPlaces() {
         final List<String> replies = new ArrayList<>();
-        final Calls calls = new Calls();
-        calls.on("usage.get", (params, done) -> done.accept(Reply.of(Result.OK, null)));
+        final CallRegistry calls = new CallRegistry();
+        calls.on("usage.get", (params, done) -> done.accept(Reply.of(ResultCode.OK, null)));
         calls.run(
                 "usage.get",
                 GoldenFile.parsed("{\"window\":-1}"),
@@ -97,19 +97,21 @@
 
     @Test
     void theStatesThatRepliesTellHaveTheirWords() {
-        assertThat(Stream.of(Status.values()).map(Status::name)).containsExactly("READY", "LEAVING", "DOWN", "FOREIGN");
-        assertThat(Stream.of(Voter.State.values()).map(Voter.State::name))
+        assertThat(Stream.of(HealthStatus.values()).map(HealthStatus::name))
+                .containsExactly("READY", "LEAVING", "DOWN", "FOREIGN");
+        assertThat(Stream.of(Acceptor.State.values()).map(Acceptor.State::name))
                 .containsExactly("BLANK", "CATCHING_UP", "VOTING", "RESIGNED", "STOPPED");
-        assertThat(Stream.of(Ring.State.values()).map(Ring.State::name))
+        assertThat(Stream.of(SegmentedLog.State.values()).map(SegmentedLog.State::name))
                 .containsExactly("OPEN", "FULL", "REFUSING", "BROKEN");
-        assertThat(Stream.of(LeaseKeeper.State.values()).map(LeaseKeeper.State::name))
+        assertThat(Stream.of(LeaseManager.State.values()).map(LeaseManager.State::name))
                 .containsExactly("WATCHING", "ACQUIRING", "HOLDING", "RELEASING", "STOPPED");
-        assertThat(Stream.of(Ran.values()).map(Ran::word)).containsExactly("ran", "not-run", "undecided");
+        assertThat(Stream.of(ExecutionStatus.values()).map(ExecutionStatus::word))
+                .containsExactly("ran", "not-run", "undecided");
     }
 
     @Test
     void aTicketIsWrittenAndReadAsOneText() {
-        assertThat(new Ticket(17, 1000).text()).isEqualTo("t1-17-1000");
-        assertThat(Ticket.of("t1-17-1000.pay-4")).isEqualTo(new Ticket(17, 1000));
+        assertThat(new RequestTicket(17, 1000).text()).isEqualTo("t1-17-1000");
+        assertThat(RequestTicket.of("t1-17-1000.pay-4")).isEqualTo(new RequestTicket(17, 1000));
     }
 }
--- a/spokestall/src/test/java/spokestall/rpc/ResultTest.java
+++ b/spokestall/src/test/java/spokestall/api/ResultCodeTest.java
@@ -1,4 +1,4 @@
-package spokestall.rpc;
+package spokestall.api;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,14 +7,14 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-class ResultTest {
+class ResultCodeTest {
     @Test
     void theTableInTheDocsIsTheTableInTheCode() throws Exception {
         final String doc = Files.readString(Path.of("..", "docs", "result-codes.md"));
         assertThat(doc.lines().filter(l -> l.matches("\\| \\d+ .*")))
-                .containsExactlyElementsOf(Arrays.stream(Result.values())
+                .containsExactlyElementsOf(Arrays.stream(ResultCode.values())
                         .map(r -> "| " + r.number() + " | " + r + " | " + r.httpStatus() + " | " + r.text() + " |")
                         .toList());
-        assertThat(Arrays.stream(Result.values()).map(Result::number)).doesNotHaveDuplicates();
+        assertThat(Arrays.stream(ResultCode.values()).map(ResultCode::number)).doesNotHaveDuplicates();
     }
 }
--- a/spokestall/src/test/java/spokestall/policy/PolicyFormatTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,16 +9,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import spokestall.GoldenFile;
-import spokestall.rpc.Calls;
+import spokestall.api.CallRegistry;
 
 /** The policy as operators write it: each of its fields, what it means, and how troubles in it are told. */
-class PolicyFormatTest {
-    private static final Rules RULES =
-            new Rules(new Calls().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1", "d2"));
-    private static final OwnForm FORM = new OwnForm(RULES);
+class ConfigurationFormatTest {
+    private static final ConfigurationValidator RULES = new ConfigurationValidator(
+            new CallRegistry().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1", "d2"));
+    private static final NativeConfigurationFormat FORM = new NativeConfigurationFormat(RULES);
     private static final String KEY_HASH = "8ae87d5cf3a5c7a0dc57ccb0d7ca2e4ee7ac7a24d6fdbc2b3f2ce0dfdfab5ed1";
 
-    private static Policy policy() {
+    private static Configuration policy() {
         return FORM.read(17, GoldenFile.json("policy.json"), null);
     }
 
@@ -38,9 +38,9 @@
     void itIsWrittenAsItWasRead() {
         final JsonNode written = GoldenFile.json("policy.json");
         assertThat(policy().tree()).isEqualTo(written);
-        final Book book = new Book(8, FORM);
+        final ConfigurationStore book = new ConfigurationStore(8, FORM);
         final byte[] sent = GoldenFile.text("policy.json").getBytes(StandardCharsets.UTF_8);
-        book.apply(1, new Change("change-1", Change.Kind.PUT, sent, 0));
+        book.apply(1, new ConfigurationChange("change-1", ConfigurationChange.Kind.PUT, sent, 0));
         assertThat(book.policy().tree()).isEqualTo(written);
         final String kept = new String(book.snapshot().json(), StandardCharsets.UTF_8);
         assertThat(kept).isEqualTo(written.toString());
@@ -48,7 +48,7 @@
 
     @Test
     void tenantsAndTheirBindingsAreRead() {
-        final Policy policy = policy();
+        final Configuration policy = policy();
         assertThat(policy.tenants()).containsOnlyKeys("tenant-1", "tenant-2", "tenant-3");
         final Tenant tenant = policy.tenantOf(KEY_HASH);
         assertThat(tenant.name()).isEqualTo("tenant-1");
@@ -57,22 +57,21 @@
         assertThat(tenant.keys()).hasSize(2);
         assertThat(tenant.priority(9)).isEqualTo(3);
         assertThat(policy.tenants().get("tenant-2").priority(9)).isEqualTo(9);
-        final Binding pay = tenant.binding("/pay/17");
+        final Route pay = tenant.binding("/pay/17");
         assertThat(pay.name()).isEqualTo("pay");
-        assertThat(pay.split()).containsExactly(new Binding.Share("transfers", 1));
+        assertThat(pay.split()).containsExactly(new Route.Share("transfers", 1));
         assertThat(pay.runOnce()).isTrue();
     }
 
     @Test
     void bindingsForAllAreRead() {
-        final Binding shared =
-                policy().find("a.example", "/records/1", KEY_HASH).binding();
+        final Route shared = policy().find("a.example", "/records/1", KEY_HASH).binding();
         assertThat(shared)
-                .isEqualTo(new Binding(
+                .isEqualTo(new Route(
                         "shared-service",
                         "a.example",
                         "/records/",
-                        List.of(new Binding.Share("records", 1)),
+                        List.of(new Route.Share("records", 1)),
                         true,
                         2,
                         2500,
@@ -81,16 +80,16 @@
                         true,
                         Set.of("r2")));
         assertThat(policy().find("", "/split", KEY_HASH).binding().split())
-                .containsExactly(new Binding.Share("records", 90), new Binding.Share("transfers", 10));
+                .containsExactly(new Route.Share("records", 90), new Route.Share("transfers", 10));
     }
 
     @Test
     void servicesLimitsAndHoldsAreRead() {
-        final Policy policy = policy();
-        assertThat(policy.service("records")).isEqualTo(new ServiceRule("records", 1000, 2000, 300, 4000, 5.5));
+        final Configuration policy = policy();
+        assertThat(policy.service("records")).isEqualTo(new ServiceLimits("records", 1000, 2000, 300, 4000, 5.5));
         assertThat(policy.service("transfers"))
                 .as("what holds without a word")
-                .isEqualTo(new ServiceRule("transfers", 65_536, 262_144, 2000, 10_000, 10));
+                .isEqualTo(new ServiceLimits("transfers", 65_536, 262_144, 2000, 10_000, 10));
         assertThat(policy.limits()).isEqualTo(new ClientLimits(8192, 3000, 15_000));
         assertThat(policy.holds()).containsExactlyInAnyOrder("d1", "d2");
     }
--- a/spokestall/src/test/java/spokestall/policy/RulesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,14 +7,14 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import spokestall.rpc.Calls;
+import spokestall.api.CallRegistry;
 
-class RulesTest {
-    private static final Rules RULES =
-            new Rules(new Calls().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
+class ConfigurationValidatorTest {
+    private static final ConfigurationValidator RULES =
+            new ConfigurationValidator(new CallRegistry().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
 
     private static ObjectNode policy() {
-        final ObjectNode policy = Book.JSON.createObjectNode();
+        final ObjectNode policy = ConfigurationStore.JSON.createObjectNode();
         final ObjectNode cells = policy.putObject("cells");
         for (int i = 0; i < 4; i++) {
             final ObjectNode t = cells.putObject("c" + i).putObject("tenants").putObject("t" + i);
@@ -27,7 +27,7 @@
     }
 
     private static JsonNode patch(final Random random) {
-        final ObjectNode patch = Book.JSON.createObjectNode();
+        final ObjectNode patch = ConfigurationStore.JSON.createObjectNode();
         final int i = random.nextInt(4);
         final ObjectNode t = patch.putObject("cells")
                 .putObject("c" + i)
@@ -45,7 +45,8 @@
             case 5 -> patch.putObject("holds").putObject(random.nextBoolean() ? "d1" : "d9");
             case 6 -> t.put("colour", "red");
             case 7 -> t.putNull("homeRegions");
-            case 8 -> t.set("bindings", Book.JSON.createObjectNode().put("x", 1));
+            case 8 ->
+                t.set("bindings", ConfigurationStore.JSON.createObjectNode().put("x", 1));
             default ->
                 t.putObject("bindings")
                         .putObject("b" + random.nextInt(3))
@@ -60,11 +61,11 @@
     void whatIsSharedWithAGoodPolicyNeedNotBeCheckedAgain() {
         final Random random = new Random(4);
         JsonNode good = policy();
-        final JsonNode nothing = Book.JSON.createObjectNode();
+        final JsonNode nothing = ConfigurationStore.JSON.createObjectNode();
         int accepted = 0;
         int denied = 0;
         for (int i = 0; i < 3000; i++) {
-            final JsonNode after = Patch.apply(good, patch(random));
+            final JsonNode after = MergePatch.apply(good, patch(random));
             final var whole = RULES.check(after, nothing);
             final var part = RULES.check(after, good);
             assertThat(part.isEmpty()).as(after + " " + whole + " " + part).isEqualTo(whole.isEmpty());
--- a/spokestall/src/test/java/spokestall/policy/TargetTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RequestTargetTest.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class TargetTest {
+class RequestTargetTest {
     /** Whatever is let through reads the same to a program that decodes and tidies it as to one that does neither. */
     @Test
     void aGoodTargetHasOneReading() {
@@ -21,7 +21,7 @@
             for (int n = random.nextInt(6); n > 0; n--) {
                 raw.append(parts[random.nextInt(parts.length)]);
             }
-            if (Target.of(raw.toString()) instanceof Target.Good t) {
+            if (RequestTarget.of(raw.toString()) instanceof RequestTarget.Good t) {
                 good++;
                 assertThat(t.raw()).isEqualTo(raw.toString());
                 final URI read = URI.create("http://h" + raw);
--- a/spokestall/src/test/java/spokestall/policy/BindingsTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
@@ -1,4 +1,4 @@
-package spokestall.policy;
+package spokestall.configuration;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class BindingsTest {
+class RouteTableTest {
     private static final String[] WORDS = {"a", "b", "ab"};
 
     private static String path(final Random random, final boolean slash) {
@@ -32,11 +32,11 @@
         final Random random = new Random(7);
         int found = 0;
         for (int round = 0; round < 2000; round++) {
-            final Bindings bindings = new Bindings();
+            final RouteTable bindings = new RouteTable();
             final List<String> all = new ArrayList<>();
             for (int n = random.nextInt(8); n >= 0; n--) {
                 final String path = random.nextInt(20) == 0 ? "/" : path(random, true);
-                bindings.add(Binding.of("b", path, "s", false));
+                bindings.add(Route.of("b", path, "s", false));
                 all.add(path);
             }
             final String asked = path(random, true);
@@ -44,7 +44,7 @@
                     .filter(b -> leads(b, asked))
                     .max(Comparator.comparingInt(String::length))
                     .orElse(null);
-            final Binding binding = bindings.find(asked);
+            final Route binding = bindings.find(asked);
             assertThat(binding == null ? null : binding.path())
                     .as(asked + " among " + all)
                     .isEqualTo(expected);
@@ -55,8 +55,8 @@
 
     @Test
     void whatABindingAndATenantSayOfRegionsBothBind() {
-        final Binding open = Binding.of("b", "/b", "s", false);
-        final Binding two = new Binding("b", "", "/b", open.split(), false, 0, 0, 0, 0, false, Set.of("r1", "r2"));
+        final Route open = Route.of("b", "/b", "s", false);
+        final Route two = new Route("b", "", "/b", open.split(), false, 0, 0, 0, 0, false, Set.of("r1", "r2"));
         final Tenant tenant = new Tenant("t", "", null, Set.of("r2", "r3"), Set.of(), null, List.of());
         assertThat(List.of("r1", "r2", "r3"))
                 .filteredOn(r -> two.home(tenant, r))
--- a/spokestall/src/test/java/spokestall/feed/FollowerTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -1,4 +1,4 @@
-package spokestall.feed;
+package spokestall.configuration.feed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,32 +7,32 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Seat;
-import spokestall.ballot.Voters;
-import spokestall.listing.Listing;
-import spokestall.policy.Book;
-import spokestall.policy.Snapshot;
+import spokestall.configuration.ConfigurationSnapshot;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.discovery.EndpointRegistry;
+import spokestall.gossip.NodeInfo;
+import spokestall.message.Fingerprints;
+import spokestall.message.Message;
 import spokestall.time.ManualClock;
-import spokestall.view.Member;
-import spokestall.wire.Marks;
-import spokestall.wire.Note;
 
 /** Whom a follower asks for news, seen from the cores. */
-class FollowerTest {
-    private record Sent(String to, Note note) {}
+class FeedClientTest {
+    private record Sent(String to, Message note) {}
 
     private static final long BEAT_MS = 400;
-    private static final Voters TABLE =
-            new Voters(1, 1, List.of(seat("a"), seat("b"), seat("c"), seat("d"), seat("e")));
+    private static final VoterSet TABLE =
+            new VoterSet(1, 1, List.of(seat("a"), seat("b"), seat("c"), seat("d"), seat("e")));
     private static final long BASE = TABLE.firstNumber();
     private final List<Sent> sent = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
-    private final Book book = new Book(8);
-    private final Member self = new Member("edge", "x", "x", false, "d1", "r1", 7, 0, false, 5, 1, false);
-    private final Follower follower;
+    private final ConfigurationStore book = new ConfigurationStore(8);
+    private final NodeInfo self = new NodeInfo("edge", "x", "x", false, "d1", "r1", 7, 0, false, 5, 1, false);
+    private final FeedClient follower;
 
-    FollowerTest() {
+    FeedClientTest() {
         final Proposer proposer = new Proposer(
                 "edge#7",
                 "x",
@@ -43,14 +43,14 @@
                 (seat, key) -> {});
         proposer.adopt(TABLE);
         book.load(snapshot(BASE + 1));
-        follower = new Follower(
+        follower = new FeedClient(
                 () -> self,
                 book,
-                new Listing(7, 64, 4000, true),
+                new EndpointRegistry(7, 64, 4000, true),
                 proposer,
                 (to, note) -> sent.add(new Sent(to, note)),
                 clock,
-                new Follower.Pace(1000, 32, 3 * BEAT_MS, 64, false),
+                new FeedClient.Pace(1000, 32, 3 * BEAT_MS, 64, false),
                 List::of,
                 table -> {},
                 () -> {},
@@ -58,12 +58,12 @@
                 address -> address.charAt(0));
     }
 
-    private static Seat seat(final String name) {
-        return new Seat(name, name, "disk-" + name);
+    private static Voter seat(final String name) {
+        return new Voter(name, name, "disk-" + name);
     }
 
-    private static Snapshot snapshot(final long version) {
-        return new Snapshot(version, "{}".getBytes(StandardCharsets.UTF_8), List.of());
+    private static ConfigurationSnapshot snapshot(final long version) {
+        return new ConfigurationSnapshot(version, "{}".getBytes(StandardCharsets.UTF_8), List.of());
     }
 
     /** Beats and gives what was sent. */
@@ -75,14 +75,14 @@
 
     private static List<String> askedForNews(final List<Sent> of) {
         return of.stream()
-                .filter(s -> s.note instanceof FeedNote.FeedAsk a && a.news())
+                .filter(s -> s.note instanceof FeedMessage.FeedAsk a && a.news())
                 .map(Sent::to)
                 .toList();
     }
 
     private static long askId(final List<Sent> of) {
-        return ((FeedNote.FeedAsk) of.stream()
-                        .filter(s -> s.note instanceof FeedNote.FeedAsk)
+        return ((FeedMessage.FeedAsk) of.stream()
+                        .filter(s -> s.note instanceof FeedMessage.FeedAsk)
                         .findFirst()
                         .orElseThrow()
                         .note)
@@ -90,11 +90,12 @@
     }
 
     private void proof(final String core, final long askId, final long applied) {
-        follower.hear(new FeedNote.ProofBack(core, askId, 1, 1, Marks.of("disk-" + core), true, false, applied, 0));
+        follower.hear(
+                new FeedMessage.ProofBack(core, askId, 1, 1, Fingerprints.of("disk-" + core), true, false, applied, 0));
     }
 
-    private void back(final String core, final long askId, final long applied, final Snapshot with) {
-        follower.hear(new FeedNote.FeedBack(
+    private void back(final String core, final long askId, final long applied, final ConfigurationSnapshot with) {
+        follower.hear(new FeedMessage.FeedBack(
                 core,
                 "disk-" + core,
                 askId,
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -0,0 +1,18 @@
+package spokestall.consensus;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+import spokestall.membership.MembershipCoordinator;
+
+/** Keys of what a voter keeps beside its registers, against their literals. */
+class AcceptorKeyStabilityTest {
+    @Test
+    void keysOfAVotersOwnRecordsAreTheLiteralOnes() {
+        assertThat(Acceptor.VOTERS).isEqualTo("~voters");
+        assertThat(Acceptor.CAUGHT).isEqualTo("~caught");
+        assertThat(Acceptor.DISK).isEqualTo("~disk");
+        assertThat(Acceptor.FLOOR).isEqualTo("~floor");
+        assertThat(MembershipCoordinator.FORM).isEqualTo("~form");
+    }
+}
--- a/spokestall/src/test/java/spokestall/ballot/VoterTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,13 +8,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import spokestall.feed.Versions;
-import spokestall.ring.MemorySegments;
-import spokestall.ring.Ring;
-import spokestall.ring.Segments;
+import spokestall.configuration.feed.ConfigurationKeys;
+import spokestall.storage.InMemorySegmentStore;
+import spokestall.storage.SegmentStore;
+import spokestall.storage.SegmentedLog;
 
-class VoterTest {
-    private static final Guard OPEN = new Guard() {
+class AcceptorTest {
+    private static final RegisterGuard OPEN = new RegisterGuard() {
         @Override
         public boolean ready() {
             return true;
@@ -37,7 +37,7 @@
     };
 
     /** Keeps what versions decided in a snapshot of its own. */
-    private record Holding(AtomicLong snapshotDown) implements Guard {
+    private record Holding(AtomicLong snapshotDown) implements RegisterGuard {
         @Override
         public boolean holds(final long floor) {
             return snapshotDown.get() >= floor;
@@ -64,73 +64,75 @@
         }
     }
 
-    private static Segments disk() {
-        return new MemorySegments(8, 1 << 14);
+    private static SegmentStore disk() {
+        return new InMemorySegmentStore(8, 1 << 14);
     }
 
-    private static Voters table(final int seats) {
-        final List<Seat> all = new ArrayList<>();
+    private static VoterSet table(final int seats) {
+        final List<Voter> all = new ArrayList<>();
         for (int i = 0; i < seats; i++) {
-            all.add(new Seat("v" + i, "v" + i, "disk-" + i));
+            all.add(new Voter("v" + i, "v" + i, "disk-" + i));
         }
-        return new Voters(3, 4, all);
+        return new VoterSet(3, 4, all);
     }
 
-    private static Voter joiner() {
-        return new Voter("v0", new Ring(disk()), (to, note) -> {}, OPEN, "disk-0");
+    private static Acceptor joiner() {
+        return new Acceptor("v0", new SegmentedLog(disk()), (to, note) -> {}, OPEN, "disk-0");
     }
 
     @Test
     void aJoinerVotesOnlyOnceItHasReadFromSoManyThatEveryMajorityIsMet() {
-        for (int seats = 2; seats <= Voters.SEATS_MAX; seats++) {
-            final Voters table = table(seats);
+        for (int seats = 2; seats <= VoterSet.SEATS_MAX; seats++) {
+            final VoterSet table = table(seats);
             assertThat(table.meeting() + table.majority()).isGreaterThan(seats);
             assertThat(table(seats + 1).meeting()).isGreaterThanOrEqualTo(table.meeting());
-            final Voter voter = joiner();
+            final Acceptor voter = joiner();
             voter.adopt(table);
             for (int i = 1; i <= table.meeting(); i++) {
-                assertThat(voter.state()).as("%s of %s", i, seats).isEqualTo(Voter.State.CATCHING_UP);
-                final BallotNote.CatchBack back = new BallotNote.CatchBack("v" + i, 3, 4, "", List.of(), true, 0);
+                assertThat(voter.state()).as("%s of %s", i, seats).isEqualTo(Acceptor.State.CATCHING_UP);
+                final ConsensusMessage.CatchBack back =
+                        new ConsensusMessage.CatchBack("v" + i, 3, 4, "", List.of(), true, 0);
                 voter.hear(back, "v0");
                 voter.hear(back, "v0");
-                voter.hear(new BallotNote.CatchBack("v" + (i + 1), 3, 3, "", List.of(), true, 0), "v0");
+                voter.hear(new ConsensusMessage.CatchBack("v" + (i + 1), 3, 3, "", List.of(), true, 0), "v0");
             }
-            assertThat(voter.state()).isEqualTo(Voter.State.VOTING);
+            assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
         }
     }
 
-    private static BallotNote.CatchBack allOf(final String name, final long floor) {
-        return new BallotNote.CatchBack(name, 3, 4, "", List.of(), true, floor);
+    private static ConsensusMessage.CatchBack allOf(final String name, final long floor) {
+        return new ConsensusMessage.CatchBack(name, 3, 4, "", List.of(), true, floor);
     }
 
     @Test
     void aJoinerTakesTheHighestFloorOfThoseThatItReadFromAndKeepsItThroughARestart() {
-        final Segments disk = disk();
-        final Voter voter = new Voter("v0", new Ring(disk), (to, note) -> {}, OPEN, "disk-0");
+        final SegmentStore disk = disk();
+        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
         voter.adopt(table(5));
         voter.hear(allOf("v1", 7), "v0");
         voter.hear(allOf("v2", 40), "v0");
         voter.hear(allOf("v3", 0), "v0");
-        assertThat(voter.state()).isEqualTo(Voter.State.VOTING);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
         assertThat(voter.floor()).isEqualTo(40);
-        final Voter again = new Voter("v0", new Ring(disk), (to, note) -> {}, OPEN, "other");
-        assertThat(again.state()).isEqualTo(Voter.State.VOTING);
+        final Acceptor again = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "other");
+        assertThat(again.state()).isEqualTo(Acceptor.State.VOTING);
         assertThat(again.floor()).isEqualTo(40);
     }
 
     @Test
     void aJoinerDoesNotVoteBeforeWhatTheOthersLetGoIsOnItsOwnDisk() {
         final AtomicLong snapshotDown = new AtomicLong(39);
-        final Voter voter = new Voter("v0", new Ring(disk()), (to, note) -> {}, new Holding(snapshotDown), "disk-0");
+        final Acceptor voter =
+                new Acceptor("v0", new SegmentedLog(disk()), (to, note) -> {}, new Holding(snapshotDown), "disk-0");
         voter.adopt(table(5));
         voter.hear(allOf("v1", 7), "v0");
         voter.hear(allOf("v2", 40), "v0");
         voter.hear(allOf("v3", 0), "v0");
         voter.tick("v0");
-        assertThat(voter.state()).isEqualTo(Voter.State.CATCHING_UP);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.CATCHING_UP);
         snapshotDown.set(40);
         voter.tick("v0");
-        assertThat(voter.state()).isEqualTo(Voter.State.VOTING);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
     @Test
@@ -138,31 +140,32 @@
         final TreeMap<String, Register> registers = new TreeMap<>();
         for (int version = 1; version <= 100; version++) {
             final byte[] value = new byte[version == 90 ? 5000 : 10];
-            registers.put(Versions.key(version), new Register(Ballot.NONE, Ballot.NONE, value));
-        }
-        assertThat(Versions.floor(registers, 100, 1024, 1 << 20)).isZero();
-        assertThat(Versions.floor(registers, 100, 30, 1 << 20)).isEqualTo(70);
-        assertThat(Versions.floor(registers, 100, 1024, 1000)).isEqualTo(90);
-        assertThat(Versions.floor(registers, 90, 1024, 1000)).isEqualTo(89);
-        assertThat(Versions.upTo(registers, 89)).hasSize(89).doesNotContain(Versions.key(90));
+            registers.put(
+                    ConfigurationKeys.key(version), new Register(ProposalNumber.NONE, ProposalNumber.NONE, value));
+        }
+        assertThat(ConfigurationKeys.floor(registers, 100, 1024, 1 << 20)).isZero();
+        assertThat(ConfigurationKeys.floor(registers, 100, 30, 1 << 20)).isEqualTo(70);
+        assertThat(ConfigurationKeys.floor(registers, 100, 1024, 1000)).isEqualTo(90);
+        assertThat(ConfigurationKeys.floor(registers, 90, 1024, 1000)).isEqualTo(89);
+        assertThat(ConfigurationKeys.upTo(registers, 89)).hasSize(89).doesNotContain(ConfigurationKeys.key(90));
     }
 
     @Test
     void whoResignedFromAGenerationVotesInNoneOfItsEpochs() {
-        final Voter voter = joiner();
+        final Acceptor voter = joiner();
         voter.found(table(3), List.of());
-        assertThat(voter.state()).isEqualTo(Voter.State.VOTING);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
         voter.resign(3);
-        voter.adopt(table(3).add(new Seat("new", "new", "x")));
-        assertThat(voter.state()).isEqualTo(Voter.State.RESIGNED);
+        voter.adopt(table(3).add(new Voter("new", "new", "x")));
+        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
         voter.foundLate(table(3), List.of());
-        assertThat(voter.state()).isEqualTo(Voter.State.RESIGNED);
-        voter.adopt(new Voters(9, 1, table(3).seats()));
-        assertThat(voter.state()).isEqualTo(Voter.State.CATCHING_UP);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
+        voter.adopt(new VoterSet(9, 1, table(3).seats()));
+        assertThat(voter.state()).isEqualTo(Acceptor.State.CATCHING_UP);
     }
 
     /** A disk whose writes are down when the test says so. */
-    private static final class Held extends MemorySegments {
+    private static final class Held extends InMemorySegmentStore {
         private final List<Runnable> held = new ArrayList<>();
         private boolean holds;
 
@@ -188,28 +191,28 @@
     @Test
     void whoResignsWhileATableIsOnItsWayToTheDiskStaysResigned() {
         final Held disk = new Held();
-        final Voter voter = new Voter("v0", new Ring(disk), (to, note) -> {}, OPEN, "disk-0");
+        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
         voter.found(table(3), List.of());
         disk.holds = true;
-        voter.adopt(table(3).add(new Seat("new", "new", "x")));
+        voter.adopt(table(3).add(new Voter("new", "new", "x")));
         voter.resign(3);
         disk.letGo();
-        assertThat(voter.state()).isEqualTo(Voter.State.RESIGNED);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
     }
 
     @Test
     void whoResignedCatchesUpInNoLaterEpoch() {
         final Held disk = new Held();
-        final Voter voter = new Voter("v0", new Ring(disk), (to, note) -> {}, OPEN, "disk-0");
+        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
         voter.found(table(3), List.of());
         voter.resign(3);
         disk.holds = true;
-        voter.adopt(table(3).add(new Seat("new", "new", "x")));
+        voter.adopt(table(3).add(new Voter("new", "new", "x")));
         for (int i = 1; i < 3; i++) {
-            voter.hear(new BallotNote.CatchBack("v" + i, 3, 5, "", List.of(), true, 0), "v0");
+            voter.hear(new ConsensusMessage.CatchBack("v" + i, 3, 5, "", List.of(), true, 0), "v0");
         }
         disk.letGo();
-        assertThat(voter.state()).isEqualTo(Voter.State.RESIGNED);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
         assertThat(voter.keepsState()).isTrue();
         assertThat(voter.hasState()).isFalse();
     }
@@ -218,16 +221,16 @@
     @Test
     void whoHasCaughtUpAsATableComesVotesOnceItIsDown() {
         final Held disk = new Held();
-        final Voter voter = new Voter("v0", new Ring(disk), (to, note) -> {}, OPEN, "disk-0");
+        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
         voter.adopt(table(3));
-        assertThat(voter.state()).isEqualTo(Voter.State.CATCHING_UP);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.CATCHING_UP);
         disk.holds = true;
         for (int i = 1; i < 3; i++) {
-            voter.hear(new BallotNote.CatchBack("v" + i, 3, 4, "", List.of(), true, 0), "v0");
+            voter.hear(new ConsensusMessage.CatchBack("v" + i, 3, 4, "", List.of(), true, 0), "v0");
         }
-        voter.adopt(table(3).add(new Seat("new", "new", "x")));
-        assertThat(voter.state()).as("before the table is down").isEqualTo(Voter.State.CATCHING_UP);
+        voter.adopt(table(3).add(new Voter("new", "new", "x")));
+        assertThat(voter.state()).as("before the table is down").isEqualTo(Acceptor.State.CATCHING_UP);
         disk.letGo();
-        assertThat(voter.state()).isEqualTo(Voter.State.VOTING);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
     }
 }
--- a/spokestall/src/test/java/spokestall/ballot/BallotBench.java
+++ b/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
-import spokestall.ring.DelayedSegments;
-import spokestall.ring.Ring;
+import spokestall.message.Message;
+import spokestall.storage.DelayedSegmentStore;
+import spokestall.storage.SegmentedLog;
 import spokestall.time.EventClock;
-import spokestall.wire.Note;
 
 /** Six voters and some proposers in virtual time, with notes late, lost and doubled, and voters that lose power. */
-public final class BallotBench {
+public final class ConsensusTestContext {
     /** Takes every value and never lets a key go. */
-    private static final class Open implements Guard {
+    private static final class Open implements RegisterGuard {
         @Override
         public boolean ready() {
             return true;
@@ -41,37 +41,37 @@
     /** The bench's chance. */
     public final Random random;
 
-    private final Map<String, Consumer<Note>> ears = new HashMap<>();
-    private final List<DelayedSegments> disks = new ArrayList<>();
-    private final Voters table;
+    private final Map<String, Consumer<Message>> ears = new HashMap<>();
+    private final List<DelayedSegmentStore> disks = new ArrayList<>();
+    private final VoterSet table;
     private final double loss;
 
-    /** Example: {@code new BallotBench(seed, 0.1)} */
-    public BallotBench(final long seed, final double loss) {
+    /** Example: {@code new ConsensusTestContext(seed, 0.1)} */
+    public ConsensusTestContext(final long seed, final double loss) {
         this.random = new Random(seed);
         this.loss = loss;
-        final List<Seat> seats = new ArrayList<>();
+        final List<Voter> seats = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            seats.add(new Seat("v" + i, "v" + i, "disk-" + i));
-            disks.add(new DelayedSegments(8, 1 << 16, clock, () -> 1 + random.nextInt(3)));
+            seats.add(new Voter("v" + i, "v" + i, "disk-" + i));
+            disks.add(new DelayedSegmentStore(8, 1 << 16, clock, () -> 1 + random.nextInt(3)));
         }
-        table = new Voters(1, 1, seats);
+        table = new VoterSet(1, 1, seats);
         for (int i = 0; i < 6; i++) {
-            final Voter voter = voter(i);
+            final Acceptor voter = voter(i);
             clock.after(0, () -> voter.found(table, List.of()));
         }
         run(100);
     }
 
-    private Voter voter(final int i) {
+    private Acceptor voter(final int i) {
         final String name = "v" + i;
-        final Voter voter = new Voter(name, new Ring(disks.get(i)), this::send, new Open(), "disk-" + i);
-        ears.put(name, note -> voter.hear((BallotNote) note, name));
+        final Acceptor voter = new Acceptor(name, new SegmentedLog(disks.get(i)), this::send, new Open(), "disk-" + i);
+        ears.put(name, note -> voter.hear((ConsensusMessage) note, name));
         return voter;
     }
 
     /** Sends a note late, twice or not at all. */
-    public void send(final String to, final Note note) {
+    public void send(final String to, final Message note) {
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
         for (int i = 0; i < times; i++) {
             clock.after(1 + random.nextInt(40), () -> ears.get(to).accept(note));
@@ -84,7 +84,7 @@
                 name + "#1", name, this::send, clock, random, new Proposer.Pace(150, 30, 1000), (seat, key) -> {});
         made.adopt(table);
         ears.put(name, note -> {
-            if (note instanceof BallotNote b) {
+            if (note instanceof ConsensusMessage b) {
                 made.hear(b);
             }
         });
--- a/spokestall/src/test/java/spokestall/ballot/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,7 +18,7 @@
         long finished = 0;
         long unclear = 0;
         for (int seed = 0; seed < 40; seed++) {
-            final BallotBench bench = new BallotBench(seed, 0.15);
+            final ConsensusTestContext bench = new ConsensusTestContext(seed, 0.15);
             final List<String> done = new ArrayList<>();
             final long[] newest = {0};
             final int[] counts = new int[2];
@@ -37,13 +37,13 @@
                                     // again.
                                     final boolean own =
                                             now != null && new String(now, StandardCharsets.UTF_8).endsWith(" " + mark);
-                                    return new Edit.Set(
+                                    return new RegisterEdit.Set(
                                             own
                                                     ? now
                                                     : (number(now) + 1 + " " + mark).getBytes(StandardCharsets.UTF_8));
                                 },
                                 outcome -> {
-                                    if (outcome instanceof Outcome.Done d && d.wrote()) {
+                                    if (outcome instanceof ProposalOutcome.Done d && d.wrote()) {
                                         counts[0]++;
                                         assertThat(number(d.value())).isGreaterThan(floor);
                                         done.add(new String(d.value(), StandardCharsets.UTF_8));
@@ -56,7 +56,7 @@
                     bench.clock.after(bench.random.nextInt(9000), () -> {
                         final long floor = newest[0];
                         proposer.read("count", 3000, outcome -> {
-                            if (outcome instanceof Outcome.Done d) {
+                            if (outcome instanceof ProposalOutcome.Done d) {
                                 assertThat(number(d.value()))
                                         .as("a read after it was done")
                                         .isGreaterThanOrEqualTo(floor);
--- a/spokestall/src/test/java/spokestall/ballot/FloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,14 +9,14 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import spokestall.feed.Versions;
-import spokestall.ring.MemorySegments;
-import spokestall.ring.Ring;
+import spokestall.configuration.feed.ConfigurationKeys;
+import spokestall.message.Message;
+import spokestall.storage.InMemorySegmentStore;
+import spokestall.storage.SegmentedLog;
 import spokestall.time.Clock;
-import spokestall.wire.Note;
 
 /** Versions that were decided and let go are decided for good, whoever is replaced or restarted after. */
-class FloorTest {
+class VersionFloorTest {
     private static final int SEATS = 6;
     private static final long DECIDED = 40;
     private static final long FLOOR = 30;
@@ -24,17 +24,17 @@
     private static final byte[] OTHER = {2};
 
     /** A voter with its disk; versions up to the floor are gone for it. */
-    private final class Machine implements Guard {
+    private final class Machine implements RegisterGuard {
         private final String name;
-        private MemorySegments disk = new MemorySegments(8, 1 << 14);
-        private Voter voter;
+        private InMemorySegmentStore disk = new InMemorySegmentStore(8, 1 << 14);
+        private Acceptor voter;
 
         Machine(final String name) {
             this.name = name;
         }
 
         void start(final String freshId) {
-            voter = new Voter(name, new Ring(disk), FloorTest.this::post, this, freshId);
+            voter = new Acceptor(name, new SegmentedLog(disk), VersionFloorTest.this::post, this, freshId);
         }
 
         @Override
@@ -44,7 +44,7 @@
 
         @Override
         public boolean gone(final String key) {
-            final long version = Versions.of(key);
+            final long version = ConfigurationKeys.of(key);
             return version >= 0 && version <= voter.floor();
         }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    private record Sent(String to, Note note) {}
+    private record Sent(String to, Message note) {}
 
     private record Timer(long atMs, Runnable what) {}
 
@@ -84,10 +84,10 @@
     };
     private final Proposer proposer = new Proposer(
             "late#1", "late", this::post, clock, new Random(1), new Proposer.Pace(100, 10, 1000), (seat, key) -> {});
-    private Voters table;
+    private VoterSet table;
     private long nowMs;
 
-    private void post(final String to, final Note note) {
+    private void post(final String to, final Message note) {
         wire.add(new Sent(to, note));
     }
 
@@ -105,63 +105,69 @@
         while (!wire.isEmpty()) {
             final Sent sent = wire.poll();
             if (sent.to.equals("late")) {
-                proposer.hear((BallotNote) sent.note);
+                proposer.hear((ConsensusMessage) sent.note);
             } else {
-                machines.get(sent.to).voter.hear((BallotNote) sent.note, sent.to);
+                machines.get(sent.to).voter.hear((ConsensusMessage) sent.note, sent.to);
             }
         }
     }
 
     /** Six voters that have decided some versions, all but the newest of which they have let go. */
     private void found() {
-        final List<Seat> seats = new ArrayList<>();
+        final List<Voter> seats = new ArrayList<>();
         for (int i = 0; i < SEATS; i++) {
             final String name = "v" + i;
-            seats.add(new Seat(name, name, "disk-" + i));
+            seats.add(new Voter(name, name, "disk-" + i));
             machines.put(name, new Machine(name));
             machines.get(name).start("disk-" + i);
         }
-        table = new Voters(1, 1, seats);
+        table = new VoterSet(1, 1, seats);
         machines.values().forEach(m -> m.voter.found(table, List.of()));
         proposer.adopt(table);
         for (long version = 1; version <= DECIDED; version++) {
-            assertThat(propose(version, FIRST)).isInstanceOf(Outcome.Done.class);
+            assertThat(propose(version, FIRST)).isInstanceOf(ProposalOutcome.Done.class);
         }
         machines.values()
                 .forEach(m -> m.voter.raiseFloor(
-                        FLOOR, () -> Versions.upTo(m.voter.registers(), FLOOR).forEach(m.voter::drop)));
+                        FLOOR,
+                        () -> ConfigurationKeys.upTo(m.voter.registers(), FLOOR).forEach(m.voter::drop)));
     }
 
-    private Outcome propose(final long version, final byte[] value) {
-        final List<Outcome> told = new ArrayList<>();
-        proposer.change(Versions.key(version), 500, now -> now == null ? new Edit.Set(value) : Edit.LEAVE, told::add);
+    private ProposalOutcome propose(final long version, final byte[] value) {
+        final List<ProposalOutcome> told = new ArrayList<>();
+        proposer.change(
+                ConfigurationKeys.key(version),
+                500,
+                now -> now == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
+                told::add);
         run(700);
         return told.get(0);
     }
 
     private void replace(final int i) {
         final Machine machine = machines.get("v" + i);
-        machine.disk = new MemorySegments(8, 1 << 14);
+        machine.disk = new InMemorySegmentStore(8, 1 << 14);
         machine.start("disk-" + i + "-new");
-        table = table.swap(new Seat(machine.name, machine.name, machine.voter.diskId()));
+        table = table.swap(new Voter(machine.name, machine.name, machine.voter.diskId()));
         machines.values().forEach(m -> m.voter.adopt(table));
         for (int beat = 0; beat < 10; beat++) {
             machine.voter.tick(machine.name);
             run(1);
         }
-        assertThat(machine.voter.state()).isEqualTo(Voter.State.VOTING);
+        assertThat(machine.voter.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
     private void decidedForGood() {
         proposer.adopt(table);
         for (long version = 1; version <= FLOOR; version++) {
-            assertThat(propose(version, OTHER)).as("version %s", version).isInstanceOf(Outcome.Gone.class);
+            assertThat(propose(version, OTHER)).as("version %s", version).isInstanceOf(ProposalOutcome.Gone.class);
         }
         for (long version = FLOOR + 1; version <= DECIDED; version++) {
             assertThat(propose(version, OTHER))
                     .as("version %s", version)
                     .isInstanceOfSatisfying(
-                            Outcome.Done.class, done -> assertThat(done.value()).isEqualTo(FIRST));
+                            ProposalOutcome.Done.class,
+                            done -> assertThat(done.value()).isEqualTo(FIRST));
         }
     }
 
--- a/spokestall/src/test/java/spokestall/listing/ListingTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
@@ -1,21 +1,21 @@
-package spokestall.listing;
+package spokestall.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ListingTest {
+class EndpointRegistryTest {
     private static final long NOW_MS = 10_000;
-    private final Listing unprobed = new Listing(1, 64, 1000, false);
-    private final Listing probed = new Listing(1, 64, 1000, true);
+    private final EndpointRegistry unprobed = new EndpointRegistry(1, 64, 1000, false);
+    private final EndpointRegistry probed = new EndpointRegistry(1, 64, 1000, true);
 
-    private static Listed entry(
+    private static Endpoint entry(
             final String instance, final String service, final boolean present, final boolean leaving, final long ms) {
-        return new Listed(instance, service, "10.0.0.1:80", "d1", "r1", present, leaving, ms, 0, 0, 2);
+        return new Endpoint(instance, service, "10.0.0.1:80", "d1", "r1", present, leaving, ms, 0, 0, 2);
     }
 
-    private static List<String> ready(final Listing of, final String service) {
+    private static List<String> ready(final EndpointRegistry of, final String service) {
         return of.ready(service, NOW_MS).stream().map(Upstream::instance).toList();
     }
 
@@ -49,11 +49,11 @@
     void whereThereAreProbesTheirWordsCountAtEachLook() {
         probed.merge(List.of(entry("a", "s", true, false, 1), entry("b", "s", true, false, 1)), List.of());
         assertThat(ready(probed, "s")).isEmpty();
-        probed.merge(List.of(), List.of(new Report("a", "core", Status.READY, 7, NOW_MS)));
+        probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.READY, 7, NOW_MS)));
         assertThat(ready(probed, "s")).containsExactly("a");
         assertThat(probed.ready("s", NOW_MS).get(0).readySinceMs()).isEqualTo(7);
         assertThat(probed.ready("s", NOW_MS + 1001)).as("the word is too old").isEmpty();
-        probed.merge(List.of(), List.of(new Report("a", "core", Status.LEAVING, 7, NOW_MS + 1)));
+        probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.LEAVING, 7, NOW_MS + 1)));
         assertThat(ready(probed, "s")).isEmpty();
     }
 
--- a/spokestall/src/test/java/spokestall/listing/ProberTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -1,4 +1,4 @@
-package spokestall.listing;
+package spokestall.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,45 +8,45 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import spokestall.gossip.NodeInfo;
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
-import spokestall.view.Member;
 
 /** Three cores and an edge that hear each other at once; the platform's list is what the test says. */
-class ProberTest {
+class HealthCheckerTest {
     private static final long LIST_MS = 1000;
     private final ManualClock clock = new ManualClock(5_000_000);
     private final FleetClock fleet = new FleetClock(clock, 100);
-    private final Map<String, Listing> listings = new TreeMap<>();
-    private final Map<String, Prober> probers = new TreeMap<>();
+    private final Map<String, EndpointRegistry> listings = new TreeMap<>();
+    private final Map<String, HealthChecker> probers = new TreeMap<>();
     private final Map<String, Integer> reads = new TreeMap<>();
     private final Map<String, Integer> heard = new TreeMap<>();
-    private final List<Listed> list = new ArrayList<>();
-    private final List<Member> members = new ArrayList<>();
+    private final List<Endpoint> list = new ArrayList<>();
+    private final List<NodeInfo> members = new ArrayList<>();
 
-    ProberTest() {
+    HealthCheckerTest() {
         fleet.heard("p", clock.nowMs(), true, clock.nowMs());
         fleet.heard("q", clock.nowMs(), true, clock.nowMs());
         for (final String name : List.of("a", "b", "c", "edge")) {
-            members.add(
-                    new Member(name, name, name, !name.equals("edge"), "d", "r", 1, clock.nowMs(), false, 3, 1, false));
-            listings.put(name, new Listing(1, 100, 4000, false));
+            members.add(new NodeInfo(
+                    name, name, name, !name.equals("edge"), "d", "r", 1, clock.nowMs(), false, 3, 1, false));
+            listings.put(name, new EndpointRegistry(1, 100, 4000, false));
         }
-        for (final Member m : members.subList(0, 3)) {
+        for (final NodeInfo m : members.subList(0, 3)) {
             probers.put(
                     m.name(),
-                    new Prober(
+                    new HealthChecker(
                             m,
                             listings.get(m.name()),
                             reach(m.name()),
                             (to, note) -> {
-                                final ListingNote.Push push = (ListingNote.Push) note;
+                                final DiscoveryMessage.Push push = (DiscoveryMessage.Push) note;
                                 heard.merge(to, 1, Integer::sum);
                                 listings.get(to).merge(push.listed(), push.reports());
                                 listings.get(to).read(push.readMs());
                             },
                             fleet,
-                            new Prober.Pace(500, 100, 2, 2, LIST_MS, 1000, false),
+                            new HealthChecker.Pace(500, 100, 2, 2, LIST_MS, 1000, false),
                             () -> members.stream()
                                     .filter(o -> o.core() && o != m)
                                     .toList(),
@@ -54,16 +54,16 @@
         }
     }
 
-    private Prober.Reach reach(final String name) {
-        return new Prober.Reach() {
+    private HealthChecker.Reach reach(final String name) {
+        return new HealthChecker.Reach() {
             @Override
-            public void list(final long waitMs, final Consumer<List<Listed>> done) {
+            public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
                 reads.merge(name, 1, Integer::sum);
                 done.accept(List.copyOf(list));
             }
 
             @Override
-            public void probe(final String address, final long waitMs, final Consumer<Prober.Probe> done) {
+            public void probe(final String address, final long waitMs, final Consumer<HealthChecker.Probe> done) {
                 throw new AssertionError("nothing is probed");
             }
         };
@@ -79,8 +79,8 @@
         }
     }
 
-    private static Listed one(final String instance, final boolean leaving, final long coldForMs) {
-        return Listed.read(instance, "s", "10.0.0.1:80", "d", "r", leaving, coldForMs, 0);
+    private static Endpoint one(final String instance, final boolean leaving, final long coldForMs) {
+        return Endpoint.read(instance, "s", "10.0.0.1:80", "d", "r", leaving, coldForMs, 0);
     }
 
     @Test
@@ -112,7 +112,7 @@
         assertThat(listings.get("edge").ready("s", fleet.nowMs()))
                 .extracting(Upstream::instance)
                 .containsExactly("i2");
-        assertThat(listings.get("edge").word("i1", fleet.nowMs()).status()).isEqualTo(Status.LEAVING);
+        assertThat(listings.get("edge").word("i1", fleet.nowMs()).status()).isEqualTo(HealthStatus.LEAVING);
         list.clear();
         run(1100);
         assertThat(listings.get("edge").ready("s", fleet.nowMs())).isEmpty();
@@ -123,11 +123,11 @@
         list.add(one("i1", false, -1));
         run(2000);
         final long since = listings.get("edge").ready("s", fleet.nowMs()).get(0).readySinceMs();
-        final Listed again = one("i1", false, -1).at(true, fleet.nowMs(), 0, fleet.nowMs());
+        final Endpoint again = one("i1", false, -1).at(true, fleet.nowMs(), 0, fleet.nowMs());
         listings.get("edge").merge(List.of(again), List.of());
         assertThat(listings.get("edge").ready("s", fleet.nowMs()).get(0).readySinceMs())
                 .isEqualTo(since);
-        final Listing fresh = new Listing(2, 100, 4000, false);
+        final EndpointRegistry fresh = new EndpointRegistry(2, 100, 4000, false);
         fresh.merge(List.of(again), List.of());
         fresh.merge(listings.get("a").listed(), List.of());
         assertThat(fresh.ready("s", fleet.nowMs()).get(0).readySinceMs()).isEqualTo(since);
--- a/spokestall/src/test/java/spokestall/view/ViewTest.java
+++ b/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
@@ -1,4 +1,4 @@
-package spokestall.view;
+package spokestall.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,24 +8,24 @@
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
 
-class ViewTest {
+class PartialViewTest {
     private static final long GONE_MS = 1000;
     private final ManualClock clock = new ManualClock(1_000_000);
-    private final View view = new View(
+    private final PartialView view = new PartialView(
             member("self", 0),
             List.of("10.0.0.9:1"),
             (to, note) -> {},
             clock,
             new FleetClock(clock, 250),
             new Random(1),
-            new View.Pace(8, 6, GONE_MS, 500));
+            new PartialView.Pace(8, 6, GONE_MS, 500));
 
-    private static Member member(final String name, final long heardMs) {
-        return new Member(name, name + ":1", name + ":80", false, "d1", "r1", 1, heardMs, false, 0, 0, true);
+    private static NodeInfo member(final String name, final long heardMs) {
+        return new NodeInfo(name, name + ":1", name + ":80", false, "d1", "r1", 1, heardMs, false, 0, 0, true);
     }
 
-    private void hear(final String from, final Member... sample) {
-        view.hear(new ViewNote.Shuffle(
+    private void hear(final String from, final NodeInfo... sample) {
+        view.hear(new GossipMessage.Shuffle(
                 from + ":1",
                 member(from, clock.nowMs()),
                 clock.nowMs(),
@@ -37,7 +37,7 @@
     }
 
     private List<String> known() {
-        return view.members().stream().map(Member::name).toList();
+        return view.members().stream().map(NodeInfo::name).toList();
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/hand/HintsTest.java
+++ b/spokestall/src/test/java/spokestall/handoff/HintStoreTest.java
@@ -1,13 +1,13 @@
-package spokestall.hand;
+package spokestall.handoff;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
-class HintsTest {
+class HintStoreTest {
     @Test
     void theNewestAreKeptUpToTheBoundAndHandedOverOnce() {
-        final Hints hints = new Hints(10);
+        final HintStore hints = new HintStore(10);
         for (int i = 0; i < 25; i++) {
             hints.keep("d2-core", "key-" + i);
             hints.keep("d2-core", "key-" + i);
--- a/spokestall/src/test/java/spokestall/rim/AuditFilesTest.java
+++ b/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,7 +15,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spokestall.audit.Chain;
+import spokestall.audit.AuditChain;
 
 class AuditFilesTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -47,7 +47,7 @@
         fill(open(folder, 100), 0, 20);
         fill(open(folder, 100), 20, 40);
         final List<String> good = lines(folder);
-        assertThat(Chain.check(key(folder), good, true)).isEqualTo(new Chain.Verdict.Good(1, 42, 42));
+        assertThat(AuditChain.check(key(folder), good, true)).isEqualTo(new AuditChain.Verdict.Good(1, 42, 42));
         final Random random = new Random(2);
         for (int i = 0; i < 300; i++) {
             final List<String> bad = new ArrayList<>(good);
@@ -65,10 +65,12 @@
                 }
             }
             if (!bad.equals(good)) {
-                assertThat(Chain.check(key(folder), bad, true)).as("try " + i).isInstanceOf(Chain.Verdict.Bad.class);
+                assertThat(AuditChain.check(key(folder), bad, true))
+                        .as("try " + i)
+                        .isInstanceOf(AuditChain.Verdict.Bad.class);
             }
         }
-        assertThat(Chain.check(key(folder), good, false)).isEqualTo(new Chain.Verdict.Torn(1, 41, 41));
+        assertThat(AuditChain.check(key(folder), good, false)).isEqualTo(new AuditChain.Verdict.Torn(1, 41, 41));
     }
 
     @Test
@@ -79,7 +81,7 @@
         Files.writeString(files.get(files.size() - 1), "eyJ0b3Ju", StandardOpenOption.APPEND);
         fill(open(folder, 3), 60, 61);
         final List<String> after = lines(folder);
-        assertThat(Chain.check(key(folder), after, true)).isInstanceOf(Chain.Verdict.Good.class);
+        assertThat(AuditChain.check(key(folder), after, true)).isInstanceOf(AuditChain.Verdict.Good.class);
         final String start = new String(
                 java.util.Base64.getUrlDecoder()
                         .decode(after.get(after.size() - 2).split("\\.")[1]),
@@ -101,6 +103,6 @@
         fill(audit, 8, 9);
         assertThat(audit.newest(1).path("dropped").asInt()).isZero();
         final List<String> lines = lines(folder);
-        assertThat(Chain.check(key(folder), lines, true)).isEqualTo(new Chain.Verdict.Good(1, 6, 6));
+        assertThat(AuditChain.check(key(folder), lines, true)).isEqualTo(new AuditChain.Verdict.Good(1, 6, 6));
     }
 }
--- a/spokestall/src/test/java/spokestall/rim/DataFolderTest.java
+++ b/spokestall/src/test/java/spokestall/io/DataDirectoryTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,24 +7,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class DataFolderTest {
+class DataDirectoryTest {
     @Test
     void whatIsAnothersIsRefusedAndLeftAsItWas(@TempDir final Path folder) throws Exception {
         final Path own = folder.resolve("own");
-        assertThat(DataFolder.open(own, "d1-core")).isNull();
+        assertThat(DataDirectory.open(own, "d1-core")).isNull();
         final String kept = Files.readString(own.resolve("owner"));
         final Path other = folder.resolve("other");
         Files.createDirectories(other);
         Files.writeString(other.resolve("owner"), kept.replace("d1-core", "d2-core"));
-        assertThat(DataFolder.open(other, "d1-core")).contains("d2-core");
+        assertThat(DataDirectory.open(other, "d1-core")).contains("d2-core");
         final Path newer = folder.resolve("newer");
         Files.createDirectories(newer);
         Files.writeString(newer.resolve("owner"), kept.replace("format=1", "format=2"));
-        assertThat(DataFolder.open(newer, "d1-core")).contains("format=2");
+        assertThat(DataDirectory.open(newer, "d1-core")).contains("format=2");
         assertThat(Files.readString(newer.resolve("owner"))).contains("format=2");
         final Path stray = folder.resolve("stray");
         Files.createDirectories(stray.resolve("ring"));
-        assertThat(DataFolder.open(stray, "d1-core")).contains("no owner");
+        assertThat(DataDirectory.open(stray, "d1-core")).contains("no owner");
         assertThat(stray.resolve("owner")).doesNotExist();
     }
 }
--- a/spokestall/src/test/java/spokestall/rim/FieldsTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HeaderFieldsTest.java
@@ -1,13 +1,13 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
 import org.junit.jupiter.api.Test;
-import spokestall.wire.Header;
+import spokestall.message.Header;
 
-class FieldsTest {
+class HeaderFieldsTest {
     private static HeaderMap fields(final String... namesAndValues) {
         final HeaderMap map = new HeaderMap();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -41,7 +41,7 @@
                 "text/html",
                 "X-Own",
                 "z");
-        assertThat(Fields.endToEnd(map))
+        assertThat(HeaderFields.endToEnd(map))
                 .containsExactlyInAnyOrder(
                         new Header("Accept", "text/plain"),
                         new Header("Accept", "text/html"),
@@ -50,15 +50,17 @@
 
     @Test
     void whatCouldBeReadInTwoWaysIsOdd() {
-        assertThat(Fields.odd(fields("A", "b\tc", "Content-Length", "12"))).isNull();
-        assertThat(Fields.odd(fields("A", "b\u0001"))).isNotNull();
-        assertThat(Fields.odd(fields("A", "b\u007f"))).isNotNull();
-        assertThat(Fields.odd(fields("A b", "c"))).isNotNull();
-        assertThat(Fields.odd(fields("Content-Length", ""))).isNotNull();
-        assertThat(Fields.odd(fields("Content-Length", "1x"))).isNotNull();
-        assertThat(Fields.odd(fields("Content-Length", "1234567890123456789"))).isNotNull();
-        assertThat(Fields.odd(fields("Content-Length", "1", "Content-Length", "1")))
+        assertThat(HeaderFields.odd(fields("A", "b\tc", "Content-Length", "12")))
+                .isNull();
+        assertThat(HeaderFields.odd(fields("A", "b\u0001"))).isNotNull();
+        assertThat(HeaderFields.odd(fields("A", "b\u007f"))).isNotNull();
+        assertThat(HeaderFields.odd(fields("A b", "c"))).isNotNull();
+        assertThat(HeaderFields.odd(fields("Content-Length", ""))).isNotNull();
+        assertThat(HeaderFields.odd(fields("Content-Length", "1x"))).isNotNull();
+        assertThat(HeaderFields.odd(fields("Content-Length", "1234567890123456789")))
                 .isNotNull();
-        assertThat(Fields.odd(fields("Transfer-Encoding", "gzip"))).isNotNull();
+        assertThat(HeaderFields.odd(fields("Content-Length", "1", "Content-Length", "1")))
+                .isNotNull();
+        assertThat(HeaderFields.odd(fields("Transfer-Encoding", "gzip"))).isNotNull();
     }
 }
--- a/spokestall/src/test/java/spokestall/rim/HttpClientTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -23,7 +23,7 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import spokestall.wire.Header;
+import spokestall.message.Header;
 
 /** Which connection a request leaves on, and what its outcome is called, against a server made of bytes. */
 class HttpClientTest {
--- a/spokestall/src/test/java/spokestall/rim/HttpPortTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpListenerTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -20,10 +20,10 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import spokestall.policy.ClientLimits;
+import spokestall.configuration.ClientLimits;
 
 /** Clients' connections at a real port. */
-class HttpPortTest {
+class HttpListenerTest {
     private static final int HEAD_BYTES = 2048;
     private static final long HEAD_WAIT_MS = 400;
     private static final long REST_MS = 400;
@@ -31,7 +31,7 @@
     private static final String GET = "GET /x HTTP/1.1\r\nHost: a\r\n";
     private final BlockingQueue<HttpServerExchange> held = new LinkedBlockingQueue<>();
     private XnioWorker worker;
-    private HttpPort port;
+    private HttpListener port;
     private InetSocketAddress at;
 
     @BeforeEach
@@ -49,7 +49,7 @@
     }
 
     private void listen(final ClientLimits limits) throws IOException {
-        port = new HttpPort(worker, OptionMap.EMPTY, OptionMap.EMPTY, limits);
+        port = new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, limits);
         port.listen(at, exchange -> {
             if (exchange.getRequestPath().equals("/held")) {
                 exchange.dispatch(() -> held.add(exchange));
--- a/spokestall/src/test/java/spokestall/rim/IdleConnectionsTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleConnectionPoolTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
-import spokestall.rim.IdleConnections.Peer;
+import spokestall.io.http.IdleConnectionPool.Peer;
 
-class IdleConnectionsTest {
+class IdleConnectionPoolTest {
     private static final long REST_MS = 1000;
     private static final int PER_PEER = 16;
     private static final int PEERS_MAX = 4096;
-    private final IdleConnections idle = new IdleConnections();
+    private final IdleConnectionPool idle = new IdleConnectionPool();
     private final Peer peer = new Peer("10.0.0.1:80", "i-1");
 
     /** Knows only whether it is open, and tells the table when it is closed. */
--- a/spokestall/src/test/java/spokestall/rim/ConnectionRestTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleConnectionTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -22,7 +22,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-class ConnectionRestTest {
+class IdleConnectionTest {
     private static final long REST_MS = 1000;
     private final AtomicLong nowMs = new AtomicLong(1_000_000);
     private final AtomicInteger wires = new AtomicInteger();
--- a/spokestall/src/test/java/spokestall/rim/RestLimitTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleLimitTest.java
@@ -1,13 +1,13 @@
-package spokestall.rim;
+package spokestall.io.http;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
-class RestLimitTest {
+class IdleLimitTest {
     @Test
     void aLoweredLimitCountsWhenARestBegunUnderTheOlderIsOver() {
-        final RestLimit limit = new RestLimit(15_000, 0);
+        final IdleLimit limit = new IdleLimit(15_000, 0);
         limit.change(3000, 100_000);
         assertThat(limit.atMs(100_000)).isEqualTo(15_000);
         assertThat(limit.atMs(114_999)).isEqualTo(15_000);
@@ -16,14 +16,14 @@
 
     @Test
     void aRaisedLimitCountsAtOnce() {
-        final RestLimit limit = new RestLimit(3000, 0);
+        final IdleLimit limit = new IdleLimit(3000, 0);
         limit.change(15_000, 1000);
         assertThat(limit.atMs(1000)).isEqualTo(15_000);
     }
 
     @Test
     void theLongestOfSeveralInARowIsKeptTo() {
-        final RestLimit limit = new RestLimit(15_000, 0);
+        final IdleLimit limit = new IdleLimit(15_000, 0);
         limit.change(8000, 100_000);
         limit.change(2000, 101_000);
         limit.change(2000, 110_000);
--- a/spokestall/src/test/java/spokestall/rim/SettingsWatchTest.java
+++ b/spokestall/src/test/java/spokestall/io/process/SettingsReloaderTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.process;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.io.TempDir;
 import spokestall.settings.FileSettings;
 
-class SettingsWatchTest {
+class SettingsReloaderTest {
     private static final String GOOD = """
             {"name":"d1-edge","address":"10.0.0.1:7100","http":"10.0.0.1:7200","district":"d1","districts":"d1=r1",
              "seeds":"10.0.0.1:7100,10.0.0.2:7100,10.0.0.3:7100","platform":"10.0.9.1:80","whereS":%s}
             """;
     private final List<String> taken = new ArrayList<>();
     private Path file;
-    private SettingsWatch watch;
+    private SettingsReloader watch;
 
     @BeforeEach
     void start(@TempDir final Path folder) throws Exception {
         file = folder.resolve("node.json");
         Files.writeString(file, GOOD.formatted("2"));
-        watch = new SettingsWatch(
+        watch = new SettingsReloader(
                 new FileSettings(file, Map.of(), false), Runnable::run, newer -> taken.add(newer.text("whereS")));
     }
 
@@ -63,7 +63,7 @@
 
     @Test
     void aSignalThatComesBeforeAnyoneListensIsKept() {
-        final Hangup hangup = new Hangup();
+        final HangupSignal hangup = new HangupSignal();
         hangup.raised();
         hangup.raised();
         hangup.listen(watch::signalled);
--- a/spokestall/src/test/java/spokestall/rim/HeadsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.protocol;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,25 +10,26 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import spokestall.GoldenFile;
-import spokestall.duty.Sealed;
-import spokestall.edge.Answer;
-import spokestall.edge.AskHead;
-import spokestall.edge.Go;
-import spokestall.edge.GoResult;
-import spokestall.edge.Ran;
-import spokestall.listing.Listed;
-import spokestall.listing.Prober;
-import spokestall.rpc.Result;
-import spokestall.wire.Content;
-import spokestall.wire.Header;
+import spokestall.api.ResultCode;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthChecker;
+import spokestall.io.http.HttpResult;
+import spokestall.message.Header;
+import spokestall.message.ResponseContent;
+import spokestall.proxy.Attempt;
+import spokestall.proxy.AttemptResult;
+import spokestall.proxy.ExecutionStatus;
+import spokestall.proxy.RequestHead;
+import spokestall.proxy.Response;
+import spokestall.usage.SealedWindow;
 
 /** The heads of spokestall's own interface: with callers, with upstreams and with a platform. */
 class HeadsFormatTest {
-    private static final OwnAsks ASKS = new OwnAsks();
-    private static final OwnGoes GOES = new OwnGoes();
-    private static final OwnPlatform PLATFORM = new OwnPlatform();
+    private static final NativeClientProtocol ASKS = new NativeClientProtocol();
+    private static final NativeUpstreamProtocol GOES = new NativeUpstreamProtocol();
+    private static final NativePlatformProtocol PLATFORM = new NativePlatformProtocol();
     private static final byte[] BODY = "{}".getBytes(StandardCharsets.UTF_8);
-    private static final Go GO = new Go(
+    private static final Attempt GO = new Attempt(
             "t1-17-1000.pay-4",
             "tenant-1",
             "i-1",
@@ -67,7 +68,7 @@
         return String.join("", lines);
     }
 
-    private static String answered(final String title, final Answer answer) {
+    private static String answered(final String title, final Response answer) {
         final HeaderMap headers = new HeaderMap();
         ASKS.headers(answer, headers);
         final String body =
@@ -75,14 +76,14 @@
         return title + "\nstatus " + ASKS.status(answer) + "\n" + sorted(headers) + body + "\n";
     }
 
-    private static GoResult judged(final String head) {
+    private static AttemptResult judged(final String head) {
         return GOES.judge(GO, new HttpResult.Whole(201, fields(head.lines().toList()), BODY));
     }
 
     @Test
     void theHeadOfAnAskIsRead() {
         final HeaderMap fields = fields(GoldenFile.lines("ask-request-head.txt"));
-        final AskHead head = ASKS.head("POST", "a.example", "/transfers/17?full=1", fields, 12);
+        final RequestHead head = ASKS.head("POST", "a.example", "/transfers/17?full=1", fields, 12);
         assertThat(head.key()).isEqualTo("key-1");
         assertThat(head.askId()).isEqualTo("t1-17-1000.pay-4");
         assertThat(head.spanMs()).isEqualTo(2500);
@@ -93,10 +94,15 @@
 
     @Test
     void answersToCallersAreWritten() {
-        final Content content = new Content(201, List.of(), BODY);
-        final String written = answered("of the upstream", new Answer(Result.OK, Ran.RAN, content, "i-1", 2, 0))
-                + answered("of spokestall", new Answer(Result.NO_UPSTREAM, Ran.NOT_RUN, null, null, 0, 1001))
-                + answered("of spokestall, undecided", new Answer(Result.LOST, Ran.UNDECIDED, null, null, 1, 0));
+        final ResponseContent content = new ResponseContent(201, List.of(), BODY);
+        final String written =
+                answered("of the upstream", new Response(ResultCode.OK, ExecutionStatus.RAN, content, "i-1", 2, 0))
+                        + answered(
+                                "of spokestall",
+                                new Response(ResultCode.NO_UPSTREAM, ExecutionStatus.NOT_RUN, null, null, 0, 1001))
+                        + answered(
+                                "of spokestall, undecided",
+                                new Response(ResultCode.LOST, ExecutionStatus.UNDECIDED, null, null, 1, 0));
         assertThat(written).isEqualTo(GoldenFile.text("ask-answer-heads.txt"));
     }
 
@@ -107,9 +113,9 @@
 
     @Test
     void theHeadOfAnUpstreamsAnswerIsRead() {
-        final GoResult result = judged(GoldenFile.text("go-answer-head.txt"));
-        assertThat(result).isInstanceOf(GoResult.Whole.class);
-        final Content content = ((GoResult.Whole) result).content();
+        final AttemptResult result = judged(GoldenFile.text("go-answer-head.txt"));
+        assertThat(result).isInstanceOf(AttemptResult.Whole.class);
+        final ResponseContent content = ((AttemptResult.Whole) result).content();
         assertThat(content.status()).isEqualTo(201);
         assertThat(content.headers())
                 .containsExactlyInAnyOrder(new Header("Content-Type", "application/json"), new Header("X-Trace", "7"));
@@ -118,16 +124,16 @@
     @Test
     void anUpstreamsRefusalIsRead() {
         final String head = GoldenFile.text("go-answer-head.txt");
-        assertThat(judged(head + "Spokestall-Outcome: not-run\n")).isInstanceOf(GoResult.NotRun.class);
+        assertThat(judged(head + "Spokestall-Outcome: not-run\n")).isInstanceOf(AttemptResult.NotRun.class);
         assertThat(judged(head.replace("Spokestall-Instance: i-1", "Spokestall-Instance: i-2")))
-                .isInstanceOf(GoResult.Lost.class);
-        assertThat(judged(head.replace("pay-4", "pay-5"))).isInstanceOf(GoResult.Lost.class);
+                .isInstanceOf(AttemptResult.Lost.class);
+        assertThat(judged(head.replace("pay-4", "pay-5"))).isInstanceOf(AttemptResult.Lost.class);
     }
 
     @Test
     void aReportOfUsageIsWritten() {
-        final PlatformSpeech.Report report =
-                PLATFORM.report("d1-core", 9, new Sealed(345, Map.of("tenant-1", 6L), "d1-core", 9, false));
+        final PlatformProtocol.Report report =
+                PLATFORM.report("d1-core", 9, new SealedWindow(345, Map.of("tenant-1", 6L), "d1-core", 9, false));
         final String body = new String(report.body(), StandardCharsets.UTF_8);
         assertThat("POST " + report.target() + " HTTP/1.1\n" + written(report.headers()) + "\n" + body + "\n")
                 .isEqualTo(GoldenFile.text("usage-report.txt"));
@@ -136,18 +142,18 @@
     @Test
     void theListOfUpstreamsIsRead() {
         assertThat(PLATFORM.listTarget()).isEqualTo("/upstreams");
-        final PlatformSpeech.Page page = PLATFORM.page(GoldenFile.json("upstreams-page.json"));
+        final PlatformProtocol.Page page = PLATFORM.page(GoldenFile.json("upstreams-page.json"));
         assertThat(page.next()).isNull();
         assertThat(page.listed())
                 .containsExactly(
-                        Listed.read("i-1", "transfers", "10.3.0.1:80", "d1", "r1", true, 1500, 8),
-                        Listed.read("i-2", "records", "10.3.0.2:80", "d2", "r2", false, -1, 0));
+                        Endpoint.read("i-1", "transfers", "10.3.0.1:80", "d1", "r1", true, 1500, 8),
+                        Endpoint.read("i-2", "records", "10.3.0.2:80", "d2", "r2", false, -1, 0));
     }
 
     @Test
     void anUpstreamsStatusIsRead() {
         assertThat(PLATFORM.statusTarget()).isEqualTo("/spokestall/status");
         assertThat(PLATFORM.status(GoldenFile.json("upstream-status.json")))
-                .isEqualTo(new Prober.Probe("i-1", "transfers", true, 1500));
+                .isEqualTo(new HealthChecker.Probe("i-1", "transfers", true, 1500));
     }
 }
--- a/spokestall/src/test/java/spokestall/rim/WiresTest.java
+++ b/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
@@ -1,4 +1,4 @@
-package spokestall.rim;
+package spokestall.io.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -19,20 +19,22 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import spokestall.wire.Codec;
-import spokestall.wire.Note;
+import spokestall.io.Addresses;
+import spokestall.message.Message;
+import spokestall.message.MessageCodec;
 
-class WiresTest {
-    record Hello(long number, String text) implements Note {}
+class TcpTransportTest {
+    record Hello(long number, String text) implements Message {}
 
     @Test
     void aWireThatNobodyHearsIsGivenUpAndOpenedAgain() throws Exception {
-        Codec.number(202, Hello.class);
+        MessageCodec.number(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         final ScheduledExecutorService beat = Executors.newSingleThreadScheduledExecutor();
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(20_000);
-            final Wires wires = new Wires(worker, note -> {}, 300, Codec.VERSION, new Peers("127.0.0.0/8"));
+            final TcpTransport wires =
+                    new TcpTransport(worker, note -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
             final String to = "127.0.0.1:" + server.getLocalPort();
             final ScheduledFuture<?> unused =
                     beat.scheduleAtFixedRate(() -> wires.send(to, new Hello(1, "x")), 0, 20, TimeUnit.MILLISECONDS);
@@ -42,7 +44,7 @@
             final DataInputStream in = new DataInputStream(again.getInputStream());
             final byte[] frame = new byte[in.readInt()];
             in.readFully(frame);
-            assertThat(Codec.note(frame)).isEqualTo(new Hello(1, "x"));
+            assertThat(MessageCodec.note(frame)).isEqualTo(new Hello(1, "x"));
         } finally {
             beat.shutdownNow();
             worker.shutdownNow();
@@ -52,20 +54,21 @@
     @Test
     @SuppressWarnings("AddressSelection") // IPv6 loopback itself is meant, and nothing is looked up.
     void aWireFromElsewhereIsNotTaken() throws Exception {
-        assertThat(new Peers("10.1.0.0/16,10.2.3.4"))
+        assertThat(new TrustedNetworks("10.1.0.0/16,10.2.3.4"))
                 .accepts(InetAddress.getByName("10.1.255.9"), InetAddress.getByName("10.2.3.4"))
                 .rejects(
                         InetAddress.getByName("10.2.3.5"),
                         InetAddress.getByName("10.0.255.255"),
                         InetAddress.getByName("::1"));
-        assertThat(new Peers("0.0.0.0/0")).accepts(InetAddress.getByName("200.1.2.3"));
+        assertThat(new TrustedNetworks("0.0.0.0/0")).accepts(InetAddress.getByName("200.1.2.3"));
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        final LinkedBlockingQueue<Note> heard = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
         final int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        final Wires there = new Wires(worker, heard::add, 300, Codec.VERSION, new Peers("10.0.0.0/8"));
+        final TcpTransport there =
+                new TcpTransport(worker, heard::add, 300, MessageCodec.VERSION, new TrustedNetworks("10.0.0.0/8"));
         there.listen(Addresses.of("127.0.0.1:" + port));
         try (Socket stranger = new Socket(InetAddress.getLoopbackAddress(), port)) {
             stranger.setSoTimeout(10_000);
@@ -78,16 +81,18 @@
 
     @Test
     void notesArriveWholeAndInOrderOverOneWireThatIsHeard() throws Exception {
-        Codec.number(202, Hello.class);
+        MessageCodec.number(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 2));
-        final LinkedBlockingQueue<Note> heard = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
         final int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        final Wires there = new Wires(worker, heard::add, 300, Codec.VERSION, new Peers("127.0.0.0/8"));
+        final TcpTransport there =
+                new TcpTransport(worker, heard::add, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
         there.listen(Addresses.of("127.0.0.1:" + port));
-        final Wires here = new Wires(worker, note -> {}, 300, Codec.VERSION, new Peers("127.0.0.0/8"));
+        final TcpTransport here =
+                new TcpTransport(worker, note -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
         for (int i = 0; i < 2000; i++) {
             here.send("127.0.0.1:" + port, new Hello(i, "n".repeat(i % 700)));
         }
@@ -101,14 +106,15 @@
 
     @Test
     void aNoteThatComesInPiecesIsHeardOnceItIsWhole() throws Exception {
-        Codec.number(202, Hello.class);
+        MessageCodec.number(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        final LinkedBlockingQueue<Note> heard = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
         final int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        final Wires there = new Wires(worker, heard::add, 300, Codec.VERSION, new Peers("127.0.0.0/8"));
+        final TcpTransport there =
+                new TcpTransport(worker, heard::add, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
         there.listen(Addresses.of("127.0.0.1:" + port));
         final Hello large = new Hello(1, "n".repeat(50_000));
         final Hello small = new Hello(2, "x");
@@ -116,7 +122,7 @@
             wire.setSoTimeout(20_000);
             final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             for (final Hello note : List.of(large, small, large)) {
-                final byte[] frame = Codec.note(note, Codec.VERSION);
+                final byte[] frame = MessageCodec.note(note, MessageCodec.VERSION);
                 new DataOutputStream(bytes).writeInt(frame.length);
                 bytes.write(frame);
             }
--- a/spokestall/src/test/java/spokestall/duty/LeaseKeeperTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -1,4 +1,4 @@
-package spokestall.duty;
+package spokestall.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
-import spokestall.ballot.Ballot;
-import spokestall.ballot.BallotBench;
-import spokestall.ballot.Edit;
-import spokestall.ballot.Outcome;
-import spokestall.ballot.Proposer;
-import spokestall.ballot.Register;
-import spokestall.wire.Codec;
+import spokestall.consensus.ConsensusTestContext;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Register;
+import spokestall.consensus.RegisterEdit;
+import spokestall.message.MessageCodec;
 
-class LeaseKeeperTest {
-    private static final LeaseKeeper.Pace PACE = new LeaseKeeper.Pace(2000, 400, 800, 200, 100, 20_000, 0);
+class LeaseManagerTest {
+    private static final LeaseManager.Pace PACE = new LeaseManager.Pace(2000, 400, 800, 200, 100, 20_000, 0);
     private static final long LOOKED_AT_MS = 3000;
     /** Rivals come one after another, by the six seats of the bench. */
     private static final long TURNS_MAX_MS = 6 * PACE.turnMs();
@@ -33,7 +33,7 @@
         assertThat(held(true)).isGreaterThan(60);
     }
 
-    private static Supplier<Register> copy(final BallotBench bench, final int number) {
+    private static Supplier<Register> copy(final ConsensusTestContext bench, final int number) {
         final Proposer reader = bench.proposer("r" + number);
         final ArrayDeque<Register> late = new ArrayDeque<>(List.of(register(null)));
         final Runnable look = new Runnable() {
@@ -41,7 +41,7 @@
             public void run() {
                 bench.clock.after(200, this);
                 reader.read(Lease.key("usage_report"), 300, outcome -> {
-                    if (number != 2 && outcome instanceof Outcome.Done done) {
+                    if (number != 2 && outcome instanceof ProposalOutcome.Done done) {
                         late.add(register(done.value()));
                         if (late.size() > (number == 1 ? 5 : 1)) {
                             late.poll();
@@ -55,18 +55,18 @@
     }
 
     private static Register register(final byte[] value) {
-        return new Register(Ballot.NONE, Ballot.NONE, value);
+        return new Register(ProposalNumber.NONE, ProposalNumber.NONE, value);
     }
 
     private static int held(final boolean copies) {
         int held = 0;
         for (int seed = 0; seed < 20; seed++) {
-            final BallotBench bench = new BallotBench(seed, 0.1);
-            final List<Execution> all = new ArrayList<>();
+            final ConsensusTestContext bench = new ConsensusTestContext(seed, 0.1);
+            final List<LeaseSession> all = new ArrayList<>();
             final long[] frozenUntilMs = new long[4];
             for (int k = 0; k < 4; k++) {
                 final int number = k;
-                final LeaseKeeper keeper = new LeaseKeeper(
+                final LeaseManager keeper = new LeaseManager(
                         "usage_report",
                         "k" + k,
                         bench.proposer("k" + k),
@@ -112,7 +112,7 @@
     /** A holder that renews is watched by the copy alone; once it stops, the store is asked before it is taken over. */
     @Test
     void theStoreIsAskedOnlyOnceTheCopyStoodStillForTheWholeSpan() {
-        final BallotBench bench = new BallotBench(2, 0);
+        final ConsensusTestContext bench = new ConsensusTestContext(2, 0);
         final Proposer writer = bench.proposer("w");
         final byte[][] copy = {null};
         final long[] renewal = {0};
@@ -120,15 +120,15 @@
         final Runnable renew = () -> writer.change(
                 Lease.key("usage_report"),
                 800,
-                value -> new Edit.Set(Codec.bytes(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
+                value -> new RegisterEdit.Set(MessageCodec.bytes(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
                 outcome -> {
-                    copy[0] = ((Outcome.Done) outcome).value();
+                    copy[0] = ((ProposalOutcome.Done) outcome).value();
                     renewedMs[0] = bench.clock.nowMs();
                 });
         renew.run();
         bench.run(bench.clock.nowMs() + 300);
         final long[] begunMs = {-1};
-        final LeaseKeeper keeper = new LeaseKeeper(
+        final LeaseManager keeper = new LeaseManager(
                 "usage_report",
                 "k",
                 bench.proposer("k"),
@@ -157,9 +157,9 @@
     /** A lease that is not there may have been lost with its disks while its holder still works. */
     @Test
     void noLeaseAtAllIsWatchedForTheWholeSpanBeforeItIsTaken() {
-        final BallotBench bench = new BallotBench(1, 0);
+        final ConsensusTestContext bench = new ConsensusTestContext(1, 0);
         final long[] begunMs = {-1};
-        final LeaseKeeper keeper = new LeaseKeeper(
+        final LeaseManager keeper = new LeaseManager(
                 "usage_report",
                 "k",
                 bench.proposer("k"),
@@ -175,25 +175,25 @@
         assertThat(begunMs[0] - fromMs).isBetween(PACE.leaseMs() + PACE.marginMs(), 2 * PACE.leaseMs());
     }
 
-    private static final LeaseKeeper.Pace RESTING = new LeaseKeeper.Pace(2000, 400, 800, 200, 100, 20_000, 3600);
+    private static final LeaseManager.Pace RESTING = new LeaseManager.Pace(2000, 400, 800, 200, 100, 20_000, 3600);
 
     /** One life of a node: its keeper, what it began, and until when it may have acted. */
-    private static final class Life implements LeaseKeeper.Work {
-        private final BallotBench bench;
+    private static final class Life implements LeaseManager.Work {
+        private final ConsensusTestContext bench;
         private final String name;
-        private final LeaseKeeper keeper;
-        private final List<Execution> begun = new ArrayList<>();
+        private final LeaseManager keeper;
+        private final List<LeaseSession> begun = new ArrayList<>();
         private boolean callsOpen;
 
-        Life(final BallotBench bench, final String name, final int number, final LeaseKeeper.Pace pace) {
+        Life(final ConsensusTestContext bench, final String name, final int number, final LeaseManager.Pace pace) {
             this.bench = bench;
             this.name = name;
-            this.keeper = new LeaseKeeper(
+            this.keeper = new LeaseManager(
                     "usage_report", name, bench.proposer(name + "." + number), bench.clock, bench.random, pace, this);
         }
 
         @Override
-        public void begin(final Execution execution) {
+        public void begin(final LeaseSession execution) {
             begun.add(execution);
         }
 
@@ -208,7 +208,8 @@
     }
 
     /** Ticks these until one of them begins an execution, and tells how long that took; the whole span if none did. */
-    private static long begins(final BallotBench bench, final long spanMs, final Life awaited, final Life... others) {
+    private static long begins(
+            final ConsensusTestContext bench, final long spanMs, final Life awaited, final Life... others) {
         final long fromMs = bench.clock.nowMs();
         final int before = awaited.begun.size();
         while (awaited.begun.size() == before && bench.clock.nowMs() < fromMs + spanMs) {
@@ -225,7 +226,7 @@
      * whose outcome came too late is seen like this one. */
     @Test
     void aHolderThatRestartsAcquiresItsOwnLeaseWithoutWaitingForItsExpiry() {
-        final BallotBench bench = new BallotBench(3, 0);
+        final ConsensusTestContext bench = new ConsensusTestContext(3, 0);
         final Life before = new Life(bench, "k", 1, RESTING);
         begins(bench, 10_000, before);
         final Life after = new Life(bench, "k", 2, RESTING);
@@ -236,12 +237,13 @@
     /** A lease of an older generation may have been acquired by another since, which was lost with the disks. */
     @Test
     void aLeaseThatAnOlderGenerationAllottedIsWatchedByItsOwnHolderToo() {
-        final BallotBench bench = new BallotBench(4, 0);
+        final ConsensusTestContext bench = new ConsensusTestContext(4, 0);
         bench.proposer("w")
                 .change(
                         Lease.key("usage_report"),
                         800,
-                        value -> new Edit.Set(Codec.bytes(new Lease("k/1", "k", 0, 7, PACE.leaseMs(), false))),
+                        value -> new RegisterEdit.Set(
+                                MessageCodec.bytes(new Lease("k/1", "k", 0, 7, PACE.leaseMs(), false))),
                         outcome -> {});
         bench.run(bench.clock.nowMs() + 500);
         assertThat(begins(bench, 10_000, new Life(bench, "k", 1, PACE)))
@@ -251,7 +253,7 @@
     /** A node in order hands over: what it released is acquired at once, but not by one that held it a short while ago. */
     @Test
     void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsRest() {
-        final BallotBench bench = new BallotBench(6, 0);
+        final ConsensusTestContext bench = new ConsensusTestContext(6, 0);
         final Life one = new Life(bench, "k1", 1, RESTING);
         final Life two = new Life(bench, "k2", 1, RESTING);
         begins(bench, 10_000, one);
@@ -270,7 +272,7 @@
     /** A call that may still arrive keeps the lease from being released: it runs out instead. */
     @Test
     void aHolderWithACallUnderWayLeavesItsLeaseToExpire() {
-        final BallotBench bench = new BallotBench(7, 0);
+        final ConsensusTestContext bench = new ConsensusTestContext(7, 0);
         final Life one = new Life(bench, "k1", 1, RESTING);
         final Life two = new Life(bench, "k2", 1, RESTING);
         begins(bench, 10_000, one);
@@ -292,7 +294,7 @@
     }
 
     private static int held(final long seed) {
-        final BallotBench bench = new BallotBench(seed, 0.05);
+        final ConsensusTestContext bench = new ConsensusTestContext(seed, 0.05);
         final List<Life> lives = new ArrayList<>();
         final List<String> actors = new ArrayList<>();
         final List<Long> lastActMs = new ArrayList<>();
--- a/spokestall/src/test/java/spokestall/ballot/MembershipModelTest.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,6 +9,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.RegisterEdit;
+import spokestall.consensus.VoterSet;
 
 /**
  * A fleet in three regions through losses drawn from a seed, never more of them at once than must be borne (a region): disks
@@ -27,21 +31,21 @@
     private static final int TROUBLES = 9;
 
     /** The faults planted, all off by default. */
-    private static void none(final SeatsBench bench) {}
+    private static void none(final MembershipTestContext bench) {}
 
     /** One seed's run. */
     private static final class Run {
         private final long seed;
-        private final SeatsBench bench;
+        private final MembershipTestContext bench;
         private final Map<String, String> confirmed = new TreeMap<>();
         private final int[] made = new int[REGIONS];
         private int writes;
         private int calmCopies = Integer.MAX_VALUE;
         private int leastCopies = Integer.MAX_VALUE;
 
-        Run(final long seed, final Consumer<SeatsBench> plant) {
+        Run(final long seed, final Consumer<MembershipTestContext> plant) {
             this.seed = seed;
-            bench = new SeatsBench(seed);
+            bench = new MembershipTestContext(seed);
             bench.regions = true;
             for (int i = 0; i < CORES; i++) {
                 fresh(i % REGIONS).bootstrap = true;
@@ -50,13 +54,13 @@
                 bench.machine("e" + i, false, true);
                 bench.seeds.add("e" + i);
             }
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             bench.run(12_000);
             plant.accept(bench);
             bench.loss = 0.04 * (seed % 3);
         }
 
-        private SeatsBench.Machine fresh(final int region) {
+        private MembershipTestContext.Machine fresh(final int region) {
             return bench.machine("c" + (region + REGIONS * made[region]++), true, false);
         }
 
@@ -71,18 +75,20 @@
         private void write() {
             final String key = "once/" + writes++;
             for (int i = 0; i < 2; i++) {
-                final SeatsBench.Machine by = bench.machines.get("e" + i);
+                final MembershipTestContext.Machine by = bench.machines.get("e" + i);
                 final String value = key + " by " + by.name;
                 by.proposer.change(
                         key,
                         2500,
-                        now -> now == null ? new Edit.Set(value.getBytes(StandardCharsets.UTF_8)) : Edit.LEAVE,
+                        now -> now == null
+                                ? new RegisterEdit.Set(value.getBytes(StandardCharsets.UTF_8))
+                                : RegisterEdit.LEAVE,
                         outcome -> confirm(key, outcome));
             }
         }
 
-        private void confirm(final String key, final Outcome outcome) {
-            if (outcome instanceof Outcome.Done done && done.value() != null) {
+        private void confirm(final String key, final ProposalOutcome outcome) {
+            if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
                 final String value = new String(done.value(), StandardCharsets.UTF_8);
                 assertThat(confirmed.getOrDefault(key, value)).as(shown()).isEqualTo(value);
                 confirmed.put(key, value);
@@ -90,7 +96,7 @@
         }
 
         private void look() {
-            final SeatsBench.Copies copies = bench.copies(confirmed);
+            final MembershipTestContext.Copies copies = bench.copies(confirmed);
             assertThat(copies.fewest()).as("%s %s", copies, shown()).isGreaterThanOrEqualTo(Math.max(1, copies.owed()));
             leastCopies = Math.min(leastCopies, copies.fewest());
         }
@@ -120,12 +126,12 @@
 
         /** Whether every seat's core that runs votes, and whichever region goes next, a majority of the seats still does. */
         private boolean bearsTheNextLoss() {
-            final Voters table = bench.newest();
-            final List<SeatsBench.Machine> seated = bench.cores().stream()
+            final VoterSet table = bench.newest();
+            final List<MembershipTestContext.Machine> seated = bench.cores().stream()
                     .filter(m -> table.seat(m.name) != null)
                     .toList();
             boolean bears = seated.stream()
-                    .allMatch(m -> m.voter.state() == Voter.State.VOTING
+                    .allMatch(m -> m.voter.state() == Acceptor.State.VOTING
                             && m.voter.voters().same(table.generation(), table.epoch()));
             for (int region = 0; region < REGIONS; region++) {
                 final int lost = region;
@@ -135,34 +141,34 @@
         }
 
         /** Cores of one region, one or all of them. */
-        private List<SeatsBench.Machine> some(final int region) {
-            final List<SeatsBench.Machine> all = new ArrayList<>(
+        private List<MembershipTestContext.Machine> some(final int region) {
+            final List<MembershipTestContext.Machine> all = new ArrayList<>(
                     bench.cores().stream().filter(m -> m.region() == region).toList());
             java.util.Collections.shuffle(all, bench.random);
             return all.subList(0, 1 + random(all.size()));
         }
 
         private void wipe(final int region) {
-            final List<SeatsBench.Machine> some = some(region);
-            some.forEach(SeatsBench.Machine::wipe);
+            final List<MembershipTestContext.Machine> some = some(region);
+            some.forEach(MembershipTestContext.Machine::wipe);
             comeBack(some);
         }
 
         private void kill(final int region) {
-            final List<SeatsBench.Machine> some = some(region);
-            some.forEach(SeatsBench.Machine::stop);
+            final List<MembershipTestContext.Machine> some = some(region);
+            some.forEach(MembershipTestContext.Machine::stop);
             comeBack(some);
         }
 
         private void killAll() {
-            final List<SeatsBench.Machine> all = bench.cores();
-            all.forEach(SeatsBench.Machine::stop);
+            final List<MembershipTestContext.Machine> all = bench.cores();
+            all.forEach(MembershipTestContext.Machine::stop);
             pass(random(900));
-            all.forEach(SeatsBench.Machine::start);
+            all.forEach(MembershipTestContext.Machine::start);
         }
 
-        private void comeBack(final List<SeatsBench.Machine> some) {
-            for (final SeatsBench.Machine m : some) {
+        private void comeBack(final List<MembershipTestContext.Machine> some) {
+            for (final MembershipTestContext.Machine m : some) {
                 pass(random(6000));
                 m.start();
             }
@@ -170,16 +176,16 @@
 
         /** Each goes for good; an empty one comes, itself perhaps lost again in mid-repair, with all others of the region. */
         private void replace(final int region) {
-            final List<SeatsBench.Machine> some = some(region);
-            some.forEach(SeatsBench.Machine::goForGood);
+            final List<MembershipTestContext.Machine> some = some(region);
+            some.forEach(MembershipTestContext.Machine::goForGood);
             pass(random(3000));
-            final List<SeatsBench.Machine> come = new ArrayList<>();
+            final List<MembershipTestContext.Machine> come = new ArrayList<>();
             some.forEach(m -> come.add(fresh(region)));
-            come.forEach(SeatsBench.Machine::start);
+            come.forEach(MembershipTestContext.Machine::start);
             if (random(2) == 0) {
                 pass(random(4500));
                 come.get(0).goForGood();
-                final SeatsBench.Machine again = fresh(region);
+                final MembershipTestContext.Machine again = fresh(region);
                 pass(random(2000));
                 again.start();
             }
@@ -189,8 +195,8 @@
             }
         }
 
-        private void untilItVotes(final SeatsBench.Machine m) {
-            for (int i = 0; i < 100 && m.voter.state() != Voter.State.VOTING; i++) {
+        private void untilItVotes(final MembershipTestContext.Machine m) {
+            for (int i = 0; i < 100 && m.voter.state() != Acceptor.State.VOTING; i++) {
                 bench.run(bench.nowMs() + 20);
             }
             look();
@@ -198,7 +204,7 @@
 
         /** The new one first, then the old one goes. */
         private void replaceInOrder(final int region) {
-            for (final SeatsBench.Machine old : some(region)) {
+            for (final MembershipTestContext.Machine old : some(region)) {
                 fresh(region).start();
                 pass(500 + random(4000));
                 old.leaveForGood();
@@ -208,11 +214,11 @@
 
         /** Cut off one way or both, from everyone or from cores only, perhaps restarted meanwhile. */
         private void cut(final int region) {
-            final List<SeatsBench.Machine> some = some(region);
+            final List<MembershipTestContext.Machine> some = some(region);
             final int way = 1 + random(3);
             final boolean coresOnly = random(2) == 0;
-            for (final SeatsBench.Machine m : some) {
-                for (final SeatsBench.Machine other : bench.machines.values()) {
+            for (final MembershipTestContext.Machine m : some) {
+                for (final MembershipTestContext.Machine other : bench.machines.values()) {
                     if (!some.contains(other) && (other.core || !coresOnly)) {
                         addCut(way, m, other);
                     }
@@ -220,9 +226,9 @@
             }
             pass(2000 + random(18_000));
             if (random(3) == 0) {
-                some.forEach(SeatsBench.Machine::stop);
+                some.forEach(MembershipTestContext.Machine::stop);
                 pass(random(1000));
-                some.forEach(SeatsBench.Machine::start);
+                some.forEach(MembershipTestContext.Machine::start);
             }
             if (random(3) == 0) {
                 // A machine comes while the others are silent, and may take a seat of theirs.
@@ -237,18 +243,19 @@
         }
 
         /** A core that was away long enough to lose its seat, perhaps, restarts again and again as it gets one anew. */
-        private void restartWhileRejoining(final List<SeatsBench.Machine> some) {
-            final List<SeatsBench.Machine> up =
+        private void restartWhileRejoining(final List<MembershipTestContext.Machine> some) {
+            final List<MembershipTestContext.Machine> up =
                     some.stream().filter(m -> !m.gone).toList();
             for (int i = 0; i < 5; i++) {
                 bench.run(bench.nowMs() + random(400));
-                up.forEach(SeatsBench.Machine::stop);
+                up.forEach(MembershipTestContext.Machine::stop);
                 bench.run(bench.nowMs() + random(60));
-                up.forEach(SeatsBench.Machine::start);
+                up.forEach(MembershipTestContext.Machine::start);
             }
         }
 
-        private void addCut(final int way, final SeatsBench.Machine m, final SeatsBench.Machine other) {
+        private void addCut(
+                final int way, final MembershipTestContext.Machine m, final MembershipTestContext.Machine other) {
             if ((way & 1) > 0) {
                 bench.cut.add(m.name + ">" + other.name);
             }
@@ -288,7 +295,7 @@
             confirmed
                     .keySet()
                     .forEach(key -> bench.machines.get("e2").proposer.read(key, 3000, outcome -> {
-                        if (outcome instanceof Outcome.Done done) {
+                        if (outcome instanceof ProposalOutcome.Done done) {
                             read.put(key, new String(done.value(), StandardCharsets.UTF_8));
                         }
                     }));
@@ -312,7 +319,7 @@
         System.out.printf("%d seeds, %d confirmed, %d copies at the least%n", SEEDS, writes, least);
     }
 
-    private static int found(final int seeds, final Consumer<SeatsBench> plant) {
+    private static int found(final int seeds, final Consumer<MembershipTestContext> plant) {
         int found = 0;
         for (int seed = 0; seed < seeds; seed++) {
             try {
