--- a/spokestall/src/test/java/spokestall/ballot/SeatsBench.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,18 +12,25 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import spokestall.ring.DelayedSegments;
-import spokestall.ring.Ring;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Register;
+import spokestall.consensus.RegisterGuard;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.message.Message;
+import spokestall.message.MessageCodec;
+import spokestall.storage.DelayedSegmentStore;
+import spokestall.storage.SegmentedLog;
 import spokestall.time.Clock;
 import spokestall.time.EventClock;
-import spokestall.wire.Codec;
-import spokestall.wire.Note;
 
 /** A fleet of unknown size in virtual time: cores and edges that come late, restart, and lose disks, with notes late, lost
  * and doubled. After every event it is looked at whether two tables contradict each other. */
-final class SeatsBench {
-    private DelayedSegments disk() {
-        return new DelayedSegments(8, 1 << 15, clock, () -> 1 + random.nextInt(8));
+final class MembershipTestContext {
+    private DelayedSegmentStore disk() {
+        return new DelayedSegmentStore(8, 1 << 15, clock, () -> 1 + random.nextInt(8));
     }
 
     /** One machine, over all its lives. */
@@ -36,13 +43,13 @@
         /** Gone for good, and its disk with it. */
         boolean gone;
 
-        Voter voter;
-        Formation formation;
+        Acceptor voter;
+        MembershipCoordinator formation;
         Proposer proposer;
-        private DelayedSegments disk = disk();
-        private Council council;
-        private Handover handover;
-        private Founder founder;
+        private DelayedSegmentStore disk = disk();
+        private BootstrapAcceptor council;
+        private GracefulHandover handover;
+        private BootstrapProposer founder;
         private long startedMs;
 
         Machine(final String name, final boolean core, final boolean bootstrap) {
@@ -86,9 +93,9 @@
                     random,
                     new Proposer.Pace(150, 30, 1000),
                     (seat, key) -> {});
-            voter = core ? new Voter(name, new Ring(disk), this::send, new Open(this), freshId()) : null;
+            voter = core ? new Acceptor(name, new SegmentedLog(disk), this::send, new Open(this), freshId()) : null;
             final boolean first = told && (!core || voter.openedBlank());
-            council = new Council(
+            council = new BootstrapAcceptor(
                     name,
                     seeds,
                     first,
@@ -96,18 +103,18 @@
                     () -> proposer.voters(),
                     core ? then -> voter.keepOwn("~council", new byte[0], ok -> then.run()) : Runnable::run);
             founder = core && first
-                    ? new Founder(
+                    ? new BootstrapProposer(
                             name,
                             name,
                             name + "#" + lives,
                             seeds,
                             this::send,
                             own,
-                            new Founder.Pace(2000, 1000, 880),
+                            new BootstrapProposer.Pace(2000, 1000, 880),
                             seats -> founding(0, seats))
                     : null;
             formation = core
-                    ? new Formation(
+                    ? new MembershipCoordinator(
                             name,
                             name,
                             name + "#" + lives,
@@ -115,9 +122,9 @@
                             proposer,
                             this::send,
                             own,
-                            new Formation.Pace(0, 2400, 600, 3000, 880, 1000, false, 2000, 32_000),
+                            new MembershipCoordinator.Pace(0, 2400, 600, 3000, 880, 1000, false, 2000, 32_000),
                             (base, left, seats) -> {
-                                final Founding founding = founding(base, seats);
+                                final InitialState founding = founding(base, seats);
                                 mergedFrom.put(founding.table().generation(), withState(base, left));
                                 return founding;
                             },
@@ -127,9 +134,11 @@
                             founder,
                             this::freshId,
                             () -> true,
-                            SeatsBench.this::mostLost)
+                            MembershipTestContext.this::mostLost)
+                    : null;
+            handover = core
+                    ? new GracefulHandover(name, name, voter, this::send, own, new GracefulHandover.Pace(220, 900))
                     : null;
-            handover = core ? new Handover(name, name, voter, this::send, own, new Handover.Pace(220, 900)) : null;
             if (core && voter.voters() != null) {
                 proposer.adopt(voter.voters());
             }
@@ -140,17 +149,17 @@
             }
         }
 
-        private Remains remains() {
-            return new Remains(name, generation(), 0, null, 0, voter.keepsState(), registers());
+        private SurvivingState remains() {
+            return new SurvivingState(name, generation(), 0, null, 0, voter.keepsState(), registers());
         }
 
         private long generation() {
             return voter.voters() == null ? 0 : voter.voters().generation();
         }
 
-        private List<BallotNote.Entry> registers() {
-            final List<BallotNote.Entry> all = new ArrayList<>();
-            voter.registers().forEach((key, r) -> all.add(new BallotNote.Entry(key, r)));
+        private List<ConsensusMessage.Entry> registers() {
+            final List<ConsensusMessage.Entry> all = new ArrayList<>();
+            voter.registers().forEach((key, r) -> all.add(new ConsensusMessage.Entry(key, r)));
             return all;
         }
 
@@ -215,7 +224,7 @@
 
         /** What its disk has, synced. */
         Map<String, byte[]> synced() {
-            return new Ring(disk).table();
+            return new SegmentedLog(disk).table();
         }
 
         /** Three regions, by the number in its name. */
@@ -223,36 +232,36 @@
             return Integer.parseInt(name.replaceAll("[^0-9]", "")) % 3;
         }
 
-        void send(final String to, final Note note) {
-            SeatsBench.this.send(name, to, emptied(note));
+        void send(final String to, final Message note) {
+            MembershipTestContext.this.send(name, to, emptied(note));
         }
 
-        void hear(final Note note) {
-            if (note instanceof CouncilNote c) {
+        void hear(final Message note) {
+            if (note instanceof BootstrapMessage c) {
                 council.hear(c);
                 if (founder != null) {
                     founder.hear(c);
                 }
-            } else if (note instanceof BallotNote.Table t) {
+            } else if (note instanceof ConsensusMessage.Table t) {
                 if (core) {
                     formation.adopt(t.voters());
                 } else {
                     proposer.adopt(t.voters());
                 }
-            } else if (note instanceof BallotNote.HoldBack back) {
+            } else if (note instanceof ConsensusMessage.HoldBack back) {
                 handover.hear(back);
-            } else if (note instanceof BallotNote b) {
+            } else if (note instanceof ConsensusMessage b) {
                 proposer.hear(b);
                 if (core) {
                     voter.hear(b, name);
                 }
-            } else if (note instanceof FormNote.RemainsAsk ask && core) {
-                send(ask.from(), new FormNote.RemainsBack(remains()));
-            } else if (note instanceof FormNote f && core) {
+            } else if (note instanceof MembershipMessage.RemainsAsk ask && core) {
+                send(ask.from(), new MembershipMessage.RemainsBack(remains()));
+            } else if (note instanceof MembershipMessage f && core) {
                 formation.hear(f);
-            } else if (note instanceof FormNote.Standing s) {
+            } else if (note instanceof MembershipMessage.Standing s) {
                 if (s.lacks(proposer.voters())) {
-                    send(s.address(), new BallotNote.Table(proposer.voters()));
+                    send(s.address(), new ConsensusMessage.Table(proposer.voters()));
                 } else if (s.table() != null) {
                     proposer.adopt(s.table());
                 }
@@ -261,7 +270,7 @@
     }
 
     /** Lets go of no key but those of tables that were agreed. */
-    private record Open(Machine of) implements Guard {
+    private record Open(Machine of) implements RegisterGuard {
         @Override
         public boolean ready() {
             return true;
@@ -274,7 +283,7 @@
 
         @Override
         public boolean gone(final String key) {
-            final Voters v = of.voter.voters();
+            final VoterSet v = of.voter.voters();
             return key.startsWith("voters/") && !key.equals("voters/" + v.generation() + "/" + (v.epoch() + 1));
         }
 
@@ -308,11 +317,11 @@
     long notes;
     long tables;
     private final Map<Long, Long> baseOf = new HashMap<>();
-    private final Map<String, List<Seat>> seatsOf = new HashMap<>();
+    private final Map<String, List<Voter>> seatsOf = new HashMap<>();
     private long generations = 1;
-    private Voters newest;
+    private VoterSet newest;
 
-    SeatsBench(final long seed) {
+    MembershipTestContext(final long seed) {
         random = new Random(seed);
     }
 
@@ -323,26 +332,27 @@
     }
 
     /** Every founding has a generation of its own, so that two are told apart. */
-    private Founding founding(final long base, final List<Seat> seats) {
+    private InitialState founding(final long base, final List<Voter> seats) {
         final long generation = Math.max(base, generations) + 1;
         generations = generation;
         baseOf.put(generation, base);
-        return new Founding(new Voters(generation, 1, seats), List.of());
+        return new InitialState(new VoterSet(generation, 1, seats), List.of());
     }
 
-    private static Set<String> withState(final long base, final List<Remains> left) {
+    private static Set<String> withState(final long base, final List<SurvivingState> left) {
         final Set<String> names = new HashSet<>();
         left.stream().filter(r -> r.hasState() && r.generation() == base).forEach(r -> names.add(r.name()));
         return names;
     }
 
-    private Note emptied(final Note note) {
-        return emptyPages && note instanceof BallotNote.CatchBack b
-                ? new BallotNote.CatchBack(b.name(), b.generation(), b.epoch(), b.after(), List.of(), true, b.floor())
+    private Message emptied(final Message note) {
+        return emptyPages && note instanceof ConsensusMessage.CatchBack b
+                ? new ConsensusMessage.CatchBack(
+                        b.name(), b.generation(), b.epoch(), b.after(), List.of(), true, b.floor())
                 : note;
     }
 
-    int mostLost(final List<Seat> seats) {
+    int mostLost(final List<Voter> seats) {
         if (!regions) {
             return 1;
         }
@@ -352,16 +362,19 @@
     }
 
     /** The newest table that any machine took. */
-    Voters newest() {
+    VoterSet newest() {
         return newest;
     }
 
-    private void send(final String from, final String to, final Note note) {
+    private void send(final String from, final String to, final Message note) {
         if (cut.contains(from + ">" + to)) {
             return;
         }
         notes++;
-        tables += note instanceof FormNote.Standing s && s.table() != null || note instanceof BallotNote.Table ? 1 : 0;
+        tables += note instanceof MembershipMessage.Standing s && s.table() != null
+                        || note instanceof ConsensusMessage.Table
+                ? 1
+                : 0;
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
         final Machine target = machines.get(to);
         for (int i = 0; target != null && i < times; i++) {
@@ -375,14 +388,14 @@
     }
 
     private void look(final Machine m) {
-        final Voters table = m.up ? m.proposer.voters() : null;
+        final VoterSet table = m.up ? m.proposer.voters() : null;
         if (table != null) {
             newest = table.newerThan(newest) ? table : newest;
-            final List<Seat> had = seatsOf.putIfAbsent(table.generation() + "/" + table.epoch(), table.seats());
+            final List<Voter> had = seatsOf.putIfAbsent(table.generation() + "/" + table.epoch(), table.seats());
             assertThat(had == null || had.equals(table.seats()))
                     .as("one table for %s, at %s: %s, %s", m.name, clock.nowMs(), had, table)
                     .isTrue();
-            assertThat(table.seats().stream().map(Seat::name).distinct().count())
+            assertThat(table.seats().stream().map(Voter::name).distinct().count())
                     .isEqualTo(table.seats().size());
             founded.computeIfAbsent(baseOf.get(table.generation()), b -> new HashSet<>())
                     .add(table.generation());
@@ -390,7 +403,7 @@
     }
 
     /** What a seat of the newest table has on its disk, synced; empty if its disk is gone or has not caught up. */
-    private Optional<Map<String, byte[]>> state(final Seat seat) {
+    private Optional<Map<String, byte[]>> state(final Voter seat) {
         final Machine m = machines.get(seat.name());
         final Map<String, byte[]> table = m.gone ? Map.of() : m.synced();
         final boolean same = seat.diskId().equals(text(table.get("~disk")));
@@ -424,7 +437,7 @@
                 final byte[] register = state.get(e.getKey());
                 have += register != null
                                 && e.getValue()
-                                        .equals(text(Codec.record(register, Register.class)
+                                        .equals(text(MessageCodec.record(register, Register.class)
                                                 .value()))
                         ? 1
                         : 0;
@@ -444,10 +457,10 @@
     /** Whether every core that runs votes, all by one table that has a seat for each. */
     boolean whole() {
         final List<Machine> cores = cores();
-        final Voters table = cores.get(0).proposer.voters();
+        final VoterSet table = cores.get(0).proposer.voters();
         return table != null
                 && cores.stream()
-                        .allMatch(m -> m.voter.state() == Voter.State.VOTING
+                        .allMatch(m -> m.voter.state() == Acceptor.State.VOTING
                                 && m.proposer.voters().same(table.generation(), table.epoch())
                                 && table.seat(m.name) != null);
     }
--- a/spokestall/src/test/java/spokestall/ballot/SeatsTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -1,4 +1,4 @@
-package spokestall.ballot;
+package spokestall.membership;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -7,14 +7,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.RegisterEdit;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
 
-class SeatsTest {
+class ReconfigurationTest {
     private static long number(final byte[] value) {
         return value == null ? 0 : Long.parseLong(new String(value, StandardCharsets.UTF_8));
     }
 
-    private static SeatsBench fleet(final long seed, final int cores, final int edges, final double told) {
-        final SeatsBench bench = new SeatsBench(seed);
+    private static MembershipTestContext fleet(final long seed, final int cores, final int edges, final double told) {
+        final MembershipTestContext bench = new MembershipTestContext(seed);
         final List<String> names = new ArrayList<>();
         for (int i = 0; i < cores; i++) {
             names.add(bench.machine("c" + i, true, bench.random.nextDouble() < told).name);
@@ -32,14 +38,14 @@
     void noFleetIsFoundedTwice() {
         int founded = 0;
         for (int seed = 0; seed < 200; seed++) {
-            final SeatsBench bench = fleet(seed, 1 + seed % 7, 1 + seed % 3, 0.85);
+            final MembershipTestContext bench = fleet(seed, 1 + seed % 7, 1 + seed % 3, 0.85);
             bench.loss = 0.1 * (seed % 5);
-            for (final SeatsBench.Machine m : bench.machines.values()) {
+            for (final MembershipTestContext.Machine m : bench.machines.values()) {
                 bench.clock.after(bench.random.nextInt(bench.random.nextBoolean() ? 500 : 6000), m::start);
             }
             for (int i = bench.random.nextInt(5); i > 0; i--) {
-                final List<SeatsBench.Machine> all = List.copyOf(bench.machines.values());
-                final SeatsBench.Machine m = all.get(bench.random.nextInt(all.size()));
+                final List<MembershipTestContext.Machine> all = List.copyOf(bench.machines.values());
+                final MembershipTestContext.Machine m = all.get(bench.random.nextInt(all.size()));
                 bench.clock.after(1500 + bench.random.nextInt(5000), () -> {
                     if (m.up) {
                         m.stop();
@@ -66,15 +72,15 @@
     void seedsThatForgetWhatTheyPromisedWouldBeFound() {
         int twice = 0;
         for (int seed = 0; seed < 60; seed++) {
-            final SeatsBench bench = fleet(seed, 4, 3, 1);
+            final MembershipTestContext bench = fleet(seed, 4, 3, 1);
             bench.seeds.clear();
             bench.seeds.addAll(List.of("e0", "e1", "e2"));
             bench.alwaysFirst = true;
             bench.deafEdges = true;
             bench.loss = 0.4;
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             for (int at = 2000; at < 9000; at += 100) {
-                final SeatsBench.Machine edge = bench.machines.get("e" + bench.random.nextInt(3));
+                final MembershipTestContext.Machine edge = bench.machines.get("e" + bench.random.nextInt(3));
                 bench.clock.after(at, () -> {
                     edge.stop();
                     edge.start();
@@ -90,44 +96,51 @@
     @Test
     void aSeedThatRestartsBetweenPromiseAndAcceptLetsNoSecondFoundingThrough() {
         final List<String> seeds = List.of("s0", "s1", "s2");
-        final List<CouncilNote> sent = new ArrayList<>();
-        final List<Council> councils = new ArrayList<>();
+        final List<BootstrapMessage> sent = new ArrayList<>();
+        final List<BootstrapAcceptor> councils = new ArrayList<>();
         for (final String seed : seeds) {
-            councils.add(new Council(
-                    seed, seeds, true, (to, note) -> sent.add((CouncilNote) note), () -> null, Runnable::run));
+            councils.add(new BootstrapAcceptor(
+                    seed, seeds, true, (to, note) -> sent.add((BootstrapMessage) note), () -> null, Runnable::run));
         }
-        final Ballot one = new Ballot(1, "a");
-        final Ballot two = new Ballot(2, "b");
-        final Founding first = new Founding(new Voters(7, 1, List.of(new Seat("a", "a", "x"))), List.of());
-        final Founding second = new Founding(new Voters(8, 1, List.of(new Seat("b", "b", "y"))), List.of());
-        councils.get(0).hear(new CouncilNote.Ask("a", seeds, one));
-        councils.get(1).hear(new CouncilNote.Ask("a", seeds, one));
-        councils.get(0).hear(new CouncilNote.Offer("a", seeds, one, first));
-        councils.get(1).hear(new CouncilNote.Offer("a", seeds, one, first));
+        final ProposalNumber one = new ProposalNumber(1, "a");
+        final ProposalNumber two = new ProposalNumber(2, "b");
+        final InitialState first = new InitialState(new VoterSet(7, 1, List.of(new Voter("a", "a", "x"))), List.of());
+        final InitialState second = new InitialState(new VoterSet(8, 1, List.of(new Voter("b", "b", "y"))), List.of());
+        councils.get(0).hear(new BootstrapMessage.Ask("a", seeds, one));
+        councils.get(1).hear(new BootstrapMessage.Ask("a", seeds, one));
+        councils.get(0).hear(new BootstrapMessage.Offer("a", seeds, one, first));
+        councils.get(1).hear(new BootstrapMessage.Offer("a", seeds, one, first));
         assertThat(sent)
-                .filteredOn(n -> n instanceof CouncilNote.Taken t && t.yes())
+                .filteredOn(n -> n instanceof BootstrapMessage.Taken t && t.yes())
                 .hasSize(2);
         sent.clear();
         councils.set(
                 1,
-                new Council("s1", seeds, false, (to, note) -> sent.add((CouncilNote) note), () -> null, Runnable::run));
-        councils.get(1).hear(new CouncilNote.Ask("b", seeds, two));
-        councils.get(2).hear(new CouncilNote.Ask("b", seeds, two));
-        councils.get(1).hear(new CouncilNote.Offer("b", seeds, two, second));
-        councils.get(2).hear(new CouncilNote.Offer("b", seeds, two, second));
+                new BootstrapAcceptor(
+                        "s1",
+                        seeds,
+                        false,
+                        (to, note) -> sent.add((BootstrapMessage) note),
+                        () -> null,
+                        Runnable::run));
+        councils.get(1).hear(new BootstrapMessage.Ask("b", seeds, two));
+        councils.get(2).hear(new BootstrapMessage.Ask("b", seeds, two));
+        councils.get(1).hear(new BootstrapMessage.Offer("b", seeds, two, second));
+        councils.get(2).hear(new BootstrapMessage.Offer("b", seeds, two, second));
         assertThat(sent)
                 .as("one seed of three")
-                .filteredOn(n -> n instanceof CouncilNote.Promise)
+                .filteredOn(n -> n instanceof BootstrapMessage.Promise)
                 .hasSize(1);
-        assertThat(sent).filteredOn(n -> n instanceof CouncilNote.Taken).hasSize(1);
+        assertThat(sent).filteredOn(n -> n instanceof BootstrapMessage.Taken).hasSize(1);
         sent.clear();
-        councils.get(0).hear(new CouncilNote.Ask("b", seeds, two));
+        councils.get(0).hear(new BootstrapMessage.Ask("b", seeds, two));
         assertThat(sent)
                 .first()
                 .isInstanceOfSatisfying(
-                        CouncilNote.Promise.class, p -> assertThat(p.founding()).isEqualTo(first));
+                        BootstrapMessage.Promise.class,
+                        p -> assertThat(p.founding()).isEqualTo(first));
         sent.clear();
-        councils.get(0).hear(new CouncilNote.Ask("b", List.of("s0", "s1", "s9"), new Ballot(3, "b")));
+        councils.get(0).hear(new BootstrapMessage.Ask("b", List.of("s0", "s1", "s9"), new ProposalNumber(3, "b")));
         assertThat(sent).as("whoever goes by other seeds gets no vote").isEmpty();
     }
 
@@ -136,23 +149,24 @@
     void whatWasAgreedStandsWhileSeatsAreAddedAndSwapped() {
         long changes = 0;
         for (int seed = 0; seed < 40; seed++) {
-            final SeatsBench bench = fleet(seed, 2 + seed % 3, 2, 1);
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            final MembershipTestContext bench = fleet(seed, 2 + seed % 3, 2, 1);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             bench.run(8000);
             assertThat(bench.whole()).as(seed + " " + bench.shown()).isTrue();
             bench.loss = 0.05 * (seed % 4);
             final List<Long> done = new ArrayList<>();
             for (int at = 0; at < 30_000; at += 350) {
-                final SeatsBench.Machine by = bench.machines.get("e" + bench.random.nextInt(2));
+                final MembershipTestContext.Machine by = bench.machines.get("e" + bench.random.nextInt(2));
                 bench.clock.after(at, () -> {
                     final long floor =
                             done.stream().mapToLong(Long::longValue).max().orElse(0);
                     by.proposer.change(
                             "count",
                             2500,
-                            now -> new Edit.Set(Long.toString(number(now) + 1).getBytes(StandardCharsets.UTF_8)),
+                            now -> new RegisterEdit.Set(
+                                    Long.toString(number(now) + 1).getBytes(StandardCharsets.UTF_8)),
                             o -> {
-                                if (o instanceof Outcome.Done d && d.wrote()) {
+                                if (o instanceof ProposalOutcome.Done d && d.wrote()) {
                                     assertThat(number(d.value())).isGreaterThan(floor);
                                     done.add(number(d.value()));
                                 }
@@ -160,14 +174,14 @@
                 });
             }
             for (int i = 0; i < 5; i++) {
-                final SeatsBench.Machine fresh = bench.machine("n" + i, true, false);
+                final MembershipTestContext.Machine fresh = bench.machine("n" + i, true, false);
                 bench.clock.after(bench.random.nextInt(12_000), fresh::start);
             }
             for (int i = 0; i < 3; i++) {
                 bench.clock.after(14_000 + i * 6000, () -> {
                     // No more than one disk at a time, so that a majority with state stays.
-                    final List<SeatsBench.Machine> cores = bench.cores();
-                    final SeatsBench.Machine m = cores.get(bench.random.nextInt(cores.size()));
+                    final List<MembershipTestContext.Machine> cores = bench.cores();
+                    final MembershipTestContext.Machine m = cores.get(bench.random.nextInt(cores.size()));
                     if (bench.whole() && cores.size() > 2) {
                         m.wipe();
                         bench.clock.after(500, m::start);
@@ -189,13 +203,13 @@
 
     @Test
     void aCoreUnderANewNameVotesWithinASecondOfHearingTheTable() {
-        final SeatsBench bench = fleet(1, 3, 1, 1);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(1, 3, 1, 1);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
-        final SeatsBench.Machine fresh = bench.machine("n0", true, false);
+        final MembershipTestContext.Machine fresh = bench.machine("n0", true, false);
         fresh.start();
         long heardMs = -1;
-        while (fresh.voter.state() != Voter.State.VOTING && bench.nowMs() < 25_000) {
+        while (fresh.voter.state() != Acceptor.State.VOTING && bench.nowMs() < 25_000) {
             bench.run(bench.nowMs() + 10);
             heardMs = heardMs < 0 && fresh.proposer.voters() != null ? bench.nowMs() : heardMs;
         }
@@ -205,25 +219,25 @@
 
     @Test
     void aCoreThatIsNotToldOfAFirstStartWaitsForATable() {
-        final SeatsBench bench = fleet(3, 3, 2, 0);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(3, 3, 2, 0);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(60_000);
         assertThat(bench.founded).isEmpty();
-        assertThat(bench.cores()).allMatch(m -> m.voter.state() == Voter.State.BLANK);
+        assertThat(bench.cores()).allMatch(m -> m.voter.state() == Acceptor.State.BLANK);
     }
 
     /** A core that is told again that it is the first, by whoever restarts it, has a disk that knows better. */
     @Test
     void aSeedWithADiskNeverVotesInTwoLivesWhateverItIsTold() {
         for (int seed = 0; seed < 60; seed++) {
-            final SeatsBench bench = fleet(seed, 5, 1, 1);
+            final MembershipTestContext bench = fleet(seed, 5, 1, 1);
             bench.seeds.clear();
             bench.seeds.addAll(List.of("c0", "c1", "c2"));
             bench.alwaysFirst = true;
             bench.loss = 0.4;
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             for (int at = 0; at < 9000; at += 400) {
-                final SeatsBench.Machine core = bench.machines.get("c" + bench.random.nextInt(3));
+                final MembershipTestContext.Machine core = bench.machines.get("c" + bench.random.nextInt(3));
                 bench.clock.after(at + bench.random.nextInt(400), () -> {
                     core.stop();
                     core.start();
@@ -241,19 +255,20 @@
     void aGenerationIsFollowedByOneOnlyWhileSeatsAreAdded() {
         int more = 0;
         for (int seed = 0; seed < 60; seed++) {
-            final SeatsBench bench = fleet(seed, 2 + seed % 4, 2, 1);
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            final MembershipTestContext bench = fleet(seed, 2 + seed % 4, 2, 1);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             bench.run(8000);
             bench.loss = 0.1 * (seed % 4);
             for (int i = 0; i < 4; i++) {
-                final SeatsBench.Machine fresh = bench.machine("n" + i, true, false);
+                final MembershipTestContext.Machine fresh = bench.machine("n" + i, true, false);
                 bench.clock.after(bench.random.nextInt(8000), fresh::start);
             }
             for (int times = 0; times < 2; times++) {
                 bench.clock.after(times * 5000 + bench.random.nextInt(5000), () -> {
-                    final List<SeatsBench.Machine> cores = new ArrayList<>(bench.cores());
+                    final List<MembershipTestContext.Machine> cores = new ArrayList<>(bench.cores());
                     java.util.Collections.shuffle(cores, bench.random);
-                    for (final SeatsBench.Machine m : cores.subList(0, 1 + bench.random.nextInt(cores.size()))) {
+                    for (final MembershipTestContext.Machine m :
+                            cores.subList(0, 1 + bench.random.nextInt(cores.size()))) {
                         if (bench.random.nextInt(4) > 0) {
                             m.wipe();
                         } else {
@@ -283,8 +298,8 @@
     /** Six cores that have settled say no more than a note a second to each other, without their table. */
     @Test
     void aSettledFleetSaysLittle() {
-        final SeatsBench bench = fleet(1, 6, 6, 1);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(1, 6, 6, 1);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         final long notes = bench.notes;
         final long tables = bench.tables;
@@ -296,8 +311,8 @@
     /** Six machines go for good one after another, each followed by an empty one under another name and address. */
     @Test
     void aMachineThatIsReplacedLeavesNoSeatBehind() {
-        final SeatsBench bench = fleet(1, 6, 2, 1);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(1, 6, 2, 1);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         for (int i = 0; i < 6; i++) {
             bench.machines.get("c" + i).goForGood();
@@ -313,8 +328,8 @@
     /** As when each new machine comes before the old one leaves: one seat more, and no more than that. */
     @Test
     void aMachineThatIsReplacedInOrderLeavesNoMoreThanOneSeatBehind() {
-        final SeatsBench bench = fleet(1, 6, 2, 1);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(1, 6, 2, 1);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         for (int i = 0; i < 6; i++) {
             bench.machine("n" + i, true, false).start();
@@ -330,10 +345,10 @@
     /** A seat whose core never comes back is given up, and the core that does come back has no vote by its old disk. */
     @Test
     void aSeatLongSilentIsGivenUpAndItsDiskHasNoVoteWhenItIsBack() {
-        final SeatsBench bench = fleet(1, 6, 2, 1);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(1, 6, 2, 1);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
-        final SeatsBench.Machine away = bench.machines.get("c2");
+        final MembershipTestContext.Machine away = bench.machines.get("c2");
         final String disk = away.voter.diskId();
         away.stop();
         bench.run(bench.nowMs() + 28_000);
@@ -352,9 +367,9 @@
     /** Of four seats one may be given up where one loss must be borne; of two none is. */
     @Test
     void noSeatIsGivenUpBelowWhatMustBeBorne() {
-        final SeatsBench bench = fleet(1, 4, 2, 1);
+        final MembershipTestContext bench = fleet(1, 4, 2, 1);
         bench.regions = true;
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         bench.machines.get("c1").stop();
         bench.run(bench.nowMs() + 60_000);
@@ -365,8 +380,8 @@
     @Test
     void aFoundingWaitsForACoreWithStateThatIsMerelySlow() {
         for (int seed = 0; seed < 10; seed++) {
-            final SeatsBench bench = fleet(seed, 6, 2, 1);
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            final MembershipTestContext bench = fleet(seed, 6, 2, 1);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             bench.run(15_000);
             for (int i = 0; i < 3; i++) {
                 bench.machines.get("c" + i).wipe();
@@ -389,15 +404,15 @@
     @Test
     void aFoundingThatIsInterruptedLeavesNoStateBehind() {
         for (int seed = 0; seed < 20; seed++) {
-            final SeatsBench bench = fleet(seed, 6, 2, 1);
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            final MembershipTestContext bench = fleet(seed, 6, 2, 1);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             bench.run(15_000);
             for (int i = 0; i < 3; i++) {
                 bench.machines.get("c" + i).wipe();
                 bench.machines.get("c" + i).start();
             }
-            final SeatsBench.Machine some = bench.machines.get("c4");
-            while (some.voter.state() != Voter.State.RESIGNED && bench.nowMs() < 40_000) {
+            final MembershipTestContext.Machine some = bench.machines.get("c4");
+            while (some.voter.state() != Acceptor.State.RESIGNED && bench.nowMs() < 40_000) {
                 bench.run(bench.nowMs() + 5);
             }
             bench.run(bench.nowMs() + bench.random.nextInt(150));
@@ -420,8 +435,8 @@
     /** A core with state whose disk has stopped is waited for, but not for ever. */
     @Test
     void aFoundingDoesNotWaitForEver() {
-        final SeatsBench bench = fleet(1, 6, 2, 1);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(1, 6, 2, 1);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         for (int i = 0; i < 3; i++) {
             bench.machines.get("c" + i).wipe();
@@ -439,8 +454,8 @@
     @Test
     void aCoreThatLeavesInOrderLeavesWhatItAcceptedWithAMajority() {
         for (int seed = 0; seed < 20; seed++) {
-            final SeatsBench bench = fleet(seed, 6, 2, 1);
-            bench.machines.values().forEach(SeatsBench.Machine::start);
+            final MembershipTestContext bench = fleet(seed, 6, 2, 1);
+            bench.machines.values().forEach(MembershipTestContext.Machine::start);
             bench.run(15_000);
             for (final String from : List.of("e0", "c0", "c1", "c2", "c3")) {
                 bench.cut.add(from + ">c4");
@@ -452,11 +467,15 @@
                 bench.machines
                         .get("e0")
                         .proposer
-                        .change(key, 3000, now -> now == null ? new Edit.Set(key.getBytes(UTF_8)) : Edit.LEAVE, o -> {
-                            if (o instanceof Outcome.Done) {
-                                confirmed.put(key, key);
-                            }
-                        });
+                        .change(
+                                key,
+                                3000,
+                                now -> now == null ? new RegisterEdit.Set(key.getBytes(UTF_8)) : RegisterEdit.LEAVE,
+                                o -> {
+                                    if (o instanceof ProposalOutcome.Done) {
+                                        confirmed.put(key, key);
+                                    }
+                                });
             }
             bench.run(bench.nowMs() + 1000);
             assertThat(confirmed).hasSize(20);
@@ -472,8 +491,8 @@
     /** Nobody is there to hand over to: it ends all the same. */
     @Test
     void aCoreThatLeavesWaitsForNobodyForLong() {
-        final SeatsBench bench = fleet(1, 3, 1, 1);
-        bench.machines.values().forEach(SeatsBench.Machine::start);
+        final MembershipTestContext bench = fleet(1, 3, 1, 1);
+        bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         bench.machines.get("c0").stop();
         bench.machines.get("c1").stop();
--- a/spokestall/src/test/java/spokestall/ballot/StoredRecords.java
+++ b/spokestall/src/test/java/spokestall/membership/StoredRecords.java
@@ -1,4 +1,6 @@
-package spokestall.ballot;
+package spokestall.membership;
+
+import spokestall.consensus.ProposalNumber;
 
 /** Names to tests of other packages the stored records that only this package knows. */
 public final class StoredRecords {
@@ -6,11 +8,11 @@
 
     /** What a core keeps about the ballot for a new generation. */
     public static Class<? extends Record> formationBallot() {
-        return Formation.Kept.class;
+        return MembershipCoordinator.Kept.class;
     }
 
     /** A ballot in which nothing was accepted yet. */
-    public static Record formationBallot(final long base, final Ballot promised) {
-        return new Formation.Kept(base, promised, Ballot.NONE, null);
+    public static Record formationBallot(final long base, final ProposalNumber promised) {
+        return new MembershipCoordinator.Kept(base, promised, ProposalNumber.NONE, null);
     }
 }
--- a/spokestall/src/test/java/spokestall/wire/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
-import spokestall.NumberedNotes;
-import spokestall.ballot.BallotNote;
-import spokestall.edge.Claim;
-import spokestall.listing.Status;
-import spokestall.policy.Change;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.discovery.HealthStatus;
+import spokestall.node.NumberedMessages;
+import spokestall.proxy.IdempotencyClaim;
 
 /**
  * The bytes of every numbered message in every version that is read, against literal bytes. Numbers, the order of fields and
@@ -24,9 +24,9 @@
 
     /** The messages of production code; other tests number their own kinds in the same table. */
     private static Map<Integer, Class<? extends Record>> messages() {
-        NumberedNotes.register();
-        final CodeSource production = Codec.class.getProtectionDomain().getCodeSource();
-        final Map<Integer, Class<? extends Record>> messages = new TreeMap<>(Codec.numbered());
+        NumberedMessages.register();
+        final CodeSource production = MessageCodec.class.getProtectionDomain().getCodeSource();
+        final Map<Integer, Class<? extends Record>> messages = new TreeMap<>(MessageCodec.numbered());
         messages.values()
                 .removeIf(type -> !production.equals(type.getProtectionDomain().getCodeSource()));
         return messages;
@@ -35,10 +35,13 @@
     private static Map<String, String> built() {
         final Map<String, String> lines = new TreeMap<>();
         messages().forEach((number, type) -> {
-            for (int version = Codec.OLDEST; version <= Codec.VERSION; version++) {
+            for (int version = MessageCodec.OLDEST; version <= MessageCodec.VERSION; version++) {
                 final String which = number + " v" + version;
-                lines.put(which + " full", HEX.formatHex(Codec.note((Note) SampleRecords.full(type), version)));
-                lines.put(which + " empty", HEX.formatHex(Codec.note((Note) SampleRecords.empty(type), version)));
+                lines.put(
+                        which + " full", HEX.formatHex(MessageCodec.note((Message) SampleRecords.full(type), version)));
+                lines.put(
+                        which + " empty",
+                        HEX.formatHex(MessageCodec.note((Message) SampleRecords.empty(type), version)));
             }
         });
         return lines;
@@ -61,10 +64,10 @@
         for (final Map.Entry<String, String> line :
                 GoldenLines.read("messages.txt").entrySet()) {
             final String[] which = line.getKey().split(" ", -1);
-            final Note note = Codec.note(HEX.parseHex(line.getValue()));
+            final Message note = MessageCodec.note(HEX.parseHex(line.getValue()));
             final int version = Integer.parseInt(which[1].substring(1));
             assertThat(note).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(which[0])));
-            assertThat(HEX.formatHex(Codec.note(note, version)))
+            assertThat(HEX.formatHex(MessageCodec.note(note, version)))
                     .as(line.getKey())
                     .isEqualTo(line.getValue());
         }
@@ -72,17 +75,21 @@
 
     @Test
     void constantsOfEnumsKeepTheirOrdinals() {
-        assertThat(BallotNote.Reply.values())
+        assertThat(ConsensusMessage.Reply.values())
                 .containsExactly(
-                        BallotNote.Reply.YES,
-                        BallotNote.Reply.LOWER,
-                        BallotNote.Reply.OLD_TABLE,
-                        BallotNote.Reply.BLANK,
-                        BallotNote.Reply.GONE,
-                        BallotNote.Reply.DENIED,
-                        BallotNote.Reply.DISK);
-        assertThat(Change.Kind.values()).containsExactly(Change.Kind.PUT, Change.Kind.PATCH);
-        assertThat(Status.values()).containsExactly(Status.READY, Status.LEAVING, Status.DOWN, Status.FOREIGN);
-        assertThat(Claim.State.values()).containsExactly(Claim.State.OPEN, Claim.State.RAN, Claim.State.NOT_RUN);
+                        ConsensusMessage.Reply.YES,
+                        ConsensusMessage.Reply.LOWER,
+                        ConsensusMessage.Reply.OLD_TABLE,
+                        ConsensusMessage.Reply.BLANK,
+                        ConsensusMessage.Reply.GONE,
+                        ConsensusMessage.Reply.DENIED,
+                        ConsensusMessage.Reply.DISK);
+        assertThat(ConfigurationChange.Kind.values())
+                .containsExactly(ConfigurationChange.Kind.PUT, ConfigurationChange.Kind.PATCH);
+        assertThat(HealthStatus.values())
+                .containsExactly(HealthStatus.READY, HealthStatus.LEAVING, HealthStatus.DOWN, HealthStatus.FOREIGN);
+        assertThat(IdempotencyClaim.State.values())
+                .containsExactly(
+                        IdempotencyClaim.State.OPEN, IdempotencyClaim.State.RAN, IdempotencyClaim.State.NOT_RUN);
     }
 }
--- a/spokestall/src/test/java/spokestall/wire/GoldenLines.java
+++ b/spokestall/src/test/java/spokestall/message/GoldenLines.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/spokestall/src/test/java/spokestall/wire/CodecTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -9,13 +9,14 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class CodecTest {
-    record Inner(String name, @Since(2) int more) {}
+class MessageCodecTest {
+    record Inner(String name, @SinceVersion(2) int more) {}
 
-    record Beat(long at, List<Inner> inners, @Since(2) boolean warm, String last) implements Note {}
+    record Beat(
+            long at, List<Inner> inners, @SinceVersion(2) boolean warm, String last) implements Message {}
 
     static {
-        Codec.number(201, Beat.class);
+        MessageCodec.number(201, Beat.class);
     }
 
     private static Beat beat(final int more, final boolean warm) {
@@ -24,33 +25,33 @@
 
     @Test
     void aNodeHearsTheVersionBeforeItsOwnAndNamesWhatItCannot() throws Exception {
-        assertThat(Codec.note(Codec.note(beat(3, true), 2))).isEqualTo(beat(3, true));
-        assertThat(Codec.note(Codec.note(beat(3, true), 1))).isEqualTo(beat(0, false));
-        final byte[] first = Codec.note(beat(3, true), 1);
+        assertThat(MessageCodec.note(MessageCodec.note(beat(3, true), 2))).isEqualTo(beat(3, true));
+        assertThat(MessageCodec.note(MessageCodec.note(beat(3, true), 1))).isEqualTo(beat(0, false));
+        final byte[] first = MessageCodec.note(beat(3, true), 1);
         assertThat(first[0])
                 .as("the first version begins with its kind's number")
                 .isZero();
-        final byte[] later = Codec.note(beat(3, true), 2);
-        later[0] = Codec.VERSION + 1;
-        assertThatThrownBy(() -> Codec.note(later))
-                .isInstanceOf(UnknownNote.class)
-                .hasMessage("version " + (Codec.VERSION + 1));
-        final byte[] strange = Codec.note(beat(3, true), 2);
+        final byte[] later = MessageCodec.note(beat(3, true), 2);
+        later[0] = MessageCodec.VERSION + 1;
+        assertThatThrownBy(() -> MessageCodec.note(later))
+                .isInstanceOf(UnknownMessageException.class)
+                .hasMessage("version " + (MessageCodec.VERSION + 1));
+        final byte[] strange = MessageCodec.note(beat(3, true), 2);
         strange[2] ^= 0x40;
-        assertThatThrownBy(() -> Codec.note(strange))
-                .isInstanceOf(UnknownNote.class)
+        assertThatThrownBy(() -> MessageCodec.note(strange))
+                .isInstanceOf(UnknownMessageException.class)
                 .hasMessageStartingWith("kind ");
     }
 
     @Test
     void aRecordAloneHasItsLaterFieldsBehindTheOthersAndIsReadWithoutThem() {
         final Beat whole = beat(3, true);
-        final byte[] bytes = Codec.bytes(whole);
-        final Beat read = Codec.record(bytes, Beat.class);
+        final byte[] bytes = MessageCodec.bytes(whole);
+        final Beat read = MessageCodec.record(bytes, Beat.class);
         assertThat(read.warm()).isTrue();
         assertThat(read.last()).isEqualTo("end");
         final byte[] older = Arrays.copyOf(bytes, bytes.length - 1);
-        assertThat(Codec.record(older, Beat.class)).isEqualTo(beat(0, false));
+        assertThat(MessageCodec.record(older, Beat.class)).isEqualTo(beat(0, false));
     }
 
     @Test
@@ -58,25 +59,26 @@
         for (final int n : new int[] {0, 1, -1, 63, 64, -65, 1 << 20, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
             for (final long at : new long[] {0, -1, 1L << 40, Long.MAX_VALUE, Long.MIN_VALUE}) {
                 final Beat one = new Beat(at, List.of(new Inner(null, n), new Inner("", n)), true, "\u00fc");
-                assertThat(Codec.note(Codec.note(one, 3))).isEqualTo(one);
+                assertThat(MessageCodec.note(MessageCodec.note(one, 3))).isEqualTo(one);
             }
         }
-        assertThat(Codec.note(beat(3, true), 3).length).isLessThan(Codec.note(beat(3, true), 2).length / 2);
+        assertThat(MessageCodec.note(beat(3, true), 3).length)
+                .isLessThan(MessageCodec.note(beat(3, true), 2).length / 2);
     }
 
     @Test
     void whateverBytesComeTheyAreReadOrRefusedAsBadInput() throws Exception {
         final Random random = new Random(5);
         for (int i = 0; i < 100_000; i++) {
-            final byte[] frame =
-                    Codec.note(beat(random.nextInt(), random.nextBoolean()), 1 + random.nextInt(Codec.VERSION));
+            final byte[] frame = MessageCodec.note(
+                    beat(random.nextInt(), random.nextBoolean()), 1 + random.nextInt(MessageCodec.VERSION));
             for (int n = 1 + random.nextInt(4); n > 0; n--) {
                 frame[random.nextInt(frame.length)] = (byte) random.nextInt();
             }
             final byte[] cut =
                     random.nextInt(3) == 0 ? Arrays.copyOf(frame, 2 + random.nextInt(frame.length - 2)) : frame;
             try {
-                assertThat(Codec.note(cut)).isInstanceOf(Beat.class);
+                assertThat(MessageCodec.note(cut)).isInstanceOf(Beat.class);
             } catch (final IOException bad) {
                 assertThat(bad).isNotNull();
             }
--- a/spokestall/src/test/java/spokestall/wire/RestoredNumbers.java
+++ b/spokestall/src/test/java/spokestall/message/RestoredNumbers.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import java.util.Map;
 import org.junit.jupiter.api.extension.AfterAllCallback;
@@ -12,11 +12,11 @@
 
     @Override
     public void beforeAll(final ExtensionContext context) {
-        before = Codec.numbered();
+        before = MessageCodec.numbered();
     }
 
     @Override
     public void afterAll(final ExtensionContext context) {
-        Codec.restore(before);
+        MessageCodec.restore(before);
     }
 }
--- a/spokestall/src/test/java/spokestall/wire/SampleRecords.java
+++ b/spokestall/src/test/java/spokestall/message/SampleRecords.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import java.lang.reflect.Constructor;
 import java.lang.reflect.ParameterizedType;
--- a/spokestall/src/test/java/spokestall/wire/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -1,4 +1,4 @@
-package spokestall.wire;
+package spokestall.message;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import spokestall.ballot.Register;
-import spokestall.ballot.StoredRecords;
-import spokestall.ballot.Voters;
-import spokestall.duty.Lease;
-import spokestall.duty.Sealed;
-import spokestall.edge.Claim;
-import spokestall.policy.Change;
-import spokestall.policy.Snapshot;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationSnapshot;
+import spokestall.consensus.Register;
+import spokestall.consensus.VoterSet;
+import spokestall.lease.Lease;
+import spokestall.membership.StoredRecords;
+import spokestall.proxy.IdempotencyClaim;
+import spokestall.usage.SealedWindow;
 
 /**
  * The bytes of every record that is stored (in a register, under a key of a voter's own, or as the bytes a digest is made
@@ -24,27 +24,28 @@
     private static final HexFormat HEX = HexFormat.of();
     private static final Map<String, Class<? extends Record>> STORED = Map.of(
             "register", Register.class,
-            "voters", Voters.class,
+            "voters", VoterSet.class,
             "formation-ballot", StoredRecords.formationBallot(),
-            "policy-snapshot", Snapshot.class,
-            "policy-change", Change.class,
+            "policy-snapshot", ConfigurationSnapshot.class,
+            "policy-change", ConfigurationChange.class,
             "lease", Lease.class,
-            "sealed-window", Sealed.class,
-            "claim", Claim.class,
-            "content", Content.class);
+            "sealed-window", SealedWindow.class,
+            "claim", IdempotencyClaim.class,
+            "content", ResponseContent.class);
     private static final Map<String, Class<? extends Record>> STORED_BY_OLDER_PROGRAMS =
-            Map.of("policy-snapshot", Snapshot.class, "policy-change", Change.class);
+            Map.of("policy-snapshot", ConfigurationSnapshot.class, "policy-change", ConfigurationChange.class);
 
     private static Map<String, String> built() {
         final Map<String, String> lines = new TreeMap<>();
         STORED.forEach((name, type) -> {
-            lines.put(name + " full", HEX.formatHex(Codec.bytes(SampleRecords.full(type))));
-            lines.put(name + " empty", HEX.formatHex(Codec.bytes(SampleRecords.empty(type))));
+            lines.put(name + " full", HEX.formatHex(MessageCodec.bytes(SampleRecords.full(type))));
+            lines.put(name + " empty", HEX.formatHex(MessageCodec.bytes(SampleRecords.empty(type))));
         });
         STORED_BY_OLDER_PROGRAMS.forEach((name, type) -> {
-            final byte[] older = older(Codec.bytes(SampleRecords.full(type)), type);
+            final byte[] older = older(MessageCodec.bytes(SampleRecords.full(type)), type);
             lines.put(name + " older", HEX.formatHex(older));
-            lines.put(name + " older-written-again", HEX.formatHex(Codec.bytes(Codec.record(older, type))));
+            lines.put(
+                    name + " older-written-again", HEX.formatHex(MessageCodec.bytes(MessageCodec.record(older, type))));
         });
         return lines;
     }
@@ -62,7 +63,7 @@
 
     private static boolean readable(final byte[] bytes, final Class<? extends Record> type) {
         try {
-            return Codec.record(bytes, type) != null;
+            return MessageCodec.record(bytes, type) != null;
         } catch (final IllegalArgumentException cut) {
             return false;
         }
@@ -77,19 +78,22 @@
     void literalBytesDecodeAndEncodeToThemselves() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
         lines.forEach((which, hex) -> {
-            final Record record = Codec.record(HEX.parseHex(hex), STORED.get(which.substring(0, which.indexOf(' '))));
+            final Record record =
+                    MessageCodec.record(HEX.parseHex(hex), STORED.get(which.substring(0, which.indexOf(' '))));
             final String again = lines.getOrDefault(which + "-written-again", hex);
-            assertThat(HEX.formatHex(Codec.bytes(record))).as(which).isEqualTo(again);
+            assertThat(HEX.formatHex(MessageCodec.bytes(record))).as(which).isEqualTo(again);
         });
     }
 
     @Test
     void whatAnOlderProgramWroteIsReadWithoutTheLaterFields() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
-        final Change change = Codec.record(HEX.parseHex(lines.get("policy-change older")), Change.class);
+        final ConfigurationChange change =
+                MessageCodec.record(HEX.parseHex(lines.get("policy-change older")), ConfigurationChange.class);
         assertThat(change.acceptedMs()).isZero();
         assertThat(change.before()).isEmpty();
-        final Snapshot snapshot = Codec.record(HEX.parseHex(lines.get("policy-snapshot older")), Snapshot.class);
+        final ConfigurationSnapshot snapshot =
+                MessageCodec.record(HEX.parseHex(lines.get("policy-snapshot older")), ConfigurationSnapshot.class);
         assertThat(snapshot.orders()).hasSameSizeAs(snapshot.changeIds().entrySet());
         assertThat(snapshot.orders()).allMatch(order -> order.acceptedMs() == 0);
     }
--- a/spokestall/src/test/java/spokestall/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.node;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,26 +16,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.api.io.TempDir;
-import spokestall.audit.Chain;
-import spokestall.ballot.Ballot;
-import spokestall.ballot.Register;
-import spokestall.ballot.StoredRecords;
-import spokestall.ballot.Voter;
-import spokestall.duty.Lease;
-import spokestall.duty.Sealed;
-import spokestall.duty.UsageNote;
-import spokestall.edge.Claim;
-import spokestall.listing.ListingNote;
-import spokestall.policy.AcceptedOrder;
-import spokestall.policy.Book;
-import spokestall.policy.Change;
-import spokestall.policy.Snapshot;
-import spokestall.rim.AuditFiles;
-import spokestall.rim.DataFolder;
-import spokestall.ring.FileSegments;
-import spokestall.ring.MemorySegments;
-import spokestall.wire.Codec;
-import spokestall.wire.RestoredNumbers;
+import spokestall.audit.AuditChain;
+import spokestall.cli.AuditVerifier;
+import spokestall.configuration.CommittedChange;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationSnapshot;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.Register;
+import spokestall.discovery.DiscoveryMessage;
+import spokestall.io.AuditFiles;
+import spokestall.io.DataDirectory;
+import spokestall.lease.Lease;
+import spokestall.membership.StoredRecords;
+import spokestall.message.MessageCodec;
+import spokestall.message.RestoredNumbers;
+import spokestall.proxy.IdempotencyClaim;
+import spokestall.storage.FileSegmentStore;
+import spokestall.storage.InMemorySegmentStore;
+import spokestall.usage.SealedWindow;
+import spokestall.usage.UsageMessage;
 
 /**
  * A core's data folder as it was written once and is kept as a test resource: the present program finds in it what was put
@@ -60,9 +61,9 @@
         }
     }
 
-    private Voter voter() throws IOException {
+    private Acceptor voter() throws IOException {
         return SampleCore.open(
-                FileSegments.open(
+                FileSegmentStore.open(
                         folder.resolve("ring"),
                         SampleCore.SEGMENTS,
                         SampleCore.SEGMENT_BYTES,
@@ -73,14 +74,14 @@
 
     @Test
     void theFolderBelongsToItsNode(@TempDir final Path fresh) throws Exception {
-        assertThat(DataFolder.open(folder, "d1-core")).isNull();
-        assertThat(DataFolder.open(fresh.resolve("data"), "d1-core")).isNull();
+        assertThat(DataDirectory.open(folder, "d1-core")).isNull();
+        assertThat(DataDirectory.open(fresh.resolve("data"), "d1-core")).isNull();
         assertThat(fresh.resolve("data").resolve("owner")).hasSameBinaryContentAs(RESOURCE.resolve("owner"));
     }
 
     @Test
     void theRingIsWrittenAsTheLiteralBytes() throws Exception {
-        final MemorySegments segments = new MemorySegments(SampleCore.SEGMENTS, SampleCore.SEGMENT_BYTES);
+        final InMemorySegmentStore segments = new InMemorySegmentStore(SampleCore.SEGMENTS, SampleCore.SEGMENT_BYTES);
         SampleCore.run(segments);
         for (int i = 0; i < SampleCore.SEGMENTS; i++) {
             assertThat(segments.read(i))
@@ -91,9 +92,9 @@
 
     @Test
     void theVoterIsWhatItWas() throws Exception {
-        final Voter voter = voter();
+        final Acceptor voter = voter();
         assertThat(voter.openedBlank()).isFalse();
-        assertThat(voter.state()).isEqualTo(Voter.State.VOTING);
+        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
         assertThat(voter.diskId()).isEqualTo("d1-core/1f");
         assertThat(voter.voters()).isEqualTo(SampleCore.TABLE);
         assertThat(voter.floor()).isEqualTo(7_340_032);
@@ -111,51 +112,52 @@
     void registersHaveTheirRanksAndValues() throws Exception {
         final Map<String, Register> registers = voter().registers();
         final Register lease = registers.get("duty/usage_report");
-        assertThat(lease.promised()).isEqualTo(new Ballot(10, "d3-core/b2"));
-        assertThat(lease.accepted()).isEqualTo(new Ballot(9, "d3-core/b2"));
-        assertThat(Codec.record(lease.value(), Lease.class)).isEqualTo(SampleCore.LEASE);
-        assertThat(Codec.record(registers.get("usage/0000000000000000345").value(), Sealed.class))
+        assertThat(lease.promised()).isEqualTo(new ProposalNumber(10, "d3-core/b2"));
+        assertThat(lease.accepted()).isEqualTo(new ProposalNumber(9, "d3-core/b2"));
+        assertThat(MessageCodec.record(lease.value(), Lease.class)).isEqualTo(SampleCore.LEASE);
+        assertThat(MessageCodec.record(
+                        registers.get("usage/0000000000000000345").value(), SealedWindow.class))
                 .isEqualTo(SampleCore.WINDOW);
-        assertThat(Codec.record(registers.get("once/tenant-1/pay-17").value(), Claim.class))
+        assertThat(MessageCodec.record(registers.get("once/tenant-1/pay-17").value(), IdempotencyClaim.class))
                 .isEqualTo(SampleCore.CLAIM);
         assertThat(registers.get("duty/floor").value()).asString().isEqualTo("12345");
         final Register promised = registers.get("once/tenant-1/pay-18");
-        assertThat(promised.promised()).isEqualTo(new Ballot(3, "d2-core/a1"));
-        assertThat(promised.accepted()).isEqualTo(Ballot.NONE);
+        assertThat(promised.promised()).isEqualTo(new ProposalNumber(3, "d2-core/a1"));
+        assertThat(promised.accepted()).isEqualTo(ProposalNumber.NONE);
         assertThat(promised.value()).isNull();
     }
 
     @Test
     void theConfigurationIsReadFromTheSnapshotAndTheChange() throws Exception {
-        final Voter voter = voter();
-        final Snapshot snapshot = Codec.record(voter.own("~policy"), Snapshot.class);
+        final Acceptor voter = voter();
+        final ConfigurationSnapshot snapshot = MessageCodec.record(voter.own("~policy"), ConfigurationSnapshot.class);
         assertThat(snapshot.orders())
                 .containsExactly(
-                        new AcceptedOrder("founding-7", 7_340_032, 1_000),
-                        new AcceptedOrder("chg-2", 7_340_033, 2_000));
-        final Book book = new Book(16);
+                        new CommittedChange("founding-7", 7_340_032, 1_000),
+                        new CommittedChange("chg-2", 7_340_033, 2_000));
+        final ConfigurationStore book = new ConfigurationStore(16);
         assertThat(book.load(snapshot)).isTrue();
         assertThat(book.policy().version()).isEqualTo(7_340_033);
         assertThat(book.policy().holds()).containsExactly("d2");
-        final Change change =
-                Codec.record(voter.registers().get("policy/0000000000007340033").value(), Change.class);
+        final ConfigurationChange change = MessageCodec.record(
+                voter.registers().get("policy/0000000000007340033").value(), ConfigurationChange.class);
         assertThat(change.changeId()).isEqualTo("chg-2");
-        assertThat(change.kind()).isEqualTo(Change.Kind.PATCH);
+        assertThat(change.kind()).isEqualTo(ConfigurationChange.Kind.PATCH);
         assertThat(change.json()).asString().isEqualTo("{\"holds\":{\"d2\":{}}}");
         assertThat(change.acceptedMs()).isEqualTo(2_000);
     }
 
     @Test
     void aCoresOwnRecordsAreRead() throws Exception {
-        Notes.number();
-        final Voter voter = voter();
+        MessageNumbers.number();
+        final Acceptor voter = voter();
         assertThat(voter.own("~council")).isEmpty();
-        assertThat(Codec.record(voter.own("~form"), StoredRecords.formationBallot()))
+        assertThat(MessageCodec.record(voter.own("~form"), StoredRecords.formationBallot()))
                 .isEqualTo(StoredRecords.formationBallot(6, SampleCore.CAST));
-        assertThat(Codec.note(voter.own("~usage")))
-                .isEqualTo(new UsageNote.Counts("10.0.0.1:7000", 0, List.of(SampleCore.COUNT)));
-        assertThat(Codec.note(voter.own("~listed")))
-                .isEqualTo(new ListingNote.Push(List.of(SampleCore.LISTED), List.of(), 0));
+        assertThat(MessageCodec.note(voter.own("~usage")))
+                .isEqualTo(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(SampleCore.COUNT)));
+        assertThat(MessageCodec.note(voter.own("~listed")))
+                .isEqualTo(new DiscoveryMessage.Push(List.of(SampleCore.LISTED), List.of(), 0));
     }
 
     private List<String> auditLines() throws IOException {
@@ -173,13 +175,13 @@
     @Test
     void theAuditVerifiesAndIsGoneOnWith() throws Exception {
         assertThat(AuditFiles.files(folder.resolve("audit"))).hasSize(2);
-        assertThat(Chain.check(publicKey(), auditLines(), true)).isEqualTo(new Chain.Verdict.Good(1, 10, 10));
+        assertThat(AuditChain.check(publicKey(), auditLines(), true)).isEqualTo(new AuditChain.Verdict.Good(1, 10, 10));
         final String audit = folder.resolve("audit").toString();
         final String key = folder.resolve("audit").resolve("public.jwk").toString();
-        assertThat(AuditCheck.run(new String[] {"--check", audit, "--key", key}))
+        assertThat(AuditVerifier.run(new String[] {"--check", audit, "--key", key}))
                 .isZero();
         AuditFiles.open(folder.resolve("audit"), "d1-core", 8, 1 << 20, Runnable::run);
-        assertThat(Chain.check(publicKey(), auditLines(), true)).isEqualTo(new Chain.Verdict.Good(1, 11, 11));
+        assertThat(AuditChain.check(publicKey(), auditLines(), true)).isEqualTo(new AuditChain.Verdict.Good(1, 11, 11));
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/DepartureTest.java
+++ b/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
@@ -1,4 +1,4 @@
-package spokestall;
+package spokestall.node;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.time.EventClock;
 
-class DepartureTest {
+class GracefulShutdownTest {
     private static final long BEGUN_MS = 1_000_000;
     private final EventClock clock = new EventClock(BEGUN_MS);
     private final List<String> steps = new ArrayList<>();
@@ -19,7 +19,7 @@
     }
 
     private void depart() {
-        final Connections to = new Connections() {
+        final ClientConnections to = new ClientConnections() {
             @Override
             public void endWithAnswers() {
                 say("endWithAnswers");
@@ -40,7 +40,7 @@
                 return connections;
             }
         };
-        final Departure.Requests requests = new Departure.Requests() {
+        final GracefulShutdown.Requests requests = new GracefulShutdown.Requests() {
             @Override
             public void deny() {
                 say("deny");
@@ -56,8 +56,8 @@
                 return asks > 0;
             }
         };
-        final Departure.Pace pace = new Departure.Pace(200, 700, 900, 1000, 20, 50);
-        new Departure(to, requests, clock, pace, () -> say("done")).begin();
+        final GracefulShutdown.Pace pace = new GracefulShutdown.Pace(200, 700, 900, 1000, 20, 50);
+        new GracefulShutdown(to, requests, clock, pace, () -> say("done")).begin();
         clock.runAll();
     }
 
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -0,0 +1,187 @@
+package spokestall.node;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.function.LongSupplier;
+import java.util.stream.IntStream;
+import spokestall.audit.AuditSink;
+import spokestall.audit.Auditor;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.feed.ConfigurationKeys;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.ProposalNumber;
+import spokestall.consensus.Register;
+import spokestall.consensus.RegisterGuard;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.discovery.DiscoveryMessage;
+import spokestall.discovery.Endpoint;
+import spokestall.lease.Lease;
+import spokestall.membership.StoredRecords;
+import spokestall.message.MessageCodec;
+import spokestall.proxy.IdempotencyClaim;
+import spokestall.storage.SegmentStore;
+import spokestall.storage.SegmentedLog;
+import spokestall.usage.SealedWindow;
+import spokestall.usage.UsageMessage;
+
+/** What a core has on its disk after a short run that is the same each time: it votes, keeps records of its own, starts
+ * again and votes once more. */
+final class SampleCore {
+    static final String NAME = "d1-core";
+    static final String DISK_ID = "d1-core/1f";
+    static final int SEGMENTS = 6;
+    static final int SEGMENT_BYTES = 2048;
+    /** The version of notes in which the sample's kept notes are written. */
+    static final int NOTE_VERSION = 4;
+
+    static final VoterSet TABLE = new VoterSet(
+            7,
+            1,
+            List.of(
+                    new Voter(NAME, "10.0.0.1:7000", DISK_ID),
+                    new Voter("d2-core", "10.0.0.2:7000", "d2-core/2f"),
+                    new Voter("d3-core", "10.0.0.3:7000", "d3-core/3f")));
+    static final long FIRST_VERSION = 7_340_032;
+    static final ProposalNumber FOUND = new ProposalNumber(1, "found");
+    static final ProposalNumber CAST = new ProposalNumber(3, "d2-core/a1");
+    static final ProposalNumber CAST_LATER = new ProposalNumber(9, "d3-core/b2");
+    static final Lease FIRST_LEASE = new Lease("d2-core/77", "d2-core", 0, FIRST_VERSION + 1, 3000, false);
+    static final Lease LEASE = new Lease("d2-core/77", "d2-core", 4, FIRST_VERSION + 1, 3000, true);
+    static final SealedWindow WINDOW =
+            new SealedWindow(345, Map.of("tenant-1", 1_000_000_007L), "d2-core/77", FIRST_VERSION + 1, true);
+    static final IdempotencyClaim CLAIM = new IdempotencyClaim(
+            "d4-edge/5", "digest-1", 1_000, 1_200, IdempotencyClaim.State.NOT_RUN, 503, "digest-2", "instance-1");
+    static final UsageMessage.Count COUNT = new UsageMessage.Count("d4-edge", -5, 346, Map.of("tenant-1", 12L), false);
+    static final Endpoint LISTED =
+            new Endpoint("instance-1", "records", "10.0.1.1:80", "d1", "r1", true, false, 5_000, 6_000, 4_000, 3);
+
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    private static final RegisterGuard KEEPS_ALL = new RegisterGuard() {
+        @Override
+        public boolean ready() {
+            return true;
+        }
+
+        @Override
+        public boolean gone(final String key) {
+            return false;
+        }
+
+        @Override
+        public boolean room(final String key) {
+            return true;
+        }
+
+        @Override
+        public boolean takes(final String key, final byte[] value) {
+            return true;
+        }
+    };
+
+    private SampleCore() {}
+
+    /** Reads a disk as a core that starts does; the fresh identity is for a blank one. */
+    static Acceptor open(final SegmentStore segments, final String freshDiskId) {
+        return new Acceptor(NAME, new SegmentedLog(segments), (address, note) -> {}, KEEPS_ALL, freshDiskId);
+    }
+
+    /** Two lives of a core on a blank disk. */
+    static void run(final SegmentStore segments) {
+        firstLife(open(segments, DISK_ID));
+        accept(open(segments, "unused"), Lease.key("usage_report"), CAST_LATER, MessageCodec.bytes(LEASE));
+    }
+
+    private static void firstLife(final Acceptor voter) {
+        voter.found(
+                TABLE,
+                List.of(
+                        founded("duty/floor", "12345".getBytes(StandardCharsets.UTF_8)),
+                        founded("duty/usage_report", MessageCodec.bytes(FIRST_LEASE)),
+                        founded(ConfigurationKeys.key(FIRST_VERSION), MessageCodec.bytes(firstChange()))));
+        accept(voter, ConfigurationKeys.key(FIRST_VERSION + 1), CAST, MessageCodec.bytes(secondChange()));
+        accept(voter, SealedWindow.key(344), CAST, MessageCodec.bytes(WINDOW));
+        accept(voter, SealedWindow.key(345), CAST, MessageCodec.bytes(WINDOW));
+        accept(voter, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.bytes(CLAIM));
+        voter.hear(
+                new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", CAST, false),
+                "10.0.0.1:7000");
+        keepOwnRecords(voter);
+        voter.raiseFloor(FIRST_VERSION, () -> voter.drop(ConfigurationKeys.key(FIRST_VERSION)));
+        voter.drop(SealedWindow.key(344));
+    }
+
+    private static void keepOwnRecords(final Acceptor voter) {
+        MessageNumbers.number();
+        keep(voter, "~policy", MessageCodec.bytes(book().snapshot()));
+        keep(voter, "~council", new byte[0]);
+        keep(voter, "~form", MessageCodec.bytes(StoredRecords.formationBallot(6, CAST)));
+        keep(
+                voter,
+                "~usage",
+                MessageCodec.note(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(COUNT)), NOTE_VERSION));
+        keep(
+                voter,
+                "~listed",
+                MessageCodec.note(new DiscoveryMessage.Push(List.of(LISTED), List.of(), 0), NOTE_VERSION));
+    }
+
+    private static void keep(final Acceptor voter, final String key, final byte[] value) {
+        voter.keepOwn(key, value, ok -> {
+            if (!ok) {
+                throw new IllegalStateException("no room for " + key);
+            }
+        });
+    }
+
+    private static ConsensusMessage.Entry founded(final String key, final byte[] value) {
+        return new ConsensusMessage.Entry(key, new Register(FOUND, FOUND, value));
+    }
+
+    private static void accept(
+            final Acceptor voter, final String key, final ProposalNumber ballot, final byte[] value) {
+        voter.hear(new ConsensusMessage.Accept(4, "10.0.0.2:7000", 7, 1, key, ballot, value), "10.0.0.1:7000");
+    }
+
+    static ConfigurationChange firstChange() {
+        return new ConfigurationChange("founding-7", ConfigurationChange.Kind.PUT, bytes("{\"holds\":{}}"), 1_000);
+    }
+
+    static ConfigurationChange secondChange() {
+        return new ConfigurationChange(
+                "chg-2", ConfigurationChange.Kind.PATCH, bytes("{\"holds\":{\"d2\":{}}}"), 2_000);
+    }
+
+    private static byte[] bytes(final String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
+    }
+
+    /** The configuration after both changes. */
+    static ConfigurationStore book() {
+        final ConfigurationStore book = new ConfigurationStore(16);
+        book.apply(FIRST_VERSION, firstChange());
+        book.apply(FIRST_VERSION + 1, secondChange());
+        return book;
+    }
+
+    /** Has everything that was decided written down, and some entries more, so that it takes two files. */
+    static void tell(final AuditSink audit) {
+        final LongSupplier fleetMs = () -> 5_000;
+        final Auditor auditor = new Auditor(audit, book(), fleetMs);
+        auditor.table(TABLE);
+        auditor.policy();
+        auditor.lease(LEASE);
+        auditor.window(WINDOW);
+        IntStream.range(0, 3).forEach(i -> audit.note("sample", numbered(i)));
+    }
+
+    private static ObjectNode numbered(final int number) {
+        return JSON.createObjectNode().put("number", number);
+    }
+}
--- a/spokestall/src/test/java/spokestall/edge/GoesTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
@@ -1,16 +1,16 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
-class GoesTest {
+class AttemptBudgetTest {
     private static RetryBudget budget(final int retries) {
         return new RetryBudget(() -> 0, () -> retries);
     }
 
     private static int goes(final boolean unsentFree, final int most, final RetryBudget budget, final boolean arrives) {
-        final Goes goes = new Goes(unsentFree);
+        final AttemptBudget goes = new AttemptBudget(unsentFree);
         do {
             assertThat(goes.begin()).isEqualTo(goes.begun() == 1);
             goes.ended(arrives);
@@ -34,7 +34,7 @@
 
     @Test
     void whatWasNeverSentIsFreeOnlyWhereThatIsTheHabitAndNotWithoutEnd() {
-        assertThat(goes(true, 3, budget(0), false)).isEqualTo(Goes.MOST);
+        assertThat(goes(true, 3, budget(0), false)).isEqualTo(AttemptBudget.MOST);
         assertThat(goes(true, 9, budget(2), true)).isEqualTo(3);
         assertThat(goes(true, 3, budget(100), true)).isEqualTo(3);
     }
@@ -42,7 +42,7 @@
     @Test
     void aGoBesideOneThatIsUnderWayIsAlwaysPaidForAndCounted() {
         final RetryBudget one = budget(1);
-        final Goes goes = new Goes(true);
+        final AttemptBudget goes = new AttemptBudget(true);
         goes.begin();
         assertThat(goes.again(2, one)).isTrue();
         goes.begin();
@@ -57,7 +57,7 @@
     @Test
     void aGoAfterOneThatMayHaveArrivedIsPaidForAlsoWhereUnsentOnesAreFree() {
         final RetryBudget one = budget(1);
-        final Goes goes = new Goes(true);
+        final AttemptBudget goes = new AttemptBudget(true);
         goes.begin();
         goes.ended(false);
         assertThat(goes.again(3, one)).isTrue();
--- a/spokestall/src/test/java/spokestall/edge/PlacesTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,7 +7,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class PlacesTest {
+class ConcurrencyLimiterTest {
     private record Held(String tenant, long bytes) {}
 
     /** However greedy some are, bounds hold, and one that holds nothing always finds a place. */
@@ -16,7 +16,7 @@
         final Random random = new Random(3);
         for (int round = 0; round < 200; round++) {
             final int greedy = 1 + random.nextInt(6);
-            final Places places = new Places(100, 1_000_000);
+            final ConcurrencyLimiter places = new ConcurrencyLimiter(100, 1_000_000);
             final List<Held> held = new ArrayList<>();
             for (int i = 0; i < 2000; i++) {
                 final String tenant = "greedy-" + random.nextInt(greedy);
--- a/spokestall/src/test/java/spokestall/edge/ElectorTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,25 +9,25 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import spokestall.listing.Upstream;
-import spokestall.policy.ServiceRule;
+import spokestall.configuration.ServiceLimits;
+import spokestall.discovery.Upstream;
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
 
-class ElectorTest {
-    private static final ServiceRule RULE = new ServiceRule("s", 1000, 1000, 2000, 3000, 5.8);
+class LoadBalancerTest {
+    private static final ServiceLimits RULE = new ServiceLimits("s", 1000, 1000, 2000, 3000, 5.8);
     private final List<Upstream> listed = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
 
-    private Elector elector(final int edges, final long seed) {
-        return new Elector(
+    private LoadBalancer elector(final int edges, final long seed) {
+        return new LoadBalancer(
                 "r1",
                 "d1",
                 s -> listed,
                 clock,
                 new FleetClock(clock, 250),
                 new Random(seed),
-                new Elector.Pace(() -> edges, 1.2, 4, 750, 6000, 0.15, 1));
+                new LoadBalancer.Pace(() -> edges, 1.2, 4, 750, 6000, 0.15, 1));
     }
 
     private void list(final String instance, final String district, final String region, final int slots) {
@@ -39,7 +39,7 @@
         list("near", "d1", "r1", 3);
         list("around", "d2", "r1", 3);
         list("far", "d5", "r3", 3);
-        final Elector elector = elector(1, 1);
+        final LoadBalancer elector = elector(1, 1);
         final Map<String, Integer> open = new HashMap<>();
         for (int n = 0; n < 8; n++) {
             final Upstream to = elector.elect(RULE, u -> true, Set.of());
@@ -57,9 +57,9 @@
     void oneLossIsChanceTwoInARowPutAsideAndAnAnswerBringsBack() {
         list("one", "d1", "r1", 3);
         list("two", "d2", "r1", 3);
-        final Elector elector = elector(1, 2);
+        final LoadBalancer elector = elector(1, 2);
         elector.begun("one");
-        elector.ended("s", "one", Elector.End.LOST, 10, 500);
+        elector.ended("s", "one", LoadBalancer.End.LOST, 10, 500);
         assertThat(elector.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
         elector.late("one");
         for (int n = 0; n < 20; n++) {
@@ -71,7 +71,7 @@
                 .as("better than none")
                 .isNotNull();
         elector.begun("one");
-        elector.ended("s", "one", Elector.End.WELL, 10, 500);
+        elector.ended("s", "one", LoadBalancer.End.WELL, 10, 500);
         assertThat(elector.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
     }
 
@@ -79,14 +79,14 @@
     void acrossAllEdgesAChilledUpstreamGetsNoMoreThanItsRamp() {
         list("cold", "d1", "r1", 3);
         final int edges = 12;
-        final List<Elector> all = new ArrayList<>();
+        final List<LoadBalancer> all = new ArrayList<>();
         for (int i = 0; i < edges; i++) {
             all.add(elector(edges, i));
             all.get(i).chill(List.of("cold"), 3000);
         }
         final List<Long> sentMs = new ArrayList<>();
         for (final long untilMs = clock.nowMs() + 2900; clock.nowMs() < untilMs; clock.advance(10)) {
-            for (final Elector elector : all) {
+            for (final LoadBalancer elector : all) {
                 if (elector.elect(RULE, u -> true, Set.of()) != null) {
                     sentMs.add(clock.nowMs());
                 }
--- a/spokestall/src/test/java/spokestall/edge/RetryBudgetTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/RetryBudgetTest.java
@@ -1,4 +1,4 @@
-package spokestall.edge;
+package spokestall.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/spokestall/src/test/java/spokestall/settings/RenewalTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsUpdateTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class RenewalTest {
+class SettingsUpdateTest {
     private static Settings settings(final Map<String, String> more) {
         final Map<String, String> all = new HashMap<>(Map.of(
                 "name", "d1-core",
@@ -25,7 +25,7 @@
     void whatARunningNodeCanChangeIsTakenAndTheRestWaits() {
         final String seeds = "10.0.0.4:7100,10.0.0.2:7100,10.0.0.3:7100";
         final Settings newer = settings(Map.of("seeds", seeds, "retryShare", "0.1", "leaseMs", "3000"));
-        final Renewal renewal = Renewal.of(settings(Map.of()), newer, true);
+        final SettingsUpdate renewal = SettingsUpdate.of(settings(Map.of()), newer, true);
         assertThat(renewal.taken()).containsExactly("retryShare", "seeds");
         assertThat(renewal.waiting()).containsExactly("leaseMs");
         assertThat(renewal.settings().text("seeds")).isEqualTo(seeds);
@@ -37,7 +37,7 @@
     void aValueThatDoesNotFitWhatStaysInForceWaits() {
         final Settings inForce = settings(Map.of());
         final Settings newer = settings(Map.of("proofMs", "50", "freshMs", "100", "whereS", "3"));
-        final Renewal renewal = Renewal.of(inForce, newer, true);
+        final SettingsUpdate renewal = SettingsUpdate.of(inForce, newer, true);
         assertThat(renewal.taken()).containsExactly("whereS");
         assertThat(renewal.waiting()).containsExactly("freshMs", "proofMs");
         assertThat(renewal.settings().ms("freshMs")).isEqualTo(inForce.ms("freshMs"));
@@ -45,7 +45,7 @@
 
     @Test
     void settingsThatAreTheSameChangeNothing() {
-        final Renewal renewal = Renewal.of(settings(Map.of()), settings(Map.of()), true);
+        final SettingsUpdate renewal = SettingsUpdate.of(settings(Map.of()), settings(Map.of()), true);
         assertThat(renewal.taken()).isEmpty();
         assertThat(renewal.waiting()).isEmpty();
     }
--- a/spokestall/src/test/java/spokestall/ring/DelayedSegments.java
+++ b/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
@@ -1,4 +1,4 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import java.util.List;
 import java.util.function.Consumer;
@@ -6,14 +6,14 @@
 import spokestall.time.Clock;
 
 /** A disk in memory on which a commit is down after a while of a virtual clock, unless the power goes before. */
-public final class DelayedSegments extends MemorySegments {
+public final class DelayedSegmentStore extends InMemorySegmentStore {
     private final Clock clock;
     private final IntSupplier delayMs;
     private long slowMs;
     private long life;
 
-    /** Example: {@code new DelayedSegments(8, 1 << 16, clock, () -> 1 + random.nextInt(3))} */
-    public DelayedSegments(final int count, final int sizeBytes, final Clock clock, final IntSupplier delayMs) {
+    /** Example: {@code new DelayedSegmentStore(8, 1 << 16, clock, () -> 1 + random.nextInt(3))} */
+    public DelayedSegmentStore(final int count, final int sizeBytes, final Clock clock, final IntSupplier delayMs) {
         super(count, sizeBytes);
         this.clock = clock;
         this.delayMs = delayMs;
--- a/spokestall/src/test/java/spokestall/ring/FileSegmentsTest.java
+++ b/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
@@ -1,4 +1,4 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,15 +9,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class FileSegmentsTest {
+class FileSegmentStoreTest {
     private static final int FILES = 8;
     private static final int SIZE = 1 << 16;
 
     @TempDir
     Path data;
 
-    private Ring open() throws IOException {
-        return new Ring(FileSegments.open(data.resolve("ring"), FILES, SIZE, Runnable::run, Runnable::run));
+    private SegmentedLog open() throws IOException {
+        return new SegmentedLog(FileSegmentStore.open(data.resolve("ring"), FILES, SIZE, Runnable::run, Runnable::run));
     }
 
     private Path file(final int segment) {
@@ -26,7 +26,7 @@
 
     /** A ring that has gone on to its fourth file. */
     private void write() throws IOException {
-        final Ring ring = open();
+        final SegmentedLog ring = open();
         for (int i = 0; i < 200; i++) {
             ring.put("key-" + i % 20, new byte[1000], ok -> assertThat(ok).isTrue());
         }
@@ -83,7 +83,8 @@
     @Test
     void filesThatGrowKeepWhatTheyHave() throws IOException {
         write();
-        final Segments larger = FileSegments.open(data.resolve("ring"), FILES, 2 * SIZE, Runnable::run, Runnable::run);
-        assertThat(new Ring(larger).table()).hasSize(20);
+        final SegmentStore larger =
+                FileSegmentStore.open(data.resolve("ring"), FILES, 2 * SIZE, Runnable::run, Runnable::run);
+        assertThat(new SegmentedLog(larger).table()).hasSize(20);
     }
 }
--- a/spokestall/src/test/java/spokestall/ring/MemorySegments.java
+++ b/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
@@ -1,14 +1,14 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import java.util.List;
 import java.util.function.Consumer;
 
 /** A disk in memory on which a commit is down at once. */
-public class MemorySegments implements Segments {
+public class InMemorySegmentStore implements SegmentStore {
     private final byte[][] files;
 
-    /** Example: {@code new MemorySegments(8, 1 << 14)} */
-    public MemorySegments(final int count, final int sizeBytes) {
+    /** Example: {@code new InMemorySegmentStore(8, 1 << 14)} */
+    public InMemorySegmentStore(final int count, final int sizeBytes) {
         files = new byte[count][sizeBytes];
     }
 
--- a/spokestall/src/test/java/spokestall/ring/RingTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogTest.java
@@ -1,4 +1,4 @@
-package spokestall.ring;
+package spokestall.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class RingTest {
+class SegmentedLogTest {
     /** A disk that holds commits back until told, and may lose or tear what is not synced. */
-    private static final class Disk extends MemorySegments {
+    private static final class Disk extends InMemorySegmentStore {
         private final List<Piece> flying = new ArrayList<>();
         private Consumer<Boolean> waiting;
 
@@ -70,7 +70,7 @@
         for (int seed = 0; seed < 60; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(6, 4096);
-            Ring ring = new Ring(disk);
+            SegmentedLog ring = new SegmentedLog(disk);
             assertThat(ring.blank()).isTrue();
             // For each key the value that was synced last, and those put since.
             final Map<String, String> synced = new HashMap<>();
@@ -92,7 +92,7 @@
                 }
                 if (random.nextInt(50) == 0) {
                     disk.losePower(random);
-                    ring = new Ring(disk);
+                    ring = new SegmentedLog(disk);
                     losses++;
                     assertThat(ring.blank() && !synced.isEmpty())
                             .as("not blank")
@@ -119,7 +119,7 @@
         for (int seed = 0; seed < 200; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(6, 4096);
-            final Ring ring = new Ring(disk);
+            final SegmentedLog ring = new SegmentedLog(disk);
             for (int i = 0; i < 60; i++) {
                 ring.put("key-" + i % 7, ("value " + i).getBytes(StandardCharsets.UTF_8), ok -> {});
                 disk.sync();
@@ -128,7 +128,7 @@
             // Somewhere in what was written, but not in the last record: that one looks like a torn tail.
             final int at = random.nextInt(50 * 40);
             disk.flip(0, at, 0x20);
-            final Ring again = new Ring(disk);
+            final SegmentedLog again = new SegmentedLog(disk);
             if (again.blank()) {
                 blank++;
                 assertThat(again.table()).isEmpty();
@@ -143,13 +143,13 @@
     @Test
     void aRingThatIsFullSaysSoAndTakesDropsAndThenPutsAgain() {
         final Disk disk = new Disk(6, 4096);
-        final Ring ring = new Ring(disk);
+        final SegmentedLog ring = new SegmentedLog(disk);
         final List<Boolean> taken = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             ring.put("key-" + i, new byte[100], taken::add);
             disk.sync();
         }
-        assertThat(ring.state()).isEqualTo(Ring.State.FULL);
+        assertThat(ring.state()).isEqualTo(SegmentedLog.State.FULL);
         assertThat(taken).contains(true, false);
         final int kept = ring.table().size();
         for (int i = 0; i < kept; i++) {
@@ -160,7 +160,7 @@
         ring.put("after", new byte[100], taken::add);
         disk.sync();
         assertThat(taken).containsExactly(true);
-        assertThat(new Ring(disk).table()).containsOnlyKeys("after");
+        assertThat(new SegmentedLog(disk).table()).containsOnlyKeys("after");
     }
 
     /** Records of up to a file, on a ring that is nearly as full as it may be. */
@@ -170,7 +170,7 @@
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(8, size);
-            Ring ring = new Ring(disk);
+            SegmentedLog ring = new SegmentedLog(disk);
             final AtomicBoolean anything = new AtomicBoolean();
             final Map<String, String> synced = new HashMap<>();
             final Map<String, List<String>> maybe = new HashMap<>();
@@ -191,7 +191,7 @@
                 }
                 if (random.nextInt(40) == 0) {
                     disk.losePower(random);
-                    ring = new Ring(disk);
+                    ring = new SegmentedLog(disk);
                     assertThat(ring.blank() && anything.get())
                             .as("blank, seed %s step %s", seed, step)
                             .isFalse();
@@ -215,13 +215,13 @@
     @Test
     void aDiskThatRefusesAWriteIsAskedAgainAndWhatItRefusedIsToldWhenItIsDown() {
         final Disk disk = new Disk(6, 4096);
-        final Ring ring = new Ring(disk);
+        final SegmentedLog ring = new SegmentedLog(disk);
         final List<Boolean> told = new ArrayList<>();
         ring.put("one", new byte[10], told::add);
         ring.put("two", new byte[20], told::add);
         disk.refuse();
         assertThat(told).isEmpty();
-        assertThat(ring.state()).isEqualTo(Ring.State.REFUSING);
+        assertThat(ring.state()).isEqualTo(SegmentedLog.State.REFUSING);
         assertThat(ring.canWrite()).isFalse();
         ring.put("three", new byte[30], told::add);
         ring.retry();
@@ -233,13 +233,13 @@
         assertThat(ring.canWrite()).isTrue();
         disk.sync();
         assertThat(told).containsExactly(true, true, true);
-        assertThat(new Ring(disk).table()).containsOnlyKeys("one", "two", "three");
+        assertThat(new SegmentedLog(disk).table()).containsOnlyKeys("one", "two", "three");
     }
 
     @Test
     void whatADiskThatRefusesHasToKeepWaitingIsBounded() {
         final Disk disk = new Disk(6, 4096);
-        final Ring ring = new Ring(disk);
+        final SegmentedLog ring = new SegmentedLog(disk);
         ring.put("first", new byte[1], ok -> {});
         disk.refuse();
         final List<Boolean> told = new ArrayList<>();
@@ -252,14 +252,14 @@
     @Test
     void whatWasWrittenOnceInTheFirstLifeIsStillThereAfterTheRingHasGoneRoundManyTimes() {
         final Disk disk = new Disk(8, 4096);
-        final Ring ring = new Ring(disk);
+        final SegmentedLog ring = new SegmentedLog(disk);
         ring.put("identity", "disk-1".getBytes(StandardCharsets.UTF_8), ok -> {});
         disk.sync();
         for (int i = 0; i < 2000; i++) {
             ring.put("other", ("value " + i + "x".repeat(100)).getBytes(StandardCharsets.UTF_8), ok -> {});
             disk.sync();
             if (i % 50 == 0) {
-                assertThat(new Ring(disk).table()).as("after %s", i).containsOnlyKeys("identity", "other");
+                assertThat(new SegmentedLog(disk).table()).as("after %s", i).containsOnlyKeys("identity", "other");
             }
         }
     }
@@ -269,7 +269,7 @@
         return ByteBuffer.allocate(Integer.BYTES + bytes).putInt(number).array();
     }
 
-    private static int number(final Ring ring, final String key) {
+    private static int number(final SegmentedLog ring, final String key) {
         final byte[] found = ring.table().get(key);
         return found == null ? 0 : ByteBuffer.wrap(found).getInt();
     }
@@ -279,7 +279,7 @@
         for (int seed = 0; seed < 100; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(8, 4096);
-            Ring ring = new Ring(disk);
+            SegmentedLog ring = new SegmentedLog(disk);
             for (int step = 1; step <= 300; step++) {
                 // As a snapshot is put before what it makes superfluous is let go.
                 ring.put("snapshot", numbered(step, random.nextInt(1500)), ok -> {});
@@ -289,7 +289,7 @@
                 }
                 if (random.nextInt(20) == 0) {
                     disk.losePower(random);
-                    ring = new Ring(disk);
+                    ring = new SegmentedLog(disk);
                     assertThat(number(ring, "floor"))
                             .as("floor, seed %s step %s", seed, step)
                             .isLessThanOrEqualTo(number(ring, "snapshot"));
@@ -304,7 +304,7 @@
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(8, 1024);
-            Ring ring = new Ring(disk);
+            SegmentedLog ring = new SegmentedLog(disk);
             final Map<String, Integer> synced = new HashMap<>();
             for (int step = 1; step <= 600; step++) {
                 final int number = step;
@@ -315,7 +315,7 @@
                     continue;
                 }
                 disk.losePowerBut(random.nextInt(3));
-                ring = new Ring(disk);
+                ring = new SegmentedLog(disk);
                 for (final Map.Entry<String, Integer> e : synced.entrySet()) {
                     assertThat(number(ring, e.getKey()))
                             .as("%s, seed %s step %s", e.getKey(), seed, step)
--- a/spokestall/src/test/java/spokestall/duty/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -1,4 +1,4 @@
-package spokestall.duty;
+package spokestall.usage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 import spokestall.time.ManualClock;
 
 class UsageCounterTest {
-    private record Sent(String to, UsageNote.Counts counts) {}
+    private record Sent(String to, UsageMessage.Counts counts) {}
 
     private static final List<String> CORES = List.of("a", "b", "c", "d");
     private final List<Sent> sent = new ArrayList<>();
@@ -27,12 +27,12 @@
                 new UsageCounter.Pace(5000, 1000, 3, uncountedMs, 4, 100),
                 clock,
                 fleet,
-                (to, note) -> sent.add(new Sent(to, (UsageNote.Counts) note)),
+                (to, note) -> sent.add(new Sent(to, (UsageMessage.Counts) note)),
                 () -> CORES);
     }
 
     private void had(final UsageCounter counter, final Sent one, final long life) {
-        counter.hear(new UsageNote.CountsHad(one.to, one.counts.stamp(), life), one.to);
+        counter.hear(new UsageMessage.CountsHad(one.to, one.counts.stamp(), life), one.to);
     }
 
     private List<Sent> beat(final UsageCounter counter, final long ms) {
--- a/spokestall/src/test/java/spokestall/duty/ReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -1,4 +1,4 @@
-package spokestall.duty;
+package spokestall.usage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,23 +6,25 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import spokestall.ballot.BallotBench;
+import spokestall.consensus.ConsensusTestContext;
+import spokestall.lease.LeaseSession;
+import spokestall.message.Message;
 import spokestall.time.FleetClock;
-import spokestall.wire.Note;
 
-class ReporterTest {
+class UsageReporterTest {
     private static final long WINDOW_MS = 5000;
     private static final long DUE_MS = 10_000;
-    private static final Reporter.Pace PACE = new Reporter.Pace(WINDOW_MS, 1500, 5000, 300, DUE_MS, 800, 800, 10);
+    private static final UsageReporter.Pace PACE =
+            new UsageReporter.Pace(WINDOW_MS, 1500, 5000, 300, DUE_MS, 800, 800, 10);
     private static final List<String> CORES = List.of("v0", "v1", "v2", "v3", "v4", "v5");
 
     private record Call(long window, long atMs, long waitMs, Consumer<Boolean> done) {}
 
-    private final BallotBench bench = new BallotBench(1, 0);
+    private final ConsensusTestContext bench = new ConsensusTestContext(1, 0);
     private final FleetClock fleet = new FleetClock(bench.clock, 100);
     private final List<Call> calls = new ArrayList<>();
-    private final UsageBook book = new UsageBook(() -> fleet.nowMs() / WINDOW_MS, 16);
-    private final Reporter reporter = new Reporter(
+    private final UsageTable book = new UsageTable(() -> fleet.nowMs() / WINDOW_MS, 16);
+    private final UsageReporter reporter = new UsageReporter(
             "k",
             "k",
             book,
@@ -37,14 +39,14 @@
             () -> 0,
             edge -> null);
 
-    private void answer(final String core, final Note note) {
-        final UsageNote.CountAsk ask = (UsageNote.CountAsk) note;
-        bench.clock.after(5, () -> reporter.hear(new UsageNote.CountBack(core, ask.window(), List.of())));
+    private void answer(final String core, final Message note) {
+        final UsageMessage.CountAsk ask = (UsageMessage.CountAsk) note;
+        bench.clock.after(5, () -> reporter.hear(new UsageMessage.CountBack(core, ask.window(), List.of())));
     }
 
     private void beginAt(final long ms) {
         bench.run(ms);
-        reporter.begin(new Execution("e", "k/1", 7, ms + 20_000, ms + 600_000));
+        reporter.begin(new LeaseSession("e", "k/1", 7, ms + 20_000, ms + 600_000));
     }
 
     private void beatsUntil(final long ms) {
@@ -87,7 +89,7 @@
         assertThat(calls).hasSizeGreaterThan(1);
         calls.stream().skip(1).forEach(c -> c.done.accept(true));
         assertThat(reporter.idle()).as("the first may still be on its way").isFalse();
-        reporter.begin(new Execution("e2", "k/2", 8, 60_000, 600_000));
+        reporter.begin(new LeaseSession("e2", "k/2", 8, 60_000, 600_000));
         assertThat(reporter.idle()).isTrue();
     }
 }
--- a/proof/src/main/java/spokestall/proof/History.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayDeque;
@@ -6,19 +6,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import spokestall.ballot.Register;
-import spokestall.ballot.Voter;
-import spokestall.feed.Versions;
-import spokestall.policy.Book;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.feed.ConfigurationKeys;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.Register;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.simulation.Scenario;
+import spokestall.testbed.simulation.SimulatedNode;
+import spokestall.testbed.simulation.SimulatedWorld;
 
 /**
  * A long history of changes, large and small mixed, one after the other without a pause, while cores are restarted, lose
  * their power or their disk and are cut off, one at a time. At some counts of changes it measures what a core has grown to
  * and how a core comes back.
  */
-final class History {
+final class ChangeHistory {
     /** What a core comes back from. */
     enum Return {
         RESTART,
@@ -51,7 +55,7 @@
     private static final int TROUBLE_EVERY = 20;
     private static final int SMALL_BINDINGS = 20;
     private static final int SEGMENT_BYTES = 2 << 20;
-    private final World world;
+    private final SimulatedWorld world;
     private final Random random;
     private final ObjectNode small;
     private final ObjectNode large;
@@ -69,19 +73,19 @@
     private long acknowledgedMs;
 
     /** Every so many changes a policy with so many bindings is put. */
-    History(final long seed, final List<Integer> marks, final int largeEvery, final int largeBindings) {
-        this.world = new World(
+    ChangeHistory(final long seed, final List<Integer> marks, final int largeEvery, final int largeBindings) {
+        this.world = new SimulatedWorld(
                 seed,
                 Deployment.PADMA,
                 false,
-                Plant.NONE,
+                InjectedFault.NONE,
                 Scenario.CALM,
                 Map.of("ringSegmentBytes", Integer.toString(SEGMENT_BYTES)));
         this.random = world.sim.random("history");
         this.marks = new ArrayDeque<>(marks);
         this.last = marks.get(marks.size() - 1);
-        this.small = Growth.policy(SMALL_BINDINGS);
-        this.large = Growth.policy(largeBindings);
+        this.small = ConfigurationGrowth.policy(SMALL_BINDINGS);
+        this.large = ConfigurationGrowth.policy(largeBindings);
         this.largeEvery = largeEvery;
     }
 
@@ -106,7 +110,7 @@
 
     /** Plays it; whether all changes were made. */
     boolean play() {
-        for (final SimNode node : world.nodes.values()) {
+        for (final SimulatedNode node : world.nodes.values()) {
             world.sim.after(random.nextInt(1500), node::start);
         }
         world.sim.after(8000, () -> {
@@ -133,14 +137,14 @@
         } else if (made % TROUBLE_EVERY == TROUBLE_EVERY - 1 && !troubled) {
             trouble(Return.values()[random.nextInt(Return.values().length)], () -> {});
         }
-        final SimNode core = world.any(world.cores(), random);
+        final SimulatedNode core = world.any(world.cores(), random);
         if (!core.running()) {
             world.sim.after(PAUSE_MS, this::change);
             return;
         }
         final int call = ++calls;
         final boolean whole = made % largeEvery == 0 || made % largeEvery == largeEvery / 2;
-        final ObjectNode params = Book.JSON.createObjectNode();
+        final ObjectNode params = ConfigurationStore.JSON.createObjectNode();
         params.put("base", core.node().book().policy().version()).put("changeId", "change-" + made);
         if (whole) {
             params.set("policy", made % largeEvery == 0 ? large : small);
@@ -152,7 +156,7 @@
     }
 
     private ObjectNode patch() {
-        final ObjectNode patch = Book.JSON.createObjectNode();
+        final ObjectNode patch = ConfigurationStore.JSON.createObjectNode();
         patch.putObject("cells")
                 .putObject(Deployment.cell(3))
                 .putObject("tenants")
@@ -176,7 +180,7 @@
             return;
         }
         calls++;
-        if (reply.result() != Result.OK) {
+        if (reply.result() != ResultCode.OK) {
             world.sim.after(PAUSE_MS, this::change);
             return;
         }
@@ -193,7 +197,7 @@
         int registers = 0;
         long registerBytes = 0;
         long bookBytes = 0;
-        for (final SimNode core : world.cores()) {
+        for (final SimulatedNode core : world.cores()) {
             if (core.running()) {
                 fill = Math.max(fill, core.node().ringFill());
                 registers = Math.max(registers, core.node().voter().registers().size());
@@ -229,7 +233,7 @@
         }
     }
 
-    private static long bytes(final Voter voter) {
+    private static long bytes(final Acceptor voter) {
         return voter.registers().values().stream()
                 .map(Register::value)
                 .mapToLong(v -> v == null ? 0 : v.length)
@@ -238,9 +242,9 @@
 
     private void trouble(final Return from, final Runnable then) {
         troubled = true;
-        final SimNode core = world.any(world.cores(), random);
+        final SimulatedNode core = world.any(world.cores(), random);
         if (from == Return.CUT) {
-            final List<SimNode> rest = new ArrayList<>(world.nodes.values());
+            final List<SimulatedNode> rest = new ArrayList<>(world.nodes.values());
             rest.remove(core);
             world.part(List.of(core), rest, true);
             world.sim.after(CUT_MS, () -> {
@@ -273,7 +277,7 @@
     }
 
     /** Waits until the core votes and has a proof that what it has is newest. */
-    private void back(final SimNode core, final Return from, final long startUs, final Runnable then) {
+    private void back(final SimulatedNode core, final Return from, final long startUs, final Runnable then) {
         final long fromMs = world.sim.nowMs();
         final long fromBytes = world.traffic.sentTo(core.name);
         final long provedBefore = core.node().follower().freshUntilMs();
@@ -285,8 +289,8 @@
         });
     }
 
-    private void whenBack(final SimNode core, final long provedBefore, final Runnable then) {
-        final boolean voting = core.running() && core.node().voter().state() == Voter.State.VOTING;
+    private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
+        final boolean voting = core.running() && core.node().voter().state() == Acceptor.State.VOTING;
         if (voting
                 && core.node().follower().fresh()
                 && core.node().follower().freshUntilMs() > provedBefore
@@ -300,10 +304,10 @@
     /** What was acknowledged is with a majority of the voters, as a register or below the floor of a kept snapshot. */
     private void look() {
         long having = 0;
-        for (final SimNode core : world.cores()) {
-            final Voter voter = core.running() ? core.node().voter() : null;
-            if (voter != null && voter.state() == Voter.State.VOTING) {
-                final Register r = voter.registers().get(Versions.key(acknowledged));
+        for (final SimulatedNode core : world.cores()) {
+            final Acceptor voter = core.running() ? core.node().voter() : null;
+            if (voter != null && voter.state() == Acceptor.State.VOTING) {
+                final Register r = voter.registers().get(ConfigurationKeys.key(acknowledged));
                 having += voter.floor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
             }
         }
@@ -313,7 +317,7 @@
     }
 
     static int run(final long seed, final List<Integer> marks) {
-        final History history = new History(seed, marks, 10, 9000);
+        final ChangeHistory history = new ChangeHistory(seed, marks, 10, 9000);
         final long fromNs = System.nanoTime();
         final boolean whole = history.play();
         System.out.println(
--- a/proof/src/main/java/spokestall/proof/Growth.java
+++ b/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -6,34 +6,37 @@
 import java.util.Arrays;
 import java.util.Set;
 import java.util.function.Supplier;
-import spokestall.policy.Book;
-import spokestall.policy.Change;
-import spokestall.policy.Rules;
-import spokestall.rpc.Calls;
-import spokestall.wire.Codec;
+import spokestall.api.CallRegistry;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.ConfigurationValidator;
+import spokestall.message.MessageCodec;
 
 /** What one more binding costs a core and the feed, against how many there are. */
-final class Growth {
+final class ConfigurationGrowth {
     private static final int TURNS = 41;
 
-    private Growth() {}
+    private ConfigurationGrowth() {}
 
     static int run() {
-        final Rules rules = new Rules(
-                new Calls().file().at("/$defs/policy"),
+        final ConfigurationValidator rules = new ConfigurationValidator(
+                new CallRegistry().file().at("/$defs/policy"),
                 Set.of("r1", "r2", "r3"),
                 Set.of("d1", "d2", "d3", "d4", "d5", "d6"));
         double first = 0;
         for (final int bindings : new int[] {100, 100, 1000, 10_000}) {
-            final Book book = new Book(1024);
+            final ConfigurationStore book = new ConfigurationStore(1024);
             book.apply(
                     1,
-                    new Change(
-                            "all", Change.Kind.PUT, policy(bindings).toString().getBytes(StandardCharsets.UTF_8), 0));
+                    new ConfigurationChange(
+                            "all",
+                            ConfigurationChange.Kind.PUT,
+                            policy(bindings).toString().getBytes(StandardCharsets.UTF_8),
+                            0));
             final long[] us = new long[TURNS];
             int bytes = 0;
             for (int i = 0; i < TURNS; i++) {
-                final Change one = patch(i);
+                final ConfigurationChange one = patch(i);
                 final long fromNs = System.nanoTime();
                 final JsonNode after = book.preview(one);
                 if (!rules.check(after, book.policy().tree()).isEmpty()) {
@@ -41,15 +44,15 @@
                 }
                 book.apply(book.policy().version() + 1, one);
                 us[i] = (System.nanoTime() - fromNs) / 1000;
-                bytes = Codec.bytes(one).length;
+                bytes = MessageCodec.bytes(one).length;
             }
             Arrays.sort(us);
             final double cost = us[TURNS / 2];
             first = first == 0 || bindings == 100 ? cost : first;
             System.out.printf(
                     "bindings=%d acceptAndApplyUs=%.0f overHundred=%.1f feedBytes=%d snapshotBytes=%d heapKiB=%d%n",
-                    bindings, cost, cost / first, bytes, Codec.bytes(book.snapshot()).length, heap(() -> {
-                        final Book other = new Book(1024);
+                    bindings, cost, cost / first, bytes, MessageCodec.bytes(book.snapshot()).length, heap(() -> {
+                        final ConfigurationStore other = new ConfigurationStore(1024);
                         other.load(book.snapshot());
                         return other;
                     }));
@@ -57,8 +60,8 @@
         return 0;
     }
 
-    private static long heap(final Supplier<Book> make) {
-        final Book[] kept = new Book[8];
+    private static long heap(final Supplier<ConfigurationStore> make) {
+        final ConfigurationStore[] kept = new ConfigurationStore[8];
         System.gc();
         final long before =
                 Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
@@ -87,8 +90,8 @@
                 policy.at("/cells/" + Deployment.cell(tenant) + "/tenants/" + Deployment.tenant(tenant) + "/bindings");
     }
 
-    private static Change patch(final int i) {
-        final ObjectNode patch = Book.JSON.createObjectNode();
+    private static ConfigurationChange patch(final int i) {
+        final ObjectNode patch = ConfigurationStore.JSON.createObjectNode();
         patch.putObject("cells")
                 .putObject(Deployment.cell(3))
                 .putObject("tenants")
@@ -97,6 +100,7 @@
                 .putObject("new" + i)
                 .put("path", "/new/" + i)
                 .put("service", Deployment.PADMA.big);
-        return new Change("new" + i, Change.Kind.PATCH, patch.toString().getBytes(StandardCharsets.UTF_8), 0);
+        return new ConfigurationChange(
+                "new" + i, ConfigurationChange.Kind.PATCH, patch.toString().getBytes(StandardCharsets.UTF_8), 0);
     }
 }
--- a/proof/src/main/java/spokestall/proof/Deployment.java
+++ b/testbed/src/main/java/spokestall/testbed/Deployment.java
@@ -1,26 +1,27 @@
-package spokestall.proof;
+package spokestall.testbed;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import spokestall.policy.KeyHash;
+import spokestall.configuration.KeyHash;
+import spokestall.testbed.simulation.SimulatedWorld;
 
 /** The shape of one of the two deployments: its services, sizes, distances, tenants and demand. */
 public enum Deployment {
     PADMA("transfers", "records", 35, 200, "/transfers/payout", "/transfers/status", "/records/receipt"),
     VERDE("routes", "publishing", 55, 180, "/routes/confirm", "/routes/days", "/publishing/calendar");
 
-    static final int TENANTS = 8;
+    public static final int TENANTS = 8;
     static final int UPSTREAMS = 36;
-    static final int DISTRICTS = 6;
+    public static final int DISTRICTS = 6;
     static final int REGIONS = 3;
     private static final ObjectMapper JSON = new ObjectMapper();
-    final String big;
-    final String small;
-    final long apartMs;
-    final int rate;
+    public final String big;
+    public final String small;
+    public final long apartMs;
+    public final int rate;
     private final String once;
     private final String look;
     private final String other;
@@ -43,20 +44,20 @@
     }
 
     /** One upstream's place. */
-    record Place(String instance, String service, String district, String region) {}
+    public record Place(String instance, String service, String district, String region) {}
 
     /** One kind of ask that callers make. */
-    record Kind(String tenant, String key, String path, boolean runOnce, int weight) {}
+    public record Kind(String tenant, String key, String path, boolean runOnce, int weight) {}
 
-    static String district(final int i) {
+    public static String district(final int i) {
         return "d" + (i % DISTRICTS + 1);
     }
 
-    static String region(final int i) {
+    public static String region(final int i) {
         return "r" + (i % DISTRICTS / 2 + 1);
     }
 
-    static String districts() {
+    public static String districts() {
         final List<String> all = new ArrayList<>();
         for (int i = 0; i < DISTRICTS; i++) {
             all.add(district(i) + "=" + region(i));
@@ -64,7 +65,7 @@
         return String.join(",", all);
     }
 
-    List<Place> upstreams() {
+    public List<Place> upstreams() {
         final List<Place> all = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
             final String service = i < UPSTREAMS * 2 / 3 ? big : small;
@@ -73,20 +74,20 @@
         return all;
     }
 
-    static String key(final int tenant) {
+    public static String key(final int tenant) {
         return "key-of-tenant-" + tenant + "-0001";
     }
 
-    static String tenant(final int i) {
+    public static String tenant(final int i) {
         return "tenant-" + i;
     }
 
-    static String cell(final int i) {
+    public static String cell(final int i) {
         return "cell-" + (i % 2);
     }
 
     /** Tenants 0 and 1 are large; 6 is at home in one region only, 7 in two. */
-    List<Kind> kinds() {
+    public List<Kind> kinds() {
         final List<Kind> all = new ArrayList<>();
         for (int i = 0; i < TENANTS; i++) {
             final int weight = i < 2 ? 6 : 1;
@@ -97,11 +98,11 @@
         return all;
     }
 
-    static List<String> home(final int tenant) {
+    public static List<String> home(final int tenant) {
         return tenant == 6 ? List.of("r1") : tenant == 7 ? List.of("r2", "r3") : List.of("r1", "r2", "r3");
     }
 
-    ArrayNode plan() {
+    public ArrayNode plan() {
         final ArrayNode list = JSON.createArrayNode();
         for (final Kind k : kinds()) {
             list.addObject()
@@ -113,7 +114,7 @@
         return list;
     }
 
-    ObjectNode policy() {
+    public ObjectNode policy() {
         final ObjectNode policy = JSON.createObjectNode();
         final ObjectNode cells = policy.putObject("cells");
         for (int i = 0; i < TENANTS; i++) {
@@ -131,11 +132,11 @@
         }
         final ObjectNode services = policy.putObject("services");
         services.putObject(big)
-                .put("warmPerS", World.WARM_PER_S)
+                .put("warmPerS", SimulatedWorld.WARM_PER_S)
                 .put("warmupMs", 10_000)
                 .put("goMs", 2000);
         services.putObject(small)
-                .put("warmPerS", World.WARM_PER_S)
+                .put("warmPerS", SimulatedWorld.WARM_PER_S)
                 .put("warmupMs", 10_000)
                 .put("goMs", 2000);
         return policy;
--- a/proof/src/main/java/spokestall/proof/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -12,7 +12,19 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import spokestall.rim.LogLine;
+import spokestall.io.LogLineFormatter;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.fault.ProcessFault;
+import spokestall.testbed.fleet.Fleet;
+import spokestall.testbed.scale.ScaleCommand;
+import spokestall.testbed.scale.ScaleFlags;
+import spokestall.testbed.simulation.MessageTraffic;
+import spokestall.testbed.simulation.Scenario;
+import spokestall.testbed.simulation.ScenarioSweep;
+import spokestall.testbed.simulation.SimulatedWorld;
+import spokestall.testbed.simulation.SimulationRun;
+import spokestall.testbed.verdict.FleetJudge;
+import spokestall.testbed.verdict.Rule;
 
 /** The proof's own program: a fleet on one machine, and later the simulator's sweeps. */
 public final class Main {
@@ -59,7 +71,7 @@
         private int threads = 6;
 
         @Option(name = "--plant", usage = "a fault to plant, to see that the rules' judge finds it")
-        private Plant plant = Plant.NONE;
+        private InjectedFault plant = InjectedFault.NONE;
 
         @Option(name = "--trace", usage = "print the trace of the one run")
         private boolean trace;
@@ -74,16 +86,16 @@
 
     private Main() {}
 
-    /** Example: {@code java -cp ... spokestall.proof.Main fleet --deployment padma} */
+    /** Example: {@code java -cp ... spokestall.testbed.Main fleet --deployment padma} */
     public static void main(final String[] args) throws Exception {
-        LogLine.install();
+        LogLineFormatter.install();
         final String what = args.length == 0 ? "" : args[0];
         final String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
         final int code = switch (what) {
             case "fleet" -> fleet(rest);
             case "faults" -> faults(rest);
             case "sim" -> sim(rest);
-            case "growth" -> Growth.run();
+            case "growth" -> ConfigurationGrowth.run();
             case "history" -> history(rest);
             case "traffic" -> traffic(rest);
             case "scale" -> scale(rest);
@@ -114,7 +126,7 @@
             return null;
         }
         parser.printUsage(System.out);
-        System.out.println("faults: " + List.of(Fault.values()));
+        System.out.println("faults: " + List.of(ProcessFault.values()));
         System.out.println("scenarios: " + List.of(Scenario.values()) + "; all leaves LONG out");
         return 0;
     }
@@ -164,11 +176,13 @@
     /** Each fault on a fleet of its own, while asks flow. */
     private static int faults(final String[] args) throws Exception {
         final FleetFlags flags = new FleetFlags();
-        final List<Fault> faults = new ArrayList<>();
+        final List<ProcessFault> faults = new ArrayList<>();
         final Integer done = read(flags, args, () -> {
             named(Deployment.class, flags.deployment);
             faults.addAll(
-                    flags.fault.equals("all") ? List.of(Fault.values()) : List.of(named(Fault.class, flags.fault)));
+                    flags.fault.equals("all")
+                            ? List.of(ProcessFault.values())
+                            : List.of(named(ProcessFault.class, flags.fault)));
         });
         if (done != null) {
             return done;
@@ -179,7 +193,7 @@
         final Map<Rule, Long> violations = new EnumMap<>(Rule.class);
         final Map<Rule, Double> worst = new EnumMap<>(Rule.class);
         for (int i = 0; i < flags.repeat * faults.size(); i++) {
-            final Fault fault = faults.get(i % faults.size());
+            final ProcessFault fault = faults.get(i % faults.size());
             bad += one(flags, deployment, fault, checks, violations, worst) ? 0 : 1;
         }
         for (final Rule rule : Rule.values()) {
@@ -200,7 +214,7 @@
     private static boolean one(
             final FleetFlags flags,
             final Deployment deployment,
-            final Fault fault,
+            final ProcessFault fault,
             final Map<Rule, Long> checks,
             final Map<Rule, Long> violations,
             final Map<Rule, Double> worst)
@@ -247,7 +261,7 @@
     private static int history(final String[] args) {
         Logger.getLogger("").setLevel(Level.OFF);
         final List<Integer> marks = Arrays.stream(args).map(Integer::parseInt).toList();
-        return History.run(1, marks.isEmpty() ? List.of(10, 100, 1000) : marks);
+        return ChangeHistory.run(1, marks.isEmpty() ? List.of(10, 100, 1000) : marks);
     }
 
     /** Settings as key=value; the seed is 1. */
@@ -257,18 +271,18 @@
         for (final String arg : args) {
             settings.put(arg.substring(0, arg.indexOf('=')), arg.substring(arg.indexOf('=') + 1));
         }
-        Traffic.run(1, Deployment.PADMA, settings);
+        MessageTraffic.run(1, Deployment.PADMA, settings);
         return 0;
     }
 
-    static int scale(final String[] args) throws Exception {
+    public static int scale(final String[] args) throws Exception {
         final ScaleFlags flags = new ScaleFlags();
         final Integer done = read(flags, args, flags::check);
         if (done != null) {
             return done;
         }
         Logger.getLogger("").setLevel(Level.OFF);
-        return Scale.run(flags);
+        return ScaleCommand.run(flags);
     }
 
     private static int sim(final String[] args) throws Exception {
@@ -295,19 +309,21 @@
         final long from = seeds[0];
         final long until = seeds[1];
         if (flags.trace) {
-            final SimRun run = new SimRun(from, deployments.get(0), scenarios.get(0), true, flags.plant);
+            final SimulationRun run = new SimulationRun(from, deployments.get(0), scenarios.get(0), true, flags.plant);
             run.play();
             System.out.print(run.world.sim.traced());
             System.out.println(run.results());
             if (flags.story != null) {
                 System.out.println(run.story(flags.story));
             }
-            for (long w = World.EPOCH_MS / World.WINDOW_MS; w < World.EPOCH_MS / World.WINDOW_MS + 15; w++) {
+            for (long w = SimulatedWorld.EPOCH_MS / SimulatedWorld.WINDOW_MS;
+                    w < SimulatedWorld.EPOCH_MS / SimulatedWorld.WINDOW_MS + 15;
+                    w++) {
                 System.out.println("window " + w + " " + run.byEdge(w));
             }
             return 0;
         }
         Logger.getLogger("").setLevel(Level.OFF);
-        return Sweep.run(scenarios, deployments, from, until, flags.threads, flags.plant) == 0 ? 0 : 1;
+        return ScenarioSweep.run(scenarios, deployments, from, until, flags.threads, flags.plant) == 0 ? 0 : 1;
     }
 }
--- a/proof/src/main/java/spokestall/proof/Plant.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/InjectedFault.java
@@ -1,9 +1,9 @@
-package spokestall.proof;
+package spokestall.testbed.fault;
 
 import java.util.Map;
 
 /** Faults that are planted to see that the judge finds them: a guard widened by settings, or the world made to lie. */
-enum Plant {
+public enum InjectedFault {
     NONE(Map.of()),
     /** Proofs of the policy count twelve times as long and are asked for as seldom; words on upstreams five times. A cut-off
      * edge is not stopped by its counts either, or they would hide it. */
@@ -44,11 +44,11 @@
     @SuppressWarnings("ImmutableEnumChecker") // All are made by Map.of.
     private final Map<String, String> settings;
 
-    Plant(final Map<String, String> settings) {
+    InjectedFault(final Map<String, String> settings) {
         this.settings = settings;
     }
 
-    Map<String, String> settings() {
+    public Map<String, String> settings() {
         return settings;
     }
 }
--- a/proof/src/main/java/spokestall/proof/Fault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fault;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -10,13 +10,18 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import spokestall.wire.Codec;
+import spokestall.message.MessageCodec;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fleet.Fleet;
+import spokestall.testbed.standin.UpstreamStandIn;
+import spokestall.testbed.verdict.FleetJudge;
+import spokestall.testbed.verdict.Rule;
 
 /** A failure brought about on real processes while asks flow. */
-enum Fault {
+public enum ProcessFault {
     KILL {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final String name : List.of("d2-core", "d5-edge", "d2-edge")) {
                 down(fleet, List.of(name), 3000);
             }
@@ -24,7 +29,7 @@
     },
     HOLDER {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 2; i++) {
                 down(fleet, List.of(fleet.holder().name), 5000);
                 pause(3000);
@@ -33,32 +38,32 @@
     },
     DISTRICT_KILL {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             down(fleet, fleet.names(m -> m.name.startsWith("d4-")), 6000);
         }
     },
     REGION_KILL {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             down(fleet, fleet.names(m -> m.name.startsWith("d5-") || m.name.startsWith("d6-")), 9000);
         }
     },
     RESTART_ALL {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final long fromMs = System.currentTimeMillis();
             down(fleet, fleet.names(m -> true), 0);
             judge.unable(fromMs, System.currentTimeMillis() + START_MS, false);
         }
 
         @Override
-        double least() {
+        public double least() {
             return 0.6;
         }
     },
     FREEZE {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final Fleet.Member m : List.of(fleet.holder(), fleet.members().get("d3-edge"))) {
                 signal(m, "-STOP");
                 pause(6000);
@@ -68,7 +73,7 @@
     },
     FREEZE_AT_SEND {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final Fleet.Member holder = fleet.holder();
             Files.createFile(holder.hooks.resolve("gap"));
             Fleet.until(
@@ -78,7 +83,7 @@
     },
     TURN {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final Fleet.Member m : fleet.members().values()) {
                 m.process.destroy();
                 m.process.waitFor();
@@ -89,38 +94,38 @@
     },
     UPGRADE {
         @Override
-        void before(final Fleet fleet) throws IOException {
-            fleet.set("noteVersion", Codec.OLDEST);
+        public void before(final Fleet fleet) throws IOException {
+            fleet.set("noteVersion", MessageCodec.OLDEST);
         }
 
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            fleet.set("noteVersion", Codec.VERSION);
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+            fleet.set("noteVersion", MessageCodec.VERSION);
             TURN.bring(fleet, judge);
         }
     },
     WIPE {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             wipe(fleet, List.of("d4-core"));
         }
     },
     WIPE_FOUR {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final long fromMs = System.currentTimeMillis();
             wipe(fleet, List.of("d1-core", "d2-core", "d3-core", "d6-core"));
             judge.unable(fromMs, System.currentTimeMillis() + START_MS, true);
         }
 
         @Override
-        double least() {
+        public double least() {
             return 0.5;
         }
     },
     DISK_STALLS {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final Path stall = fleet.holder().hooks.resolve("stall");
             Files.createFile(stall);
             pause(8000);
@@ -129,7 +134,7 @@
     },
     DISK_FULL {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final Fleet.Member core = fleet.members().get("d2-core");
             final Path full = core.hooks.resolve("full");
             Files.createFile(full);
@@ -147,7 +152,7 @@
     },
     CUT {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final String name : List.of("d1-core", "d4-edge")) {
                 split(fleet, List.of(name), 5000);
             }
@@ -155,7 +160,7 @@
     },
     CUT_ONE_WAY {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Nothing leaves the holder, then nothing leaves an edge; both still hear all.
             for (final String name : List.of(fleet.holder().name, "d4-edge")) {
                 fleet.names(m -> true).forEach(o -> fleet.links().cut(name, o, true));
@@ -166,39 +171,39 @@
     },
     SPLIT_33 {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final long fromMs = System.currentTimeMillis();
             split(fleet, fleet.names(m -> m.name.compareTo("d4") < 0), 6000);
             judge.unable(fromMs, System.currentTimeMillis(), false);
         }
 
         @Override
-        double least() {
+        public double least() {
             return 0.6;
         }
     },
     SPLIT_42 {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             split(fleet, fleet.names(m -> m.name.compareTo("d3") < 0), 6000);
         }
     },
     SPLIT_51 {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             split(fleet, List.of(fleet.holder().name), 6000);
         }
     },
     LOSSY {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             fleet.links().lossy(0.05, 10);
             pause(10_000);
             fleet.links().lossy(0, -10);
         }
 
         @Override
-        double least() {
+        public double least() {
             // A piece in twenty holds its wire up by 0.2 to 0.6 s: counts that are not with a majority in time bar
             // asks.
             return 0.8;
@@ -206,7 +211,7 @@
     },
     OPERATORS {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 6; i++) {
                 race(fleet, judge, i);
             }
@@ -214,7 +219,7 @@
     },
     WITHDRAW_CUT {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final List<String> lone = List.of("d3-edge");
             fleet.links().part(lone, fleet.names(m -> !lone.contains(m.name)), true);
             final ObjectNode key = JSON.createObjectNode()
@@ -233,13 +238,13 @@
         }
 
         @Override
-        double least() {
+        public double least() {
             return 0.6;
         }
     },
     HOLD_DIES {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             accepted(
                     fleet,
                     fleet.anyCore(),
@@ -260,7 +265,7 @@
     },
     OVERLOAD {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Upstreams take twice the usual demand; ten times as much comes, and then the usual again.
             fleet.stands().forEach(u -> u.limit(90));
             final Process more = fleet.demand(8, 0, 1800, fleet.folder().resolve("more"));
@@ -268,31 +273,31 @@
         }
 
         @Override
-        double least() {
+        public double least() {
             return 0.3;
         }
     },
     BAD_ANSWERS {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            final UpstreamStand.Manner[] all = UpstreamStand.Manner.values();
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+            final UpstreamStandIn.Manner[] all = UpstreamStandIn.Manner.values();
             for (int i = 0; i < fleet.stands().size(); i += 3) {
                 fleet.stands().get(i).behave(all[1 + i / 3 % (all.length - 1)]);
             }
             pause(8000);
-            fleet.stands().forEach(u -> u.behave(UpstreamStand.Manner.WELL));
+            fleet.stands().forEach(u -> u.behave(UpstreamStandIn.Manner.WELL));
         }
 
         @Override
-        double least() {
+        public double least() {
             return 0.85;
         }
     },
     DRAIN {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 4; i++) {
-                final UpstreamStand up = fleet.stands().get(i * 5);
+                final UpstreamStandIn up = fleet.stands().get(i * 5);
                 up.leave();
                 judge.emptied(up.place().instance(), System.currentTimeMillis(), Long.MAX_VALUE);
                 judge.judge().check(Rule.LEAVING, 0, "leaving");
@@ -303,10 +308,10 @@
     },
     PASSED_ON {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Upstreams go at once, and each address passes to a cold one of the other service.
             for (int i = 0; i < 4; i++) {
-                final UpstreamStand old = fleet.stands().get(3 + i * 8);
+                final UpstreamStandIn old = fleet.stands().get(3 + i * 8);
                 old.stop();
                 final Deployment.Place was = old.place();
                 final String other = was.service().equals(Deployment.PADMA.big)
@@ -326,8 +331,8 @@
     },
     COLD_RETURN {
         @Override
-        void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            for (final UpstreamStand old : fleet.stands()) {
+        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+            for (final UpstreamStandIn old : fleet.stands()) {
                 if (Integer.parseInt(old.place().instance().replaceAll(".*-", "")) % 2 == 0) {
                     old.stop();
                     final Deployment.Place was = old.place();
@@ -343,7 +348,7 @@
         }
 
         @Override
-        double least() {
+        public double least() {
             return 0.85;
         }
     };
@@ -352,13 +357,13 @@
     /** A fleet whose processes were all started at once is up within this. */
     private static final long START_MS = 4000;
 
-    abstract void bring(Fleet fleet, FleetJudge judge) throws Exception;
+    public abstract void bring(Fleet fleet, FleetJudge judge) throws Exception;
 
     /** What must be so before the fleet starts. */
-    void before(final Fleet fleet) throws IOException {}
+    public void before(final Fleet fleet) throws IOException {}
 
     /** The share of asks that must run; where a majority is away or a key is withdrawn, asks are denied meanwhile. */
-    double least() {
+    public double least() {
         return 0.95;
     }
 
--- a/proof/src/main/java/spokestall/proof/HookedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -9,46 +9,46 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import spokestall.duty.Reporter;
-import spokestall.rim.Daemon;
-import spokestall.rim.LogLine;
-import spokestall.rim.Speech;
-import spokestall.ring.Segments;
+import spokestall.io.LogLineFormatter;
+import spokestall.io.process.NodeProcess;
+import spokestall.io.protocol.ProtocolAdapter;
 import spokestall.settings.Settings;
+import spokestall.storage.SegmentStore;
+import spokestall.usage.UsageReporter;
 
 /**
  * The shipped node with a failing machine around it: while a file {@code stall}, {@code full} or {@code gap} stands in
  * the hook folder, its disk stalls, its disk takes nothing more, or it stands still between a report's check and its send.
  */
-public final class HookedNode {
+public final class FaultHookNode {
     private static final long GAP_MS = 6500;
     private static final Executor FRONT = Executors.newSingleThreadExecutor();
 
-    private HookedNode() {}
+    private FaultHookNode() {}
 
-    /** Example: {@code java ... spokestall.proof.HookedNode core d1-core.json /tmp/hooks} */
+    /** Example: {@code java ... spokestall.testbed.fleet.FaultHookNode core d1-core.json /tmp/hooks} */
     public static void main(final String[] args) throws Exception {
-        LogLine.install();
+        LogLineFormatter.install();
         final boolean core = args[0].equals("core");
         final Settings settings = ((Settings.Read.Good) Settings.read(Path.of(args[1]), Map.of(), core)).settings();
         final Path hooks = Path.of(args[2]);
         Runtime.getRuntime()
-                .halt(new Daemon(
+                .halt(new NodeProcess(
                                 settings,
                                 core,
-                                new Daemon.Around() {
+                                new NodeProcess.Around() {
                                     @Override
-                                    public Segments disk(final Segments disk) {
+                                    public SegmentStore disk(final SegmentStore disk) {
                                         return new Hooked(disk, hooks);
                                     }
 
                                     @Override
-                                    public Reporter.Platform platform(final Reporter.Platform platform) {
+                                    public UsageReporter.Platform platform(final UsageReporter.Platform platform) {
                                         return (holder, token, window, waitMs, until, done) ->
                                                 platform.report(holder, token, window, waitMs, gap(hooks, until), done);
                                     }
                                 },
-                                Speech.own())
+                                ProtocolAdapter.own())
                         .run());
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** A disk that is as the files in a folder say. */
-    private record Hooked(Segments disk, Path hooks) implements Segments {
+    private record Hooked(SegmentStore disk, Path hooks) implements SegmentStore {
         @Override
         public int count() {
             return disk.count();
--- a/proof/src/main/java/spokestall/proof/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -25,20 +25,25 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.standin.PlatformStandIn;
+import spokestall.testbed.standin.UpstreamInstance;
+import spokestall.testbed.standin.UpstreamStandIn;
+import spokestall.testbed.verdict.Ledger;
 
 /** A fleet on one machine: real processes for the nodes, stand-ins for the world around them. */
-final class Fleet implements AutoCloseable {
+public final class Fleet implements AutoCloseable {
     /** One node's process and how to start it again. */
-    static final class Member {
-        final String name;
-        final boolean core;
-        final String http;
-        final String operators;
+    public static final class Member {
+        public final String name;
+        public final boolean core;
+        public final String http;
+        public final String operators;
         final Path settings;
-        final Path data;
-        final Relay relay;
-        final Path hooks;
-        Process process;
+        public final Path data;
+        final LinkRelay relay;
+        public final Path hooks;
+        public Process process;
 
         Member(
                 final String name,
@@ -48,7 +53,7 @@
                 final Path settings,
                 final Path data,
                 final Path hooks,
-                final Relay relay) {
+                final LinkRelay relay) {
             this.hooks = hooks;
             this.name = name;
             this.core = core;
@@ -63,27 +68,28 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Deployment deployment;
     private final Path folder;
-    private final Links links;
+    private final LinkConditions links;
     private boolean hooked;
     private final Ledger ledger = new Ledger();
     private final XnioWorker worker;
-    private final List<Stand> upstreams = new CopyOnWriteArrayList<>();
+    private final List<UpstreamInstance> upstreams = new CopyOnWriteArrayList<>();
     private final Map<String, Member> members = new LinkedHashMap<>();
-    private final PlatformStand platform;
+    private final PlatformStandIn platform;
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
     /** Makes one stand-in for an upstream. */
     interface Maker {
-        Stand make(Deployment.Place place, int port);
+        UpstreamInstance make(Deployment.Place place, int port);
     }
 
-    Fleet(final Deployment deployment, final Path folder, final int districts, final long delayMs) throws IOException {
+    public Fleet(final Deployment deployment, final Path folder, final int districts, final long delayMs)
+            throws IOException {
         this(deployment, folder, districts, delayMs, deployment.upstreams(), null, Map.of());
     }
 
     /** With other upstreams than the deployment's, and settings of its own. */
-    Fleet(
+    public Fleet(
             final Deployment deployment,
             final Path folder,
             final int districts,
@@ -94,18 +100,18 @@
             throws IOException {
         this.deployment = deployment;
         this.folder = folder;
-        this.links = new Links(delayMs);
+        this.links = new LinkConditions(delayMs);
         Files.createDirectories(folder);
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 2));
         final List<Integer> ports = freePorts(1 + places.size() + 8 * districts);
         int next = 0;
-        platform = new PlatformStand(ports.get(next++), worker, ledger, () -> upstreams, 1000);
+        platform = new PlatformStandIn(ports.get(next++), worker, ledger, () -> upstreams, 1000);
         for (final Deployment.Place place : places) {
             final int port = ports.get(next++);
             upstreams.add(
                     maker != null
                             ? maker.make(place, port)
-                            : new UpstreamStand(place, port, worker, ledger, 5, 60_000));
+                            : new UpstreamStandIn(place, port, worker, ledger, 5, 60_000));
         }
         final List<String> seeds = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -141,7 +147,7 @@
                                 file,
                                 data,
                                 folder.resolve(name + ".hooks"),
-                                new Relay(outside, inside, name, links)));
+                                new LinkRelay(outside, inside, name, links)));
                 Files.createDirectories(folder.resolve(name + ".hooks"));
             }
         }
@@ -162,26 +168,26 @@
         return ports;
     }
 
-    Path folder() {
+    public Path folder() {
         return folder;
     }
 
-    Ledger ledger() {
+    public Ledger ledger() {
         return ledger;
     }
 
-    Map<String, Member> members() {
+    public Map<String, Member> members() {
         return members;
     }
 
-    List<Stand> upstreams() {
+    List<UpstreamInstance> upstreams() {
         return upstreams;
     }
 
     /** Another upstream, cold, at the address of one that is gone; the platform lists it from now on. */
-    String replace(final UpstreamStand old, final Deployment.Place place) {
+    public String replace(final UpstreamStandIn old, final Deployment.Place place) {
         final int port = Integer.parseInt(old.address().substring(old.address().indexOf(':') + 1));
-        final UpstreamStand made = new UpstreamStand(place, port, worker, ledger, 5, 0);
+        final UpstreamStandIn made = new UpstreamStandIn(place, port, worker, ledger, 5, 0);
         upstreams.remove(old);
         upstreams.add(made);
         made.start();
@@ -189,18 +195,18 @@
     }
 
     /** The upstreams that can misbehave. */
-    List<UpstreamStand> stands() {
-        return upstreams.stream().map(UpstreamStand.class::cast).toList();
+    public List<UpstreamStandIn> stands() {
+        return upstreams.stream().map(UpstreamStandIn.class::cast).toList();
     }
 
     /** Nodes are started with a failing machine around them. */
-    void hooked() {
+    public void hooked() {
         hooked = true;
     }
 
-    void start() throws IOException {
+    public void start() throws IOException {
         platform.start();
-        for (final Stand u : upstreams) {
+        for (final UpstreamInstance u : upstreams) {
             u.start();
         }
         for (final Member m : members.values()) {
@@ -208,7 +214,7 @@
         }
     }
 
-    void start(final Member m) throws IOException {
+    public void start(final Member m) throws IOException {
         final String java =
                 Path.of(System.getProperty("java.home"), "bin", "java").toString();
         m.process = new ProcessBuilder(
@@ -219,7 +225,7 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        hooked ? "spokestall.proof.HookedNode" : "spokestall.Main",
+                        hooked ? "spokestall.testbed.fleet.FaultHookNode" : "spokestall.cli.Main",
                         m.core ? "core" : "edge",
                         hooked ? m.settings.toString() : "--settings",
                         hooked ? m.hooks.toString() : m.settings.toString())
@@ -230,26 +236,26 @@
     }
 
     /** A setting of all nodes, from their next start on. */
-    void set(final String key, final int value) throws IOException {
+    public void set(final String key, final int value) throws IOException {
         for (final Member m : members.values()) {
             final ObjectNode settings = (ObjectNode) JSON.readTree(m.settings.toFile());
             Files.writeString(m.settings, settings.put(key, value).toPrettyString());
         }
     }
 
-    Links links() {
+    public LinkConditions links() {
         return links;
     }
 
-    List<String> names(final java.util.function.Predicate<Member> which) {
+    public List<String> names(final java.util.function.Predicate<Member> which) {
         return members.values().stream().filter(which).map(m -> m.name).toList();
     }
 
-    Path recorded() {
+    public Path recorded() {
         return folder.resolve("recorded");
     }
 
-    JsonNode call(final String to, final String method, final ObjectNode params) {
+    public JsonNode call(final String to, final String method, final ObjectNode params) {
         try {
             final HttpResponse<String> got = http.send(
                     HttpRequest.newBuilder(URI.create("http://" + to + "/rpc/" + method))
@@ -266,11 +272,11 @@
         }
     }
 
-    JsonNode status(final Member m) {
+    public JsonNode status(final Member m) {
         return call(m.operators, "status", JSON.createObjectNode()).path("result");
     }
 
-    Member anyCore() {
+    public Member anyCore() {
         return members.values().stream()
                 .filter(m -> m.core && m.process != null && m.process.isAlive())
                 .findFirst()
@@ -278,7 +284,7 @@
     }
 
     /** The core that holds the duty, as the cores see it. */
-    Member holder() {
+    public Member holder() {
         final String[] name = {""};
         until("someone holds the duty", 20_000, () -> {
             name[0] = status(anyCore()).path("duty").path("holder").asText();
@@ -287,16 +293,16 @@
         return members.get(name[0]);
     }
 
-    void freshAgain(final Member m) {
+    public void freshAgain(final Member m) {
         until(m.name + " is fresh", 20_000, () -> status(m).path("fresh").asBoolean());
     }
 
     /** Puts the deployment's policy, asking again with the same change id until the outcome is known. */
-    long putPolicy() {
+    public long putPolicy() {
         return putPolicy("first-policy", deployment.policy());
     }
 
-    long putPolicy(final String changeId, final ObjectNode policy) {
+    public long putPolicy(final String changeId, final ObjectNode policy) {
         final ObjectNode params = JSON.createObjectNode().put("changeId", changeId);
         params.set("policy", policy);
         final long[] version = {-1};
@@ -316,7 +322,7 @@
     }
 
     /** Waits until every live node is fresh at this version and edges see upstreams. */
-    void ready(final long version) {
+    public void ready(final long version) {
         until(
                 "every node is fresh at " + version,
                 30_000,
@@ -344,7 +350,7 @@
                         }));
     }
 
-    static void until(final String what, final long waitMs, final BooleanSupplier holds) {
+    public static void until(final String what, final long waitMs, final BooleanSupplier holds) {
         final long endMs = System.nanoTime() / 1_000_000 + waitMs;
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() / 1_000_000 > endMs) {
@@ -355,11 +361,11 @@
     }
 
     /** Runs the load generator as a process and gives its exit code. */
-    Process demand(final int seconds, final double least) throws IOException {
+    public Process demand(final int seconds, final double least) throws IOException {
         return demand(seconds, least, deployment.rate, recorded());
     }
 
-    Process demand(final int seconds, final double least, final int rate, final Path record) throws IOException {
+    public Process demand(final int seconds, final double least, final int rate, final Path record) throws IOException {
         final Path plan = folder.resolve("plan.json");
         Files.writeString(plan, deployment.plan().toPrettyString());
         final String nodes = String.join(
@@ -371,7 +377,7 @@
                         java,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "spokestall.Main",
+                        "spokestall.cli.Main",
                         "demand",
                         "--to",
                         nodes,
@@ -391,7 +397,7 @@
     }
 
     /** Stops every node cleanly; true if all ended with 0 in time. */
-    boolean stopAll() throws InterruptedException {
+    public boolean stopAll() throws InterruptedException {
         boolean clean = true;
         for (final Member m : members.values()) {
             if (m.process != null && m.process.isAlive()) {
@@ -423,7 +429,7 @@
                 throw new IllegalStateException(e);
             }
         }
-        upstreams.forEach(Stand::stop);
+        upstreams.forEach(UpstreamInstance::stop);
         platform.stop();
         worker.shutdownNow();
     }
--- a/proof/src/main/java/spokestall/proof/Links.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,13 +10,13 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /** The links between nodes' processes, each way by itself: cut, slow or lossy. A relay asks here for each piece. */
-final class Links {
+public final class LinkConditions {
     private final Set<String> cuts = ConcurrentHashMap.newKeySet();
     private final Map<String, Long> pids = new ConcurrentHashMap<>();
     private volatile long delayMs;
     private volatile double loss;
 
-    Links(final long delayMs) {
+    LinkConditions(final long delayMs) {
         this.delayMs = delayMs;
     }
 
@@ -24,7 +24,7 @@
         pids.put(name, pid);
     }
 
-    void cut(final String from, final String to, final boolean now) {
+    public void cut(final String from, final String to, final boolean now) {
         if (now) {
             cuts.add(from + ">" + to);
         } else {
@@ -33,7 +33,7 @@
     }
 
     /** Cuts two groups off from each other, or joins them again. */
-    void part(final List<String> ones, final List<String> others, final boolean now) {
+    public void part(final List<String> ones, final List<String> others, final boolean now) {
         for (final String one : ones) {
             for (final String other : others) {
                 cut(one, other, now);
@@ -42,7 +42,7 @@
         }
     }
 
-    synchronized void lossy(final double share, final long extraMs) {
+    public synchronized void lossy(final double share, final long extraMs) {
         loss = share;
         delayMs += extraMs;
     }
--- a/proof/src/main/java/spokestall/proof/Relay.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -13,15 +13,15 @@
 import java.util.concurrent.TimeUnit;
 
 /** A relay in front of one node's wire address: each way of each wire is as its link is now. */
-final class Relay implements AutoCloseable {
+final class LinkRelay implements AutoCloseable {
     private final ServerSocket server;
     private final int to;
     private final String name;
-    private final Links links;
+    private final LinkConditions links;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService late = Executors.newSingleThreadScheduledExecutor(Relay::thread);
+    private final ScheduledExecutorService late = Executors.newSingleThreadScheduledExecutor(LinkRelay::thread);
 
-    Relay(final int from, final int to, final String name, final Links links) throws IOException {
+    LinkRelay(final int from, final int to, final String name, final LinkConditions links) throws IOException {
         this.server = new ServerSocket(from, 64, InetAddress.getLoopbackAddress());
         this.to = to;
         this.name = name;
@@ -110,7 +110,7 @@
     @Override
     public void close() throws IOException {
         server.close();
-        open.forEach(Relay::close);
+        open.forEach(LinkRelay::close);
         late.shutdownNow();
     }
 }
--- a/proof/src/main/java/spokestall/proof/package-info.java
+++ b/testbed/src/main/java/spokestall/testbed/package-info.java
@@ -8,6 +8,6 @@
  * deployment and seed. The judge reads the stand-ins' ledgers, never the product's state. Each rule is seen to break under a
  * planted fault (PlantTest).
  *
- * <p>Callers: {@code bin/proof} and the tests.
+ * <p>Callers: {@code bin/testbed} and the tests.
  */
-package spokestall.proof;
+package spokestall.testbed;
--- a/proof/src/main/java/spokestall/proof/Zone.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/Distance.java
@@ -1,7 +1,7 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 /** How far a note goes. */
-enum Zone {
+enum Distance {
     DISTRICT,
     DISTRICTS,
     REGIONS
--- a/proof/src/main/java/spokestall/proof/Figure.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/Figure.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 /** One figure of a run: in which phase, of which role, what it is, of which kind of note and how far, per node. */
 record Figure(String phase, String role, String what, String kind, String zone, double value) {
--- a/proof/src/main/java/spokestall/proof/Phase.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/Phase.java
@@ -1,7 +1,7 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 /** The parts of a run at scale: until all are up, without failures, and with an ordinary day's. */
-enum Phase {
+public enum Phase {
     BOOT,
     CALM,
     DAY
--- a/proof/src/main/java/spokestall/proof/Scale.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleCommand.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -8,13 +8,13 @@
 import java.util.stream.Collectors;
 
 /** Runs a fleet at scale and prints what came of it. */
-final class Scale {
+public final class ScaleCommand {
     private static final int KINDS_TOLD = 6;
 
-    private Scale() {}
+    private ScaleCommand() {}
 
-    /** Example: {@code bin/proof scale --nodes 48 --seconds 30 --out target/scale-48.jsonl} */
-    static int run(final ScaleFlags flags) throws Exception {
+    /** Example: {@code bin/testbed scale --nodes 48 --seconds 30 --out target/scale-48.jsonl} */
+    public static int run(final ScaleFlags flags) throws Exception {
         if (flags.fit != null) {
             return ScaleFit.run(flags);
         }
@@ -40,7 +40,7 @@
             final long disks = 8L * run.segmentBytes * flags.cores;
             final List<Figure> figures = ScaleFigures.of(run, heap() - before - disks);
             if (flags.real > 0) {
-                figures.addAll(ScaleReal.run(flags.real, Path.of("target", "fleet", "real-" + flags.seed)));
+                figures.addAll(ScaleProcesses.run(flags.real, Path.of("target", "fleet", "real-" + flags.seed)));
             }
             print(run, figures);
             broken = run.judge.judge.tallies().values().stream()
--- a/proof/src/main/java/spokestall/proof/ScaleDay.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleDay.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.util.List;
 import java.util.Random;
@@ -48,6 +48,6 @@
     }
 
     private void at(final long waitMs, final Runnable what) {
-        run.steps.byWorld(Steps.WORLD, waitMs, what);
+        run.steps.byWorld(SteppedTime.WORLD, waitMs, what);
     }
 }
--- a/proof/src/main/java/spokestall/proof/ScaleDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleDisk.java
@@ -1,12 +1,12 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import spokestall.ring.Segments;
+import spokestall.storage.SegmentStore;
 
 /** A disk in memory that syncs in a millisecond or two and counts what it wrote; it outlives its node's process. */
-final class ScaleDisk implements Segments {
+final class ScaleDisk implements SegmentStore {
     /** Runs something on the node's lane after a while, if that life still lasts. */
     interface Back {
         void after(long waitMs, Runnable what);
--- a/proof/src/main/java/spokestall/proof/ScaleFigures.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
@@ -1,11 +1,11 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import org.HdrHistogram.Histogram;
-import spokestall.wire.Codec;
+import spokestall.message.MessageCodec;
 
 /** Makes figures of a run that is over. */
 final class ScaleFigures {
@@ -14,7 +14,7 @@
     private final List<Figure> found = new ArrayList<>();
 
     private interface Count {
-        long of(ScaleTraffic traffic, Phase phase, Zone zone, int kind);
+        long of(ScaleTraffic traffic, Phase phase, Distance zone, int kind);
     }
 
     private ScaleFigures(final ScaleRun run) {
@@ -98,11 +98,11 @@
             final Count count) {
         final double per = of.size() * s;
         final TreeMap<String, double[]> byKind = new TreeMap<>();
-        final double[] all = new double[Zone.values().length];
+        final double[] all = new double[Distance.values().length];
         long most = 0;
         for (final ScaleNode n : of) {
             long mine = 0;
-            for (final Zone zone : Zone.values()) {
+            for (final Distance zone : Distance.values()) {
                 for (int kind = 0; kind < ScaleTraffic.TIMER; kind++) {
                     final long c = count.of(n.traffic, phase, zone, kind);
                     if (c > 0) {
@@ -121,7 +121,7 @@
 
     private void put(final Phase phase, final String role, final String what, final String kind, final double[] zones) {
         double sum = 0;
-        for (final Zone zone : Zone.values()) {
+        for (final Distance zone : Distance.values()) {
             sum += zones[zone.ordinal()];
             found.add(new Figure(phase.name(), role, what, kind, zone.name(), zones[zone.ordinal()]));
         }
@@ -194,10 +194,10 @@
                     of.stream()
                             .limit(3)
                             .mapToLong(n -> n.node().listing().listed().stream()
-                                            .mapToLong(l -> Codec.bytes(l).length)
+                                            .mapToLong(l -> MessageCodec.bytes(l).length)
                                             .sum()
                                     + n.node().listing().reportsAfter(0).stream()
-                                            .mapToLong(r -> Codec.bytes(r).length)
+                                            .mapToLong(r -> MessageCodec.bytes(r).length)
                                             .sum())
                             .average()
                             .orElse(0));
@@ -229,7 +229,7 @@
                 "registerBytes",
                 up.stream()
                         .mapToLong(n -> n.node().voter().registers().values().stream()
-                                .mapToLong(r -> Codec.bytes(r).length)
+                                .mapToLong(r -> MessageCodec.bytes(r).length)
                                 .sum())
                         .average()
                         .orElse(0));
--- a/proof/src/main/java/spokestall/proof/ScaleFile.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFile.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/proof/src/main/java/spokestall/proof/ScaleFit.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFit.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.io.IOException;
 import java.nio.file.Path;
--- a/proof/src/main/java/spokestall/proof/ScaleFlags.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFlags.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import spokestall.settings.Settings;
 
 /** Flags of a run at scale; what is not given grows in proportion to the size that is aimed at. */
-final class ScaleFlags {
+public final class ScaleFlags {
     static final int AIM_NODES = 640;
     static final int AIM_EDGES = 633;
     static final int AIM_UPSTREAMS = 3900;
@@ -92,7 +92,7 @@
     boolean help;
 
     /** Fills in what was not given, and throws on what can't be. */
-    void check() {
+    public void check() {
         within("--nodes", nodes, 12, AIM_NODES);
         cores = cores == 0 ? nodes <= 48 ? 6 : 7 : cores;
         within("--cores", cores, 3, Math.min(63, nodes / 2));
--- a/proof/src/main/java/spokestall/proof/ScaleJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleJudge.java
@@ -1,9 +1,12 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import spokestall.policy.Change;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.testbed.simulation.SimulatedWorld;
+import spokestall.testbed.verdict.Judge;
+import spokestall.testbed.verdict.Rule;
 
 /** The rules that can be seen at scale, looked at by the world. */
 final class ScaleJudge {
@@ -11,7 +14,7 @@
 
     private final ScaleRun run;
     final Judge judge;
-    private final Map<Long, Change> versions = new HashMap<>();
+    private final Map<Long, ConfigurationChange> versions = new HashMap<>();
     private final Map<ScaleNode, Long> seen = new HashMap<>();
     private final Map<ScaleNode, Long> seenLife = new HashMap<>();
     private final TreeMap<Long, Report> reports = new TreeMap<>();
@@ -34,7 +37,7 @@
         seen.put(node, version);
         judge.check(Rule.POLICY, version < before ? 2 : 0, node.name + " went from " + before + " back to " + version);
         node.node().book().kept(before).forEach((v, change) -> {
-            final Change had = versions.putIfAbsent(v, change);
+            final ConfigurationChange had = versions.putIfAbsent(v, change);
             judge.check(
                     Rule.POLICY,
                     had == null
@@ -77,7 +80,7 @@
                     Rule.IN_TIME,
                     was == 0 ? 0 : Math.abs(told - was) / (0.05 * was),
                     "window " + window + " has " + was + ", told " + told);
-            final long lateMs = report.atMs + World.EPOCH_MS - (window + 1) * run.windowMs;
+            final long lateMs = report.atMs + SimulatedWorld.EPOCH_MS - (window + 1) * run.windowMs;
             judge.check(
                     Rule.IN_TIME,
                     lateMs / (double) Rule.IN_TIME.nearMs,
--- a/proof/src/main/java/spokestall/proof/ScaleNet.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNetwork.java
@@ -1,13 +1,13 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.util.Random;
 
 /** The wires of a fleet at scale: how far each goes, how long that takes, and what is cut. */
-final class ScaleNet {
+final class ScaleNetwork {
     private static final int REGIONS_APART_MS = 18;
     private final boolean[] parted;
 
-    ScaleNet(final int regions) {
+    ScaleNetwork(final int regions) {
         this.parted = new boolean[regions];
     }
 
@@ -24,13 +24,13 @@
         return parted[node.region];
     }
 
-    static Zone zone(final ScaleNode one, final ScaleNode other) {
+    static Distance zone(final ScaleNode one, final ScaleNode other) {
         return one.district == other.district
-                ? Zone.DISTRICT
-                : one.region == other.region ? Zone.DISTRICTS : Zone.REGIONS;
+                ? Distance.DISTRICT
+                : one.region == other.region ? Distance.DISTRICTS : Distance.REGIONS;
     }
 
-    static long wayMs(final Zone zone, final Random random) {
+    static long wayMs(final Distance zone, final Random random) {
         return switch (zone) {
             case DISTRICT -> 1;
             case DISTRICTS -> 1 + random.nextInt(2);
--- a/proof/src/main/java/spokestall/proof/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -10,20 +10,21 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.zip.CRC32;
-import spokestall.Node;
-import spokestall.audit.Audit;
-import spokestall.duty.Reporter;
-import spokestall.duty.Sealed;
-import spokestall.duty.UsageCounter;
-import spokestall.edge.Go;
-import spokestall.edge.GoResult;
-import spokestall.edge.Upstreams;
-import spokestall.listing.Listed;
-import spokestall.listing.Prober;
+import spokestall.audit.AuditSink;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthChecker;
+import spokestall.message.Message;
+import spokestall.message.MessageCodec;
+import spokestall.node.Node;
+import spokestall.proxy.Attempt;
+import spokestall.proxy.AttemptResult;
+import spokestall.proxy.UpstreamClient;
 import spokestall.settings.Settings;
+import spokestall.testbed.simulation.SimulatedWorld;
 import spokestall.time.Clock;
-import spokestall.wire.Codec;
-import spokestall.wire.Note;
+import spokestall.usage.SealedWindow;
+import spokestall.usage.UsageCounter;
+import spokestall.usage.UsageReporter;
 
 /** The product's own node on a lane of its own, with everything around it hollow; what it sends and computes is counted. */
 final class ScaleNode {
@@ -126,7 +127,7 @@
 
             @Override
             public long wallMs() {
-                return World.EPOCH_MS + run.steps.nowMs();
+                return SimulatedWorld.EPOCH_MS + run.steps.nowMs();
             }
 
             @Override
@@ -149,7 +150,7 @@
                         hollow,
                         hollow,
                         hollow,
-                        Audit.NONE));
+                        AuditSink.NONE));
         node.start();
         if (!core) {
             counter = node.counter();
@@ -174,7 +175,7 @@
 
     /** On the lane: tells the world something. */
     void tell(final Runnable what) {
-        run.steps.byNode(lane, Steps.WORLD, 1, what);
+        run.steps.byNode(lane, SteppedTime.WORLD, 1, what);
     }
 
     private void later(final long mine, final long waitMs, final int kind, final Runnable event) {
@@ -194,12 +195,12 @@
         traffic.spent(phase, kind, THREADS.getCurrentThreadCpuTime() - fromNs);
     }
 
-    private void send(final long mine, final String to, final Note note) {
+    private void send(final long mine, final String to, final Message note) {
         final ScaleNode target = run.at(to);
         if (mine != life) {
             return;
         }
-        final byte[] frame = Codec.note(note, (int) settings.ms("noteVersion"));
+        final byte[] frame = MessageCodec.note(note, (int) settings.ms("noteVersion"));
         final int kind = ScaleTraffic.kind(frame);
         if (kinds[kind] == null) {
             kinds[kind] = note.getClass().getSimpleName();
@@ -208,23 +209,23 @@
         if (target == null) {
             return;
         }
-        final Zone zone = ScaleNet.zone(this, target);
+        final Distance zone = ScaleNetwork.zone(this, target);
         traffic.out(run.phase(), zone, kind, frame.length);
         if (run.net.open(this, target)) {
             final long theirs = target.life;
             run.steps.byNode(
-                    lane, target.lane, ScaleNet.wayMs(zone, chance), () -> target.hear(theirs, zone, kind, frame));
+                    lane, target.lane, ScaleNetwork.wayMs(zone, chance), () -> target.hear(theirs, zone, kind, frame));
         }
     }
 
-    private void hear(final long mine, final Zone zone, final int kind, final byte[] frame) {
+    private void hear(final long mine, final Distance zone, final int kind, final byte[] frame) {
         if (mine != life || node == null) {
             return;
         }
         traffic.in(run.phase(), zone, kind, frame.length);
         timed(kind, () -> {
             try {
-                node.hear(Codec.note(frame));
+                node.hear(MessageCodec.note(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -259,7 +260,7 @@
     }
 
     /** What is around a node: the platform, and upstreams that answer at once and take nothing. */
-    private final class Hollow implements Upstreams, Prober.Reach, Reporter.Platform {
+    private final class Hollow implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
         private static final long PLATFORM_MS = 10;
         private final long mine;
 
@@ -268,12 +269,12 @@
         }
 
         @Override
-        public void list(final long waitMs, final Consumer<List<Listed>> done) {
+        public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
             later(mine, PLATFORM_MS, ScaleTraffic.OUTSIDE, () -> done.accept(run.outside.list()));
         }
 
         @Override
-        public void probe(final String to, final long waitMs, final Consumer<Prober.Probe> done) {
+        public void probe(final String to, final long waitMs, final Consumer<HealthChecker.Probe> done) {
             probes++;
             later(mine, 2, ScaleTraffic.OUTSIDE, () -> done.accept(run.outside.probe(to)));
         }
@@ -282,7 +283,7 @@
         public void report(
                 final String holder,
                 final long token,
-                final Sealed sealed,
+                final SealedWindow sealed,
                 final long waitMs,
                 final LongSupplier until,
                 final Consumer<Boolean> done) {
@@ -292,8 +293,9 @@
         }
 
         @Override
-        public void go(final Go go, final LongSupplier until, final Runnable sent, final Consumer<GoResult> done) {
-            later(mine, 1, ScaleTraffic.OUTSIDE, () -> done.accept(new GoResult.NotSent("hollow")));
+        public void go(
+                final Attempt go, final LongSupplier until, final Runnable sent, final Consumer<AttemptResult> done) {
+            later(mine, 1, ScaleTraffic.OUTSIDE, () -> done.accept(new AttemptResult.NotSent("hollow")));
         }
     }
 }
--- a/proof/src/main/java/spokestall/proof/ScaleReal.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleProcesses.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,13 +8,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fleet.Fleet;
 
 /** Real processes with real asks: what an ask costs an edge and a core, at several rates. */
-final class ScaleReal {
+final class ScaleProcesses {
     private static final int[] RATES = {40, 160, 320};
     private static final int SECONDS = 10;
 
-    private ScaleReal() {}
+    private ScaleProcesses() {}
 
     static List<Figure> run(final int processes, final Path folder) throws Exception {
         final List<Figure> found = new ArrayList<>();
--- a/proof/src/main/java/spokestall/proof/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,8 +13,11 @@
 import java.util.stream.Collectors;
 import java.util.zip.CRC32;
 import org.HdrHistogram.Histogram;
-import spokestall.ballot.Voter;
-import spokestall.listing.Report;
+import spokestall.consensus.Acceptor;
+import spokestall.discovery.HealthObservation;
+import spokestall.testbed.simulation.SimulatedWorld;
+import spokestall.testbed.verdict.AcknowledgedChange;
+import spokestall.testbed.verdict.Rule;
 
 /** One run at scale: a fleet comes up, has a calm while, then an ordinary day pressed together. */
 final class ScaleRun implements AutoCloseable {
@@ -29,20 +32,20 @@
     private static final double CALM_SHARE = 0.4;
     private static final int SAMPLED = 8;
     final ScaleShape shape;
-    final Steps steps;
-    final ScaleNet net;
-    final ScaleOutside outside;
+    final SteppedTime steps;
+    final ScaleNetwork net;
+    final ScaleEnvironment outside;
     final ScaleJudge judge;
     final int segmentBytes;
-    final long windowMs = World.WINDOW_MS;
+    final long windowMs = SimulatedWorld.WINDOW_MS;
     final long keyBoundMs = Rule.KEY.nearMs;
     final List<ScaleNode> nodes = new ArrayList<>();
     final Map<Phase, Long> spanMs = new EnumMap<>(Phase.class);
     final Map<Phase, Map<Boolean, Histogram>> proofs = new EnumMap<>(Phase.class);
     final Map<Phase, Histogram> words = new EnumMap<>(Phase.class);
     final Map<Phase, Long> wordless = new EnumMap<>(Phase.class);
-    final List<Acknowledged> changes = new ArrayList<>();
-    final Map<Acknowledged, long[]> inForce = new HashMap<>();
+    final List<AcknowledgedChange> changes = new ArrayList<>();
+    final Map<AcknowledgedChange, long[]> inForce = new HashMap<>();
     final long policyBytes;
     private final Map<String, ScaleNode> byAddress = new HashMap<>();
     private final Random chance;
@@ -57,9 +60,9 @@
 
     ScaleRun(final ScaleFlags flags) {
         this.shape = new ScaleShape(flags);
-        this.steps = new Steps(flags.nodes, flags.threads);
-        this.net = new ScaleNet(flags.regions);
-        this.outside = new ScaleOutside(steps, shape.upstreams());
+        this.steps = new SteppedTime(flags.nodes, flags.threads);
+        this.net = new ScaleNetwork(flags.regions);
+        this.outside = new ScaleEnvironment(steps, shape.upstreams());
         this.judge = new ScaleJudge(this);
         this.chance = random("day");
         this.policy = shape.policy();
@@ -131,9 +134,9 @@
     void play() {
         beganNs = System.nanoTime();
         steps.end(beganNs + shape.flags.wall * 1_000_000_000L);
-        nodes.forEach(n -> steps.byWorld(Steps.WORLD, 1 + chance.nextInt(1500), n::start));
-        steps.byWorld(Steps.WORLD, 2000, this::first);
-        steps.byWorld(Steps.WORLD, LOOK_MS, this::look);
+        nodes.forEach(n -> steps.byWorld(SteppedTime.WORLD, 1 + chance.nextInt(1500), n::start));
+        steps.byWorld(SteppedTime.WORLD, 2000, this::first);
+        steps.byWorld(SteppedTime.WORLD, LOOK_MS, this::look);
         while (!whole && (System.nanoTime() - beganNs) / 1_000_000_000L < shape.flags.wall) {
             steps.step();
             progress();
@@ -174,10 +177,10 @@
     private void change(final String method, final String id, final ObjectNode params, final long sentMs) {
         final List<ScaleNode> able = nodes.stream()
                 .filter(n ->
-                        n.core && n.up() && !net.cutOff(n) && n.node().voter().state() == Voter.State.VOTING)
+                        n.core && n.up() && !net.cutOff(n) && n.node().voter().state() == Acceptor.State.VOTING)
                 .toList();
         if (able.isEmpty()) {
-            steps.byWorld(Steps.WORLD, 500, () -> change(method, id, params, sentMs));
+            steps.byWorld(SteppedTime.WORLD, 500, () -> change(method, id, params, sentMs));
             return;
         }
         final ScaleNode to = able.get(chance.nextInt(able.size()));
@@ -193,16 +196,16 @@
                     }
                     answered[0] = true;
                     if (reply.result().number() == 1000) {
-                        changes.add(new Acknowledged(
+                        changes.add(new AcknowledgedChange(
                                 reply.fields().path("version").asLong(),
                                 sentMs,
                                 steps.nowMs(),
                                 asking && phase == Phase.BOOT ? Phase.CALM : phase));
                     } else {
-                        steps.byWorld(Steps.WORLD, 500, () -> change(method, id, params, sentMs));
+                        steps.byWorld(SteppedTime.WORLD, 500, () -> change(method, id, params, sentMs));
                     }
                 })));
-        steps.byWorld(Steps.WORLD, 5000, () -> {
+        steps.byWorld(SteppedTime.WORLD, 5000, () -> {
             if (!answered[0]) {
                 answered[0] = true;
                 change(method, id, params, sentMs);
@@ -212,7 +215,7 @@
 
     /** What the world sees every so often. */
     private void look() {
-        steps.byWorld(Steps.WORLD, LOOK_MS, this::look);
+        steps.byWorld(SteppedTime.WORLD, LOOK_MS, this::look);
         final long nowMs = steps.nowMs();
         for (final ScaleNode n : nodes) {
             if (n.up()) {
@@ -223,7 +226,7 @@
                                 3_600_000, Math.max(0, n.node().follower().ageMs())));
             }
         }
-        for (final Acknowledged a : changes) {
+        for (final AcknowledgedChange a : changes) {
             final long[] at = inForce.computeIfAbsent(a, x -> new long[] {-1, -1});
             if (at[1] < 0) {
                 final List<ScaleNode> of = nodes.stream()
@@ -253,7 +256,7 @@
                                 && n.node().book().policy().version()
                                         >= changes.get(0).version()
                                 && (n.core
-                                        ? n.node().voter().state() == Voter.State.VOTING
+                                        ? n.node().voter().state() == Acceptor.State.VOTING
                                         : n.node().listing().listed().size() == shape.flags.upstreams));
     }
 
@@ -265,7 +268,7 @@
                     final String instance = outside.list()
                             .get(chance.nextInt(outside.list().size()))
                             .instance();
-                    final Report word =
+                    final HealthObservation word =
                             n.node().listing().word(instance, n.node().fleetMs());
                     if (word == null) {
                         wordless.merge(phase, 1L, Long::sum);
@@ -288,23 +291,23 @@
         for (int i = 0; i < QUIET_CHANGES; i++) {
             patch(i, 500 + 1000L * i);
         }
-        steps.byWorld(Steps.WORLD, SETTLE_MS + shape.flags.warm * 1000L, () -> {
+        steps.byWorld(SteppedTime.WORLD, SETTLE_MS + shape.flags.warm * 1000L, () -> {
             enter(Phase.CALM);
             final long allMs = shape.flags.seconds * 1000L;
             final long calmMs = (long) (CALM_SHARE * allMs);
             for (int i = 0; i < CHANGES; i++) {
                 patch(QUIET_CHANGES + i, calmMs + 100 + (allMs - calmMs) * i / CHANGES);
             }
-            steps.byWorld(Steps.WORLD, calmMs, () -> {
+            steps.byWorld(SteppedTime.WORLD, calmMs, () -> {
                 enter(Phase.DAY);
                 new ScaleDay(this, chance).play(allMs - calmMs);
             });
-            steps.byWorld(Steps.WORLD, allMs, () -> whole = true);
+            steps.byWorld(SteppedTime.WORLD, allMs, () -> whole = true);
         });
     }
 
     private void patch(final int n, final long waitMs) {
-        steps.byWorld(Steps.WORLD, waitMs, () -> {
+        steps.byWorld(SteppedTime.WORLD, waitMs, () -> {
             final ObjectNode params = JSON.createObjectNode();
             params.set("patch", shape.patch(n));
             change("policy.patch", "change-" + n, params, steps.nowMs());
--- a/proof/src/main/java/spokestall/proof/ScaleShape.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleShape.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,7 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import spokestall.policy.KeyHash;
+import spokestall.configuration.KeyHash;
+import spokestall.testbed.Deployment;
 
 /** The shape of a fleet at scale: its districts, upstreams, tenants, policy, and who asks how often, all by formula. */
 final class ScaleShape {
--- a/proof/src/main/java/spokestall/proof/ScaleTraffic.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleTraffic.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 /** What one node sent, heard and computed, by phase, distance and kind of note. */
 final class ScaleTraffic {
@@ -11,7 +11,7 @@
     static final int ASKS = 68;
     static final int CALL = 69;
     static final int KINDS = 70;
-    private static final int ZONES = Zone.values().length;
+    private static final int ZONES = Distance.values().length;
     private static final int PHASES = Phase.values().length;
     private static final String[] OTHERS = {"beats", "disk", "outside", "start", "asks", "calls"};
     /** Bytes that a wire puts before each note. */
@@ -23,16 +23,16 @@
     private final long[] bytesOut = new long[PHASES * ZONES * KINDS];
     private final long[] cpuNs = new long[PHASES * KINDS];
 
-    private static int at(final Phase phase, final Zone zone, final int kind) {
+    private static int at(final Phase phase, final Distance zone, final int kind) {
         return (phase.ordinal() * ZONES + zone.ordinal()) * KINDS + kind;
     }
 
-    void out(final Phase phase, final Zone zone, final int kind, final int bytes) {
+    void out(final Phase phase, final Distance zone, final int kind, final int bytes) {
         notesOut[at(phase, zone, kind)]++;
         bytesOut[at(phase, zone, kind)] += bytes + HEAD_BYTES;
     }
 
-    void in(final Phase phase, final Zone zone, final int kind, final int bytes) {
+    void in(final Phase phase, final Distance zone, final int kind, final int bytes) {
         notesIn[at(phase, zone, kind)]++;
         bytesIn[at(phase, zone, kind)] += bytes + HEAD_BYTES;
     }
@@ -41,19 +41,19 @@
         cpuNs[phase.ordinal() * KINDS + kind] += ns;
     }
 
-    long notesOut(final Phase phase, final Zone zone, final int kind) {
+    long notesOut(final Phase phase, final Distance zone, final int kind) {
         return notesOut[at(phase, zone, kind)];
     }
 
-    long notesIn(final Phase phase, final Zone zone, final int kind) {
+    long notesIn(final Phase phase, final Distance zone, final int kind) {
         return notesIn[at(phase, zone, kind)];
     }
 
-    long bytesOut(final Phase phase, final Zone zone, final int kind) {
+    long bytesOut(final Phase phase, final Distance zone, final int kind) {
         return bytesOut[at(phase, zone, kind)];
     }
 
-    long bytesIn(final Phase phase, final Zone zone, final int kind) {
+    long bytesIn(final Phase phase, final Distance zone, final int kind) {
         return bytesIn[at(phase, zone, kind)];
     }
 
--- a/proof/src/main/java/spokestall/proof/Steps.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/SteppedTime.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * the lanes, several at the same time: what one lane makes for another comes a step later at the soonest. What the lanes
  * made is put in order by lane, so a seed gives the same run with any number of threads.
  */
-final class Steps implements AutoCloseable {
+final class SteppedTime implements AutoCloseable {
     /** The lane of what is no node's. */
     static final int WORLD = -1;
 
@@ -35,7 +35,7 @@
     private boolean inWorld = true;
     private long endNs = Long.MAX_VALUE;
 
-    Steps(final int nodes, final int threads) {
+    SteppedTime(final int nodes, final int threads) {
         this.threads = threads;
         this.lanes = new Lane[nodes];
         for (int i = 0; i < nodes; i++) {
--- a/proof/src/main/java/spokestall/proof/Ability.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ExpectedAvailability.java
@@ -1,36 +1,37 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
-import spokestall.ballot.Voter;
+import spokestall.consensus.Acceptor;
 
 /**
  * What the fleet could be expected to do, read from the world alone, from before it is founded on: it could not agree on anything while no four cores
  * with state were up, on working disks and joined, nor for a stated time to recover after that; and what only memories
  * held is gone when all cores are down at once.
  */
-final class Ability {
+public final class ExpectedAvailability {
     /** The time to recover where nothing that was acknowledged is lost, and where it is. */
-    static final long RECOVER_MS = 8000;
+    public static final long RECOVER_MS = 8000;
 
-    static final long RECOVER_LOST_MS = 15_000;
+    public static final long RECOVER_LOST_MS = 15_000;
     private static final int LOOK_MS = 20;
     private static final int MAJORITY = 4;
-    private final World world;
-    private final List<World.Span> unable = new ArrayList<>();
+    private final SimulatedWorld world;
+    private final List<SimulatedWorld.Span> unable = new ArrayList<>();
     private final List<Long> forgotMs = new ArrayList<>();
     private long sinceMs = -1;
     private long ableAgainMs = -1;
     private boolean lost;
     private boolean allDown;
 
-    Ability(final World world) {
+    ExpectedAvailability(final SimulatedWorld world) {
         this.world = world;
     }
 
     void watch() {
         final long nowMs = world.sim.nowMs();
-        final List<SimNode> good = world.cores().stream().filter(Ability::good).toList();
+        final List<SimulatedNode> good =
+                world.cores().stream().filter(ExpectedAvailability::good).toList();
         final boolean able = good.stream()
                 .anyMatch(one -> good.stream()
                                 .filter(other -> one == other
@@ -43,12 +44,12 @@
         if (!able && sinceMs < 0) {
             sinceMs = nowMs;
         } else if (able && sinceMs >= 0) {
-            unable.add(new World.Span("fleet", sinceMs, nowMs + (lost ? RECOVER_LOST_MS : RECOVER_MS)));
+            unable.add(new SimulatedWorld.Span("fleet", sinceMs, nowMs + (lost ? RECOVER_LOST_MS : RECOVER_MS)));
             ableAgainMs = nowMs;
             sinceMs = -1;
             lost = false;
         }
-        final boolean down = world.cores().stream().noneMatch(SimNode::up);
+        final boolean down = world.cores().stream().noneMatch(SimulatedNode::up);
         if (down && !allDown) {
             forgotMs.add(nowMs);
         }
@@ -56,21 +57,21 @@
         world.sim.after(LOOK_MS, this::watch);
     }
 
-    private static boolean good(final SimNode core) {
-        if (core.running() && core.node().voter().state() == Voter.State.VOTING) {
+    private static boolean good(final SimulatedNode core) {
+        if (core.running() && core.node().voter().state() == Acceptor.State.VOTING) {
             core.disk.written();
         }
         return core.running() && core.disk.working() && !core.disk.blank();
     }
 
     /** Whether the fleet was unable, or still recovering, at some time between. */
-    boolean unable(final long fromMs, final long untilMs) {
+    public boolean unable(final long fromMs, final long untilMs) {
         return sinceMs >= 0 && sinceMs <= untilMs
                 || unable.stream().anyMatch(s -> s.fromMs() <= untilMs && s.untilMs() >= fromMs);
     }
 
     /** Whether all memories went at once between. */
-    boolean forgot(final long fromMs, final long untilMs) {
+    public boolean forgot(final long fromMs, final long untilMs) {
         return forgotMs.stream().anyMatch(at -> at >= fromMs && at <= untilMs);
     }
 
