--- a/proof/src/main/java/spokestall/proof/Traffic.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageTraffic.java
@@ -1,19 +1,21 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.Map;
 import java.util.TreeMap;
-import spokestall.wire.Note;
+import spokestall.message.Message;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
 
 /** What notes cost: how many bytes of each kind went between regions, between districts of one, and within one. */
-final class Traffic {
+public final class MessageTraffic {
     /** One kind's sums. */
-    static final class Sum {
-        long notes;
+    public static final class Sum {
+        public long notes;
         long regions;
         long districts;
         long within;
 
-        long bytes() {
+        public long bytes() {
             return regions + districts + within;
         }
     }
@@ -23,7 +25,7 @@
     private final Map<String, Long> sentTo = new TreeMap<>();
 
     /** Counts one note on its way. */
-    void sent(final SimNode from, final SimNode to, final Note note, final int bytes) {
+    void sent(final SimulatedNode from, final SimulatedNode to, final Message note, final int bytes) {
         final Sum sum = sums.computeIfAbsent(note.getClass().getSimpleName(), k -> new Sum());
         sum.notes++;
         sentTo.merge(to.name, (long) bytes, Long::sum);
@@ -37,7 +39,7 @@
     }
 
     /** Bytes that were sent to a node, lost or not. */
-    long sentTo(final String node) {
+    public long sentTo(final String node) {
         return sentTo.getOrDefault(node, 0L);
     }
 
@@ -50,7 +52,7 @@
     }
 
     /** Bytes a second between regions of one node, of the kinds given, or of all. */
-    static double regionsPerNode(final Map<String, Sum> sums, final String... kinds) {
+    public static double regionsPerNode(final Map<String, Sum> sums, final String... kinds) {
         return sums.entrySet().stream()
                         .filter(e ->
                                 kinds.length == 0 || java.util.List.of(kinds).contains(e.getKey()))
@@ -61,11 +63,12 @@
     }
 
     /** Half a minute of a fleet that has come up: with asks at the deployment's rate, or at rest. */
-    static Map<String, Sum> of(
+    public static Map<String, Sum> of(
             final long seed, final Deployment deployment, final boolean asks, final Map<String, String> settings) {
-        final World world = new World(seed, deployment, false, Plant.NONE, Scenario.CALM, settings);
-        final SimOperator operator = new SimOperator(world);
-        for (final SimNode node : world.nodes.values()) {
+        final SimulatedWorld world =
+                new SimulatedWorld(seed, deployment, false, InjectedFault.NONE, Scenario.CALM, settings);
+        final SimulatedOperator operator = new SimulatedOperator(world);
+        for (final SimulatedNode node : world.nodes.values()) {
             world.sim.after(world.sim.random(node.name).nextInt(1500), node::start);
         }
         world.sim.after(
@@ -82,7 +85,7 @@
     }
 
     /** Prints both, a line a kind, in a second and node. */
-    static void run(final long seed, final Deployment deployment, final Map<String, String> settings) {
+    public static void run(final long seed, final Deployment deployment, final Map<String, String> settings) {
         for (final boolean asks : new boolean[] {false, true}) {
             final Map<String, Sum> sums = of(seed, deployment, asks, settings);
             final Sum all = new Sum();
--- a/proof/src/main/java/spokestall/proof/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -1,23 +1,25 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import spokestall.wire.Codec;
+import spokestall.message.MessageCodec;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.standin.UpstreamStandIn;
 
 /** The brief's failures, each as a script that is played while asks flow; MIXED plays several at random. */
-enum Scenario {
+public enum Scenario {
     CALM {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             run.operator.bind();
         }
     },
     UPSTREAM_CRASH {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 6; i++) {
                 run.later(i * 3000L, () -> run.world.outside.stop(run.any(run.world.outside.running())));
             }
@@ -25,17 +27,17 @@
     },
     ROLLING {
         @Override
-        void play(final SimRun run) {
-            final List<SimOutside.Up> all = run.world.outside.running();
+        void play(final SimulationRun run) {
+            final List<SimulatedEnvironment.Up> all = run.world.outside.running();
             for (int i = 0; i < 12; i++) {
-                final SimOutside.Up old = all.get(i * 3);
+                final SimulatedEnvironment.Up old = all.get(i * 3);
                 run.later(i * 2000L, () -> run.drain(old, true));
             }
         }
     },
     ADDRESS_PASSED {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 6; i++) {
                 run.later(i * 3000L, () -> run.pass(run.any(run.world.outside.running())));
             }
@@ -43,9 +45,9 @@
     },
     COLD_RETURN {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             run.world.callers.rate(3 * run.world.deployment.rate);
-            for (final SimOutside.Up old : run.world.outside.running()) {
+            for (final SimulatedEnvironment.Up old : run.world.outside.running()) {
                 if (old.service.equals(run.world.deployment.big)) {
                     run.world.outside.stop(old);
                     old.listed = false;
@@ -57,34 +59,34 @@
     },
     BAD_ANSWERS {
         @Override
-        void play(final SimRun run) {
-            final UpstreamStand.Manner[] all = UpstreamStand.Manner.values();
+        void play(final SimulationRun run) {
+            final UpstreamStandIn.Manner[] all = UpstreamStandIn.Manner.values();
             for (int i = 0; i < 8; i++) {
                 run.later(i * 2500L, () -> {
-                    final SimOutside.Up up = run.any(run.world.outside.running());
+                    final SimulatedEnvironment.Up up = run.any(run.world.outside.running());
                     up.manner = all[1 + run.random.nextInt(all.length - 1)];
-                    run.later(5000, () -> up.manner = UpstreamStand.Manner.WELL);
+                    run.later(5000, () -> up.manner = UpstreamStandIn.Manner.WELL);
                 });
             }
         }
     },
     BROWNOUT {
         @Override
-        void play(final SimRun run) {
-            for (final SimOutside.Up up : run.world.outside.running()) {
+        void play(final SimulationRun run) {
+            for (final SimulatedEnvironment.Up up : run.world.outside.running()) {
                 if (up.service.equals(run.world.deployment.small)) {
-                    up.manner = UpstreamStand.Manner.FLAKY;
-                    run.later(12_000, () -> up.manner = UpstreamStand.Manner.WELL);
+                    up.manner = UpstreamStandIn.Manner.FLAKY;
+                    run.later(12_000, () -> up.manner = UpstreamStandIn.Manner.WELL);
                 } else if (run.random.nextInt(3) == 0) {
-                    up.manner = run.random.nextBoolean() ? UpstreamStand.Manner.LOSE : UpstreamStand.Manner.SLOW;
-                    run.later(12_000, () -> up.manner = UpstreamStand.Manner.WELL);
+                    up.manner = run.random.nextBoolean() ? UpstreamStandIn.Manner.LOSE : UpstreamStandIn.Manner.SLOW;
+                    run.later(12_000, () -> up.manner = UpstreamStandIn.Manner.WELL);
                 }
             }
         }
     },
     NODE_KILLS {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 6; i++) {
                 run.later(i * 4000L, () -> run.bounce(run.any(run.nodes()), 3000, false));
             }
@@ -92,10 +94,10 @@
     },
     HOLDER_KILLS {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 4; i++) {
                 run.later(i * 8000 + run.random.nextInt(2000), () -> {
-                    final SimNode holder = run.world.holder();
+                    final SimulatedNode holder = run.world.holder();
                     if (holder != null) {
                         run.bounce(holder, 5000, false);
                     }
@@ -105,7 +107,7 @@
     },
     DISTRICT_POWER {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 3; i++) {
                 run.later(i * 10_000L, () -> {
                     final String district = Deployment.district(run.random.nextInt(6));
@@ -116,7 +118,7 @@
     },
     REGION_KILL {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             final String region = Deployment.region(run.random.nextInt(6));
             run.world.inRegion(region).forEach(n -> run.bounce(n, 15_000, true));
             run.operator.bind();
@@ -124,21 +126,21 @@
     },
     RESTART_IN_TURN {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             int i = 0;
-            for (final SimNode node : run.nodes()) {
+            for (final SimulatedNode node : run.nodes()) {
                 run.later(i++ * 2500L, () -> run.bounce(node, 1000, false));
             }
         }
     },
     UPGRADE {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // Nodes that send the older form are restarted one by one to send the newer one.
             int i = 0;
-            for (final SimNode node : run.nodes()) {
+            for (final SimulatedNode node : run.nodes()) {
                 run.later(i++ * 2400L, () -> {
-                    node.set("noteVersion", Integer.toString(Codec.VERSION));
+                    node.set("noteVersion", Integer.toString(MessageCodec.VERSION));
                     run.bounce(node, 1000, false);
                 });
             }
@@ -146,16 +148,16 @@
 
         @Override
         Map<String, String> settings() {
-            return Map.of("noteVersion", Integer.toString(Codec.OLDEST));
+            return Map.of("noteVersion", Integer.toString(MessageCodec.OLDEST));
         }
     },
     SPARING {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // What an operator of a fleet over dear wires sets: no probes, few proofs, counts that hold nothing back.
-            final List<SimOutside.Up> all = run.world.outside.running();
+            final List<SimulatedEnvironment.Up> all = run.world.outside.running();
             for (int i = 0; i < 8; i++) {
-                final SimOutside.Up old = all.get(i * 4);
+                final SimulatedEnvironment.Up old = all.get(i * 4);
                 run.later(i * 3000L, () -> run.drain(old, true));
             }
             run.operator.bind();
@@ -189,11 +191,11 @@
     },
     MOVED {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // Three cores, none of them a seed, come back one after another at other addresses, with their disks.
             int i = 0;
             for (final String name : List.of("d2-core", "d4-core", "d6-core")) {
-                final SimNode core = run.world.nodes.get(name);
+                final SimulatedNode core = run.world.nodes.get(name);
                 run.later(i++ * 9000L, () -> {
                     run.disturb(List.of(core), 9000);
                     run.world.move(core, "10.0.5." + name.charAt(1) + ":7100");
@@ -205,7 +207,7 @@
     },
     UNKNOWN {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // Nobody was told how many there are. A seed came late, a core joined after the founding; now a disk goes,
             // a core
             // under a new name comes, and a seed is restarted.
@@ -222,16 +224,16 @@
         }
 
         @Override
-        long startMs(final SimNode node, final Random random) {
+        long startMs(final SimulatedNode node, final Random random) {
             final long usual = super.startMs(node, random);
             return node.name.equals("d1-core") ? 4000 + usual : node.name.equals("d6-core") ? 12_000 + usual : usual;
         }
     },
     OVERLOAD {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // Upstreams take twice the usual demand, and ten times as much comes.
-            for (final SimOutside.Up up : run.world.outside.running()) {
+            for (final SimulatedEnvironment.Up up : run.world.outside.running()) {
                 up.eachMs = 1000L * run.world.outside.running().size() / (2L * run.world.deployment.rate);
             }
             run.world.callers.rate(10 * run.world.deployment.rate);
@@ -240,13 +242,13 @@
     },
     SEEDS_DEAD {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // Two of the three seeds are away; every edge, and a core, must find the fleet by the third alone.
             run.world.nodes.get("d1-core").kill();
             run.world.nodes.get("d3-core").kill();
             run.disturb(run.nodes(), run.playMs());
             int i = 1;
-            for (final SimNode edge : run.world.edges()) {
+            for (final SimulatedNode edge : run.world.edges()) {
                 run.later(i++ * 2500L, () -> run.bounce(edge, 1000, false));
             }
             run.later(i * 2500L, () -> run.bounce(run.world.nodes.get("d6-core"), 1000, true));
@@ -254,16 +256,17 @@
     },
     RESTART_ALL {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             run.nodes().forEach(n -> run.bounce(n, 2000, true));
         }
     },
     BLINK {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // All power goes for a moment just after a window was reported.
             final long nowMs = run.world.sim.nowMs();
-            final long waitMs = 2 * World.WINDOW_MS - nowMs % World.WINDOW_MS + 2000 + run.random.nextInt(500);
+            final long waitMs =
+                    2 * SimulatedWorld.WINDOW_MS - nowMs % SimulatedWorld.WINDOW_MS + 2000 + run.random.nextInt(500);
             run.later(waitMs, () -> {
                 run.nodes().forEach(n -> run.bounce(n, 300, true));
             });
@@ -271,7 +274,7 @@
     },
     DISK_LOST {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 3; i++) {
                 run.later(i * 9000L, () -> run.loseDisk(run.any(run.world.cores()), 2000));
             }
@@ -279,21 +282,22 @@
     },
     DISKS_LOST {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             run.wiped = true;
             final int many = 3 + run.random.nextInt(4);
-            final List<SimNode> cores = new ArrayList<>(run.world.cores());
+            final List<SimulatedNode> cores = new ArrayList<>(run.world.cores());
             java.util.Collections.shuffle(cores, run.random);
             cores.subList(0, many).forEach(c -> run.loseDisk(c, 1000 + run.random.nextInt(1000)));
         }
     },
     FREEZE {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 8; i++) {
                 run.later(i * 3500L, () -> {
-                    final SimNode holder = run.world.holder();
-                    final SimNode node = holder != null && run.random.nextBoolean() ? holder : run.any(run.nodes());
+                    final SimulatedNode holder = run.world.holder();
+                    final SimulatedNode node =
+                            holder != null && run.random.nextBoolean() ? holder : run.any(run.nodes());
                     run.freeze(node, 500 + run.random.nextInt(9000));
                 });
             }
@@ -302,7 +306,7 @@
     },
     FREEZE_AT_SEND {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             run.world.gapShare = 0.001;
             run.world.gapMs = 6500;
             run.operator.withdraw(5, 15_000);
@@ -311,7 +315,7 @@
     },
     CLAIMS_FULL {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             run.world.callers.rate(4 * run.world.deployment.rate);
             run.later(15_000, () -> run.world.callers.rate(run.world.deployment.rate));
             run.later(6000, run.operator::bind);
@@ -330,10 +334,10 @@
     },
     DISK_STALLS {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 6; i++) {
                 run.later(i * 4000L, () -> {
-                    final SimNode core = run.any(run.world.cores());
+                    final SimulatedNode core = run.any(run.world.cores());
                     core.disk.slow(100);
                     core.disk.stall(1000 + run.random.nextInt(5000));
                     run.later(8000, () -> core.disk.slow(2));
@@ -344,7 +348,7 @@
     },
     DISK_FAILS {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 2; i++) {
                 run.later(i * 6000L, () -> run.any(run.world.cores()).disk.fail(true));
             }
@@ -352,10 +356,10 @@
     },
     CLOCK_JUMPS {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 6; i++) {
                 run.later(i * 4000L, () -> {
-                    final SimNode node = run.any(run.nodes());
+                    final SimulatedNode node = run.any(run.nodes());
                     node.jump((run.random.nextBoolean() ? 1 : -1) * 3_600_000L * (1 + run.random.nextInt(5)));
                     if (run.random.nextBoolean()) {
                         run.bounce(node, 1000, false);
@@ -366,11 +370,11 @@
     },
     CUTS {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 4; i++) {
                 run.later(i * 7000L, () -> run.cut(5000));
             }
-            final List<SimNode> lone = List.of(run.any(run.world.edges()));
+            final List<SimulatedNode> lone = List.of(run.any(run.world.edges()));
             run.disturb(lone, 18_000);
             run.world.part(lone, run.nodes(), true);
             run.later(12_000, () -> run.world.part(lone, run.nodes(), false));
@@ -380,8 +384,8 @@
     },
     SPLIT {
         @Override
-        void play(final SimRun run) {
-            final List<SimNode> all = new ArrayList<>(run.nodes());
+        void play(final SimulationRun run) {
+            final List<SimulatedNode> all = new ArrayList<>(run.nodes());
             java.util.Collections.shuffle(all, run.random);
             final int at = 3 + run.random.nextInt(7);
             run.disturb(all, 12_000);
@@ -392,8 +396,8 @@
     },
     LOSSY {
         @Override
-        void play(final SimRun run) {
-            for (final SimNode node : run.nodes()) {
+        void play(final SimulationRun run) {
+            for (final SimulatedNode node : run.nodes()) {
                 run.world.net.loss(node.address, 0.05 + 0.1 * run.random.nextDouble());
                 run.world.net.slow(node.address, run.random.nextInt(30));
             }
@@ -404,7 +408,7 @@
     },
     OPERATORS {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (int i = 0; i < 10; i++) {
                 run.later(i * 2000L, () -> {
                     run.operator.race();
@@ -419,7 +423,7 @@
     },
     LONG {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             // An hour, with a failure every minute or so; every table's size is printed each ten minutes.
             for (long at = 5000; at < playMs() - 60_000; at += 30_000 + run.random.nextInt(90_000)) {
                 run.later(at, run::anything);
@@ -442,14 +446,14 @@
     },
     MIXED {
         @Override
-        void play(final SimRun run) {
+        void play(final SimulationRun run) {
             for (long at = 0; at < run.playMs(); at += 1500 + run.random.nextInt(2500)) {
                 run.later(at, () -> run.anything());
             }
         }
     };
 
-    abstract void play(SimRun run);
+    abstract void play(SimulationRun run);
 
     /** How long it is played. */
     long playMs() {
@@ -457,12 +461,12 @@
     }
 
     /** When a node is first started. */
-    long startMs(final SimNode node, final Random random) {
+    long startMs(final SimulatedNode node, final Random random) {
         return random.nextInt(1500);
     }
 
     /** All that a sweep runs: every one but the long one. */
-    static List<Scenario> sweep() {
+    public static List<Scenario> sweep() {
         return Arrays.stream(values()).filter(s -> s != LONG).toList();
     }
 
--- a/proof/src/main/java/spokestall/proof/Sweep.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -7,11 +7,15 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.verdict.Judge;
+import spokestall.testbed.verdict.Rule;
 
 /** Runs scenarios over a range of seeds and prints, for each rule, checks, violations and the worst margin. */
-final class Sweep {
+public final class ScenarioSweep {
     /** What came of one run. */
-    record Outcome(
+    public record Outcome(
             Scenario scenario,
             Deployment deployment,
             long seed,
@@ -52,10 +56,11 @@
         private String worstWhat = "";
     }
 
-    private Sweep() {}
+    private ScenarioSweep() {}
 
-    static Outcome one(final long seed, final Deployment deployment, final Scenario scenario, final Plant plant) {
-        final SimRun run = new SimRun(seed, deployment, scenario, false, plant);
+    public static Outcome one(
+            final long seed, final Deployment deployment, final Scenario scenario, final InjectedFault plant) {
+        final SimulationRun run = new SimulationRun(seed, deployment, scenario, false, plant);
         final boolean up = run.play();
         return new Outcome(
                 scenario,
@@ -79,13 +84,13 @@
     }
 
     /** The number of violations and of runs that did not come back. */
-    static int run(
+    public static int run(
             final List<Scenario> scenarios,
             final List<Deployment> deployments,
             final long from,
             final long until,
             final int threads,
-            final Plant plant)
+            final InjectedFault plant)
             throws InterruptedException {
         final ExecutorService pool = Executors.newFixedThreadPool(threads);
         final Map<Rule, Sum> sums = new EnumMap<>(Rule.class);
@@ -130,7 +135,8 @@
     }
 
     static String again(final Scenario scenario, final Deployment deployment, final long seed) {
-        return "bin/proof sim --scenario " + scenario + " --deployment " + deployment + " --seeds " + seed + "-" + seed;
+        return "bin/testbed sim --scenario " + scenario + " --deployment " + deployment + " --seeds " + seed + "-"
+                + seed;
     }
 
     private static int add(final Outcome o, final Map<Rule, Sum> sums) {
--- a/proof/src/main/java/spokestall/proof/SimCallers.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -8,20 +8,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import spokestall.edge.Admitted;
-import spokestall.edge.Answer;
-import spokestall.edge.AskHead;
-import spokestall.edge.Opened;
-import spokestall.edge.Ran;
+import spokestall.proxy.AdmissionResult;
+import spokestall.proxy.AdmittedRequest;
+import spokestall.proxy.ExecutionStatus;
+import spokestall.proxy.RequestHead;
+import spokestall.proxy.Response;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.verdict.Rule;
 
 /** Callers that ask where to go, then ask, ask again when they may, and keep what they were told. */
-final class SimCallers {
+final class SimulatedClients {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long SPAN_MS = 5000;
 
-    private record Place(List<SimNode> edges, String ticket, long untilMs) {}
+    private record Place(List<SimulatedNode> edges, String ticket, long untilMs) {}
 
-    private final World world;
+    private final SimulatedWorld world;
     private final Random random;
     private final List<Deployment.Kind> kinds = new ArrayList<>();
     private final Map<String, Place> places = new HashMap<>();
@@ -31,7 +33,7 @@
     private final int clients;
     private double rate;
 
-    SimCallers(final World world) {
+    SimulatedClients(final SimulatedWorld world) {
         this.world = world;
         this.random = world.sim.random("callers");
         this.rate = world.deployment.rate;
@@ -77,12 +79,12 @@
             send(kind, who, id, turn, begunMs, known);
             return;
         }
-        final List<SimNode> up =
-                world.nodes.values().stream().filter(SimNode::running).toList();
+        final List<SimulatedNode> up =
+                world.nodes.values().stream().filter(SimulatedNode::running).toList();
         if (up.isEmpty()) {
             return;
         }
-        final SimNode node = world.any(up, random);
+        final SimulatedNode node = world.any(up, random);
         final boolean[] back = {false};
         world.sim.after(1000, () -> {
             if (!back[0]) {
@@ -100,7 +102,7 @@
                 again(kind, who, id, turn, begunMs, 300);
                 return;
             }
-            final List<SimNode> edges = new ArrayList<>();
+            final List<SimulatedNode> edges = new ArrayList<>();
             r.path("edges")
                     .forEach(e -> edges.add(world.nodes.get(e.path("name").asText())));
             final Place found = new Place(
@@ -140,12 +142,13 @@
             final long begunMs,
             final Place place) {
         final String askId = kind.runOnce() ? named.computeIfAbsent(id, i -> place.ticket + "." + i) : id + "." + turn;
-        final World.Asked asked = world.asked.computeIfAbsent(askId, i -> new World.Asked(askId, kind));
+        final SimulatedWorld.Asked asked =
+                world.asked.computeIfAbsent(askId, i -> new SimulatedWorld.Asked(askId, kind));
         asked.sentMs.add(world.sim.nowMs());
-        final SimNode edge = place.edges.get(turn % place.edges.size());
+        final SimulatedNode edge = place.edges.get(turn % place.edges.size());
         final byte[] body = kind.runOnce() ? body(id) : new byte[0];
         final long spanMs = SPAN_MS - (world.sim.nowMs() - begunMs);
-        final AskHead head = new AskHead(
+        final RequestHead head = new RequestHead(
                 kind.runOnce() ? "POST" : "GET", "", kind.path(), kind.key(), askId, spanMs, body.length, List.of());
         final boolean[] back = {false};
         final Runnable nothing = () -> {
@@ -176,13 +179,13 @@
     }
 
     private void take(
-            final SimNode edge,
+            final SimulatedNode edge,
             final long life,
-            final AskHead head,
+            final RequestHead head,
             final byte[] body,
-            final java.util.function.Consumer<Answer> done) {
-        final Admitted[] mine = {null};
-        final Opened opened = edge.node()
+            final java.util.function.Consumer<Response> done) {
+        final AdmittedRequest[] mine = {null};
+        final AdmissionResult opened = edge.node()
                 .edge()
                 .open(
                         head,
@@ -190,7 +193,7 @@
                             done.accept(answer);
                             edge.run(life, () -> mine[0].written());
                         }));
-        if (opened instanceof Opened.Deny deny) {
+        if (opened instanceof AdmissionResult.Deny deny) {
             world.sim.after(1 + random.nextInt(20), () -> done.accept(deny.answer()));
             return;
         }
@@ -199,7 +202,7 @@
                 world.home(world.asked.get(head.askId()).kind.tenant()).contains(edge.region) ? 0 : 2,
                 "body of " + head.askId() + " carried to " + edge.region);
         // The body comes a little later than the head.
-        mine[0] = ((Opened.Admit) opened).ask();
+        mine[0] = ((AdmissionResult.Admit) opened).ask();
         world.asked.get(head.askId()).admittedMs = world.sim.nowMs();
         world.asked.get(head.askId()).spanMs = head.spanMs();
         world.sim.after(1 + random.nextInt(5), () -> edge.run(life, () -> mine[0].run(body)));
@@ -209,20 +212,21 @@
             final Deployment.Kind kind,
             final String who,
             final String id,
-            final World.Asked asked,
+            final SimulatedWorld.Asked asked,
             final int turn,
             final long begunMs,
-            final Answer answer) {
-        world.told.add(new World.Told(
+            final Response answer) {
+        world.told.add(new SimulatedWorld.Told(
                 asked.askId,
                 answer.result().number(),
                 answer.ran(),
                 answer.instance(),
                 answer.content(),
                 world.sim.nowMs()));
-        asked.ran |= answer.ran() == Ran.RAN;
-        asked.answeredMs = answer.ran() == Ran.RAN && asked.answeredMs < 0 ? world.sim.nowMs() : asked.answeredMs;
-        if (answer.ran() != Ran.RAN) {
+        asked.ran |= answer.ran() == ExecutionStatus.RAN;
+        asked.answeredMs =
+                answer.ran() == ExecutionStatus.RAN && asked.answeredMs < 0 ? world.sim.nowMs() : asked.answeredMs;
+        if (answer.ran() != ExecutionStatus.RAN) {
             if (!who.endsWith("7") || turn > 0) {
                 places.remove(who + "/" + kind.key());
             }
--- a/proof/src/main/java/spokestall/proof/SimDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
@@ -1,15 +1,15 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import spokestall.ring.Segments;
+import spokestall.storage.SegmentStore;
 
 /** A disk that keeps what was synced, may lose or tear what was not, stalls, fails and can be wiped. */
-final class SimDisk implements Segments {
-    private final Sim sim;
+public final class SimulatedDisk implements SegmentStore {
+    private final VirtualTime sim;
     private final Random random;
     private final int size;
     private final byte[][] down;
@@ -22,7 +22,7 @@
     private long commits;
     private boolean wiped = true;
 
-    SimDisk(final Sim sim, final Random random, final int count, final int size) {
+    SimulatedDisk(final VirtualTime sim, final Random random, final int count, final int size) {
         this.sim = sim;
         this.random = random;
         this.size = size;
@@ -50,9 +50,9 @@
     }
 
     /** The same disk as seen by one life of a node: what comes back after its death is dropped. */
-    Segments life(final BooleanSupplier alive, final Consumer<Runnable> back, final boolean lies) {
-        final SimDisk disk = this;
-        return new Segments() {
+    SegmentStore life(final BooleanSupplier alive, final Consumer<Runnable> back, final boolean lies) {
+        final SimulatedDisk disk = this;
+        return new SegmentStore() {
             @Override
             public int count() {
                 return disk.count();
@@ -147,7 +147,7 @@
         wiped = false;
     }
 
-    void wipe() {
+    public void wipe() {
         wiped = true;
         flying.clear();
         for (int i = 0; i < down.length; i++) {
@@ -181,7 +181,7 @@
         slowMs = Math.max(1, ms);
     }
 
-    void fill(final boolean now) {
+    public void fill(final boolean now) {
         full = now;
     }
 
--- a/proof/src/main/java/spokestall/proof/SimOutside.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -9,18 +9,22 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import spokestall.duty.Reporter;
-import spokestall.duty.Sealed;
-import spokestall.edge.Go;
-import spokestall.edge.GoResult;
-import spokestall.edge.Upstreams;
-import spokestall.listing.Listed;
-import spokestall.listing.Prober;
-import spokestall.wire.Content;
-import spokestall.wire.Header;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.HealthChecker;
+import spokestall.message.Header;
+import spokestall.message.ResponseContent;
+import spokestall.proxy.Attempt;
+import spokestall.proxy.AttemptResult;
+import spokestall.proxy.UpstreamClient;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.standin.UpstreamStandIn;
+import spokestall.testbed.verdict.Ledger;
+import spokestall.usage.SealedWindow;
+import spokestall.usage.UsageReporter;
 
 /** The upstreams and the platform of a simulated run. */
-final class SimOutside {
+final class SimulatedEnvironment {
     /** One upstream process. */
     static final class Up {
         final String instance;
@@ -32,7 +36,7 @@
         boolean running = true;
         boolean leaving;
         boolean listed = true;
-        UpstreamStand.Manner manner = UpstreamStand.Manner.WELL;
+        UpstreamStandIn.Manner manner = UpstreamStandIn.Manner.WELL;
         /** How long one ask keeps it busy, one at a time; 0 is without limit. */
         long eachMs;
 
@@ -54,16 +58,16 @@
         }
     }
 
-    private final World world;
+    private final SimulatedWorld world;
     private final Random random;
     private final Map<String, Up> byAddress = new TreeMap<>();
     private final Map<String, Up> byInstance = new LinkedHashMap<>();
     private final Map<String, Integer> turns = new TreeMap<>();
-    private List<Listed> list = new ArrayList<>();
+    private List<Endpoint> list = new ArrayList<>();
     private int made;
     private long lastGapMs = -20_000;
 
-    SimOutside(final World world) {
+    SimulatedEnvironment(final SimulatedWorld world) {
         this.world = world;
         this.random = world.sim.random("outside");
         for (final Deployment.Place p : world.deployment.upstreams()) {
@@ -108,17 +112,17 @@
 
     /** The platform's list is made anew now and then, so it lags. */
     private void refresh() {
-        final List<Listed> now = new ArrayList<>();
+        final List<Endpoint> now = new ArrayList<>();
         byInstance.values().forEach(u -> {
             if (u.listed) {
-                now.add(Listed.read(
+                now.add(Endpoint.read(
                         u.instance,
                         u.service,
                         u.address,
                         u.district,
                         u.region,
                         u.leaving,
-                        Math.max(0, u.readyAtMs + World.WARMUP_MS - world.sim.nowMs()),
+                        Math.max(0, u.readyAtMs + SimulatedWorld.WARMUP_MS - world.sim.nowMs()),
                         0));
             }
         });
@@ -127,16 +131,16 @@
     }
 
     /** What one life of a node reaches the outside by. */
-    Rim of(final SimNode node, final long life) {
+    Rim of(final SimulatedNode node, final long life) {
         return new Rim(node, life);
     }
 
     /** The rim of one life. */
-    final class Rim implements Upstreams, Prober.Reach, Reporter.Platform {
-        private final SimNode node;
+    final class Rim implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+        private final SimulatedNode node;
         private final long life;
 
-        Rim(final SimNode node, final long life) {
+        Rim(final SimulatedNode node, final long life) {
             this.node = node;
             this.life = life;
         }
@@ -146,13 +150,13 @@
         }
 
         @Override
-        public void list(final long waitMs, final Consumer<List<Listed>> done) {
-            final List<Listed> now = list;
+        public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
+            final List<Endpoint> now = list;
             back(10 + random.nextInt(40), () -> done.accept(now));
         }
 
         @Override
-        public void probe(final String address, final long waitMs, final Consumer<Prober.Probe> done) {
+        public void probe(final String address, final long waitMs, final Consumer<HealthChecker.Probe> done) {
             final Up up = byAddress.get(address);
             final long way = world.net.wayMs(node.address, address);
             if (up == null || way < 0 || !up.running) {
@@ -164,7 +168,7 @@
                     () -> done.accept(
                             !up.running
                                     ? null
-                                    : new Prober.Probe(
+                                    : new HealthChecker.Probe(
                                             up.instance, up.service, up.leaving, world.sim.nowMs() - up.readyAtMs)));
         }
 
@@ -172,7 +176,7 @@
         public void report(
                 final String holder,
                 final long token,
-                final Sealed sealed,
+                final SealedWindow sealed,
                 final long waitMs,
                 final LongSupplier until,
                 final Consumer<Boolean> done) {
@@ -180,12 +184,12 @@
             // Connecting takes a round trip; the check is made when the bytes are about to leave.
             leave(2 * way, until, () -> done.accept(false), () -> {
                 final TreeMap<String, Long> counts = new TreeMap<>(sealed.counts());
-                if (world.plant == Plant.SWAPPED_TENANTS) {
+                if (world.plant == InjectedFault.SWAPPED_TENANTS) {
                     final Long first = counts.get(Deployment.tenant(0));
                     counts.put(Deployment.tenant(0), counts.getOrDefault(Deployment.tenant(5), 0L));
                     counts.put(Deployment.tenant(5), first);
                 }
-                if (world.plant != Plant.DEAF_PLATFORM || world.sim.nowMs() > 35_000) {
+                if (world.plant != InjectedFault.DEAF_PLATFORM || world.sim.nowMs() > 35_000) {
                     world.sim.after(
                             way,
                             () -> world.reported.add(
@@ -197,21 +201,25 @@
         }
 
         @Override
-        public void go(final Go go, final LongSupplier until, final Runnable counted, final Consumer<GoResult> done) {
+        public void go(
+                final Attempt go,
+                final LongSupplier until,
+                final Runnable counted,
+                final Consumer<AttemptResult> done) {
             final int turn = turns.merge(go.askId(), 1, Integer::sum);
-            final World.Asked asked = world.asked.get(go.askId());
-            world.goes.add(
-                    new World.Gone(go.askId(), go.service(), asked.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
+            final SimulatedWorld.Asked asked = world.asked.get(go.askId());
+            world.goes.add(new SimulatedWorld.Gone(
+                    go.askId(), go.service(), asked.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
             final long way = world.net.wayMs(node.address, go.address());
             final boolean[] over = {false};
             final boolean[] sent = {false};
             back(go.waitMs(), () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    done.accept(sent[0] ? new GoResult.Lost("timeout") : new GoResult.NotSent("timeout"));
+                    done.accept(sent[0] ? new AttemptResult.Lost("timeout") : new AttemptResult.NotSent("timeout"));
                 }
             });
-            final Consumer<GoResult> once = r -> {
+            final Consumer<AttemptResult> once = r -> {
                 if (!over[0]) {
                     over[0] = true;
                     done.accept(r);
@@ -225,10 +233,10 @@
                     return;
                 }
                 if (byAddress.get(go.address()) == null) {
-                    once.accept(new GoResult.NotSent("refused"));
+                    once.accept(new AttemptResult.NotSent("refused"));
                     return;
                 }
-                leave(0, until, () -> once.accept(new GoResult.NotSent("barred")), () -> {
+                leave(0, until, () -> once.accept(new AttemptResult.NotSent("barred")), () -> {
                     if (!over[0]) {
                         sent[0] = true;
                         counted.run();
@@ -252,7 +260,7 @@
                     world.sim.after(world.gapMs, node::thaw);
                 }
                 back(random.nextInt(2), () -> {
-                    if (node.nowMs() >= untilMs && world.plant != Plant.NO_LAST_LOOK) {
+                    if (node.nowMs() >= untilMs && world.plant != InjectedFault.NO_LAST_LOOK) {
                         barred.run();
                     } else {
                         go.run();
@@ -261,18 +269,18 @@
             });
         }
 
-        private String askOf(final Go go) {
-            return world.plant == Plant.OTHERS_HEADERS && random.nextInt(100) == 0 ? "another" : go.askId();
+        private String askOf(final Attempt go) {
+            return world.plant == InjectedFault.OTHERS_HEADERS && random.nextInt(100) == 0 ? "another" : go.askId();
         }
 
-        private GoResult whole(final Go go, final String body) {
-            return new GoResult.Whole(new Content(
+        private AttemptResult whole(final Attempt go, final String body) {
+            return new AttemptResult.Whole(new ResponseContent(
                     200,
                     List.of(new Header("Content-Type", "text/plain"), new Header("X-Answer-To", askOf(go))),
                     body.getBytes(StandardCharsets.UTF_8)));
         }
 
-        private void travel(final Go go, final Consumer<GoResult> once) {
+        private void travel(final Attempt go, final Consumer<AttemptResult> once) {
             final long way = world.net.sureMs(node.address, go.address());
             if (way < 0) {
                 return;
@@ -280,17 +288,17 @@
             world.sim.after(way, () -> {
                 final Up up = byAddress.get(go.address());
                 if (up == null || !up.running) {
-                    back(way, () -> once.accept(new GoResult.Lost("reset")));
+                    back(way, () -> once.accept(new AttemptResult.Lost("reset")));
                 } else if (!up.instance.equals(go.instance())) {
-                    back(way, () -> once.accept(new GoResult.NotRun("not the instance that was meant")));
+                    back(way, () -> once.accept(new AttemptResult.NotRun("not the instance that was meant")));
                 } else {
                     work(go, up, once);
                 }
             });
         }
 
-        private void work(final Go go, final Up up, final Consumer<GoResult> once) {
-            world.begun.add(new World.Begun(
+        private void work(final Attempt go, final Up up, final Consumer<AttemptResult> once) {
+            world.begun.add(new SimulatedWorld.Begun(
                     go.askId(),
                     up.instance,
                     up.district,
@@ -299,32 +307,32 @@
                     node.region,
                     world.sim.nowMs() - up.readyAtMs,
                     world.sim.nowMs()));
-            final boolean cold = world.sim.nowMs() - up.readyAtMs < World.WARMUP_MS;
+            final boolean cold = world.sim.nowMs() - up.readyAtMs < SimulatedWorld.WARMUP_MS;
             up.busyUntilMs = Math.max(up.busyUntilMs, world.sim.nowMs()) + up.eachMs;
             final long workMs = up.busyUntilMs
                     - world.sim.nowMs()
                     + (cold ? 20 : 3)
                     + random.nextInt(10)
-                    + (up.manner == UpstreamStand.Manner.SLOW ? 1500 : 0);
+                    + (up.manner == UpstreamStandIn.Manner.SLOW ? 1500 : 0);
             world.sim.after(workMs, () -> {
                 final long way = world.net.sureMs(go.address(), node.address);
                 if (way < 0) {
                     return;
                 }
                 final String whole = "answer to " + go.askId() + " by " + up.instance + " whole";
-                final GoResult result = !up.running
-                        ? new GoResult.Lost("reset")
+                final AttemptResult result = !up.running
+                        ? new AttemptResult.Lost("reset")
                         : switch (up.manner) {
                             case LOSE ->
-                                world.plant == Plant.LOST_AS_NOT_SENT
-                                        ? new GoResult.NotSent("closed")
-                                        : new GoResult.Lost("closed");
-                            case FLAKY -> random.nextBoolean() ? new GoResult.Lost("closed") : whole(go, whole);
+                                world.plant == InjectedFault.LOST_AS_NOT_SENT
+                                        ? new AttemptResult.NotSent("closed")
+                                        : new AttemptResult.Lost("closed");
+                            case FLAKY -> random.nextBoolean() ? new AttemptResult.Lost("closed") : whole(go, whole);
                             case GARBAGE ->
-                                world.plant == Plant.GARBAGE_PASSED
+                                world.plant == InjectedFault.GARBAGE_PASSED
                                         ? whole(go, "garbage")
-                                        : new GoResult.Lost("answer of another instance");
-                            case TRUNCATE -> new GoResult.Lost("answer: truncated");
+                                        : new AttemptResult.Lost("answer of another instance");
+                            case TRUNCATE -> new AttemptResult.Lost("answer: truncated");
                             default -> whole(go, whole);
                         };
                 back(way, () -> once.accept(result));
--- a/proof/src/main/java/spokestall/proof/SimNet.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.io.IOException;
 import java.util.HashMap;
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import spokestall.wire.Codec;
-import spokestall.wire.Note;
+import spokestall.message.Message;
+import spokestall.message.MessageCodec;
 
 /** The network between places: distance between regions, cuts in one or both directions, loss and slowness. */
-final class SimNet {
-    private final Sim sim;
+final class SimulatedNetwork {
+    private final VirtualTime sim;
     private final Random random;
     private final long apartMs;
     private final Map<String, String> regions = new HashMap<>();
@@ -19,7 +19,7 @@
     private final Map<String, Double> lossy = new HashMap<>();
     private final Map<String, Long> slowMs = new HashMap<>();
 
-    SimNet(final Sim sim, final long apartMs) {
+    SimulatedNetwork(final VirtualTime sim, final long apartMs) {
         this.sim = sim;
         this.random = sim.random("net");
         this.apartMs = apartMs;
@@ -85,18 +85,18 @@
     int carry(
             final String from,
             final String to,
-            final Note note,
+            final Message note,
             final int version,
-            final java.util.function.Consumer<Note> arrive) {
+            final java.util.function.Consumer<Message> arrive) {
         final long ms = wayMs(from, to);
-        final byte[] frame = Codec.note(note, version);
+        final byte[] frame = MessageCodec.note(note, version);
         sim.carried(frame);
         if (ms < 0) {
             return frame.length;
         }
         sim.after(ms, () -> {
             try {
-                arrive.accept(Codec.note(frame));
+                arrive.accept(MessageCodec.note(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
--- a/proof/src/main/java/spokestall/proof/SimNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -1,26 +1,29 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
-import spokestall.Node;
-import spokestall.audit.Audit;
+import spokestall.audit.AuditSink;
+import spokestall.message.Message;
+import spokestall.node.Node;
 import spokestall.settings.Settings;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.verdict.Rule;
 import spokestall.time.Clock;
-import spokestall.wire.Note;
 
 /** A machine that runs the real node: it can be killed, lose power or its disk, freeze, and have its clock jump. */
-final class SimNode {
-    final String name;
-    final boolean core;
+public final class SimulatedNode {
+    public final String name;
+    public final boolean core;
     final String district;
     final String region;
     String address;
     final String http;
-    final SimDisk disk;
-    private final World world;
+    public final SimulatedDisk disk;
+    private final SimulatedWorld world;
     private final Map<String, String> flags;
     private Settings settings;
     private final ArrayDeque<Runnable> held = new ArrayDeque<>();
@@ -31,7 +34,12 @@
     private long wallJumpMs;
     private long versionSeen;
 
-    SimNode(final World world, final String name, final boolean core, final int i, final Map<String, String> more) {
+    SimulatedNode(
+            final SimulatedWorld world,
+            final String name,
+            final boolean core,
+            final int i,
+            final Map<String, String> more) {
         this.world = world;
         this.name = name;
         this.core = core;
@@ -40,7 +48,7 @@
         this.address = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7100";
         this.http = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7200";
         this.monotonicMs = 1000L + world.sim.random(name + "/mono").nextInt(1_000_000);
-        this.disk = core ? new SimDisk(world.sim, world.sim.random(name + "/disk"), 8, world.segmentBytes) : null;
+        this.disk = core ? new SimulatedDisk(world.sim, world.sim.random(name + "/disk"), 8, world.segmentBytes) : null;
         this.flags = new HashMap<>();
         flags.put("name", name);
         flags.put("address", address);
@@ -72,27 +80,27 @@
         return (int) settings.ms("noteVersion");
     }
 
-    Node node() {
+    public Node node() {
         return node;
     }
 
-    boolean up() {
+    public boolean up() {
         return node != null;
     }
 
-    boolean running() {
+    public boolean running() {
         return node != null && !frozen;
     }
 
     long wallMs() {
-        return World.EPOCH_MS + world.sim.nowMs() + wallJumpMs;
+        return SimulatedWorld.EPOCH_MS + world.sim.nowMs() + wallJumpMs;
     }
 
     long nowMs() {
         return monotonicMs + world.sim.nowMs();
     }
 
-    void start() {
+    public void start() {
         if (node != null) {
             return;
         }
@@ -104,12 +112,12 @@
         final Clock clock = new Clock() {
             @Override
             public long nowMs() {
-                return SimNode.this.nowMs();
+                return SimulatedNode.this.nowMs();
             }
 
             @Override
             public long wallMs() {
-                return SimNode.this.wallMs();
+                return SimulatedNode.this.wallMs();
             }
 
             @Override
@@ -125,19 +133,21 @@
                 (to, note) -> world.send(this, mine, to, note),
                 core
                         ? disk.life(
-                                () -> life == mine && node != null, e -> run(mine, e), world.plant == Plant.LYING_DISK)
+                                () -> life == mine && node != null,
+                                e -> run(mine, e),
+                                world.plant == InjectedFault.LYING_DISK)
                         : null,
                 world.outside.of(this, mine),
                 world.outside.of(this, mine),
                 world.outside.of(this, mine),
-                Audit.NONE);
+                AuditSink.NONE);
         node = new Node(settings, core, rim);
         node.start();
         versionSeen = 0;
     }
 
     /** Runs an event of one life: not after its end, and not while frozen. */
-    void run(final long ofLife, final Runnable event) {
+    public void run(final long ofLife, final Runnable event) {
         if (life != ofLife || node == null) {
             return;
         }
@@ -161,23 +171,23 @@
         versionSeen = version;
     }
 
-    long life() {
+    public long life() {
         return life;
     }
 
-    void hear(final long ofLife, final Note note) {
+    void hear(final long ofLife, final Message note) {
         run(ofLife, () -> node.hear(note));
     }
 
-    void kill() {
-        down("kill", SimDisk::loseProcess);
+    public void kill() {
+        down("kill", SimulatedDisk::loseProcess);
     }
 
-    void losePower() {
-        down("power", SimDisk::losePower);
+    public void losePower() {
+        down("power", SimulatedDisk::losePower);
     }
 
-    private void down(final String how, final Consumer<SimDisk> loss) {
+    private void down(final String how, final Consumer<SimulatedDisk> loss) {
         if (node != null) {
             world.sim.trace(how + " " + name);
             node = null;
--- a/proof/src/main/java/spokestall/proof/SimOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,21 +9,23 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.verdict.Rule;
 
 /** Operators that change the policy, race each other, send what is stale or invalid, and repeat what is unclear. */
-final class SimOperator {
+final class SimulatedOperator {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long IN_FORCE_MS = Rule.POLICY.nearMs;
-    private final World world;
+    private final SimulatedWorld world;
     private final Random random;
     private final Set<String> accepted = new HashSet<>();
     private final Set<String> denied = new HashSet<>();
     private int made;
     long slowestMs;
 
-    SimOperator(final World world) {
+    SimulatedOperator(final SimulatedWorld world) {
         this.world = world;
         this.random = world.sim.random("operator");
     }
@@ -90,7 +92,7 @@
                 world.sim.nowMs() + 3000,
                 at -> world.judge.violated(Rule.POLICY, bad + " is invalid and was accepted"));
         final String stale = "stale-" + made++;
-        final SimNode core = world.any(world.cores(), random);
+        final SimulatedNode core = world.any(world.cores(), random);
         final ObjectNode old = patch(stale, 1);
         old.put("base", 1).put("changeId", stale);
         world.call(core, "policy.patch", old, reply -> {
@@ -103,9 +105,9 @@
         final ObjectNode set = JSON.createObjectNode().put("district", district);
         change("hold.set", set, "hold-" + made++, world.sim.nowMs() + 8000, at -> {
             final int slot = world.emptied.size();
-            world.emptied.add(new World.Span(district, at, Long.MAX_VALUE));
+            world.emptied.add(new SimulatedWorld.Span(district, at, Long.MAX_VALUE));
             world.sim.after(spanMs, () -> {
-                world.emptied.set(slot, new World.Span(district, at, world.sim.nowMs()));
+                world.emptied.set(slot, new SimulatedWorld.Span(district, at, world.sim.nowMs()));
                 change(
                         "hold.clear",
                         JSON.createObjectNode().put("district", district),
@@ -120,9 +122,9 @@
         final ObjectNode params = key(tenant);
         change("key.withdraw", params, "withdraw-" + made++, world.sim.nowMs() + 8000, at -> {
             final int slot = world.withdrawn.size();
-            world.withdrawn.add(new World.Span(Deployment.key(tenant), at, Long.MAX_VALUE));
+            world.withdrawn.add(new SimulatedWorld.Span(Deployment.key(tenant), at, Long.MAX_VALUE));
             world.sim.after(spanMs, () -> {
-                world.withdrawn.set(slot, new World.Span(Deployment.key(tenant), at, world.sim.nowMs()));
+                world.withdrawn.set(slot, new SimulatedWorld.Span(Deployment.key(tenant), at, world.sim.nowMs()));
                 change(
                         "key.add",
                         key(tenant).put("key", Deployment.key(tenant)),
@@ -175,12 +177,12 @@
 
         /** Begins against the newest version a core tells. */
         void fresh() {
-            final SimNode core = world.any(world.cores(), random);
+            final SimulatedNode core = world.any(world.cores(), random);
             ask(core, "policy.get", JSON.createObjectNode(), reply -> based(core, reply), this::fresh);
         }
 
-        private void based(final SimNode core, final Reply reply) {
-            if (reply.result() != Result.OK) {
+        private void based(final SimulatedNode core, final Reply reply) {
+            if (reply.result() != ResultCode.OK) {
                 world.sim.after(300, this::fresh);
                 return;
             }
@@ -189,7 +191,7 @@
         }
 
         private void ask(
-                final SimNode core,
+                final SimulatedNode core,
                 final String what,
                 final ObjectNode with,
                 final Consumer<Reply> done,
@@ -222,7 +224,7 @@
             });
         }
 
-        private void send(final SimNode core) {
+        private void send(final SimulatedNode core) {
             ask(core, method, params.deepCopy(), this::told, () -> send(world.any(world.cores(), random)));
         }
 
@@ -236,7 +238,7 @@
                     inForce(reply.fields().path("version").asLong(), world.sim.nowMs());
                 }
                 case UNDECIDED, NOT_READY -> {
-                    unclear |= reply.result() == Result.UNDECIDED;
+                    unclear |= reply.result() == ResultCode.UNDECIDED;
                     world.sim.after(300, () -> {
                         if (unclear) {
                             send(world.any(world.cores(), random));
@@ -258,10 +260,10 @@
         }
 
         /** How long until each edge that is left alone has it. */
-        private void arrives(final long version, final long atMs, final List<SimNode> lacking) {
+        private void arrives(final long version, final long atMs, final List<SimulatedNode> lacking) {
             final long spentMs = world.sim.nowMs() - atMs;
-            final List<SimNode> left = new ArrayList<>();
-            for (final SimNode edge : lacking) {
+            final List<SimulatedNode> left = new ArrayList<>();
+            for (final SimulatedNode edge : lacking) {
                 if (!edge.running() || !world.undisturbed(edge, atMs)) {
                     continue;
                 }
@@ -283,7 +285,7 @@
         /** When the bound is over, every edge that was left alone has it, and none that serves lacks it. */
         private void inForce(final long version, final long atMs) {
             world.sim.after(IN_FORCE_MS, () -> {
-                for (final SimNode edge : world.edges()) {
+                for (final SimulatedNode edge : world.edges()) {
                     if (edge.running()) {
                         final boolean has = edge.node().book().policy().version() >= version;
                         final boolean serves = edge.node().follower().fresh();
@@ -301,7 +303,7 @@
 
     /** At the end: each accepted binding is in force on every fresh node, and no denied one on any. */
     void end(final boolean wiped) {
-        for (final SimNode node : world.nodes.values()) {
+        for (final SimulatedNode node : world.nodes.values()) {
             if (!node.running() || !node.node().follower().fresh()) {
                 continue;
             }
--- a/proof/src/main/java/spokestall/proof/World.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,20 +10,25 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import spokestall.edge.Ran;
-import spokestall.hand.HandNote;
-import spokestall.wire.Content;
-import spokestall.wire.Note;
+import spokestall.handoff.HandoffMessage;
+import spokestall.message.Message;
+import spokestall.message.ResponseContent;
+import spokestall.proxy.ExecutionStatus;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.verdict.Judge;
+import spokestall.testbed.verdict.Ledger;
+import spokestall.testbed.verdict.Rule;
 
 /** One simulated run's whole world: machines, network, upstreams, platform, callers, operators, and what they saw. */
-final class World {
-    static final long EPOCH_MS = 1_800_000_000_000L;
-    static final long WINDOW_MS = 5000;
-    static final long WARMUP_MS = 10_000;
-    static final double WARM_PER_S = 5;
+public final class SimulatedWorld {
+    public static final long EPOCH_MS = 1_800_000_000_000L;
+    public static final long WINDOW_MS = 5000;
+    public static final long WARMUP_MS = 10_000;
+    public static final double WARM_PER_S = 5;
 
     /** One ask that an upstream began, and through which edge. */
-    record Begun(
+    public record Begun(
             String askId,
             String instance,
             String district,
@@ -34,19 +39,20 @@
             long atMs) {}
 
     /** One go that an edge sent out. */
-    record Gone(String askId, String service, int turn, long atMs) {}
+    public record Gone(String askId, String service, int turn, long atMs) {}
 
     /** One final answer that a caller got. */
-    record Told(String askId, int code, Ran ran, String instance, Content content, long atMs) {}
+    public record Told(
+            String askId, int code, ExecutionStatus ran, String instance, ResponseContent content, long atMs) {}
 
     /** Something held from one time to another. */
-    record Span(String what, long fromMs, long untilMs) {}
+    public record Span(String what, long fromMs, long untilMs) {}
 
     /** One ask as its caller knows it. */
-    static final class Asked {
+    public static final class Asked {
         final String askId;
-        final Deployment.Kind kind;
-        final List<Long> sentMs = new ArrayList<>();
+        public final Deployment.Kind kind;
+        public final List<Long> sentMs = new ArrayList<>();
         /** When it was admitted, and its span from there; -1 if it never was. */
         long admittedMs = -1;
 
@@ -60,47 +66,47 @@
         }
     }
 
-    final Plant plant;
+    final InjectedFault plant;
     final int segmentBytes;
     private final Map<String, String> settings;
     /** How often, and for how long, a machine freezes just between its last check and its bytes leaving. */
     double gapShare;
 
     long gapMs;
-    final Sim sim;
-    final Deployment deployment;
-    final SimNet net;
-    final Traffic traffic = new Traffic();
+    public final VirtualTime sim;
+    public final Deployment deployment;
+    final SimulatedNetwork net;
+    public final MessageTraffic traffic = new MessageTraffic();
     final Judge judge;
-    final SimOutside outside;
-    final SimCallers callers;
-    final Ability ability;
+    final SimulatedEnvironment outside;
+    final SimulatedClients callers;
+    public final ExpectedAvailability ability;
     private final Map<String, List<String>> homes = new TreeMap<>();
-    final Map<String, SimNode> nodes = new LinkedHashMap<>();
-    final Map<String, SimNode> byAddress = new TreeMap<>();
-    final List<Begun> begun = new ArrayList<>();
-    final List<Gone> goes = new ArrayList<>();
-    final List<Told> told = new ArrayList<>();
-    final Map<String, Asked> asked = new LinkedHashMap<>();
-    final List<Ledger.Reported> reported = new ArrayList<>();
-    final List<Span> withdrawn = new ArrayList<>();
-    final List<Span> emptied = new ArrayList<>();
+    public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
+    final Map<String, SimulatedNode> byAddress = new TreeMap<>();
+    public final List<Begun> begun = new ArrayList<>();
+    public final List<Gone> goes = new ArrayList<>();
+    public final List<Told> told = new ArrayList<>();
+    public final Map<String, Asked> asked = new LinkedHashMap<>();
+    public final List<Ledger.Reported> reported = new ArrayList<>();
+    public final List<Span> withdrawn = new ArrayList<>();
+    public final List<Span> emptied = new ArrayList<>();
     private final Map<String, Long> disturbedMs = new TreeMap<>();
 
-    World(
+    public SimulatedWorld(
             final long seed,
             final Deployment deployment,
             final boolean traced,
-            final Plant plant,
+            final InjectedFault plant,
             final Scenario scenario) {
         this(seed, deployment, traced, plant, scenario, Map.of());
     }
 
-    World(
+    public SimulatedWorld(
             final long seed,
             final Deployment deployment,
             final boolean traced,
-            final Plant plant,
+            final InjectedFault plant,
             final Scenario scenario,
             final Map<String, String> more) {
         this.settings = new TreeMap<>(scenario.settings());
@@ -108,13 +114,13 @@
         settings.putAll(more);
         this.segmentBytes = Integer.parseInt(settings.getOrDefault("ringSegmentBytes", "" + scenario.segmentBytes()));
         this.plant = plant;
-        this.sim = new Sim(seed, traced);
+        this.sim = new VirtualTime(seed, traced);
         this.deployment = deployment;
-        this.net = new SimNet(sim, deployment.apartMs);
+        this.net = new SimulatedNetwork(sim, deployment.apartMs);
         this.judge = new Judge(sim::nowMs, sim::trace);
-        this.outside = new SimOutside(this);
-        this.callers = new SimCallers(this);
-        this.ability = new Ability(this);
+        this.outside = new SimulatedEnvironment(this);
+        this.callers = new SimulatedClients(this);
+        this.ability = new ExpectedAvailability(this);
         final Random shape = sim.random("shape");
         for (int i = 0; i < Deployment.TENANTS; i++) {
             final List<String> all = new ArrayList<>(Deployment.home(0));
@@ -124,18 +130,18 @@
                     i < 2 ? Deployment.home(i) : List.copyOf(all.subList(0, 1 + shape.nextInt(3))));
         }
         for (int i = 0; i < Deployment.DISTRICTS; i++) {
-            add(new SimNode(this, Deployment.district(i) + "-core", true, i, settings));
-            add(new SimNode(this, Deployment.district(i) + "-edge", false, i, settings));
+            add(new SimulatedNode(this, Deployment.district(i) + "-core", true, i, settings));
+            add(new SimulatedNode(this, Deployment.district(i) + "-edge", false, i, settings));
         }
     }
 
     /** Where a tenant is at home in this run; the large ones are everywhere. */
-    List<String> home(final String tenant) {
+    public List<String> home(final String tenant) {
         return homes.get(tenant);
     }
 
     /** The policy that this run begins with: homes of its own, and some bindings that nobody asks by. */
-    ObjectNode policy() {
+    public ObjectNode policy() {
         final ObjectNode policy = deployment.policy();
         final Random shape = sim.random("policy");
         policy.path("cells")
@@ -151,7 +157,7 @@
     }
 
     /** A machine goes, and comes back at another address with its disk. */
-    void move(final SimNode node, final String to) {
+    void move(final SimulatedNode node, final String to) {
         node.kill();
         byAddress.remove(node.address);
         node.address = to;
@@ -161,54 +167,54 @@
     }
 
     /** A core more, of a name of its own. */
-    SimNode grow(final String name, final int place) {
-        final SimNode node = new SimNode(this, name, true, place, settings);
+    SimulatedNode grow(final String name, final int place) {
+        final SimulatedNode node = new SimulatedNode(this, name, true, place, settings);
         node.set("bootstrap", "0");
         add(node);
         return node;
     }
 
-    private void add(final SimNode node) {
+    private void add(final SimulatedNode node) {
         nodes.put(node.name, node);
         byAddress.put(node.address, node);
     }
 
-    List<SimNode> cores() {
+    public List<SimulatedNode> cores() {
         return nodes.values().stream().filter(n -> n.core).toList();
     }
 
-    List<SimNode> edges() {
+    List<SimulatedNode> edges() {
         return nodes.values().stream().filter(n -> !n.core).toList();
     }
 
-    List<SimNode> inRegion(final String region) {
+    List<SimulatedNode> inRegion(final String region) {
         return nodes.values().stream().filter(n -> n.region.equals(region)).toList();
     }
 
-    List<SimNode> inDistrict(final String district) {
+    List<SimulatedNode> inDistrict(final String district) {
         return nodes.values().stream().filter(n -> n.district.equals(district)).toList();
     }
 
-    <T> T any(final List<T> of, final Random random) {
+    public <T> T any(final List<T> of, final Random random) {
         return of.get(random.nextInt(of.size()));
     }
 
-    void send(final SimNode from, final long life, final String to, final Note note) {
-        final SimNode target = byAddress.get(to);
+    void send(final SimulatedNode from, final long life, final String to, final Message note) {
+        final SimulatedNode target = byAddress.get(to);
         if (target == null || from.life() != life) {
             return;
         }
         final long targetLife = target.life();
-        if (note instanceof HandNote.Keep keep) {
+        if (note instanceof HandoffMessage.Keep keep) {
             carried(keep.key(), target);
-            if (plant == Plant.KEPT_ABROAD) {
+            if (plant == InjectedFault.KEPT_ABROAD) {
                 cores().forEach(c -> carried(keep.key(), c));
             }
-        } else if (note instanceof HandNote.Back back && back.content() != null) {
+        } else if (note instanceof HandoffMessage.Back back && back.content() != null) {
             carried(back.key(), target);
         }
-        if (plant == Plant.FORGED_PROOFS && !net.open(from.address, to)) {
-            final Note forged = Forger.proof(note, from, target);
+        if (plant == InjectedFault.FORGED_PROOFS && !net.open(from.address, to)) {
+            final Message forged = MessageForger.proof(note, from, target);
             if (forged != null) {
                 sim.after(1, () -> from.hear(life, forged));
             }
@@ -220,21 +226,21 @@
                 net.carry(
                         from.address,
                         to,
-                        Forger.altered(plant, note),
+                        MessageForger.altered(plant, note),
                         from.noteVersion(),
                         arrived -> target.hear(targetLife, arrived)));
     }
 
     /** A kept answer goes to a node: it must be at home there. */
-    private void carried(final String key, final SimNode to) {
+    private void carried(final String key, final SimulatedNode to) {
         final String tenant = key.split("/")[1];
         judge.check(Rule.HOME, home(tenant).contains(to.region) ? 0 : 2, "kept " + key + " carried to " + to.region);
     }
 
     /** Cuts two groups of nodes off from each other, or joins them again. */
-    void part(final List<SimNode> ones, final List<SimNode> others, final boolean now) {
-        for (final SimNode one : ones) {
-            for (final SimNode other : others) {
+    public void part(final List<SimulatedNode> ones, final List<SimulatedNode> others, final boolean now) {
+        for (final SimulatedNode one : ones) {
+            for (final SimulatedNode other : others) {
                 if (one != other) {
                     net.cutBoth(one.address, other.address, now);
                 }
@@ -243,17 +249,17 @@
     }
 
     /** Says that a node is being meddled with until then. */
-    void disturb(final SimNode node, final long untilMs) {
+    void disturb(final SimulatedNode node, final long untilMs) {
         disturbedMs.merge(node.name, untilMs, Math::max);
     }
 
-    boolean undisturbed(final SimNode node, final long sinceMs) {
+    boolean undisturbed(final SimulatedNode node, final long sinceMs) {
         return disturbedMs.getOrDefault(node.name, -1L) < sinceMs && !ability.unable(sinceMs, sim.nowMs());
     }
 
     /** The core that holds the duty now, or null. */
-    SimNode holder() {
-        for (final SimNode core : cores()) {
+    SimulatedNode holder() {
+        for (final SimulatedNode core : cores()) {
             if (core.up() && core.node().keeper().execution() != null) {
                 return core;
             }
@@ -261,11 +267,11 @@
         return null;
     }
 
-    void call(
-            final SimNode to,
+    public void call(
+            final SimulatedNode to,
             final String method,
             final JsonNode params,
-            final java.util.function.Consumer<spokestall.rpc.Reply> done) {
+            final java.util.function.Consumer<spokestall.api.Reply> done) {
         if (to.running()) {
             to.run(to.life(), () -> to.node().call(method, params, done));
         }
--- a/proof/src/main/java/spokestall/proof/SimRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -1,16 +1,19 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.standin.UpstreamStandIn;
 
 /** One run: a fleet comes up, asks flow, a scenario is played, all is mended, and the ledger is judged. */
-final class SimRun {
+public final class SimulationRun {
     private static final long MEND_MS = 15_000;
     private static final long LAST_MS = 10_000;
-    final World world;
-    final SimOperator operator;
+    public final SimulatedWorld world;
+    final SimulatedOperator operator;
     final Random random;
     boolean wiped;
     private final Scenario scenario;
@@ -23,14 +26,14 @@
     private long votingMs = -1;
     private long gapMs;
 
-    SimRun(
+    public SimulationRun(
             final long seed,
             final Deployment deployment,
             final Scenario scenario,
             final boolean traced,
-            final Plant plant) {
-        this.world = new World(seed, deployment, traced, plant, scenario);
-        this.operator = new SimOperator(world);
+            final InjectedFault plant) {
+        this.world = new SimulatedWorld(seed, deployment, traced, plant, scenario);
+        this.operator = new SimulatedOperator(world);
         this.random = world.sim.random("scenario");
         this.scenario = scenario;
     }
@@ -40,9 +43,9 @@
     }
 
     /** Plays the whole run; false if the fleet never came up. */
-    boolean play() {
+    public boolean play() {
         world.ability.watch();
-        for (final SimNode node : world.nodes.values()) {
+        for (final SimulatedNode node : world.nodes.values()) {
             world.sim.after(scenario.startMs(node, random), node::start);
         }
         world.sim.after(2000, () -> operator.first(() -> world.sim.after(2500, this::begin)));
@@ -71,7 +74,7 @@
     /** How long nobody could work on the duty, at the most, seen every 20 ms. */
     private void watchHolder() {
         final long nowMs = world.sim.nowMs();
-        for (final SimNode c : world.cores()) {
+        for (final SimulatedNode c : world.cores()) {
             if (c.running()
                     && c.node().keeper().execution() != null
                     && c.node().keeper().execution().mayWork(c.nowMs())) {
@@ -88,8 +91,8 @@
                 heldAgainMs = nowMs;
             }
             if (world.cores().stream()
-                            .filter(SimNode::running)
-                            .allMatch(c -> c.node().voter().state() == spokestall.ballot.Voter.State.VOTING)
+                            .filter(SimulatedNode::running)
+                            .allMatch(c -> c.node().voter().state() == spokestall.consensus.Acceptor.State.VOTING)
                     && votingMs < fromMs) {
                 votingMs = nowMs;
             }
@@ -106,7 +109,7 @@
 
     /** The bound on recovery: longer where a majority's disks were lost, and with them what was acknowledged. */
     long recoverMaxMs() {
-        return wiped ? Ability.RECOVER_LOST_MS : Ability.RECOVER_MS;
+        return wiped ? ExpectedAvailability.RECOVER_LOST_MS : ExpectedAvailability.RECOVER_MS;
     }
 
     /** How long until asks ran again, a report had come and all voters voted; each from the end of the failure. */
@@ -129,7 +132,7 @@
         return uneven(world.begun.stream()
                 .filter(b -> b.atMs() >= begunMs + 3000)
                 .collect(java.util.stream.Collectors.groupingBy(
-                        World.Begun::edgeDistrict, java.util.stream.Collectors.counting())));
+                        SimulatedWorld.Begun::edgeDistrict, java.util.stream.Collectors.counting())));
     }
 
     /** The most any upstream of the larger service had, over an even share. */
@@ -137,7 +140,7 @@
         return uneven(world.begun.stream()
                 .filter(b -> b.instance().startsWith(world.deployment.big))
                 .collect(java.util.stream.Collectors.groupingBy(
-                        World.Begun::instance, java.util.stream.Collectors.counting())));
+                        SimulatedWorld.Begun::instance, java.util.stream.Collectors.counting())));
     }
 
     private static double uneven(final Map<String, Long> counts) {
@@ -161,10 +164,10 @@
         world.sim.trace("mend");
         mendedMs = world.sim.nowMs();
         world.net.heal();
-        for (final SimNode node : nodes()) {
+        for (final SimulatedNode node : nodes()) {
             node.thaw();
             if (node.core) {
-                if (node.node() != null && node.node().voter().state() == spokestall.ballot.Voter.State.STOPPED) {
+                if (node.node() != null && node.node().voter().state() == spokestall.consensus.Acceptor.State.STOPPED) {
                     // What an operator does about a failed disk: a new one.
                     node.kill();
                     node.disk.wipe();
@@ -179,7 +182,7 @@
     /** The largest of each table over all nodes that run, as their status tells it. */
     String sizes() {
         final Map<String, Double> most = new java.util.TreeMap<>();
-        for (final SimNode node : world.nodes.values()) {
+        for (final SimulatedNode node : world.nodes.values()) {
             world.call(
                     node,
                     "status",
@@ -206,7 +209,7 @@
         long all = 0;
         long ran = 0;
         final Map<String, Boolean> ids = new java.util.HashMap<>();
-        for (final World.Asked a : world.asked.values()) {
+        for (final SimulatedWorld.Asked a : world.asked.values()) {
             final String id = a.kind.runOnce() ? a.askId : a.askId.substring(0, a.askId.indexOf('.'));
             if (a.sentMs.get(0) >= fromMs && a.sentMs.get(0) < untilMs) {
                 ids.merge(id, a.ran, Boolean::logicalOr);
@@ -220,10 +223,10 @@
     }
 
     /** How often each result was told, by tenant for those that did not run. */
-    Map<String, Integer> results() {
+    public Map<String, Integer> results() {
         final Map<String, Integer> found = new java.util.TreeMap<>();
-        for (final World.Told t : world.told) {
-            final String of = t.ran() == spokestall.edge.Ran.RAN
+        for (final SimulatedWorld.Told t : world.told) {
+            final String of = t.ran() == spokestall.proxy.ExecutionStatus.RAN
                     ? ""
                     : " " + world.asked.get(t.askId()).kind.tenant();
             found.merge(t.code() + " " + t.ran() + of, 1, Integer::sum);
@@ -232,16 +235,16 @@
     }
 
     /** Begun asks of one window by the district of the edge they came through. */
-    Map<String, Integer> byEdge(final long window) {
+    public Map<String, Integer> byEdge(final long window) {
         final Map<String, Integer> found = new java.util.TreeMap<>();
         world.begun.stream()
-                .filter(b -> (World.EPOCH_MS + b.atMs()) / World.WINDOW_MS == window)
+                .filter(b -> (SimulatedWorld.EPOCH_MS + b.atMs()) / SimulatedWorld.WINDOW_MS == window)
                 .forEach(b -> found.merge(b.edgeDistrict(), 1, Integer::sum));
         return found;
     }
 
     /** All that is known of one ask. */
-    String story(final String askId) {
+    public String story(final String askId) {
         final StringBuilder out = new StringBuilder(askId + " sent " + world.asked.get(askId).sentMs);
         world.goes.stream()
                 .filter(g -> g.askId().equals(askId))
@@ -257,7 +260,7 @@
 
     /** Of the asks that were admitted while the scenario was played, the share that ran within their deadline. */
     double inDeadline() {
-        final List<World.Asked> admitted = world.asked.values().stream()
+        final List<SimulatedWorld.Asked> admitted = world.asked.values().stream()
                 .filter(a -> a.admittedMs >= begunMs + 3000 && a.admittedMs < begunMs + 3000 + scenario.playMs())
                 .toList();
         return admitted.isEmpty()
@@ -270,13 +273,13 @@
 
     /** Share of asks that ran while the scenario was played, of the small tenants and of the large ones. */
     String byTenant() {
-        final Map<Boolean, List<World.Asked>> of = world.asked.values().stream()
+        final Map<Boolean, List<SimulatedWorld.Asked>> of = world.asked.values().stream()
                 .filter(a -> a.sentMs.get(0) >= begunMs + 3000 && a.sentMs.get(0) < begunMs + 3000 + scenario.playMs())
                 .collect(java.util.stream.Collectors.partitioningBy(a -> a.kind.weight() < 10));
         return String.format("%.2f/%.2f", ranShare(of.get(true)), ranShare(of.get(false)));
     }
 
-    private static double ranShare(final List<World.Asked> of) {
+    private static double ranShare(final List<SimulatedWorld.Asked> of) {
         return of.isEmpty() ? 1 : of.stream().filter(a -> a.ran).count() / (double) of.size();
     }
 
@@ -286,8 +289,8 @@
 
     /** The largest share of any core's registers that a voting core lacks, or has older, at the end. */
     double lacking() {
-        final Map<String, spokestall.ballot.Ballot> newest = new java.util.HashMap<>();
-        for (final SimNode c : world.cores()) {
+        final Map<String, spokestall.consensus.ProposalNumber> newest = new java.util.HashMap<>();
+        for (final SimulatedNode c : world.cores()) {
             if (c.running()) {
                 c.node()
                         .voter()
@@ -296,7 +299,7 @@
             }
         }
         double worst = 0;
-        for (final SimNode c : world.cores()) {
+        for (final SimulatedNode c : world.cores()) {
             if (c.running() && !newest.isEmpty()) {
                 final long lacks = newest.entrySet().stream()
                         .filter(e -> {
@@ -318,7 +321,7 @@
         world.sim.after(waitMs, what);
     }
 
-    List<SimNode> nodes() {
+    List<SimulatedNode> nodes() {
         return List.copyOf(world.nodes.values());
     }
 
@@ -326,11 +329,11 @@
         return of.get(random.nextInt(of.size()));
     }
 
-    void disturb(final List<SimNode> nodes, final long spanMs) {
+    void disturb(final List<SimulatedNode> nodes, final long spanMs) {
         nodes.forEach(n -> world.disturb(n, world.sim.nowMs() + spanMs));
     }
 
-    void bounce(final SimNode node, final long downMs, final boolean power) {
+    void bounce(final SimulatedNode node, final long downMs, final boolean power) {
         disturb(List.of(node), downMs + 8000);
         if (power) {
             node.losePower();
@@ -340,7 +343,7 @@
         later(downMs + random.nextInt(500), node::start);
     }
 
-    void loseDisk(final SimNode core, final long downMs) {
+    void loseDisk(final SimulatedNode core, final long downMs) {
         disturb(List.of(core), downMs + 10_000);
         core.losePower();
         core.disk.wipe();
@@ -348,7 +351,7 @@
         later(downMs, core::start);
     }
 
-    void freeze(final SimNode node, final long spanMs) {
+    void freeze(final SimulatedNode node, final long spanMs) {
         disturb(List.of(node), spanMs + 6000);
         node.freeze();
         later(spanMs, node::thaw);
@@ -356,15 +359,15 @@
 
     /** A core under a new name comes, as the machine of that place. */
     void grow(final String name, final int place) {
-        final SimNode fresh = world.grow(name, place);
+        final SimulatedNode fresh = world.grow(name, place);
         disturb(List.of(fresh), 10_000);
         fresh.start();
     }
 
     /** Leaves, is emptied, goes, and is replaced. */
-    void drain(final SimOutside.Up up, final boolean replace) {
+    void drain(final SimulatedEnvironment.Up up, final boolean replace) {
         up.leaving = true;
-        world.emptied.add(new World.Span(up.instance, world.sim.nowMs(), Long.MAX_VALUE));
+        world.emptied.add(new SimulatedWorld.Span(up.instance, world.sim.nowMs(), Long.MAX_VALUE));
         if (replace) {
             world.outside.replace(up);
         }
@@ -375,7 +378,7 @@
     }
 
     /** Stops, and its address passes at once to an upstream of the other service. */
-    void pass(final SimOutside.Up up) {
+    void pass(final SimulatedEnvironment.Up up) {
         world.outside.stop(up);
         final String other = up.service.equals(world.deployment.big) ? world.deployment.small : world.deployment.big;
         world.outside.add(other, up.address, up.district, up.region, world.sim.nowMs());
@@ -384,13 +387,13 @@
 
     /** One random cut: a machine alone, one way only, or the core from some edges. */
     void cut(final long spanMs) {
-        final List<SimNode> one = new ArrayList<>();
-        final List<SimNode> rest = new ArrayList<>(nodes());
+        final List<SimulatedNode> one = new ArrayList<>();
+        final List<SimulatedNode> rest = new ArrayList<>(nodes());
         switch (random.nextInt(3)) {
             case 0 -> one.add(any(rest));
             case 1 -> one.addAll(world.edges().subList(0, 1 + random.nextInt(3)));
             default -> {
-                final SimNode lone = any(rest);
+                final SimulatedNode lone = any(rest);
                 disturb(List.of(lone), spanMs + 6000);
                 rest.forEach(r -> world.net.cut(lone.address, r.address, true));
                 later(spanMs, () -> rest.forEach(r -> world.net.cut(lone.address, r.address, false)));
@@ -410,12 +413,12 @@
             case 1 -> drain(any(world.outside.running()), true);
             case 2 -> pass(any(world.outside.running()));
             case 3 -> {
-                final SimOutside.Up up = any(world.outside.running());
-                up.manner = any(List.of(UpstreamStand.Manner.values()));
+                final SimulatedEnvironment.Up up = any(world.outside.running());
+                up.manner = any(List.of(UpstreamStandIn.Manner.values()));
             }
             case 4 -> bounce(any(nodes()), 1000 + random.nextInt(4000), random.nextBoolean());
             case 5 -> {
-                final SimNode holder = world.holder();
+                final SimulatedNode holder = world.holder();
                 if (holder != null) {
                     bounce(holder, 1000 + random.nextInt(6000), true);
                 }
--- a/proof/src/main/java/spokestall/proof/Sim.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/VirtualTime.java
@@ -1,11 +1,11 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.zip.CRC32;
 
 /** Virtual time: events in the order of their time, and of their making when the time is the same. */
-final class Sim {
+public final class VirtualTime {
     private record Event(long atMs, long number, Runnable what) implements Comparable<Event> {
         @Override
         public int compareTo(final Event other) {
@@ -22,17 +22,17 @@
     private long made;
     private long ran;
 
-    Sim(final long seed, final boolean traced) {
+    VirtualTime(final long seed, final boolean traced) {
         this.seed = seed;
         this.trace = traced ? new StringBuilder() : null;
     }
 
-    long nowMs() {
+    public long nowMs() {
         return nowMs;
     }
 
     /** A source of chance of its own for each part, so that a change in one leaves the others as they were. */
-    Random random(final String part) {
+    public Random random(final String part) {
         return new Random(seed * 0x9e3779b97f4a7c15L ^ (long) part.hashCode() << 17);
     }
 
@@ -40,11 +40,11 @@
         events.add(new Event(Math.max(atMs, nowMs), made++, what));
     }
 
-    void after(final long waitMs, final Runnable what) {
+    public void after(final long waitMs, final Runnable what) {
         at(nowMs + waitMs, what);
     }
 
-    void run(final long untilMs) {
+    public void run(final long untilMs) {
         while (!events.isEmpty() && events.peek().atMs <= untilMs) {
             final Event event = events.poll();
             nowMs = event.atMs;
@@ -68,7 +68,7 @@
         digest.update(frame);
     }
 
-    String traced() {
+    public String traced() {
         return trace == null ? "" : trace.toString();
     }
 
--- a/proof/src/main/java/spokestall/proof/PlatformStand.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.standin;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -13,22 +13,23 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import org.xnio.XnioWorker;
+import spokestall.testbed.verdict.Ledger;
 
 /** A stand-in platform: lists upstreams with some lag and takes usage reports without looking at them. */
-final class PlatformStand {
+public final class PlatformStandIn {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Ledger ledger;
-    private final Supplier<Collection<Stand>> upstreams;
+    private final Supplier<Collection<UpstreamInstance>> upstreams;
     private final long lagMs;
     private final Undertow server;
     private String list = "{\"upstreams\":[]}";
     private long listedMs;
 
-    PlatformStand(
+    public PlatformStandIn(
             final int port,
             final XnioWorker worker,
             final Ledger ledger,
-            final Supplier<Collection<Stand>> upstreams,
+            final Supplier<Collection<UpstreamInstance>> upstreams,
             final long lagMs) {
         this.ledger = ledger;
         this.upstreams = upstreams;
@@ -40,11 +41,11 @@
                 .build();
     }
 
-    void start() {
+    public void start() {
         server.start();
     }
 
-    void stop() {
+    public void stop() {
         server.stop();
     }
 
@@ -54,7 +55,7 @@
             listedMs = nowMs;
             final ObjectNode out = JSON.createObjectNode();
             final ArrayNode all = out.putArray("upstreams");
-            for (final Stand u : upstreams.get()) {
+            for (final UpstreamInstance u : upstreams.get()) {
                 all.addObject()
                         .put("instance", u.place().instance())
                         .put("service", u.place().service())
--- a/proof/src/main/java/spokestall/proof/RawUpstream.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.standin;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -12,16 +12,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import spokestall.testbed.Deployment;
 
 /** An upstream made of bytes: it keeps what came as it came, and answers whatever it was told to write. */
-final class RawUpstream implements Stand {
+public final class RawUpstream implements UpstreamInstance {
     /** One ask as it was on the wire; head ends before the empty line, each wire has a number of its own. */
-    record Came(int wire, String head, String body) {
-        String line() {
+    public record Came(int wire, String head, String body) {
+        public String line() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
-        String header(final String name) {
+        public String header(final String name) {
             for (final String line : head.split("\r\n")) {
                 if (line.toLowerCase(java.util.Locale.ROOT).startsWith(name.toLowerCase(java.util.Locale.ROOT) + ":")) {
                     return line.substring(name.length() + 1).trim();
@@ -32,12 +33,12 @@
     }
 
     /** Writes the answer to one ask, byte by byte as it likes. */
-    interface Manner {
+    public interface Manner {
         void answer(Came came, Writer out) throws IOException, InterruptedException;
     }
 
     /** The wire's far side. */
-    interface Writer {
+    public interface Writer {
         void write(String latin) throws IOException;
 
         void close() throws IOException;
@@ -48,34 +49,34 @@
     private final AtomicInteger wires = new AtomicInteger();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private ServerSocket server;
-    final LinkedBlockingQueue<Came> came = new LinkedBlockingQueue<>();
-    volatile Manner manner = RawUpstream::well;
+    public final LinkedBlockingQueue<Came> came = new LinkedBlockingQueue<>();
+    public volatile Manner manner = RawUpstream::well;
     /** Answers before the body has come, as soon as the head is there. */
-    volatile boolean early;
+    public volatile boolean early;
 
-    RawUpstream(final Deployment.Place place, final int port) {
+    public RawUpstream(final Deployment.Place place, final int port) {
         this.place = place;
         this.port = port;
     }
 
     /** The head of a good answer, without its end; more is put in front of it. */
-    static String names(final Came c) {
+    public static String names(final Came c) {
         return "Spokestall-Ask-Id: " + c.header("Spokestall-Ask-Id") + "\r\nSpokestall-Instance: "
                 + c.header("Spokestall-Instance") + "\r\n";
     }
 
-    static void well(final Came c, final Writer out) throws IOException {
+    public static void well(final Came c, final Writer out) throws IOException {
         final String body = "answer to " + c.header("Spokestall-Ask-Id");
         out.write("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" + names(c) + "Content-Length: " + body.length()
                 + "\r\n\r\n" + body);
     }
 
     /** The next ask that came, or null if none came in time. */
-    Came next(final long waitMs) throws InterruptedException {
+    public Came next(final long waitMs) throws InterruptedException {
         return came.poll(waitMs, TimeUnit.MILLISECONDS);
     }
 
-    void reset() {
+    public void reset() {
         manner = RawUpstream::well;
         early = false;
         came.clear();
--- a/proof/src/main/java/spokestall/proof/Stand.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamInstance.java
@@ -1,7 +1,9 @@
-package spokestall.proof;
+package spokestall.testbed.standin;
+
+import spokestall.testbed.Deployment;
 
 /** What stands for an upstream: where it is, what it says it is, and how it comes and goes. */
-interface Stand {
+public interface UpstreamInstance {
     /** Its instance, service, district and region. */
     Deployment.Place place();
 
--- a/proof/src/main/java/spokestall/proof/UpstreamStand.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.standin;
 
 import io.undertow.Undertow;
 import io.undertow.server.HttpServerExchange;
@@ -10,11 +10,13 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.IoUtils;
 import org.xnio.XnioWorker;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.verdict.Ledger;
 
 /** A stand-in upstream: warms up slowly, keeps a ledger, and misbehaves when told to. */
-final class UpstreamStand implements Stand {
+public final class UpstreamStandIn implements UpstreamInstance {
     /** How it behaves. */
-    enum Manner {
+    public enum Manner {
         WELL,
         LOSE,
         GARBAGE,
@@ -36,7 +38,7 @@
     private volatile long eachMs;
     private long busyUntilMs;
 
-    UpstreamStand(
+    public UpstreamStandIn(
             final Deployment.Place place,
             final int port,
             final XnioWorker worker,
@@ -70,12 +72,12 @@
         return leaving;
     }
 
-    void leave() {
+    public void leave() {
         leaving = true;
     }
 
     /** From now on it takes one ask at a time, for so long; 0 is without limit. */
-    void limit(final long ms) {
+    public void limit(final long ms) {
         eachMs = ms;
     }
 
@@ -85,7 +87,7 @@
         return busyUntilMs - nowMs;
     }
 
-    void behave(final Manner how) {
+    public void behave(final Manner how) {
         manner = how;
     }
 
--- a/proof/src/main/java/spokestall/proof/FleetJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.verdict;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,47 +7,54 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fleet.Fleet;
+import spokestall.testbed.simulation.ExpectedAvailability;
+import spokestall.testbed.simulation.SimulatedWorld;
 
 /** Judges a run of real processes by the same rules, from the ledger of the stand-ins and what callers recorded. */
-final class FleetJudge {
-    private static final long WINDOW_MS = World.WINDOW_MS;
+public final class FleetJudge {
+    private static final long WINDOW_MS = SimulatedWorld.WINDOW_MS;
     private final Fleet fleet;
     private final Judge judge = new Judge(System::currentTimeMillis, what -> {});
-    private final List<World.Span> withdrawn = new ArrayList<>();
-    private final List<World.Span> emptied = new ArrayList<>();
-    private final List<World.Span> unable = new ArrayList<>();
+    private final List<SimulatedWorld.Span> withdrawn = new ArrayList<>();
+    private final List<SimulatedWorld.Span> emptied = new ArrayList<>();
+    private final List<SimulatedWorld.Span> unable = new ArrayList<>();
     private final Map<String, Long> readyAtMs = new HashMap<>();
 
-    FleetJudge(final Fleet fleet) {
+    public FleetJudge(final Fleet fleet) {
         this.fleet = fleet;
     }
 
-    Judge judge() {
+    public Judge judge() {
         return judge;
     }
 
     /** A key was withdrawn by an accepted change; asks by it are the tenant's. */
-    void withdrawn(final String tenant, final long fromMs, final long untilMs) {
-        withdrawn.add(new World.Span(tenant, fromMs, untilMs));
+    public void withdrawn(final String tenant, final long fromMs, final long untilMs) {
+        withdrawn.add(new SimulatedWorld.Span(tenant, fromMs, untilMs));
     }
 
     /** An instance is leaving, or a district held. */
-    void emptied(final String what, final long fromMs, final long untilMs) {
-        emptied.add(new World.Span(what, fromMs, untilMs));
+    public void emptied(final String what, final long fromMs, final long untilMs) {
+        emptied.add(new SimulatedWorld.Span(what, fromMs, untilMs));
     }
 
     /** No four cores with state were up and joined. */
-    void unable(final long fromMs, final long untilMs, final boolean lost) {
-        unable.add(new World.Span("fleet", fromMs, untilMs + (lost ? Ability.RECOVER_LOST_MS : Ability.RECOVER_MS)));
+    public void unable(final long fromMs, final long untilMs, final boolean lost) {
+        unable.add(new SimulatedWorld.Span(
+                "fleet",
+                fromMs,
+                untilMs + (lost ? ExpectedAvailability.RECOVER_LOST_MS : ExpectedAvailability.RECOVER_MS)));
     }
 
     /** An upstream that came up cold. */
-    void cold(final String instance, final long atMs) {
+    public void cold(final String instance, final long atMs) {
         readyAtMs.put(instance, atMs);
     }
 
     /** Judges all of it; a window is looked at once its time is over. */
-    void end() throws IOException {
+    public void end() throws IOException {
         final List<Ledger.Began> began = fleet.ledger().began();
         final Map<String, List<Long>> begins = new HashMap<>();
         began.forEach(
@@ -91,8 +98,9 @@
         }
     }
 
-    private void spans(final List<World.Span> spans, final Rule rule, final Ledger.Began b, final String what) {
-        for (final World.Span span : spans) {
+    private void spans(
+            final List<SimulatedWorld.Span> spans, final Rule rule, final Ledger.Began b, final String what) {
+        for (final SimulatedWorld.Span span : spans) {
             if (span.what().equals(what) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
                 judge.check(
                         rule,
@@ -106,7 +114,7 @@
         final Map<String, Map<Long, Integer>> perSecond = new TreeMap<>();
         for (final Ledger.Began b : began) {
             final Long ready = readyAtMs.get(b.instance());
-            if (ready != null && b.atMs() - ready < World.WARMUP_MS) {
+            if (ready != null && b.atMs() - ready < SimulatedWorld.WARMUP_MS) {
                 perSecond
                         .computeIfAbsent(b.instance(), i -> new TreeMap<>())
                         .merge((b.atMs() - ready) / 1000, 1, Integer::sum);
--- a/proof/src/main/java/spokestall/proof/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.verdict;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -11,24 +11,25 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import spokestall.wire.Header;
+import spokestall.message.Header;
+import spokestall.testbed.simulation.SimulatedWorld;
 
 /** Judges a run from outside, from what callers, upstreams and the platform saw. */
-final class Judge {
+public final class Judge {
     /** What came of one rule: how often it was looked at, how often broken, and the closest it came (1 = at the bound). */
-    static final class Tally {
-        long checks;
-        long broken;
-        double worst;
-        String worstWhat = "";
-        String first = "";
+    public static final class Tally {
+        public long checks;
+        public long broken;
+        public double worst;
+        public String worstWhat = "";
+        public String first = "";
     }
 
     private final LongSupplier nowMs;
     private final Consumer<String> trace;
     private final Map<Rule, Tally> tallies = new EnumMap<>(Rule.class);
 
-    Judge(final LongSupplier nowMs, final Consumer<String> trace) {
+    public Judge(final LongSupplier nowMs, final Consumer<String> trace) {
         this.nowMs = nowMs;
         this.trace = trace;
         for (final Rule rule : Rule.values()) {
@@ -36,16 +37,16 @@
         }
     }
 
-    Map<Rule, Tally> tallies() {
+    public Map<Rule, Tally> tallies() {
         return tallies;
     }
 
-    void violated(final Rule rule, final String what) {
+    public void violated(final Rule rule, final String what) {
         check(rule, 2, what);
     }
 
     /** One look at a rule: share is how much of the bound was used up; above 1 it is broken. */
-    void check(final Rule rule, final double share, final String what) {
+    public void check(final Rule rule, final double share, final String what) {
         final Tally t = tallies.get(rule);
         t.checks++;
         if (share > t.worst) {
@@ -62,7 +63,7 @@
     }
 
     /** Judges the whole ledger at the end of a run. */
-    void end(final World world) {
+    public void end(final SimulatedWorld world) {
         once(world);
         told(world);
         begun(world);
@@ -71,10 +72,10 @@
         reports(world);
     }
 
-    private void once(final World w) {
+    private void once(final SimulatedWorld w) {
         final Map<String, Integer> runs = new HashMap<>();
-        for (final World.Begun b : w.begun) {
-            final World.Asked asked = w.asked.get(b.askId());
+        for (final SimulatedWorld.Begun b : w.begun) {
+            final SimulatedWorld.Asked asked = w.asked.get(b.askId());
             if (asked != null && asked.kind.runOnce()) {
                 runs.merge(b.askId(), 1, Integer::sum);
             }
@@ -82,14 +83,14 @@
         runs.forEach((id, n) -> check(Rule.ONCE, n > 1 ? n : 0.5, id + " ran " + n + " times"));
     }
 
-    private void told(final World w) {
+    private void told(final SimulatedWorld w) {
         final Map<String, List<Long>> begins = new HashMap<>();
-        for (final World.Begun b : w.begun) {
+        for (final SimulatedWorld.Begun b : w.begun) {
             begins.computeIfAbsent(b.askId(), i -> new ArrayList<>()).add(b.atMs());
         }
-        for (final World.Told t : w.told) {
-            final World.Asked asked = w.asked.get(t.askId());
-            if (t.ran() == spokestall.edge.Ran.NOT_RUN) {
+        for (final SimulatedWorld.Told t : w.told) {
+            final SimulatedWorld.Asked asked = w.asked.get(t.askId());
+            if (t.ran() == spokestall.proxy.ExecutionStatus.NOT_RUN) {
                 boolean broken = false;
                 for (final long at : begins.getOrDefault(t.askId(), List.of())) {
                     // A begin after the answer is the caller's own later go at it, if there was one before that begin.
@@ -100,7 +101,7 @@
                         Rule.NOT_RUN,
                         broken ? 2 : 0,
                         t.askId() + " told not run at " + t.atMs() + " begun at " + begins.get(t.askId()));
-            } else if (t.ran() == spokestall.edge.Ran.RAN) {
+            } else if (t.ran() == spokestall.proxy.ExecutionStatus.RAN) {
                 final boolean ran = begins.containsKey(t.askId());
                 final String want = "answer to " + t.askId() + " by " + t.instance();
                 final String body =
@@ -116,15 +117,15 @@
         }
     }
 
-    private void begun(final World w) {
-        for (final World.Begun b : w.begun) {
-            final World.Asked asked = w.asked.get(b.askId());
+    private void begun(final SimulatedWorld w) {
+        for (final SimulatedWorld.Begun b : w.begun) {
+            final SimulatedWorld.Asked asked = w.asked.get(b.askId());
             final List<String> home = w.home(asked.kind.tenant());
             check(
                     Rule.HOME,
                     home.contains(b.region()) && home.contains(b.edgeRegion()) ? 0 : 2,
                     b.askId() + " of " + asked.kind.tenant() + " in " + b.edgeRegion() + " and " + b.region());
-            for (final World.Span span : w.withdrawn) {
+            for (final SimulatedWorld.Span span : w.withdrawn) {
                 if (span.what().equals(asked.kind.key()) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
                     check(
                             Rule.KEY,
@@ -132,7 +133,7 @@
                             b.askId() + " with " + span.what() + " " + (b.atMs() - span.fromMs()) + " ms after");
                 }
             }
-            for (final World.Span span : w.emptied) {
+            for (final SimulatedWorld.Span span : w.emptied) {
                 final boolean there = span.what().equals(b.instance())
                         || span.what().equals(b.district())
                         || span.what().equals(b.edgeDistrict());
@@ -144,19 +145,19 @@
                 }
             }
         }
-        for (final World.Span span : w.withdrawn) {
+        for (final SimulatedWorld.Span span : w.withdrawn) {
             check(Rule.KEY, 0, span.what());
         }
-        for (final World.Span span : w.emptied) {
+        for (final SimulatedWorld.Span span : w.emptied) {
             check(Rule.LEAVING, 0, span.what());
         }
     }
 
     /** In each second of its warm-up, at most one and a half times the ramp, plus a few. */
-    private void cold(final World w) {
+    private void cold(final SimulatedWorld w) {
         final Map<String, Map<Long, Integer>> perSecond = new HashMap<>();
-        for (final World.Begun b : w.begun) {
-            if (b.ageMs() < World.WARMUP_MS) {
+        for (final SimulatedWorld.Begun b : w.begun) {
+            if (b.ageMs() < SimulatedWorld.WARMUP_MS) {
                 perSecond
                         .computeIfAbsent(b.instance() + "@" + (b.atMs() - b.ageMs()), i -> new TreeMap<>())
                         .merge(b.ageMs() / 1000, 1, Integer::sum);
@@ -170,11 +171,11 @@
 
     /** The most that a cold upstream may get in that second of its warm-up. */
     static double rampMost(final long second) {
-        return 1.5 * World.WARM_PER_S * (second + 1) * 1000 / World.WARMUP_MS + Rule.COLD.few;
+        return 1.5 * SimulatedWorld.WARM_PER_S * (second + 1) * 1000 / SimulatedWorld.WARMUP_MS + Rule.COLD.few;
     }
 
-    private void retries(final World w) {
-        final Map<String, List<World.Gone>> byService = new TreeMap<>();
+    private void retries(final SimulatedWorld w) {
+        final Map<String, List<SimulatedWorld.Gone>> byService = new TreeMap<>();
         w.goes.forEach(g ->
                 byService.computeIfAbsent(g.service(), s -> new ArrayList<>()).add(g));
         byService.forEach((service, goes) -> {
@@ -182,7 +183,7 @@
             int first = 0;
             int again = 0;
             for (int to = 0; to < goes.size(); to++) {
-                final World.Gone g = goes.get(to);
+                final SimulatedWorld.Gone g = goes.get(to);
                 first += g.turn() == 1 ? 1 : 0;
                 again += g.turn() > 1 ? 1 : 0;
                 while (g.atMs() - goes.get(from).atMs() > Rule.RETRIES.nearMs) {
@@ -198,7 +199,7 @@
         });
     }
 
-    private void reports(final World w) {
+    private void reports(final SimulatedWorld w) {
         final Map<Long, Map<String, Long>> counts = new HashMap<>();
         final Map<Long, String> holderOf = new HashMap<>();
         long newest = 0;
@@ -219,7 +220,7 @@
                     r.token() >= newest ? 0 : 2,
                     r.holder() + " with " + r.token() + " at " + r.atMs() + " after " + newest);
             newest = Math.max(newest, r.token());
-            final long endMs = (r.window() + 1) * World.WINDOW_MS - World.EPOCH_MS;
+            final long endMs = (r.window() + 1) * SimulatedWorld.WINDOW_MS - SimulatedWorld.EPOCH_MS;
             if (firstOf.putIfAbsent(r.window(), r.atMs()) == null) {
                 check(
                         Rule.IN_TIME,
@@ -228,10 +229,11 @@
             }
         }
         final Map<Long, Map<String, Long>> truth = new TreeMap<>();
-        w.begun.forEach(b -> truth.computeIfAbsent((World.EPOCH_MS + b.atMs()) / World.WINDOW_MS, x -> new TreeMap<>())
+        w.begun.forEach(b -> truth.computeIfAbsent(
+                        (SimulatedWorld.EPOCH_MS + b.atMs()) / SimulatedWorld.WINDOW_MS, x -> new TreeMap<>())
                 .merge(w.asked.get(b.askId()).kind.tenant(), 1L, Long::sum));
         truth.forEach((window, real) -> {
-            final long endMs = (window + 1) * World.WINDOW_MS - World.EPOCH_MS;
+            final long endMs = (window + 1) * SimulatedWorld.WINDOW_MS - SimulatedWorld.EPOCH_MS;
             if (endMs + Rule.IN_TIME.nearMs > nowMs.getAsLong()) {
                 return;
             }
@@ -242,7 +244,7 @@
                 }
                 return;
             }
-            if (!w.ability.forgot(endMs - World.WINDOW_MS, firstOf.get(window))) {
+            if (!w.ability.forgot(endMs - SimulatedWorld.WINDOW_MS, firstOf.get(window))) {
                 counted(window, real, said);
             }
         });
--- a/proof/src/main/java/spokestall/proof/Ledger.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Ledger.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.verdict;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,19 +18,19 @@
     private final List<Began> began = new ArrayList<>();
     private final List<Reported> reported = new ArrayList<>();
 
-    synchronized void began(final Began b) {
+    public synchronized void began(final Began b) {
         began.add(b);
     }
 
-    synchronized void reported(final Reported r) {
+    public synchronized void reported(final Reported r) {
         reported.add(r);
     }
 
-    synchronized List<Began> began() {
+    public synchronized List<Began> began() {
         return List.copyOf(began);
     }
 
-    synchronized List<Reported> reported() {
+    public synchronized List<Reported> reported() {
         return List.copyOf(reported);
     }
 
--- a/proof/src/main/java/spokestall/proof/Rule.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Rule.java
@@ -1,7 +1,7 @@
-package spokestall.proof;
+package spokestall.testbed.verdict;
 
 /** What must never happen, one by one, with the bounds that the judge goes by; docs/never.md has the same table. */
-enum Rule {
+public enum Rule {
     ONCE("a run-once ask runs twice", 0, 0, 0),
     NOT_RUN("told not run about an ask that ran", 0, 0, 0),
     OWN_ANSWER("an answer that is not the upstream's own, whole answer to that ask", 0, 0, 0),
@@ -17,9 +17,9 @@
 
     final String text;
     /** The nearer end of what the users allow, which the judge goes by, and the farther one. */
-    final int nearMs;
+    public final int nearMs;
 
-    final int farMs;
+    public final int farMs;
     /** How many are let go beyond a share: what the product itself allows, or asks at the edges of a window. */
     final int few;
 
--- a/proof/src/test/java/spokestall/proof/HistoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/ChangeHistoryTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of changes with cores coming back all along: what a core grows to is bounded, and how it comes back too. */
-class HistoryTest {
+class ChangeHistoryTest {
     private static final long CATCH_UP_MS = 4000;
 
     @BeforeAll
@@ -19,7 +19,7 @@
 
     @Test
     void manyLargeChangesLeaveRoomAndCoresComeBackInTime() {
-        final History history = new History(1, List.of(10, 60, 200), 4, 9000);
+        final ChangeHistory history = new ChangeHistory(1, List.of(10, 60, 200), 4, 9000);
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
         assertThat(history.lost()).isEmpty();
         assertThat(history.rows()).hasSize(3).allSatisfy(row -> {
@@ -32,7 +32,7 @@
 
     @Test
     void largeChangesAloneLeaveRoom() {
-        final History history = new History(3, List.of(20, 60), 1, 9000);
+        final ChangeHistory history = new ChangeHistory(3, List.of(20, 60), 1, 9000);
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
         assertThat(history.lost()).isEmpty();
         assertThat(history.rows()).allSatisfy(row -> assertThat(row.ringFill()).isLessThan(0.7));
@@ -42,7 +42,7 @@
 
     @Test
     void manySmallChangesLeaveRoomAndCoresComeBackInTime() {
-        final History history = new History(2, List.of(100, 700), 50, 200);
+        final ChangeHistory history = new ChangeHistory(2, List.of(100, 700), 50, 200);
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
         assertThat(history.lost()).isEmpty();
         assertThat(history.backs())
--- a/proof/src/test/java/spokestall/proof/KnownRed.java
+++ b/testbed/src/test/java/spokestall/testbed/KnownRed.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /** The lines of KNOWN-RED.txt: what is red for a real fault that is not mended yet. A run passes over just these. */
-final class KnownRed {
+public final class KnownRed {
     private KnownRed() {}
 
     /** Those of one test, without its name. */
-    static List<String> of(final String test) {
+    public static List<String> of(final String test) {
         final Path file = Path.of("..", "KNOWN-RED.txt");
         try {
             return !Files.exists(file)
--- a/proof/src/test/java/spokestall/proof/PlantTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fault;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,30 +13,34 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.simulation.Scenario;
+import spokestall.testbed.simulation.ScenarioSweep;
+import spokestall.testbed.verdict.Rule;
 
 /** A judge that can't find anything is worth nothing: with a fault planted, each rule must be seen to break. */
-class PlantTest {
-    private record Case(Rule rule, Plant plant, Scenario scenario, long seeds) {}
+class InjectedFaultTest {
+    private record Case(Rule rule, InjectedFault plant, Scenario scenario, long seeds) {}
 
     private static final List<Case> CASES = List.of(
-            new Case(Rule.ONCE, Plant.LYING_DISK, Scenario.RESTART_ALL, 1),
-            new Case(Rule.NOT_RUN, Plant.LOST_AS_NOT_SENT, Scenario.BROWNOUT, 8),
-            new Case(Rule.OWN_ANSWER, Plant.GARBAGE_PASSED, Scenario.BAD_ANSWERS, 1),
-            new Case(Rule.KEY, Plant.OLD_PROOFS, Scenario.CUTS, 8),
-            new Case(Rule.POLICY, Plant.OLD_PROOFS, Scenario.CUTS, 1),
-            new Case(Rule.LEAVING, Plant.SELDOM_PROBES, Scenario.ROLLING, 8),
-            new Case(Rule.HOME, Plant.WRONG_REGIONS, Scenario.CALM, 1),
-            new Case(Rule.COLD, Plant.UNDIVIDED, Scenario.COLD_RETURN, 1),
-            new Case(Rule.RETRIES, Plant.FREE_RETRIES, Scenario.BROWNOUT, 1),
-            new Case(Rule.SAME_COUNTS, Plant.LYING_DISK, Scenario.BLINK, 1),
-            new Case(Rule.TOKEN, Plant.NO_LAST_LOOK, Scenario.FREEZE_AT_SEND, 4),
-            new Case(Rule.IN_TIME, Plant.LATE_REPORTS, Scenario.REGION_KILL, 2),
+            new Case(Rule.ONCE, InjectedFault.LYING_DISK, Scenario.RESTART_ALL, 1),
+            new Case(Rule.NOT_RUN, InjectedFault.LOST_AS_NOT_SENT, Scenario.BROWNOUT, 8),
+            new Case(Rule.OWN_ANSWER, InjectedFault.GARBAGE_PASSED, Scenario.BAD_ANSWERS, 1),
+            new Case(Rule.KEY, InjectedFault.OLD_PROOFS, Scenario.CUTS, 8),
+            new Case(Rule.POLICY, InjectedFault.OLD_PROOFS, Scenario.CUTS, 1),
+            new Case(Rule.LEAVING, InjectedFault.SELDOM_PROBES, Scenario.ROLLING, 8),
+            new Case(Rule.HOME, InjectedFault.WRONG_REGIONS, Scenario.CALM, 1),
+            new Case(Rule.COLD, InjectedFault.UNDIVIDED, Scenario.COLD_RETURN, 1),
+            new Case(Rule.RETRIES, InjectedFault.FREE_RETRIES, Scenario.BROWNOUT, 1),
+            new Case(Rule.SAME_COUNTS, InjectedFault.LYING_DISK, Scenario.BLINK, 1),
+            new Case(Rule.TOKEN, InjectedFault.NO_LAST_LOOK, Scenario.FREEZE_AT_SEND, 4),
+            new Case(Rule.IN_TIME, InjectedFault.LATE_REPORTS, Scenario.REGION_KILL, 2),
             // What an earlier judge let pass.
-            new Case(Rule.IN_TIME, Plant.SWAPPED_TENANTS, Scenario.CALM, 1),
-            new Case(Rule.IN_TIME, Plant.DEAF_PLATFORM, Scenario.LOSSY, 1),
-            new Case(Rule.OWN_ANSWER, Plant.OTHERS_HEADERS, Scenario.CALM, 1),
-            new Case(Rule.HOME, Plant.KEPT_ABROAD, Scenario.CALM, 1),
-            new Case(Rule.LEAVING, Plant.SLOW_LEAVING, Scenario.ROLLING, 4));
+            new Case(Rule.IN_TIME, InjectedFault.SWAPPED_TENANTS, Scenario.CALM, 1),
+            new Case(Rule.IN_TIME, InjectedFault.DEAF_PLATFORM, Scenario.LOSSY, 1),
+            new Case(Rule.OWN_ANSWER, InjectedFault.OTHERS_HEADERS, Scenario.CALM, 1),
+            new Case(Rule.HOME, InjectedFault.KEPT_ABROAD, Scenario.CALM, 1),
+            new Case(Rule.LEAVING, InjectedFault.SLOW_LEAVING, Scenario.ROLLING, 4));
 
     @Test
     void eachRuleIsSeenToBreakUnderItsPlantedFault() throws Exception {
@@ -51,7 +55,7 @@
                 of.add(c);
                 runs.add(pool.submit(() -> {
                     final Set<Rule> broken = EnumSet.noneOf(Rule.class);
-                    Sweep.one(s, Deployment.PADMA, c.scenario, c.plant)
+                    ScenarioSweep.one(s, Deployment.PADMA, c.scenario, c.plant)
                             .tallies()
                             .forEach((rule, t) -> {
                                 if (t.broken > 0) {
--- a/proof/src/test/java/spokestall/proof/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,6 +10,11 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.simulation.Scenario;
+import spokestall.testbed.simulation.SimulatedNode;
+import spokestall.testbed.simulation.SimulationRun;
 
 /** Whatever has gone, a node that is in contact with a majority has edges to name to callers. */
 class DirectoryTest {
@@ -26,14 +31,14 @@
 
     /** The longest that any node had a fresh proof and nothing to name, by node. */
     private static Map<String, Long> longestWithout(final Scenario scenario, final long seed) {
-        final SimRun run = new SimRun(seed, Deployment.PADMA, scenario, false, Plant.NONE);
+        final SimulationRun run = new SimulationRun(seed, Deployment.PADMA, scenario, false, InjectedFault.NONE);
         final Map<String, Long> sinceMs = new HashMap<>();
         final Map<String, Long> longestMs = new TreeMap<>();
         final Runnable look = new Runnable() {
             @Override
             public void run() {
                 final long nowMs = run.world.sim.nowMs();
-                for (final SimNode node : run.world.nodes.values()) {
+                for (final SimulatedNode node : run.world.nodes.values()) {
                     final boolean without = node.running()
                             && node.node().directory().edges().isEmpty()
                             && !node.node().leaving()
--- a/proof/src/test/java/spokestall/proof/CallersTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,10 +16,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spokestall.policy.KeyHash;
+import spokestall.configuration.KeyHash;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.standin.RawUpstream;
 
 /** What a caller sends and gets, byte by byte, through a real core and a real edge to an upstream made of bytes. */
-class CallersTest {
+class FleetClientsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = "key-one-0001";
     private static final int PLACES = 16;
@@ -71,9 +73,9 @@
         up.reset();
     }
 
-    private static RawCaller.Got ask(final String method, final String target, final String more) throws IOException {
-        try (RawCaller caller = new RawCaller(edge)) {
-            caller.send(RawCaller.head(method, target, KEY, RawCaller.freshId()) + more + "\r\n");
+    private static RawClient.Got ask(final String method, final String target, final String more) throws IOException {
+        try (RawClient caller = new RawClient(edge)) {
+            caller.send(RawClient.head(method, target, KEY, RawClient.freshId()) + more + "\r\n");
             return caller.got(method.equals("HEAD"));
         }
     }
@@ -154,14 +156,14 @@
                 "http://edge/transfers/payout",
                 "transfers/payout",
                 "*")) {
-            final RawCaller.Got got = ask("GET", target, "");
+            final RawClient.Got got = ask("GET", target, "");
             assertThat(got == null ? 400 : got.status()).as(target).isEqualTo(400);
             assertThat(got == null || got.code() == null ? "2014" : got.code())
                     .as(target)
                     .isEqualTo("2014");
         }
         for (final String line : List.of("CONNECT edge:80", "TRACE /transfers/a")) {
-            final RawCaller.Got got = ask(line.split(" ")[0], line.split(" ")[1], "");
+            final RawClient.Got got = ask(line.split(" ")[0], line.split(" ")[1], "");
             assertThat(got == null ? 400 : got.status()).as(line).isBetween(400, 499);
         }
         nothingCame();
@@ -175,7 +177,7 @@
                 + "Cache-Control: max-age=60\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nLocation: /transfers/9\r\n"
                 + "Connection: X-Hop, keep-alive\r\nX-Hop: no\r\nKeep-Alive: timeout=9\r\nProxy-Authenticate: Basic\r\n"
                 + "Spokestall-Code: 9999\r\nSpokestall-Outcome: ran\r\nSpokestall-Other: x\r\n\r\nok");
-        final RawCaller.Got got = ask(
+        final RawClient.Got got = ask(
                 "GET",
                 "/transfers/a",
                 "Accept: text/calendar\r\nAccept-Language: de\r\n"
@@ -227,17 +229,17 @@
                 .path("result")
                 .path("ticket")
                 .asText();
-        final List<RawCaller.Got> got = new ArrayList<>();
-        try (RawCaller caller = new RawCaller(edge)) {
-            caller.send(RawCaller.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
+        final List<RawClient.Got> got = new ArrayList<>();
+        try (RawClient caller = new RawClient(edge)) {
+            caller.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                     + "Content-Length: 2\r\n\r\nhi");
             got.add(caller.got());
         }
         assertThat(got.get(0).code()).isEqualTo("1000");
         came();
         Fleet.until("the repeat finds the recorded answer", 5000, () -> {
-            try (RawCaller caller = new RawCaller(edge)) {
-                caller.send(RawCaller.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
+            try (RawClient caller = new RawClient(edge)) {
+                caller.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                         + "Content-Length: 2\r\n\r\nhi");
                 got.add(caller.got());
                 return "1001".equals(got.get(got.size() - 1).code());
@@ -245,7 +247,7 @@
                 throw new IllegalStateException(e);
             }
         });
-        final RawCaller.Got last = got.get(got.size() - 1);
+        final RawClient.Got last = got.get(got.size() - 1);
         assertThat(last.status()).isEqualTo(201);
         assertThat(last.header("Location")).isEqualTo("/transfers/7");
         assertThat(last.all("Set-Cookie")).containsExactly("a=1", "b=2");
@@ -258,25 +260,25 @@
     void answersWithoutBodyAndInterimOnesAreFramedRight() throws Exception {
         up.manner =
                 (c, out) -> out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + "Content-Length: 5000\r\n\r\n");
-        final RawCaller.Got head = ask("HEAD", "/transfers/a", "");
+        final RawClient.Got head = ask("HEAD", "/transfers/a", "");
         assertThat(head.status()).isEqualTo(200);
         assertThat(head.header("Content-Length")).isEqualTo("5000");
         up.manner = (c, out) -> out.write("HTTP/1.1 204 No Content\r\n" + RawUpstream.names(c) + "\r\n");
-        try (RawCaller caller = new RawCaller(edge)) {
-            caller.send(RawCaller.head("DELETE", "/transfers/a", KEY, RawCaller.freshId()) + "\r\n");
-            final RawCaller.Got none = caller.got();
+        try (RawClient caller = new RawClient(edge)) {
+            caller.send(RawClient.head("DELETE", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
+            final RawClient.Got none = caller.got();
             assertThat(none.status()).isEqualTo(204);
             assertThat(none.header("Content-Length")).isNull();
             up.manner = (c, out) ->
                     out.write("HTTP/1.1 304 Not Modified\r\nETag: \"v1\"\r\n" + RawUpstream.names(c) + "\r\n");
-            caller.send(RawCaller.head("GET", "/transfers/a", KEY, RawCaller.freshId()) + "\r\n");
-            final RawCaller.Got same = caller.got();
+            caller.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
+            final RawClient.Got same = caller.got();
             assertThat(same.status()).isEqualTo(304);
             assertThat(same.header("ETag")).isEqualTo("\"v1\"");
             up.manner = (c, out) -> out.write("HTTP/1.1 206 Partial Content\r\nContent-Range: bytes 0-1/9\r\n"
                     + RawUpstream.names(c) + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n");
-            caller.send(RawCaller.head("GET", "/transfers/a", KEY, RawCaller.freshId()) + "\r\n");
-            final RawCaller.Got part = caller.got();
+            caller.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
+            final RawClient.Got part = caller.got();
             assertThat(part.status()).isEqualTo(206);
             assertThat(part.header("Content-Range")).isEqualTo("bytes 0-1/9");
             assertThat(part.body()).isEqualTo("ab");
@@ -285,7 +287,7 @@
             out.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
             RawUpstream.well(c, out);
         };
-        final RawCaller.Got after = ask("GET", "/transfers/a", "");
+        final RawClient.Got after = ask("GET", "/transfers/a", "");
         assertThat(after.status())
                 .as("never an interim answer as the final one")
                 .isEqualTo(502);
@@ -308,10 +310,10 @@
                 "Content-Length: -1\r\n\r\n",
                 "Content-Length : 3\r\n\r\nabc",
                 "Host: other\r\n\r\n")) {
-            try (RawCaller caller = new RawCaller(edge)) {
-                caller.send(RawCaller.head("POST", "/transfers/a", KEY, RawCaller.freshId()) + framing
+            try (RawClient caller = new RawClient(edge)) {
+                caller.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + framing
                         + "GET /transfers/smuggled HTTP/1.1\r\n\r\n");
-                final RawCaller.Got got = caller.got();
+                final RawClient.Got got = caller.got();
                 assertThat(got == null ? 400 : got.status()).as(framing).isEqualTo(400);
                 assertThat(caller.ended()).as(framing).isTrue();
             }
@@ -335,28 +337,28 @@
                 out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + framing);
                 out.close();
             };
-            final RawCaller.Got got = ask("GET", "/transfers/a", "");
+            final RawClient.Got got = ask("GET", "/transfers/a", "");
             assertThat(got.status()).as(framing).isEqualTo(502);
             assertThat(got.code()).as(framing).isEqualTo("3001");
             up.manner = RawUpstream::well;
-            Fleet.until("the upstream is used again", 8000, CallersTest::usable);
+            Fleet.until("the upstream is used again", 8000, FleetClientsTest::usable);
         }
     }
 
     @Test
     void aCallerThatAsksMaySendItsBodyIsToldSoOnceItIsLetIn() throws Exception {
         final String expecting = "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n";
-        try (RawCaller caller = new RawCaller(edge)) {
+        try (RawClient caller = new RawClient(edge)) {
             for (int i = 0; i < 2; i++) {
-                caller.send(RawCaller.head("POST", "/transfers/a", KEY, RawCaller.freshId()) + expecting);
+                caller.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + expecting);
                 assertThat(caller.got().status()).isEqualTo(100);
                 caller.send("body");
                 assertThat(caller.got().status()).isEqualTo(200);
                 assertThat(came().body()).isEqualTo("body");
             }
         }
-        try (RawCaller caller = new RawCaller(edge)) {
-            caller.send(RawCaller.head("POST", "/transfers/a", "no-such-key", RawCaller.freshId()) + expecting);
+        try (RawClient caller = new RawClient(edge)) {
+            caller.send(RawClient.head("POST", "/transfers/a", "no-such-key", RawClient.freshId()) + expecting);
             assertThat(caller.got().status()).as("denied without its body").isEqualTo(401);
             assertThat(caller.ended())
                     .as("what comes next could be the body or another ask")
@@ -375,12 +377,12 @@
 
     @Test
     void callersThatStopInMidBodyLoseTheirPlacesAtTheDeadline() throws Exception {
-        final List<RawCaller> halves = new ArrayList<>();
+        final List<RawClient> halves = new ArrayList<>();
         try {
             for (int i = 0; i < PLACES; i++) {
-                final RawCaller half = new RawCaller(edge);
+                final RawClient half = new RawClient(edge);
                 halves.add(half);
-                half.send(RawCaller.head("POST", "/transfers/a", KEY, RawCaller.freshId())
+                half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
                                 .replace("4000", "1500") + "Content-Length: 100\r\n\r\nabc");
             }
             // Another tenant has a place though one has taken all it can, and so has the one itself once they are over.
@@ -391,13 +393,13 @@
                                     .path("open")
                                     .asInt()
                             > 2);
-            try (RawCaller other = new RawCaller(edge)) {
-                other.send(RawCaller.head("GET", "/transfers/a", "key-two-0001", RawCaller.freshId()) + "\r\n");
+            try (RawClient other = new RawClient(edge)) {
+                other.send(RawClient.head("GET", "/transfers/a", "key-two-0001", RawClient.freshId()) + "\r\n");
                 assertThat(other.got().status()).isEqualTo(200);
             }
             int late = 0;
-            for (final RawCaller half : halves) {
-                final RawCaller.Got got = half.got();
+            for (final RawClient half : halves) {
+                final RawClient.Got got = half.got();
                 assertThat(got.code()).isIn("2006", "2009");
                 assertThat(got.header("Retry-After")).isNotNull();
                 late += got.code().equals("2006") ? 1 : 0;
@@ -407,7 +409,7 @@
             assertThat(fleet.status(fleet.members().get("d1-edge")).path("open").asInt())
                     .isZero();
         } finally {
-            for (final RawCaller half : halves) {
+            for (final RawClient half : halves) {
                 half.close();
             }
         }
@@ -417,8 +419,8 @@
     @Test
     void callersThatLeaveInMidBodyLoseTheirPlacesAtOnce() throws Exception {
         for (int i = 0; i < PLACES; i++) {
-            try (RawCaller half = new RawCaller(edge)) {
-                half.send(RawCaller.head("POST", "/transfers/a", KEY, RawCaller.freshId())
+            try (RawClient half = new RawClient(edge)) {
+                half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
                                 .replace("4000", "25000") + "Content-Length: 100\r\n\r\nabc");
             }
         }
@@ -435,8 +437,8 @@
             out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + "Content-Length: 8000000\r\n\r\n");
             out.write("x".repeat(8_000_000));
         };
-        try (RawCaller deaf = new RawCaller(edge)) {
-            deaf.send(RawCaller.head("GET", "/transfers/a", KEY, RawCaller.freshId()) + "\r\n");
+        try (RawClient deaf = new RawClient(edge)) {
+            deaf.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
             came();
             Fleet.until("the place is given back while the answer waits", 5000, () -> {
                 final JsonNode s = fleet.status(fleet.members().get("d1-edge"));
@@ -468,10 +470,10 @@
                 up.manner = manner;
                 ask("GET", "/transfers/a", "");
                 up.manner = RawUpstream::well;
-                final String id = RawCaller.freshId();
-                try (RawCaller caller = new RawCaller(edge)) {
-                    caller.send(RawCaller.head("GET", "/transfers/b", KEY, id) + "\r\n");
-                    final RawCaller.Got got = caller.got();
+                final String id = RawClient.freshId();
+                try (RawClient caller = new RawClient(edge)) {
+                    caller.send(RawClient.head("GET", "/transfers/b", KEY, id) + "\r\n");
+                    final RawClient.Got got = caller.got();
                     assertThat(got.body()).as("turn " + i + " " + got).isEqualTo("answer to " + id);
                     assertThat(got.header("Spokestall-Goes"))
                             .as("no go was lost to what an earlier one left")
@@ -480,9 +482,9 @@
             }
         }
         up.early = true;
-        try (RawCaller caller = new RawCaller(edge)) {
+        try (RawClient caller = new RawClient(edge)) {
             final String body = "x".repeat(60_000);
-            caller.send(RawCaller.head("POST", "/transfers/a", KEY, RawCaller.freshId())
+            caller.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
                     + "Content-Length: 60000\r\n\r\n" + body);
             assertThat(caller.got().status()).isIn(200, 502);
         }
@@ -497,13 +499,13 @@
             }
         };
         final long fromNs = System.nanoTime();
-        final RawCaller.Got slow = ask("GET", "/transfers/a", "");
+        final RawClient.Got slow = ask("GET", "/transfers/a", "");
         assertThat(slow.code()).isEqualTo("3001");
         assertThat((System.nanoTime() - fromNs) / 1_000_000)
                 .as("ends with the go's span")
                 .isLessThan(8000);
         up.reset();
-        Fleet.until("the upstream is used again", 8000, CallersTest::usable);
+        Fleet.until("the upstream is used again", 8000, FleetClientsTest::usable);
     }
 
     @Test
@@ -521,7 +523,7 @@
         };
         assertThat(ask("GET", "/transfers/a", "").status()).isEqualTo(503);
         final int first = came().wire();
-        Fleet.until("asks reach the right instance on another wire", 8000, CallersTest::usable);
+        Fleet.until("asks reach the right instance on another wire", 8000, FleetClientsTest::usable);
         RawUpstream.Came last = came();
         while (up.came.peek() != null) {
             last = came();
@@ -556,11 +558,11 @@
                                 .path("version")
                                 .asLong()
                         >= added);
-        try (RawCaller open = new RawCaller(edge);
-                RawCaller half = new RawCaller(edge)) {
-            open.send(RawCaller.head("GET", "/transfers/a", "key-gone-0001", RawCaller.freshId()) + "\r\n");
+        try (RawClient open = new RawClient(edge);
+                RawClient half = new RawClient(edge)) {
+            open.send(RawClient.head("GET", "/transfers/a", "key-gone-0001", RawClient.freshId()) + "\r\n");
             assertThat(open.got().status()).isEqualTo(200);
-            half.send(RawCaller.head("POST", "/transfers/a", "key-gone-0001", RawCaller.freshId())
+            half.send(RawClient.head("POST", "/transfers/a", "key-gone-0001", RawClient.freshId())
                             .replace("4000", "20000")
                     + "Content-Length: 4\r\n\r\nab");
             Fleet.until(
@@ -586,10 +588,10 @@
             up.came.clear();
             half.send("cd");
             assertThat(half.got().code()).isEqualTo("2002");
-            final String one = RawCaller.head("GET", "/transfers/a", "key-gone-0001", RawCaller.freshId()) + "\r\n";
+            final String one = RawClient.head("GET", "/transfers/a", "key-gone-0001", RawClient.freshId()) + "\r\n";
             open.send(one + one + one);
             for (int i = 0; i < 3; i++) {
-                final RawCaller.Got got = open.got();
+                final RawClient.Got got = open.got();
                 assertThat(got.status()).isEqualTo(401);
                 assertThat(got.code()).isEqualTo("2002");
             }
--- a/proof/src/test/java/spokestall/proof/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,8 +16,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spokestall.audit.Chain;
-import spokestall.rim.AuditFiles;
+import spokestall.audit.AuditChain;
+import spokestall.io.AuditFiles;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.verdict.FleetJudge;
+import spokestall.testbed.verdict.Rule;
 
 /** Real processes: a fleet in which a core and an edge are killed while asks flow. */
 class FleetTest {
@@ -69,7 +72,7 @@
             final List<String> lines =
                     Files.readAllLines(AuditFiles.files(audit).get(0));
             final ECKey key = ECKey.parse(Files.readString(audit.resolve("public.jwk")));
-            assertThat(Chain.check(key, lines, true)).isInstanceOf(Chain.Verdict.Good.class);
+            assertThat(AuditChain.check(key, lines, true)).isInstanceOf(AuditChain.Verdict.Good.class);
             assertThat(lines.stream()
                             .map(l -> new String(
                                     Base64.getUrlDecoder().decode(l.split("\\.")[1]), StandardCharsets.UTF_8))
--- a/proof/src/test/java/spokestall/proof/TrafficTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,9 +8,15 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.simulation.MessageTraffic;
+import spokestall.testbed.simulation.Scenario;
+import spokestall.testbed.simulation.SimulatedNode;
+import spokestall.testbed.simulation.SimulatedWorld;
 
 /** What control sends between regions is the dearest thing, so it has bounds. The figures are in measurements.md. */
-class TrafficTest {
+class FleetTrafficTest {
     private static final Map<String, String> SPARING = Map.of(
             "probes",
             "0",
@@ -30,13 +36,13 @@
         Logger.getLogger("").setLevel(Level.OFF);
     }
 
-    private static double of(final Map<String, Traffic.Sum> sums, final String... kinds) {
-        return Traffic.regionsPerNode(sums, kinds);
+    private static double of(final Map<String, MessageTraffic.Sum> sums, final String... kinds) {
+        return MessageTraffic.regionsPerNode(sums, kinds);
     }
 
     @Test
     void atRestControlIsSmall() {
-        final Map<String, Traffic.Sum> rest = Traffic.of(1, Deployment.PADMA, false, Map.of());
+        final Map<String, MessageTraffic.Sum> rest = MessageTraffic.of(1, Deployment.PADMA, false, Map.of());
         assertThat(of(rest, "ProofAsk", "ProofBack")).isLessThan(900);
         assertThat(of(rest, "FeedAsk", "FeedBack")).isLessThan(900);
         assertThat(of(rest, "Counts", "CountsHad")).isLessThan(40);
@@ -46,18 +52,18 @@
         assertThat(of(rest, "Shuffle")).isLessThan(600);
         assertThat(rest.get("ProofAsk").bytes() / rest.get("ProofAsk").notes).isLessThan(60);
         assertThat(rest.get("ProofBack").bytes() / rest.get("ProofBack").notes).isLessThan(70);
-        final Map<String, Traffic.Sum> sparing = Traffic.of(1, Deployment.PADMA, false, SPARING);
+        final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, false, SPARING);
         assertThat(of(sparing) - of(sparing, "Standing")).isLessThan(1500);
         assertThat(of(sparing, "Push")).isLessThan(20);
     }
 
     @Test
     void withAsksCountsAreSmall() {
-        final Map<String, Traffic.Sum> asks = Traffic.of(1, Deployment.PADMA, true, Map.of());
+        final Map<String, MessageTraffic.Sum> asks = MessageTraffic.of(1, Deployment.PADMA, true, Map.of());
         assertThat(of(asks, "Counts", "CountsHad")).isLessThan(3500);
         assertThat(of(asks, "ProofAsk", "ProofBack", "FeedAsk", "FeedBack", "Push", "Shuffle"))
                 .isLessThan(3400);
-        final Map<String, Traffic.Sum> sparing = Traffic.of(1, Deployment.PADMA, true, SPARING);
+        final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, true, SPARING);
         assertThat(of(sparing, "Counts", "CountsHad")).isLessThan(1200);
     }
 
@@ -65,12 +71,13 @@
     @Test
     void aNodeThatIsGoneIsForgottenAndAFreshOneIsKnownByAllSoon() {
         for (long seed = 1; seed <= 3; seed++) {
-            final World world = new World(seed, Deployment.VERDE, false, Plant.NONE, Scenario.CALM, Map.of());
-            for (final SimNode node : world.nodes.values()) {
+            final SimulatedWorld world =
+                    new SimulatedWorld(seed, Deployment.VERDE, false, InjectedFault.NONE, Scenario.CALM, Map.of());
+            for (final SimulatedNode node : world.nodes.values()) {
                 world.sim.after(world.sim.random(node.name).nextInt(1500), node::start);
             }
             world.sim.run(30_000);
-            final SimNode one = world.nodes.get("d3-edge");
+            final SimulatedNode one = world.nodes.get("d3-edge");
             assertThat(knowing(world, one.name)).isEqualTo(11);
             one.kill();
             world.sim.run(30_000 + 16_000);
@@ -82,9 +89,9 @@
         }
     }
 
-    private static int knowing(final World world, final String name) {
+    private static int knowing(final SimulatedWorld world, final String name) {
         final int[] found = {0};
-        for (final SimNode node : world.nodes.values()) {
+        for (final SimulatedNode node : world.nodes.values()) {
             if (!node.name.equals(name)) {
                 world.call(
                         node,
--- a/proof/src/test/java/spokestall/proof/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -10,75 +10,84 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import spokestall.ballot.Voter;
-import spokestall.policy.Draft;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.change.ChangeDraft;
+import spokestall.consensus.Acceptor;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.simulation.Scenario;
+import spokestall.testbed.simulation.SimulatedNode;
+import spokestall.testbed.simulation.SimulatedWorld;
 
 /** A simulated fleet without callers whose operators' calls a test makes one by one. */
-final class OperatorFleet {
-    static final ObjectMapper JSON = new ObjectMapper();
+public final class OperatorFleet {
+    public static final ObjectMapper JSON = new ObjectMapper();
     private static final long STEP_MS = 5;
     private static final long REPLY_MS = 5000;
-    final World world;
+    public final SimulatedWorld world;
 
     /** A call's reply, once it has come. */
-    static final class Call {
-        Reply reply;
+    public static final class Call {
+        public Reply reply;
         long repliedMs;
 
-        Result result() {
+        public ResultCode result() {
             return reply == null ? null : reply.result();
         }
     }
 
-    OperatorFleet(final long seed, final Deployment deployment) {
-        this(seed, deployment, Plant.NONE);
+    public OperatorFleet(final long seed, final Deployment deployment) {
+        this(seed, deployment, InjectedFault.NONE);
     }
 
-    OperatorFleet(final long seed, final Deployment deployment, final Plant plant) {
+    public OperatorFleet(final long seed, final Deployment deployment, final InjectedFault plant) {
         this(seed, deployment, plant, Map.of());
     }
 
-    OperatorFleet(final long seed, final Deployment deployment, final Plant plant, final Map<String, String> settings) {
+    public OperatorFleet(
+            final long seed,
+            final Deployment deployment,
+            final InjectedFault plant,
+            final Map<String, String> settings) {
         Logger.getLogger("").setLevel(Level.OFF);
-        world = new World(seed, deployment, false, plant, Scenario.CALM, settings);
+        world = new SimulatedWorld(seed, deployment, false, plant, Scenario.CALM, settings);
     }
 
     /** Starts all nodes and puts the deployment's policy. */
-    OperatorFleet begun() {
-        world.nodes.values().forEach(SimNode::start);
+    public OperatorFleet begun() {
+        world.nodes.values().forEach(SimulatedNode::start);
         fresh();
         final ObjectNode params = JSON.createObjectNode();
         params.set("policy", world.policy());
-        final SimNode core = world.cores().get(0);
+        final SimulatedNode core = world.cores().get(0);
         until("the first policy is accepted", 10_000, () -> {
             params.put("base", version(core)).put("changeId", "first");
-            return done(core, "policy.put", params).result() == Result.OK;
+            return done(core, "policy.put", params).result() == ResultCode.OK;
         });
         return this;
     }
 
     /** Waits until every node is up and proved fresh, and every core votes. */
-    void fresh() {
+    public void fresh() {
         until("all nodes are fresh", 30_000, () -> nodes().stream().allMatch(OperatorFleet::able));
     }
 
-    private static boolean able(final SimNode node) {
+    private static boolean able(final SimulatedNode node) {
         return node.running()
                 && node.node().follower().fresh()
-                && (!node.core || node.node().voter().state() == Voter.State.VOTING);
+                && (!node.core || node.node().voter().state() == Acceptor.State.VOTING);
     }
 
-    long nowMs() {
+    public long nowMs() {
         return world.sim.nowMs();
     }
 
-    void run(final long spanMs) {
+    public void run(final long spanMs) {
         world.sim.run(nowMs() + spanMs);
     }
 
-    void until(final String what, final long mostMs, final BooleanSupplier so) {
+    public void until(final String what, final long mostMs, final BooleanSupplier so) {
         final long endMs = nowMs() + mostMs;
         while (!so.getAsBoolean()) {
             if (nowMs() > endMs) {
@@ -96,36 +105,45 @@
     }
 
     /** Makes a call and does not wait for its reply. */
-    Call call(final SimNode to, final String method, final JsonNode params) {
+    Call call(final SimulatedNode to, final String method, final JsonNode params) {
         final Call call = new Call();
         world.call(to, method, params, into(call));
         return call;
     }
 
     /** Gives an order without a base of its own, as a platform's calls do. */
-    void agree(
-            final SimNode to, final String changeId, final Draft draft, final long waitMs, final Consumer<Reply> done) {
+    public void agree(
+            final SimulatedNode to,
+            final String changeId,
+            final ChangeDraft draft,
+            final long waitMs,
+            final Consumer<Reply> done) {
         to.run(to.life(), () -> to.node().acceptance().agree(changeId, draft, waitMs, done));
     }
 
     /** Gives an order made against a base, at any node. */
-    void take(final SimNode to, final long base, final String changeId, final Draft draft, final Consumer<Reply> done) {
+    public void take(
+            final SimulatedNode to,
+            final long base,
+            final String changeId,
+            final ChangeDraft draft,
+            final Consumer<Reply> done) {
         to.run(to.life(), () -> to.node().acceptance().take(base, changeId, draft, done));
     }
 
     /** Gives an order made against a base and waits for its reply. */
-    Call taken(final SimNode to, final long base, final String changeId, final Draft draft) {
+    public Call taken(final SimulatedNode to, final long base, final String changeId, final ChangeDraft draft) {
         final Call call = new Call();
         take(to, base, changeId, draft, into(call));
         return waited(call);
     }
 
-    List<SimNode> nodes() {
+    public List<SimulatedNode> nodes() {
         return List.copyOf(world.nodes.values());
     }
 
     /** Makes a call and waits for its reply. */
-    Call done(final SimNode to, final String method, final JsonNode params) {
+    public Call done(final SimulatedNode to, final String method, final JsonNode params) {
         return waited(call(to, method, params));
     }
 
@@ -137,20 +155,20 @@
         return call;
     }
 
-    static long version(final SimNode node) {
+    public static long version(final SimulatedNode node) {
         return node.node().book().policy().version();
     }
 
-    long newestVersion() {
+    public long newestVersion() {
         return world.nodes.values().stream()
-                .filter(SimNode::up)
+                .filter(SimulatedNode::up)
                 .mapToLong(OperatorFleet::version)
                 .max()
                 .orElse(0);
     }
 
     /** A patch that adds one binding. */
-    ObjectNode bind(final long base, final String changeId, final String path) {
+    public ObjectNode bind(final long base, final String changeId, final String path) {
         final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", changeId);
         params.putObject("patch")
                 .putObject("cells")
@@ -165,7 +183,7 @@
     }
 
     /** A key call on a tenant. */
-    static ObjectNode key(final long base, final String changeId, final int tenant, final String keyId) {
+    public static ObjectNode key(final long base, final String changeId, final int tenant, final String keyId) {
         return JSON.createObjectNode()
                 .put("base", base)
                 .put("changeId", changeId)
@@ -174,8 +192,8 @@
                 .put("keyId", keyId);
     }
 
-    List<SimNode> othersThan(final SimNode node) {
-        final List<SimNode> others = new ArrayList<>(world.nodes.values());
+    public List<SimulatedNode> othersThan(final SimulatedNode node) {
+        final List<SimulatedNode> others = new ArrayList<>(world.nodes.values());
         others.remove(node);
         return others;
     }
--- a/proof/src/test/java/spokestall/proof/RawCaller.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/RawClient.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -10,7 +10,7 @@
 import java.util.Locale;
 
 /** A caller made of bytes, on one wire. */
-final class RawCaller implements AutoCloseable {
+final class RawClient implements AutoCloseable {
     /** One answer as it came. */
     record Got(int status, List<String> headers, String body) {
         String header(final String name) {
@@ -35,7 +35,7 @@
     private final Socket socket;
     private final InputStream in;
 
-    RawCaller(final String to) throws IOException {
+    RawClient(final String to) throws IOException {
         final int colon = to.indexOf(':');
         socket = new Socket(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1)));
         socket.setTcpNoDelay(true);
--- a/proof/src/test/java/spokestall/proof/SignalsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.fleet;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,7 +16,9 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spokestall.policy.KeyHash;
+import spokestall.configuration.KeyHash;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.standin.RawUpstream;
 
 /** What signals do to a real process that serves on kept connections. */
 class SignalsTest {
@@ -57,8 +59,8 @@
         fleet.close();
     }
 
-    private static RawCaller.Got ask(final RawCaller caller) throws IOException {
-        caller.send(RawCaller.head("GET", TARGET, KEY, RawCaller.freshId()) + "\r\n");
+    private static RawClient.Got ask(final RawClient caller) throws IOException {
+        caller.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
         return caller.got();
     }
 
@@ -90,7 +92,7 @@
     void aHangupHasTheSettingsReadAnewAndCutsNothing() throws Exception {
         for (final String name : List.of("d1-edge", "d1-core")) {
             final Fleet.Member member = fleet.members().get(name);
-            try (RawCaller caller = new RawCaller(fleet.members().get("d1-edge").http)) {
+            try (RawClient caller = new RawClient(fleet.members().get("d1-edge").http)) {
                 assertThat(ask(caller).status()).isEqualTo(200);
                 change(member, "whereS", "3");
                 signal(member, "HUP");
@@ -117,7 +119,7 @@
     /** The member takes no more connections; what was open before goes on. */
     private static void untilRefused(final Fleet.Member member) {
         Fleet.until(member.name + " takes no more connections", 5000, () -> {
-            try (RawCaller late = new RawCaller(member.http)) {
+            try (RawClient late = new RawClient(member.http)) {
                 return false;
             } catch (final IOException refused) {
                 return true;
@@ -134,16 +136,16 @@
     @Test
     void aStopAnswersWhatComesOnKeptConnectionsAndEndsThemWithTheAnswer() throws Exception {
         final Fleet.Member member = fleet.members().get("d2-edge");
-        try (RawCaller first = new RawCaller(member.http);
-                RawCaller second = new RawCaller(member.http);
-                RawCaller atRest = new RawCaller(member.http)) {
-            for (final RawCaller caller : List.of(first, second, atRest)) {
+        try (RawClient first = new RawClient(member.http);
+                RawClient second = new RawClient(member.http);
+                RawClient atRest = new RawClient(member.http)) {
+            for (final RawClient caller : List.of(first, second, atRest)) {
                 assertThat(ask(caller).status()).isEqualTo(200);
             }
             signal(member, "TERM");
             untilRefused(member);
-            for (final RawCaller caller : List.of(first, second)) {
-                final RawCaller.Got got = ask(caller);
+            for (final RawClient caller : List.of(first, second)) {
+                final RawClient.Got got = ask(caller);
                 assertThat(got).as("an answer, not a cut").isNotNull();
                 assertThat(got.status()).isEqualTo(200);
                 assertThat(got.header("Connection")).isEqualTo("close");
@@ -159,13 +161,13 @@
     void aRequestThatIsUnderWayAtTheEndOfAStopIsAnswered() throws Exception {
         final Fleet.Member member = fleet.members().get("d1-edge");
         final CountDownLatch over = new CountDownLatch(1);
-        try (RawCaller caller = new RawCaller(member.http)) {
+        try (RawClient caller = new RawClient(member.http)) {
             upstream.manner = (came, out) -> over.await();
             upstream.came.clear();
-            caller.send(RawCaller.head("GET", TARGET, KEY, RawCaller.freshId()) + "\r\n");
+            caller.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
             assertThat(upstream.next(5000)).isNotNull();
             signal(member, "TERM");
-            final RawCaller.Got got = caller.got();
+            final RawClient.Got got = caller.got();
             assertThat(got).as("an answer, not a cut").isNotNull();
             assertThat(got.status()).isEqualTo(503);
             assertThat(got.header("Spokestall-Outcome")).isEqualTo("undecided");
--- a/proof/src/test/java/spokestall/proof/ScaleTest.java
+++ b/testbed/src/test/java/spokestall/testbed/scale/ScaleTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.scale;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,6 +10,8 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import spokestall.testbed.Main;
+import spokestall.testbed.verdict.Rule;
 
 /** The harness at scale, on few nodes for a short while. */
 class ScaleTest {
--- a/proof/src/test/java/spokestall/proof/ConcurrentOrdersTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/ConcurrentChangesTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,12 +9,14 @@
 import java.util.Random;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import spokestall.policy.Change;
-import spokestall.policy.Draft;
-import spokestall.rpc.Result;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.change.ChangeDraft;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fleet.OperatorFleet;
 
 /** How long eight orders that are given at once, at eight nodes far from each other, wait for their acknowledgement. */
-class ConcurrentOrdersTest {
+class ConcurrentChangesTest {
     private static final int ORDERS = 8;
     private static final int SEEDS = 20;
     private static final long CALL_MS = 950;
@@ -38,10 +40,10 @@
             this.begunMs = fleet.nowMs();
         }
 
-        void send(final SimNode to) {
+        void send(final SimulatedNode to) {
             calls++;
             fleet.agree(to, id, draft(), CALL_MS, reply -> {
-                if (reply.result() == Result.OK) {
+                if (reply.result() == ResultCode.OK) {
                     doneMs = fleet.nowMs();
                 } else {
                     fleet.world.sim.after(PAUSE_MS * calls, () -> send(fleet.world.any(fleet.nodes(), random)));
@@ -50,9 +52,9 @@
         }
 
         /** A change that fits on whatever is newest, as a hold does. */
-        private Draft draft() {
+        private ChangeDraft draft() {
             final ObjectNode patch = (ObjectNode) fleet.bind(0, id, id).get("patch");
-            return tree -> new Draft.Drafted.Write(Change.Kind.PATCH, patch);
+            return tree -> new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         }
 
         long waitedMs() {
@@ -68,7 +70,7 @@
             final long oneWayMs = fleet.world.deployment.apartMs;
             fleet.nodes().forEach(n -> fleet.world.net.slow(n.address, oneWayMs / 4));
             final Random random = new Random(seed);
-            final List<SimNode> nodes = new ArrayList<>(fleet.nodes());
+            final List<SimulatedNode> nodes = new ArrayList<>(fleet.nodes());
             Collections.shuffle(nodes, random);
             final long before = fleet.newestVersion();
             final List<Order> orders = new ArrayList<>();
--- a/proof/src/test/java/spokestall/proof/OlderDiskTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OlderDiskTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,8 +8,10 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import spokestall.ballot.Seat;
-import spokestall.ballot.Voter;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.Voter;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
 
 /** A core whose disk was put back to an older state has forgotten what it promised: it may not vote by its old seat. */
 class OlderDiskTest {
@@ -20,10 +22,11 @@
         Logger.getLogger("").setLevel(Level.OFF);
     }
 
-    private static World world(final long seed) {
-        final World world = new World(seed, Deployment.PADMA, false, Plant.NONE, Scenario.CALM, Map.of());
-        final SimOperator operator = new SimOperator(world);
-        world.nodes.values().forEach(SimNode::start);
+    private static SimulatedWorld world(final long seed) {
+        final SimulatedWorld world =
+                new SimulatedWorld(seed, Deployment.PADMA, false, InjectedFault.NONE, Scenario.CALM, Map.of());
+        final SimulatedOperator operator = new SimulatedOperator(world);
+        world.nodes.values().forEach(SimulatedNode::start);
         world.sim.after(2000, () -> operator.first(() -> {}));
         world.sim.run(12_000);
         for (int i = 0; i < 20; i++) {
@@ -33,9 +36,9 @@
     }
 
     /** Something befalls the disk of a core while it is down; whether the core votes by that disk's identity again. */
-    private static void bring(final long seed, final Consumer<SimDisk> what) {
-        final World world = world(seed);
-        final SimNode core = world.any(world.cores(), world.sim.random("older"));
+    private static void bring(final long seed, final Consumer<SimulatedDisk> what) {
+        final SimulatedWorld world = world(seed);
+        final SimulatedNode core = world.any(world.cores(), world.sim.random("older"));
         final byte[][] older = core.disk.copy();
         world.sim.run(22_000);
         final String before = core.node().voter().diskId();
@@ -47,13 +50,13 @@
         for (long atMs = 23_000; atMs < 23_000 + CATCH_UP_MS; atMs += 5) {
             world.sim.run(atMs);
             assertThat(core.node().voter().diskId().equals(before)
-                            && core.node().voter().state() == Voter.State.VOTING
+                            && core.node().voter().state() == Acceptor.State.VOTING
                             && core.node().votes())
                     .as("seed %s votes as before %s ms after its start", seed, atMs - 23_000)
                     .isFalse();
         }
-        assertThat(core.node().voter().state()).as("seed %s", seed).isEqualTo(Voter.State.VOTING);
-        final Seat seat = core.node().voter().voters().seat(core.name);
+        assertThat(core.node().voter().state()).as("seed %s", seed).isEqualTo(Acceptor.State.VOTING);
+        final Voter seat = core.node().voter().voters().seat(core.name);
         assertThat(seat.diskId()).isEqualTo(core.node().voter().diskId()).isNotEqualTo(before);
         assertThat(core.node().follower().fresh()).isTrue();
     }
@@ -68,16 +71,16 @@
     @Test
     void aCoreThatIsMerelyRestartedKeepsItsIdentity() {
         for (long seed = 1; seed <= 5; seed++) {
-            final World world = world(seed);
+            final SimulatedWorld world = world(seed);
             world.sim.run(22_000);
-            final SimNode core = world.any(world.cores(), world.sim.random("older"));
+            final SimulatedNode core = world.any(world.cores(), world.sim.random("older"));
             final String before = core.node().voter().diskId();
             core.losePower();
             world.sim.run(23_000);
             core.start();
             world.sim.run(23_000 + CATCH_UP_MS);
             assertThat(core.node().voter().diskId()).isEqualTo(before);
-            assertThat(core.node().voter().state()).isEqualTo(Voter.State.VOTING);
+            assertThat(core.node().voter().state()).isEqualTo(Acceptor.State.VOTING);
         }
     }
 }
--- a/proof/src/test/java/spokestall/proof/OperatorRepliesFormatTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,13 +12,15 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fleet.OperatorFleet;
 
 /** The replies to operators and callers as a whole fleet gives them: every field's name and kind, against literals. */
 class OperatorRepliesFormatTest {
     private static final ObjectNode NOTHING = OperatorFleet.JSON.createObjectNode();
     private OperatorFleet fleet;
-    private SimNode core;
-    private SimNode edge;
+    private SimulatedNode core;
+    private SimulatedNode edge;
 
     @BeforeEach
     void begin() {
@@ -34,11 +36,11 @@
         }
     }
 
-    private JsonNode reply(final SimNode to, final String method, final JsonNode params) {
+    private JsonNode reply(final SimulatedNode to, final String method, final JsonNode params) {
         return fleet.done(to, method, params).reply.json();
     }
 
-    private List<String> fields(final SimNode to, final String method, final JsonNode params) {
+    private List<String> fields(final SimulatedNode to, final String method, final JsonNode params) {
         final Collection<String> found = new TreeSet<>();
         describe("", reply(to, method, params), found);
         return new ArrayList<>(found);
--- a/proof/src/test/java/spokestall/proof/RepeatedOrderTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RepeatedChangeTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,13 +9,16 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import spokestall.policy.Change;
-import spokestall.policy.Draft;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.change.ChangeDraft;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.fleet.OperatorFleet;
 
 /** Orders that race on one base, and orders that come again: one is confirmed, always, everywhere, and never two. */
-class RepeatedOrderTest {
+class RepeatedChangeTest {
     private static final int RACERS = 8;
     private static final int ROUNDS = 5;
     private static final int SEEDS = 8;
@@ -29,7 +32,7 @@
         private final Random random;
         private final String id;
         private final long base;
-        private Result told;
+        private ResultCode told;
         private long version;
         private int calls;
 
@@ -40,12 +43,12 @@
             this.base = base;
         }
 
-        private Draft draft() {
+        private ChangeDraft draft() {
             final ObjectNode patch = (ObjectNode) fleet.bind(base, id, id).get("patch");
-            return tree -> new Draft.Drafted.Write(Change.Kind.PATCH, patch);
+            return tree -> new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         }
 
-        void send(final SimNode to) {
+        void send(final SimulatedNode to) {
             final int call = ++calls;
             fleet.world.sim.after(SILENCE_MS, () -> {
                 if (told == null && calls == call) {
@@ -60,7 +63,7 @@
         }
 
         private void hear(final Reply reply) {
-            if (told == null && (reply.result() == Result.OK || reply.result() == Result.STALE_BASE)) {
+            if (told == null && (reply.result() == ResultCode.OK || reply.result() == ResultCode.STALE_BASE)) {
                 told = reply.result();
                 version = reply.fields().path("version").asLong();
             }
@@ -77,18 +80,18 @@
             for (int round = 0; round < ROUNDS; round++) {
                 final List<Order> racers = race(fleet, random, "s" + seed + "r" + round);
                 final List<Order> won =
-                        racers.stream().filter(o -> o.told == Result.OK).toList();
+                        racers.stream().filter(o -> o.told == ResultCode.OK).toList();
                 assertThat(won).as("seed %s, round %s", seed, round).hasSize(1);
                 confirmed.put(won.get(0).id, won.get(0));
-                racers.stream().filter(o -> o.told != Result.OK).forEach(beaten::add);
+                racers.stream().filter(o -> o.told != ResultCode.OK).forEach(beaten::add);
             }
-            sendAgain(fleet, confirmed.values(), Result.OK);
-            fleet.nodes().forEach(SimNode::losePower);
+            sendAgain(fleet, confirmed.values(), ResultCode.OK);
+            fleet.nodes().forEach(SimulatedNode::losePower);
             fleet.run(200);
-            fleet.nodes().forEach(SimNode::start);
+            fleet.nodes().forEach(SimulatedNode::start);
             fleet.fresh();
-            sendAgain(fleet, confirmed.values(), Result.OK);
-            sendAgain(fleet, beaten.subList(0, 2), Result.STALE_BASE);
+            sendAgain(fleet, confirmed.values(), ResultCode.OK);
+            sendAgain(fleet, beaten.subList(0, 2), ResultCode.STALE_BASE);
         }
     }
 
@@ -96,7 +99,7 @@
     private static List<Order> race(final OperatorFleet fleet, final Random random, final String name) {
         fleet.fresh();
         final long base = fleet.newestVersion();
-        final List<SimNode> nodes = new ArrayList<>(fleet.nodes());
+        final List<SimulatedNode> nodes = new ArrayList<>(fleet.nodes());
         java.util.Collections.shuffle(nodes, random);
         final List<Order> racers = new ArrayList<>();
         for (int i = 0; i < RACERS; i++) {
@@ -104,10 +107,10 @@
             racers.add(order);
             order.send(nodes.get(i));
         }
-        final SimNode dying = nodes.get(random.nextInt(RACERS));
+        final SimulatedNode dying = nodes.get(random.nextInt(RACERS));
         fleet.world.sim.after(random.nextInt(300), dying::losePower);
         fleet.world.sim.after(1500, dying::start);
-        final SimNode cut = nodes.get(random.nextInt(RACERS));
+        final SimulatedNode cut = nodes.get(random.nextInt(RACERS));
         fleet.world.sim.after(
                 random.nextInt(300),
                 () -> fleet.othersThan(cut).forEach(o -> fleet.world.net.cut(cut.address, o.address, true)));
@@ -117,14 +120,14 @@
         return racers;
     }
 
-    private static void sendAgain(final OperatorFleet fleet, final Iterable<Order> orders, final Result right) {
+    private static void sendAgain(final OperatorFleet fleet, final Iterable<Order> orders, final ResultCode right) {
         for (final Order order : orders) {
-            for (final SimNode node : fleet.nodes()) {
+            for (final SimulatedNode node : fleet.nodes()) {
                 final OperatorFleet.Call call = fleet.taken(node, order.base, order.id, order.draft());
                 assertThat(call.result())
                         .as(order.id + " again at " + node.name)
                         .isEqualTo(right);
-                if (right == Result.OK) {
+                if (right == ResultCode.OK) {
                     assertThat(call.reply.fields().path("version").asLong()).isEqualTo(order.version);
                 }
             }
@@ -135,40 +138,40 @@
     void aConfirmedOrderIsConfirmedAgainAfterHundredsOfOthersAndRestartsAndALostMajority() {
         final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).begun();
         final Order first = followedByHundreds(fleet);
-        sendAgain(fleet, List.of(first), Result.OK);
+        sendAgain(fleet, List.of(first), ResultCode.OK);
         blank(fleet.world.cores().subList(2, 3));
         fleet.fresh();
-        sendAgain(fleet, List.of(first), Result.OK);
+        sendAgain(fleet, List.of(first), ResultCode.OK);
         blank(fleet.world.cores().subList(0, 4));
         fleet.run(2000);
         fleet.fresh();
-        sendAgain(fleet, List.of(first), Result.OK);
+        sendAgain(fleet, List.of(first), ResultCode.OK);
     }
 
     /** Beyond the stated bound, ten minutes and 512 orders, it is stale: by then no one sends it again. */
     @Test
     void anOrderWhoseTimeIsOverIsForgottenAndThisIsSeen() {
-        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA, Plant.LEAPING_CHANGES).begun();
+        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA, InjectedFault.LEAPING_CHANGES).begun();
         final Order first = followedByHundreds(fleet);
-        final SimNode edge = fleet.world.edges().get(0);
+        final SimulatedNode edge = fleet.world.edges().get(0);
         assertThat(fleet.taken(edge, first.base, first.id, first.draft()).result())
-                .isEqualTo(Result.STALE_BASE);
+                .isEqualTo(ResultCode.STALE_BASE);
     }
 
     private static Order followedByHundreds(final OperatorFleet fleet) {
         final Order first = new Order(fleet, new Random(1), "first-of-many", fleet.newestVersion());
         first.send(fleet.nodes().get(0));
-        fleet.until("it is confirmed", 5000, () -> first.told == Result.OK);
+        fleet.until("it is confirmed", 5000, () -> first.told == ResultCode.OK);
         for (int i = 0; i < LATER_CHANGES; i++) {
-            final SimNode at = fleet.world.cores().get(i % 3);
+            final SimulatedNode at = fleet.world.cores().get(i % 3);
             final OperatorFleet.Call call =
                     fleet.done(at, "policy.patch", fleet.bind(fleet.newestVersion(), "later-" + i, "l" + i % 20));
-            assertThat(call.result()).isEqualTo(Result.OK);
+            assertThat(call.result()).isEqualTo(ResultCode.OK);
         }
         return first;
     }
 
-    private static void blank(final List<SimNode> cores) {
+    private static void blank(final List<SimulatedNode> cores) {
         cores.forEach(c -> {
             c.losePower();
             c.disk.wipe();
--- a/proof/src/test/java/spokestall/proof/SimTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/SimulationTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,9 +13,13 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.KnownRed;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.verdict.Rule;
 
-/** A handful of fixed seeds of every scenario; the wide sweep is {@code bin/proof sim}. */
-class SimTest {
+/** A handful of fixed seeds of every scenario; the wide sweep is {@code bin/testbed sim}. */
+class SimulationTest {
     @BeforeAll
     static void quiet() {
         Logger.getLogger("").setLevel(Level.OFF);
@@ -25,26 +29,30 @@
     void noRuleIsBrokenAndServiceComesBackInEveryScenario() throws Exception {
         final ExecutorService pool =
                 Executors.newFixedThreadPool(Math.max(2, Runtime.getRuntime().availableProcessors() - 1));
-        final List<Future<Sweep.Outcome>> runs = new ArrayList<>();
+        final List<Future<ScenarioSweep.Outcome>> runs = new ArrayList<>();
         for (final Scenario scenario : Scenario.sweep()) {
             for (final Deployment deployment : Deployment.values()) {
-                runs.add(pool.submit(() -> Sweep.one(4 + scenario.ordinal() % 3, deployment, scenario, Plant.NONE)));
+                runs.add(pool.submit(
+                        () -> ScenarioSweep.one(4 + scenario.ordinal() % 3, deployment, scenario, InjectedFault.NONE)));
             }
         }
         // Seeds that once broke a rule.
-        runs.add(pool.submit(() -> Sweep.one(305, Deployment.VERDE, Scenario.CUTS, Plant.NONE)));
-        runs.add(pool.submit(() -> Sweep.one(26, Deployment.PADMA, Scenario.DISKS_LOST, Plant.NONE)));
-        runs.add(pool.submit(() -> Sweep.one(5, Deployment.VERDE, Scenario.RESTART_IN_TURN, Plant.NONE)));
-        runs.add(pool.submit(() -> Sweep.one(26, Deployment.PADMA, Scenario.REGION_KILL, Plant.NONE)));
-        runs.add(pool.submit(() -> Sweep.one(201, Deployment.VERDE, Scenario.RESTART_IN_TURN, Plant.NONE)));
-        runs.add(pool.submit(() -> Sweep.one(5, Deployment.PADMA, Scenario.FREEZE_AT_SEND, Plant.NONE)));
+        runs.add(pool.submit(() -> ScenarioSweep.one(305, Deployment.VERDE, Scenario.CUTS, InjectedFault.NONE)));
+        runs.add(pool.submit(() -> ScenarioSweep.one(26, Deployment.PADMA, Scenario.DISKS_LOST, InjectedFault.NONE)));
+        runs.add(pool.submit(
+                () -> ScenarioSweep.one(5, Deployment.VERDE, Scenario.RESTART_IN_TURN, InjectedFault.NONE)));
+        runs.add(pool.submit(() -> ScenarioSweep.one(26, Deployment.PADMA, Scenario.REGION_KILL, InjectedFault.NONE)));
+        runs.add(pool.submit(
+                () -> ScenarioSweep.one(201, Deployment.VERDE, Scenario.RESTART_IN_TURN, InjectedFault.NONE)));
+        runs.add(
+                pool.submit(() -> ScenarioSweep.one(5, Deployment.PADMA, Scenario.FREEZE_AT_SEND, InjectedFault.NONE)));
         final Map<Rule, Long> checks = new EnumMap<>(Rule.class);
         final List<String> bad = new ArrayList<>();
-        for (final Future<Sweep.Outcome> run : runs) {
-            final Sweep.Outcome o = run.get();
-            final String again = Sweep.again(o.scenario(), o.deployment(), o.seed());
-            if (Sweep.notBack(o) != null) {
-                bad.add("not back, " + Sweep.notBack(o) + ": " + again);
+        for (final Future<ScenarioSweep.Outcome> run : runs) {
+            final ScenarioSweep.Outcome o = run.get();
+            final String again = ScenarioSweep.again(o.scenario(), o.deployment(), o.seed());
+            if (ScenarioSweep.notBack(o) != null) {
+                bad.add("not back, " + ScenarioSweep.notBack(o) + ": " + again);
             }
             o.tallies().forEach((rule, t) -> {
                 checks.merge(rule, t.checks, Long::sum);
@@ -80,7 +88,7 @@
         final String[] traces = new String[2];
         final long[] digests = new long[2];
         for (int i = 0; i < 2; i++) {
-            final SimRun run = new SimRun(11, Deployment.VERDE, Scenario.MIXED, true, Plant.NONE);
+            final SimulationRun run = new SimulationRun(11, Deployment.VERDE, Scenario.MIXED, true, InjectedFault.NONE);
             assertThat(run.play()).isTrue();
             traces[i] = run.world.sim.traced();
             digests[i] = run.world.sim.digest();
--- a/proof/src/test/java/spokestall/proof/LeftBehindTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,12 +11,15 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import spokestall.ballot.Voter;
-import spokestall.edge.Where;
-import spokestall.rpc.Result;
+import spokestall.api.ResultCode;
+import spokestall.consensus.Acceptor;
+import spokestall.proxy.EdgeSelector;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fault.InjectedFault;
+import spokestall.testbed.fleet.OperatorFleet;
 
 /** What a core that the majority has left behind answers its operators, and how soon it is back in touch. */
-class LeftBehindTest {
+class StaleNodeTest {
     private static final long CUT_MS = 20_000;
     private static final long CONTACT_MS = 5000;
     private static final int SEEDS = 6;
@@ -25,8 +28,8 @@
     /** How long a node that hears no one may still name edges. */
     private static final long NAMED_MS = 20_000;
     /** Answers that say nothing of the policy: come back, or ask elsewhere. */
-    private static final Set<Result> SAYS_NOTHING =
-            EnumSet.of(Result.NOT_READY, Result.UNDECIDED, Result.NOT_FRESH, Result.BUSY);
+    private static final Set<ResultCode> SAYS_NOTHING =
+            EnumSet.of(ResultCode.NOT_READY, ResultCode.UNDECIDED, ResultCode.NOT_FRESH, ResultCode.BUSY);
 
     /** How a core is set apart from the rest. */
     private enum Apart {
@@ -45,14 +48,14 @@
     @Test
     void aCoreThatIsLeftBehindSaysNothingThatTheMajorityWouldNotSay() {
         for (final Apart how : Apart.values()) {
-            IntStream.rangeClosed(1, SEEDS).forEach(seed -> play(seed, how, Plant.NONE));
+            IntStream.rangeClosed(1, SEEDS).forEach(seed -> play(seed, how, InjectedFault.NONE));
         }
         assertThat(wrong).isEmpty();
     }
 
     @Test
     void aCoreThatAnswersWithoutAProofIsSeen() {
-        play(1, Apart.BOTH_WAYS, Plant.FORGED_PROOFS);
+        play(1, Apart.BOTH_WAYS, InjectedFault.FORGED_PROOFS);
         assertThat(wrong).anyMatch(w -> w.contains("handed out")).anyMatch(w -> w.contains("STALE_BASE"));
     }
 
@@ -60,26 +63,27 @@
     @Test
     void aCutOffNodeLetsGoOfTheEdgesThatItCannotReachAndIsNotReady() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            final SimNode lone = namesNoneWhenCut(seed, Plant.NONE);
+            final SimulatedNode lone = namesNoneWhenCut(seed, InjectedFault.NONE);
             assertThat(lone).as("seed %s", seed).isNull();
         }
     }
 
     @Test
     void aNodeThatNamesEdgesWithoutAProofIsSeen() {
-        assertThat(namesNoneWhenCut(2, Plant.FORGED_PROOFS)).isNotNull();
+        assertThat(namesNoneWhenCut(2, InjectedFault.FORGED_PROOFS)).isNotNull();
     }
 
     /** The cut-off node that still names edges or is ready when it should not, or null. */
-    private static SimNode namesNoneWhenCut(final long seed, final Plant plant) {
+    private static SimulatedNode namesNoneWhenCut(final long seed, final InjectedFault plant) {
         final OperatorFleet fleet = new OperatorFleet(seed, Deployment.PADMA, plant, Map.of("alsoEdge", "1")).begun();
         final Random random = new Random(seed);
-        final SimNode lone = fleet.nodes().get(random.nextInt(fleet.nodes().size()));
+        final SimulatedNode lone =
+                fleet.nodes().get(random.nextInt(fleet.nodes().size()));
         fleet.until(
                 "it names edges",
                 CONTACT_MS,
                 () -> named(lone) > 0 && lone.node().ready());
-        for (final SimNode other : fleet.othersThan(lone)) {
+        for (final SimulatedNode other : fleet.othersThan(lone)) {
             fleet.world.net.cut(other.address, lone.address, true);
             if (seed % 2 == 0) {
                 fleet.world.net.cut(lone.address, other.address, true);
@@ -97,23 +101,23 @@
         return null;
     }
 
-    private static int named(final SimNode node) {
-        return Where.near(node.node().directory().edges(), node.region, node.district)
+    private static int named(final SimulatedNode node) {
+        return EdgeSelector.near(node.node().directory().edges(), node.region, node.district)
                 .size();
     }
 
-    private void play(final long seed, final Apart how, final Plant plant) {
+    private void play(final long seed, final Apart how, final InjectedFault plant) {
         final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], plant).begun();
         final Random random = new Random(seed);
-        final List<SimNode> cores = fleet.world.cores();
-        final SimNode lone = cores.get(how == Apart.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
-        final SimNode other = cores.get((cores.indexOf(lone) + 1 + random.nextInt(5)) % 6);
+        final List<SimulatedNode> cores = fleet.world.cores();
+        final SimulatedNode lone = cores.get(how == Apart.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
+        final SimulatedNode other = cores.get((cores.indexOf(lone) + 1 + random.nextInt(5)) % 6);
         apart(fleet, lone, how, true);
         for (int turn = 0; turn < TURNS; turn++) {
             final String id = how + "-" + seed + "-" + turn;
             final ObjectNode added =
                     OperatorFleet.key(fleet.newestVersion(), id, 3, "k" + turn).put("key", "another-key-" + turn);
-            expect(id, fleet.done(other, "key.add", added), Result.OK);
+            expect(id, fleet.done(other, "key.add", added), ResultCode.OK);
             if (how == Apart.RESTARTED_WHILE_CUT && turn == 2) {
                 lone.kill();
                 fleet.run(500);
@@ -130,23 +134,23 @@
                 how + " " + seed + " is back in touch",
                 CONTACT_MS,
                 () -> lone.running()
-                        && lone.node().voter().state() == Voter.State.VOTING
+                        && lone.node().voter().state() == Acceptor.State.VOTING
                         && lone.node().follower().fresh()
                         && OperatorFleet.version(lone) == fleet.newestVersion());
-        expect(how + " back", fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode()), Result.OK);
+        expect(how + " back", fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode()), ResultCode.OK);
         expect(
                 how + " taken when back",
                 fleet.done(lone, "policy.patch", fleet.bind(fleet.newestVersion(), "back-" + seed, "back")),
-                Result.OK);
+                ResultCode.OK);
     }
 
     /** Nodes that start now are told of seeds the first of which is cut off from all. */
-    private void restartByTheSeeds(final OperatorFleet fleet, final SimNode lone, final SimNode other) {
-        final List<SimNode> again =
+    private void restartByTheSeeds(final OperatorFleet fleet, final SimulatedNode lone, final SimulatedNode other) {
+        final List<SimulatedNode> again =
                 List.of(fleet.world.edges().get(1), fleet.world.edges().get(4), other);
-        again.forEach(SimNode::kill);
+        again.forEach(SimulatedNode::kill);
         fleet.run(300);
-        again.forEach(SimNode::start);
+        again.forEach(SimulatedNode::start);
         fleet.until(
                 "nodes are back by the other seeds",
                 CONTACT_MS,
@@ -158,58 +162,62 @@
 
     /** Calls that the majority would take or answer otherwise than by what the lone core has. */
     private void askLone(
-            final OperatorFleet fleet, final SimNode lone, final SimNode other, final String id, final int turn) {
+            final OperatorFleet fleet,
+            final SimulatedNode lone,
+            final SimulatedNode other,
+            final String id,
+            final int turn) {
         if (!lone.running()) {
             return;
         }
         final long newest = fleet.newestVersion();
         final OperatorFleet.Call got = fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode());
-        if (got.result() == Result.OK && got.reply.fields().path("version").asLong() < newest) {
+        if (got.result() == ResultCode.OK && got.reply.fields().path("version").asLong() < newest) {
             wrong.add(id + " handed out " + got.reply.fields().path("version"));
-        } else if (got.result() != Result.OK && !SAYS_NOTHING.contains(got.result())) {
+        } else if (got.result() != ResultCode.OK && !SAYS_NOTHING.contains(got.result())) {
             wrong.add(id + " policy.get " + got.result());
         }
         nothingOr(
-                Result.OK,
+                ResultCode.OK,
                 id + " patch on the newest",
                 fleet.done(lone, "policy.patch", fleet.bind(newest, id + "-p", "p" + turn)));
         nothingOr(
-                Result.OK,
+                ResultCode.OK,
                 id + " withdraw of a key that the majority has",
                 fleet.done(lone, "key.withdraw", OperatorFleet.key(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
         nothingOr(
-                Result.OK,
+                ResultCode.OK,
                 id + " repeat of what the majority confirmed",
                 fleet.done(
                         lone, "key.add", OperatorFleet.key(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
         nothingOr(
-                Result.STALE_BASE,
+                ResultCode.STALE_BASE,
                 id + " patch on its own version",
                 fleet.done(lone, "policy.patch", fleet.bind(OperatorFleet.version(lone) - 1, id + "-s", "s" + turn)));
         final OperatorFleet.Call where = fleet.done(
                 lone,
                 "where",
                 OperatorFleet.JSON.createObjectNode().put("client", "c").put("key", "another-key-" + turn));
-        if (where.result() == Result.BAD_KEY
+        if (where.result() == ResultCode.BAD_KEY
                 && other.node().book().policy().tree().toString().contains("\"k" + turn + "\"")) {
             wrong.add(id + " where refused a key that the majority knows");
         }
     }
 
-    private void nothingOr(final Result right, final String what, final OperatorFleet.Call call) {
+    private void nothingOr(final ResultCode right, final String what, final OperatorFleet.Call call) {
         if (call.result() != right && !SAYS_NOTHING.contains(call.result())) {
             wrong.add(what + ": " + call.result());
         }
     }
 
-    private void expect(final String what, final OperatorFleet.Call call, final Result right) {
+    private void expect(final String what, final OperatorFleet.Call call, final ResultCode right) {
         if (call.result() != right) {
             wrong.add(what + ": " + call.result());
         }
     }
 
-    private static void apart(final OperatorFleet fleet, final SimNode lone, final Apart how, final boolean now) {
-        for (final SimNode other : fleet.othersThan(lone)) {
+    private static void apart(final OperatorFleet fleet, final SimulatedNode lone, final Apart how, final boolean now) {
+        for (final SimulatedNode other : fleet.othersThan(lone)) {
             switch (how) {
                 case BOTH_WAYS, RESTARTED_WHILE_CUT, FIRST_SEED_CUT ->
                     fleet.world.net.cutBoth(lone.address, other.address, now);
