--- a/proof/src/test/java/spokestall/proof/WaitingOrderTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,29 +7,31 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import spokestall.policy.Change;
-import spokestall.policy.Draft;
-import spokestall.rpc.Reply;
-import spokestall.rpc.Result;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.change.ChangeDraft;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fleet.OperatorFleet;
 
 /** Orders without an id of their own that wait at a node that stands still, while they are given and undone elsewhere. */
-class WaitingOrderTest {
+class WaitingChangeTest {
     private static final int SEEDS = 20;
     private static final long WAIT_MS = 950;
     private static final String DISTRICT = "d2";
 
-    private static Draft hold(final boolean begin) {
+    private static ChangeDraft hold(final boolean begin) {
         return tree -> {
             if (tree.path("holds").has(DISTRICT) == begin) {
-                return new Draft.Drafted.Already();
+                return new ChangeDraft.Drafted.Already();
             }
             final ObjectNode patch = OperatorFleet.JSON.createObjectNode();
             patch.putObject("holds").set(DISTRICT, begin ? OperatorFleet.JSON.createObjectNode() : NullNode.instance);
-            return new Draft.Drafted.Write(Change.Kind.PATCH, patch);
+            return new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         };
     }
 
-    private static OperatorFleet.Call ordered(final OperatorFleet fleet, final SimNode at, final boolean begin) {
+    private static OperatorFleet.Call ordered(final OperatorFleet fleet, final SimulatedNode at, final boolean begin) {
         final OperatorFleet.Call call = new OperatorFleet.Call();
         order(fleet, at, begin, reply -> call.reply = reply);
         fleet.until("a hold is settled", 3000, () -> call.reply != null);
@@ -38,14 +40,14 @@
 
     private static void order(
             final OperatorFleet fleet,
-            final SimNode at,
+            final SimulatedNode at,
             final boolean begin,
             final java.util.function.Consumer<Reply> done) {
         final String id = "hold-" + fleet.nowMs() + at.name;
         at.run(at.life(), () -> at.node().acceptance().takeUnnamed(id, hold(begin), WAIT_MS, done));
     }
 
-    private static List<SimNode> heldAt(final OperatorFleet fleet) {
+    private static List<SimulatedNode> heldAt(final OperatorFleet fleet) {
         return fleet.nodes().stream()
                 .filter(n -> n.node().book().policy().holds().contains(DISTRICT))
                 .toList();
@@ -57,21 +59,21 @@
             final Random random = new Random(seed);
             final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).begun();
             fleet.fresh();
-            final SimNode frozen =
+            final SimulatedNode frozen =
                     fleet.nodes().get(random.nextInt(fleet.nodes().size()));
-            final SimNode other = fleet.world.any(fleet.othersThan(frozen), random);
+            final SimulatedNode other = fleet.world.any(fleet.othersThan(frozen), random);
             if (seed % 2 == 0) {
                 frozen.freeze();
-                order(fleet, frozen, true, reply -> assertThat(reply.result()).isEqualTo(Result.NOT_READY));
+                order(fleet, frozen, true, reply -> assertThat(reply.result()).isEqualTo(ResultCode.NOT_READY));
             } else {
                 order(fleet, frozen, true, reply -> {});
                 fleet.run(random.nextInt(250));
                 frozen.freeze();
             }
             fleet.run(1000);
-            assertThat(ordered(fleet, other, true).result()).isEqualTo(Result.OK);
+            assertThat(ordered(fleet, other, true).result()).isEqualTo(ResultCode.OK);
             fleet.run(3000);
-            assertThat(ordered(fleet, other, false).result()).isEqualTo(Result.OK);
+            assertThat(ordered(fleet, other, false).result()).isEqualTo(ResultCode.OK);
             fleet.run(500);
             frozen.thaw();
             fleet.run(5000);
@@ -84,12 +86,12 @@
     void takenLikeAnOrderWithAnIdItWouldUndoIt() {
         final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).begun();
         fleet.fresh();
-        final SimNode frozen = fleet.nodes().get(3);
+        final SimulatedNode frozen = fleet.nodes().get(3);
         frozen.freeze();
         fleet.agree(frozen, "waited", hold(true), WAIT_MS, reply -> {});
-        assertThat(ordered(fleet, fleet.nodes().get(0), true).result()).isEqualTo(Result.OK);
+        assertThat(ordered(fleet, fleet.nodes().get(0), true).result()).isEqualTo(ResultCode.OK);
         fleet.run(3000);
-        assertThat(ordered(fleet, fleet.nodes().get(0), false).result()).isEqualTo(Result.OK);
+        assertThat(ordered(fleet, fleet.nodes().get(0), false).result()).isEqualTo(ResultCode.OK);
         frozen.thaw();
         fleet.run(5000);
         assertThat(heldAt(fleet)).isNotEmpty();
--- a/proof/src/test/java/spokestall/proof/RuleTest.java
+++ b/testbed/src/test/java/spokestall/testbed/verdict/RuleTest.java
@@ -1,4 +1,4 @@
-package spokestall.proof;
+package spokestall.testbed.verdict;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
