--- a/spokestall/src/main/java/spokestall/api/CallRegistry.java
+++ b/spokestall/src/main/java/spokestall/api/CallRegistry.java
@@ -30,7 +30,7 @@
 
     private final Map<String, Call> calls = new TreeMap<>();
 
-    /** Reads the schema file in the program. Example: {@code CallRegistry calls = new CallRegistry();} */
+    /** Reads the schema file in the program. */
     public CallRegistry() {
         try (InputStream in = CallRegistry.class.getResourceAsStream("/spokestall.schema.json")) {
             file = new ObjectMapper().readTree(in);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The schema file. Example: {@code calls.file().at("/$defs/policy")} */
+    /** The schema file. */
     public JsonNode file() {
         return file;
     }
@@ -52,7 +52,7 @@
         calls.put(method, call);
     }
 
-    /** Checks and runs a call. Example: {@code calls.run("policy.get", params, reply -> ...);} */
+    /** Checks and runs a call. */
     public void run(final String method, final JsonNode params, final Consumer<Reply> done) {
         final Call call = calls.get(method);
         if (call == null) {
@@ -60,11 +60,11 @@
             done.accept(Reply.of(why, null));
             return;
         }
-        final Set<ValidationMessage> troubles = schema(method).validate(params);
-        if (!troubles.isEmpty()) {
+        final Set<ValidationMessage> errors = schema(method).validate(params);
+        if (!errors.isEmpty()) {
             final ObjectNode out = file.isObject() ? ((ObjectNode) file).objectNode() : null;
             final ArrayNode list = out.putArray("troubles");
-            troubles.forEach(t -> list.addObject()
+            errors.forEach(t -> list.addObject()
                     .put("pointer", t.getInstanceLocation().toString())
                     .put("reason", t.getMessage()));
             done.accept(Reply.of(ResultCode.BAD_PARAMS, out));
--- a/spokestall/src/main/java/spokestall/api/Reply.java
+++ b/spokestall/src/main/java/spokestall/api/Reply.java
@@ -11,7 +11,7 @@
         return new Reply(result, fields);
     }
 
-    /** As sent outward. Example: {@code reply.json().get("code").asInt() == 1000} */
+    /** As sent outward. */
     public ObjectNode json() {
         final ObjectNode out = JsonNodeFactory.instance.objectNode();
         out.put("code", result.number());
--- a/spokestall/src/main/java/spokestall/audit/AuditChain.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditChain.java
@@ -40,7 +40,7 @@
     private String before;
     private long next;
 
-    /** Goes on after a line, or from the start with null. Example: {@code new AuditChain(key, null)} */
+    /** Goes on after a line, or from the start with null. */
     public AuditChain(final ECKey key, final String lastLine) throws JOSEException, ParseException {
         this.key = key;
         this.signer = new ECDSASigner(key);
@@ -66,7 +66,7 @@
         }
     }
 
-    /** The next line; it counts as the one before from now on. Example: {@code String line = chain.add("lease", what);} */
+    /** The next line; it counts as the one before from now on. */
     public String add(final String kind, final ObjectNode what) throws JOSEException {
         final ObjectNode entry =
                 JSON.createObjectNode().put("n", next).put("before", before).put("kind", kind);
@@ -84,8 +84,7 @@
         return line;
     }
 
-    /** Checks lines in their order; wholeEnd says whether the last one ended with a line's end.
-     * Example: {@code AuditChain.check(publicKey, lines, true) instanceof AuditChain.Verdict.Good} */
+    /** Checks lines in their order; wholeEnd says whether the last one ended with a line's end. */
     public static Verdict check(final ECKey publicKey, final List<String> lines, final boolean wholeEnd) {
         long first = 0;
         long last = 0;
--- a/spokestall/src/main/java/spokestall/audit/AuditSink.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditSink.java
@@ -7,7 +7,7 @@
     /** Writes nothing down. */
     AuditSink NONE = new AuditSink() {
         @Override
-        public void note(final String kind, final ObjectNode what) {
+        public void message(final String kind, final ObjectNode what) {
             // Nothing is kept.
         }
 
@@ -17,9 +17,9 @@
         }
     };
 
-    /** Takes one entry, to be signed and written by and by. Example: {@code audit.note("lease", what);} */
-    void note(String kind, ObjectNode what);
+    /** Takes one entry, to be signed and written by and by. */
+    void message(String kind, ObjectNode what);
 
-    /** The newest entries and the key to check them by, or null if none are kept. Example: {@code audit.newest(100)} */
+    /** The newest entries and the key to check them by, or null if none are kept. */
     ObjectNode newest(int most);
 }
--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -19,7 +19,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int WINDOWS_KEPT = 64;
     private final AuditSink audit;
-    private final ConfigurationStore book;
+    private final ConfigurationStore configurationStore;
     private final LongSupplier fleetMs;
     private final TreeSet<Long> windows = new TreeSet<>();
     private Map<String, Set<String>> keys = new TreeMap<>();
@@ -28,10 +28,10 @@
     private long token;
     private VoterSet table;
 
-    /** Example: {@code new Auditor(rim.audit(), book, fleet::nowMs)} */
-    public Auditor(final AuditSink audit, final ConfigurationStore book, final LongSupplier fleetMs) {
+    /** Example: {@code new Auditor(environment.audit(), configurationStore, fleet::nowMs)} */
+    public Auditor(final AuditSink audit, final ConfigurationStore configurationStore, final LongSupplier fleetMs) {
         this.audit = audit;
-        this.book = book;
+        this.configurationStore = configurationStore;
         this.fleetMs = fleetMs;
     }
 
@@ -39,20 +39,22 @@
         return JSON.createObjectNode().put("fleetMs", fleetMs.getAsLong());
     }
 
-    /** The policy may have moved. Example: {@code auditor.policy();} */
-    public void policy() {
-        final long now = book.policy().version();
+    /** The configuration may have moved. */
+    public void configuration() {
+        final long now = configurationStore.configuration().version();
         if (now == version) {
             return;
         }
-        final Map<Long, ConfigurationChange> changes = book.kept(version);
+        final Map<Long, ConfigurationChange> changes = configurationStore.kept(version);
         if (changes.isEmpty()) {
-            audit.note(
+            audit.message(
                     "snapshot",
                     entry().put("version", now)
-                            .put("digest", KeyHash.hex(book.snapshot().json())));
+                            .put(
+                                    "digest",
+                                    KeyHash.hex(configurationStore.snapshot().json())));
         } else {
-            changes.forEach((v, change) -> audit.note(
+            changes.forEach((v, change) -> audit.message(
                     "policy",
                     entry().put("version", v)
                             .put("changeId", change.changeId())
@@ -65,18 +67,22 @@
     }
 
     private void holds(final long now) {
-        final Set<String> held = new TreeSet<>(book.policy().holds());
+        final Set<String> held =
+                new TreeSet<>(configurationStore.configuration().holds());
         if (!held.equals(holds)) {
             final ObjectNode entry = entry().put("version", now);
             held.forEach(entry.putArray("districts")::add);
-            audit.note("holds", entry);
+            audit.message("holds", entry);
             holds = held;
         }
     }
 
     private void keys(final long now) {
         final Map<String, Set<String>> found = new TreeMap<>();
-        book.policy().tenants().forEach((name, tenant) -> found.put(name, Set.copyOf(tenant.keys())));
+        configurationStore
+                .configuration()
+                .tenants()
+                .forEach((name, tenant) -> found.put(name, Set.copyOf(tenant.keys())));
         final Set<String> names = new TreeSet<>(found.keySet());
         names.addAll(keys.keySet());
         for (final String name : names) {
@@ -86,39 +92,39 @@
                 final ObjectNode entry = entry().put("version", now).put("tenant", name);
                 new TreeSet<>(has).stream().filter(k -> !had.contains(k)).forEach(entry.putArray("added")::add);
                 new TreeSet<>(had).stream().filter(k -> !has.contains(k)).forEach(entry.putArray("withdrawn")::add);
-                audit.note("keys", entry);
+                audit.message("keys", entry);
             }
         }
         keys = found;
     }
 
-    /** The lease as the store has it, or null. Example: {@code auditor.lease(keeper.seen());} */
+    /** The lease as the store has it, or null. */
     public void lease(final Lease seen) {
         if (seen != null && seen.token() > token) {
             token = seen.token();
-            audit.note("lease", entry().put("holder", seen.holder()).put("token", token));
+            audit.message("lease", entry().put("holder", seen.holder()).put("token", token));
         }
     }
 
-    /** A window whose report was marked as sent, so its counts were decided. Example: {@code auditor.window(sealed);} */
+    /** A window whose report was marked as sent, so its counts were decided. */
     public void window(final SealedWindow sealed) {
         if (sealed.completed() && windows.add(sealed.window())) {
             final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.token());
             new TreeMap<>(sealed.counts()).forEach(entry.putObject("counts")::put);
-            audit.note("window", entry);
+            audit.message("window", entry);
             if (windows.size() > WINDOWS_KEPT) {
                 windows.pollFirst();
             }
         }
     }
 
-    /** The table of voters in force. Example: {@code auditor.table(proposer.voters());} */
+    /** The table of voters in force. */
     public void table(final VoterSet now) {
         if (now != null && now.newerThan(table)) {
             table = now;
             final ObjectNode entry = entry().put("generation", now.generation()).put("epoch", now.epoch());
-            now.seats().forEach(s -> entry.withObject("/seats").put(s.name(), s.diskId()));
-            audit.note("voters", entry);
+            now.voters().forEach(s -> entry.withObject("/seats").put(s.name(), s.diskId()));
+            audit.message("voters", entry);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/cli/LoadGenerator.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadGenerator.java
@@ -34,7 +34,7 @@
 import spokestall.io.http.HttpClient;
 import spokestall.io.http.HttpResult;
 
-/** The load generator: callers that ask where to go, then ask, at a set rate, and a verdict at the end. */
+/** The load generator: clients that ask where to go, then ask, at a set rate, and a verdict at the end. */
 final class LoadGenerator {
     private static final int ANSWER_MAX = 16 << 20;
     private static final String WRONG = "wrong-answer";
@@ -153,9 +153,9 @@
         for (int i = 0; i < total; i++) {
             final Kind kind = kinds.get(random.nextInt(kinds.size()));
             final String who = "client-" + random.nextInt(flags.clients);
-            final String askId = run + "-" + i;
+            final String requestId = run + "-" + i;
             final ScheduledFuture<?> unused = timer.schedule(
-                    () -> ask(timer, kind, who, askId, 0, nowMs()),
+                    () -> ask(timer, kind, who, requestId, 0, nowMs()),
                     (long) (i * 1000 / flags.rate),
                     TimeUnit.MILLISECONDS);
         }
@@ -175,17 +175,17 @@
             final ScheduledExecutorService timer,
             final Kind kind,
             final String who,
-            final String askId,
+            final String requestId,
             final int turn,
             final long begunMs) {
         final String place = who + "/" + kind.key;
         final Place known = places.get(place);
         if (known != null && nowMs() < known.untilMs) {
-            send(timer, kind, who, askId, turn, begunMs, known);
+            send(timer, kind, who, requestId, turn, begunMs, known);
             return;
         }
         final String[] nodes = flags.to.split(",");
-        final String node = nodes[Math.floorMod(askId.hashCode() + turn, nodes.length)];
+        final String node = nodes[Math.floorMod(requestId.hashCode() + turn, nodes.length)];
         final ObjectNode params =
                 ConfigurationStore.JSON.createObjectNode().put("client", who).put("key", kind.key);
         client.call(
@@ -201,9 +201,9 @@
                     final Place found = place(r);
                     if (found != null) {
                         places.put(place, found);
-                        send(timer, kind, who, askId, turn, begunMs, found);
+                        send(timer, kind, who, requestId, turn, begunMs, found);
                     } else {
-                        later(timer, kind, who, askId, turn, begunMs, "nowhere", 300);
+                        later(timer, kind, who, requestId, turn, begunMs, "nowhere", 300);
                     }
                 });
     }
@@ -230,7 +230,7 @@
             final ScheduledExecutorService timer,
             final Kind kind,
             final String who,
-            final String askId,
+            final String requestId,
             final int turn,
             final long begunMs,
             final Place place) {
@@ -243,11 +243,11 @@
         final Map<String, String> headers = new TreeMap<>();
         headers.put("Spokestall-Key", kind.key);
         // A run-once ask is named by the ticket of its first go, and keeps that name.
-        final String name = kind.runOnce ? named.computeIfAbsent(askId, a -> place.ticket + "." + a) : askId;
+        final String name = kind.runOnce ? named.computeIfAbsent(requestId, a -> place.ticket + "." + a) : requestId;
         headers.put("Spokestall-Ask-Id", name);
         headers.put("Spokestall-Deadline-Ms", Long.toString(spanMs));
         final byte[] body =
-                kind.runOnce ? ("{\"do\":\"" + askId + "\"}").getBytes(StandardCharsets.UTF_8) : new byte[0];
+                kind.runOnce ? ("{\"do\":\"" + requestId + "\"}").getBytes(StandardCharsets.UTF_8) : new byte[0];
         client.call(
                 HttpCall.plain(edge, kind.runOnce ? "POST" : "GET", kind.path, headers, body, spanMs + 500, ANSWER_MAX),
                 r -> {
@@ -276,7 +276,7 @@
                                     timer,
                                     kind,
                                     who,
-                                    askId,
+                                    requestId,
                                     turn,
                                     begunMs,
                                     outcome + "-" + code,
@@ -286,7 +286,7 @@
                         }
                     } else if (r instanceof HttpResult.NotSent || !kind.runOnce) {
                         places.remove(who + "/" + kind.key);
-                        later(timer, kind, who, askId, turn, begunMs, "unreached", 100);
+                        later(timer, kind, who, requestId, turn, begunMs, "unreached", 100);
                     } else {
                         end("no-answer", begunMs, edge);
                     }
@@ -306,7 +306,7 @@
             final ScheduledExecutorService timer,
             final Kind kind,
             final String who,
-            final String askId,
+            final String requestId,
             final int turn,
             final long begunMs,
             final String why,
@@ -316,8 +316,8 @@
             return;
         }
         again.incrementAndGet();
-        final ScheduledFuture<?> unused =
-                timer.schedule(() -> ask(timer, kind, who, askId, turn + 1, begunMs), waitMs, TimeUnit.MILLISECONDS);
+        final ScheduledFuture<?> unused = timer.schedule(
+                () -> ask(timer, kind, who, requestId, turn + 1, begunMs), waitMs, TimeUnit.MILLISECONDS);
     }
 
     private void end(final String how, final long begunMs, final String edge) {
--- a/spokestall/src/main/java/spokestall/cli/Main.java
+++ b/spokestall/src/main/java/spokestall/cli/Main.java
@@ -94,7 +94,7 @@
         final SettingsSource source = new FileSettings(flags.file, sets, core);
         final Settings.Read read = source.read();
         if (read instanceof Settings.Read.Bad bad) {
-            bad.troubles().forEach(t -> System.err.println(t.key() + ": " + t.reason()));
+            bad.errors().forEach(t -> System.err.println(t.key() + ": " + t.reason()));
             return 2;
         }
         final Settings settings = ((Settings.Read.Good) read).settings();
--- a/spokestall/src/main/java/spokestall/configuration/Configuration.java
+++ b/spokestall/src/main/java/spokestall/configuration/Configuration.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One version of the policy, made ready for use. */
+/** One version of the configuration, made ready for use. */
 public final class Configuration {
-    /** What a host, path and key lead to: a tenant, or null where none is needed or none has the key, and a binding. */
-    public record Found(Tenant tenant, Route binding) {
-        /** Whether a key is missing that would be needed. Example: {@code if (found.keyMissing()) deny();} */
+    /** What a host, path and key lead to: a tenant, or null where none is needed or none has the key, and a route. */
+    public record Found(Tenant tenant, Route route) {
+        /** Whether a key is missing that would be needed. */
         public boolean keyMissing() {
-            return tenant == null && (binding == null || !binding.open());
+            return tenant == null && (route == null || !route.open());
         }
     }
 
@@ -25,12 +25,12 @@
     private final Set<String> holds;
     private final ClientLimits limits;
 
-    /** Example: {@code new Configuration(17, tree, tenants, bindings, services, holds, limits)} */
+    /** Example: {@code new Configuration(17, tree, tenants, routes, services, holds, limits)} */
     public Configuration(
             final long version,
             final JsonNode tree,
             final Collection<Tenant> tenants,
-            final Collection<Route> bindings,
+            final Collection<Route> routes,
             final Map<String, ServiceLimits> services,
             final Set<String> holds,
             final ClientLimits limits) {
@@ -45,38 +45,38 @@
                 byKey.put(key, tenant);
             }
         }
-        for (final Route binding : bindings) {
-            byHost.computeIfAbsent(binding.host(), h -> new RouteTable()).add(binding);
+        for (final Route route : routes) {
+            byHost.computeIfAbsent(route.host(), h -> new RouteTable()).add(route);
         }
     }
 
-    /** Example: {@code policy.version()} */
+    /** Example: {@code configuration.version()} */
     public long version() {
         return version;
     }
 
-    /** The policy as operators wrote it. Example: {@code policy.tree().toString()} */
+    /** The configuration as operators wrote it. */
     public JsonNode tree() {
         return tree;
     }
 
-    /** The tenant a key's hash belongs to, or null. Example: {@code policy.tenantOf(KeyHash.of(key))} */
+    /** The tenant a key's hash belongs to, or null. */
     public Tenant tenantOf(final String keyHash) {
         return byKey.get(keyHash);
     }
 
-    /** What an ask leads to: the tenant's own binding, else one for all of its host, else one for all of any host.
-     * keyHash is null where no key came. Example: {@code policy.find("a.example", "/pay/17", hash).binding()} */
+    /** What an ask leads to: the tenant's own route, else one for all of its host, else one for all of any host.
+     * keyHash is null where no key came. */
     public Found find(final String host, final String path, final String keyHash) {
         final Tenant tenant = keyHash == null ? null : byKey.get(keyHash);
-        Route binding = tenant == null ? null : tenant.binding(path);
-        if (binding == null) {
-            binding = shared(host, path);
+        Route route = tenant == null ? null : tenant.route(path);
+        if (route == null) {
+            route = shared(host, path);
         }
-        if (binding == null && !host.isEmpty()) {
-            binding = shared("", path);
+        if (route == null && !host.isEmpty()) {
+            route = shared("", path);
         }
-        return new Found(tenant, binding);
+        return new Found(tenant, route);
     }
 
     private Route shared(final String host, final String path) {
@@ -84,27 +84,27 @@
         return of == null ? null : of.find(path);
     }
 
-    /** All tenants by name. Example: {@code policy.tenants().size()} */
+    /** All tenants by name. */
     public Map<String, Tenant> tenants() {
         return tenants;
     }
 
-    /** A service's bounds, or null. Example: {@code policy.service("transfers").goMs()} */
+    /** A service's bounds, or null. */
     public ServiceLimits service(final String name) {
         return services.get(name);
     }
 
-    /** Names of the services. Example: {@code policy.services().keySet()} */
+    /** Names of the services. */
     public Map<String, ServiceLimits> services() {
         return services;
     }
 
-    /** What clients may send, and how long they may take. Example: {@code port.limits(policy.limits());} */
+    /** What clients may send, and how long they may take. */
     public ClientLimits limits() {
         return limits;
     }
 
-    /** Districts that are to be empty. Example: {@code policy.holds().contains("d1")} */
+    /** Zones that are to be empty. */
     public Set<String> holds() {
         return holds;
     }
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationChange.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationChange.java
@@ -4,7 +4,7 @@
 import spokestall.message.SinceVersion;
 
 /**
- * One accepted change: the whole policy anew, or a part as a JSON merge patch, and the fleet's time when it was proposed. A
+ * One accepted change: the whole configuration anew, or a part as a JSON merge patch, and the fleet's time when it was proposed. A
  * generation's first change also says which orders were accepted before it.
  */
 public record ConfigurationChange(
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationValidator.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationValidator.java
@@ -13,64 +13,65 @@
 import java.util.Set;
 import java.util.function.BinaryOperator;
 
-/** Checks a whole policy against the schema file and in meaning; every trouble is named with its place. */
+/** Checks a whole configuration against the schema file and in meaning; every trouble is named with its place. */
 public final class ConfigurationValidator {
     /** One thing wrong: where, and why. */
-    public record Trouble(String pointer, String reason) {}
+    public record ValidationError(String pointer, String reason) {}
 
     private final JsonSchema schema;
     private final Set<String> regions;
-    private final Set<String> districts;
+    private final Set<String> zones;
 
     /** Example: {@code new ConfigurationValidator(schemaFile.at("/$defs/policy"), Set.of("r1"), Set.of("d1"))} */
-    public ConfigurationValidator(final JsonNode policySchema, final Set<String> regions, final Set<String> districts) {
-        schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(policySchema);
+    public ConfigurationValidator(
+            final JsonNode configurationSchema, final Set<String> regions, final Set<String> zones) {
+        schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(configurationSchema);
         this.regions = regions;
-        this.districts = districts;
+        this.zones = zones;
     }
 
-    /** All that is wrong with a policy. What it shares, node for node, with one that was found good is not checked again
-     * by itself, only against the rest. Example: {@code if (!rules.check(tree, policyInForce).isEmpty()) deny();} */
-    public List<Trouble> check(final JsonNode tree, final JsonNode good) {
-        final List<Trouble> troubles = new ArrayList<>();
+    /** All that is wrong with a configuration. What it shares, node for node, with one that was found good is not checked again
+     * by itself, only against the rest. */
+    public List<ValidationError> check(final JsonNode tree, final JsonNode good) {
+        final List<ValidationError> errors = new ArrayList<>();
         schema.validate(changed(tree, good))
-                .forEach(m ->
-                        troubles.add(new Trouble(pointer(m.getInstanceLocation().toString()), m.getMessage())));
-        if (!troubles.isEmpty()) {
-            return troubles;
+                .forEach(m -> errors.add(
+                        new ValidationError(pointer(m.getInstanceLocation().toString()), m.getMessage())));
+        if (!errors.isEmpty()) {
+            return errors;
         }
         final Map<String, String> keys = new HashMap<>();
         final Map<String, String> tenants = new HashMap<>();
         tree.path("cells").fields().forEachRemaining(cell -> {
             final String at = "/cells/" + cell.getKey();
             if (cell.getValue().path("tenants").isEmpty()) {
-                troubles.add(new Trouble(at + "/tenants", "a cell needs at least one tenant"));
+                errors.add(new ValidationError(at + "/tenants", "a cell needs at least one tenant"));
             }
             cell.getValue().path("tenants").fields().forEachRemaining(t -> {
                 final String where = at + "/tenants/" + t.getKey();
                 final String had = tenants.putIfAbsent(t.getKey(), where);
                 if (had != null) {
-                    troubles.add(new Trouble(where, "tenant is also at " + had));
+                    errors.add(new ValidationError(where, "tenant is also at " + had));
                 }
                 final JsonNode was =
                         good.path("cells").path(cell.getKey()).path("tenants").path(t.getKey());
-                keys(where, t.getValue(), keys, troubles);
+                keys(where, t.getValue(), keys, errors);
                 if (was != t.getValue() || tree.path("services") != good.path("services")) {
-                    tenant(tree, where, t.getValue(), was, troubles);
+                    tenant(tree, where, t.getValue(), was, errors);
                 }
             });
         });
-        shared(tree, good, troubles);
+        shared(tree, good, errors);
         tree.path("holds").fieldNames().forEachRemaining(d -> {
-            if (!districts.contains(d)) {
-                troubles.add(new Trouble("/holds/" + d, "unknown district"));
+            if (!zones.contains(d)) {
+                errors.add(new ValidationError("/holds/" + d, "unknown district"));
             }
         });
-        return troubles;
+        return errors;
     }
 
-    /** Bindings for all tenants: their services, regions and paths. */
-    private void shared(final JsonNode tree, final JsonNode good, final List<Trouble> troubles) {
+    /** Routes for all tenants: their services, regions and paths. */
+    private void shared(final JsonNode tree, final JsonNode good, final List<ValidationError> errors) {
         final Map<String, String> paths = new HashMap<>();
         tree.path("bindings").fields().forEachRemaining(e -> {
             final JsonNode b = e.getValue();
@@ -78,37 +79,37 @@
             final String path = b.path("path").asText();
             final String had = paths.putIfAbsent(b.path("host").asText("") + " " + path, place);
             if (had != null) {
-                troubles.add(new Trouble(place + "/path", "the same host and path are also at " + had));
+                errors.add(new ValidationError(place + "/path", "the same host and path are also at " + had));
             }
             if (b == good.path("bindings").path(e.getKey()) && tree.path("services") == good.path("services")) {
                 return;
             }
             if (!(RequestTarget.of(path) instanceof RequestTarget.Good)) {
-                troubles.add(new Trouble(place + "/path", "is no path that can be read in one way only"));
+                errors.add(new ValidationError(place + "/path", "is no path that can be read in one way only"));
             }
             if (b.has("service") && !tree.path("services").has(b.path("service").asText())) {
-                troubles.add(new Trouble(place + "/service", "unknown service"));
+                errors.add(new ValidationError(place + "/service", "unknown service"));
             }
             int weights = b.has("split") ? 0 : 1;
             for (final var it = b.path("split").fields(); it.hasNext(); ) {
                 final Map.Entry<String, JsonNode> share = it.next();
                 weights += share.getValue().asInt();
                 if (!tree.path("services").has(share.getKey())) {
-                    troubles.add(new Trouble(place + "/split/" + share.getKey(), "unknown service"));
+                    errors.add(new ValidationError(place + "/split/" + share.getKey(), "unknown service"));
                 }
             }
             if (weights == 0) {
-                troubles.add(new Trouble(place + "/split", "has no weight at all"));
+                errors.add(new ValidationError(place + "/split", "has no weight at all"));
             }
             for (int i = 0; i < b.path("regions").size(); i++) {
                 if (!regions.contains(b.path("regions").get(i).asText())) {
-                    troubles.add(new Trouble(place + "/regions/" + i, "unknown region"));
+                    errors.add(new ValidationError(place + "/regions/" + i, "unknown region"));
                 }
             }
         });
     }
 
-    /** The tree without the tenants, and in the other tenants without the bindings, that are the very nodes they were. */
+    /** The tree without the tenants, and in the other tenants without the routes, that are the very nodes they were. */
     private static JsonNode changed(final JsonNode tree, final JsonNode good) {
         return within(
                 tree,
@@ -118,7 +119,7 @@
                         cell,
                         cellWas,
                         "tenants",
-                        (tenant, tenantWas) -> within(tenant, tenantWas, "bindings", (binding, was) -> binding)));
+                        (tenant, tenantWas) -> within(tenant, tenantWas, "bindings", (route, was) -> route)));
     }
 
     /** A copy in which the members of one map are only those that are not as they were, each changed in its turn. */
@@ -146,12 +147,12 @@
     }
 
     private static void keys(
-            final String where, final JsonNode t, final Map<String, String> keys, final List<Trouble> troubles) {
+            final String where, final JsonNode t, final Map<String, String> keys, final List<ValidationError> errors) {
         t.path("keys").fields().forEachRemaining(k -> {
             final String place = where + "/keys/" + k.getKey();
             final String had = keys.putIfAbsent(k.getValue().path("sha256").asText(), place);
             if (had != null) {
-                troubles.add(new Trouble(place, "the same key is also at " + had));
+                errors.add(new ValidationError(place, "the same key is also at " + had));
             }
         });
     }
@@ -161,27 +162,27 @@
             final String where,
             final JsonNode t,
             final JsonNode was,
-            final List<Trouble> troubles) {
+            final List<ValidationError> errors) {
         for (int i = 0; i < t.path("homeRegions").size(); i++) {
             if (!regions.contains(t.path("homeRegions").get(i).asText())) {
-                troubles.add(new Trouble(where + "/homeRegions/" + i, "unknown region"));
+                errors.add(new ValidationError(where + "/homeRegions/" + i, "unknown region"));
             }
         }
         final Map<String, String> paths = new HashMap<>();
         t.path("bindings").fields().forEachRemaining(b -> {
             final String place = where + "/bindings/" + b.getKey();
             if (!tree.path("services").has(b.getValue().path("service").asText())) {
-                troubles.add(new Trouble(place + "/service", "unknown service"));
+                errors.add(new ValidationError(place + "/service", "unknown service"));
             }
             final String path = b.getValue().path("path").asText();
             if (b.getValue() != was.path("bindings").path(b.getKey())
                     && (!(RequestTarget.of(path) instanceof RequestTarget.Good)
                             || path.length() > 1 && path.endsWith("/"))) {
-                troubles.add(new Trouble(place + "/path", "is no path that can be read in one way only"));
+                errors.add(new ValidationError(place + "/path", "is no path that can be read in one way only"));
             }
             final String had = paths.putIfAbsent(path, place);
             if (had != null) {
-                troubles.add(new Trouble(place + "/path", "the same path is also at " + had));
+                errors.add(new ValidationError(place + "/path", "the same path is also at " + had));
             }
         });
     }
--- a/spokestall/src/main/java/spokestall/configuration/KeyHash.java
+++ b/spokestall/src/main/java/spokestall/configuration/KeyHash.java
@@ -21,7 +21,7 @@
         return SEEN.get(key);
     }
 
-    /** The SHA-256 of some bytes. Example: {@code KeyHash.hex(body)} */
+    /** The SHA-256 of some bytes. */
     public static String hex(final byte[] bytes) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
--- a/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
+++ b/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** spokestall's own form of a policy: cells with their tenants, bindings for all, services and holds. */
+/** spokestall's own form of a configuration: cells with their tenants, routes for all, services and holds. */
 public final class NativeConfigurationFormat implements ConfigurationFormat {
     private static final int HEAD_MAX_BYTES = 16 << 10;
     private static final long HEAD_WAIT_MS = 10_000;
     private static final long REST_MAX_MS = 60_000;
     private final ConfigurationValidator rules;
 
-    /** Example: {@code new NativeConfigurationFormat(new ConfigurationValidator(schema, regions, districts))}; a book that checks nothing may have null. */
+    /** Example: {@code new NativeConfigurationFormat(new ConfigurationValidator(schema, regions, zones))}; a book that checks nothing may have null. */
     public NativeConfigurationFormat(final ConfigurationValidator rules) {
         this.rules = rules;
     }
 
     @Override
-    public List<ConfigurationValidator.Trouble> check(final JsonNode tree, final JsonNode good) {
+    public List<ConfigurationValidator.ValidationError> check(final JsonNode tree, final JsonNode good) {
         return rules.check(tree, good);
     }
 
@@ -34,13 +34,13 @@
                         .path("tenants")
                         .fields()
                         .forEachRemaining(t -> tenants.add(tenant(cell.getKey(), t.getKey(), t.getValue(), before))));
-        final List<Route> bindings = new ArrayList<>();
-        tree.path("bindings").fields().forEachRemaining(b -> bindings.add(binding(b.getKey(), b.getValue())));
+        final List<Route> routes = new ArrayList<>();
+        tree.path("bindings").fields().forEachRemaining(b -> routes.add(route(b.getKey(), b.getValue())));
         final Map<String, ServiceLimits> services = new HashMap<>();
         tree.path("services").fields().forEachRemaining(e -> services.put(e.getKey(), rule(e.getKey(), e.getValue())));
         final Set<String> holds = new HashSet<>();
         tree.path("holds").fieldNames().forEachRemaining(holds::add);
-        return new Configuration(version, tree, tenants, bindings, services, holds, limits(tree.path("limits")));
+        return new Configuration(version, tree, tenants, routes, services, holds, limits(tree.path("limits")));
     }
 
     private static ClientLimits limits(final JsonNode l) {
@@ -56,7 +56,7 @@
         return had != null && had.madeFrom(source) && had.cell().equals(cell) ? had : Tenant.read(name, cell, source);
     }
 
-    private static Route binding(final String name, final JsonNode b) {
+    private static Route route(final String name, final JsonNode b) {
         final List<Route.Share> split = new ArrayList<>();
         b.path("split")
                 .fields()
--- a/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
+++ b/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
@@ -11,7 +11,7 @@
     /** No path, or one that can be read in two ways. */
     record Bad(String why) implements RequestTarget {}
 
-    /** Reads a request target. Example: {@code RequestTarget.of("/transfers/17?full=1") instanceof RequestTarget.Good} */
+    /** Reads a request target. */
     static RequestTarget of(final String raw) {
         final int mark = raw.indexOf('?');
         final String path = mark < 0 ? raw : raw.substring(0, mark);
--- a/spokestall/src/main/java/spokestall/configuration/Route.java
+++ b/spokestall/src/main/java/spokestall/configuration/Route.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * What a path leads to. A run-once binding's asks must never run twice. One that ends with a slash leads only to what is
- * below it. Spans and goes that are zero are not bounded by the binding; no regions means all of them; an open one needs
+ * What a path leads to. A run-once route's asks must never run twice. One that ends with a slash leads only to what is
+ * below it. Spans and goes that are zero are not bounded by the route; no regions means all of them; an open one needs
  * no key.
  */
 public record Route(
@@ -15,7 +15,7 @@
         String path,
         List<Share> split,
         boolean runOnce,
-        int goesMax,
+        int attemptsMax,
         long spanMs,
         long aimMs,
         int priority,
@@ -24,12 +24,12 @@
     /** One service's weight in a split. */
     public record Share(String service, int weight) {}
 
-    /** A tenant's own binding. Example: {@code Route.of("pay", "/pay", "transfers", true)} */
+    /** A tenant's own route. */
     public static Route of(final String name, final String path, final String service, final boolean runOnce) {
         return new Route(name, "", path, List.of(new Share(service, 1)), runOnce, 0, 0, 0, 0, false, Set.of());
     }
 
-    /** One of the services, each as often as its weight says. Example: {@code binding.service(random)} */
+    /** One of the services, each as often as its weight says. */
     public String service(final Random random) {
         if (split.size() == 1) {
             return split.get(0).service();
@@ -48,7 +48,7 @@
         return split.get(split.size() - 1).service();
     }
 
-    /** Whether a service is among those it leads to. Example: {@code if (!binding.leadsTo(service)) elect(another);} */
+    /** Whether a service is among those it leads to. */
     public boolean leadsTo(final String service) {
         for (final Share share : split) {
             if (share.service().equals(service) && (share.weight() > 0 || split.size() == 1)) {
@@ -58,8 +58,7 @@
         return false;
     }
 
-    /** Whether an ask of this tenant (null: of none) may be served in a region; what both say binds.
-     * Example: {@code if (!binding.home(tenant, upstream.region())) passOver();} */
+    /** Whether an ask of this tenant (null: of none) may be served in a region; what both say binds. */
     public boolean home(final Tenant tenant, final String region) {
         return (regions.isEmpty() || regions.contains(region))
                 && (tenant == null
--- a/spokestall/src/main/java/spokestall/configuration/RouteTable.java
+++ b/spokestall/src/main/java/spokestall/configuration/RouteTable.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Bindings by path, of which the longest that leads to an ask's path counts. */
+/** Routes by path, of which the longest that leads to an ask's path counts. */
 final class RouteTable {
     private final Map<String, Route> byPath = new HashMap<>();
 
-    void add(final Route binding) {
-        byPath.put(binding.path(), binding);
+    void add(final Route route) {
+        byPath.put(route.path(), route);
     }
 
     int size() {
--- a/spokestall/src/main/java/spokestall/configuration/ServiceLimits.java
+++ b/spokestall/src/main/java/spokestall/configuration/ServiceLimits.java
@@ -2,4 +2,4 @@
 
 /** A service's bounds: sizes of asks and answers, the longest go, and how a cold upstream warms up. */
 public record ServiceLimits(
-        String name, int askMaxBytes, int answerMaxBytes, long goMs, long warmupMs, double warmPerS) {}
+        String name, int requestMaxBytes, int answerMaxBytes, long attemptMs, long warmupMs, double warmPerS) {}
--- a/spokestall/src/main/java/spokestall/configuration/Tenant.java
+++ b/spokestall/src/main/java/spokestall/configuration/Tenant.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A tenant: its cell, home regions (none: all), keys (by the hash of each), priority and bindings by path. */
+/** A tenant: its cell, home regions (none: all), keys (by the hash of each), priority and routes by path. */
 public final class Tenant {
     private final String name;
     private final String cell;
@@ -14,10 +14,10 @@
     private final Set<String> homeRegions;
     private final Set<String> keys;
     private final Integer priority;
-    private final RouteTable bindings = new RouteTable();
+    private final RouteTable routes = new RouteTable();
 
     /** Example: {@code new Tenant("t-1", "cell-1", source, Set.of("r1"), Set.of(hash), null, List.of())}; priority is null
-     * where the binding's own counts. */
+     * where the route's own counts. */
     public Tenant(
             final String name,
             final String cell,
@@ -25,14 +25,14 @@
             final Set<String> homeRegions,
             final Set<String> keys,
             final Integer priority,
-            final List<Route> bindings) {
+            final List<Route> routes) {
         this.name = name;
         this.cell = cell;
         this.source = source;
         this.homeRegions = homeRegions;
         this.keys = keys;
         this.priority = priority;
-        bindings.forEach(this.bindings::add);
+        routes.forEach(this.routes::add);
     }
 
     static Tenant read(final String name, final String cell, final JsonNode source) {
@@ -69,7 +69,7 @@
         return cell;
     }
 
-    /** Whether it was made from that very node of a tree. Example: {@code if (tenant.madeFrom(node)) keep(tenant);} */
+    /** Whether it was made from that very node of a tree. */
     public boolean madeFrom(final JsonNode other) {
         return source == other;
     }
@@ -79,24 +79,23 @@
         return homeRegions;
     }
 
-    /** Hashes of the keys in force. Example: {@code tenant.keys().contains(hash)} */
+    /** Hashes of the keys in force. */
     public Set<String> keys() {
         return keys;
     }
 
-    /** Its rank, 0 the highest, or what the binding says. Example: {@code tenant.priority(binding.priority())} */
-    public int priority(final int bindings) {
-        return priority == null ? bindings : priority;
+    /** Its rank, 0 the highest, or what the route says. */
+    public int priority(final int routes) {
+        return priority == null ? routes : priority;
     }
 
-    /** The binding with the longest path that leads to this one, or null.
-     * Example: {@code tenant.binding("/transfers/17/status")} */
-    public Route binding(final String path) {
-        return bindings.find(path);
+    /** The route with the longest path that leads to this one, or null. */
+    public Route route(final String path) {
+        return routes.find(path);
     }
 
-    /** How many bindings. Example: {@code tenant.bindingCount()} */
-    public int bindingCount() {
-        return bindings.size();
+    /** How many routes. */
+    public int routeCount() {
+        return routes.size();
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -25,11 +25,11 @@
 import spokestall.message.MessageCodec;
 import spokestall.time.Clock;
 
-/** Takes changes to the policy: each is checked whole, then agreed as the one next version, or denied. */
+/** Takes changes to the configuration: each is checked whole, then agreed as the one next version, or denied. */
 public final class ChangeCoordinator {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
-    private final ConfigurationStore book;
+    private final ConfigurationStore configurationStore;
     private final ConfigurationFormat form;
     private final Proposer proposer;
     private final FeedClient follower;
@@ -37,13 +37,13 @@
     private final LongSupplier fleetMs;
     private final long waitMs;
     private final int bytesMax;
-    private final LongConsumer news;
+    private final LongConsumer update;
     private final List<Attempt> attempts = new ArrayList<>();
 
     /** The fleet's time is zero while it isn't known. Example: see {@code Node}. */
     public ChangeCoordinator(
             final String name,
-            final ConfigurationStore book,
+            final ConfigurationStore configurationStore,
             final ConfigurationFormat form,
             final Proposer proposer,
             final FeedClient follower,
@@ -51,9 +51,9 @@
             final LongSupplier fleetMs,
             final long waitMs,
             final int bytesMax,
-            final LongConsumer news) {
+            final LongConsumer update) {
         this.name = name;
-        this.book = book;
+        this.configurationStore = configurationStore;
         this.form = form;
         this.proposer = proposer;
         this.follower = follower;
@@ -61,42 +61,42 @@
         this.fleetMs = fleetMs;
         this.waitMs = waitMs;
         this.bytesMax = bytesMax;
-        this.news = news;
+        this.update = update;
     }
 
-    /** Takes a change made against one version; it is judged as {@link #agree} judges every order.
-     * Example: {@code acceptance.take(base, "chg-1", tree -> new Drafted.Write(PATCH, patch), reply -> ...);} */
+    /** Takes a change made against one version; it is judged as {@link #agree} judges every order. */
     public void take(final long base, final String changeId, final ChangeDraft draft, final Consumer<Reply> done) {
         agree(
                 changeId,
-                tree -> book.policy().version() == base ? draft.on(tree) : new ChangeDraft.Drafted.Stale(),
+                tree -> configurationStore.configuration().version() == base
+                        ? draft.on(tree)
+                        : new ChangeDraft.Drafted.Stale(),
                 waitMs,
                 done);
     }
 
-    /** Why a change can't be made on top of the policy here, or null. */
+    /** Why a change can't be made on top of the configuration here, or null. */
     private Reply check(final ConfigurationChange change) {
-        final JsonNode after = book.preview(change);
-        final List<ConfigurationValidator.Trouble> troubles =
-                form.check(after, book.policy().tree());
+        final JsonNode after = configurationStore.preview(change);
+        final List<ConfigurationValidator.ValidationError> errors =
+                form.check(after, configurationStore.configuration().tree());
         if (tooLarge(change, after)) {
-            troubles.add(new ConfigurationValidator.Trouble("", "larger than policyMaxBytes"));
+            errors.add(new ConfigurationValidator.ValidationError("", "larger than policyMaxBytes"));
         }
-        return troubles.isEmpty() ? null : invalid(change.changeId(), troubles);
+        return errors.isEmpty() ? null : invalid(change.changeId(), errors);
     }
 
-    private Reply invalid(final String changeId, final List<ConfigurationValidator.Trouble> troubles) {
-        final ObjectNode out = fields(book.policy().version(), changeId);
+    private Reply invalid(final String changeId, final List<ConfigurationValidator.ValidationError> errors) {
+        final ObjectNode out = fields(configurationStore.configuration().version(), changeId);
         final ArrayNode list = out.putArray("troubles");
-        troubles.forEach(t -> list.addObject().put("pointer", t.pointer()).put("reason", t.reason()));
+        errors.forEach(t -> list.addObject().put("pointer", t.pointer()).put("reason", t.reason()));
         return Reply.of(ResultCode.INVALID, out);
     }
 
     /**
-     * Makes an order into a change on top of the newest policy, and anew when another change was first, until it holds,
+     * Makes an order into a change on top of the newest configuration, and anew when another change was first, until it holds,
      * no longer fits or the wait is over. What it is judged by is proved newest after it came, whatever the judgement: an
      * order is never called stale, invalid, missing or taken because this node is behind or was left behind.
-     * Example: {@code acceptance.agree("hold-1", tree -> ..., 2000, reply -> ...);}
      */
     public void agree(
             final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
@@ -114,7 +114,6 @@
      * Takes an order that has no id of its own and can't be told from a new one when it comes again. What waited at a node
      * that stood still or was cut off may have been sent again and undone elsewhere since, so only a node that was in touch
      * when the order came takes it. {@code changeId} must be a fresh one.
-     * Example: {@code acceptance.takeUnnamed("hold-5f", tree -> ..., 2000, reply -> ...);}
      */
     public void takeUnnamed(
             final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
@@ -125,21 +124,23 @@
         }
     }
 
-    /** Whether the policy here is one of the generation that voters hold now. */
+    /** Whether the configuration here is one of the generation that voters hold now. */
     private boolean governed() {
-        return proposer.voters() != null
-                && book.policy().version() >= proposer.voters().firstNumber();
+        return proposer.voterSet() != null
+                && configurationStore.configuration().version()
+                        >= proposer.voterSet().firstNumber();
     }
 
     private void judge(
             final String changeId, final ChangeDraft draft, final long deadlineMs, final Consumer<Reply> done) {
-        final Long known = book.versionOf(changeId);
+        final Long known = configurationStore.versionOf(changeId);
         if (known != null) {
             done.accept(accepted(known, changeId));
             return;
         }
-        final long version = book.policy().version();
-        final ChangeDraft.Drafted drafted = draft.on(book.policy().tree());
+        final long version = configurationStore.configuration().version();
+        final ChangeDraft.Drafted drafted =
+                draft.on(configurationStore.configuration().tree());
         if (drafted instanceof ChangeDraft.Drafted.Already) {
             done.accept(accepted(version, changeId));
         } else if (drafted instanceof ChangeDraft.Drafted.Stale) {
@@ -147,7 +148,8 @@
         } else if (drafted instanceof ChangeDraft.Drafted.Missing) {
             done.accept(Reply.of(ResultCode.NOT_FOUND, fields(version, changeId)));
         } else if (drafted instanceof ChangeDraft.Drafted.Bad bad) {
-            done.accept(invalid(changeId, List.of(new ConfigurationValidator.Trouble(bad.pointer(), bad.reason()))));
+            done.accept(invalid(
+                    changeId, List.of(new ConfigurationValidator.ValidationError(bad.pointer(), bad.reason()))));
         } else if (drafted instanceof ChangeDraft.Drafted.Write write) {
             write(changeId, draft, write, deadlineMs, done);
         }
@@ -160,14 +162,18 @@
             final long deadlineMs,
             final Consumer<Reply> done) {
         final ConfigurationChange change = change(changeId, write);
-        final Reply denied = check(change);
-        if (denied != null) {
-            done.accept(denied);
+        final Reply rejected = check(change);
+        if (rejected != null) {
+            done.accept(rejected);
             return;
         }
         final long leftMs = Math.min(waitMs, deadlineMs - clock.nowMs());
         propose(
-                new Attempt(book.policy().version() + 1, change, done, () -> again(changeId, draft, deadlineMs, done)),
+                new Attempt(
+                        configurationStore.configuration().version() + 1,
+                        change,
+                        done,
+                        () -> again(changeId, draft, deadlineMs, done)),
                 leftMs);
     }
 
@@ -181,8 +187,8 @@
         if (leftMs <= 0) {
             done.accept(notReady(changeId));
         } else if (governed()
-                && book.versionOf(changeId) == null
-                && draft.on(book.policy().tree()) instanceof ChangeDraft.Drafted.Write write
+                && configurationStore.versionOf(changeId) == null
+                && draft.on(configurationStore.configuration().tree()) instanceof ChangeDraft.Drafted.Write write
                 && check(change(changeId, write)) == null) {
             write(changeId, draft, write, deadlineMs, done);
         } else {
@@ -194,15 +200,15 @@
         return new ConfigurationChange(changeId, write.kind(), bytes(write.json()), fleetMs.getAsLong());
     }
 
-    /** The newest policy, proved newest after the call came; null when that can't be had in time.
-     * Example: {@code acceptance.newest(1000, policy -> ...);} */
+    /** The newest configuration, proved newest after the call came; null when that can't be had in time. */
     public void newest(final long waitLeftMs, final Consumer<Configuration> done) {
-        follower.current(waitLeftMs, current -> done.accept(current && governed() ? book.policy() : null));
+        follower.current(
+                waitLeftMs, current -> done.accept(current && governed() ? configurationStore.configuration() : null));
     }
 
     /** A part can't make the whole larger than the two are together, so the whole is written out only near the bound. */
     private boolean tooLarge(final ConfigurationChange change, final JsonNode after) {
-        final long before = change.kind() == ConfigurationChange.Kind.PUT ? 0 : book.bytesMost();
+        final long before = change.kind() == ConfigurationChange.Kind.PUT ? 0 : configurationStore.bytesMost();
         return before + change.json().length > bytesMax && bytes(after).length > bytesMax;
     }
 
@@ -244,8 +250,9 @@
                 && same(done.value(), attempt.change)) {
             attempt.known.accept(accepted(attempt.next, changeId));
         } else if (outcome instanceof ProposalOutcome.Undecided) {
-            attempt.known.accept(
-                    Reply.of(ResultCode.UNDECIDED, fields(book.policy().version(), changeId)));
+            attempt.known.accept(Reply.of(
+                    ResultCode.UNDECIDED,
+                    fields(configurationStore.configuration().version(), changeId)));
         } else if (outcome instanceof ProposalOutcome.NotDone) {
             attempt.known.accept(notReady(changeId));
         } else {
@@ -253,13 +260,12 @@
         }
     }
 
-    /** The policy here moved: a proposal for a version that it has reached need not find out by itself how it ended.
-     * Example: {@code acceptance.moved();} */
+    /** The configuration here moved: a proposal for a version that it has reached need not find out by itself how it ended. */
     public void moved() {
-        final long version = book.policy().version();
+        final long version = configurationStore.configuration().version();
         for (final Attempt attempt : List.copyOf(attempts)) {
             if (attempt.next <= version && attempts.remove(attempt)) {
-                final Long known = book.versionOf(attempt.change.changeId());
+                final Long known = configurationStore.versionOf(attempt.change.changeId());
                 if (known != null) {
                     attempt.known.accept(accepted(known, attempt.change.changeId()));
                 } else {
@@ -271,7 +277,9 @@
 
     private RegisterEdit edit(final long next, final ConfigurationChange change, final byte[] value, final byte[] now) {
         if (now == null) {
-            return next == book.policy().version() + 1 ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE;
+            return next == configurationStore.configuration().version() + 1
+                    ? new RegisterEdit.Set(value)
+                    : RegisterEdit.LEAVE;
         }
         return same(now, change) ? new RegisterEdit.Set(now) : RegisterEdit.LEAVE;
     }
@@ -282,14 +290,15 @@
 
     private void chosen(final Attempt attempt, final byte[] value) {
         follower.learn(attempt.next, value);
-        news.accept(attempt.next);
+        update.accept(attempt.next);
         LOG.atInfo().log(
                 "event=policy_change node=%s version=%s changeId=%s accepted=%s",
                 name, attempt.next, attempt.change.changeId(), same(value, attempt.change));
     }
 
     private Reply notReady(final String changeId) {
-        return Reply.of(ResultCode.NOT_READY, fields(book.policy().version(), changeId));
+        return Reply.of(
+                ResultCode.NOT_READY, fields(configurationStore.configuration().version(), changeId));
     }
 
     private Reply accepted(final long version, final String changeId) {
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeDraft.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeDraft.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import spokestall.configuration.ConfigurationChange;
 
-/** An order that is made into a change on top of whatever policy is newest, for as long as it still fits there. */
+/** An order that is made into a change on top of whatever configuration is newest, for as long as it still fits there. */
 public interface ChangeDraft {
     /** What the order comes to. */
     sealed interface Drafted {
--- a/spokestall/src/main/java/spokestall/configuration/feed/ConfigurationKeys.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/ConfigurationKeys.java
@@ -6,25 +6,24 @@
 import spokestall.consensus.ProposalNumber;
 import spokestall.consensus.Register;
 
-/** The register keys of policy versions. */
+/** The register keys of configuration versions. */
 public final class ConfigurationKeys {
     private static final String PREFIX = "policy/";
 
     private ConfigurationKeys() {}
 
-    /** Example: {@code ConfigurationKeys.key(17)} gives {@code policy/0000000000000000017}. */
+    /** Example: {@code ConfigurationKeys.key(17)} gives {@code configuration/0000000000000000017}. */
     public static String key(final long version) {
         return PREFIX + String.format("%019d", version);
     }
 
-    /** The version of a key, or -1. Example: {@code ConfigurationKeys.of("policy/0000000000000000017") == 17} */
+    /** The version of a key, or -1. */
     public static long of(final String key) {
         return key.startsWith(PREFIX) ? Long.parseLong(key.substring(PREFIX.length())) : -1;
     }
 
     /** The version up to which registers may be let go when all up to {@code snapshot} is kept in another form: those after
-     * it are the newest of at most so many and so many bytes in all, the newest one always among them.
-     * Example: {@code ConfigurationKeys.floor(registers, 18, 1024, 1 << 20)} */
+     * it are the newest of at most so many and so many bytes in all, the newest one always among them. */
     public static long floor(
             final TreeMap<String, Register> registers, final long snapshot, final int most, final long mostBytes) {
         long floor = snapshot - 1;
@@ -45,12 +44,12 @@
         return register == null || register.value() == null ? 0 : register.value().length;
     }
 
-    /** The keys of versions up to one, and of no others. Example: {@code ConfigurationKeys.upTo(registers, floor)} */
+    /** The keys of versions up to one, and of no others. */
     public static List<String> upTo(final TreeMap<String, Register> registers, final long version) {
         return List.copyOf(registers.subMap(PREFIX, true, key(version), true).keySet());
     }
 
-    /** The newest version for which a voter accepted anything. Example: {@code ConfigurationKeys.newest(voter.registers())} */
+    /** The newest version for which a voter accepted anything. */
     public static long newest(final TreeMap<String, Register> registers) {
         for (final Map.Entry<String, Register> e :
                 registers.subMap(PREFIX, true, "policy0", false).descendingMap().entrySet()) {
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -29,10 +29,10 @@
 public final class FeedClient {
     /** Spans and counts, from the settings: a core that gave no news for so long is left for another, and every so many
      * asks another is asked once; whole asks are for programs that know no others. */
-    public record Pace(long freshMs, int asksOpenMax, long newsWaitMs, int roveEvery, boolean whole) {}
+    public record Timing(long freshMs, int openRequestsMax, long updateWaitMs, int roveEvery, boolean whole) {}
 
     /** What a core last said. */
-    public record Word(boolean voting, long applied, long newest) {}
+    public record Observation(boolean voting, long applied, long newest) {}
 
     /** How far a core is from here; the nearest is asked for news. */
     public interface Distance {
@@ -41,12 +41,12 @@
     }
 
     private static final class Open {
-        private final long askedMs;
+        private final long requestedMs;
         private final Map<String, Long> newest = new HashMap<>();
         private final VoterSet table;
 
-        Open(final long askedMs, final VoterSet table) {
-            this.askedMs = askedMs;
+        Open(final long requestedMs, final VoterSet table) {
+            this.requestedMs = requestedMs;
             this.table = table;
         }
 
@@ -61,30 +61,30 @@
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String address;
     private final Supplier<NodeInfo> self;
-    private final ConfigurationStore book;
-    private final EndpointRegistry listing;
+    private final ConfigurationStore configurationStore;
+    private final EndpointRegistry endpointRegistry;
     private final Proposer proposer;
     private final MessageSender post;
     private final Clock clock;
-    private Pace pace;
+    private Timing timing;
     private final Supplier<List<String>> strangers;
     private final Consumer<VoterSet> adopt;
     private final Runnable applied;
     private final IntSupplier open;
-    private final TreeMap<Long, Open> asks = new TreeMap<>();
-    private final Map<String, Word> last = new TreeMap<>();
+    private final TreeMap<Long, Open> requests = new TreeMap<>();
+    private final Map<String, Observation> last = new TreeMap<>();
     private final Map<String, Long> lastMs = new HashMap<>();
     private long provedMs = Long.MIN_VALUE / 2;
     private final Distance distance;
-    private long nextAskId = 1;
+    private long nextRequestId = 1;
     private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
     private int turn = -1;
     private int asked;
-    private long newsMs = Long.MIN_VALUE / 2;
+    private long updateMs = Long.MIN_VALUE / 2;
     /** Who was asked for news and has not answered, and since when; null if nobody. */
-    private String newsOf;
+    private String updateOf;
 
-    private long newsOfMs;
+    private long updateOfMs;
     private List<NodeInfo> edges = List.of();
     private long edgesMark;
     private long edgesMs = Long.MIN_VALUE / 2;
@@ -92,12 +92,12 @@
     /** Example: see {@code Node}. */
     public FeedClient(
             final Supplier<NodeInfo> self,
-            final ConfigurationStore book,
-            final EndpointRegistry listing,
+            final ConfigurationStore configurationStore,
+            final EndpointRegistry endpointRegistry,
             final Proposer proposer,
             final MessageSender post,
             final Clock clock,
-            final Pace pace,
+            final Timing timing,
             final Supplier<List<String>> strangers,
             final Consumer<VoterSet> adopt,
             final Runnable applied,
@@ -105,12 +105,12 @@
             final Distance distance) {
         this.self = self;
         this.address = self.get().address();
-        this.book = book;
-        this.listing = listing;
+        this.configurationStore = configurationStore;
+        this.endpointRegistry = endpointRegistry;
         this.proposer = proposer;
         this.post = post;
         this.clock = clock;
-        this.pace = pace;
+        this.timing = timing;
         this.strangers = strangers;
         this.adopt = adopt;
         this.applied = applied;
@@ -118,90 +118,89 @@
         this.distance = distance;
     }
 
-    /** Keeps to other bounds from now on. Example: {@code follower.pace(newer);} */
-    public void pace(final Pace newer) {
-        pace = newer;
+    /** Keeps to other bounds from now on. */
+    public void timing(final Timing newer) {
+        timing = newer;
     }
 
-    /** The age of the newest proof. Example: {@code if (follower.ageMs() > bound) deny();} */
+    /** The age of the newest proof. */
     public long ageMs() {
         return clock.nowMs() - provedMs;
     }
 
-    /** Whether the policy here is proved fresh enough to act on. Example: {@code if (!follower.fresh()) deny();} */
+    /** Whether the configuration here is proved fresh enough to act on. */
     public boolean fresh() {
-        return ageMs() <= pace.freshMs();
+        return ageMs() <= timing.freshMs();
     }
 
-    /** When the present proof is too old. Example: {@code Math.min(deadlineMs, follower.freshUntilMs())} */
+    /** When the present proof is too old. */
     public long freshUntilMs() {
-        return provedMs + pace.freshMs();
+        return provedMs + timing.freshMs();
     }
 
-    /** What the cores last said, by name. Example: {@code follower.last().values()} */
-    public Map<String, Word> last() {
+    /** What the cores last said, by name. */
+    public Map<String, Observation> last() {
         return last;
     }
 
-    /** How long ago a core last answered. Example: {@code follower.heardMs("d1-core")} */
+    /** How long ago a core last answered. */
     public long heardMs(final String core) {
         final Long at = lastMs.get(core);
         return at == null ? Long.MAX_VALUE : clock.nowMs() - at;
     }
 
-    /** The edges that a core named so short a while ago. Example: {@code follower.edges(1200)} */
+    /** The edges that a core named so short a while ago. */
     public List<NodeInfo> edges(final long spanMs) {
         return clock.nowMs() - edgesMs <= spanMs ? edges : List.of();
     }
 
-    /** One beat: asks every core what is newest, and one of them for news. Example: {@code follower.tick();} */
+    /** One beat: asks every core what is newest, and one of them for news. */
     public void tick() {
-        final VoterSet table = proposer.voters();
+        final VoterSet table = proposer.voterSet();
         final List<String> cores = new ArrayList<>();
         if (table == null) {
             cores.addAll(strangers.get());
         } else {
-            for (final Voter seat : table.seats()) {
-                cores.add(seat.address());
+            for (final Voter voter : table.voters()) {
+                cores.add(voter.address());
             }
         }
         if (cores.isEmpty()) {
             return;
         }
-        final long askId = nextAskId++;
-        asks.put(askId, new Open(clock.nowMs(), table));
-        while (asks.size() > pace.asksOpenMax()) {
-            asks.pollFirstEntry();
+        final long requestId = nextRequestId++;
+        requests.put(requestId, new Open(clock.nowMs(), table));
+        while (requests.size() > timing.openRequestsMax()) {
+            requests.pollFirstEntry();
         }
-        final String newsFrom = newsFrom(cores);
-        if (newsOf == null) {
-            newsOf = newsFrom;
-            newsOfMs = clock.nowMs();
+        final String updateFrom = updateFrom(cores);
+        if (updateOf == null) {
+            updateOf = updateFrom;
+            updateOfMs = clock.nowMs();
         }
         for (final String core : cores) {
-            if (core.equals(newsFrom) || pace.whole()) {
-                post.send(core, ask(core, askId, core.equals(newsFrom)));
+            if (core.equals(updateFrom) || timing.whole()) {
+                post.send(core, ask(core, requestId, core.equals(updateFrom)));
             } else {
                 final NodeInfo me = self.get();
                 post.send(
                         core,
-                        new FeedMessage.ProofAsk(
+                        new FeedMessage.FreshnessRequest(
                                 address,
-                                me.life(),
+                                me.incarnation(),
                                 me.serves(),
                                 fresh(),
                                 me.leaving(),
                                 open.getAsInt(),
-                                askId,
+                                requestId,
                                 table == null ? 0 : table.generation(),
                                 table == null ? 0 : table.epoch()));
             }
         }
     }
 
-    /** Tells when the policy here is proved newest by an ask made from now on, or that it wasn't in time: a node that stood
-     * still meanwhile says nothing of what it was told before.
-     * Example: {@code follower.current(500, current -> answer(current));} */
+    /** Tells when the configuration here is proved newest by an ask made from now on, or that it wasn't in time: a node that stood
+     * still meanwhile says nothing of what it was told before. */
     public void current(final long waitMs, final Consumer<Boolean> done) {
         if (waitMs <= 0 || waiting.size() >= WAITING_MAX) {
             done.accept(false);
@@ -220,7 +219,7 @@
 
     /** What was asked may be lost, and what was begun elsewhere must be over first. */
     private void askAgain(final Waiting mine, final long leftMs) {
-        final long spanMs = Math.max(1, pace.freshMs() / 6);
+        final long spanMs = Math.max(1, timing.freshMs() / 6);
         if (leftMs > spanMs) {
             clock.after(spanMs, () -> {
                 if (waiting.contains(mine)) {
@@ -232,7 +231,7 @@
     }
 
     /** The nearest other core that gives news; now and then one more far away, so that no two keep to themselves. */
-    private String newsFrom(final List<String> cores) {
+    private String updateFrom(final List<String> cores) {
         final List<String> others = new ArrayList<>(cores);
         others.remove(address);
         if (others.isEmpty()) {
@@ -240,92 +239,96 @@
         }
         others.sort(Comparator.comparingInt(distance::of));
         final long nowMs = clock.nowMs();
-        if (nowMs - newsMs > pace.newsWaitMs()) {
-            newsMs = nowMs;
+        if (nowMs - updateMs > timing.updateWaitMs()) {
+            updateMs = nowMs;
             turn++;
         }
-        if (++asked % (8 * pace.roveEvery()) == 0) {
+        if (++asked % (8 * timing.roveEvery()) == 0) {
             turn = 0;
         }
-        return others.get((turn + (asked % pace.roveEvery() == 0 ? 1 + asked / pace.roveEvery() : 0)) % others.size());
+        return others.get(
+                (turn + (asked % timing.roveEvery() == 0 ? 1 + asked / timing.roveEvery() : 0)) % others.size());
     }
 
-    private FeedMessage.FeedAsk ask(final String core, final long askId, final boolean news) {
-        final VoterSet table = proposer.voters();
-        return new FeedMessage.FeedAsk(
+    private FeedMessage.FeedRequest ask(final String core, final long requestId, final boolean update) {
+        final VoterSet table = proposer.voterSet();
+        return new FeedMessage.FeedRequest(
                 address,
                 self.get(),
                 fresh(),
                 open.getAsInt(),
-                askId,
-                news,
-                book.policy().version(),
-                listing.lifeHeard(core),
-                listing.placeHeard(core),
+                requestId,
+                update,
+                configurationStore.configuration().version(),
+                endpointRegistry.incarnationHeard(core),
+                endpointRegistry.placeHeard(core),
                 table == null ? 0 : table.generation(),
                 table == null ? 0 : table.epoch(),
                 edgesMark);
     }
 
-    private void news(final String core) {
-        newsOf = core;
-        newsOfMs = clock.nowMs();
+    private void update(final String core) {
+        updateOf = core;
+        updateOfMs = clock.nowMs();
         post.send(core, ask(core, 0, true));
     }
 
     /** Whether someone was asked a moment ago, so that what all have is not fetched from each. */
     private boolean awaited() {
-        return newsOf != null && clock.nowMs() - newsOfMs < pace.newsWaitMs() / 3;
+        return updateOf != null && clock.nowMs() - updateOfMs < timing.updateWaitMs() / 3;
     }
 
     /** Asks the nearest that is known to be ahead, if any is. */
-    private void newsOfAhead(final VoterSet table) {
-        table.seats().stream()
+    private void updateOfAhead(final VoterSet table) {
+        table.voters().stream()
                 .filter(s -> last.containsKey(s.name())
-                        && last.get(s.name()).applied() > book.policy().version())
+                        && last.get(s.name()).applied()
+                                > configurationStore.configuration().version())
                 .map(Voter::address)
                 .filter(a -> !a.equals(address))
                 .min(Comparator.comparingInt(distance::of))
-                .ifPresent(this::news);
+                .ifPresent(this::update);
     }
 
-    /** Hears a core's reply or its news. Example: {@code follower.hear(note);} */
-    public void hear(final FeedMessage note) {
-        if (note instanceof FeedMessage.FeedNews n) {
-            news(n);
-        } else if (note instanceof FeedMessage.FeedBack back) {
+    /** Hears a core's reply or its news. */
+    public void hear(final FeedMessage message) {
+        if (message instanceof FeedMessage.FeedUpdate n) {
+            update(n);
+        } else if (message instanceof FeedMessage.FeedResponse back) {
             back(back);
-        } else if (note instanceof FeedMessage.ProofBack back) {
+        } else if (message instanceof FeedMessage.FreshnessResponse back) {
             back(back);
         }
     }
 
     /** What is told was chosen, so it may be in force before any proof names it. */
-    private void news(final FeedMessage.FeedNews told) {
-        if (told.change() != null && proposer.voters() != null) {
+    private void update(final FeedMessage.FeedUpdate told) {
+        if (told.change() != null && proposer.voterSet() != null) {
             learn(told.version(), told.change());
         }
-        if (told.version() > book.policy().version()) {
+        if (told.version() > configurationStore.configuration().version()) {
             tick();
         }
     }
 
-    private void back(final FeedMessage.FeedBack back) {
-        if (back.table() != null && back.table().newerThan(proposer.voters())) {
+    private void back(final FeedMessage.FeedResponse back) {
+        if (back.table() != null && back.table().newerThan(proposer.voterSet())) {
             adopt.accept(back.table());
         }
-        final VoterSet table = proposer.voters();
-        final Voter seat = table == null ? null : table.seat(back.name());
-        if (seat != null) {
-            listing.take(seat.address(), back.listingLife(), back.listingPlace(), back.listed(), back.reports());
+        final VoterSet table = proposer.voterSet();
+        final Voter voter = table == null ? null : table.voter(back.name());
+        if (voter != null) {
+            endpointRegistry.take(
+                    voter.address(), back.registryIncarnation(), back.registryPlace(), back.listed(), back.reports());
         }
-        if (back.listingLife() != 0) {
-            newsMs = clock.nowMs();
+        if (back.registryIncarnation() != 0) {
+            updateMs = clock.nowMs();
             edges(back);
         }
-        final boolean answered = newsOf != null
-                && (back.listingLife() != 0 || seat != null && seat.address().equals(newsOf));
-        newsOf = answered ? null : newsOf;
+        final boolean answered = updateOf != null
+                && (back.registryIncarnation() != 0
+                        || voter != null && voter.address().equals(updateOf));
+        updateOf = answered ? null : updateOf;
         final boolean same = table != null
                 && (back.table() != null
                         ? table.same(back.table().generation(), back.table().epoch())
@@ -335,16 +338,16 @@
         }
         heard(
                 back.name(),
-                new Word(back.voting(), back.applied(), back.newest()),
-                back.askId(),
+                new Observation(back.voting(), back.applied(), back.newest()),
+                back.requestId(),
                 same,
-                seat != null && seat.diskId().equals(back.diskId()));
-        if (answered && newsOf == null && same && back.askId() != 0) {
-            newsOfAhead(table);
+                voter != null && voter.diskId().equals(back.diskId()));
+        if (answered && updateOf == null && same && back.requestId() != 0) {
+            updateOfAhead(table);
         }
     }
 
-    private void edges(final FeedMessage.FeedBack back) {
+    private void edges(final FeedMessage.FeedResponse back) {
         if (!back.brief()) {
             edges = back.edges();
             edgesMark = back.edgesMark();
@@ -354,57 +357,61 @@
         edgesMs = clock.nowMs();
     }
 
-    private void back(final FeedMessage.ProofBack back) {
-        final VoterSet table = proposer.voters();
-        final Voter seat = table == null ? null : table.seat(back.name());
-        if (back.stranger() && seat != null) {
-            post.send(seat.address(), ask(seat.address(), 0, false));
+    private void back(final FeedMessage.FreshnessResponse back) {
+        final VoterSet table = proposer.voterSet();
+        final Voter voter = table == null ? null : table.voter(back.name());
+        if (back.stranger() && voter != null) {
+            post.send(voter.address(), ask(voter.address(), 0, false));
         }
         heard(
                 back.name(),
-                new Word(back.voting(), back.newest() - back.behind(), back.newest()),
-                back.askId(),
+                new Observation(back.voting(), back.newest() - back.behind(), back.newest()),
+                back.requestId(),
                 table != null && table.same(back.generation(), back.epoch()),
-                seat != null && Fingerprints.of(seat.diskId()) == back.diskMark());
+                voter != null && Fingerprints.of(voter.diskId()) == back.diskMark());
     }
 
     private void heard(
-            final String core, final Word word, final long askId, final boolean sameTable, final boolean ownDisk) {
+            final String core,
+            final Observation word,
+            final long requestId,
+            final boolean sameTable,
+            final boolean ownDisk) {
         last.put(core, word);
         lastMs.put(core, clock.nowMs());
         if (!sameTable) {
             return;
         }
-        final VoterSet table = proposer.voters();
-        final Open ask = asks.get(askId);
+        final VoterSet table = proposer.voterSet();
+        final Open ask = requests.get(requestId);
         if (ask != null && ask.table == table && word.voting() && ownDisk) {
             ask.newest.put(core, word.newest());
         }
         prove(table);
-        final Voter seat = table.seat(core);
-        if (word.applied() > book.policy().version() && seat != null && askId != 0) {
+        final Voter voter = table.voter(core);
+        if (word.applied() > configurationStore.configuration().version() && voter != null && requestId != 0) {
             if (!awaited()) {
-                news(seat.address());
+                update(voter.address());
             }
-        } else if (word.newest() > book.policy().version()) {
+        } else if (word.newest() > configurationStore.configuration().version()) {
             finish(table);
         }
     }
 
-    private void take(final FeedMessage.FeedBack back) {
-        final long before = book.policy().version();
+    private void take(final FeedMessage.FeedResponse back) {
+        final long before = configurationStore.configuration().version();
         if (back.snapshot() != null) {
-            book.load(back.snapshot());
+            configurationStore.load(back.snapshot());
         }
         for (final FeedMessage.Numbered n : back.changes()) {
-            if (n.version() == book.policy().version() + 1) {
-                book.apply(n.version(), n.change());
+            if (n.version() == configurationStore.configuration().version() + 1) {
+                configurationStore.apply(n.version(), n.change());
             }
         }
-        if (book.policy().version() != before) {
+        if (configurationStore.configuration().version() != before) {
             LOG.atInfo().log(
                     "event=policy node=%s version=%s before=%s",
-                    self.get().name(), book.policy().version(), before);
+                    self.get().name(), configurationStore.configuration().version(), before);
             applied.run();
         }
     }
@@ -420,13 +427,13 @@
 
     private void proof(final VoterSet table) {
         final Iterator<Map.Entry<Long, Open>> it =
-                asks.descendingMap().entrySet().iterator();
+                requests.descendingMap().entrySet().iterator();
         while (it.hasNext()) {
             final Open ask = it.next().getValue();
             if (ask.table == table
                     && ask.newest.size() >= table.majority()
-                    && ask.need() <= book.policy().version()) {
-                provedMs = Math.max(provedMs, ask.askedMs);
+                    && ask.need() <= configurationStore.configuration().version()) {
+                provedMs = Math.max(provedMs, ask.requestedMs);
                 return;
             }
         }
@@ -439,31 +446,32 @@
         if (finishing) {
             return;
         }
-        final long next = Math.max(book.policy().version() + 1, table.firstNumber());
-        for (final Word word : last.values()) {
+        final long next = Math.max(configurationStore.configuration().version() + 1, table.firstNumber());
+        for (final Observation word : last.values()) {
             if (word.applied() >= next) {
                 return;
             }
         }
         finishing = true;
-        proposer.read(ConfigurationKeys.key(next), pace.freshMs() / 2, outcome -> {
+        proposer.read(ConfigurationKeys.key(next), timing.freshMs() / 2, outcome -> {
             finishing = false;
             if (outcome instanceof spokestall.consensus.ProposalOutcome.Done done
                     && done.value() != null
-                    && proposer.voters() == table) {
+                    && proposer.voterSet() == table) {
                 learn(next, done.value());
             }
         });
     }
 
-    /** Applies a chosen change that this node has seen itself. Example: {@code follower.learn(18, bytes);} */
+    /** Applies a chosen change that this node has seen itself. */
     public void learn(final long version, final byte[] value) {
-        final VoterSet table = proposer.voters();
-        final boolean next = version == book.policy().version() + 1
-                || version == table.firstNumber() && version > book.policy().version();
+        final VoterSet table = proposer.voterSet();
+        final boolean next = version == configurationStore.configuration().version() + 1
+                || version == table.firstNumber()
+                        && version > configurationStore.configuration().version();
         if (next) {
-            final long before = book.policy().version();
-            book.apply(
+            final long before = configurationStore.configuration().version();
+            configurationStore.apply(
                     version,
                     spokestall.message.MessageCodec.record(value, spokestall.configuration.ConfigurationChange.class));
             LOG.atInfo().log(
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
@@ -14,16 +14,16 @@
 public sealed interface FeedMessage extends Message {
     /** Asks what is newest, and, of one core, for the news from two places on. It says what the asker has already: the table
      * of voters and the list of edges (by its mark), which are then left out of the reply; zero when it has none. */
-    record FeedAsk(
+    record FeedRequest(
             String from,
             NodeInfo self,
             boolean fresh,
             int open,
-            long askId,
-            boolean news,
+            long requestId,
+            boolean update,
             long place,
-            long listingLife,
-            long listingPlace,
+            long registryIncarnation,
+            long registryPlace,
             @SinceVersion(3) long generation,
             @SinceVersion(3) long epoch,
             @SinceVersion(3) long edgesMark)
@@ -34,10 +34,10 @@
 
     /** The reply: what this voter knows to be newest, and news if it was asked for some. The table is null if the asker has
      * it; edges are left out if brief. */
-    record FeedBack(
+    record FeedResponse(
             String name,
             String diskId,
-            long askId,
+            long requestId,
             VoterSet table,
             boolean voting,
             long applied,
@@ -45,8 +45,8 @@
             List<Numbered> changes,
             ConfigurationSnapshot snapshot,
             List<NodeInfo> edges,
-            long listingLife,
-            long listingPlace,
+            long registryIncarnation,
+            long registryPlace,
             List<Endpoint> listed,
             List<HealthObservation> reports,
             @SinceVersion(3) long generation,
@@ -57,26 +57,26 @@
 
     /** Says that a version was accepted, and how it changes the one before unless that is large, so that followers need
      * not wait for their beat. */
-    record FeedNews(long version, @SinceVersion(3) byte[] change) implements FeedMessage {}
+    record FeedUpdate(long version, @SinceVersion(3) byte[] change) implements FeedMessage {}
 
-    /** Asks for a proof alone. Nodes that serve callers are known by their address and life. */
-    record ProofAsk(
+    /** Asks for a proof alone. Nodes that serve clients are known by their address and life. */
+    record FreshnessRequest(
             String from,
-            long life,
+            long incarnation,
             boolean serves,
             boolean fresh,
             boolean leaving,
             int open,
-            long askId,
+            long requestId,
             long generation,
             long epoch)
             implements FeedMessage {}
 
-    /** The reply to {@link ProofAsk}: what is newest here, by which disk (its mark) and in which table, and by how many
+    /** The reply to {@link FreshnessRequest}: what is newest here, by which disk (its mark) and in which table, and by how many
      * versions this node's own is behind. A stranger is asked to say who it is. */
-    record ProofBack(
+    record FreshnessResponse(
             String name,
-            long askId,
+            long requestId,
             long generation,
             long epoch,
             long diskMark,
--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -29,13 +29,13 @@
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    static final String VOTERS = "~voters";
+    static final String VOTER_SET = "~voters";
     static final String CAUGHT = "~caught";
     static final String DISK = "~disk";
     static final String FLOOR = "~floor";
     private static final int PAGE_BYTES = 256 << 10;
     private final String name;
-    private final SegmentedLog ring;
+    private final SegmentedLog segmentedLog;
     private final MessageSender post;
     private final RegisterGuard guard;
     private final TreeMap<String, Register> registers = new TreeMap<>();
@@ -46,42 +46,42 @@
     private final Map<String, Integer> onTheWay = new HashMap<>();
     private final boolean openedBlank;
     private String diskId;
-    private VoterSet voters;
+    private VoterSet voterSet;
     private State state = State.BLANK;
     private long tableEpochDown;
     private long floor;
     private long floorOfOthers;
     private boolean diskTakes = true;
 
-    /** Example: {@code new Acceptor("d1-core", ring, post, guard, freshId)}; freshId is used only on a blank disk. */
+    /** Example: {@code new Acceptor("d1-core", segmentedLog, post, guard, freshId)}; freshId is used only on a blank disk. */
     public Acceptor(
             final String name,
-            final SegmentedLog ring,
+            final SegmentedLog segmentedLog,
             final MessageSender post,
             final RegisterGuard guard,
             final String freshId) {
         this.name = name;
-        this.ring = ring;
+        this.segmentedLog = segmentedLog;
         this.post = post;
         this.guard = guard;
-        final byte[] had = ring.table().get(DISK);
+        final byte[] had = segmentedLog.table().get(DISK);
         openedBlank = had == null;
         diskId = had == null ? freshId : new String(had, StandardCharsets.UTF_8);
         if (had == null) {
-            ring.put(DISK, diskId.getBytes(StandardCharsets.UTF_8), ok -> {});
+            segmentedLog.put(DISK, diskId.getBytes(StandardCharsets.UTF_8), ok -> {});
         }
-        final byte[] kept = ring.table().get(FLOOR);
+        final byte[] kept = segmentedLog.table().get(FLOOR);
         floor = kept == null ? 0 : ByteBuffer.wrap(kept).getLong();
-        final byte[] table = ring.table().get(VOTERS);
-        voters = table == null ? null : MessageCodec.record(table, VoterSet.class);
-        ring.table().forEach((key, value) -> {
+        final byte[] table = segmentedLog.table().get(VOTER_SET);
+        voterSet = table == null ? null : MessageCodec.record(table, VoterSet.class);
+        segmentedLog.table().forEach((key, value) -> {
             if (!key.startsWith("~")) {
                 registers.put(key, MessageCodec.record(value, Register.class));
             }
         });
-        final byte[] caught = ring.table().get(CAUGHT);
+        final byte[] caught = segmentedLog.table().get(CAUGHT);
         if (caught != null
-                && voters != null
+                && voterSet != null
                 && new String(caught, StandardCharsets.UTF_8).equals(caughtMark())
                 && seated()) {
             change(State.VOTING, "opened");
@@ -90,110 +90,110 @@
         }
     }
 
-    /** Keeps a record of this node's own beside the registers. Example: {@code voter.keepOwn("~form", bytes, ok -> ...);} */
+    /** Keeps a record of this node's own beside the registers. */
     public void keepOwn(final String key, final byte[] value, final Consumer<Boolean> done) {
         assert key.startsWith("~") : key;
-        ring.put(key, value, done);
+        segmentedLog.put(key, value, done);
     }
 
-    /** A record of this node's own, or null. Example: {@code voter.own("~form")} */
+    /** A record of this node's own, or null. */
     public byte[] own(final String key) {
-        return ring.table().get(key);
+        return segmentedLog.table().get(key);
     }
 
-    /** Whether this voter has its state, be it voting at this moment or not. Example: {@code voter.hasState()} */
+    /** Whether this voter has its state, be it voting at this moment or not. */
     public boolean hasState() {
         return state != State.RESIGNED && keepsState();
     }
 
-    /** Whether it has its seat and reads what it lacks from the others. Example: {@code voter.catchesUp()} */
+    /** Whether it has its seat and reads what it lacks from the others. */
     public boolean catchesUp() {
         return state() == State.CATCHING_UP && seated();
     }
 
     /** Whether its state is still on its disk, also after it resigned: a later round of a founding needs it as much as the
-     * first. Example: {@code new SurvivingState(..., voter.keepsState(), registers)} */
+     * first. */
     public boolean keepsState() {
-        final byte[] caught = ring.table().get(CAUGHT);
-        return ring.state() != SegmentedLog.State.BROKEN
+        final byte[] caught = segmentedLog.table().get(CAUGHT);
+        return segmentedLog.state() != SegmentedLog.State.BROKEN
                 && seated()
                 && caught != null
                 && new String(caught, StandardCharsets.UTF_8).equals(caughtMark());
     }
 
     /** Whether this disk's identity has voted, or may have: it must never get a seat anew, since what it missed without
-     * one it would not know of. Example: {@code if (!seated && voter.hasVoted()) voter.restart(freshId);} */
+     * one it would not know of. */
     public boolean hasVoted() {
-        final byte[] caught = ring.table().get(CAUGHT);
+        final byte[] caught = segmentedLog.table().get(CAUGHT);
         return caught != null && new String(caught, StandardCharsets.UTF_8).startsWith(diskId + "/");
     }
 
-    /** Whether the disk was blank when this life began. Example: {@code if (voter.openedBlank()) mayFound();} */
+    /** Whether the disk was blank when this life began. */
     public boolean openedBlank() {
         return openedBlank;
     }
 
-    /** Whether this disk still takes writes. Example: {@code voter.canWrite()} */
+    /** Whether this disk still takes writes. */
     public boolean canWrite() {
-        return ring.canWrite();
+        return segmentedLog.canWrite();
     }
 
-    /** Called for each register change that is down. Example: {@code voter.watch((key, register) -> ...);} */
+    /** Called for each register change that is down. */
     public void watch(final BiConsumer<String, Register> watcher) {
         watchers.add(watcher);
     }
 
-    /** Example: {@code if (voter.state() != Acceptor.State.VOTING) ...} */
+    /** Example: {@code if (acceptor.state() != Acceptor.State.VOTING) ...} */
     public State state() {
-        return ring.canWrite() ? state : State.STOPPED;
+        return segmentedLog.canWrite() ? state : State.STOPPED;
     }
 
-    /** The table this voter knows, or null. Example: {@code voter.voters().epoch()} */
-    public VoterSet voters() {
-        return voters;
+    /** The table this voter knows, or null. */
+    public VoterSet voterSet() {
+        return voterSet;
     }
 
-    /** This disk's identity. Example: {@code new Voter(name, address, voter.diskId())} */
+    /** This disk's identity. */
     public String diskId() {
         return diskId;
     }
 
-    /** The number of the newest record that is synced. Example: {@code if (voter.written() < told) startOver();} */
+    /** The number of the newest record that is synced. */
     public long written() {
-        return ring.syncedSeq();
+        return segmentedLog.syncedSeq();
     }
 
-    /** All registers by key. Example: {@code voter.registers().tailMap("policy/")} */
+    /** All registers by key. */
     public TreeMap<String, Register> registers() {
         return registers;
     }
 
     private String caughtMark() {
-        return diskId + "/" + voters.generation();
+        return diskId + "/" + voterSet.generation();
     }
 
     private boolean seated() {
-        final Voter seat = voters == null ? null : voters.seat(name);
-        return seat != null && seat.diskId().equals(diskId);
+        final Voter voter = voterSet == null ? null : voterSet.voter(name);
+        return voter != null && voter.diskId().equals(diskId);
     }
 
     private void change(final State to, final String why) {
         if (state != to) {
             LOG.atInfo().log(
                     "event=voter node=%s from=%s to=%s why=%s epoch=%s",
-                    name, state, to, why, voters == null ? "none" : voters.generation() + "/" + voters.epoch());
+                    name, state, to, why, voterSet == null ? "none" : voterSet.generation() + "/" + voterSet.epoch());
             state = to;
         }
     }
 
-    /** Takes a newer table. Votes of older tables are denied from here on. Example: {@code voter.adopt(table);} */
+    /** Takes a newer table. Votes of older tables are denied from here on. */
     public void adopt(final VoterSet table) {
-        if (!table.newerThan(voters) || !ring.canWrite()) {
+        if (!table.newerThan(voterSet) || !segmentedLog.canWrite()) {
             return;
         }
-        final boolean newGeneration = voters == null || voters.generation() != table.generation();
+        final boolean newGeneration = voterSet == null || voterSet.generation() != table.generation();
         final State was = state;
-        voters = table;
+        voterSet = table;
         final long mark = ++tableEpochDown;
         // Until the table is down no vote is given, so a power loss can't bring the old table back under a new vote.
         final boolean stays = was == State.VOTING && !newGeneration && seated();
@@ -202,7 +202,7 @@
         if (was != State.RESIGNED || newGeneration) {
             change(State.CATCHING_UP, "table");
         }
-        ring.put(VOTERS, MessageCodec.bytes(table), ok -> {
+        segmentedLog.put(VOTER_SET, MessageCodec.bytes(table), ok -> {
             if (!ok || mark != tableEpochDown || state == State.RESIGNED) {
                 return;
             }
@@ -224,13 +224,13 @@
         for (final String key : List.copyOf(registers.keySet())) {
             drop(key);
         }
-        ring.put(CAUGHT, null, ok -> {});
+        segmentedLog.put(CAUGHT, null, ok -> {});
     }
 
-    /** Lets a register go for good. Example: {@code voter.drop("usage/12");} */
+    /** Lets a register go for good. */
     public void drop(final String key) {
         if (registers.remove(key) != null) {
-            ring.put(key, null, ok -> {});
+            segmentedLog.put(key, null, ok -> {});
         }
     }
 
@@ -239,13 +239,12 @@
         return floor;
     }
 
-    /** Raises the floor; registers may be let go once it is down, so that none is missing here without it.
-     * Example: {@code voter.raiseFloor(version - kept, this::letGo);} */
+    /** Raises the floor; registers may be let go once it is down, so that none is missing here without it. */
     public void raiseFloor(final long to, final Runnable down) {
         if (to <= floor) {
             return;
         }
-        ring.put(FLOOR, ByteBuffer.allocate(Long.BYTES).putLong(to).array(), ok -> {
+        segmentedLog.put(FLOOR, ByteBuffer.allocate(Long.BYTES).putLong(to).array(), ok -> {
             if (ok && to > floor) {
                 floor = to;
                 down.run();
@@ -253,46 +252,44 @@
         });
     }
 
-    /** Stops voting for the sake of a new generation's ballot. Example: {@code voter.resign(voters.generation());} */
+    /** Stops voting for the sake of a new generation's proposal number. */
     public void resign(final long generation) {
-        if (voters == null || voters.generation() <= generation) {
+        if (voterSet == null || voterSet.generation() <= generation) {
             change(State.RESIGNED, "new-generation");
         }
     }
 
     /** Starts over as a blank voter with a fresh identity, after a resignation that came to nothing or the
-     * loss of its seat.
-     * Example: {@code voter.restart(freshId);} */
+     * loss of its seat. */
     public void restart(final String freshId) {
         diskId = freshId;
-        ring.put(DISK, diskId.getBytes(StandardCharsets.UTF_8), ok -> {});
+        segmentedLog.put(DISK, diskId.getBytes(StandardCharsets.UTF_8), ok -> {});
         dropAll();
         change(State.BLANK, "restarted");
     }
 
-    /** Takes a new generation's first registers. Example: {@code voter.found(table, entries);} */
+    /** Takes a new generation's first registers. */
     public void found(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
-        if (voters != null && !table.newerThan(voters)) {
+        if (voterSet != null && !table.newerThan(voterSet)) {
             return;
         }
         dropAll();
-        voters = table;
+        voterSet = table;
         final long mark = ++tableEpochDown;
         change(State.CATCHING_UP, "founded");
-        ring.put(VOTERS, MessageCodec.bytes(table), ok -> {});
+        segmentedLog.put(VOTER_SET, MessageCodec.bytes(table), ok -> {});
         for (final ConsensusMessage.Entry entry : entries) {
             store(entry.key(), entry.register(), ok -> {});
         }
         finishCatchUp(mark);
     }
 
-    /** A seat of the first table that missed the founding begins with it, late, as long as it has never voted.
-     * Example: {@code voter.foundLate(table, entries);} */
+    /** A seat of the first table that missed the founding begins with it, late, as long as it has never voted. */
     public void foundLate(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
-        final Voter first = table.seat(name);
+        final Voter first = table.voter(name);
         if (state != State.CATCHING_UP
-                || voters == null
-                || voters.generation() != table.generation()
+                || voterSet == null
+                || voterSet.generation() != table.generation()
                 || !seated()
                 || hasState()
                 || first == null
@@ -306,7 +303,7 @@
     }
 
     private void finishCatchUp(final long mark) {
-        ring.put(CAUGHT, caughtMark().getBytes(StandardCharsets.UTF_8), ok -> {
+        segmentedLog.put(CAUGHT, caughtMark().getBytes(StandardCharsets.UTF_8), ok -> {
             if (ok && mark == tableEpochDown && seated() && state == State.CATCHING_UP) {
                 change(State.VOTING, "caught-up");
             }
@@ -320,58 +317,62 @@
         change(State.CATCHING_UP, "seated");
     }
 
-    /** Asks again for what is missing; called on every beat. Example: {@code voter.tick(address);} */
+    /** Asks again for what is missing; called on every beat. */
     public void tick(final String address) {
-        ring.retry();
+        segmentedLog.retry();
         tellDisk();
         if (state() != State.CATCHING_UP || !seated()) {
             return;
         }
-        for (final Voter seat : voters.seats()) {
-            if (!seat.name().equals(name) && !caughtFrom.containsKey(seat.name())) {
-                askPage(address, seat);
+        for (final Voter voter : voterSet.voters()) {
+            if (!voter.name().equals(name) && !caughtFrom.containsKey(voter.name())) {
+                requestPage(address, voter);
             }
         }
         finishIfCaught();
     }
 
     private void tellDisk() {
-        if (diskTakes != ring.canWrite()) {
-            diskTakes = ring.canWrite();
-            LOG.atWarning().log("event=disk node=%s takesWrites=%s ring=%s", name, diskTakes, ring.state());
+        if (diskTakes != segmentedLog.canWrite()) {
+            diskTakes = segmentedLog.canWrite();
+            LOG.atWarning().log("event=disk node=%s takesWrites=%s ring=%s", name, diskTakes, segmentedLog.state());
         }
     }
 
-    private void askPage(final String address, final Voter seat) {
+    private void requestPage(final String address, final Voter voter) {
         post.send(
-                seat.address(),
-                new ConsensusMessage.CatchAsk(
-                        address, name, voters.generation(), voters.epoch(), catchUp.getOrDefault(seat.name(), "")));
+                voter.address(),
+                new ConsensusMessage.CatchUpRequest(
+                        address,
+                        name,
+                        voterSet.generation(),
+                        voterSet.epoch(),
+                        catchUp.getOrDefault(voter.name(), "")));
     }
 
-    /** Hears a proposer or another voter. Example: {@code voter.hear(note, address);} */
-    public void hear(final ConsensusMessage note, final String address) {
-        if (note instanceof ConsensusMessage.Prepare prepare) {
+    /** Hears a proposer or another voter. */
+    public void hear(final ConsensusMessage message, final String address) {
+        if (message instanceof ConsensusMessage.Prepare prepare) {
             prepare(prepare);
-        } else if (note instanceof ConsensusMessage.Accept accept) {
+        } else if (message instanceof ConsensusMessage.Accept accept) {
             accept(accept);
-        } else if (note instanceof ConsensusMessage.Chosen chosen) {
+        } else if (message instanceof ConsensusMessage.Chosen chosen) {
             chosen(chosen);
-        } else if (note instanceof ConsensusMessage.HoldAsk ask) {
+        } else if (message instanceof ConsensusMessage.HandoverRequest ask) {
             hold(ask);
-        } else if (note instanceof ConsensusMessage.CatchAsk ask) {
+        } else if (message instanceof ConsensusMessage.CatchUpRequest ask) {
             page(ask);
-        } else if (note instanceof ConsensusMessage.CatchBack back) {
+        } else if (message instanceof ConsensusMessage.CatchUpResponse back) {
             caught(back, address);
         }
     }
 
     private ConsensusMessage.Reply ready(final long generation, final long epoch, final String from) {
-        if (voters != null && new VoterSet(generation, epoch, List.of()).newerThan(voters) || voters == null) {
+        if (voterSet != null && new VoterSet(generation, epoch, List.of()).newerThan(voterSet) || voterSet == null) {
             return ConsensusMessage.Reply.BLANK;
         }
-        if (!voters.same(generation, epoch)) {
-            post.send(from, new ConsensusMessage.Table(voters));
+        if (!voterSet.same(generation, epoch)) {
+            post.send(from, new ConsensusMessage.Table(voterSet));
             return ConsensusMessage.Reply.OLD_TABLE;
         }
         return state() == State.VOTING && guard.ready() ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.BLANK;
@@ -394,11 +395,11 @@
             promise(ask, reply, before.getOrDefault(ask.key(), had));
             return;
         }
-        if (ask.ballot().compareTo(had.promised()) < 0) {
+        if (ask.proposalNumber().compareTo(had.promised()) < 0) {
             promise(ask, ConsensusMessage.Reply.LOWER, had);
             return;
         }
-        final Register now = new Register(ask.ballot(), had.accepted(), had.value());
+        final Register now = new Register(ask.proposalNumber(), had.accepted(), had.value());
         store(ask.key(), now, ok -> promise(ask, ok ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.DISK, now));
     }
 
@@ -406,7 +407,7 @@
         post.send(
                 ask.from(),
                 new ConsensusMessage.Promise(
-                        ask.goId(),
+                        ask.attemptId(),
                         name,
                         diskId,
                         reply,
@@ -423,7 +424,7 @@
             reply = ConsensusMessage.Reply.DENIED;
         }
         final Register had = registers.getOrDefault(ask.key(), Register.EMPTY);
-        if (reply == ConsensusMessage.Reply.YES && ask.ballot().compareTo(had.promised()) < 0) {
+        if (reply == ConsensusMessage.Reply.YES && ask.proposalNumber().compareTo(had.promised()) < 0) {
             reply = ConsensusMessage.Reply.LOWER;
         }
         if (reply != ConsensusMessage.Reply.YES) {
@@ -433,25 +434,30 @@
         // With the value goes a promise of the same proposer's next rank: its next change needs no first phase.
         store(
                 ask.key(),
-                new Register(ask.ballot().next(), ask.ballot(), ask.value()),
-                ok -> accepted(ask, ok ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.DISK, ask.ballot()));
+                new Register(ask.proposalNumber().next(), ask.proposalNumber(), ask.value()),
+                ok -> accepted(
+                        ask, ok ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.DISK, ask.proposalNumber()));
     }
 
     private void accepted(
             final ConsensusMessage.Accept ask, final ConsensusMessage.Reply reply, final ProposalNumber promised) {
-        post.send(ask.from(), new ConsensusMessage.Accepted(ask.goId(), name, diskId, reply, promised));
+        post.send(ask.from(), new ConsensusMessage.Accepted(ask.attemptId(), name, diskId, reply, promised));
     }
 
     private void chosen(final ConsensusMessage.Chosen chosen) {
-        if (voters == null
-                || !voters.same(chosen.generation(), chosen.epoch())
+        if (voterSet == null
+                || !voterSet.same(chosen.generation(), chosen.epoch())
                 || state() != State.VOTING
                 || guard.gone(chosen.key())) {
             return;
         }
         final Register had = registers.getOrDefault(chosen.key(), Register.EMPTY);
-        if (chosen.ballot().compareTo(had.promised()) >= 0 && chosen.ballot().compareTo(had.accepted()) > 0) {
-            store(chosen.key(), new Register(chosen.ballot(), chosen.ballot(), chosen.value()), ok -> {});
+        if (chosen.proposalNumber().compareTo(had.promised()) >= 0
+                && chosen.proposalNumber().compareTo(had.accepted()) > 0) {
+            store(
+                    chosen.key(),
+                    new Register(chosen.proposalNumber(), chosen.proposalNumber(), chosen.value()),
+                    ok -> {});
         }
     }
 
@@ -462,7 +468,7 @@
         assert had == null || had.accepted().compareTo(now.accepted()) <= 0 : "an accepted rank fell on " + key;
         before.putIfAbsent(key, had == null ? Register.EMPTY : had);
         onTheWay.merge(key, 1, Integer::sum);
-        ring.put(key, MessageCodec.bytes(now), ok -> {
+        segmentedLog.put(key, MessageCodec.bytes(now), ok -> {
             if (onTheWay.merge(key, -1, Integer::sum) == 0) {
                 onTheWay.remove(key);
                 before.remove(key);
@@ -483,7 +489,7 @@
     }
 
     /** Names what it lacks on its disk of what another voter holds. */
-    private void hold(final ConsensusMessage.HoldAsk ask) {
+    private void hold(final ConsensusMessage.HandoverRequest ask) {
         if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.YES) {
             return;
         }
@@ -495,10 +501,10 @@
                 lacking.add(held.key());
             }
         }
-        post.send(ask.from(), new ConsensusMessage.HoldBack(name, ask.generation(), ask.epoch(), lacking));
+        post.send(ask.from(), new ConsensusMessage.HandoverResponse(name, ask.generation(), ask.epoch(), lacking));
     }
 
-    private void page(final ConsensusMessage.CatchAsk ask) {
+    private void page(final ConsensusMessage.CatchUpRequest ask) {
         if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.YES) {
             return;
         }
@@ -518,13 +524,14 @@
         }
         post.send(
                 ask.from(),
-                new ConsensusMessage.CatchBack(name, ask.generation(), ask.epoch(), ask.after(), entries, last, floor));
+                new ConsensusMessage.CatchUpResponse(
+                        name, ask.generation(), ask.epoch(), ask.after(), entries, last, floor));
     }
 
-    private void caught(final ConsensusMessage.CatchBack back, final String address) {
+    private void caught(final ConsensusMessage.CatchUpResponse back, final String address) {
         if (state() != State.CATCHING_UP
                 || !seated()
-                || !voters.same(back.generation(), back.epoch())
+                || !voterSet.same(back.generation(), back.epoch())
                 || caughtFrom.containsKey(back.name())
                 || !catchUp.getOrDefault(back.name(), "").equals(back.after())) {
             return;
@@ -535,7 +542,7 @@
             catchUp.put(back.name(), entry.key());
         }
         if (!back.last()) {
-            askPage(address, voters.seat(back.name()));
+            requestPage(address, voterSet.voter(back.name()));
             return;
         }
         caughtFrom.put(back.name(), true);
@@ -544,7 +551,7 @@
 
     /** What the others let go is not among their registers, so it must be here in the form that they keep it in. */
     private void finishIfCaught() {
-        if (caughtFrom.size() >= voters.meeting() && guard.holds(floorOfOthers)) {
+        if (caughtFrom.size() >= voterSet.meeting() && guard.holds(floorOfOthers)) {
             raiseFloor(floorOfOthers, () -> {});
             finishCatchUp(tableEpochDown);
         }
--- a/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
+++ b/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
@@ -7,13 +7,20 @@
 /** What proposers and voters say to each other. */
 public sealed interface ConsensusMessage extends Message {
     /** Phase one, or with peek only a look at what is accepted. */
-    record Prepare(long goId, String from, long generation, long epoch, String key, ProposalNumber ballot, boolean peek)
+    record Prepare(
+            long attemptId,
+            String from,
+            long generation,
+            long epoch,
+            String key,
+            ProposalNumber proposalNumber,
+            boolean peek)
             implements ConsensusMessage {}
 
     /** The reply to {@link Prepare}. */
     record Promise(
-            long goId,
-            String voter,
+            long attemptId,
+            String acceptor,
             String diskId,
             Reply reply,
             ProposalNumber promised,
@@ -22,25 +29,33 @@
             implements ConsensusMessage {}
 
     /** Phase two. */
-    record Accept(long goId, String from, long generation, long epoch, String key, ProposalNumber ballot, byte[] value)
+    record Accept(
+            long attemptId,
+            String from,
+            long generation,
+            long epoch,
+            String key,
+            ProposalNumber proposalNumber,
+            byte[] value)
             implements ConsensusMessage {}
 
     /** The reply to {@link Accept}. */
-    record Accepted(long goId, String voter, String diskId, Reply reply, ProposalNumber promised)
+    record Accepted(long attemptId, String acceptor, String diskId, Reply reply, ProposalNumber promised)
             implements ConsensusMessage {}
 
     /** News that a value has been chosen at a rank. */
-    record Chosen(long generation, long epoch, String key, ProposalNumber ballot, byte[] value)
+    record Chosen(long generation, long epoch, String key, ProposalNumber proposalNumber, byte[] value)
             implements ConsensusMessage {}
 
     /** A table of voters, said by whoever sees that the other has an older one. */
-    record Table(VoterSet voters) implements ConsensusMessage {}
+    record Table(VoterSet voterSet) implements ConsensusMessage {}
 
     /** A voter that lost its disk asks the others for all they have, page by page. */
-    record CatchAsk(String from, String name, long generation, long epoch, String after) implements ConsensusMessage {}
+    record CatchUpRequest(String from, String name, long generation, long epoch, String after)
+            implements ConsensusMessage {}
 
     /** One page of a voter's registers, and the version up to which it has let registers of versions go. */
-    record CatchBack(
+    record CatchUpResponse(
             String name,
             long generation,
             long epoch,
@@ -51,10 +66,11 @@
             implements ConsensusMessage {}
 
     /** A voter that leaves asks another whether it has accepted as much; the reply names what it lacks. */
-    record HoldAsk(String from, long generation, long epoch, List<Held> held) implements ConsensusMessage {}
+    record HandoverRequest(String from, long generation, long epoch, List<Held> held) implements ConsensusMessage {}
 
-    /** The reply to {@link HoldAsk}: the keys of which this voter has only older ranks, or none, on its disk. */
-    record HoldBack(String name, long generation, long epoch, List<String> lacking) implements ConsensusMessage {}
+    /** The reply to {@link HandoverRequest}: the keys of which this voter has only older ranks, or none, on its disk. */
+    record HandoverResponse(String name, long generation, long epoch, List<String> lacking)
+            implements ConsensusMessage {}
 
     /** A register's key, and the rank at which its value was accepted. */
     record Held(String key, ProposalNumber accepted) {}
--- a/spokestall/src/main/java/spokestall/consensus/ProposalNumber.java
+++ b/spokestall/src/main/java/spokestall/consensus/ProposalNumber.java
@@ -1,8 +1,8 @@
 package spokestall.consensus;
 
-/** A ballot's rank: a count, and who cast it in which life, so that no two proposers ever share one. */
+/** A proposal number's rank: a count, and who cast it in which life, so that no two proposers ever share one. */
 public record ProposalNumber(long count, String by) implements Comparable<ProposalNumber> {
-    /** Below every ballot that can be cast. */
+    /** Below every proposal number that can be cast. */
     public static final ProposalNumber NONE = new ProposalNumber(0, "");
 
     /** The rank that whoever had this one accepted may use next without asking first. */
--- a/spokestall/src/main/java/spokestall/consensus/Proposer.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposer.java
@@ -13,12 +13,12 @@
 import spokestall.time.Clock;
 
 /**
- * Changes one register at a time by rounds of ballots among the voters. Any node may propose; there is no leader.
+ * Changes one register at a time by rounds of proposal numbers among the voters. Any node may propose; there is no leader.
  * An edit may be asked again on a later round, and must know its own value when it sees it.
  */
 public final class Proposer {
     /** How a round waits and comes back, as told by the settings. */
-    public record Pace(long roundMs, long backoffMs, int goesMax) {}
+    public record Timing(long roundMs, long backoffMs, int attemptsMax) {}
 
     /** Why a change was not done when the voters would not take it. */
     public static final String DENIED = "denied";
@@ -39,23 +39,22 @@
     private final MessageSender post;
     private final Clock clock;
     private final Random random;
-    private final Pace pace;
+    private final Timing timing;
     private final Map<Long, Round> rounds = new HashMap<>();
     private final Map<String, Long> counts;
     private final Map<String, Held> held;
     private final BiConsumer<String, String> missed;
-    private VoterSet voters;
-    private long nextGoId;
+    private VoterSet voterSet;
+    private long nextAttemptId;
 
-    /** {@code missed} is told which voter did not take part in a change of which key in time.
-     * Example: {@code new Proposer("d1-edge#5f", "127.0.0.1:7201", post, clock, random, pace, (seat, key) -> { })} */
+    /** {@code missed} is told which voter did not take part in a change of which key in time. */
     public Proposer(
             final String by,
             final String address,
             final MessageSender post,
             final Clock clock,
             final Random random,
-            final Pace pace,
+            final Timing timing,
             final BiConsumer<String, String> missed) {
         this.missed = missed;
         this.by = by;
@@ -63,8 +62,8 @@
         this.post = post;
         this.clock = clock;
         this.random = random;
-        this.pace = pace;
-        this.nextGoId = random.nextLong() >>> 16;
+        this.timing = timing;
+        this.nextAttemptId = random.nextLong() >>> 16;
         this.counts = newest();
         this.held = newest();
     }
@@ -78,25 +77,24 @@
         };
     }
 
-    /** The table rounds are held by, or null. Example: {@code proposer.voters()} */
-    public VoterSet voters() {
-        return voters;
+    /** The table rounds are held by, or null. */
+    public VoterSet voterSet() {
+        return voterSet;
     }
 
-    /** Takes a newer table; rounds under way are begun again with it. Example: {@code proposer.adopt(table);} */
+    /** Takes a newer table; rounds under way are begun again with it. */
     public void adopt(final VoterSet table) {
-        if (table.newerThan(voters)) {
-            voters = table;
+        if (table.newerThan(voterSet)) {
+            voterSet = table;
         }
     }
 
-    /** How many rounds are open. Example: {@code if (proposer.open() > bound) deny();} */
+    /** How many rounds are open. */
     public int open() {
         return rounds.size();
     }
 
-    /** Changes a register. Example: {@code proposer.change("once/t/1", 2000, now -> now == null ? new RegisterEdit.Set(v)
-     * : RegisterEdit.LEAVE, outcome -> ...);} */
+    /** Changes a register. */
     public void change(
             final String key,
             final long waitMs,
@@ -105,20 +103,20 @@
         new Round(key, clock.nowMs() + waitMs, edit, done).change();
     }
 
-    /** Reads a register so that no earlier finished change is missed. Example: {@code proposer.read(key, 500, o -> ...);} */
+    /** Reads a register so that no earlier finished change is missed. */
     public void read(final String key, final long waitMs, final Consumer<ProposalOutcome> done) {
         new Round(key, clock.nowMs() + waitMs, now -> RegisterEdit.LEAVE, done).begin(Phase.PEEK);
     }
 
-    /** Hears a voter's reply. Example: {@code proposer.hear(promise);} */
-    public void hear(final ConsensusMessage note) {
-        if (note instanceof ConsensusMessage.Promise promise) {
-            final Round round = rounds.get(promise.goId());
+    /** Hears a voter's reply. */
+    public void hear(final ConsensusMessage message) {
+        if (message instanceof ConsensusMessage.Promise promise) {
+            final Round round = rounds.get(promise.attemptId());
             if (round != null) {
                 round.promise(promise);
             }
-        } else if (note instanceof ConsensusMessage.Accepted accepted) {
-            final Round round = rounds.get(accepted.goId());
+        } else if (message instanceof ConsensusMessage.Accepted accepted) {
+            final Round round = rounds.get(accepted.attemptId());
             if (round != null) {
                 round.accepted(accepted);
             }
@@ -135,17 +133,17 @@
         private final Set<String> no = new HashSet<>();
         private final Set<ProposalNumber> seen = new HashSet<>();
         private Phase phase;
-        private long goId;
-        private int goes;
+        private long attemptId;
+        private int attempts;
         private boolean mayHold;
         private boolean gone;
         private VoterSet table;
-        private ProposalNumber ballot;
+        private ProposalNumber proposalNumber;
         private ProposalNumber highest;
         private byte[] highestValue;
         private byte[] proposed;
         private boolean wrote;
-        private boolean denied;
+        private boolean rejected;
         private boolean outranked;
 
         Round(
@@ -162,13 +160,13 @@
         /** The first phase is left out where this proposer's last change still stands, as far as it knows. */
         void change() {
             final Held last = held.remove(key);
-            final RegisterEdit wanted = last != null && last.table == voters && clock.nowMs() < deadlineMs
+            final RegisterEdit wanted = last != null && last.table == voterSet && clock.nowMs() < deadlineMs
                     ? edit.apply(last.value)
                     : RegisterEdit.LEAVE;
             if (wanted instanceof RegisterEdit.Set set) {
                 open(Phase.ACCEPT);
                 counts.merge(key, last.next.count(), Math::max);
-                ballot = last.next;
+                proposalNumber = last.next;
                 propose(set.value(), true);
             } else {
                 begin(Phase.PREPARE);
@@ -176,11 +174,11 @@
         }
 
         private void open(final Phase first) {
-            goId = nextGoId++;
-            rounds.put(goId, this);
-            goes++;
+            attemptId = nextAttemptId++;
+            rounds.put(attemptId, this);
+            attempts++;
             phase = first;
-            table = voters;
+            table = voterSet;
             clear();
         }
 
@@ -188,9 +186,9 @@
             if (phase == Phase.ENDED) {
                 return;
             }
-            rounds.remove(goId);
+            rounds.remove(attemptId);
             final long nowMs = clock.nowMs();
-            if (nowMs >= deadlineMs || goes >= pace.goesMax()) {
+            if (nowMs >= deadlineMs || attempts >= timing.attemptsMax()) {
                 end(giveUp("deadline"));
                 return;
             }
@@ -202,12 +200,18 @@
                 return;
             }
             final long count = counts.merge(key, 1L, Long::sum);
-            ballot = new ProposalNumber(count, by);
-            for (final Voter seat : table.seats()) {
+            proposalNumber = new ProposalNumber(count, by);
+            for (final Voter voter : table.voters()) {
                 post.send(
-                        seat.address(),
+                        voter.address(),
                         new ConsensusMessage.Prepare(
-                                goId, address, table.generation(), table.epoch(), key, ballot, first == Phase.PEEK));
+                                attemptId,
+                                address,
+                                table.generation(),
+                                table.epoch(),
+                                key,
+                                proposalNumber,
+                                first == Phase.PEEK));
             }
             expire();
         }
@@ -219,10 +223,10 @@
         }
 
         private void expire() {
-            final long id = goId;
+            final long id = attemptId;
             final Phase in = phase;
-            clock.after(Math.min(pace.roundMs(), Math.max(1, deadlineMs - clock.nowMs())), () -> {
-                if (goId == id && phase == in) {
+            clock.after(Math.min(timing.roundMs(), Math.max(1, deadlineMs - clock.nowMs())), () -> {
+                if (attemptId == id && phase == in) {
                     later(Phase.PREPARE);
                 }
             });
@@ -231,17 +235,17 @@
         /** Comes back after a jittered wait, so that two proposers don't meet again; one that was outranked leaves the other
          * the time for its second phase first. */
         private void later(final Phase next) {
-            rounds.remove(goId);
+            rounds.remove(attemptId);
             if (phase == Phase.ENDED) {
                 return;
             }
-            final long id = goId;
-            final long spanMs = pace.backoffMs() * Math.min(8, 1L << Math.min(goes, 3));
+            final long id = attemptId;
+            final long spanMs = timing.backoffMs() * Math.min(8, 1L << Math.min(attempts, 3));
             phase = next;
-            final long yieldMs = outranked ? 2 * pace.backoffMs() : 0;
+            final long yieldMs = outranked ? 2 * timing.backoffMs() : 0;
             outranked = false;
             clock.after(1 + yieldMs + (long) (random.nextDouble() * spanMs), () -> {
-                if (goId == id) {
+                if (attemptId == id) {
                     begin(next);
                 }
             });
@@ -249,15 +253,15 @@
 
         /** Whoever has not taken the value one more round later is missing it. */
         private void awaitTheRest() {
-            if (yes.size() == table.seats().size()) {
+            if (yes.size() == table.voters().size()) {
                 return;
             }
-            rounds.put(goId, this);
-            clock.after(pace.roundMs(), () -> {
-                rounds.remove(goId);
-                for (final Voter seat : table.seats()) {
-                    if (!yes.contains(seat.name())) {
-                        missed.accept(seat.name(), key);
+            rounds.put(attemptId, this);
+            clock.after(timing.roundMs(), () -> {
+                rounds.remove(attemptId);
+                for (final Voter voter : table.voters()) {
+                    if (!yes.contains(voter.name())) {
+                        missed.accept(voter.name(), key);
                     }
                 }
             });
@@ -268,41 +272,41 @@
         }
 
         private void end(final ProposalOutcome outcome) {
-            rounds.remove(goId);
+            rounds.remove(attemptId);
             phase = Phase.ENDED;
             done.accept(outcome);
         }
 
-        private boolean counts(final String voter, final String diskId, final ConsensusMessage.Reply reply) {
-            final Voter seat = table.seat(voter);
-            if (seat == null || voters != table) {
-                if (voters != table) {
+        private boolean counts(final String acceptor, final String diskId, final ConsensusMessage.Reply reply) {
+            final Voter voter = table.voter(acceptor);
+            if (voter == null || voterSet != table) {
+                if (voterSet != table) {
                     later(Phase.PREPARE);
                 }
                 return false;
             }
             final boolean good =
-                    reply == ConsensusMessage.Reply.YES && seat.diskId().equals(diskId);
+                    reply == ConsensusMessage.Reply.YES && voter.diskId().equals(diskId);
             gone |= reply == ConsensusMessage.Reply.GONE;
-            denied |= reply == ConsensusMessage.Reply.DENIED;
+            rejected |= reply == ConsensusMessage.Reply.DENIED;
             outranked |= reply == ConsensusMessage.Reply.LOWER;
-            (good ? yes : no).add(voter);
+            (good ? yes : no).add(acceptor);
             return true;
         }
 
         private boolean lost() {
-            return no.size() > table.seats().size() - table.majority();
+            return no.size() > table.voters().size() - table.majority();
         }
 
         void promise(final ConsensusMessage.Promise promise) {
             if (phase != Phase.PREPARE && phase != Phase.PEEK
-                    || !counts(promise.voter(), promise.diskId(), promise.reply())) {
+                    || !counts(promise.acceptor(), promise.diskId(), promise.reply())) {
                 return;
             }
             if (promise.reply() == ConsensusMessage.Reply.LOWER) {
                 counts.merge(key, promise.promised().count() + 1, Math::max);
             }
-            if (yes.contains(promise.voter()) && promise.reply() == ConsensusMessage.Reply.YES) {
+            if (yes.contains(promise.acceptor()) && promise.reply() == ConsensusMessage.Reply.YES) {
                 seen.add(promise.accepted());
                 if (promise.accepted().compareTo(highest) > 0) {
                     highest = promise.accepted();
@@ -314,7 +318,7 @@
             } else if (lost()) {
                 if (gone) {
                     end(mayHold ? new ProposalOutcome.Undecided() : new ProposalOutcome.Gone());
-                } else if (denied) {
+                } else if (rejected) {
                     end(giveUp(DENIED));
                 } else {
                     later(Phase.PREPARE);
@@ -351,38 +355,39 @@
             mayHold |= wrote;
             phase = Phase.ACCEPT;
             clear();
-            for (final Voter seat : table.seats()) {
+            for (final Voter voter : table.voters()) {
                 post.send(
-                        seat.address(),
+                        voter.address(),
                         new ConsensusMessage.Accept(
-                                goId, address, table.generation(), table.epoch(), key, ballot, proposed));
+                                attemptId, address, table.generation(), table.epoch(), key, proposalNumber, proposed));
             }
             expire();
         }
 
         void accepted(final ConsensusMessage.Accepted accepted) {
             if (phase == Phase.ENDED && accepted.reply() == ConsensusMessage.Reply.YES) {
-                yes.add(accepted.voter());
+                yes.add(accepted.acceptor());
             }
-            if (phase != Phase.ACCEPT || !counts(accepted.voter(), accepted.diskId(), accepted.reply())) {
+            if (phase != Phase.ACCEPT || !counts(accepted.acceptor(), accepted.diskId(), accepted.reply())) {
                 return;
             }
             if (accepted.reply() == ConsensusMessage.Reply.LOWER) {
                 counts.merge(key, accepted.promised().count() + 1, Math::max);
             }
             if (yes.size() >= table.majority()) {
-                held.put(key, new Held(table, ballot.next(), proposed));
-                for (final Voter seat : table.seats()) {
-                    if (!yes.contains(seat.name())) {
+                held.put(key, new Held(table, proposalNumber.next(), proposed));
+                for (final Voter voter : table.voters()) {
+                    if (!yes.contains(voter.name())) {
                         post.send(
-                                seat.address(),
-                                new ConsensusMessage.Chosen(table.generation(), table.epoch(), key, ballot, proposed));
+                                voter.address(),
+                                new ConsensusMessage.Chosen(
+                                        table.generation(), table.epoch(), key, proposalNumber, proposed));
                     }
                 }
                 end(new ProposalOutcome.Done(proposed, wrote));
                 awaitTheRest();
             } else if (lost()) {
-                if (denied || gone) {
+                if (rejected || gone) {
                     end(giveUp(DENIED));
                 } else {
                     later(Phase.PREPARE);
--- a/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
@@ -2,16 +2,15 @@
 
 /** Says which keys a voter still keeps, and which values it will never take. */
 public interface RegisterGuard {
-    /** Whether what registers up to a version decided is on this disk in another form, so that they may be missing here.
-     * Example: {@code if (guard.holds(voter.floor())) vote();} */
+    /** Whether what registers up to a version decided is on this disk in another form, so that they may be missing here. */
     default boolean holds(final long floor) {
         return true;
     }
 
-    /** Whether the answers below can be relied on yet. Example: {@code if (!guard.ready()) stayBlank();} */
+    /** Whether the answers below can be relied on yet. */
     boolean ready();
 
-    /** Whether the key was let go and must not be made anew. Example: {@code guard.gone("usage/17")} */
+    /** Whether the key was let go and must not be made anew. */
     boolean gone(String key);
 
     /** Whether there is room to begin a register that is not there yet. Example: claims leave room for the rest. */
--- a/spokestall/src/main/java/spokestall/discovery/Endpoint.java
+++ b/spokestall/src/main/java/spokestall/discovery/Endpoint.java
@@ -9,30 +9,30 @@
         String instance,
         String service,
         String address,
-        String district,
+        String zone,
         String region,
         boolean present,
         boolean leaving,
         long stampMs,
-        @SinceVersion(3) long coldUntilMs,
+        @SinceVersion(3) long warmUpUntilMs,
         @SinceVersion(3) long sinceMs,
         @SinceVersion(3) int slots) {
-    /** An entry as it was read. Example: {@code Endpoint.read("i1", "records", "10.0.0.1:80", "d1", "r1", false, -1, 0)} */
+    /** An entry as it was read. */
     public static Endpoint read(
             final String instance,
             final String service,
             final String address,
-            final String district,
+            final String zone,
             final String region,
             final boolean leaving,
-            final long coldForMs,
+            final long warmUpForMs,
             final int slots) {
-        return new Endpoint(instance, service, address, district, region, true, leaving, 0, coldForMs, 0, slots);
+        return new Endpoint(instance, service, address, zone, region, true, leaving, 0, warmUpForMs, 0, slots);
     }
 
-    /** The same, stamped. Example: {@code listed.at(true, askedMs, 0, firstMs)} */
-    Endpoint at(final boolean there, final long ms, final long coldUntil, final long since) {
-        return new Endpoint(instance, service, address, district, region, there, leaving, ms, coldUntil, since, slots);
+    /** The same, stamped. */
+    Endpoint at(final boolean there, final long ms, final long warmUpUntil, final long since) {
+        return new Endpoint(instance, service, address, zone, region, there, leaving, ms, warmUpUntil, since, slots);
     }
 
     /** When it was first listed, as far as is known. */
--- a/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
@@ -12,11 +12,11 @@
  * Merging is by newest stamp, so order and repeats don't matter.
  */
 public final class EndpointRegistry {
-    private record Heard(long life, long place) {}
+    private record Heard(long incarnation, long place) {}
 
     private record Numbered<T>(long place, T value) {}
 
-    private final long life;
+    private final long incarnation;
     private final int entriesMax;
     private final long freshMs;
     private final boolean probed;
@@ -31,68 +31,67 @@
     private long readMs;
     private long changes;
 
-    /** Where nothing is probed, what is listed and not leaving counts as ready.
-     * Example: {@code new EndpointRegistry(life, 4096, 4000, true)} */
-    public EndpointRegistry(final long life, final int entriesMax, final long freshMs, final boolean probed) {
+    /** Where nothing is probed, what is listed and not leaving counts as ready. */
+    public EndpointRegistry(final long incarnation, final int entriesMax, final long freshMs, final boolean probed) {
         this.probed = probed;
-        this.life = life;
+        this.incarnation = incarnation;
         this.entriesMax = entriesMax;
         this.freshMs = freshMs;
     }
 
-    /** Example: {@code listing.life()} names this process's own numbering. */
-    public long life() {
-        return life;
+    /** Example: {@code endpointRegistry.incarnation()} names this process's own numbering. */
+    public long incarnation() {
+        return incarnation;
     }
 
-    /** The platform's list was read then, by any core. Example: {@code listing.read(push.readMs());} */
+    /** The platform's list was read then, by any core. */
     public void read(final long ms) {
         readMs = Math.max(readMs, ms);
     }
 
-    /** When the list was last read, as far as is known. Example: {@code fleet.nowMs() - listing.readMs()} */
+    /** When the list was last read, as far as is known. */
     public long readMs() {
         return readMs;
     }
 
-    /** What a core last said of an instance, or null. Example: {@code listing.said("i1", "d1-core")} */
+    /** What a core last said of an instance, or null. */
     HealthObservation said(final String instance, final String by) {
         final Numbered<HealthObservation> had =
                 reports.getOrDefault(instance, Map.of()).get(by);
         return had == null ? null : had.value;
     }
 
-    /** The place of the newest entry. Example: {@code listing.place()} */
+    /** The place of the newest entry. */
     public long place() {
         return place;
     }
 
-    /** The numbering last heard from a core. Example: {@code listing.lifeHeard(address)} */
-    public long lifeHeard(final String core) {
+    /** The numbering last heard from a core. */
+    public long incarnationHeard(final String core) {
         final Heard h = heard.get(core);
-        return h == null ? 0 : h.life;
+        return h == null ? 0 : h.incarnation;
     }
 
-    /** How far that numbering was heard. Example: {@code listing.placeHeard(address)} */
+    /** How far that numbering was heard. */
     public long placeHeard(final String core) {
         final Heard h = heard.get(core);
         return h == null ? 0 : h.place;
     }
 
-    /** Merges what a core sent from a place on. Example: {@code listing.take(core, life, place, listed, reports);} */
+    /** Merges what a core sent from a place on. */
     public void take(
             final String core,
-            final long coreLife,
+            final long coreIncarnation,
             final long corePlace,
             final List<Endpoint> entries,
             final List<HealthObservation> words) {
-        if (coreLife != 0) {
-            heard.put(core, new Heard(coreLife, corePlace));
+        if (coreIncarnation != 0) {
+            heard.put(core, new Heard(coreIncarnation, corePlace));
             merge(entries, words);
         }
     }
 
-    /** Merges entries from anywhere. Example: {@code listing.merge(push.listed(), push.reports());} */
+    /** Merges entries from anywhere. */
     public void merge(final Collection<Endpoint> entries, final Collection<HealthObservation> words) {
         entries.forEach(this::merge);
         words.forEach(this::merge);
@@ -119,7 +118,7 @@
                         && later.present()
                         && earlier.address().equals(later.address())
                         && earlier.firstMs() < later.firstMs()
-                ? later.at(true, later.stampMs(), later.coldUntilMs(), earlier.firstMs())
+                ? later.at(true, later.stampMs(), later.warmUpUntilMs(), earlier.firstMs())
                 : later;
     }
 
@@ -132,7 +131,7 @@
         }
     }
 
-    /** Lets go what has been absent for long. Example: {@code listing.prune(fleet.nowMs() - keepMs);} */
+    /** Lets go what has been absent for long. */
     public void prune(final long beforeMs) {
         if (listed.values().removeIf(l -> !l.value.present() && l.value.stampMs() < beforeMs)) {
             serving.clear();
@@ -141,7 +140,7 @@
         reports.values().forEach(of -> of.values().removeIf(r -> r.value.stampMs() < beforeMs));
     }
 
-    /** Entries after a place. Example: {@code listing.listedAfter(12)} */
+    /** Entries after a place. */
     public List<Endpoint> listedAfter(final long after) {
         final List<Endpoint> found = new ArrayList<>();
         listed.values().forEach(l -> {
@@ -152,7 +151,7 @@
         return found;
     }
 
-    /** Reports after a place. Example: {@code listing.reportsAfter(12)} */
+    /** Reports after a place. */
     public List<HealthObservation> reportsAfter(final long after) {
         final List<HealthObservation> found = new ArrayList<>();
         reports.values()
@@ -164,17 +163,17 @@
         return found;
     }
 
-    /** Grows with every entry that changes. Example: {@code if (listing.changes() != kept) keep(listing.listed());} */
+    /** Grows with every entry that changes. */
     public long changes() {
         return changes;
     }
 
-    /** Everything the platform lists or listed of late. Example: {@code listing.listed()} */
+    /** Everything the platform lists or listed of late. */
     public List<Endpoint> listed() {
         return listedAfter(0);
     }
 
-    /** The upstreams of a service that may take asks now. Example: {@code listing.ready("transfers", fleet.nowMs())} */
+    /** The upstreams of a service that may take asks now. */
     public List<Upstream> ready(final String service, final long nowMs) {
         final List<Upstream> all = serving.computeIfAbsent(service, this::serving);
         if (!probed) {
@@ -199,11 +198,11 @@
                         l.instance(),
                         service,
                         l.address(),
-                        l.district(),
+                        l.zone(),
                         l.region(),
                         l.firstMs(),
                         l.slots(),
-                        probed ? 0 : l.coldUntilMs()));
+                        probed ? 0 : l.warmUpUntilMs()));
             }
         }
         return List.copyOf(found);
--- a/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
@@ -20,10 +20,10 @@
 public final class HealthChecker {
     /** How the prober reaches the platform and the upstreams. */
     public interface Reach {
-        /** The platform's list, or null when it could not be had. Example: {@code reach.list(ms, list -> ...);} */
+        /** The platform's list, or null when it could not be had. */
         void list(long waitMs, Consumer<List<Endpoint>> done);
 
-        /** An upstream's own word, or null. Example: {@code reach.probe("127.0.0.1:9001", 500, p -> ...);} */
+        /** An upstream's own word, or null. */
         void probe(String address, long waitMs, Consumer<Probe> done);
     }
 
@@ -32,61 +32,67 @@
 
     /** Spans, from the settings. The fleet reads the list every {@code listMs}; an unchanged word is said anew every
      * {@code sayMs}. */
-    public record Pace(
-            long probeWaitMs, long listWaitMs, int failsMax, int sharers, long listMs, long sayMs, boolean probes) {}
+    public record Timing(
+            long probeWaitMs,
+            long listWaitMs,
+            int failsMax,
+            int sharingEdges,
+            long listMs,
+            long sayMs,
+            boolean probes) {}
 
     /** How much later each next core in turn reads, as a part of the span. */
     private static final double LATER = 0.7;
 
-    private static final long COLD_APART_MS = 1000;
+    private static final long WARM_UP_APART_MS = 1000;
     private final NodeInfo self;
-    private final EndpointRegistry listing;
+    private final EndpointRegistry endpointRegistry;
     private final Reach reach;
     private final MessageSender post;
     private final FleetClock fleet;
-    private final Pace pace;
+    private final Timing timing;
     private final Supplier<List<NodeInfo>> cores;
     private final Supplier<Collection<NodeInfo>> everyone;
     private final List<HealthObservation> changed = new ArrayList<>();
     private final Map<String, Integer> fails = new HashMap<>();
     private final Set<String> probing = new HashSet<>();
-    private boolean listingNow;
+    private boolean registryNow;
     private long triedMs = Long.MIN_VALUE / 2;
     private long pushed;
-    private int beat;
+    private int tick;
 
     /** Example: see {@code Node}. */
     public HealthChecker(
             final NodeInfo self,
-            final EndpointRegistry listing,
+            final EndpointRegistry endpointRegistry,
             final Reach reach,
             final MessageSender post,
             final FleetClock fleet,
-            final Pace pace,
+            final Timing timing,
             final Supplier<List<NodeInfo>> cores,
             final Supplier<Collection<NodeInfo>> everyone) {
         this.self = self;
-        this.listing = listing;
+        this.endpointRegistry = endpointRegistry;
         this.reach = reach;
         this.post = post;
         this.fleet = fleet;
-        this.pace = pace;
+        this.timing = timing;
         this.cores = cores;
         this.everyone = everyone;
     }
 
-    /** One beat: list, probe, tell. Example: {@code prober.tick();} */
+    /** One beat: list, probe, tell. */
     public void tick() {
         if (!fleet.settled()) {
             return;
         }
-        beat++;
+        tick++;
         final List<NodeInfo> others = cores.get();
         if (mayRead(others)) {
             read();
         }
-        if (pace.probes()) {
-            for (final Endpoint l : listing.listed()) {
+        if (timing.probes()) {
+            for (final Endpoint l : endpointRegistry.listed()) {
                 if (l.present() && mine(l, others) && probing.add(l.instance())) {
                     probe(l);
                 }
@@ -98,48 +104,49 @@
     /** One core reads at a time: each later one in the order of names waits longer to hear that another did. */
     private boolean mayRead(final List<NodeInfo> others) {
         final long nowMs = fleet.nowMs();
-        if (listing.readMs() == 0) {
+        if (endpointRegistry.readMs() == 0) {
             // What the others know comes first, so that what they listed long ago isn't taken for new.
-            listing.read(nowMs - pace.listMs() + pace.listMs() / 4);
+            endpointRegistry.read(nowMs - timing.listMs() + timing.listMs() / 4);
         }
         final long rank =
                 others.stream().filter(m -> m.name().compareTo(self.name()) < 0).count();
-        final long slackMs = pace.listMs() / 32;
-        return !listingNow
-                && nowMs - triedMs >= pace.listMs() - slackMs
-                && nowMs - listing.readMs() >= (long) (pace.listMs() * (1 + LATER * rank)) - slackMs;
+        final long slackMs = timing.listMs() / 32;
+        return !registryNow
+                && nowMs - triedMs >= timing.listMs() - slackMs
+                && nowMs - endpointRegistry.readMs() >= (long) (timing.listMs() * (1 + LATER * rank)) - slackMs;
     }
 
     private void read() {
-        listingNow = true;
-        final long askedMs = fleet.nowMs();
-        triedMs = askedMs;
-        reach.list(pace.listWaitMs(), list -> {
-            listingNow = false;
+        registryNow = true;
+        final long requestedMs = fleet.nowMs();
+        triedMs = requestedMs;
+        reach.list(timing.listWaitMs(), list -> {
+            registryNow = false;
             if (list != null) {
-                taken(list, askedMs);
+                taken(list, requestedMs);
             }
         });
     }
 
-    private void taken(final List<Endpoint> list, final long askedMs) {
+    private void taken(final List<Endpoint> list, final long requestedMs) {
         final Map<String, Endpoint> now = new HashMap<>();
         list.forEach(l -> now.put(
-                l.instance(), l.at(true, askedMs, l.coldUntilMs() < 0 ? 0 : askedMs + l.coldUntilMs(), askedMs)));
-        final List<Endpoint> news = new ArrayList<>();
-        for (final Endpoint had : listing.listed()) {
+                l.instance(),
+                l.at(true, requestedMs, l.warmUpUntilMs() < 0 ? 0 : requestedMs + l.warmUpUntilMs(), requestedMs)));
+        final List<Endpoint> update = new ArrayList<>();
+        for (final Endpoint had : endpointRegistry.listed()) {
             final Endpoint l = now.remove(had.instance());
             if (l == null && had.present()) {
-                news.add(had.at(false, askedMs, had.coldUntilMs(), had.firstMs()));
+                update.add(had.at(false, requestedMs, had.warmUpUntilMs(), had.firstMs()));
             } else if (l != null && !same(had, l)) {
-                news.add(l);
+                update.add(l);
             }
         }
-        news.addAll(now.values());
-        listing.merge(news, List.of());
-        listing.read(askedMs);
-        final DiscoveryMessage.Push push = new DiscoveryMessage.Push(news, List.of(), askedMs);
-        for (final NodeInfo other : news.isEmpty() ? cores.get() : everyone.get()) {
+        update.addAll(now.values());
+        endpointRegistry.merge(update, List.of());
+        endpointRegistry.read(requestedMs);
+        final DiscoveryMessage.Push push = new DiscoveryMessage.Push(update, List.of(), requestedMs);
+        for (final NodeInfo other : update.isEmpty() ? cores.get() : everyone.get()) {
             post.send(other.address(), push);
         }
     }
@@ -149,8 +156,8 @@
                 && had.leaving() == now.leaving()
                 && had.address().equals(now.address())
                 && had.service().equals(now.service())
-                && (Math.abs(had.coldUntilMs() - now.coldUntilMs()) < COLD_APART_MS
-                        || Math.max(had.coldUntilMs(), now.coldUntilMs()) <= now.stampMs() + COLD_APART_MS);
+                && (Math.abs(had.warmUpUntilMs() - now.warmUpUntilMs()) < WARM_UP_APART_MS
+                        || Math.max(had.warmUpUntilMs(), now.warmUpUntilMs()) <= now.stampMs() + WARM_UP_APART_MS);
     }
 
     /** Each upstream is probed by a few cores, near ones first, elected alike by all. */
@@ -160,7 +167,7 @@
         for (final NodeInfo other : others) {
             before += rank(other, l) < myRank ? 1 : 0;
         }
-        return before < pace.sharers();
+        return before < timing.sharingEdges();
     }
 
     private static long rank(final NodeInfo core, final Endpoint l) {
@@ -169,34 +176,39 @@
     }
 
     private void probe(final Endpoint l) {
-        final long askedMs = fleet.nowMs();
-        reach.probe(l.address(), pace.probeWaitMs(), p -> {
+        final long requestedMs = fleet.nowMs();
+        reach.probe(l.address(), timing.probeWaitMs(), p -> {
             probing.remove(l.instance());
             if (p == null) {
-                if (fails.merge(l.instance(), 1, Integer::sum) >= pace.failsMax()) {
-                    word(l, HealthStatus.DOWN, 0, askedMs);
+                if (fails.merge(l.instance(), 1, Integer::sum) >= timing.failsMax()) {
+                    word(l, HealthStatus.DOWN, 0, requestedMs);
                 }
                 return;
             }
             fails.remove(l.instance());
             if (!p.instance().equals(l.instance()) || !p.service().equals(l.service())) {
-                word(l, HealthStatus.FOREIGN, 0, askedMs);
+                word(l, HealthStatus.FOREIGN, 0, requestedMs);
             } else {
-                word(l, p.leaving() ? HealthStatus.LEAVING : HealthStatus.READY, askedMs - p.readyForMs(), askedMs);
+                word(
+                        l,
+                        p.leaving() ? HealthStatus.LEAVING : HealthStatus.READY,
+                        requestedMs - p.readyForMs(),
+                        requestedMs);
             }
         });
     }
 
     /** An unchanged word isn't said anew each time. */
-    private void word(final Endpoint l, final HealthStatus status, final long readySinceMs, final long askedMs) {
-        final HealthObservation had = listing.said(l.instance(), self.name());
+    private void word(final Endpoint l, final HealthStatus status, final long readySinceMs, final long requestedMs) {
+        final HealthObservation had = endpointRegistry.said(l.instance(), self.name());
         final boolean same =
-                had != null && had.status() == status && Math.abs(had.readySinceMs() - readySinceMs) < COLD_APART_MS;
-        if (same && askedMs - had.stampMs() < pace.sayMs()) {
+                had != null && had.status() == status && Math.abs(had.readySinceMs() - readySinceMs) < WARM_UP_APART_MS;
+        if (same && requestedMs - had.stampMs() < timing.sayMs()) {
             return;
         }
-        final HealthObservation word = new HealthObservation(l.instance(), self.name(), status, readySinceMs, askedMs);
-        listing.merge(List.of(), List.of(word));
+        final HealthObservation word =
+                new HealthObservation(l.instance(), self.name(), status, readySinceMs, requestedMs);
+        endpointRegistry.merge(List.of(), List.of(word));
         if (!same) {
             changed.add(word);
         }
@@ -204,21 +216,23 @@
 
     private void tell(final List<NodeInfo> others) {
         if (!changed.isEmpty()) {
-            final DiscoveryMessage.Push news = new DiscoveryMessage.Push(List.of(), List.copyOf(changed), 0);
-            everyone.get().forEach(m -> post.send(m.address(), news));
+            final DiscoveryMessage.Push update = new DiscoveryMessage.Push(List.of(), List.copyOf(changed), 0);
+            everyone.get().forEach(m -> post.send(m.address(), update));
         }
-        final List<HealthObservation> words = listing.reportsAfter(pushed).stream()
+        final List<HealthObservation> words = endpointRegistry.reportsAfter(pushed).stream()
                 .filter(r -> r.by().equals(self.name()) && !changed.contains(r))
                 .toList();
-        pushed = listing.place();
+        pushed = endpointRegistry.place();
         changed.clear();
         if (!words.isEmpty()) {
             final DiscoveryMessage.Push push = new DiscoveryMessage.Push(List.of(), words, 0);
             others.forEach(m -> post.send(m.address(), push));
         }
-        if (beat % 10 == 0) {
+        if (tick % 10 == 0) {
             fails.keySet()
-                    .retainAll(listing.listed().stream().map(Endpoint::instance).toList());
+                    .retainAll(endpointRegistry.listed().stream()
+                            .map(Endpoint::instance)
+                            .toList());
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/discovery/Upstream.java
+++ b/spokestall/src/main/java/spokestall/discovery/Upstream.java
@@ -5,13 +5,13 @@
         String instance,
         String service,
         String address,
-        String district,
+        String zone,
         String region,
         long readySinceMs,
         int slots,
-        long coldUntilMs) {
+        long warmUpUntilMs) {
     /** The same, ready since then. */
     Upstream readySince(final long ms) {
-        return new Upstream(instance, service, address, district, region, ms, slots, coldUntilMs);
+        return new Upstream(instance, service, address, zone, region, ms, slots, warmUpUntilMs);
     }
 }
--- a/spokestall/src/main/java/spokestall/gossip/NodeInfo.java
+++ b/spokestall/src/main/java/spokestall/gossip/NodeInfo.java
@@ -9,21 +9,22 @@
         String address,
         String httpAddress,
         boolean core,
-        String district,
+        String zone,
         String region,
-        long life,
+        long incarnation,
         long heardMs,
         boolean leaving,
         @SinceVersion(2) int cores,
         @SinceVersion(2) int edges,
         @SinceVersion(3) boolean alsoEdge) {
-    /** Whether it answers callers. Example: {@code if (member.serves()) list.add(member.httpAddress());} */
+    /** Whether it answers clients. */
     public boolean serves() {
         return !core || alsoEdge;
     }
 
-    /** The same node, heard at another time, leaving or not. Example: {@code member.at(fleet.nowMs(), true)} */
-    public NodeInfo at(final long ms, final boolean goes) {
-        return new NodeInfo(name, address, httpAddress, core, district, region, life, ms, goes, cores, edges, alsoEdge);
+    /** The same node, heard at another time, leaving or not. */
+    public NodeInfo at(final long ms, final boolean attempts) {
+        return new NodeInfo(
+                name, address, httpAddress, core, zone, region, incarnation, ms, attempts, cores, edges, alsoEdge);
     }
 }
--- a/spokestall/src/main/java/spokestall/gossip/PartialView.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -22,7 +22,7 @@
 public final class PartialView {
     /** Sizes and spans, from the settings. For a while after it learned of a node, or that one is gone, a view is eager:
      * it shuffles on each beat, not on every other, and says more. */
-    public record Pace(int size, int sample, long goneMs, long eagerMs) {}
+    public record Timing(int size, int sample, long goneMs, long eagerMs) {}
 
     private final NodeInfo self;
     private List<String> seeds;
@@ -30,19 +30,19 @@
     private final Clock clock;
     private final FleetClock fleet;
     private final Random random;
-    private final Pace pace;
+    private final Timing timing;
     private final Map<String, NodeInfo> known = new TreeMap<>();
     private final Map<String, Long> learnedMs = new HashMap<>();
     private final Map<String, Long> newMs = new HashMap<>();
     private final Map<String, Long> offeredMs = new HashMap<>();
     private boolean leaving;
-    private int beat;
+    private int tick;
     private long changedMs;
     private long changes;
     /** No member is unheard for too long before then. */
     private long nextGoneMs;
 
-    /** Example: {@code new PartialView(self, settings.seeds(), post, clock, fleet, random, pace)} */
+    /** Example: {@code new PartialView(self, settings.seeds(), post, clock, fleet, random, timing)} */
     public PartialView(
             final NodeInfo self,
             final List<String> seeds,
@@ -50,33 +50,33 @@
             final Clock clock,
             final FleetClock fleet,
             final Random random,
-            final Pace pace) {
+            final Timing timing) {
         this.self = self;
         this.seeds = List.copyOf(seeds);
         this.post = post;
         this.clock = clock;
         this.fleet = fleet;
         this.random = random;
-        this.pace = pace;
+        this.timing = timing;
         this.changedMs = clock.nowMs();
     }
 
-    /** This node as others should know it. Example: {@code view.self().name()} */
+    /** This node as others should know it. */
     public NodeInfo self() {
         return self.at(fleet.nowMs(), leaving);
     }
 
-    /** Asks these seeds from now on. Example: {@code view.seeds(settings.seeds());} */
+    /** Asks these seeds from now on. */
     public void seeds(final List<String> newer) {
         seeds = List.copyOf(newer);
     }
 
-    /** Tells the neighbours from now on that this node is going. Example: {@code view.leave();} */
+    /** Tells the neighbours from now on that this node is going. */
     public void leave() {
         leaving = true;
     }
 
-    /** The members known now, this node not among them. Example: {@code view.members().size()} */
+    /** The members known now, this node not among them. */
     public Collection<NodeInfo> members() {
         final long nowMs = clock.nowMs();
         if (nowMs <= nextGoneMs) {
@@ -88,30 +88,29 @@
             newMs.keySet().retainAll(known.keySet());
             offeredMs.keySet().retainAll(known.keySet());
         }
-        nextGoneMs = nowMs + pace.goneMs();
+        nextGoneMs = nowMs + timing.goneMs();
         known.keySet().forEach(name -> nextGoneMs = Math.min(nextGoneMs, goneMs(name)));
         return known.values();
     }
 
-    /** Grows with every member that is new, or serves now and did not. Example: {@code if (view.changes() != seen) count();} */
+    /** Grows with every member that is new, or serves now and did not. */
     public long changes() {
         return changes;
     }
 
     private long goneMs(final String name) {
-        return learnedMs.getOrDefault(name, 0L) + pace.goneMs();
+        return learnedMs.getOrDefault(name, 0L) + timing.goneMs();
     }
 
-    /** A member by its name, or null. Example: {@code view.member("d2-edge")} */
+    /** A member by its name, or null. */
     public NodeInfo member(final String name) {
         return name.equals(self.name()) ? self() : known.get(name);
     }
 
-    /** One beat: offers a sample to the neighbour that was left alone longest, and now and then to a seed.
-     * Example: {@code view.tick();} */
+    /** One beat: offers a sample to the neighbour that was left alone longest, and now and then to a seed. */
     public void tick() {
         final List<NodeInfo> all = new ArrayList<>(members());
-        final int turn = beat++;
+        final int turn = tick++;
         if (!eager() && turn % 2 != 0) {
             return;
         }
@@ -122,17 +121,16 @@
             offeredMs.put(all.get(0).name(), clock.nowMs());
             offer(all.get(0).address(), false, 0);
         }
-        if (all.size() < pace.sample() || turn % 16 == 0) {
-            offer(seeds.get(turn / (all.size() < pace.sample() ? 1 : 16) % seeds.size()), false, 0);
+        if (all.size() < timing.sample() || turn % 16 == 0) {
+            offer(seeds.get(turn / (all.size() < timing.sample() ? 1 : 16) % seeds.size()), false, 0);
         }
     }
 
     private boolean eager() {
-        return clock.nowMs() - changedMs < pace.eagerMs();
+        return clock.nowMs() - changedMs < timing.eagerMs();
     }
 
-    /** Offers a sample to every seed and to these too: a node that has just started waits for no beat.
-     * Example: {@code view.greet(coreAddresses);} */
+    /** Offers a sample to every seed and to these too: a node that has just started waits for no beat. */
     public void greet(final List<String> others) {
         final Set<String> all = new TreeSet<>(seeds);
         all.addAll(others);
@@ -148,9 +146,9 @@
         Collections.shuffle(sample, random);
         sample.removeIf(m -> m.address().equals(to));
         sample.sort(Comparator.comparing(
-                m -> nowMs - newMs.getOrDefault(m.name(), Long.MIN_VALUE / 2) >= pace.eagerMs()));
+                m -> nowMs - newMs.getOrDefault(m.name(), Long.MIN_VALUE / 2) >= timing.eagerMs()));
         final List<NodeInfo> part =
-                sample.subList(0, Math.min(sample.size(), eager() ? pace.sample() : pace.sample() / 2));
+                sample.subList(0, Math.min(sample.size(), eager() ? timing.sample() : timing.sample() / 2));
         post.send(
                 to,
                 new GossipMessage.Shuffle(
@@ -164,9 +162,9 @@
                         List.copyOf(part)));
     }
 
-    /** Hears a neighbour's sample. Example: {@code view.hear(shuffle);} */
-    public void hear(final GossipMessage note) {
-        final GossipMessage.Shuffle s = (GossipMessage.Shuffle) note;
+    /** Hears a neighbour's sample. */
+    public void hear(final GossipMessage message) {
+        final GossipMessage.Shuffle s = (GossipMessage.Shuffle) message;
         learn(s.self(), 0);
         if (s.reply()) {
             fleet.heard(s.self().name(), s.fleetMs(), s.settled(), s.echoMs());
@@ -179,16 +177,17 @@
     }
 
     private void learn(final NodeInfo m, final long ageMs) {
-        if (m.name().equals(self.name()) || ageMs > pace.goneMs()) {
+        if (m.name().equals(self.name()) || ageMs > timing.goneMs()) {
             return;
         }
         final NodeInfo had = known.get(m.name());
-        final boolean newer =
-                had == null || m.life() > had.life() || m.life() == had.life() && m.heardMs() > had.heardMs();
+        final boolean newer = had == null
+                || m.incarnation() > had.incarnation()
+                || m.incarnation() == had.incarnation() && m.heardMs() > had.heardMs();
         if (!newer) {
             return;
         }
-        if (had == null || m.life() > had.life()) {
+        if (had == null || m.incarnation() > had.incarnation()) {
             newMs.put(m.name(), clock.nowMs());
             changedMs = clock.nowMs();
         }
@@ -196,7 +195,7 @@
         known.put(m.name(), m);
         learnedMs.put(m.name(), clock.nowMs() - ageMs);
         nextGoneMs = Math.min(nextGoneMs, goneMs(m.name()));
-        if (known.size() > pace.size()) {
+        if (known.size() > timing.size()) {
             known.values().stream()
                     .min(Comparator.comparingLong(k -> learnedMs.get(k.name())))
                     .ifPresent(oldest -> known.remove(oldest.name()));
--- a/spokestall/src/main/java/spokestall/handoff/HintStore.java
+++ b/spokestall/src/main/java/spokestall/handoff/HintStore.java
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Takes some of what is kept for one that is back. Example: {@code hints.take("d2-core", 64)} */
+    /** Takes some of what is kept for one that is back. */
     public List<String> take(final String back, final int atMost) {
         final LinkedHashSet<String> keys = kept.get(back);
         final List<String> taken = new ArrayList<>();
@@ -44,7 +44,7 @@
         return taken;
     }
 
-    /** How many are kept for each missing one. Example: {@code hints.sizes().get("d2-core")} */
+    /** How many are kept for each missing one. */
     public Map<String, Integer> sizes() {
         final Map<String, Integer> sizes = new TreeMap<>();
         kept.forEach((missing, keys) -> sizes.put(missing, keys.size()));
--- a/spokestall/src/main/java/spokestall/io/AuditFiles.java
+++ b/spokestall/src/main/java/spokestall/io/AuditFiles.java
@@ -65,8 +65,7 @@
         this.key = key;
     }
 
-    /** Goes on where the folder's newest file ends; a line that was cut off there is taken away, and that is said.
-     * Example: {@code AuditFiles.open(data.resolve("audit"), "d1-core", 8, 1 << 20, writer)} */
+    /** Goes on where the folder's newest file ends; a line that was cut off there is taken away, and that is said. */
     public static AuditFiles open(
             final Path folder, final String node, final int filesMax, final int fileBytes, final Executor writer)
             throws IOException {
@@ -108,7 +107,7 @@
         }
     }
 
-    /** The files in their order. Example: {@code AuditFiles.files(folder).get(0)} */
+    /** The files in their order. */
     public static List<Path> files(final Path folder) throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.filter(p -> p.getFileName().toString().matches("audit-\\d{8}\\.jws"))
@@ -144,7 +143,7 @@
                         files.get(files.size() - 1).getFileName().toString().substring(6, 14));
         chain = new AuditChain(key, lastLine);
         append();
-        note("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
+        message("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
     }
 
     private void append() throws IOException {
@@ -153,7 +152,7 @@
     }
 
     @Override
-    public void note(final String kind, final ObjectNode what) {
+    public void message(final String kind, final ObjectNode what) {
         if (waiting.get() >= WAITING_MAX) {
             dropped.incrementAndGet();
             return;
--- a/spokestall/src/main/java/spokestall/io/DataDirectory.java
+++ b/spokestall/src/main/java/spokestall/io/DataDirectory.java
@@ -17,7 +17,7 @@
 
     private DataDirectory() {}
 
-    /** Takes the folder for a node; why it can't be had, or null. Example: {@code DataDirectory.open(path, "d1-core")} */
+    /** Takes the folder for a node; why it can't be had, or null. */
     public static String open(final Path folder, final String name) throws IOException {
         final String mine = "spokestall format=" + FORMAT + " node=" + name + "\n";
         final Path owner = folder.resolve("owner");
--- a/spokestall/src/main/java/spokestall/io/EventLoop.java
+++ b/spokestall/src/main/java/spokestall/io/EventLoop.java
@@ -23,7 +23,7 @@
         this.bound = bound;
     }
 
-    /** Takes an event from outside, or says no. Example: {@code if (!stage.offer(event)) denyBusy();} */
+    /** Takes an event from outside, or says no. */
     public boolean offer(final Runnable event) {
         if (waiting.get() >= bound) {
             return false;
--- a/spokestall/src/main/java/spokestall/io/LogLineFormatter.java
+++ b/spokestall/src/main/java/spokestall/io/LogLineFormatter.java
@@ -16,7 +16,7 @@
     private static final List<Logger> QUIET =
             List.of(Logger.getLogger("io.undertow"), Logger.getLogger("org.xnio"), Logger.getLogger("org.jboss"));
 
-    /** Sends all logs through this form. Example: {@code LogLineFormatter.install();} */
+    /** Sends all logs through this form. */
     public static void install() {
         final Logger root = Logger.getLogger("");
         for (final Handler had : root.getHandlers()) {
--- a/spokestall/src/main/java/spokestall/io/http/HeaderFields.java
+++ b/spokestall/src/main/java/spokestall/io/http/HeaderFields.java
@@ -34,8 +34,7 @@
 
     private HeaderFields() {}
 
-    /** The end-to-end fields: none of the wire's, none that Connection names, none of spokestall's own.
-     * Example: {@code HeaderFields.endToEnd(exchange.getRequestHeaders())} */
+    /** The end-to-end fields: none of the wire's, none that Connection names, none of spokestall's own. */
     public static List<Header> endToEnd(final HeaderMap from) {
         final Set<HttpString> named = new HashSet<>();
         final HeaderValues connection = from.get(Headers.CONNECTION);
--- a/spokestall/src/main/java/spokestall/io/http/HttpCall.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpCall.java
@@ -24,7 +24,7 @@
         long waitMs,
         long connectMs,
         int answerMaxBytes,
-        boolean freshWire,
+        boolean freshConnection,
         boolean repeatable,
         Executor gate,
         LongSupplier until,
@@ -32,7 +32,7 @@
     /** Whoever answers at the address. */
     public static final String ANY_INSTANCE = "";
 
-    /** No gate: the bytes may leave whenever the wire is open. Example: {@code HttpCall.plain(at, "GET", "/", h, b, 500, 1024)} */
+    /** No gate: the bytes may leave whenever the wire is open. */
     public static HttpCall plain(
             final String address,
             final String method,
--- a/spokestall/src/main/java/spokestall/io/http/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -46,7 +46,7 @@
     /** Hears how an exchange ended, and says whether its connection may be used again: not if the answer belongs to
      * another request, for then this one's own is still to come. */
     public interface Judge {
-        /** Run once, on an I/O thread. Example: {@code judge.mayKeep(new HttpResult.NotSent("closed"))} */
+        /** Run once, on an I/O thread. */
         boolean mayKeep(HttpResult result);
     }
 
@@ -56,8 +56,7 @@
     private final LongSupplier nowMs;
     private final IdleConnectionPool idle = new IdleConnectionPool();
 
-    /** A wire rests for less than its other end says, and for restMs where that says nothing.
-     * Example: {@code new HttpClient(worker, new DefaultByteBufferPool(true, 16384), 1000)} */
+    /** A wire rests for less than its other end says, and for restMs where that says nothing. */
     public HttpClient(final XnioWorker worker, final ByteBufferPool pool, final long restMs) {
         this(worker, pool, restMs, () -> System.nanoTime() / 1_000_000);
     }
@@ -69,7 +68,7 @@
         this.pool = pool;
     }
 
-    /** Has the exchange; done is run once, on an I/O thread. Example: {@code client.call(call, result -> ...);} */
+    /** Has the exchange; done is run once, on an I/O thread. */
     public void call(final HttpCall call, final Consumer<HttpResult> done) {
         judged(call, result -> {
             done.accept(result);
@@ -77,7 +76,7 @@
         });
     }
 
-    /** Has the exchange, and uses its connection again only if the judge says so. Example: {@code client.judged(call, judge);} */
+    /** Has the exchange, and uses its connection again only if the judge says so. */
     public void judged(final HttpCall call, final Judge judge) {
         new Exchange(call, judge).begin();
     }
@@ -91,7 +90,7 @@
         private final ByteArrayOutputStream read = new ByteArrayOutputStream();
         private volatile boolean sent;
         private volatile boolean reused;
-        private volatile ClientConnection wire;
+        private volatile ClientConnection connection;
         private volatile XnioExecutor.Key timer;
         private volatile XnioExecutor.Key connecting;
 
@@ -103,9 +102,9 @@
 
         void begin() {
             final ClientConnection kept =
-                    call.freshWire() ? null : idle.take(peer, call.repeatable(), nowMs.getAsLong());
+                    call.freshConnection() ? null : idle.take(peer, call.repeatable(), nowMs.getAsLong());
             final XnioIoThread io = kept != null ? kept.getIoThread() : worker.getIoThread();
-            timer = io.executeAfter(() -> trouble("timeout"), Math.max(1, call.waitMs()), TimeUnit.MILLISECONDS);
+            timer = io.executeAfter(() -> error("timeout"), Math.max(1, call.waitMs()), TimeUnit.MILLISECONDS);
             if (kept != null) {
                 reused = true;
                 io.execute(() -> opened(kept));
@@ -118,8 +117,8 @@
             if (call.connectMs() < call.waitMs()) {
                 connecting = io.executeAfter(
                         () -> {
-                            if (wire == null) {
-                                trouble("connect: late");
+                            if (connection == null) {
+                                error("connect: late");
                             }
                         },
                         Math.max(1, call.connectMs()),
@@ -136,7 +135,7 @@
 
                                 @Override
                                 public void failed(final IOException e) {
-                                    trouble("connect: " + e.getMessage());
+                                    error("connect: " + e.getMessage());
                                 }
                             },
                             URI.create("http://" + call.address()),
@@ -146,7 +145,7 @@
         }
 
         private void opened(final ClientConnection made) {
-            wire = made;
+            connection = made;
             if (over.get()) {
                 IoUtils.safeClose(made);
                 return;
@@ -166,10 +165,10 @@
         private void closedUnused(final ClientConnection closed) {
             if (reused) {
                 reused = false;
-                wire = null;
+                connection = null;
                 connect(closed.getIoThread());
             } else {
-                trouble("closed");
+                error("closed");
             }
         }
 
@@ -210,7 +209,7 @@
 
                 @Override
                 public void failed(final IOException e) {
-                    trouble("answer: " + e.getMessage());
+                    error("answer: " + e.getMessage());
                 }
             });
             if (call.body().length > 0) {
@@ -220,7 +219,7 @@
 
         @Override
         public void failed(final IOException e) {
-            trouble("send: " + e.getMessage());
+            error("send: " + e.getMessage());
         }
 
         private void write(final StreamSinkChannel channel, final ByteBuffer left) {
@@ -240,7 +239,7 @@
                     channel.suspendWrites();
                 }
             } catch (final IOException e) {
-                trouble("body: " + e.getMessage());
+                error("body: " + e.getMessage());
             }
         }
 
@@ -250,14 +249,14 @@
                     channel.suspendWrites();
                 }
             } catch (final IOException e) {
-                trouble("body: " + e.getMessage());
+                error("body: " + e.getMessage());
             }
         }
 
         private void answered(final ClientExchange exchange) {
             final String odd = ResponseHead.odd(exchange.getResponse(), call.method());
             if (odd != null) {
-                trouble("framing: " + odd);
+                error("framing: " + odd);
                 return;
             }
             read(exchange, exchange.getResponseChannel());
@@ -278,13 +277,13 @@
                         return;
                     }
                     if (read.size() + n > call.answerMaxBytes()) {
-                        trouble("answer over " + call.answerMaxBytes() + " bytes");
+                        error("answer over " + call.answerMaxBytes() + " bytes");
                         return;
                     }
                     read.write(buffer.array(), 0, n);
                 }
             } catch (final IOException e) {
-                trouble("answer: " + e.getMessage());
+                error("answer: " + e.getMessage());
             }
         }
 
@@ -297,18 +296,18 @@
             final boolean requestOut = !exchange.getRequestChannel().isOpen();
             if (ours && requestOut && response.getResponseCode() != MISDIRECTED && !closes(headers)) {
                 final long rest = restMs(headers.getFirst(Headers.KEEP_ALIVE));
-                final ClientConnection used = wire;
+                final ClientConnection used = connection;
                 // What came along behind the answer is seen first, and closes it.
                 used.getIoThread().execute(() -> idle.keep(peer, used, rest, nowMs.getAsLong()));
             } else {
-                IoUtils.safeClose(wire);
+                IoUtils.safeClose(connection);
             }
         }
 
         private boolean closes(final HeaderMap headers) {
-            final HeaderValues connection = headers.get(Headers.CONNECTION);
-            return connection != null
-                    && connection.stream()
+            final HeaderValues connectionHeader = headers.get(Headers.CONNECTION);
+            return connectionHeader != null
+                    && connectionHeader.stream()
                             .flatMap(line -> Stream.of(line.split(",")))
                             .anyMatch(one -> one.trim().equalsIgnoreCase("close"));
         }
@@ -319,13 +318,13 @@
             return told.find() ? Math.min(REST_MOST_MS, Long.parseLong(told.group(1)) * 700) : restMs;
         }
 
-        private void trouble(final String why) {
+        private void error(final String why) {
             if (over.get()) {
                 return;
             }
             end(sent ? new HttpResult.Lost(why) : new HttpResult.NotSent(why));
-            if (wire != null) {
-                IoUtils.safeClose(wire);
+            if (connection != null) {
+                IoUtils.safeClose(connection);
             }
         }
 
--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -58,7 +58,7 @@
     private volatile ClientLimits limits;
     private volatile boolean ending;
 
-    /** Example: {@code new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, policy.limits())} */
+    /** Example: {@code new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, configuration.limits())} */
     public HttpListener(
             final XnioWorker worker,
             final OptionMap socketOptions,
@@ -71,7 +71,7 @@
         this.rest = new IdleLimit(limits.restMaxMs(), terms.nowMs());
     }
 
-    /** Listens at an address too, from its start on. Example: {@code port.listen(Addresses.of("10.0.0.1:80"), asks::handle);} */
+    /** Listens at an address too, from its start on. */
     public void listen(final InetSocketAddress at, final HttpHandler handler) {
         listeners.add(new Listener(at, handler));
     }
@@ -148,7 +148,7 @@
         handler.handleRequest(exchange);
     }
 
-    /** Keeps clients to these limits from now on. Example: {@code port.limits(policy.limits());} */
+    /** Keeps clients to these limits from now on. */
     public void limits(final ClientLimits newer) {
         if (newer.equals(limits)) {
             return;
--- a/spokestall/src/main/java/spokestall/io/http/HttpResult.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpResult.java
@@ -6,7 +6,7 @@
 public sealed interface HttpResult {
     /** A whole, framed answer. */
     record Whole(int status, HeaderMap headers, byte[] body) implements HttpResult {
-        /** A header, or null. Example: {@code whole.header("Spokestall-Instance")} */
+        /** A header, or null. */
         public String header(final String name) {
             return headers.getFirst(name);
         }
--- a/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
@@ -31,7 +31,7 @@
 
     private final Map<Peer, Deque<Idle>> byPeer = new HashMap<>();
 
-    /** The connection kept last that may still be used, or null. Example: {@code idle.take(peer, true, nowMs)} */
+    /** The connection kept last that may still be used, or null. */
     synchronized ClientConnection take(final Peer peer, final boolean repeatable, final long nowMs) {
         final Deque<Idle> kept = byPeer.get(peer);
         if (kept == null) {
@@ -52,7 +52,7 @@
         return found;
     }
 
-    /** Keeps a connection on which nothing is outstanding. Example: {@code idle.keep(peer, connection, 4000, nowMs);} */
+    /** Keeps a connection on which nothing is outstanding. */
     synchronized void keep(final Peer peer, final ClientConnection connection, final long restMs, final long nowMs) {
         if (!byPeer.containsKey(peer) && byPeer.size() >= PEERS_MAX) {
             closeRested(nowMs);
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Forgets a connection that was closed. Example: {@code idle.forget(peer, connection);} */
+    /** Forgets a connection that was closed. */
     synchronized void forget(final Peer peer, final ClientConnection connection) {
         final Deque<Idle> kept = byPeer.get(peer);
         if (kept != null && kept.removeIf(i -> i.connection == connection) && kept.isEmpty()) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** How many peers have a connection here. Example: {@code idle.peers() == 0} */
+    /** How many peers have a connection here. */
     synchronized int peers() {
         return byPeer.size();
     }
--- a/spokestall/src/main/java/spokestall/io/http/ResponseHead.java
+++ b/spokestall/src/main/java/spokestall/io/http/ResponseHead.java
@@ -20,7 +20,7 @@
 
     private ResponseHead() {}
 
-    /** What is odd about it, or null. Example: {@code ResponseHead.odd(exchange.getResponse(), "GET")} */
+    /** What is odd about it, or null. */
     static String odd(final ClientResponse response, final String method) {
         final HttpString protocol = response.getProtocol();
         if (!protocol.equals(Protocols.HTTP_1_1) && !protocol.equals(Protocols.HTTP_1_0)) {
--- a/spokestall/src/main/java/spokestall/io/process/HangupSignal.java
+++ b/spokestall/src/main/java/spokestall/io/process/HangupSignal.java
@@ -17,12 +17,12 @@
     /** A signal of its own, for tests; a process has {@link #process}. */
     HangupSignal() {}
 
-    /** The process's own. Example: {@code HangupSignal.process().listen(watch::signalled);} */
+    /** The process's own. */
     public static HangupSignal process() {
         return PROCESS;
     }
 
-    /** Catches the signal from now on, where the machine has it. Example: {@code HangupSignal.install();} */
+    /** Catches the signal from now on, where the machine has it. */
     public static void install() {
         try {
             handle();
@@ -47,7 +47,7 @@
                 .invoke(null, signal.getConstructor(String.class).newInstance(NAME), raise);
     }
 
-    /** Tells this one of each signal; it must only hand on. Example: {@code hangup.listen(watch::signalled);} */
+    /** Tells this one of each signal; it must only hand on. */
     public synchronized void listen(final Runnable newer) {
         listener = newer;
         if (pending) {
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -65,7 +65,7 @@
     private final SettingsSource source;
     private final boolean core;
     private final Around around;
-    private final ProtocolAdapter speech;
+    private final ProtocolAdapter protocol;
     private Node node;
 
     /** Example: {@code new NodeProcess(settings, true).run()} */
@@ -74,30 +74,31 @@
     }
 
     /** Example: {@code new NodeProcess(settings, true, ProtocolAdapter.own()).run()} */
-    public NodeProcess(final Settings settings, final boolean core, final ProtocolAdapter speech) {
-        this(settings, core, new Around() {}, speech);
+    public NodeProcess(final Settings settings, final boolean core, final ProtocolAdapter protocol) {
+        this(settings, core, new Around() {}, protocol);
     }
 
-    /** With settings that may change while it runs. Example: {@code new NodeProcess(settings, source, true, ProtocolAdapter.own()).run()} */
+    /** With settings that may change while it runs. */
     public NodeProcess(
-            final Settings settings, final SettingsSource source, final boolean core, final ProtocolAdapter speech) {
-        this(settings, source, core, new Around() {}, speech);
+            final Settings settings, final SettingsSource source, final boolean core, final ProtocolAdapter protocol) {
+        this(settings, source, core, new Around() {}, protocol);
     }
 
     /** Example: {@code new NodeProcess(settings, true, new NodeProcess.Around() { }, Speech.own()).run()} */
-    public NodeProcess(final Settings settings, final boolean core, final Around around, final ProtocolAdapter speech) {
-        this(settings, SettingsSource.constant(settings), core, around, speech);
+    public NodeProcess(
+            final Settings settings, final boolean core, final Around around, final ProtocolAdapter protocol) {
+        this(settings, SettingsSource.constant(settings), core, around, protocol);
     }
 
-    /** All of it. Example: {@code new NodeProcess(settings, source, true, new NodeProcess.Around() { }, Speech.own()).run()} */
+    /** All of it. */
     public NodeProcess(
             final Settings settings,
             final SettingsSource source,
             final boolean core,
             final Around around,
-            final ProtocolAdapter speech) {
+            final ProtocolAdapter protocol) {
         this.source = source;
-        this.speech = speech;
+        this.protocol = protocol;
         this.around = around;
         this.settings = settings;
         this.core = core;
@@ -136,9 +137,9 @@
         }
         final AuditSink audit = audit(Executors.newSingleThreadExecutor());
         final Clock clock = new SystemClock(timer, stage);
-        final TcpTransport wires = new TcpTransport(
+        final TcpTransport transport = new TcpTransport(
                 worker,
-                note -> stage.offer(() -> node.hear(note)),
+                message -> stage.offer(() -> node.hear(message)),
                 settings.part("leaveBoundMs", 0.25),
                 (int) settings.ms("noteVersion"),
                 new TrustedNetworks(settings.peers()));
@@ -146,8 +147,8 @@
                 new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), settings.ms("wireRestMs")),
                 stage,
                 settings.text("platform"),
-                speech.goes(),
-                speech.platform(),
+                protocol.attempts(),
+                protocol.platform(),
                 settings.ms("connectMs"));
         final CountDownLatch made = new CountDownLatch(1);
         stage.execute(() -> {
@@ -155,16 +156,16 @@
                 node = new Node(
                         settings,
                         core,
-                        new Node.Rim(
+                        new Node.NodeEnvironment(
                                 clock,
                                 new Random(new SecureRandom().nextLong()),
-                                wires,
+                                transport,
                                 segments,
                                 outside,
                                 outside,
                                 around.platform(outside),
                                 audit),
-                        speech.form());
+                        protocol.form());
             } finally {
                 made.countDown();
             }
@@ -173,16 +174,16 @@
         if (node == null) {
             return refused("the node could not be made; see the log");
         }
-        final Listener server = speech.front(node, settings, stage, worker);
+        final Listener server = protocol.front(node, settings, stage, worker);
         try {
-            wires.listen(Addresses.of(settings.listen()));
+            transport.listen(Addresses.of(settings.listen()));
             server.start();
         } catch (final IOException | RuntimeException e) {
             return refused("address: can't listen on " + settings.listen() + " or " + settings.text("http") + " or "
                     + settings.operators() + ": " + e.getMessage());
         }
         stage.execute(() -> {
-            node.watch(policy -> server.limits(policy.limits()));
+            node.watch(configuration -> server.limits(configuration.limits()));
             node.start();
         });
         watch(timer, worker, stage, server);
@@ -195,7 +196,7 @@
             } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            wires.close();
+            transport.close();
             gone.countDown();
         }));
         await(gone);
--- a/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
+++ b/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
@@ -26,7 +26,7 @@
     private final Consumer<Settings> taker;
     private Optional<FileState> seen;
 
-    /** The reader carries out one task after the other. Example: {@code new SettingsReloader(source, workers, this::renew)} */
+    /** The reader carries out one task after the other. */
     SettingsReloader(final SettingsSource source, final Executor reader, final Consumer<Settings> taker) {
         this.source = source;
         this.reader = reader;
@@ -34,7 +34,7 @@
         this.seen = state();
     }
 
-    /** Reads anew if the file is another than at the last look. Example: {@code watch.look();} */
+    /** Reads anew if the file is another than at the last look. */
     void look() {
         reader.execute(() -> {
             if (!state().equals(seen)) {
@@ -43,7 +43,7 @@
         });
     }
 
-    /** Reads anew, whether or not the file seems changed. Example: {@code hangup.listen(watch::signalled);} */
+    /** Reads anew, whether or not the file seems changed. */
     void signalled() {
         reader.execute(this::read);
     }
@@ -53,7 +53,7 @@
         seen = state();
         final Settings.Read read = source.read();
         if (read instanceof Settings.Read.Bad bad) {
-            LOG.atWarning().log("event=settings_refused why=\"%s\"", bad.troubles());
+            LOG.atWarning().log("event=settings_refused why=\"%s\"", bad.errors());
         } else if (read instanceof Settings.Read.Good good) {
             taker.accept(good.settings());
         }
