--- a/spokestall/src/main/java/spokestall/io/protocol/HttpServer.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpServer.java
@@ -22,47 +22,52 @@
 import spokestall.settings.Settings;
 
 /**
- * HTTP for callers and, at an address of their own, for operators. Callers have {@code POST /rpc/where} on every node and
+ * HTTP for clients and, at an address of their own, for operators. Clients have {@code POST /rpc/where} on every node and
  * asks, which edges answer; operators have {@code POST /rpc/<method>}, and no asks.
  */
 public final class HttpServer implements Listener {
     /** Sizes and spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask
      * was answered before its body had come ends after lingering so long, in which the answer can be read. */
     record Bounds(
-            int rpcMaxBytes, int whereMaxBytes, int wiresMax, long bodyWaitMs, long answerWaitMs, long lingerMs) {}
+            int rpcMaxBytes,
+            int whereMaxBytes,
+            int connectionsMax,
+            long bodyWaitMs,
+            long answerWaitMs,
+            long lingerMs) {}
 
     private static final String RPC = "/rpc/";
     private static final String WHERE = RPC + "where";
     private final Node node;
     private final EventLoop stage;
     private final Bounds bounds;
-    private final RequestHandler asks;
+    private final RequestHandler requests;
     private final HttpListener port;
 
     HttpServer(
             final Node node,
             final EventLoop stage,
             final XnioWorker worker,
-            final InetSocketAddress callers,
+            final InetSocketAddress clients,
             final InetSocketAddress operators,
             final Bounds bounds) {
         this.node = node;
         this.stage = stage;
         this.bounds = bounds;
-        this.asks = new RequestHandler(
+        this.requests = new RequestHandler(
                 node,
                 stage,
                 new NativeClientProtocol(),
-                new RequestHandler.Pace(bounds.answerWaitMs(), bounds.lingerMs()));
+                new RequestHandler.Timing(bounds.answerWaitMs(), bounds.lingerMs()));
         this.port = new HttpListener(
                 worker,
                 OptionMap.builder()
-                        .set(Options.CONNECTION_HIGH_WATER, bounds.wiresMax())
-                        .set(Options.CONNECTION_LOW_WATER, bounds.wiresMax())
+                        .set(Options.CONNECTION_HIGH_WATER, bounds.connectionsMax())
+                        .set(Options.CONNECTION_LOW_WATER, bounds.connectionsMax())
                         .getMap(),
                 OptionMap.EMPTY,
-                node.book().policy().limits());
-        port.listen(callers, e -> handle(e, false));
+                node.configurationStore().configuration().limits());
+        port.listen(clients, e -> handle(e, false));
         port.listen(operators, e -> handle(e, true));
     }
 
@@ -91,7 +96,7 @@
         final String odd = RequestHandler.odd(exchange);
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             if (odd != null) {
-                asks.malformed(exchange);
+                requests.malformed(exchange);
             } else if (operator && exchange.getRequestPath().startsWith(RPC)) {
                 rpc(exchange, bounds.rpcMaxBytes());
             } else if (!operator && exchange.getRequestPath().equals(WHERE)) {
@@ -99,7 +104,7 @@
             } else if (operator || exchange.getRequestPath().startsWith(RPC)) {
                 reply(exchange, Reply.of(ResultCode.UNKNOWN_METHOD, null));
             } else {
-                asks.ask(exchange, cameMs);
+                requests.ask(exchange, cameMs);
             }
         });
     }
@@ -140,7 +145,7 @@
                                 }
                             });
                         },
-                        (e, trouble) -> reply(e, Reply.of(ResultCode.TOO_LARGE, null)));
+                        (e, error) -> reply(e, Reply.of(ResultCode.TOO_LARGE, null)));
     }
 
     private void call(final HttpServerExchange exchange, final String method, final JsonNode params) {
@@ -157,6 +162,7 @@
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, 1);
         }
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        asks.send(exchange, reply.result().httpStatus(), reply.json().toString().getBytes(StandardCharsets.UTF_8));
+        requests.send(
+                exchange, reply.result().httpStatus(), reply.json().toString().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -26,59 +26,59 @@
     private final HttpClient client;
     private final Executor stage;
     private final String address;
-    private final UpstreamProtocol goes;
+    private final UpstreamProtocol attempts;
     private final PlatformProtocol platform;
     private final long connectMs;
 
-    /** {@code address} is the platform's. Example: {@code new HttpUpstreamClient(client, stage, "127.0.0.1:7900", goes, platform, 500)} */
+    /** {@code address} is the platform's. */
     public HttpUpstreamClient(
             final HttpClient client,
             final Executor stage,
             final String address,
-            final UpstreamProtocol goes,
+            final UpstreamProtocol attempts,
             final PlatformProtocol platform,
             final long connectMs) {
         this.client = client;
         this.stage = stage;
         this.address = address;
-        this.goes = goes;
+        this.attempts = attempts;
         this.platform = platform;
         this.connectMs = connectMs;
     }
 
     @Override
-    public void go(
-            final Attempt go, final LongSupplier until, final Runnable sent, final Consumer<AttemptResult> done) {
+    public void attempt(
+            final Attempt attempt, final LongSupplier until, final Runnable sent, final Consumer<AttemptResult> done) {
         client.judged(
                 new HttpCall(
-                        go.address(),
-                        go.instance(),
-                        go.method(),
-                        go.target(),
-                        goes.headers(go),
-                        go.body(),
-                        go.waitMs(),
+                        attempt.address(),
+                        attempt.instance(),
+                        attempt.method(),
+                        attempt.target(),
+                        attempts.headers(attempt),
+                        attempt.body(),
+                        attempt.waitMs(),
                         connectMs,
-                        go.answerMaxBytes(),
+                        attempt.answerMaxBytes(),
                         false,
-                        go.repeatable(),
+                        attempt.repeatable(),
                         stage,
                         until,
                         () -> stage.execute(sent)),
                 result -> {
-                    final AttemptResult judged = judge(go, result);
+                    final AttemptResult judged = judge(attempt, result);
                     stage.execute(() -> done.accept(judged));
                     return !(judged instanceof AttemptResult.Lost);
                 });
     }
 
-    private AttemptResult judge(final Attempt go, final HttpResult result) {
+    private AttemptResult judge(final Attempt attempt, final HttpResult result) {
         if (result instanceof HttpResult.NotSent n) {
             return new AttemptResult.NotSent(n.why());
         }
         return result instanceof HttpResult.Lost l
                 ? new AttemptResult.Lost(l.why())
-                : goes.judge(go, (HttpResult.Whole) result);
+                : attempts.judge(attempt, (HttpResult.Whole) result);
     }
 
     /** On a wire of its own: whoever answered there before may be gone, and its old wires still open. */
@@ -86,7 +86,7 @@
             final String at,
             final String target,
             final long waitMs,
-            final boolean freshWire,
+            final boolean freshConnection,
             final Consumer<JsonNode> done) {
         client.call(
                 new HttpCall(
@@ -99,7 +99,7 @@
                         waitMs,
                         waitMs,
                         LIST_MAX,
-                        freshWire,
+                        freshConnection,
                         true,
                         Runnable::run,
                         () -> Long.MAX_VALUE,
--- a/spokestall/src/main/java/spokestall/io/protocol/Listener.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/Listener.java
@@ -7,15 +7,15 @@
 
 /** What listens to those outside the fleet. */
 public interface Listener {
-    /** Begins to listen; throws when an address can't be had. Example: {@code front.start();} */
+    /** Begins to listen; throws when an address can't be had. */
     void start() throws IOException;
 
-    /** Goes on with newer settings. Example: {@code front.renew(settings);} */
+    /** Goes on with newer settings. */
     void renew(Settings newer);
 
-    /** Keeps clients to these limits from now on. Example: {@code front.limits(policy.limits());} */
+    /** Keeps clients to these limits from now on. */
     void limits(ClientLimits newer);
 
-    /** The connections to those outside. Example: {@code node.leave(front.connections(), exit);} */
+    /** The connections to those outside. */
     ClientConnections connections();
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
@@ -10,7 +10,7 @@
 import spokestall.proxy.RequestHead;
 import spokestall.proxy.Response;
 
-/** spokestall's own speech with callers; docs/protocols.md has it. */
+/** spokestall's own speech with clients; docs/protocols.md has it. */
 final class NativeClientProtocol implements ClientProtocol {
     @Override
     public RequestHead head(
@@ -47,7 +47,7 @@
     public void headers(final Response a, final HeaderMap headers) {
         headers.put(new HttpString("Spokestall-Code"), a.result().number());
         headers.put(new HttpString("Spokestall-Outcome"), a.ran().word());
-        headers.put(new HttpString("Spokestall-Goes"), a.goes());
+        headers.put(new HttpString("Spokestall-Goes"), a.attempts());
         if (a.instance() != null) {
             headers.put(new HttpString("Spokestall-Instance"), a.instance());
         }
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public UpstreamProtocol goes() {
+    public UpstreamProtocol attempts() {
         return new NativeUpstreamProtocol();
     }
 
--- a/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
@@ -15,18 +15,18 @@
     /** A report as it goes out. */
     record Report(String target, List<Header> headers, byte[] body) {}
 
-    /** The first page's target. Example: {@code speech.listTarget().equals("/upstreams")} */
+    /** The first page's target. */
     String listTarget();
 
-    /** Reads a page, or null where it is none. Example: {@code speech.page(tree)} */
+    /** Reads a page, or null where it is none. */
     Page page(JsonNode tree);
 
-    /** Example: {@code speech.report("d1-core", 17, sealed).target().equals("/usage")} */
+    /** Example: {@code protocol.report("d1-core", 17, sealed).target().equals("/usage")} */
     Report report(String holder, long token, SealedWindow sealed);
 
-    /** Where an upstream tells its status. Example: {@code speech.statusTarget()} */
+    /** Where an upstream tells its status. */
     String statusTarget();
 
-    /** Reads a status, or null where it is none. Example: {@code speech.status(tree)} */
+    /** Reads a status, or null where it is none. */
     HealthChecker.Probe status(JsonNode tree);
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/ProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/ProtocolAdapter.java
@@ -7,23 +7,23 @@
 import spokestall.settings.Settings;
 
 /**
- * How a node speaks with those outside the fleet: callers, upstreams, operators and the platform. It holds names, forms and
+ * How a node speaks with those outside the fleet: clients, upstreams, operators and the platform. It holds names, forms and
  * calls; what is decided is the node's. spokestall's own is {@link #own}, another may stand in its place.
  */
 public interface ProtocolAdapter {
-    /** How policies are written down; null for spokestall's own form. Example: {@code new Node(settings, true, rim, speech.form())} */
+    /** How configurations are written down; null for spokestall's own form. */
     ConfigurationFormat form();
 
-    /** Example: {@code speech.goes().headers(go)} */
-    UpstreamProtocol goes();
+    /** Example: {@code protocol.attempts().headers(attempt)} */
+    UpstreamProtocol attempts();
 
-    /** Example: {@code speech.platform().listTarget()} */
+    /** Example: {@code protocol.platform().listTarget()} */
     PlatformProtocol platform();
 
-    /** What listens to those outside. Example: {@code speech.front(node, settings, stage, worker).start();} */
+    /** What listens to those outside. */
     Listener front(Node node, Settings settings, EventLoop stage, XnioWorker worker);
 
-    /** spokestall's own speech. Example: {@code new NodeProcess(settings, true, ProtocolAdapter.own()).run()} */
+    /** spokestall's own speech. */
     static ProtocolAdapter own() {
         return new NativeProtocolAdapter();
     }
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -29,29 +29,29 @@
 import spokestall.proxy.RequestHead;
 import spokestall.proxy.Response;
 
-/** Takes callers' asks off their wires and brings the answers back, in whichever speech. */
+/** Takes clients' asks off their wires and brings the answers back, in whichever speech. */
 public final class RequestHandler {
     /** Spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask was answered
      * before its body had come ends after lingering so long, in which the answer can be read. */
-    public record Pace(long answerWaitMs, long lingerMs) {}
+    public record Timing(long answerWaitMs, long lingerMs) {}
 
     private static final AttachmentKey<AtomicReference<AdmittedRequest>> ASK =
             AttachmentKey.create(AtomicReference.class);
     private static final Pattern PORT = Pattern.compile(":\\d*$");
     private final Node node;
     private final EventLoop stage;
-    private final ClientProtocol speech;
-    private final Pace pace;
+    private final ClientProtocol protocol;
+    private final Timing timing;
 
-    /** Example: {@code new RequestHandler(node, stage, speech, new RequestHandler.Pace(30_000, 1000))} */
-    public RequestHandler(final Node node, final EventLoop stage, final ClientProtocol speech, final Pace pace) {
+    /** Example: {@code new RequestHandler(node, stage, protocol, new RequestHandler.Timing(30_000, 1000))} */
+    public RequestHandler(final Node node, final EventLoop stage, final ClientProtocol protocol, final Timing timing) {
         this.node = node;
         this.stage = stage;
-        this.speech = speech;
-        this.pace = pace;
+        this.protocol = protocol;
+        this.timing = timing;
     }
 
-    /** Handles one ask, from its head to its answer. Example: {@code server.addHttpListener(port, host, asks::handle)} */
+    /** Handles one ask, from its head to its answer. */
     public void handle(final HttpServerExchange exchange) {
         final long cameMs = System.nanoTime() / 1_000_000;
         final String odd = odd(exchange);
@@ -92,7 +92,7 @@
         });
     }
 
-    /** Whether nothing may be written any more: its answer is under way, or its caller has gone. */
+    /** Whether nothing may be written any more: its answer is under way, or its client has gone. */
     private static boolean answered(final HttpServerExchange exchange) {
         return exchange.isResponseStarted()
                 || exchange.isComplete()
@@ -106,10 +106,10 @@
         }
         exchange.setStatusCode(status);
         if (exchange.isRequestComplete()) {
-            endUnless(exchange, pace.answerWaitMs(), exchange::isComplete);
+            endUnless(exchange, timing.answerWaitMs(), exchange::isComplete);
         } else {
             exchange.setPersistent(false);
-            endUnless(exchange, pace.lingerMs(), exchange::isComplete);
+            endUnless(exchange, timing.lingerMs(), exchange::isComplete);
         }
         if (status == 204 || status == 304 || exchange.getRequestMethod().equals(Methods.HEAD)) {
             exchange.endExchange();
@@ -120,7 +120,7 @@
 
     void ask(final HttpServerExchange exchange, final long cameMs) {
         final AdmissionController edge = node.edge();
-        final RequestHead head = speech.head(
+        final RequestHead head = protocol.head(
                 exchange.getRequestMethod().toString(),
                 host(exchange),
                 target(exchange),
@@ -141,7 +141,7 @@
         final RequestHead head = came.later(System.nanoTime() / 1_000_000 - cameMs);
         final AdmissionResult opened =
                 edge.open(head, a -> exchange.getIoThread().execute(() -> answer(exchange, a)));
-        if (opened instanceof AdmissionResult.Deny deny) {
+        if (opened instanceof AdmissionResult.Rejected deny) {
             exchange.getIoThread().execute(() -> answer(exchange, deny.answer()));
         } else {
             final AdmittedRequest ask = ((AdmissionResult.Admit) opened).ask();
@@ -206,7 +206,7 @@
             }
 
             @Override
-            public void onException(final HttpServerExchange e, final Sender sender, final IOException trouble) {
+            public void onException(final HttpServerExchange e, final Sender sender, final IOException error) {
                 stage.execute(() -> ask.drop(ResultCode.MALFORMED));
             }
         });
@@ -215,13 +215,13 @@
     private void receive(final HttpServerExchange exchange, final AdmittedRequest ask) {
         // The receiver's own bound leaves the wire open for the answer; an entity bound would cut it.
         final Receiver receiver = exchange.getRequestReceiver();
-        receiver.setMaxBufferSize(Math.max(1, ask.rule().askMaxBytes()));
+        receiver.setMaxBufferSize(Math.max(1, ask.rule().requestMaxBytes()));
         receiver.receiveFullBytes(
                 (e, body) -> e.dispatch(SameThreadExecutor.INSTANCE, () -> stage.execute(() -> ask.run(body))),
-                (e, trouble) -> e.dispatch(
+                (e, error) -> e.dispatch(
                         SameThreadExecutor.INSTANCE,
                         () -> stage.execute(() -> ask.drop(
-                                trouble instanceof Receiver.RequestToLargeException
+                                error instanceof Receiver.RequestToLargeException
                                         ? ResultCode.TOO_LARGE
                                         : ResultCode.MALFORMED))));
     }
@@ -233,7 +233,7 @@
         if (a.content() != null) {
             HeaderFields.put(exchange.getResponseHeaders(), a.content().headers());
         }
-        speech.headers(a, exchange.getResponseHeaders());
-        send(exchange, speech.status(a), a.content() != null ? a.content().body() : speech.body(a));
+        protocol.headers(a, exchange.getResponseHeaders());
+        send(exchange, protocol.status(a), a.content() != null ? a.content().body() : protocol.body(a));
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/UpstreamProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/UpstreamProtocol.java
@@ -8,9 +8,9 @@
 
 /** How upstreams are spoken to: names and forms, nothing that decides. */
 public interface UpstreamProtocol {
-    /** All headers of a go, but for its host's and its framing. Example: {@code speech.headers(go)} */
-    List<Header> headers(Attempt go);
+    /** All headers of a go, but for its host's and its framing. */
+    List<Header> headers(Attempt attempt);
 
-    /** What an upstream's whole answer means. Example: {@code speech.judge(go, whole) instanceof AttemptResult.NotRun} */
-    AttemptResult judge(Attempt go, HttpResult.Whole whole);
+    /** What an upstream's whole answer means. */
+    AttemptResult judge(Attempt attempt, HttpResult.Whole whole);
 }
--- a/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -27,7 +27,7 @@
 import spokestall.message.MessageSender;
 import spokestall.message.UnknownMessageException;
 
-/** The wires to other processes: framed notes over TCP, one wire out to each, with a bounded queue in front. */
+/** The wires to other processes: framed messages over TCP, one wire out to each, with a bounded queue in front. */
 public final class TcpTransport implements MessageSender {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int FRAME_MAX = MessageCodec.FIELD_MAX + (1 << 20);
@@ -35,7 +35,7 @@
     private static final long QUEUE_BYTES = 2L * FRAME_MAX;
     private static final long AGAIN_MS = 200;
     private static final int UNKNOWN_MAX = 64;
-    /** What one read takes at the most: most notes come whole, head and all, by a single one. */
+    /** What one read takes at the most: most messages come whole, head and all, by a single one. */
     private static final int READ_BYTES = 4096;
     /** As many signs of being heard are read at once; one is enough to know. */
     private static final int ECHOES = 64;
@@ -49,8 +49,7 @@
     private final Map<String, Out> outs = new ConcurrentHashMap<>();
     private AcceptingChannel<StreamConnection> server;
 
-    /** A wire out that gives no sign of being heard for so long is given up and opened anew.
-     * Example: {@code new TcpTransport(worker, note -> stage.offer(() -> node.hear(note)), 1000, 2, peers)} */
+    /** A wire out that gives no sign of being heard for so long is given up and opened anew. */
     public TcpTransport(
             final XnioWorker worker,
             final Consumer<Message> heard,
@@ -64,16 +63,16 @@
         this.heard = heard;
     }
 
-    /** Example: {@code wires.listen(Addresses.of("127.0.0.1:7100"));} */
+    /** Example: {@code connections.listen(Addresses.of("127.0.0.1:7100"));} */
     public void listen(final InetSocketAddress at) throws IOException {
         server = worker.createStreamConnectionServer(
                 at,
                 (ChannelListener<AcceptingChannel<StreamConnection>>) a -> {
                     try {
-                        StreamConnection wire = a.accept();
-                        while (wire != null) {
-                            take(wire);
-                            wire = a.accept();
+                        StreamConnection connection = a.accept();
+                        while (connection != null) {
+                            take(connection);
+                            connection = a.accept();
                         }
                     } catch (final IOException e) {
                         LOG.atWarning().log("event=accept_trouble why=%s", e.getMessage());
@@ -83,45 +82,46 @@
         server.resumeAccepts();
     }
 
-    private void take(final StreamConnection wire) {
-        final InetAddress from = wire.getPeerAddress(InetSocketAddress.class).getAddress();
+    private void take(final StreamConnection connection) {
+        final InetAddress from =
+                connection.getPeerAddress(InetSocketAddress.class).getAddress();
         if (peers.test(from)) {
-            read(wire);
+            read(connection);
             return;
         }
-        IoUtils.safeClose(wire);
+        IoUtils.safeClose(connection);
         if (unknown.size() < UNKNOWN_MAX && unknown.add(from.getHostAddress())) {
             LOG.atWarning().log("event=wire_refused from=%s why=\"not among peers\"", from.getHostAddress());
         }
     }
 
-    /** Example: {@code wires.close();} */
+    /** Example: {@code connections.close();} */
     public void close() {
         IoUtils.safeClose(server);
         outs.values().forEach(Out::close);
     }
 
     @Override
-    public void send(final String address, final Message note) {
-        outs.computeIfAbsent(address, Out::new).send(MessageCodec.note(note, version));
+    public void send(final String address, final Message message) {
+        outs.computeIfAbsent(address, Out::new).send(MessageCodec.message(message, version));
     }
 
-    private void read(final StreamConnection wire) {
-        final In in = new In(wire);
-        wire.getSourceChannel().setReadListener(in::read);
-        wire.getSourceChannel().resumeReads();
+    private void read(final StreamConnection connection) {
+        final In in = new In(connection);
+        connection.getSourceChannel().setReadListener(in::read);
+        connection.getSourceChannel().resumeReads();
     }
 
     /** One wire that came in. */
     private final class In {
-        private final StreamConnection wire;
+        private final StreamConnection connection;
         private final ByteBuffer came = ByteBuffer.allocate(READ_BYTES);
         private ByteBuffer frame = ByteBuffer.allocate(4);
         private boolean head = true;
         private boolean owed;
 
-        In(final StreamConnection wire) {
-            this.wire = wire;
+        In(final StreamConnection connection) {
+            this.connection = connection;
         }
 
         void read(final ConduitStreamSourceChannel channel) {
@@ -135,11 +135,11 @@
                 }
                 echo();
                 if (n < 0) {
-                    IoUtils.safeClose(wire);
+                    IoUtils.safeClose(connection);
                 }
             } catch (final IOException e) {
                 LOG.atFine().log("event=wire_closed why=%s", e.getMessage());
-                IoUtils.safeClose(wire);
+                IoUtils.safeClose(connection);
             }
         }
 
@@ -157,8 +157,8 @@
         /** One byte back for any that were heard, so that a long note on a slow wire counts too: the other side sees that someone is there. */
         private void echo() throws IOException {
             if (owed) {
-                owed = wire.getSinkChannel().write(ByteBuffer.allocate(1)) == 0;
-                wire.getSinkChannel().flush();
+                owed = connection.getSinkChannel().write(ByteBuffer.allocate(1)) == 0;
+                connection.getSinkChannel().flush();
             }
         }
 
@@ -179,7 +179,7 @@
         /** What came after this program is skipped, and named once; the wire stays. */
         private void take() throws IOException {
             try {
-                heard.accept(MessageCodec.note(frame.array()));
+                heard.accept(MessageCodec.message(frame.array()));
             } catch (final UnknownMessageException e) {
                 if (unknown.size() < UNKNOWN_MAX && unknown.add(e.getMessage())) {
                     LOG.atWarning().log("event=note_unknown what=\"%s\" own=%s", e.getMessage(), MessageCodec.VERSION);
@@ -197,25 +197,25 @@
         private boolean opening;
         private long openedMs;
         private long unheardMs = -1;
-        private StreamConnection wire;
+        private StreamConnection connection;
         private IoFuture<StreamConnection> coming;
 
         Out(final String address) {
             this.address = address;
         }
 
-        synchronized void send(final byte[] note) {
-            if (queue.size() >= QUEUE_FRAMES || queuedBytes + note.length > QUEUE_BYTES) {
+        synchronized void send(final byte[] message) {
+            if (queue.size() >= QUEUE_FRAMES || queuedBytes + message.length > QUEUE_BYTES) {
                 return;
             }
             final long nowMs = System.nanoTime() / 1_000_000;
-            if (wire != null && unheardMs >= 0 && nowMs - unheardMs > silentMs) {
-                closed(wire);
+            if (connection != null && unheardMs >= 0 && nowMs - unheardMs > silentMs) {
+                closed(connection);
             } else if (opening && nowMs - openedMs > 2 * silentMs) {
                 coming.cancel();
                 closed(null);
             }
-            if (wire == null) {
+            if (connection == null) {
                 if (!opening && nowMs < againMs) {
                     return;
                 }
@@ -223,16 +223,16 @@
                     open();
                 }
             }
-            queue.add(ByteBuffer.allocate(4 + note.length)
-                    .putInt(note.length)
-                    .put(note)
+            queue.add(ByteBuffer.allocate(4 + message.length)
+                    .putInt(message.length)
+                    .put(message)
                     .flip());
-            queuedBytes += note.length;
-            if (wire != null && unheardMs < 0) {
+            queuedBytes += message.length;
+            if (connection != null && unheardMs < 0) {
                 unheardMs = nowMs;
             }
-            if (wire != null && queue.size() == 1) {
-                final StreamConnection to = wire;
+            if (connection != null && queue.size() == 1) {
+                final StreamConnection to = connection;
                 to.getIoThread().execute(() -> write(to.getSinkChannel()));
             }
         }
@@ -256,12 +256,12 @@
 
         private void opened(final StreamConnection to) {
             synchronized (this) {
-                if (wire != null || !opening) {
+                if (connection != null || !opening) {
                     IoUtils.safeClose(to);
                     return;
                 }
                 opening = false;
-                wire = to;
+                connection = to;
                 unheardMs = queue.isEmpty() ? -1 : System.nanoTime() / 1_000_000;
             }
             to.getSourceChannel().setReadListener(c -> {
@@ -283,17 +283,17 @@
         }
 
         private synchronized void heardBack(final StreamConnection from) {
-            if (from == wire) {
+            if (from == connection) {
                 unheardMs = -1;
             }
         }
 
         private synchronized void closed(final StreamConnection was) {
             IoUtils.safeClose(was);
-            if (was == wire) {
+            if (was == connection) {
                 opening = false;
                 unheardMs = -1;
-                wire = null;
+                connection = null;
                 queue.clear();
                 queuedBytes = 0;
                 againMs = System.nanoTime() / 1_000_000 + AGAIN_MS;
@@ -320,12 +320,12 @@
                     }
                 }
             } catch (final IOException e) {
-                closed(wire);
+                closed(connection);
             }
         }
 
         synchronized void close() {
-            IoUtils.safeClose(wire);
+            IoUtils.safeClose(connection);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -29,7 +29,7 @@
     /** Spans, from the settings. A node does not acquire the lease from another holder until restMs after it ceased to hold it
      * itself: where the order of holders is looked at within a span, a holder that comes back in between would seem to act
      * beside the one that followed it. */
-    public record Pace(
+    public record Timing(
             long leaseMs, long renewMs, long storeWaitMs, long marginMs, long turnMs, long maxRunMs, long restMs) {}
 
     /** Told when an execution begins; it ends by itself when it may no longer work. */
@@ -38,7 +38,7 @@
         void begin(LeaseSession execution);
 
         /** Whether no call made under an ended execution may still arrive. Only then may a new execution follow without waiting
-         * for the lease to expire. Work that makes no calls is always idle. Example: {@code if (work.idle()) release();} */
+         * for the lease to expire. Work that makes no calls is always idle. */
         default boolean idle() {
             return true;
         }
@@ -50,7 +50,7 @@
     private final Proposer proposer;
     private final Clock clock;
     private final Random random;
-    private final Pace pace;
+    private final Timing timing;
     private final Work work;
     private final Supplier<Register> own;
     private State state = State.WATCHING;
@@ -70,16 +70,16 @@
     /** The owner value of the last execution that ended in this life, or null. */
     private String endedOwner;
 
-    /** Example: {@code new LeaseManager("usage_report", "d1-core", proposer, clock, random, pace, reporter)} */
+    /** Example: {@code new LeaseManager("usage_report", "d1-core", proposer, clock, random, timing, reporter)} */
     public LeaseManager(
             final String duty,
             final String name,
             final Proposer proposer,
             final Clock clock,
             final Random random,
-            final Pace pace,
+            final Timing timing,
             final Work work) {
-        this(duty, name, proposer, clock, random, pace, work, () -> null);
+        this(duty, name, proposer, clock, random, timing, work, () -> null);
     }
 
     /** One that votes looks at its own copy of the register first; without one it looks at the store on each beat.
@@ -90,7 +90,7 @@
             final Proposer proposer,
             final Clock clock,
             final Random random,
-            final Pace pace,
+            final Timing timing,
             final Work work,
             final Supplier<Register> own) {
         this.own = own;
@@ -99,22 +99,22 @@
         this.proposer = proposer;
         this.clock = clock;
         this.random = random;
-        this.pace = pace;
+        this.timing = timing;
         this.work = work;
         this.ceasedMs = clock.nowMs();
     }
 
-    /** Example: {@code keeper.state() == LeaseManager.State.HOLDING} */
+    /** Example: {@code leaseManager.state() == LeaseManager.State.HOLDING} */
     public State state() {
         return state;
     }
 
-    /** The lease as last seen in the store, or null. Example: {@code keeper.seen().holder()} */
+    /** The lease as last seen in the store, or null. */
     public Lease seen() {
         return seen;
     }
 
-    /** The execution under way, or null. Example: {@code keeper.execution()} */
+    /** The execution under way, or null. */
     public LeaseSession execution() {
         return execution;
     }
@@ -132,7 +132,7 @@
         state = to;
     }
 
-    /** One beat. Example: {@code keeper.tick();} */
+    /** One beat. */
     public void tick() {
         switch (state) {
             case WATCHING -> watch();
@@ -142,7 +142,7 @@
     }
 
     private void watch() {
-        if (reading || proposer.voters() == null) {
+        if (reading || proposer.voterSet() == null) {
             return;
         }
         final Register copy = own.get();
@@ -153,7 +153,7 @@
             return;
         }
         reading = true;
-        proposer.read(Lease.key(duty), pace.storeWaitMs(), outcome -> {
+        proposer.read(Lease.key(duty), timing.storeWaitMs(), outcome -> {
             reading = false;
             if (state == State.WATCHING && outcome instanceof ProposalOutcome.Done done) {
                 strange = false;
@@ -205,7 +205,7 @@
             return true;
         }
         final long nowMs = clock.nowMs();
-        return nowMs - ceasedMs >= pace.restMs() && nowMs - seenMs >= freeAfterMs(seen) + turnMs(seen);
+        return nowMs - ceasedMs >= timing.restMs() && nowMs - seenMs >= freeAfterMs(seen) + turnMs(seen);
     }
 
     /**
@@ -217,7 +217,7 @@
         return now != null
                 && now.holder().equals(name)
                 && !now.owner().equals(endedOwner)
-                && now.token() >= proposer.voters().firstNumber()
+                && now.token() >= proposer.voterSet().firstNumber()
                 && work.idle();
     }
 
@@ -227,27 +227,27 @@
             return 0;
         }
         // No lease at all may mean that one was lost with its disks while its holder still works.
-        return (now == null ? pace.leaseMs() : Math.max(now.spanMs(), pace.leaseMs())) + pace.marginMs();
+        return (now == null ? timing.leaseMs() : Math.max(now.spanMs(), timing.leaseMs())) + timing.marginMs();
     }
 
     /**
      * Rivals that saw the same lease run out come one after another, in an order drawn from the lease itself, so that
-     * the first is done before the next begins; all at once would spend the store's time on each other's ballots.
+     * the first is done before the next begins; all at once would spend the store's time on each other's proposal numbers.
      */
     private long turnMs(final Lease expired) {
         final String salt = expired == null ? "" : expired.owner() + expired.renewal();
         int before = 0;
-        for (final Voter seat : proposer.voters().seats()) {
-            before += (expired == null || !seat.name().equals(expired.holder()))
-                            && (seat.name() + salt).hashCode() < (name + salt).hashCode()
+        for (final Voter voter : proposer.voterSet().voters()) {
+            before += (expired == null || !voter.name().equals(expired.holder()))
+                            && (voter.name() + salt).hashCode() < (name + salt).hashCode()
                     ? 1
                     : 0;
         }
-        return before * pace.turnMs();
+        return before * timing.turnMs();
     }
 
     private void acquire() {
-        final long askedMs = clock.nowMs();
+        final long requestedMs = clock.nowMs();
         final Lease expired = seen;
         final String owner = name + "/" + Long.toHexString(random.nextLong());
         final String executionId = Long.toHexString(random.nextLong());
@@ -255,7 +255,7 @@
         change(State.ACQUIRING, whyFree(expired));
         proposer.change(
                 Lease.key(duty),
-                pace.storeWaitMs(),
+                timing.storeWaitMs(),
                 value -> {
                     final Lease now = value == null ? null : MessageCodec.record(value, Lease.class);
                     if (now != null && now.owner().equals(owner)) {
@@ -266,14 +266,14 @@
                             || expired != null
                                     && now.owner().equals(expired.owner())
                                     && now.renewal() == expired.renewal();
-                    final long first = proposer.voters().firstNumber();
+                    final long first = proposer.voterSet().firstNumber();
                     final long token = Math.max(now == null ? 0 : now.token(), first) + 1;
                     return free
                             ? new RegisterEdit.Set(
-                                    MessageCodec.bytes(new Lease(owner, name, 0, token, pace.leaseMs(), false)))
+                                    MessageCodec.bytes(new Lease(owner, name, 0, token, timing.leaseMs(), false)))
                             : RegisterEdit.LEAVE;
                 },
-                outcome -> acquired(outcome, owner, executionId, askedMs));
+                outcome -> acquired(outcome, owner, executionId, requestedMs));
     }
 
     private String whyFree(final Lease expired) {
@@ -287,7 +287,7 @@
     }
 
     private void acquired(
-            final ProposalOutcome outcome, final String owner, final String executionId, final long askedMs) {
+            final ProposalOutcome outcome, final String owner, final String executionId, final long requestedMs) {
         final long nowMs = clock.nowMs();
         seen = null;
         looked = false;
@@ -296,13 +296,13 @@
             seen = now;
             seenMs = nowMs;
             looked = true;
-            if (done.wrote() && now.owner().equals(owner) && nowMs - askedMs <= pace.storeWaitMs()) {
+            if (done.wrote() && now.owner().equals(owner) && nowMs - requestedMs <= timing.storeWaitMs()) {
                 execution = new LeaseSession(
                         executionId,
                         owner,
                         now.token(),
-                        askedMs + pace.leaseMs() - pace.marginMs(),
-                        askedMs + pace.maxRunMs());
+                        requestedMs + timing.leaseMs() - timing.marginMs(),
+                        requestedMs + timing.maxRunMs());
                 renewAskedMs = nowMs;
                 change(State.HOLDING, "acquired");
                 work.begin(execution);
@@ -319,7 +319,7 @@
         final String why = execution.why(nowMs);
         if (why != null) {
             release(why);
-        } else if (!renewing && nowMs - renewAskedMs >= pace.renewMs()) {
+        } else if (!renewing && nowMs - renewAskedMs >= timing.renewMs()) {
             renew(execution);
         }
     }
@@ -333,37 +333,37 @@
 
     private void renew(final LeaseSession mine) {
         renewing = true;
-        final long askedMs = clock.nowMs();
-        renewAskedMs = askedMs;
+        final long requestedMs = clock.nowMs();
+        renewAskedMs = requestedMs;
         proposer.change(
                 Lease.key(duty),
-                pace.storeWaitMs(),
+                timing.storeWaitMs(),
                 value -> ifOwned(
                         value,
                         mine,
-                        now -> new Lease(now.owner(), name, now.renewal() + 1, now.token(), pace.leaseMs(), false)),
+                        now -> new Lease(now.owner(), name, now.renewal() + 1, now.token(), timing.leaseMs(), false)),
                 outcome -> {
                     renewing = false;
-                    renewed(mine, remainingMs(mine, outcome, askedMs), askedMs);
+                    renewed(mine, remainingMs(mine, outcome, requestedMs), requestedMs);
                 });
     }
 
     /** The milliseconds a renewal gained; zero is not renewed. */
-    private long remainingMs(final LeaseSession mine, final ProposalOutcome outcome, final long askedMs) {
+    private long remainingMs(final LeaseSession mine, final ProposalOutcome outcome, final long requestedMs) {
         final long nowMs = clock.nowMs();
         final boolean good = outcome instanceof ProposalOutcome.Done done
                 && done.wrote()
                 && MessageCodec.record(done.value(), Lease.class).owner().equals(mine.owner());
-        final boolean timely = nowMs - askedMs <= pace.storeWaitMs() && mine.mayWork(nowMs);
-        return good && timely ? Math.max(0, askedMs + pace.leaseMs() - pace.marginMs() - nowMs) : 0;
+        final boolean timely = nowMs - requestedMs <= timing.storeWaitMs() && mine.mayWork(nowMs);
+        return good && timely ? Math.max(0, requestedMs + timing.leaseMs() - timing.marginMs() - nowMs) : 0;
     }
 
-    private void renewed(final LeaseSession mine, final long remainingMs, final long askedMs) {
+    private void renewed(final LeaseSession mine, final long remainingMs, final long requestedMs) {
         if (mine != execution || state != State.HOLDING) {
             return;
         }
         if (remainingMs > 0) {
-            mine.renewed(askedMs + pace.leaseMs() - pace.marginMs());
+            mine.renewed(requestedMs + timing.leaseMs() - timing.marginMs());
             return;
         }
         mine.doubt();
@@ -383,7 +383,7 @@
         }
         proposer.change(
                 Lease.key(duty),
-                pace.storeWaitMs(),
+                timing.storeWaitMs(),
                 value -> ifOwned(
                         value,
                         mine,
@@ -404,7 +404,7 @@
 
     private Runnable stopped;
 
-    /** Gives the duty up for good, and tells when that is done. Example: {@code keeper.stop(exit);} */
+    /** Gives the duty up for good, and tells when that is done. */
     public void stop(final Runnable done) {
         stopped = done;
         if (state == State.HOLDING) {
--- a/spokestall/src/main/java/spokestall/lease/LeaseSession.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseSession.java
@@ -24,27 +24,27 @@
         return executionId;
     }
 
-    /** The owner value of this acquisition alone. Example: {@code execution.owner()} */
+    /** The owner value of this acquisition alone. */
     public String owner() {
         return owner;
     }
 
-    /** The fence token of this acquisition. Example: {@code execution.token()} */
+    /** The fence token of this acquisition. */
     public long token() {
         return token;
     }
 
-    /** Until when work may be begun. Example: {@code execution.deadlineMs() - clock.nowMs()} */
+    /** Until when work may be begun. */
     public long deadlineMs() {
         return deadlineMs;
     }
 
-    /** Asked before each unit of work and before completion. Example: {@code if (!e.mayWork(clock.nowMs())) return;} */
+    /** Asked before each unit of work and before completion. */
     public boolean mayWork(final long nowMs) {
         return why(nowMs) == null;
     }
 
-    /** Why no work may be begun, or null. Example: {@code log("why=" + execution.why(nowMs))} */
+    /** Why no work may be begun, or null. */
     public String why(final long nowMs) {
         return uncertain
                 ? "uncertain"
--- a/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -25,7 +25,7 @@
     private InitialState founding;
 
     /** {@code first}: this life may vote; {@code marked} runs what it is given once the disk, if there is one, can't be
-     * taken for blank any more. Example: {@code new BootstrapAcceptor(address, seeds, true, post, proposer::voters, Runnable::run)} */
+     * taken for blank any more. */
     public BootstrapAcceptor(
             final String address,
             final List<String> seeds,
@@ -41,22 +41,23 @@
         this.marked = marked;
     }
 
-    /** Hears a founder. Example: {@code council.hear(ask);} */
-    public void hear(final BootstrapMessage note) {
-        if (note instanceof BootstrapMessage.Ask ask && mayVote(ask.from(), ask.seeds())) {
-            final boolean yes = ask.ballot().compareTo(promised) >= 0;
-            promised = yes ? ask.ballot() : promised;
-            final BootstrapMessage.Promise reply =
-                    new BootstrapMessage.Promise(address, ask.ballot(), yes, promised, accepted, yes ? founding : null);
+    /** Hears a founder. */
+    public void hear(final BootstrapMessage message) {
+        if (message instanceof BootstrapMessage.Prepare ask && mayVote(ask.from(), ask.seeds())) {
+            final boolean yes = ask.proposalNumber().compareTo(promised) >= 0;
+            promised = yes ? ask.proposalNumber() : promised;
+            final BootstrapMessage.Promise reply = new BootstrapMessage.Promise(
+                    address, ask.proposalNumber(), yes, promised, accepted, yes ? founding : null);
             marked.accept(() -> post.send(ask.from(), reply));
-        } else if (note instanceof BootstrapMessage.Offer offer && mayVote(offer.from(), offer.seeds())) {
-            final boolean yes = offer.ballot().compareTo(promised) >= 0;
+        } else if (message instanceof BootstrapMessage.Accept offer && mayVote(offer.from(), offer.seeds())) {
+            final boolean yes = offer.proposalNumber().compareTo(promised) >= 0;
             if (yes) {
-                promised = offer.ballot();
-                accepted = offer.ballot();
+                promised = offer.proposalNumber();
+                accepted = offer.proposalNumber();
                 founding = offer.founding();
             }
-            final BootstrapMessage.Taken reply = new BootstrapMessage.Taken(address, offer.ballot(), yes, promised);
+            final BootstrapMessage.Accepted reply =
+                    new BootstrapMessage.Accepted(address, offer.proposalNumber(), yes, promised);
             marked.accept(() -> post.send(offer.from(), reply));
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
@@ -7,12 +7,12 @@
 /** What founders and seeds say to each other about the first generation. */
 public sealed interface BootstrapMessage extends Message {
     /** Phase one: a founder asks a seed, and says whom it takes for the seeds. */
-    record Ask(String from, List<String> seeds, ProposalNumber ballot) implements BootstrapMessage {}
+    record Prepare(String from, List<String> seeds, ProposalNumber proposalNumber) implements BootstrapMessage {}
 
-    /** The reply to {@link Ask}; yes with what this seed accepted, if anything. */
+    /** The reply to {@link Prepare}; yes with what this seed accepted, if anything. */
     record Promise(
             String seed,
-            ProposalNumber ballot,
+            ProposalNumber proposalNumber,
             boolean yes,
             ProposalNumber promised,
             ProposalNumber accepted,
@@ -20,10 +20,10 @@
             implements BootstrapMessage {}
 
     /** Phase two. */
-    record Offer(String from, List<String> seeds, ProposalNumber ballot, InitialState founding)
+    record Accept(String from, List<String> seeds, ProposalNumber proposalNumber, InitialState founding)
             implements BootstrapMessage {}
 
-    /** The reply to {@link Offer}. */
-    record Taken(String seed, ProposalNumber ballot, boolean yes, ProposalNumber promised)
+    /** The reply to {@link Accept}. */
+    record Accepted(String seed, ProposalNumber proposalNumber, boolean yes, ProposalNumber promised)
             implements BootstrapMessage {}
 }
--- a/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
@@ -28,7 +28,7 @@
     }
 
     /** Spans, from the settings. */
-    public record Pace(long sinceStartMs, long settleMs, long roundMs) {}
+    public record Timing(long sinceStartMs, long settleMs, long roundMs) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
@@ -37,14 +37,14 @@
     private final List<String> seeds;
     private final MessageSender post;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing timing;
     private final Function<List<Voter>, InitialState> make;
     private final long startedMs;
     private final Map<String, Voter> known = new TreeMap<>();
     private final Map<String, BootstrapMessage.Promise> promises = new TreeMap<>();
     private final Set<String> taken = new HashSet<>();
     private Phase phase = Phase.IDLE;
-    private ProposalNumber ballot = ProposalNumber.NONE;
+    private ProposalNumber proposalNumber = ProposalNumber.NONE;
     private long count;
     private long changedMs;
     private long phaseMs;
@@ -58,7 +58,7 @@
             final List<String> seeds,
             final MessageSender post,
             final Clock clock,
-            final Pace pace,
+            final Timing timing,
             final Function<List<Voter>, InitialState> make) {
         this.name = name;
         this.address = address;
@@ -66,7 +66,7 @@
         this.seeds = seeds.stream().sorted().distinct().toList();
         this.post = post;
         this.clock = clock;
-        this.pace = pace;
+        this.timing = timing;
         this.make = make;
         this.startedMs = clock.nowMs();
         this.changedMs = startedMs;
@@ -78,8 +78,7 @@
         phaseMs = clock.nowMs();
     }
 
-    /** One beat while no table is known, with the cores that may be in the first one.
-     * Example: {@code founder.tick(blanks);} */
+    /** One beat while no table is known, with the cores that may be in the first one. */
     public void tick(final Map<String, Voter> blanks) {
         final long nowMs = clock.nowMs();
         if (!known.keySet().containsAll(blanks.keySet())) {
@@ -88,30 +87,30 @@
         known.clear();
         known.putAll(blanks);
         if (phase == Phase.ASK || phase == Phase.OFFER) {
-            if (nowMs - phaseMs >= pace.roundMs()) {
+            if (nowMs - phaseMs >= timing.roundMs()) {
                 change(Phase.IDLE, "round-over");
             }
             return;
         }
-        final long waitMs = new ArrayList<>(known.keySet()).indexOf(name) * pace.roundMs();
+        final long waitMs = new ArrayList<>(known.keySet()).indexOf(name) * timing.roundMs();
         if (phase == Phase.IDLE
                 && known.containsKey(name)
                 && known.size() >= Math.min(2, seeds.size())
-                && known.size() <= VoterSet.SEATS_MAX
-                && nowMs - startedMs >= pace.sinceStartMs()
-                && nowMs - changedMs >= pace.settleMs() + waitMs
+                && known.size() <= VoterSet.VOTERS_MAX
+                && nowMs - startedMs >= timing.sinceStartMs()
+                && nowMs - changedMs >= timing.settleMs() + waitMs
                 && nowMs - phaseMs >= waitMs) {
             ask();
         }
     }
 
     private void ask() {
-        ballot = new ProposalNumber(++count, by);
+        proposalNumber = new ProposalNumber(++count, by);
         promises.clear();
         taken.clear();
         change(Phase.ASK, "cores-" + known.size());
         for (final String seed : seeds) {
-            post.send(seed, new BootstrapMessage.Ask(address, seeds, ballot));
+            post.send(seed, new BootstrapMessage.Prepare(address, seeds, proposalNumber));
         }
     }
 
@@ -119,26 +118,26 @@
         return seeds.size() / 2 + 1;
     }
 
-    /** Hears a seed. Example: {@code founder.hear(promise);} */
-    public void hear(final BootstrapMessage note) {
-        if (note instanceof BootstrapMessage.Promise p && seeds.contains(p.seed())) {
-            if (phase == Phase.ASK && p.ballot().equals(ballot) && p.yes()) {
+    /** Hears a seed. */
+    public void hear(final BootstrapMessage message) {
+        if (message instanceof BootstrapMessage.Promise p && seeds.contains(p.seed())) {
+            if (phase == Phase.ASK && p.proposalNumber().equals(proposalNumber) && p.yes()) {
                 promises.put(p.seed(), p);
                 if (promises.size() >= majority()) {
                     offer();
                 }
             }
             count = Math.max(count, p.promised().count());
-        } else if (note instanceof BootstrapMessage.Taken t && seeds.contains(t.seed())) {
-            if (phase == Phase.OFFER && t.ballot().equals(ballot) && t.yes()) {
+        } else if (message instanceof BootstrapMessage.Accepted t && seeds.contains(t.seed())) {
+            if (phase == Phase.OFFER && t.proposalNumber().equals(proposalNumber) && t.yes()) {
                 taken.add(t.seed());
                 if (taken.size() >= majority()) {
                     change(Phase.FOUNDED, "taken");
-                    for (final Voter seat : proposed.table().seats()) {
-                        post.send(seat.address(), new MembershipMessage.Founded(proposed));
+                    for (final Voter voter : proposed.table().voters()) {
+                        post.send(voter.address(), new MembershipMessage.GenerationStarted(proposed));
                     }
-                    if (proposed.table().seat(name) == null) {
-                        post.send(address, new MembershipMessage.Founded(proposed));
+                    if (proposed.table().voter(name) == null) {
+                        post.send(address, new MembershipMessage.GenerationStarted(proposed));
                     }
                 }
             }
@@ -156,7 +155,7 @@
         proposed = highest != null ? highest.founding() : make.apply(List.copyOf(known.values()));
         change(Phase.OFFER, highest != null ? "finishing" : "promised");
         for (final String seed : seeds) {
-            post.send(seed, new BootstrapMessage.Offer(address, seeds, ballot, proposed));
+            post.send(seed, new BootstrapMessage.Accept(address, seeds, proposalNumber, proposed));
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -20,40 +20,39 @@
  */
 public final class GracefulHandover {
     /** How often it asks anew, and how long it may take. */
-    public record Pace(long askMs, long mostMs) {}
+    public record Timing(long askMs, long mostMs) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
     private final String address;
-    private final Acceptor voter;
+    private final Acceptor acceptor;
     private final MessageSender post;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing timing;
     private final Set<String> holders = new HashSet<>();
     private long untilMs;
     private VoterSet table;
     private Runnable done;
 
-    /** Example: {@code new GracefulHandover("d1-core", address, voter, post, clock, new Pace(110, 880))} */
+    /** Example: {@code new GracefulHandover("d1-core", address, acceptor, post, clock, new Timing(110, 880))} */
     public GracefulHandover(
             final String name,
             final String address,
-            final Acceptor voter,
+            final Acceptor acceptor,
             final MessageSender post,
             final Clock clock,
-            final Pace pace) {
+            final Timing timing) {
         this.name = name;
         this.address = address;
-        this.voter = voter;
+        this.acceptor = acceptor;
         this.post = post;
         this.clock = clock;
-        this.pace = pace;
+        this.timing = timing;
     }
 
-    /** Hands over, then runs what is given; at once if there is nothing that others could lack.
-     * Example: {@code handover.begin(() -> System.exit(0));} */
+    /** Hands over, then runs what is given; at once if there is nothing that others could lack. */
     public void begin(final Runnable then) {
-        untilMs = clock.nowMs() + pace.mostMs();
+        untilMs = clock.nowMs() + timing.mostMs();
         done = then;
         ask();
     }
@@ -62,28 +61,30 @@
         if (done == null) {
             return;
         }
-        final boolean alone = voter.voters() == null || voter.voters().seats().size() < 2;
-        if (alone || !voter.hasState() || clock.nowMs() >= untilMs) {
+        final boolean alone =
+                acceptor.voterSet() == null || acceptor.voterSet().voters().size() < 2;
+        if (alone || !acceptor.hasState() || clock.nowMs() >= untilMs) {
             end();
             return;
         }
-        if (voter.voters() != table) {
-            table = voter.voters();
+        if (acceptor.voterSet() != table) {
+            table = acceptor.voterSet();
             holders.clear();
         }
         final List<ConsensusMessage.Held> held = held();
-        for (final Voter seat : table.seats()) {
-            if (!seat.name().equals(name) && !holders.contains(seat.name())) {
+        for (final Voter voter : table.voters()) {
+            if (!voter.name().equals(name) && !holders.contains(voter.name())) {
                 post.send(
-                        seat.address(), new ConsensusMessage.HoldAsk(address, table.generation(), table.epoch(), held));
+                        voter.address(),
+                        new ConsensusMessage.HandoverRequest(address, table.generation(), table.epoch(), held));
             }
         }
-        clock.after(pace.askMs(), this::ask);
+        clock.after(timing.askMs(), this::ask);
     }
 
     private List<ConsensusMessage.Held> held() {
         final List<ConsensusMessage.Held> held = new ArrayList<>();
-        voter.registers().forEach((key, register) -> {
+        acceptor.registers().forEach((key, register) -> {
             if (register.value() != null) {
                 held.add(new ConsensusMessage.Held(key, register.accepted()));
             }
@@ -91,28 +92,28 @@
         return held;
     }
 
-    /** Hears what another voter lacks. Example: {@code handover.hear(back);} */
-    public void hear(final ConsensusMessage.HoldBack back) {
+    /** Hears what another voter lacks. */
+    public void hear(final ConsensusMessage.HandoverResponse back) {
         if (done == null || table == null || !table.same(back.generation(), back.epoch())) {
             return;
         }
-        final Voter seat = table.seat(back.name());
-        if (seat == null) {
+        final Voter voter = table.voter(back.name());
+        if (voter == null) {
             return;
         }
         if (back.lacking().isEmpty()) {
             holders.add(back.name());
         }
         for (final String key : back.lacking()) {
-            final Register register = voter.registers().get(key);
+            final Register register = acceptor.registers().get(key);
             if (register != null && register.value() != null) {
                 post.send(
-                        seat.address(),
+                        voter.address(),
                         new ConsensusMessage.Chosen(
                                 table.generation(), table.epoch(), key, register.accepted(), register.value()));
             }
         }
-        if (holders.size() >= Math.min(table.majority(), table.seats().size() - 1)) {
+        if (holders.size() >= Math.min(table.majority(), table.voters().size() - 1)) {
             end();
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -25,7 +25,7 @@
 
 /**
  * How the cores become voters: the first table, the swap of a lost disk's seat, a seat more, and a new generation when so many
- * disks are lost that no majority with state can be. A core that takes part in a new generation's ballot has resigned
+ * disks are lost that no majority with state can be. A core that takes part in a new generation's proposal number has resigned
  * from the old one first, so the two can never both have a majority.
  */
 public final class MembershipCoordinator {
@@ -39,14 +39,14 @@
 
     /** Makes a founding out of what is left. */
     public interface Merger {
-        /** Example: {@code merger.merge(base, remains, seats)} */
-        InitialState merge(long base, List<SurvivingState> remains, List<Voter> seats);
+        /** Example: {@code merger.merge(base, survivingState, voters)} */
+        InitialState merge(long base, List<SurvivingState> survivingState, List<Voter> voters);
     }
 
     /** Spans and sizes, from the settings; cores is 0 if nobody said how many. A settled core says its standing each
      * sayMs, always with its table if others read the older form only. A seat unheard for silentMs may be given to a core
      * that joins, one unheard for goneMs given up. */
-    public record Pace(
+    public record Timing(
             int cores,
             long freshMs,
             long settleMs,
@@ -57,11 +57,11 @@
             long silentMs,
             long goneMs) {}
 
-    /** What an acceptor keeps on disk about a new generation's ballot. */
+    /** What an acceptor keeps on disk about a new generation's proposal number. */
     record Kept(long base, ProposalNumber promised, ProposalNumber accepted, InitialState founding) {}
 
     /** What a core said last, and how far its disk was written at the most. */
-    private record Heard(MembershipMessage.Standing standing, long heardMs, long written) {}
+    private record Heard(MembershipMessage.VoterStatus voterStatus, long heardMs, long written) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     public static final String FORM = "~form";
@@ -71,30 +71,30 @@
     private final String name;
     private final String address;
     private final String by;
-    private final Acceptor voter;
+    private final Acceptor acceptor;
     private final Proposer proposer;
     private final MessageSender post;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing timing;
     private final Merger merger;
     private final Supplier<SurvivingState> own;
     private final Supplier<List<String>> others;
     private final Supplier<List<String>> cores;
-    private final BootstrapProposer founder;
+    private final BootstrapProposer bootstrapProposer;
     private final Supplier<String> freshId;
     private final BooleanSupplier ready;
     private final ReconfigurationPlanner membership;
     private final PeerLiveness silence;
     private final Map<String, Heard> heard = new TreeMap<>();
-    private final Map<String, SurvivingState> remains = new TreeMap<>();
-    private final Map<String, MembershipMessage.FormPromise> promises = new TreeMap<>();
+    private final Map<String, SurvivingState> survivingState = new TreeMap<>();
+    private final Map<String, MembershipMessage.GenerationPromise> promises = new TreeMap<>();
     private final Set<String> accepted = new HashSet<>();
     /** Rounds of a founding that this core began and that came to nothing. */
     private int roundsWaited;
 
     private Kept kept;
     private Phase phase = Phase.IDLE;
-    private ProposalNumber ballot = ProposalNumber.NONE;
+    private ProposalNumber proposalNumber = ProposalNumber.NONE;
     private long base;
     private long phaseMs;
     private long count;
@@ -104,89 +104,89 @@
     private long unseatedSinceMs = -1;
     private InitialState proposed;
     private InitialState founded;
-    private MembershipMessage.Standing said;
+    private MembershipMessage.VoterStatus said;
     private long saidMs = Long.MIN_VALUE / 2;
     private long changedMs;
 
-    /** {@code others} are all other nodes known, {@code cores} the cores among them; {@code founder} is null on a core
+    /** {@code others} are all other nodes known, {@code cores} the cores among them; {@code bootstrapProposer} is null on a core
      * that may not found the first generation by the seeds; {@code mostLost} tells how many of some seats the largest loss
      * that must be borne can take. Example: see {@code Node}, which joins it to the voter, the proposer and the view. */
     public MembershipCoordinator(
             final String name,
             final String address,
             final String by,
-            final Acceptor voter,
+            final Acceptor acceptor,
             final Proposer proposer,
             final MessageSender post,
             final Clock clock,
-            final Pace pace,
+            final Timing timing,
             final Merger merger,
             final Supplier<SurvivingState> own,
             final Supplier<List<String>> others,
             final Supplier<List<String>> cores,
-            final BootstrapProposer founder,
+            final BootstrapProposer bootstrapProposer,
             final Supplier<String> freshId,
             final BooleanSupplier ready,
             final ToIntFunction<List<Voter>> mostLost) {
         this.name = name;
         this.address = address;
         this.by = by;
-        this.voter = voter;
+        this.acceptor = acceptor;
         this.proposer = proposer;
         this.post = post;
         this.clock = clock;
-        this.pace = pace;
+        this.timing = timing;
         this.merger = merger;
         this.own = own;
         this.others = others;
         this.cores = cores;
-        this.founder = founder;
+        this.bootstrapProposer = bootstrapProposer;
         this.freshId = freshId;
         this.ready = ready;
         this.membership = new ReconfigurationPlanner(name, mostLost);
-        this.silence = new PeerLiveness(pace.sayMs());
-        final byte[] had = voter.own(FORM);
+        this.silence = new PeerLiveness(timing.sayMs());
+        final byte[] had = acceptor.own(FORM);
         kept = had == null ? null : MessageCodec.record(had, Kept.class);
         if (kept != null && kept.base == generation()) {
-            voter.resign(kept.base);
+            acceptor.resign(kept.base);
         }
     }
 
     private long generation() {
-        return voter.voters() == null ? 0 : voter.voters().generation();
+        return acceptor.voterSet() == null ? 0 : acceptor.voterSet().generation();
     }
 
-    /** What this core says of itself. Example: {@code post.send(peer, formation.standing());} */
-    public MembershipMessage.Standing standing() {
-        return new MembershipMessage.Standing(
+    /** What this core says of itself. */
+    public MembershipMessage.VoterStatus voterStatus() {
+        return new MembershipMessage.VoterStatus(
                 name,
                 address,
-                voter.diskId(),
-                voter.voters(),
-                voter.hasState(),
-                voter.state() == Acceptor.State.VOTING,
-                voter.canWrite(),
+                acceptor.diskId(),
+                acceptor.voterSet(),
+                acceptor.hasState(),
+                acceptor.state() == Acceptor.State.VOTING,
+                acceptor.canWrite(),
                 0,
                 0,
-                founder != null && voter.voters() == null,
-                voter.catchesUp(),
-                unheard(pace.silentMs()),
-                unheard(pace.goneMs()),
+                bootstrapProposer != null && acceptor.voterSet() == null,
+                acceptor.catchesUp(),
+                unheard(timing.silentMs()),
+                unheard(timing.goneMs()),
                 0,
                 0,
                 0);
     }
 
     private long unheard(final long boundMs) {
-        final VoterSet table = voter.voters();
-        return table == null ? 0 : silence.silentSeats(table, name, boundMs, clock.nowMs());
+        final VoterSet table = acceptor.voterSet();
+        return table == null ? 0 : silence.silentVoters(table, name, boundMs, clock.nowMs());
     }
 
-    private void say(final String to, final MembershipMessage.Standing what) {
-        MembershipMessage.Standing with = what.written(voter.written(), 0, 0);
+    private void say(final String to, final MembershipMessage.VoterStatus what) {
+        MembershipMessage.VoterStatus with = what.written(acceptor.written(), 0, 0);
         for (final Heard h : heard.values()) {
-            if (h.standing.address().equals(to)) {
-                with = what.written(voter.written(), Fingerprints.of(h.standing.diskId()), h.written);
+            if (h.voterStatus.address().equals(to)) {
+                with = what.written(acceptor.written(), Fingerprints.of(h.voterStatus.diskId()), h.written);
             }
         }
         post.send(to, with);
@@ -195,49 +195,49 @@
     /** Whether so many others have spoken in this life that one of any majority has: had this disk been written further
      * than it is, one of them would have said so before the first vote. */
     public boolean checked() {
-        final VoterSet table = voter.voters();
+        final VoterSet table = acceptor.voterSet();
         if (table == null) {
             return false;
         }
         int told = 0;
-        for (final Voter seat : table.seats()) {
-            told += !seat.name().equals(name) && heard.containsKey(seat.name()) ? 1 : 0;
+        for (final Voter voter : table.voters()) {
+            told += !voter.name().equals(name) && heard.containsKey(voter.name()) ? 1 : 0;
         }
         return told >= table.majority() - 1;
     }
 
     /** What this core once promised may not be on a disk that was put back to an older state: it starts over. */
-    private void older(final MembershipMessage.Standing s) {
+    private void older(final MembershipMessage.VoterStatus s) {
         LOG.atSevere().log(
                 "event=disk_older node=%s written=%s heard=%s from=%s",
-                name, voter.written(), s.yourWritten(), s.name());
+                name, acceptor.written(), s.yourWritten(), s.name());
         kept = null;
-        voter.restart(freshId.get());
-        voter.keepOwn(FORM, null, ok -> {});
+        acceptor.restart(freshId.get());
+        acceptor.keepOwn(FORM, null, ok -> {});
     }
 
-    /** The cores heard of late, by name, with what they said. Example: {@code formation.fresh().size()} */
-    public Map<String, MembershipMessage.Standing> fresh() {
-        final Map<String, MembershipMessage.Standing> fresh = new TreeMap<>();
+    /** The cores heard of late, by name, with what they said. */
+    public Map<String, MembershipMessage.VoterStatus> fresh() {
+        final Map<String, MembershipMessage.VoterStatus> fresh = new TreeMap<>();
         heard.forEach((peer, h) -> {
-            if (clock.nowMs() - h.heardMs <= pace.freshMs()) {
-                fresh.put(peer, h.standing);
+            if (clock.nowMs() - h.heardMs <= timing.freshMs()) {
+                fresh.put(peer, h.voterStatus);
             }
         });
-        fresh.put(name, standing());
+        fresh.put(name, voterStatus());
         return fresh;
     }
 
-    /** Takes a newer table from anywhere. Example: {@code formation.adopt(table);} */
+    /** Takes a newer table from anywhere. */
     public void adopt(final VoterSet table) {
-        final boolean newer = table.newerThan(voter.voters());
-        voter.adopt(table);
+        final boolean newer = table.newerThan(acceptor.voterSet());
+        acceptor.adopt(table);
         proposer.adopt(table);
         if (newer) {
             for (final String key :
-                    List.copyOf(voter.registers().tailMap(VoterSet.KEYS).keySet())) {
+                    List.copyOf(acceptor.registers().tailMap(VoterSet.KEYS).keySet())) {
                 if (key.startsWith(VoterSet.KEYS)) {
-                    voter.drop(key);
+                    acceptor.drop(key);
                 }
             }
             change(Phase.IDLE, "table");
@@ -256,28 +256,28 @@
      * theirs may be the last there is. */
     private void say() {
         final long nowMs = clock.nowMs();
-        final MembershipMessage.Standing mine = standing();
+        final MembershipMessage.VoterStatus mine = voterStatus();
         if (!mine.equals(said)) {
             said = mine;
             changedMs = nowMs;
         }
         final boolean settled = phase == Phase.IDLE
-                && nowMs - changedMs > 3 * pace.sayMs()
-                && (voter.state() == Acceptor.State.VOTING || voter.state() == Acceptor.State.STOPPED);
-        if (settled && nowMs - saidMs < pace.sayMs()) {
+                && nowMs - changedMs > 3 * timing.sayMs()
+                && (acceptor.state() == Acceptor.State.VOTING || acceptor.state() == Acceptor.State.STOPPED);
+        if (settled && nowMs - saidMs < timing.sayMs()) {
             return;
         }
-        final boolean edgesToo = mine.table() == null && nowMs / pace.sayMs() != saidMs / pace.sayMs();
+        final boolean edgesToo = mine.table() == null && nowMs / timing.sayMs() != saidMs / timing.sayMs();
         saidMs = nowMs;
         final Set<String> have = new HashSet<>();
         heard.values().forEach(h -> {
-            if (!h.standing.lacks(mine.table())) {
-                have.add(h.standing.address());
+            if (!h.voterStatus.lacks(mine.table())) {
+                have.add(h.voterStatus.address());
             }
         });
-        final MembershipMessage.Standing lean = pace.alwaysTable()
+        final MembershipMessage.VoterStatus lean = timing.alwaysTable()
                 ? mine
-                : new MembershipMessage.Standing(
+                : new MembershipMessage.VoterStatus(
                         name,
                         address,
                         mine.diskId(),
@@ -289,8 +289,8 @@
                         mine.epoch(),
                         mine.founding(),
                         mine.catchingUp(),
-                        mine.silentSeats(),
-                        mine.goneSeats(),
+                        mine.silentVoters(),
+                        mine.goneVoters(),
                         0,
                         0,
                         0);
@@ -299,23 +299,23 @@
         }
     }
 
-    /** One beat: says its standing, joins, or starts a new generation. Example: {@code formation.tick();} */
+    /** One beat: says its standing, joins, or starts a new generation. */
     public void tick() {
-        if (voter.voters() != null) {
-            silence.beat(voter.voters(), clock.nowMs());
+        if (acceptor.voterSet() != null) {
+            silence.tick(acceptor.voterSet(), clock.nowMs());
         }
         say();
-        voter.tick(address);
-        final Map<String, MembershipMessage.Standing> fresh = fresh();
+        acceptor.tick(address);
+        final Map<String, MembershipMessage.VoterStatus> fresh = fresh();
         if (founded != null
-                && founded.table().seats().stream()
-                        .allMatch(seat -> fresh.containsKey(seat.name())
-                                && fresh.get(seat.name()).hasState())) {
+                && founded.table().voters().stream()
+                        .allMatch(voter -> fresh.containsKey(voter.name())
+                                && fresh.get(voter.name()).hasState())) {
             founded = null;
         }
-        if (voter.voters() == null && pace.cores() == 0) {
-            if (founder != null && voter.canWrite() && ready.getAsBoolean()) {
-                founder.tick(blanks(fresh));
+        if (acceptor.voterSet() == null && timing.cores() == 0) {
+            if (bootstrapProposer != null && acceptor.canWrite() && ready.getAsBoolean()) {
+                bootstrapProposer.tick(blanks(fresh));
             }
         } else if (phase != Phase.IDLE) {
             advance(fresh);
@@ -323,11 +323,11 @@
             consider(fresh);
         } else {
             wantedSinceMs = -1;
-            changeSeats(fresh);
+            changeVoters(fresh);
         }
     }
 
-    private static Map<String, Voter> blanks(final Map<String, MembershipMessage.Standing> fresh) {
+    private static Map<String, Voter> blanks(final Map<String, MembershipMessage.VoterStatus> fresh) {
         final Map<String, Voter> blanks = new TreeMap<>();
         fresh.forEach((peer, s) -> {
             if (s.founding() && s.canWrite()) {
@@ -337,9 +337,11 @@
         return blanks;
     }
 
-    /** How many take part in a new generation's ballot: the seats of the table that it ends. */
+    /** How many take part in a new generation's proposal number: the seats of the table that it ends. */
     private int size() {
-        return voter.voters() == null ? pace.cores() : voter.voters().seats().size();
+        return acceptor.voterSet() == null
+                ? timing.cores()
+                : acceptor.voterSet().voters().size();
     }
 
     private int majority() {
@@ -347,19 +349,21 @@
     }
 
     private boolean elects(final String core) {
-        return voter.voters() == null ? pace.cores() != 0 : voter.voters().seat(core) != null;
+        return acceptor.voterSet() == null
+                ? timing.cores() != 0
+                : acceptor.voterSet().voter(core) != null;
     }
 
     /** True when no majority with state can be put together from the cores there are. */
-    private boolean wanted(final Map<String, MembershipMessage.Standing> fresh) {
-        if (!voter.canWrite() || !ready.getAsBoolean() || !elects(name)) {
+    private boolean wanted(final Map<String, MembershipMessage.VoterStatus> fresh) {
+        if (!acceptor.canWrite() || !ready.getAsBoolean() || !elects(name)) {
             return false;
         }
         int canWrite = 0;
         int withState = 0;
         int catchingUp = 0;
-        for (final MembershipMessage.Standing s : fresh.values()) {
-            if (s.newerThan(voter.voters())) {
+        for (final MembershipMessage.VoterStatus s : fresh.values()) {
+            if (s.newerThan(acceptor.voterSet())) {
                 return false;
             }
             if (elects(s.name())) {
@@ -369,41 +373,41 @@
                 catchingUp += s.catchingUp() && !s.hasState() && same ? 1 : 0;
             }
         }
-        if (voter.voters() == null) {
-            return canWrite == pace.cores();
+        if (acceptor.voterSet() == null) {
+            return canWrite == timing.cores();
         }
         // Whoever has a seat and still catches up will have its state, as long as enough are there to read from.
-        final int soon = withState >= voter.voters().meeting() ? withState + catchingUp : withState;
+        final int soon = withState >= acceptor.voterSet().meeting() ? withState + catchingUp : withState;
         return canWrite >= majority() && canWrite - soon > size() - majority();
     }
 
-    private void consider(final Map<String, MembershipMessage.Standing> fresh) {
+    private void consider(final Map<String, MembershipMessage.VoterStatus> fresh) {
         final long nowMs = clock.nowMs();
         if (wantedSinceMs < 0) {
             wantedSinceMs = nowMs;
         }
         final int rank = new ArrayList<>(fresh.keySet()).indexOf(name);
-        final long waitMs = (fresh.size() >= size() ? pace.settleMs() : pace.waitAllMs()) + rank * pace.roundMs();
+        final long waitMs = (fresh.size() >= size() ? timing.settleMs() : timing.waitAllMs()) + rank * timing.roundMs();
         if (nowMs - wantedSinceMs >= waitMs) {
             base = generation();
-            remains.clear();
+            survivingState.clear();
             for (final String other : others.get()) {
-                post.send(other, new MembershipMessage.RemainsAsk(address));
+                post.send(other, new MembershipMessage.SurvivingStateRequest(address));
             }
             change(Phase.GATHER, "no-majority-with-state");
         }
     }
 
-    private void advance(final Map<String, MembershipMessage.Standing> fresh) {
+    private void advance(final Map<String, MembershipMessage.VoterStatus> fresh) {
         final long spentMs = clock.nowMs() - phaseMs;
-        if (phase == Phase.GATHER && spentMs >= pace.settleMs()) {
+        if (phase == Phase.GATHER && spentMs >= timing.settleMs()) {
             prepare(fresh);
         } else if (phase == Phase.PREPARE
                 && promises.size() >= majority()
                 && !awaitsState(fresh)
-                && (promises.size() >= fresh.size() || spentMs >= pace.settleMs())) {
+                && (promises.size() >= fresh.size() || spentMs >= timing.settleMs())) {
             propose();
-        } else if (phase != Phase.GATHER && spentMs >= 2 * pace.roundMs()) {
+        } else if (phase != Phase.GATHER && spentMs >= 2 * timing.roundMs()) {
             wantedSinceMs = -1;
             roundsWaited++;
             change(Phase.IDLE, "round-over");
@@ -412,9 +416,9 @@
 
     /** Whether a core that told of its state and is still heard has not promised yet: it is slow, and until it has promised
      * it may confirm what no other has. */
-    private boolean awaitsState(final Map<String, MembershipMessage.Standing> fresh) {
+    private boolean awaitsState(final Map<String, MembershipMessage.VoterStatus> fresh) {
         return roundsWaited < ROUNDS_WAITED
-                && remains.values().stream()
+                && survivingState.values().stream()
                         .anyMatch(r -> r.hasState()
                                 && r.generation() == base
                                 && elects(r.name())
@@ -422,140 +426,141 @@
                                 && !promises.containsKey(r.name()));
     }
 
-    private void prepare(final Map<String, MembershipMessage.Standing> fresh) {
+    private void prepare(final Map<String, MembershipMessage.VoterStatus> fresh) {
         count = Math.max(count, kept == null ? 0 : kept.promised.count()) + 1;
-        ballot = new ProposalNumber(count, by);
+        proposalNumber = new ProposalNumber(count, by);
         promises.clear();
         accepted.clear();
         change(Phase.PREPARE, "gathered");
-        final long epoch = voter.voters() == null ? 0 : voter.voters().epoch();
-        for (final MembershipMessage.Standing s : fresh.values()) {
+        final long epoch = acceptor.voterSet() == null ? 0 : acceptor.voterSet().epoch();
+        for (final MembershipMessage.VoterStatus s : fresh.values()) {
             if (elects(s.name())) {
-                post.send(s.address(), new MembershipMessage.FormPrepare(address, base, ballot, epoch));
+                post.send(s.address(), new MembershipMessage.GenerationPrepare(address, base, proposalNumber, epoch));
             }
         }
     }
 
     private void propose() {
-        MembershipMessage.FormPromise highest = null;
-        final List<Voter> seats = new ArrayList<>();
-        final List<SurvivingState> left = new ArrayList<>(remains.values());
-        for (final MembershipMessage.FormPromise p : promises.values()) {
+        MembershipMessage.GenerationPromise highest = null;
+        final List<Voter> voters = new ArrayList<>();
+        final List<SurvivingState> left = new ArrayList<>(survivingState.values());
+        for (final MembershipMessage.GenerationPromise p : promises.values()) {
             if (p.founding() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
                 highest = p;
             }
-            seats.add(new Voter(p.name(), p.address(), p.diskId()));
-            left.add(p.remains());
+            voters.add(new Voter(p.name(), p.address(), p.diskId()));
+            left.add(p.survivingState());
         }
-        if (voter.voters() != null) {
-            for (final Voter old : voter.voters().seats()) {
+        if (acceptor.voterSet() != null) {
+            for (final Voter old : acceptor.voterSet().voters()) {
                 if (!promises.containsKey(old.name())) {
-                    seats.add(new Voter(old.name(), old.address(), ""));
+                    voters.add(new Voter(old.name(), old.address(), ""));
                 }
             }
         }
-        proposed = highest != null ? highest.founding() : merger.merge(base, left, seats);
+        proposed = highest != null ? highest.founding() : merger.merge(base, left, voters);
         change(Phase.ACCEPT, "promised-by-" + promises.size());
-        for (final Voter seat : seats) {
-            post.send(seat.address(), new MembershipMessage.FormAccept(address, base, ballot, proposed));
+        for (final Voter voter : voters) {
+            post.send(voter.address(), new MembershipMessage.GenerationAccept(address, base, proposalNumber, proposed));
         }
     }
 
-    /** Hears the other cores. Example: {@code formation.hear(note);} */
-    public void hear(final MembershipMessage note) {
-        if (note instanceof MembershipMessage.Standing s) {
-            standing(s);
-        } else if (note instanceof MembershipMessage.FormPrepare p) {
+    /** Hears the other cores. */
+    public void hear(final MembershipMessage message) {
+        if (message instanceof MembershipMessage.VoterStatus s) {
+            voterStatus(s);
+        } else if (message instanceof MembershipMessage.GenerationPrepare p) {
             prepare(p);
-        } else if (note instanceof MembershipMessage.FormPromise p) {
+        } else if (message instanceof MembershipMessage.GenerationPromise p) {
             promise(p);
-        } else if (note instanceof MembershipMessage.FormAccept a) {
+        } else if (message instanceof MembershipMessage.GenerationAccept a) {
             accept(a);
-        } else if (note instanceof MembershipMessage.FormAccepted a) {
+        } else if (message instanceof MembershipMessage.GenerationAccepted a) {
             accepted(a);
-        } else if (note instanceof MembershipMessage.Founded f) {
+        } else if (message instanceof MembershipMessage.GenerationStarted f) {
             found(f.founding());
-        } else if (note instanceof MembershipMessage.RemainsBack back && phase == Phase.GATHER) {
-            remains.put(back.remains().name(), back.remains());
+        } else if (message instanceof MembershipMessage.SurvivingStateResponse back && phase == Phase.GATHER) {
+            survivingState.put(back.survivingState().name(), back.survivingState());
         }
     }
 
-    private void standing(final MembershipMessage.Standing s) {
-        if (heard.size() >= 4 * VoterSet.SEATS_MAX && !heard.containsKey(s.name())) {
+    private void voterStatus(final MembershipMessage.VoterStatus s) {
+        if (heard.size() >= 4 * VoterSet.VOTERS_MAX && !heard.containsKey(s.name())) {
             return;
         }
         silence.heard(s.name(), clock.nowMs());
-        if (s.heardFurther(voter.diskId(), voter.written()) && voter.canWrite()) {
+        if (s.heardFurther(acceptor.diskId(), acceptor.written()) && acceptor.canWrite()) {
             older(s);
         }
         final Heard had = heard.get(s.name());
-        final boolean sameDisk = had != null && had.standing.diskId().equals(s.diskId());
+        final boolean sameDisk = had != null && had.voterStatus.diskId().equals(s.diskId());
         heard.put(s.name(), new Heard(s, clock.nowMs(), sameDisk ? Math.max(had.written, s.written()) : s.written()));
-        if (s.newerThan(voter.voters())) {
+        if (s.newerThan(acceptor.voterSet())) {
             if (s.table() != null) {
                 adopt(s.table());
             } else {
-                say(s.address(), standing());
+                say(s.address(), voterStatus());
             }
-        } else if (s.lacks(voter.voters())) {
+        } else if (s.lacks(acceptor.voterSet())) {
             post.send(
                     s.address(),
                     missedFounding(s)
-                            ? new MembershipMessage.Founded(founded)
-                            : new ConsensusMessage.Table(voter.voters()));
+                            ? new MembershipMessage.GenerationStarted(founded)
+                            : new ConsensusMessage.Table(acceptor.voterSet()));
         } else if (missedFounding(s)) {
-            post.send(s.address(), new MembershipMessage.Founded(founded));
+            post.send(s.address(), new MembershipMessage.GenerationStarted(founded));
         }
-        if (had == null || clock.nowMs() - had.heardMs > pace.freshMs()) {
+        if (had == null || clock.nowMs() - had.heardMs > timing.freshMs()) {
             // Whoever has just come should not have to wait for the next beat.
-            say(s.address(), standing());
+            say(s.address(), voterStatus());
         }
     }
 
     /** A seat of the first table that has not voted yet must have missed what it starts from. */
-    private boolean missedFounding(final MembershipMessage.Standing s) {
-        final Voter seat = founded == null || founded.table().generation() != generation()
+    private boolean missedFounding(final MembershipMessage.VoterStatus s) {
+        final Voter voter = founded == null || founded.table().generation() != generation()
                 ? null
-                : founded.table().seat(s.name());
-        return seat != null
-                && seat.diskId().equals(s.diskId())
+                : founded.table().voter(s.name());
+        return voter != null
+                && voter.diskId().equals(s.diskId())
                 && !s.hasState()
                 && (s.generation() == 0 || s.generation() <= generation());
     }
 
-    private void prepare(final MembershipMessage.FormPrepare p) {
-        // A ballot by an older table would have other voters: none is given once a newer one is known.
-        final boolean older = voter.voters() != null
+    private void prepare(final MembershipMessage.GenerationPrepare p) {
+        // A proposal number by an older table would have other voters: none is given once a newer one is known.
+        final boolean older = acceptor.voterSet() != null
                 && (p.base() < generation()
                         || p.base() == generation()
                                 && p.epoch() > 0
-                                && p.epoch() < voter.voters().epoch());
-        if (older || p.base() != generation() || !voter.canWrite() || !elects(name)) {
+                                && p.epoch() < acceptor.voterSet().epoch());
+        if (older || p.base() != generation() || !acceptor.canWrite() || !elects(name)) {
             if (older) {
-                post.send(p.from(), new ConsensusMessage.Table(voter.voters()));
+                post.send(p.from(), new ConsensusMessage.Table(acceptor.voterSet()));
             }
             return;
         }
         final boolean same = kept != null && kept.base == p.base();
-        if (same && p.ballot().compareTo(kept.promised) < 0) {
+        if (same && p.proposalNumber().compareTo(kept.promised) < 0) {
             reply(p, false);
             return;
         }
         // What is still here must be read before the resignation changes how it is told.
         final SurvivingState left = own.get();
-        kept = new Kept(p.base(), p.ballot(), same ? kept.accepted : ProposalNumber.NONE, same ? kept.founding : null);
-        voter.resign(p.base());
+        kept = new Kept(
+                p.base(), p.proposalNumber(), same ? kept.accepted : ProposalNumber.NONE, same ? kept.founding : null);
+        acceptor.resign(p.base());
         final Kept now = kept;
-        voter.keepOwn(FORM, MessageCodec.bytes(now), ok -> {
+        acceptor.keepOwn(FORM, MessageCodec.bytes(now), ok -> {
             if (ok) {
                 post.send(
                         p.from(),
-                        new MembershipMessage.FormPromise(
+                        new MembershipMessage.GenerationPromise(
                                 p.base(),
-                                p.ballot(),
+                                p.proposalNumber(),
                                 name,
                                 address,
-                                voter.diskId(),
+                                acceptor.diskId(),
                                 true,
                                 now.promised,
                                 now.accepted,
@@ -565,15 +570,15 @@
         });
     }
 
-    private void reply(final MembershipMessage.FormPrepare p, final boolean yes) {
+    private void reply(final MembershipMessage.GenerationPrepare p, final boolean yes) {
         post.send(
                 p.from(),
-                new MembershipMessage.FormPromise(
+                new MembershipMessage.GenerationPromise(
                         p.base(),
-                        p.ballot(),
+                        p.proposalNumber(),
                         name,
                         address,
-                        voter.diskId(),
+                        acceptor.diskId(),
                         yes,
                         kept.promised,
                         kept.accepted,
@@ -581,8 +586,11 @@
                         null));
     }
 
-    private void promise(final MembershipMessage.FormPromise p) {
-        if (phase != Phase.PREPARE || p.base() != base || !p.ballot().equals(ballot) || !elects(p.name())) {
+    private void promise(final MembershipMessage.GenerationPromise p) {
+        if (phase != Phase.PREPARE
+                || p.base() != base
+                || !p.proposalNumber().equals(proposalNumber)
+                || !elects(p.name())) {
             return;
         }
         if (p.yes()) {
@@ -592,25 +600,33 @@
         }
     }
 
-    private void accept(final MembershipMessage.FormAccept a) {
-        if (a.base() != generation() || !voter.canWrite() || !elects(name)) {
+    private void accept(final MembershipMessage.GenerationAccept a) {
+        if (a.base() != generation() || !acceptor.canWrite() || !elects(name)) {
             return;
         }
-        if (kept != null && kept.base == a.base() && a.ballot().compareTo(kept.promised) < 0) {
-            post.send(a.from(), new MembershipMessage.FormAccepted(a.base(), a.ballot(), name, false, kept.promised));
+        if (kept != null && kept.base == a.base() && a.proposalNumber().compareTo(kept.promised) < 0) {
+            post.send(
+                    a.from(),
+                    new MembershipMessage.GenerationAccepted(a.base(), a.proposalNumber(), name, false, kept.promised));
             return;
         }
-        kept = new Kept(a.base(), a.ballot(), a.ballot(), a.founding());
-        voter.resign(a.base());
-        voter.keepOwn(FORM, MessageCodec.bytes(kept), ok -> {
+        kept = new Kept(a.base(), a.proposalNumber(), a.proposalNumber(), a.founding());
+        acceptor.resign(a.base());
+        acceptor.keepOwn(FORM, MessageCodec.bytes(kept), ok -> {
             if (ok) {
-                post.send(a.from(), new MembershipMessage.FormAccepted(a.base(), a.ballot(), name, true, a.ballot()));
+                post.send(
+                        a.from(),
+                        new MembershipMessage.GenerationAccepted(
+                                a.base(), a.proposalNumber(), name, true, a.proposalNumber()));
             }
         });
     }
 
-    private void accepted(final MembershipMessage.FormAccepted a) {
-        if (phase != Phase.ACCEPT || a.base() != base || !a.ballot().equals(ballot) || !elects(a.name())) {
+    private void accepted(final MembershipMessage.GenerationAccepted a) {
+        if (phase != Phase.ACCEPT
+                || a.base() != base
+                || !a.proposalNumber().equals(proposalNumber)
+                || !elects(a.name())) {
             return;
         }
         if (!a.yes()) {
@@ -621,9 +637,9 @@
         if (accepted.size() >= majority()) {
             final InitialState founding = proposed;
             change(Phase.IDLE, "founded");
-            for (final Voter seat : founding.table().seats()) {
-                if (!seat.name().equals(name)) {
-                    post.send(seat.address(), new MembershipMessage.Founded(founding));
+            for (final Voter voter : founding.table().voters()) {
+                if (!voter.name().equals(name)) {
+                    post.send(voter.address(), new MembershipMessage.GenerationStarted(founding));
                 }
             }
             found(founding);
@@ -631,24 +647,24 @@
     }
 
     private void found(final InitialState founding) {
-        if (voter.voters() != null && founding.table().generation() == generation()) {
-            voter.foundLate(founding.table(), founding.entries());
+        if (acceptor.voterSet() != null && founding.table().generation() == generation()) {
+            acceptor.foundLate(founding.table(), founding.entries());
             founded = founding;
             return;
         }
-        if (!founding.table().newerThan(voter.voters())) {
+        if (!founding.table().newerThan(acceptor.voterSet())) {
             return;
         }
         founded = founding;
-        final Voter seat = founding.table().seat(name);
-        if (seat == null || !seat.diskId().equals(voter.diskId())) {
+        final Voter voter = founding.table().voter(name);
+        if (voter == null || !voter.diskId().equals(acceptor.diskId())) {
             adopt(founding.table());
             return;
         }
         LOG.atInfo().log(
                 "event=founded node=%s generation=%s registers=%s",
                 name, founding.table().generation(), founding.entries().size());
-        voter.found(founding.table(), founding.entries());
+        acceptor.found(founding.table(), founding.entries());
         proposer.adopt(founding.table());
         wantedSinceMs = -1;
         roundsWaited = 0;
@@ -656,39 +672,39 @@
     }
 
     /** Asks for one change of the table, once a majority is there to agree. One seat is changed by each epoch. */
-    private void changeSeats(final Map<String, MembershipMessage.Standing> fresh) {
-        final VoterSet table = voter.voters();
-        if (table == null || changing || !voter.canWrite() || !majorityVotes(table, fresh)) {
+    private void changeVoters(final Map<String, MembershipMessage.VoterStatus> fresh) {
+        final VoterSet table = acceptor.voterSet();
+        if (table == null || changing || !acceptor.canWrite() || !majorityVotes(table, fresh)) {
             return;
         }
-        switch (voter.state()) {
+        switch (acceptor.state()) {
             case RESIGNED -> startOverIfStuck();
             case BLANK -> join(table, fresh);
             case VOTING -> {
                 unseatedSinceMs = -1;
                 if (moved(table)) {
-                    propose(table.swap(seat()));
+                    propose(table.swap(voter()));
                 } else {
                     membership.thinned(table, fresh).ifPresent(this::propose);
                 }
             }
             default -> {
                 if (moved(table)) {
-                    propose(table.swap(seat()));
+                    propose(table.swap(voter()));
                 }
             }
         }
     }
 
-    private Voter seat() {
-        return new Voter(name, address, voter.diskId());
+    private Voter voter() {
+        return new Voter(name, address, acceptor.diskId());
     }
 
     /** Whether a majority of the seats vote, this core's own not among them unless it votes. */
-    private boolean majorityVotes(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
+    private boolean majorityVotes(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
         int voting = 0;
-        for (final MembershipMessage.Standing s : fresh.values()) {
-            voting += s.voting() && table.seat(s.name()) != null ? 1 : 0;
+        for (final MembershipMessage.VoterStatus s : fresh.values()) {
+            voting += s.voting() && table.voter(s.name()) != null ? 1 : 0;
         }
         if (voting >= table.majority()) {
             return true;
@@ -697,34 +713,34 @@
         return false;
     }
 
-    /** The other generation's ballot that this core resigned for came to nothing: it begins as a blank one. */
+    /** The other generation's proposal number that this core resigned for came to nothing: it begins as a blank one. */
     private void startOverIfStuck() {
         stuckSinceMs = stuckSinceMs < 0 ? clock.nowMs() : stuckSinceMs;
-        if (clock.nowMs() - stuckSinceMs > 4 * pace.roundMs()) {
+        if (clock.nowMs() - stuckSinceMs > 4 * timing.roundMs()) {
             kept = null;
-            voter.restart(freshId.get());
-            voter.keepOwn(FORM, null, ok -> {});
+            acceptor.restart(freshId.get());
+            acceptor.keepOwn(FORM, null, ok -> {});
         }
     }
 
     /** This core's disk has its seat under another address. */
     private boolean moved(final VoterSet table) {
-        final Voter seat = table.seat(name);
-        return seat != null
-                && seat.diskId().equals(voter.diskId())
-                && !seat.address().equals(address);
+        final Voter voter = table.voter(name);
+        return voter != null
+                && voter.diskId().equals(acceptor.diskId())
+                && !voter.address().equals(address);
     }
 
     /** A core without a seat of its own asks for one. A disk that has voted and lost its seat meanwhile gets a fresh
      * identity first. */
-    private void join(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
-        if (voter.hasVoted()) {
-            voter.restart(freshId.get());
+    private void join(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        if (acceptor.hasVoted()) {
+            acceptor.restart(freshId.get());
             return;
         }
         unseatedSinceMs = unseatedSinceMs < 0 ? clock.nowMs() : unseatedSinceMs;
-        final boolean waited = clock.nowMs() - unseatedSinceMs > 2 * pace.silentMs();
-        membership.joined(table, seat(), fresh, waited).ifPresent(this::propose);
+        final boolean waited = clock.nowMs() - unseatedSinceMs > 2 * timing.silentMs();
+        membership.joined(table, voter(), fresh, waited).ifPresent(this::propose);
     }
 
     private void propose(final VoterSet next) {
@@ -732,7 +748,7 @@
         final byte[] mine = MessageCodec.bytes(next);
         proposer.change(
                 VoterSet.key(next.generation(), next.epoch()),
-                pace.roundMs() * 2,
+                timing.roundMs() * 2,
                 now -> now == null ? new RegisterEdit.Set(mine) : RegisterEdit.LEAVE,
                 this::changed);
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
@@ -7,13 +7,13 @@
 import spokestall.message.Message;
 import spokestall.message.SinceVersion;
 
-/** What cores say to each other about who can vote, and the ballot for a new generation. */
+/** What cores say to each other about who can vote, and the proposal number for a new generation. */
 public sealed interface MembershipMessage extends Message {
     /** A core's own word on its state, told to every core it knows; with its table only where the other may lack it. It has
      * a bit for each place in the table: seats it has not heard for long, and for so long that they may be given up. It says
      * how far its disk is written, and how far it has heard that the other's is, so that a disk that was put back to an
      * older state is told from the one that it was. */
-    record Standing(
+    record VoterStatus(
             String name,
             String address,
             String diskId,
@@ -25,21 +25,21 @@
             @SinceVersion(3) long epoch,
             @SinceVersion(3) boolean founding,
             @SinceVersion(4) boolean catchingUp,
-            @SinceVersion(4) long silentSeats,
-            @SinceVersion(4) long goneSeats,
+            @SinceVersion(4) long silentVoters,
+            @SinceVersion(4) long goneVoters,
             @SinceVersion(4) long written,
             @SinceVersion(4) long yourDisk,
             @SinceVersion(4) long yourWritten)
             implements MembershipMessage {
         /** The older form has the table always, and its numbers nowhere else. */
-        public Standing {
+        public VoterStatus {
             generation = table == null ? generation : table.generation();
             epoch = table == null ? epoch : table.epoch();
         }
 
-        /** With how far disks are written. Example: {@code standing.written(812, Fingerprints.of(peerDisk), 790)} */
-        Standing written(final long own, final long disk, final long others) {
-            return new Standing(
+        /** With how far disks are written. */
+        VoterStatus written(final long own, final long disk, final long others) {
+            return new VoterStatus(
                     name,
                     address,
                     diskId,
@@ -51,41 +51,40 @@
                     epoch,
                     founding,
                     catchingUp,
-                    silentSeats,
-                    goneSeats,
+                    silentVoters,
+                    goneVoters,
                     own,
                     disk,
                     others);
         }
 
-        /** Whether whoever says so has heard that this disk was written further than it is.
-         * Example: {@code if (s.heardFurther(voter.diskId(), voter.written())) startOver();} */
+        /** Whether whoever says so has heard that this disk was written further than it is. */
         public boolean heardFurther(final String ownDisk, final long ownWritten) {
             return yourWritten > ownWritten && yourDisk == Fingerprints.of(ownDisk);
         }
 
-        /** Whether whoever says so has a newer table. Example: {@code if (s.newerThan(mine)) ask();} */
+        /** Whether whoever says so has a newer table. */
         public boolean newerThan(final VoterSet mine) {
             return generation > 0 && new VoterSet(generation, epoch, List.of()).newerThan(mine);
         }
 
-        /** Whether whoever says so lacks this table. Example: {@code if (s.lacks(mine)) tell();} */
+        /** Whether whoever says so lacks this table. */
         public boolean lacks(final VoterSet mine) {
             return mine != null && (generation == 0 || mine.newerThan(new VoterSet(generation, epoch, List.of())));
         }
     }
 
-    /** Phase one of the ballot that ends a generation. */
-    record FormPrepare(
+    /** Phase one of the proposal number that ends a generation. */
+    record GenerationPrepare(
             String from,
             long base,
-            ProposalNumber ballot,
+            ProposalNumber proposalNumber,
             @SinceVersion(3) long epoch) implements MembershipMessage {}
 
-    /** The reply to {@link FormPrepare}, with what this core still has. */
-    record FormPromise(
+    /** The reply to {@link GenerationPrepare}, with what this core still has. */
+    record GenerationPromise(
             long base,
-            ProposalNumber ballot,
+            ProposalNumber proposalNumber,
             String name,
             String address,
             String diskId,
@@ -93,23 +92,24 @@
             ProposalNumber promised,
             ProposalNumber accepted,
             InitialState founding,
-            SurvivingState remains)
+            SurvivingState survivingState)
             implements MembershipMessage {}
 
     /** Phase two. */
-    record FormAccept(String from, long base, ProposalNumber ballot, InitialState founding)
+    record GenerationAccept(String from, long base, ProposalNumber proposalNumber, InitialState founding)
             implements MembershipMessage {}
 
-    /** The reply to {@link FormAccept}. */
-    record FormAccepted(long base, ProposalNumber ballot, String name, boolean yes, ProposalNumber promised)
+    /** The reply to {@link GenerationAccept}. */
+    record GenerationAccepted(
+            long base, ProposalNumber proposalNumber, String name, boolean yes, ProposalNumber promised)
             implements MembershipMessage {}
 
     /** A new generation has been agreed. */
-    record Founded(InitialState founding) implements MembershipMessage {}
+    record GenerationStarted(InitialState founding) implements MembershipMessage {}
 
     /** Asks any node for what it still has. */
-    record RemainsAsk(String from) implements MembershipMessage {}
+    record SurvivingStateRequest(String from) implements MembershipMessage {}
 
-    /** The reply to {@link RemainsAsk}. */
-    record RemainsBack(SurvivingState remains) implements MembershipMessage {}
+    /** The reply to {@link SurvivingStateRequest}. */
+    record SurvivingStateResponse(SurvivingState survivingState) implements MembershipMessage {}
 }
--- a/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
+++ b/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
@@ -10,7 +10,7 @@
     private final long pauseMs;
     private final Map<String, Long> heardMs = new HashMap<>();
     private VoterSet table;
-    private long beatMs = -1;
+    private long tickMs = -1;
 
     /** {@code pauseMs}: a core whose beats were further apart stood still itself and begins to listen anew. */
     PeerLiveness(final long pauseMs) {
@@ -18,16 +18,16 @@
     }
 
     /** One beat under this table. A seat that is new or has another disk is listened to from now on. */
-    void beat(final VoterSet now, final long nowMs) {
-        if (beatMs >= 0 && nowMs - beatMs > pauseMs) {
+    void tick(final VoterSet now, final long nowMs) {
+        if (tickMs >= 0 && nowMs - tickMs > pauseMs) {
             heardMs.clear();
         }
-        beatMs = nowMs;
-        heardMs.keySet().removeIf(seat -> now.seat(seat) == null);
-        for (final Voter seat : now.seats()) {
-            final boolean changed = table == null || !seat.equals(table.seat(seat.name()));
-            if (changed || !heardMs.containsKey(seat.name())) {
-                heardMs.put(seat.name(), nowMs);
+        tickMs = nowMs;
+        heardMs.keySet().removeIf(voter -> now.voter(voter) == null);
+        for (final Voter voter : now.voters()) {
+            final boolean changed = table == null || !voter.equals(table.voter(voter.name()));
+            if (changed || !heardMs.containsKey(voter.name())) {
+                heardMs.put(voter.name(), nowMs);
             }
         }
         table = now;
@@ -39,11 +39,11 @@
     }
 
     /** The places in the table, a bit each, of the seats that were silent for longer; its own is never one. */
-    long silentSeats(final VoterSet of, final String own, final long boundMs, final long nowMs) {
+    long silentVoters(final VoterSet of, final String own, final long boundMs, final long nowMs) {
         long places = 0;
-        for (int place = 0; place < of.seats().size(); place++) {
-            final String seat = of.seats().get(place).name();
-            final boolean silent = !seat.equals(own) && nowMs - heardMs.getOrDefault(seat, nowMs) > boundMs;
+        for (int place = 0; place < of.voters().size(); place++) {
+            final String voter = of.voters().get(place).name();
+            final boolean silent = !voter.equals(own) && nowMs - heardMs.getOrDefault(voter, nowMs) > boundMs;
             places |= silent ? 1L << place : 0;
         }
         return places;
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -28,36 +28,37 @@
     Optional<VoterSet> joined(
             final VoterSet table,
             final Voter own,
-            final Map<String, MembershipMessage.Standing> fresh,
+            final Map<String, MembershipMessage.VoterStatus> fresh,
             final boolean waited) {
-        if (table.seat(name) != null) {
+        if (table.voter(name) != null) {
             return Optional.of(table.swap(own));
         }
-        for (final Voter seat : table.seats()) {
-            if (seat.address().equals(own.address())) {
-                return Optional.of(table.replace(seat.name(), own));
+        for (final Voter voter : table.voters()) {
+            if (voter.address().equals(own.address())) {
+                return Optional.of(table.replace(voter.name(), own));
             }
         }
-        for (int place = 0; place < table.seats().size(); place++) {
-            final String seat = table.seats().get(place).name();
-            if (!fresh.containsKey(seat) && agreed(table, fresh, place, MembershipMessage.Standing::silentSeats)) {
-                return Optional.of(table.replace(seat, own));
+        for (int place = 0; place < table.voters().size(); place++) {
+            final String voter = table.voters().get(place).name();
+            if (!fresh.containsKey(voter) && agreed(table, fresh, place, MembershipMessage.VoterStatus::silentVoters)) {
+                return Optional.of(table.replace(voter, own));
             }
         }
-        final boolean allHeard = table.seats().stream().allMatch(seat -> fresh.containsKey(seat.name()));
+        final boolean allHeard = table.voters().stream().allMatch(voter -> fresh.containsKey(voter.name()));
         return (allHeard || waited) && helps(table, own, fresh) ? Optional.of(table.add(own)) : Optional.empty();
     }
 
     /** Whether one seat more is no harm: the table bears the largest loss with all seats that are waited for, or doesn't
      * bear it now. A third seat of four in one region would be a majority's end with that region. */
-    private boolean helps(final VoterSet table, final Voter own, final Map<String, MembershipMessage.Standing> fresh) {
-        if (table.seats().size() >= VoterSet.SEATS_MAX) {
+    private boolean helps(
+            final VoterSet table, final Voter own, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        if (table.voters().size() >= VoterSet.VOTERS_MAX) {
             return false;
         }
         VoterSet all = table.add(own);
-        for (final MembershipMessage.Standing s : fresh.values()) {
-            final boolean waits = s.canWrite() && all.seat(s.name()) == null;
-            if (waits && all.seats().size() < VoterSet.SEATS_MAX) {
+        for (final MembershipMessage.VoterStatus s : fresh.values()) {
+            final boolean waits = s.canWrite() && all.voter(s.name()) == null;
+            if (waits && all.voters().size() < VoterSet.VOTERS_MAX) {
                 all = all.add(new Voter(s.name(), s.address(), s.diskId()));
             }
         }
@@ -66,14 +67,14 @@
 
     /** The table without a seat that is gone, or none. An odd table keeps it: with one seat silent it needs as many votes
      * as the even one below it. */
-    Optional<VoterSet> thinned(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
-        if (table.seats().size() % 2 != 0 || !proposes(table, fresh) || joinerWaits(table, fresh)) {
+    Optional<VoterSet> thinned(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        if (table.voters().size() % 2 != 0 || !proposes(table, fresh) || joinerWaits(table, fresh)) {
             return Optional.empty();
         }
-        for (int place = 0; place < table.seats().size(); place++) {
-            final String seat = table.seats().get(place).name();
-            if (!fresh.containsKey(seat) && agreed(table, fresh, place, MembershipMessage.Standing::goneSeats)) {
-                final VoterSet next = table.remove(seat);
+        for (int place = 0; place < table.voters().size(); place++) {
+            final String voter = table.voters().get(place).name();
+            if (!fresh.containsKey(voter) && agreed(table, fresh, place, MembershipMessage.VoterStatus::goneVoters)) {
+                final VoterSet next = table.remove(voter);
                 return bears(next) ? Optional.of(next) : Optional.empty();
             }
         }
@@ -82,12 +83,12 @@
 
     /** Whether a majority is left after the largest loss that must be borne. */
     private boolean bears(final VoterSet table) {
-        return table.seats().size() - mostLost.applyAsInt(table.seats()) >= table.majority();
+        return table.voters().size() - mostLost.applyAsInt(table.voters()) >= table.majority();
     }
 
     /** The first by name of those that vote, so that they don't all propose the same at once. */
-    private boolean proposes(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
-        for (final MembershipMessage.Standing s : fresh.values()) {
+    private boolean proposes(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        for (final MembershipMessage.VoterStatus s : fresh.values()) {
             if (votes(table, s)) {
                 return s.name().equals(name);
             }
@@ -96,24 +97,27 @@
     }
 
     /** A core without a seat takes the one that is gone. */
-    private static boolean joinerWaits(final VoterSet table, final Map<String, MembershipMessage.Standing> fresh) {
-        return fresh.values().stream().anyMatch(s -> table.seat(s.name()) == null && s.canWrite());
+    private static boolean joinerWaits(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        return fresh.values().stream().anyMatch(s -> table.voter(s.name()) == null && s.canWrite());
     }
 
     private static boolean agreed(
             final VoterSet table,
-            final Map<String, MembershipMessage.Standing> fresh,
+            final Map<String, MembershipMessage.VoterStatus> fresh,
             final int place,
-            final ToLongFunction<MembershipMessage.Standing> places) {
+            final ToLongFunction<MembershipMessage.VoterStatus> places) {
         int say = 0;
-        for (final MembershipMessage.Standing s : fresh.values()) {
+        for (final MembershipMessage.VoterStatus s : fresh.values()) {
             say += votes(table, s) && (places.applyAsLong(s) >> place & 1) == 1 ? 1 : 0;
         }
         return say >= table.majority();
     }
 
-    private static boolean votes(final VoterSet table, final MembershipMessage.Standing s) {
-        final Voter seat = table.seat(s.name());
-        return s.voting() && seat != null && seat.diskId().equals(s.diskId()) && table.same(s.generation(), s.epoch());
+    private static boolean votes(final VoterSet table, final MembershipMessage.VoterStatus s) {
+        final Voter voter = table.voter(s.name());
+        return s.voting()
+                && voter != null
+                && voter.diskId().equals(s.diskId())
+                && table.same(s.generation(), s.epoch());
     }
 }
--- a/spokestall/src/main/java/spokestall/message/Fingerprints.java
+++ b/spokestall/src/main/java/spokestall/message/Fingerprints.java
@@ -4,7 +4,7 @@
 public final class Fingerprints {
     private Fingerprints() {}
 
-    /** Never zero. Example: {@code Fingerprints.of(seat.diskId())} */
+    /** Never zero. */
     public static long of(final String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
--- a/spokestall/src/main/java/spokestall/message/MessageCodec.java
+++ b/spokestall/src/main/java/spokestall/message/MessageCodec.java
@@ -27,7 +27,7 @@
 public final class MessageCodec {
     /** No list, text or byte field may say it is longer than this. */
     public static final int FIELD_MAX = 32 << 20;
-    /** The version of notes that this program has, and the oldest that it can read and write. */
+    /** The version of messages that this program has, and the oldest that it can read and write. */
     public static final int VERSION = 4;
     /** See {@link #VERSION}. */
     public static final int OLDEST = 1;
@@ -44,7 +44,7 @@
 
     private MessageCodec() {}
 
-    /** Gives a kind of note its number. Example: {@code MessageCodec.number(7, Beat.class);} */
+    /** Gives a kind of note its number. */
     public static synchronized void number(final int number, final Class<? extends Record> type) {
         if (number < 1 || number > 255) {
             throw new IllegalStateException(number + " is no number for a note");
@@ -68,18 +68,18 @@
         numbered.forEach(MessageCodec::number);
     }
 
-    /** A numbered note as bytes, in a version. Example: {@code byte[] frame = MessageCodec.note(beat, MessageCodec.VERSION);} */
-    public static byte[] note(final Message note, final int version) {
-        final Integer number = BY_CLASS.get(note.getClass());
+    /** A numbered note as bytes, in a version. */
+    public static byte[] message(final Message message, final int version) {
+        final Integer number = BY_CLASS.get(message.getClass());
         if (number == null) {
-            throw new IllegalStateException("no number for " + note.getClass());
+            throw new IllegalStateException("no number for " + message.getClass());
         }
-        return bytes(number, note, version);
+        return bytes(number, message, version);
     }
 
     /** Reads a numbered note; throws {@link UnknownMessageException} on one that came after this program, and another exception on
-     * anything odd. Example: {@code Message note = MessageCodec.note(frame);} */
-    public static Message note(final byte[] frame) throws IOException {
+     * anything odd. */
+    public static Message message(final byte[] frame) throws IOException {
         final DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame));
         final int version = Math.max(OLDEST, frame[0]);
         if (version > VERSION) {
@@ -93,19 +93,19 @@
         if (type == null) {
             throw new UnknownMessageException("kind " + number + " of version " + version);
         }
-        final Message note = (Message) read(in, type, version);
+        final Message message = (Message) read(in, type, version);
         if (in.available() > 0) {
             throw new IOException("bytes left over after " + type.getSimpleName());
         }
-        return note;
+        return message;
     }
 
-    /** A record alone as bytes. Example: {@code byte[] value = MessageCodec.bytes(lease);} */
+    /** A record alone as bytes. */
     public static byte[] bytes(final Record record) {
         return bytes(-1, record, OLDEST);
     }
 
-    /** Reads a record alone. Example: {@code Lease lease = MessageCodec.record(value, Lease.class);} */
+    /** Reads a record alone. */
     public static <T extends Record> T record(final byte[] bytes, final Class<T> type) {
         try {
             return type.cast(readAlone(new DataInputStream(new ByteArrayInputStream(bytes)), type));
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -18,54 +18,54 @@
 /** A core's disk: its voter's registers, which of them are kept, and the configuration's snapshot beside them. */
 final class CoreStorage {
     /** How many of the newest changes followers may start from. */
-    static final int POLICY_KEPT = 1024;
+    static final int CONFIGURATION_KEPT = 1024;
 
     static final String POLICY = "~policy";
-    static final String COUNCIL = "~council";
+    static final String BOOTSTRAP_ACCEPTOR = "~council";
     /** The share of the ring that registers of versions that are in the snapshot may take. */
-    private static final double POLICY_KEPT_SHARE = 0.1;
+    private static final double CONFIGURATION_KEPT_SHARE = 0.1;
 
     private final NodeContext context;
-    private final ConfigurationStore book;
+    private final ConfigurationStore configurationStore;
     private final RegisterRetention keeping;
-    private boolean policyDirty;
-    private boolean keepingPolicy;
+    private boolean configurationDirty;
+    private boolean keepingConfiguration;
     private long snapshotDown;
-    final SegmentedLog ring;
-    final Acceptor voter;
+    final SegmentedLog segmentedLog;
+    final Acceptor acceptor;
 
     CoreStorage(
             final NodeContext context,
             final SegmentStore segments,
-            final ConfigurationStore book,
-            final Supplier<VoterSet> voters,
+            final ConfigurationStore configurationStore,
+            final Supplier<VoterSet> voterSet,
             final BooleanSupplier ready) {
         this.context = context;
-        this.book = book;
-        this.ring = new SegmentedLog(segments);
+        this.configurationStore = configurationStore;
+        this.segmentedLog = new SegmentedLog(segments);
         this.keeping = new RegisterRetention(
                 ready,
                 context.fleet,
                 context.settings().ms("claimKeepMs"),
                 context.settings().part("claimKeepMs", 0.2),
-                context.paces().windowMs(),
-                voters,
+                context.timings().windowMs(),
+                voterSet,
                 this::floor,
                 () -> snapshotDown,
-                ring::fill);
-        this.voter = new Acceptor(context.name, ring, context.post, keeping, context.freshDiskId());
+                segmentedLog::fill);
+        this.acceptor = new Acceptor(context.name, segmentedLog, context.post, keeping, context.freshDiskId());
     }
 
     private long floor() {
-        return voter.floor();
+        return acceptor.floor();
     }
 
     /** Reads the configuration that this core's disk has. */
     void open() {
-        final byte[] stored = voter.own(POLICY);
+        final byte[] stored = acceptor.own(POLICY);
         if (stored != null) {
             final ConfigurationSnapshot snapshot = MessageCodec.record(stored, ConfigurationSnapshot.class);
-            book.load(snapshot);
+            configurationStore.load(snapshot);
             snapshotDown = snapshot.version();
             raiseFloor();
         }
@@ -73,62 +73,63 @@
 
     /** Whether the voter may give votes now. */
     boolean votes() {
-        return voter.state() == Acceptor.State.VOTING && keeping.ready();
+        return acceptor.state() == Acceptor.State.VOTING && keeping.ready();
     }
 
     /** Marks the disk as one that took part in a bootstrap. */
     void mark(final Runnable then) {
-        voter.keepOwn(COUNCIL, new byte[0], ok -> {
+        acceptor.keepOwn(BOOTSTRAP_ACCEPTOR, new byte[0], ok -> {
             if (ok) {
                 then.run();
             }
         });
     }
 
-    void policyMoved() {
-        policyDirty = true;
-        storePolicy();
+    void configurationMoved() {
+        configurationDirty = true;
+        storeConfiguration();
     }
 
-    /** The policy goes to this core's own disk as often as the disk takes it: a core that starts must not read each version
+    /** The configuration goes to this core's own disk as often as the disk takes it: a core that starts must not read each version
      * since from the others first. */
-    private void storePolicy() {
-        if (!policyDirty || keepingPolicy) {
+    private void storeConfiguration() {
+        if (!configurationDirty || keepingConfiguration) {
             return;
         }
-        policyDirty = false;
-        keepingPolicy = true;
-        final long version = book.policy().version();
-        voter.keepOwn(POLICY, MessageCodec.bytes(book.snapshot()), ok -> {
-            keepingPolicy = false;
+        configurationDirty = false;
+        keepingConfiguration = true;
+        final long version = configurationStore.configuration().version();
+        acceptor.keepOwn(POLICY, MessageCodec.bytes(configurationStore.snapshot()), ok -> {
+            keepingConfiguration = false;
             if (ok) {
                 snapshotDown = version;
                 raiseFloor();
-                storePolicy();
+                storeConfiguration();
             }
         });
     }
 
     private void raiseFloor() {
-        final long bytesMost = (long) (ring.capacityBytes() * POLICY_KEPT_SHARE);
-        voter.raiseFloor(
-                ConfigurationKeys.floor(voter.registers(), snapshotDown, POLICY_KEPT, bytesMost), this::letVersionsGo);
+        final long bytesMost = (long) (segmentedLog.capacityBytes() * CONFIGURATION_KEPT_SHARE);
+        acceptor.raiseFloor(
+                ConfigurationKeys.floor(acceptor.registers(), snapshotDown, CONFIGURATION_KEPT, bytesMost),
+                this::letVersionsGo);
     }
 
     /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
     private void letVersionsGo() {
-        ConfigurationKeys.upTo(voter.registers(), voter.floor()).forEach(voter::drop);
+        ConfigurationKeys.upTo(acceptor.registers(), acceptor.floor()).forEach(acceptor::drop);
     }
 
     /** A new generation's first version is chosen by being in the founding. */
     void learnFounded(final FeedClient follower) {
-        final VoterSet table = voter.voters();
+        final VoterSet table = acceptor.voterSet();
         if (table == null
-                || voter.state() != Acceptor.State.VOTING
-                || book.policy().version() >= table.firstNumber()) {
+                || acceptor.state() != Acceptor.State.VOTING
+                || configurationStore.configuration().version() >= table.firstNumber()) {
             return;
         }
-        final Register first = voter.registers().get(ConfigurationKeys.key(table.firstNumber()));
+        final Register first = acceptor.registers().get(ConfigurationKeys.key(table.firstNumber()));
         if (first != null && first.value() != null) {
             follower.learn(table.firstNumber(), first.value());
         }
@@ -136,15 +137,15 @@
 
     /** Drops the registers that nothing refers to any more. */
     void tidy() {
-        if (voter.state() != Acceptor.State.VOTING || !context.fleet.settled()) {
+        if (acceptor.state() != Acceptor.State.VOTING || !context.fleet.settled()) {
             return;
         }
         final List<String> over = new ArrayList<>();
-        voter.registers().forEach((key, register) -> {
+        acceptor.registers().forEach((key, register) -> {
             if (keeping.over(key, register.value())) {
                 over.add(key);
             }
         });
-        over.forEach(voter::drop);
+        over.forEach(acceptor::drop);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
+++ b/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
@@ -17,12 +17,12 @@
     private final NodeContext context;
     private HealthChecker prober;
     private PersistedState kept;
-    final EndpointRegistry listing;
+    final EndpointRegistry endpointRegistry;
 
     DiscoveryComponent(final NodeContext context) {
         this.context = context;
-        this.listing = new EndpointRegistry(
-                context.life,
+        this.endpointRegistry = new EndpointRegistry(
+                context.incarnation,
                 LISTED_MAX,
                 context.settings().ms("leaveBoundMs"),
                 context.settings().ms("probes") == 1);
@@ -32,22 +32,25 @@
     void open(
             final PeerDirectory neighbours,
             final PartialView view,
-            final Acceptor voter,
+            final Acceptor acceptor,
             final HealthChecker.Reach reach) {
         prober = new HealthChecker(
                 context.self(),
-                listing,
+                endpointRegistry,
                 reach,
                 context.post,
                 context.fleet,
-                context.paces().prober(),
+                context.timings().prober(),
                 neighbours::otherCores,
                 view::members);
         kept = new PersistedState(
-                voter, KEPT, listing::changes, () -> new DiscoveryMessage.Push(listing.listed(), List.of(), 0));
+                acceptor,
+                KEPT,
+                endpointRegistry::changes,
+                () -> new DiscoveryMessage.Push(endpointRegistry.listed(), List.of(), 0));
         final DiscoveryMessage.Push before = kept.read(DiscoveryMessage.Push.class);
         if (before != null) {
-            listing.merge(before.listed(), List.of());
+            endpointRegistry.merge(before.listed(), List.of());
         }
     }
 
@@ -61,11 +64,11 @@
 
     /** Lets go of what has been absent for long. */
     void prune() {
-        listing.prune(context.fleet.nowMs() - context.settings().part("leaveBoundMs", ABSENT_BOUNDS));
+        endpointRegistry.prune(context.fleet.nowMs() - context.settings().part("leaveBoundMs", ABSENT_BOUNDS));
     }
 
     void hear(final DiscoveryMessage.Push push) {
-        listing.merge(push.listed(), push.reports());
-        listing.read(Math.min(push.readMs(), context.fleet.nowMs()));
+        endpointRegistry.merge(push.listed(), push.reports());
+        endpointRegistry.read(Math.min(push.readMs(), context.fleet.nowMs()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -24,8 +24,8 @@
     record Present(NodeInfo member, boolean fresh, int open, long heardMs) {}
 
     /** A larger change is fetched, not told to all. */
-    private static final int NEWS_BYTES_MAX = 16 << 10;
-    /** The version of notes since which what an asker has already can be left out. */
+    private static final int UPDATE_BYTES_MAX = 16 << 10;
+    /** The version of messages since which what an asker has already can be left out. */
     private static final int TERSE = 3;
 
     private final Node node;
@@ -42,9 +42,9 @@
     }
 
     /** The life of an edge as it last asked, or null. */
-    Long presentLife(final String edge) {
+    Long presentIncarnation(final String edge) {
         final Present present = edges.get(edge);
-        return present == null ? null : present.member().life();
+        return present == null ? null : present.member().incarnation();
     }
 
     /** Lets go of edges not heard for so long. */
@@ -58,45 +58,46 @@
         final Set<String> all = new TreeSet<>();
         node.view.members().forEach(m -> all.add(m.address()));
         edges.values().forEach(p -> all.add(p.member().address()));
-        final Map<Long, ConfigurationChange> after = node.book.after(version - 1);
+        final Map<Long, ConfigurationChange> after = node.configurationStore.after(version - 1);
         final ConfigurationChange change = after == null ? null : after.get(version);
-        final FeedMessage.FeedNews news = new FeedMessage.FeedNews(
-                version, change == null || change.json().length > NEWS_BYTES_MAX ? null : MessageCodec.bytes(change));
-        all.forEach(to -> node.context.post.send(to, news));
+        final FeedMessage.FeedUpdate update = new FeedMessage.FeedUpdate(
+                version, change == null || change.json().length > UPDATE_BYTES_MAX ? null : MessageCodec.bytes(change));
+        all.forEach(to -> node.context.post.send(to, update));
     }
 
     /** Answers one who follows: what is newest here, and the news from its places on. */
-    void answer(final FeedMessage.FeedAsk ask) {
+    void answer(final FeedMessage.FeedRequest ask) {
         if (ask.self().serves()) {
             heard(new Present(ask.self(), ask.fresh(), ask.open(), node.context.clock.nowMs()));
         }
-        final boolean voting = node.storage.voter.state() == Acceptor.State.VOTING;
-        final long applied = node.book.policy().version();
+        final boolean voting = node.storage.acceptor.state() == Acceptor.State.VOTING;
+        final long applied = node.configurationStore.configuration().version();
         final List<FeedMessage.Numbered> changes = new ArrayList<>();
         ConfigurationSnapshot snapshot = null;
         final boolean ready = ready();
-        if (ask.news() && ready && ask.place() < applied) {
-            final Map<Long, ConfigurationChange> after = node.book.after(ask.place());
+        if (ask.update() && ready && ask.place() < applied) {
+            final Map<Long, ConfigurationChange> after = node.configurationStore.after(ask.place());
             if (after == null) {
-                snapshot = node.book.snapshot();
+                snapshot = node.configurationStore.snapshot();
             } else {
                 after.forEach((version, change) -> changes.add(new FeedMessage.Numbered(version, change)));
             }
         }
-        final long from = ask.listingLife() == node.discovery.listing.life() ? ask.listingPlace() : 0;
-        final boolean news = ask.news() && ready;
-        final VoterSet table = node.storage.voter.voters();
+        final long from =
+                ask.registryIncarnation() == node.discovery.endpointRegistry.incarnation() ? ask.registryPlace() : 0;
+        final boolean update = ask.update() && ready;
+        final VoterSet table = node.storage.acceptor.voterSet();
         final boolean terse = node.context.settings().ms("noteVersion") >= TERSE;
         final boolean had = terse && table != null && table.same(ask.generation(), ask.epoch());
         final Collection<NodeInfo> fresh = freshEdges();
         final long mark = terse ? mark(fresh) : 0;
-        final boolean brief = terse && (ask.edgesMark() == mark || !ask.news());
+        final boolean brief = terse && (ask.edgesMark() == mark || !ask.update());
         node.context.post.send(
                 ask.from(),
-                new FeedMessage.FeedBack(
+                new FeedMessage.FeedResponse(
                         node.context.name,
-                        node.storage.voter.diskId(),
-                        ask.askId(),
+                        node.storage.acceptor.diskId(),
+                        ask.requestId(),
                         had ? null : table,
                         voting,
                         ready ? applied : 0,
@@ -104,10 +105,10 @@
                         changes,
                         snapshot,
                         brief ? List.of() : List.copyOf(fresh),
-                        news ? node.discovery.listing.life() : 0,
-                        node.discovery.listing.place(),
-                        news ? node.discovery.listing.listedAfter(from) : List.of(),
-                        news ? node.discovery.listing.reportsAfter(from) : List.of(),
+                        update ? node.discovery.endpointRegistry.incarnation() : 0,
+                        node.discovery.endpointRegistry.place(),
+                        update ? node.discovery.endpointRegistry.listedAfter(from) : List.of(),
+                        update ? node.discovery.endpointRegistry.reportsAfter(from) : List.of(),
                         table == null ? 0 : table.generation(),
                         table == null ? 0 : table.epoch(),
                         brief,
@@ -115,19 +116,19 @@
     }
 
     /** Answers one who wants a proof alone; one whose table is older gets this one's. */
-    void answer(final FeedMessage.ProofAsk ask) {
-        final VoterSet table = node.storage.voter.voters();
+    void answer(final FeedMessage.FreshnessRequest ask) {
+        final VoterSet table = node.storage.acceptor.voterSet();
         final long newest = newest();
-        final boolean voting = node.storage.voter.state() == Acceptor.State.VOTING;
-        final long applied = ready() ? node.book.policy().version() : 0;
+        final boolean voting = node.storage.acceptor.state() == Acceptor.State.VOTING;
+        final long applied = ready() ? node.configurationStore.configuration().version() : 0;
         final boolean stranger = ask.serves() && !present(ask);
         if (table != null && table.newerThan(new VoterSet(ask.generation(), ask.epoch(), List.of()))) {
             node.context.post.send(
                     ask.from(),
-                    new FeedMessage.FeedBack(
+                    new FeedMessage.FeedResponse(
                             node.context.name,
-                            node.storage.voter.diskId(),
-                            ask.askId(),
+                            node.storage.acceptor.diskId(),
+                            ask.requestId(),
                             table,
                             voting,
                             applied,
@@ -147,12 +148,12 @@
         }
         node.context.post.send(
                 ask.from(),
-                new FeedMessage.ProofBack(
+                new FeedMessage.FreshnessResponse(
                         node.context.name,
-                        ask.askId(),
+                        ask.requestId(),
                         table == null ? 0 : table.generation(),
                         table == null ? 0 : table.epoch(),
-                        Fingerprints.of(node.storage.voter.diskId()),
+                        Fingerprints.of(node.storage.acceptor.diskId()),
                         voting,
                         stranger,
                         newest,
@@ -160,20 +161,20 @@
     }
 
     private boolean ready() {
-        return node.storage.voter.state() == Acceptor.State.VOTING
-                && node.storage.voter.voters().firstNumber()
-                        <= node.book.policy().version();
+        return node.storage.acceptor.state() == Acceptor.State.VOTING
+                && node.storage.acceptor.voterSet().firstNumber()
+                        <= node.configurationStore.configuration().version();
     }
 
     private long newest() {
-        final long applied = node.book.policy().version();
-        return node.storage.voter.state() == Acceptor.State.VOTING
-                ? Math.max(applied, ConfigurationKeys.newest(node.storage.voter.registers()))
+        final long applied = node.configurationStore.configuration().version();
+        return node.storage.acceptor.state() == Acceptor.State.VOTING
+                ? Math.max(applied, ConfigurationKeys.newest(node.storage.acceptor.registers()))
                 : applied;
     }
 
     /** Whether the asker is known, as the same life; then it was heard now. */
-    private boolean present(final FeedMessage.ProofAsk ask) {
+    private boolean present(final FeedMessage.FreshnessRequest ask) {
         final Present had = edges.get(names.getOrDefault(ask.from(), ""));
         NodeInfo found = had != null && is(had.member(), ask) ? had.member() : null;
         if (found == null) {
@@ -192,8 +193,8 @@
         return true;
     }
 
-    private static boolean is(final NodeInfo member, final FeedMessage.ProofAsk asker) {
-        return member.life() == asker.life() && member.address().equals(asker.from());
+    private static boolean is(final NodeInfo member, final FeedMessage.FreshnessRequest asker) {
+        return member.incarnation() == asker.incarnation() && member.address().equals(asker.from());
     }
 
     private void heard(final Present edge) {
@@ -225,9 +226,9 @@
                     .append(' ')
                     .append(m.address())
                     .append(' ')
-                    .append(m.district())
+                    .append(m.zone())
                     .append(' ')
-                    .append(m.life())
+                    .append(m.incarnation())
                     .append(m.leaving())
                     .append('\n');
         }
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -32,15 +32,15 @@
     }
 
     @Override
-    public InitialState merge(final long base, final List<SurvivingState> remains, final List<Voter> seats) {
+    public InitialState merge(final long base, final List<SurvivingState> survivingState, final List<Voter> voters) {
         long generation = Math.max(base + 1, fleet.nowMs() / 1000);
-        for (final SurvivingState r : remains) {
+        for (final SurvivingState r : survivingState) {
             generation = Math.max(generation, r.generation() + 1);
             generation = Math.max(generation, (r.token() >> VoterSet.GENERATION_SHIFT) + 1);
-            generation = Math.max(generation, (r.policyVersion() >> VoterSet.GENERATION_SHIFT) + 1);
+            generation = Math.max(generation, (r.configurationVersion() >> VoterSet.GENERATION_SHIFT) + 1);
         }
-        final VoterSet table = new VoterSet(generation, 1, seats);
-        final TreeMap<String, Register> newest = newest(base, remains);
+        final VoterSet table = new VoterSet(generation, 1, voters);
+        final TreeMap<String, Register> newest = newest(base, survivingState);
         final List<ConsensusMessage.Entry> entries = new ArrayList<>();
         newest.forEach((key, r) -> {
             if (IdempotencyClaim.isKey(key) || key.startsWith("usage/")) {
@@ -54,7 +54,8 @@
             }
         });
         entries.add(entry(FLOOR, Long.toString(fleet.nowMs()).getBytes(StandardCharsets.UTF_8)));
-        entries.add(entry(ConfigurationKeys.key(table.firstNumber()), policy(remains, newest, generation)));
+        entries.add(
+                entry(ConfigurationKeys.key(table.firstNumber()), configuration(survivingState, newest, generation)));
         return new InitialState(table, entries);
     }
 
@@ -62,9 +63,9 @@
         return new ConsensusMessage.Entry(key, new Register(FOUND, FOUND, value));
     }
 
-    private static TreeMap<String, Register> newest(final long base, final List<SurvivingState> remains) {
+    private static TreeMap<String, Register> newest(final long base, final List<SurvivingState> survivingState) {
         final TreeMap<String, Register> newest = new TreeMap<>();
-        for (final SurvivingState r : remains) {
+        for (final SurvivingState r : survivingState) {
             if (r.hasState() && r.generation() == base) {
                 for (final ConsensusMessage.Entry e : r.registers()) {
                     if (e.register().value() != null) {
@@ -77,29 +78,29 @@
         return newest;
     }
 
-    /** The newest policy anyone has, and on top of it what was accepted after it and may have been acknowledged; with the
+    /** The newest configuration anyone has, and on top of it what was accepted after it and may have been acknowledged; with the
      * orders that made it, which may be sent again. */
-    private byte[] policy(
-            final List<SurvivingState> remains, final TreeMap<String, Register> newest, final long generation) {
-        final ConfigurationStore book = new ConfigurationStore(1);
-        for (final SurvivingState r : remains) {
-            if (r.policy() != null) {
-                book.load(MessageCodec.record(r.policy(), ConfigurationSnapshot.class));
+    private byte[] configuration(
+            final List<SurvivingState> survivingState, final TreeMap<String, Register> newest, final long generation) {
+        final ConfigurationStore configurationStore = new ConfigurationStore(1);
+        for (final SurvivingState r : survivingState) {
+            if (r.configuration() != null) {
+                configurationStore.load(MessageCodec.record(r.configuration(), ConfigurationSnapshot.class));
             }
         }
         newest.forEach((key, r) -> {
             final long version = ConfigurationKeys.of(key);
             final boolean first = version == (version >> VoterSet.GENERATION_SHIFT) << VoterSet.GENERATION_SHIFT;
-            if (version > book.policy().version()
-                    && (first || version == book.policy().version() + 1)) {
-                book.apply(version, MessageCodec.record(r.value(), ConfigurationChange.class));
+            if (version > configurationStore.configuration().version()
+                    && (first || version == configurationStore.configuration().version() + 1)) {
+                configurationStore.apply(version, MessageCodec.record(r.value(), ConfigurationChange.class));
             }
         });
         return MessageCodec.bytes(new ConfigurationChange(
                 "founding-" + generation,
                 ConfigurationChange.Kind.PUT,
-                book.snapshot().json(),
+                configurationStore.snapshot().json(),
                 fleet.nowMs(),
-                book.orders()));
+                configurationStore.orders()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
+++ b/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
@@ -10,7 +10,7 @@
 final class GracefulShutdown {
     /** How long after its begin each step comes, the last one ending it, and how often it is looked at. An answer that
      * was given has so long to be written. */
-    record Pace(long acceptMs, long admitMs, long restMs, long mostMs, long lookMs, long writeMs) {}
+    record Timing(long acceptMs, long admitMs, long restMs, long mostMs, long lookMs, long writeMs) {}
 
     /** What the node does of it. */
     interface Requests {
@@ -41,7 +41,7 @@
     private final ClientConnections connections;
     private final Requests requests;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing timing;
     private final Runnable done;
     private final long begunMs;
     private boolean closed;
@@ -52,12 +52,12 @@
             final ClientConnections connections,
             final Requests requests,
             final Clock clock,
-            final Pace pace,
+            final Timing timing,
             final Runnable done) {
         this.connections = connections;
         this.requests = requests;
         this.clock = clock;
-        this.pace = pace;
+        this.timing = timing;
         this.done = done;
         this.begunMs = clock.nowMs();
     }
@@ -72,17 +72,17 @@
         // A connection may be taken at the very moment that the port closes, so it is quiet at the next look at the
         // soonest.
         final boolean closedBefore = closed;
-        closed = step(closed, spentMs >= pace.acceptMs(), connections::stopAccepting);
-        denying = step(denying, spentMs >= pace.admitMs(), requests::deny);
-        ending = step(ending, spentMs >= pace.restMs(), connections::endResting);
+        closed = step(closed, spentMs >= timing.acceptMs(), connections::stopAccepting);
+        denying = step(denying, spentMs >= timing.admitMs(), requests::deny);
+        ending = step(ending, spentMs >= timing.restMs(), connections::endResting);
         final boolean quiet = connections.open() == 0 && !requests.open();
         if (closedBefore && quiet) {
             done.run();
-        } else if (spentMs >= pace.mostMs()) {
+        } else if (spentMs >= timing.mostMs()) {
             requests.giveUp();
-            clock.after(pace.writeMs(), done);
+            clock.after(timing.writeMs(), done);
         } else {
-            clock.after(pace.lookMs(), this::look);
+            clock.after(timing.lookMs(), this::look);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -20,47 +20,48 @@
     /** How many cores an edge tells of a voter that missed a change. */
     private static final int CORES_TOLD = 2;
 
-    private static final int CORE_SHELF_BYTES = 16 << 20;
-    private static final int EDGE_SHELF_BYTES = 8 << 20;
+    private static final int CORE_CACHE_BYTES = 16 << 20;
+    private static final int EDGE_CACHE_BYTES = 8 << 20;
     private final NodeContext context;
-    private final Supplier<VoterSet> voters;
+    private final Supplier<VoterSet> voterSet;
     private final ToLongFunction<String> heardMs;
     final HintStore hints = new HintStore(HINTS_KEPT);
-    final ResponseCache shelf;
+    final ResponseCache responseCache;
 
     /** heardMs tells how long ago a core's answer was heard, by the core's name. */
-    HandoffComponent(final NodeContext context, final Supplier<VoterSet> voters, final ToLongFunction<String> heardMs) {
+    HandoffComponent(
+            final NodeContext context, final Supplier<VoterSet> voterSet, final ToLongFunction<String> heardMs) {
         this.context = context;
-        this.voters = voters;
+        this.voterSet = voterSet;
         this.heardMs = heardMs;
-        this.shelf = new ResponseCache(context.core ? CORE_SHELF_BYTES : EDGE_SHELF_BYTES);
+        this.responseCache = new ResponseCache(context.core ? CORE_CACHE_BYTES : EDGE_CACHE_BYTES);
     }
 
     /** A voter missed a change: this core keeps the name for it, or an edge has two cores keep it. */
-    void missed(final String seat, final String key) {
+    void missed(final String voter, final String key) {
         if (context.core) {
-            hints.keep(seat, key);
+            hints.keep(voter, key);
             return;
         }
         int told = 0;
-        for (final Voter other : voters.get().seats()) {
-            final boolean apt = !other.name().equals(seat)
+        for (final Voter other : voterSet.get().voters()) {
+            final boolean apt = !other.name().equals(voter)
                     && heardMs.applyAsLong(other.name()) < context.settings().heardMs();
             if (told < CORES_TOLD && apt) {
-                context.post.send(other.address(), new HandoffMessage.Hint(seat, key));
+                context.post.send(other.address(), new HandoffMessage.Hint(voter, key));
                 told++;
             }
         }
     }
 
     /** Hands over what a voter that is back should have had. It takes it like any late word of a chosen value. */
-    void handOver(final MembershipMessage.Standing back, final Acceptor voter) {
-        if (voter.state() != Acceptor.State.VOTING || !voters.get().same(back.generation(), back.epoch())) {
+    void handOver(final MembershipMessage.VoterStatus back, final Acceptor acceptor) {
+        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().same(back.generation(), back.epoch())) {
             return;
         }
-        final VoterSet table = voters.get();
+        final VoterSet table = voterSet.get();
         for (final String key : hints.take(back.name(), HANDED_AT_ONCE)) {
-            final Register register = voter.registers().get(key);
+            final Register register = acceptor.registers().get(key);
             if (register != null && register.value() != null) {
                 context.post.send(
                         back.address(),
@@ -74,18 +75,19 @@
     void hear(final HandoffMessage message, final AdmissionController edge) {
         if (message instanceof HandoffMessage.Hint hint) {
             hints.keep(hint.missing(), hint.key());
-        } else if (message instanceof HandoffMessage.Keep keep) {
-            shelf.keep(keep);
-        } else if (message instanceof HandoffMessage.Ask ask) {
+        } else if (message instanceof HandoffMessage.Store keep) {
+            responseCache.keep(keep);
+        } else if (message instanceof HandoffMessage.Fetch ask) {
             answer(ask);
-        } else if (message instanceof HandoffMessage.Back back && edge != null) {
+        } else if (message instanceof HandoffMessage.FetchResult back && edge != null) {
             edge.hear(back);
         }
     }
 
-    private void answer(final HandoffMessage.Ask ask) {
-        final HandoffMessage.Keep found = shelf.find(ask.key(), ask.digest());
+    private void answer(final HandoffMessage.Fetch ask) {
+        final HandoffMessage.Store found = responseCache.find(ask.key(), ask.digest());
         context.post.send(
-                ask.from(), new HandoffMessage.Back(ask.askId(), ask.key(), found == null ? null : found.content()));
+                ask.from(),
+                new HandoffMessage.FetchResult(ask.requestId(), ask.key(), found == null ? null : found.content()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -38,13 +38,13 @@
 
     /**
      * The edges believed to serve: those whose own word is fresh, this one among them, or those last named while no core answers.
-     * One that is known but said nothing of itself is not named: a caller would be refused there, and leave what it has.
+     * One that is known but said nothing of itself is not named: a client would be refused there, and leave what it has.
      */
     Collection<NodeInfo> forClients() {
         final Map<String, NodeInfo> found = new TreeMap<>();
         heard().forEach(e -> found.put(e.name(), e));
         if (ready.getAsBoolean() && (!found.isEmpty() || !justStarted())) {
-            // Alone it is named only once the others have had time to be heard, or all callers would come to it.
+            // Alone it is named only once the others have had time to be heard, or all clients would come to it.
             found.put(context.name, view.self());
         }
         if (found.isEmpty()) {
@@ -76,7 +76,7 @@
         return context.clock.nowMs() - startedMs < context.settings().heardMs();
     }
 
-    /** Callers are told of what was heard up to now. */
+    /** Clients are told of what was heard up to now. */
     void publish() {
         directory.publish(forClients());
     }
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -24,12 +24,12 @@
 final class MembershipComponent {
     private final NodeContext context;
     private final Proposer proposer;
-    private final ConfigurationStore book;
-    private final Acceptor voter;
+    private final ConfigurationStore configurationStore;
+    private final Acceptor acceptor;
     private final LongSupplier tokenSeen;
-    private final BootstrapAcceptor council;
-    private final BootstrapProposer founder;
-    private final MembershipCoordinator formation;
+    private final BootstrapAcceptor bootstrapAcceptor;
+    private final BootstrapProposer bootstrapProposer;
+    private final MembershipCoordinator membershipCoordinator;
     private final GracefulHandover handover;
 
     /** The storage is null on an edge; tokenSeen is the highest fencing token that was stored here. */
@@ -37,36 +37,36 @@
             final NodeContext context,
             final PeerDirectory neighbours,
             final Proposer proposer,
-            final ConfigurationStore book,
+            final ConfigurationStore configurationStore,
             final CoreStorage storage,
             final ToleratedSeatLoss losses,
             final LongSupplier tokenSeen) {
         this.context = context;
         this.proposer = proposer;
-        this.book = book;
-        this.voter = storage == null ? null : storage.voter;
+        this.configurationStore = configurationStore;
+        this.acceptor = storage == null ? null : storage.acceptor;
         this.tokenSeen = tokenSeen;
-        final boolean first = isFirstLife();
-        this.council = new BootstrapAcceptor(
+        final boolean first = isFirstIncarnation();
+        this.bootstrapAcceptor = new BootstrapAcceptor(
                 context.address,
                 context.settings().seeds(),
                 first,
                 context.post,
-                proposer::voters,
+                proposer::voterSet,
                 storage == null ? Runnable::run : storage::mark);
-        this.founder = storage != null && first ? founder() : null;
-        this.formation = storage == null ? null : formation(neighbours, losses);
+        this.bootstrapProposer = storage != null && first ? bootstrapProposer() : null;
+        this.membershipCoordinator = storage == null ? null : membershipCoordinator(neighbours, losses);
         this.handover = storage == null ? null : handover();
     }
 
     /** Whether this life was told that it is the fleet's first, and its disk doesn't say otherwise. */
-    private boolean isFirstLife() {
+    private boolean isFirstIncarnation() {
         return context.settings().ms("cores") == 0
                 && context.settings().ms("bootstrap") == 1
-                && (voter == null || voter.openedBlank());
+                && (acceptor == null || acceptor.openedBlank());
     }
 
-    private BootstrapProposer founder() {
+    private BootstrapProposer bootstrapProposer() {
         return new BootstrapProposer(
                 context.name,
                 context.address,
@@ -74,25 +74,26 @@
                 context.settings().seeds(),
                 context.post,
                 context.clock,
-                context.paces().founder(),
-                seats -> new GenerationMerger(context.fleet).merge(0, List.of(remains()), seats));
+                context.timings().bootstrapProposer(),
+                voters -> new GenerationMerger(context.fleet).merge(0, List.of(survivingState()), voters));
     }
 
-    private MembershipCoordinator formation(final PeerDirectory neighbours, final ToleratedSeatLoss losses) {
+    private MembershipCoordinator membershipCoordinator(
+            final PeerDirectory neighbours, final ToleratedSeatLoss losses) {
         return new MembershipCoordinator(
                 context.name,
                 context.address,
                 context.proposerId(),
-                voter,
+                acceptor,
                 proposer,
                 context.post,
                 context.clock,
-                context.paces().formation(),
+                context.timings().membershipCoordinator(),
                 new GenerationMerger(context.fleet),
-                this::remains,
+                this::survivingState,
                 neighbours::coreAndEdgeAddresses,
                 neighbours::otherCoreAddresses,
-                founder,
+                bootstrapProposer,
                 context::freshDiskId,
                 context.fleet::settled,
                 losses);
@@ -102,48 +103,48 @@
         return new GracefulHandover(
                 context.name,
                 context.address,
-                voter,
+                acceptor,
                 context.post,
                 context.clock,
-                context.paces().handover());
+                context.timings().handover());
     }
 
     /** Goes by the table that this core's disk has. */
     void open() {
-        if (voter.voters() != null) {
-            proposer.adopt(voter.voters());
+        if (acceptor.voterSet() != null) {
+            proposer.adopt(acceptor.voterSet());
         }
     }
 
     void tick() {
-        formation.tick();
+        membershipCoordinator.tick();
     }
 
     /** Whether enough others were heard to know that this disk is not an older state of itself. */
     boolean checked() {
-        return formation.checked();
+        return membershipCoordinator.checked();
     }
 
     /** Goes by a table, if it is newer than the one here. */
     void adopt(final VoterSet table) {
-        if (formation == null) {
+        if (membershipCoordinator == null) {
             proposer.adopt(table);
         } else {
-            formation.adopt(table);
+            membershipCoordinator.adopt(table);
         }
     }
 
     void hear(final ConsensusMessage message) {
         if (message instanceof ConsensusMessage.Table table) {
-            adopt(table.voters());
-        } else if (message instanceof ConsensusMessage.HoldBack back) {
+            adopt(table.voterSet());
+        } else if (message instanceof ConsensusMessage.HandoverResponse back) {
             if (handover != null) {
                 handover.hear(back);
             }
         } else if (message instanceof ConsensusMessage.Promise || message instanceof ConsensusMessage.Accepted) {
             proposer.hear(message);
-        } else if (voter != null) {
-            voter.hear(message, context.address);
+        } else if (acceptor != null) {
+            acceptor.hear(message, context.address);
         }
     }
 
@@ -153,45 +154,45 @@
     }
 
     void hear(final BootstrapMessage message) {
-        council.hear(message);
-        if (founder != null) {
-            founder.hear(message);
+        bootstrapAcceptor.hear(message);
+        if (bootstrapProposer != null) {
+            bootstrapProposer.hear(message);
         }
     }
 
     void hear(final MembershipMessage message) {
-        if (message instanceof MembershipMessage.RemainsAsk ask) {
-            context.post.send(ask.from(), new MembershipMessage.RemainsBack(remains()));
-        } else if (formation != null) {
-            formation.hear(message);
-        } else if (message instanceof MembershipMessage.Standing standing) {
-            hear(standing);
+        if (message instanceof MembershipMessage.SurvivingStateRequest ask) {
+            context.post.send(ask.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
+        } else if (membershipCoordinator != null) {
+            membershipCoordinator.hear(message);
+        } else if (message instanceof MembershipMessage.VoterStatus voterStatus) {
+            hear(voterStatus);
         }
     }
 
     /** An edge and a core tell each other of the newer table. */
-    private void hear(final MembershipMessage.Standing standing) {
-        if (standing.table() != null && standing.table().newerThan(proposer.voters())) {
-            proposer.adopt(standing.table());
-        } else if (standing.lacks(proposer.voters())) {
-            context.post.send(standing.address(), new ConsensusMessage.Table(proposer.voters()));
+    private void hear(final MembershipMessage.VoterStatus voterStatus) {
+        if (voterStatus.table() != null && voterStatus.table().newerThan(proposer.voterSet())) {
+            proposer.adopt(voterStatus.table());
+        } else if (voterStatus.lacks(proposer.voterSet())) {
+            context.post.send(voterStatus.address(), new ConsensusMessage.Table(proposer.voterSet()));
         }
     }
 
     /** What this node has for a new generation. */
-    private SurvivingState remains() {
+    private SurvivingState survivingState() {
         final List<ConsensusMessage.Entry> registers = new ArrayList<>();
-        final boolean hasState = voter != null && voter.keepsState();
+        final boolean hasState = acceptor != null && acceptor.keepsState();
         if (hasState) {
-            voter.registers().forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
+            acceptor.registers().forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
         }
-        final VoterSet table = proposer.voters();
-        final long version = book.policy().version();
+        final VoterSet table = proposer.voterSet();
+        final long version = configurationStore.configuration().version();
         return new SurvivingState(
                 context.name,
                 table == null ? 0 : table.generation(),
                 version,
-                version == 0 ? null : MessageCodec.bytes(book.snapshot()),
+                version == 0 ? null : MessageCodec.bytes(configurationStore.snapshot()),
                 tokenSeen.getAsLong(),
                 hasState,
                 registers);
--- a/spokestall/src/main/java/spokestall/node/MessageNumbers.java
+++ b/spokestall/src/main/java/spokestall/node/MessageNumbers.java
@@ -10,7 +10,7 @@
 import spokestall.message.MessageCodec;
 import spokestall.usage.UsageMessage;
 
-/** The numbers of all notes. A number is never given to another kind. */
+/** The numbers of all messages. A number is never given to another kind. */
 final class MessageNumbers {
     private MessageNumbers() {}
 
@@ -22,35 +22,35 @@
         MessageCodec.number(13, ConsensusMessage.Accepted.class);
         MessageCodec.number(14, ConsensusMessage.Chosen.class);
         MessageCodec.number(15, ConsensusMessage.Table.class);
-        MessageCodec.number(16, ConsensusMessage.CatchAsk.class);
-        MessageCodec.number(17, ConsensusMessage.CatchBack.class);
-        MessageCodec.number(18, ConsensusMessage.HoldAsk.class);
-        MessageCodec.number(19, ConsensusMessage.HoldBack.class);
-        MessageCodec.number(20, MembershipMessage.Standing.class);
-        MessageCodec.number(21, MembershipMessage.FormPrepare.class);
-        MessageCodec.number(22, MembershipMessage.FormPromise.class);
-        MessageCodec.number(23, MembershipMessage.FormAccept.class);
-        MessageCodec.number(24, MembershipMessage.FormAccepted.class);
-        MessageCodec.number(25, MembershipMessage.Founded.class);
-        MessageCodec.number(26, MembershipMessage.RemainsAsk.class);
-        MessageCodec.number(27, MembershipMessage.RemainsBack.class);
-        MessageCodec.number(30, FeedMessage.FeedAsk.class);
-        MessageCodec.number(31, FeedMessage.FeedBack.class);
-        MessageCodec.number(32, FeedMessage.FeedNews.class);
-        MessageCodec.number(33, FeedMessage.ProofAsk.class);
-        MessageCodec.number(34, FeedMessage.ProofBack.class);
+        MessageCodec.number(16, ConsensusMessage.CatchUpRequest.class);
+        MessageCodec.number(17, ConsensusMessage.CatchUpResponse.class);
+        MessageCodec.number(18, ConsensusMessage.HandoverRequest.class);
+        MessageCodec.number(19, ConsensusMessage.HandoverResponse.class);
+        MessageCodec.number(20, MembershipMessage.VoterStatus.class);
+        MessageCodec.number(21, MembershipMessage.GenerationPrepare.class);
+        MessageCodec.number(22, MembershipMessage.GenerationPromise.class);
+        MessageCodec.number(23, MembershipMessage.GenerationAccept.class);
+        MessageCodec.number(24, MembershipMessage.GenerationAccepted.class);
+        MessageCodec.number(25, MembershipMessage.GenerationStarted.class);
+        MessageCodec.number(26, MembershipMessage.SurvivingStateRequest.class);
+        MessageCodec.number(27, MembershipMessage.SurvivingStateResponse.class);
+        MessageCodec.number(30, FeedMessage.FeedRequest.class);
+        MessageCodec.number(31, FeedMessage.FeedResponse.class);
+        MessageCodec.number(32, FeedMessage.FeedUpdate.class);
+        MessageCodec.number(33, FeedMessage.FreshnessRequest.class);
+        MessageCodec.number(34, FeedMessage.FreshnessResponse.class);
         MessageCodec.number(40, DiscoveryMessage.Push.class);
-        MessageCodec.number(51, UsageMessage.CountAsk.class);
-        MessageCodec.number(52, UsageMessage.CountBack.class);
+        MessageCodec.number(51, UsageMessage.CountsRequest.class);
+        MessageCodec.number(52, UsageMessage.CountsResponse.class);
         MessageCodec.number(53, UsageMessage.Counts.class);
-        MessageCodec.number(54, UsageMessage.CountsHad.class);
-        MessageCodec.number(60, HandoffMessage.Keep.class);
-        MessageCodec.number(61, HandoffMessage.Ask.class);
-        MessageCodec.number(62, HandoffMessage.Back.class);
+        MessageCodec.number(54, UsageMessage.CountsAcknowledged.class);
+        MessageCodec.number(60, HandoffMessage.Store.class);
+        MessageCodec.number(61, HandoffMessage.Fetch.class);
+        MessageCodec.number(62, HandoffMessage.FetchResult.class);
         MessageCodec.number(63, HandoffMessage.Hint.class);
-        MessageCodec.number(70, BootstrapMessage.Ask.class);
+        MessageCodec.number(70, BootstrapMessage.Prepare.class);
         MessageCodec.number(71, BootstrapMessage.Promise.class);
-        MessageCodec.number(72, BootstrapMessage.Offer.class);
-        MessageCodec.number(73, BootstrapMessage.Taken.class);
+        MessageCodec.number(72, BootstrapMessage.Accept.class);
+        MessageCodec.number(73, BootstrapMessage.Accepted.class);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -52,7 +52,7 @@
  */
 public final class Node {
     /** What a node reaches the world by. */
-    public record Rim(
+    public record NodeEnvironment(
             Clock clock,
             Random random,
             MessageSender post,
@@ -71,7 +71,7 @@
 
     final NodeContext context;
     final PartialView view;
-    final ConfigurationStore book;
+    final ConfigurationStore configurationStore;
     final DiscoveryComponent discovery;
     final HandoffComponent handoff;
     final Proposer proposer;
@@ -93,18 +93,22 @@
     private final ProxyComponent serving;
 
     private boolean stopped;
-    private Consumer<Configuration> watcher = policy -> {};
+    private Consumer<Configuration> watcher = configuration -> {};
 
-    /** Example: {@code new Node(settings, true, rim).start();} */
-    public Node(final Settings settings, final boolean core, final Rim rim) {
-        this(settings, core, rim, null);
+    /** Example: {@code new Node(settings, true, environment).start();} */
+    public Node(final Settings settings, final boolean core, final NodeEnvironment environment) {
+        this(settings, core, environment, null);
     }
 
-    /** With policies in another form than spokestall's own. Example: {@code new Node(settings, true, rim, form).start();} */
-    public Node(final Settings settings, final boolean core, final Rim rim, final ConfigurationFormat other) {
+    /** With configurations in another form than spokestall's own. */
+    public Node(
+            final Settings settings,
+            final boolean core,
+            final NodeEnvironment environment,
+            final ConfigurationFormat other) {
         final ConfigurationFormat form = other == null ? ownForm(settings) : other;
-        this.context = new NodeContext(settings, core, rim, this::hear);
-        this.book = new ConfigurationStore(CoreStorage.POLICY_KEPT, form);
+        this.context = new NodeContext(settings, core, environment, this::hear);
+        this.configurationStore = new ConfigurationStore(CoreStorage.CONFIGURATION_KEPT, form);
         this.view = new PartialView(
                 context.self(),
                 settings.seeds(),
@@ -112,60 +116,68 @@
                 context.clock,
                 context.fleet,
                 context.random,
-                context.paces().view());
-        this.neighbours = new PeerDirectory(context, view, this::voters);
+                context.timings().view());
+        this.neighbours = new PeerDirectory(context, view, this::voterSet);
         this.discovery = new DiscoveryComponent(context);
-        this.handoff = new HandoffComponent(context, this::voters, this::heardMs);
+        this.handoff = new HandoffComponent(context, this::voterSet, this::heardMs);
         this.proposer = new Proposer(
                 context.proposerId(),
                 context.address,
                 context.post,
                 context.clock,
                 context.random,
-                context.paces().proposer(),
+                context.timings().proposer(),
                 handoff::missed);
-        this.storage = core ? new CoreStorage(context, rim.segments(), book, this::voters, this::mayVote) : null;
+        this.storage = core
+                ? new CoreStorage(context, environment.segments(), configurationStore, this::voterSet, this::mayVote)
+                : null;
         this.duty = core
-                ? new UsageComponent(context, neighbours, storage.voter, proposer, rim.platform(), feeds::presentLife)
+                ? new UsageComponent(
+                        context,
+                        neighbours,
+                        storage.acceptor,
+                        proposer,
+                        environment.platform(),
+                        feeds::presentIncarnation)
                 : null;
         this.membership = new MembershipComponent(
                 context,
                 neighbours,
                 proposer,
-                book,
+                configurationStore,
                 storage,
                 new ToleratedSeatLoss(settings, view),
                 core ? duty::tokenSeen : () -> 0);
         this.follower = new FeedClient(
                 view::self,
-                book,
-                discovery.listing,
+                configurationStore,
+                discovery.endpointRegistry,
                 proposer,
                 context.post,
                 context.clock,
-                context.paces().follower(),
+                context.timings().follower(),
                 neighbours::coreAddresses,
                 membership::adopt,
-                this::policyMoved,
+                this::configurationMoved,
                 this::openRequests,
                 neighbours::distance);
         this.knownEdges = new KnownEdges(context, view, follower, feeds, this::ready);
-        this.serving = context.serves ? serving(rim) : null;
+        this.serving = context.serves ? serving(environment) : null;
         this.acceptance = new ChangeCoordinator(
                 context.name,
-                book,
+                configurationStore,
                 form,
                 proposer,
                 follower,
                 context.clock,
                 () -> context.fleet.settled() ? context.fleet.nowMs() : 0,
                 settings.part("policyBoundMs", 0.8),
-                context.paces().policyBytesMost(),
+                context.timings().configurationBytesMost(),
                 feeds::tell);
-        this.audit = rim.audit();
-        this.auditor = core ? new Auditor(audit, book, context.fleet::nowMs) : null;
+        this.audit = environment.audit();
+        this.auditor = core ? new Auditor(audit, configurationStore, context.fleet::nowMs) : null;
         if (core) {
-            open(rim);
+            open(environment);
         }
         new OperatorCallHandler(this).open();
     }
@@ -174,24 +186,30 @@
         return new NativeConfigurationFormat(new ConfigurationValidator(
                 calls.file().at("/$defs/policy"),
                 settings.regions(),
-                settings.districts().keySet()));
+                settings.zones().keySet()));
     }
 
-    private ProxyComponent serving(final Rim rim) {
+    private ProxyComponent serving(final NodeEnvironment environment) {
         return new ProxyComponent(
                 context,
                 neighbours,
                 new ProxyComponent.Sources(
-                        view.self(), book, discovery.listing, follower, proposer, handoff.shelf, rim.upstreams()));
+                        view.self(),
+                        configurationStore,
+                        discovery.endpointRegistry,
+                        follower,
+                        proposer,
+                        handoff.responseCache,
+                        environment.upstreams()));
     }
 
     /** A core goes on from what its disk has. */
-    private void open(final Rim rim) {
+    private void open(final NodeEnvironment environment) {
         storage.open();
         membership.open();
-        discovery.open(neighbours, view, storage.voter, rim.reach());
+        discovery.open(neighbours, view, storage.acceptor, environment.reach());
         duty.open();
-        storage.voter.watch(this::stored);
+        storage.acceptor.watch(this::stored);
     }
 
     private void stored(final String key, final Register register) {
@@ -202,12 +220,12 @@
     }
 
     /** Takes what a running node can change of newer settings, and tells which settings it goes on with. A founding
-     * that is under way keeps the seeds it began with. Example: {@code front.renew(node.renew(newer));} */
+     * that is under way keeps the seeds it began with. */
     public Settings renew(final Settings newer) {
         final SettingsUpdate renewal = SettingsUpdate.of(context.settings(), newer, context.core);
         context.renew(renewal.settings());
         view.seeds(renewal.settings().seeds());
-        follower.pace(context.paces().follower());
+        follower.timing(context.timings().follower());
         if (serving != null) {
             serving.renew();
         }
@@ -219,13 +237,13 @@
     /** What was decided since the last beat is written down. */
     private void decided() {
         if (context.fleet.settled()) {
-            auditor.table(voters());
-            auditor.policy();
-            auditor.lease(duty.keeper.seen());
+            auditor.table(voterSet());
+            auditor.configuration();
+            auditor.lease(duty.leaseManager.seen());
         }
     }
 
-    /** Begins all beats. Example: {@code node.start();} */
+    /** Begins all beats. */
     public void start() {
         final Settings settings = context.settings();
         LOG.atInfo().log(
@@ -235,7 +253,7 @@
                 context.address,
                 settings.text("district"),
                 settings.region(),
-                context.life);
+                context.incarnation);
         hurry(context.clock.nowMs() + settings.part("leaveBoundMs", 1.5), 0);
         every(settings.part("leaveBoundMs", 0.125), () -> {
             view.tick();
@@ -290,88 +308,88 @@
     private void hurry(final long untilMs, final int turn) {
         final boolean able = context.fleet.settled()
                 && follower.fresh()
-                && (serving == null || !discovery.listing.listed().isEmpty());
+                && (serving == null || !discovery.endpointRegistry.listed().isEmpty());
         if (stopped || able || context.clock.nowMs() >= untilMs) {
             return;
         }
-        view.greet(voters() == null ? List.of() : neighbours.coreAddresses());
+        view.greet(voterSet() == null ? List.of() : neighbours.coreAddresses());
         knownEdges.publish();
-        if (voters() != null && !follower.fresh() || turn < HURRIED || turn % (2 * HURRIED) == 0) {
+        if (voterSet() != null && !follower.fresh() || turn < HURRIED || turn % (2 * HURRIED) == 0) {
             // Before there are voters nothing can be proved; a founding takes seconds.
             follower.tick();
         }
         context.clock.after(context.settings().part("leaveBoundMs", 0.03), () -> hurry(untilMs, turn + 1));
     }
 
-    private void every(final long spanMs, final Runnable beat) {
+    private void every(final long spanMs, final Runnable tick) {
         context.clock.after(1 + context.random.nextInt((int) Math.max(1, spanMs)), new Runnable() {
             @Override
             public void run() {
                 if (!stopped) {
                     context.clock.after(spanMs, this);
-                    beat.run();
+                    tick.run();
                 }
             }
         });
     }
 
-    /** The fleet's time here. Example: {@code node.fleetMs()} */
+    /** The fleet's time here. */
     public long fleetMs() {
         return context.fleet.nowMs();
     }
 
-    /** The edge part, or null on a core. Example: {@code node.edge().open(head)} */
+    /** The edge part, or null on a core. */
     public AdmissionController edge() {
         return serving == null ? null : serving.edge;
     }
 
-    /** What counts the asks that upstreams began, or null on a core. Example: {@code node.counter().mayBegin()} */
+    /** What counts the asks that upstreams began, or null on a core. */
     public UsageCounter counter() {
         return serving == null ? null : serving.counter;
     }
 
-    /** The voter part, or null on an edge. Example: {@code node.voter().state()} */
-    public Acceptor voter() {
-        return storage == null ? null : storage.voter;
+    /** The voter part, or null on an edge. */
+    public Acceptor acceptor() {
+        return storage == null ? null : storage.acceptor;
     }
 
-    /** Whether this core's voter may give votes now. Example: {@code assertThat(node.votes()).isTrue();} */
+    /** Whether this core's voter may give votes now. */
     public boolean votes() {
         return storage.votes();
     }
 
-    /** How full a core's ring is, 1 when nothing more fits. Example: {@code node.ringFill() < 0.7} */
-    public double ringFill() {
-        return storage.ring.fill();
+    /** How full a core's ring is, 1 when nothing more fits. */
+    public double logFill() {
+        return storage.segmentedLog.fill();
     }
 
-    /** The duty's keeper, or null on an edge. Example: {@code node.keeper().execution()} */
-    public LeaseManager keeper() {
-        return duty == null ? null : duty.keeper;
+    /** The duty's keeper, or null on an edge. */
+    public LeaseManager leaseManager() {
+        return duty == null ? null : duty.leaseManager;
     }
 
-    /** The policy in force here. Example: {@code node.book().policy().version()} */
-    public ConfigurationStore book() {
-        return book;
+    /** The configuration in force here. */
+    public ConfigurationStore configurationStore() {
+        return configurationStore;
     }
 
-    /** The follower of the feed. Example: {@code node.follower().fresh()} */
+    /** The follower of the feed. */
     public FeedClient follower() {
         return follower;
     }
 
-    /** The upstreams known here. Example: {@code node.listing().listed()} */
-    public EndpointRegistry listing() {
-        return discovery.listing;
+    /** The upstreams known here. */
+    public EndpointRegistry endpointRegistry() {
+        return discovery.endpointRegistry;
     }
 
-    /** Carries out a call. Example: {@code node.call("status", params, reply -> ...);} */
+    /** Carries out a call. */
     public void call(final String method, final JsonNode params, final Consumer<Reply> done) {
         calls.run(method, params, done);
     }
 
     /** Leaves: where answers first, then what is in flight and the connections, then the duties; done is run when all
-     * is given up. Example: {@code node.leave(front.connections(), () -> System.exit(0));} */
+     * is given up. */
     public void leave(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=leaving node=%s", context.name);
         view.leave();
@@ -379,7 +397,7 @@
         knownEdges.publish();
         final GracefulShutdown.Requests requests = serving == null ? new GracefulShutdown.Idle() : serving;
         new GracefulShutdown(
-                        connections, requests, context.clock, context.paces().departure(), () -> giveUp(done))
+                        connections, requests, context.clock, context.timings().departure(), () -> giveUp(done))
                 .begin();
     }
 
@@ -401,8 +419,8 @@
         done.run();
     }
 
-    VoterSet voters() {
-        return proposer.voters();
+    VoterSet voterSet() {
+        return proposer.voterSet();
     }
 
     private boolean mayVote() {
@@ -417,61 +435,61 @@
         return serving == null ? 0 : serving.openRequests();
     }
 
-    /** Has someone told of the policy in force, now and each time it moves. Example: {@code node.watch(p -> ...);} */
+    /** Has someone told of the configuration in force, now and each time it moves. */
     public void watch(final Consumer<Configuration> newer) {
         watcher = newer;
-        watcher.accept(book.policy());
+        watcher.accept(configurationStore.configuration());
     }
 
-    private void policyMoved() {
-        watcher.accept(book.policy());
+    private void configurationMoved() {
+        watcher.accept(configurationStore.configuration());
         context.clock.after(0, acceptance::moved);
         if (serving != null) {
-            serving.policyMoved();
+            serving.configurationMoved();
         }
         if (storage != null) {
-            storage.policyMoved();
+            storage.configurationMoved();
         }
     }
 
-    /** Hears a note from another process. Example: {@code node.hear(MessageCodec.note(frame));} */
-    public void hear(final Message note) {
+    /** Hears a note from another process. */
+    public void hear(final Message received) {
         if (stopped) {
             return;
         }
-        if (note instanceof GossipMessage message) {
+        if (received instanceof GossipMessage message) {
             view.hear(message);
-        } else if (note instanceof ConsensusMessage message) {
+        } else if (received instanceof ConsensusMessage message) {
             membership.hear(message);
-        } else if (note instanceof BootstrapMessage message) {
+        } else if (received instanceof BootstrapMessage message) {
             membership.hear(message);
-        } else if (note instanceof MembershipMessage message) {
+        } else if (received instanceof MembershipMessage message) {
             hear(message);
-        } else if (note instanceof FeedMessage message) {
+        } else if (received instanceof FeedMessage message) {
             hear(message);
-        } else if (note instanceof DiscoveryMessage.Push message) {
+        } else if (received instanceof DiscoveryMessage.Push message) {
             discovery.hear(message);
-        } else if (note instanceof UsageMessage message) {
+        } else if (received instanceof UsageMessage message) {
             hear(message);
-        } else if (note instanceof HandoffMessage message) {
+        } else if (received instanceof HandoffMessage message) {
             handoff.hear(message, edge());
         }
     }
 
     private void hear(final MembershipMessage message) {
         membership.hear(message);
-        if (context.core && message instanceof MembershipMessage.Standing standing && standing.voting()) {
-            handoff.handOver(standing, storage.voter);
+        if (context.core && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
+            handoff.handOver(voterStatus, storage.acceptor);
         }
     }
 
     /** Questions are for cores, answers for all. */
     private void hear(final FeedMessage message) {
-        if (message instanceof FeedMessage.FeedAsk ask) {
+        if (message instanceof FeedMessage.FeedRequest ask) {
             if (context.core) {
                 feeds.answer(ask);
             }
-        } else if (message instanceof FeedMessage.ProofAsk ask) {
+        } else if (message instanceof FeedMessage.FreshnessRequest ask) {
             if (context.core) {
                 feeds.answer(ask);
             }
@@ -481,7 +499,7 @@
     }
 
     private void hear(final UsageMessage message) {
-        if (message instanceof UsageMessage.CountsHad had && serving != null) {
+        if (message instanceof UsageMessage.CountsAcknowledged had && serving != null) {
             serving.hear(had);
         }
         if (duty != null) {
@@ -489,22 +507,22 @@
         }
     }
 
-    /** The edges that callers are told of, for any thread. Example: {@code Where.near(node.directory().edges(), "r1", "d1")} */
+    /** The edges that clients are told of, for any thread. */
     public EdgeDirectory directory() {
         return knownEdges.directory;
     }
 
-    /** Whether this node takes asks now. Example: {@code if (!node.ready()) answer(503);} */
+    /** Whether this node takes asks now. */
     public boolean ready() {
         return serving != null && !view.self().leaving() && follower.fresh() && context.fleet.settled();
     }
 
-    /** Whether this node is on its way out. Example: {@code if (node.leaving()) closeAfterAnswer();} */
+    /** Whether this node is on its way out. */
     public boolean leaving() {
         return view.self().leaving();
     }
 
-    /** Takes operators' orders. Example: {@code node.acceptance().agree("hold-1", draft, 2000, reply -> ...);} */
+    /** Takes operators' orders. */
     public ChangeCoordinator acceptance() {
         return acceptance;
     }
--- a/spokestall/src/main/java/spokestall/node/NodeContext.java
+++ b/spokestall/src/main/java/spokestall/node/NodeContext.java
@@ -14,7 +14,7 @@
     final String address;
     final boolean core;
     final boolean serves;
-    final long life;
+    final long incarnation;
     final Clock clock;
     final Random random;
     final FleetClock fleet;
@@ -25,22 +25,22 @@
     NodeContext(
             final Settings settings,
             final boolean core,
-            final Node.Rim rim,
+            final Node.NodeEnvironment environment,
             final java.util.function.Consumer<Message> receiver) {
         this.settings = settings;
         this.core = core;
         this.name = settings.text("name");
         this.address = settings.text("address");
         this.serves = !core || settings.ms("alsoEdge") == 1;
-        this.clock = rim.clock();
-        this.random = rim.random();
-        this.life = clock.wallMs() << 10 | random.nextInt(1 << 10);
+        this.clock = environment.clock();
+        this.random = environment.random();
+        this.incarnation = clock.wallMs() << 10 | random.nextInt(1 << 10);
         this.fleet = new FleetClock(clock, settings.part("farMs", 2));
         this.post = (to, message) -> {
             if (to.equals(address)) {
                 clock.after(0, () -> receiver.accept(message));
             } else {
-                rim.post().send(to, message);
+                environment.post().send(to, message);
             }
         };
     }
@@ -54,13 +54,13 @@
         settings = newer;
     }
 
-    Timings paces() {
+    Timings timings() {
         return new Timings(settings, core);
     }
 
     /** This node's life as a proposer: no two lives share it. */
     String proposerId() {
-        return name + "#" + Long.toHexString(life);
+        return name + "#" + Long.toHexString(incarnation);
     }
 
     /** An identity for a disk that has none yet. */
@@ -77,7 +77,7 @@
                 core,
                 settings.text("district"),
                 settings.region(),
-                life,
+                incarnation,
                 0,
                 false,
                 (int) settings.ms("cores"),
