--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -34,7 +34,7 @@
     /** Puts every call of the schema file that this node carries out on its desk. */
     void open() {
         node.calls.on("where", this::where);
-        node.calls.on("policy.get", (p, done) -> policyGet(done));
+        node.calls.on("policy.get", (p, done) -> configurationGet(done));
         node.calls.on("status", (p, done) -> done.accept(Reply.of(ResultCode.OK, status())));
         node.calls.on("upstreams", (p, done) -> done.accept(Reply.of(ResultCode.OK, upstreams())));
         node.calls.on("usage.get", this::usageGet);
@@ -68,15 +68,15 @@
         }
     }
 
-    /** The policy, proved newest after the call came. */
-    private void policyGet(final Consumer<Reply> done) {
-        node.acceptance.newest(node.context.settings().ms("policyBoundMs"), policy -> {
-            if (policy == null) {
+    /** The configuration, proved newest after the call came. */
+    private void configurationGet(final Consumer<Reply> done) {
+        node.acceptance.newest(node.context.settings().ms("policyBoundMs"), configuration -> {
+            if (configuration == null) {
                 done.accept(Reply.of(ResultCode.NOT_READY, null));
                 return;
             }
-            final ObjectNode out = ConfigurationStore.JSON.createObjectNode().put("version", policy.version());
-            out.put("ageMs", node.follower.ageMs()).set("policy", policy.tree());
+            final ObjectNode out = ConfigurationStore.JSON.createObjectNode().put("version", configuration.version());
+            out.put("ageMs", node.follower.ageMs()).set("policy", configuration.tree());
             done.accept(Reply.of(ResultCode.OK, out));
         });
     }
@@ -119,23 +119,23 @@
 
     /** A fresh proof is enough to name edges; a key is called bad only by what is proved newest after the call came. */
     private void where(final JsonNode p, final Consumer<Reply> done) {
-        if (!node.follower.fresh() || node.voters() == null) {
+        if (!node.follower.fresh() || node.voterSet() == null) {
             done.accept(Reply.of(ResultCode.NOT_FRESH, null));
             return;
         }
         final String key = KeyHash.of(p.get("key").asText());
-        final Tenant tenant = node.book.policy().tenantOf(key);
+        final Tenant tenant = node.configurationStore.configuration().tenantOf(key);
         if (tenant != null) {
             where(p, tenant, done);
             return;
         }
-        node.acceptance.newest(node.context.settings().ms("freshMs"), policy -> {
-            if (policy == null) {
+        node.acceptance.newest(node.context.settings().ms("freshMs"), configuration -> {
+            if (configuration == null) {
                 done.accept(Reply.of(ResultCode.NOT_FRESH, null));
-            } else if (policy.tenantOf(key) == null) {
+            } else if (configuration.tenantOf(key) == null) {
                 done.accept(Reply.of(ResultCode.BAD_KEY, null));
             } else {
-                where(p, policy.tenantOf(key), done);
+                where(p, configuration.tenantOf(key), done);
             }
         });
     }
@@ -145,7 +145,7 @@
                 p.get("client").asText(),
                 node.knownEdges.forClients(),
                 tenant.homeRegions(),
-                node.book.policy().holds(),
+                node.configurationStore.configuration().holds(),
                 2);
         if (found.isEmpty()) {
             done.accept(Reply.of(ResultCode.NO_UPSTREAM, null));
@@ -158,7 +158,7 @@
                 .put("address", m.httpAddress())
                 .put("region", m.region()));
         out.put("forMs", node.context.settings().part("leaveBoundMs", 0.4));
-        out.put("ticket", new RequestTicket(node.voters().generation(), node.context.fleet.nowMs()).text());
+        out.put("ticket", new RequestTicket(node.voterSet().generation(), node.context.fleet.nowMs()).text());
         done.accept(Reply.of(ResultCode.OK, out));
     }
 
@@ -190,7 +190,7 @@
     /** Marks an answer as this node's own view: by which version, how old its proof is, and whether that still counts. */
     private void local(final ObjectNode out) {
         out.put("local", true)
-                .put("version", node.book.policy().version())
+                .put("version", node.configurationStore.configuration().version())
                 .put("proofAgeMs", node.follower.ageMs())
                 .put("fresh", node.follower.fresh());
     }
@@ -199,13 +199,14 @@
         final ObjectNode out = ConfigurationStore.JSON.createObjectNode();
         local(out);
         final ArrayNode list = out.putArray("upstreams");
-        for (final Endpoint l : node.discovery.listing.listed()) {
-            final HealthObservation word = node.discovery.listing.word(l.instance(), node.context.fleet.nowMs());
+        for (final Endpoint l : node.discovery.endpointRegistry.listed()) {
+            final HealthObservation word =
+                    node.discovery.endpointRegistry.word(l.instance(), node.context.fleet.nowMs());
             list.addObject()
                     .put("instance", l.instance())
                     .put("service", l.service())
                     .put("address", l.address())
-                    .put("district", l.district())
+                    .put("district", l.zone())
                     .put("listed", l.present())
                     .put("leaving", l.leaving())
                     .put("status", word == null ? "UNKNOWN" : word.status().name());
@@ -225,17 +226,17 @@
                     .put("role", m.core() ? "core" : "edge")
                     .put("address", m.address())
                     .put("http", m.httpAddress())
-                    .put("district", m.district())
+                    .put("district", m.zone())
                     .put("leaving", m.leaving())
                     .put("heardMs", node.context.fleet.nowMs() - m.heardMs());
         }
         node.neighbours.differing().forEach(out.putArray("differing")::add);
-        if (node.voters() != null) {
+        if (node.voterSet() != null) {
             final ObjectNode table = out.putObject("voters")
-                    .put("generation", node.voters().generation())
-                    .put("epoch", node.voters().epoch());
-            for (final Voter s : node.voters().seats()) {
-                final FeedClient.Word back = node.follower.last().get(s.name());
+                    .put("generation", node.voterSet().generation())
+                    .put("epoch", node.voterSet().epoch());
+            for (final Voter s : node.voterSet().voters()) {
+                final FeedClient.Observation back = node.follower.last().get(s.name());
                 final boolean heard = back != null
                         && node.follower.heardMs(s.name())
                                 < Math.max(
@@ -247,35 +248,35 @@
             }
         }
         final ObjectNode holds = out.putObject("holds");
-        for (final String district : node.book.policy().holds()) {
-            final ObjectNode hold = holds.putObject(district)
+        for (final String zone : node.configurationStore.configuration().holds()) {
+            final ObjectNode hold = holds.putObject(zone)
                     .put(
                             "reason",
-                            node.book
-                                    .policy()
+                            node.configurationStore
+                                    .configuration()
                                     .tree()
                                     .path("holds")
-                                    .path(district)
+                                    .path(zone)
                                     .path("reason")
                                     .asText());
             if (node.context.core) {
                 int open = 0;
                 for (final FeedServer.Present p : node.feeds.edges().values()) {
-                    open += p.member().district().equals(district) ? p.open() : 0;
+                    open += p.member().zone().equals(zone) ? p.open() : 0;
                 }
                 hold.put("open", open).put("empty", open == 0);
             }
         }
         if (node.context.core) {
-            out.put("voter", node.storage.voter.state().name())
-                    .put("ring", node.storage.ring.state().name())
-                    .put("ringFill", node.storage.ring.fill())
-                    .put("registers", node.storage.voter.registers().size());
-            final ObjectNode duty =
-                    out.putObject("duty").put("state", node.duty.keeper.state().name());
-            if (node.duty.keeper.seen() != null) {
-                duty.put("holder", node.duty.keeper.seen().holder())
-                        .put("token", node.duty.keeper.seen().token());
+            out.put("voter", node.storage.acceptor.state().name())
+                    .put("ring", node.storage.segmentedLog.state().name())
+                    .put("ringFill", node.storage.segmentedLog.fill())
+                    .put("registers", node.storage.acceptor.registers().size());
+            final ObjectNode duty = out.putObject("duty")
+                    .put("state", node.duty.leaseManager.state().name());
+            if (node.duty.leaseManager.seen() != null) {
+                duty.put("holder", node.duty.leaseManager.seen().holder())
+                        .put("token", node.duty.leaseManager.seen().token());
             }
             final ObjectNode kept = out.putObject("hints");
             node.handoff.hints.sizes().forEach(kept::put);
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -12,22 +12,22 @@
 
 /** The other nodes as this one knows them, by its view and by the table of voters. */
 final class PeerDirectory {
-    private static final int SAME_DISTRICT = 0;
+    private static final int SAME_ZONE = 0;
     private static final int SAME_REGION = 1;
     private static final int ELSEWHERE = 2;
     private final NodeContext context;
     private final PartialView view;
-    private final Supplier<VoterSet> voters;
-    private int sharersMost = 1;
-    private long sharersSeen = -1;
+    private final Supplier<VoterSet> voterSet;
+    private int sharingEdgesMax = 1;
+    private long sharingEdgesSeen = -1;
 
-    PeerDirectory(final NodeContext context, final PartialView view, final Supplier<VoterSet> voters) {
+    PeerDirectory(final NodeContext context, final PartialView view, final Supplier<VoterSet> voterSet) {
         this.context = context;
         this.view = view;
-        this.voters = voters;
+        this.voterSet = voterSet;
     }
 
-    /** How far the node at an address is: 0 is this node's district, 1 its region, 2 any other place. */
+    /** How far the node at an address is: 0 is this node's zone, 1 its region, 2 any other place. */
     int distance(final String of) {
         for (final NodeInfo member : view.members()) {
             if (member.address().equals(of)) {
@@ -38,8 +38,8 @@
     }
 
     private int distance(final NodeInfo member) {
-        if (member.district().equals(context.settings().text("district"))) {
-            return SAME_DISTRICT;
+        if (member.zone().equals(context.settings().text("district"))) {
+            return SAME_ZONE;
         }
         return member.region().equals(context.settings().region()) ? SAME_REGION : ELSEWHERE;
     }
@@ -50,8 +50,8 @@
 
     /** The voters, or before there are any the cores that are known. */
     List<String> coreAddresses() {
-        if (voters.get() != null) {
-            return voters.get().seats().stream().map(Voter::address).toList();
+        if (voterSet.get() != null) {
+            return voterSet.get().voters().stream().map(Voter::address).toList();
         }
         final List<String> found =
                 new ArrayList<>(otherCores().stream().map(NodeInfo::address).toList());
@@ -65,8 +65,8 @@
     List<String> coreAndEdgeAddresses() {
         final Set<String> found =
                 new TreeSet<>(view.members().stream().map(NodeInfo::address).toList());
-        if (voters.get() != null) {
-            voters.get().seats().forEach(s -> found.add(s.address()));
+        if (voterSet.get() != null) {
+            voterSet.get().voters().forEach(s -> found.add(s.address()));
         }
         found.remove(context.address);
         return List.copyOf(found);
@@ -88,26 +88,26 @@
     }
 
     /** The address of a core's seat, or its name where it has none. */
-    String seatAddress(final String core) {
-        final Voter seat = voters.get() == null ? null : voters.get().seat(core);
-        return seat == null ? core : seat.address();
+    String voterAddress(final String core) {
+        final Voter voter = voterSet.get() == null ? null : voterSet.get().voter(core);
+        return voter == null ? core : voter.address();
     }
 
     /** The edges that shared bounds are divided among: as many as are configured, else as are known or ever were here. */
-    int sharers() {
+    int sharingEdges() {
         if (context.settings().ms("edges") > 0) {
             return (int) context.settings().ms("edges");
         }
-        if (view.changes() == sharersSeen) {
-            return sharersMost;
+        if (view.changes() == sharingEdgesSeen) {
+            return sharingEdgesMax;
         }
-        sharersSeen = view.changes();
+        sharingEdgesSeen = view.changes();
         int serving = context.serves ? 1 : 0;
         for (final NodeInfo member : view.members()) {
             serving += member.serves() ? 1 : 0;
         }
-        sharersMost = Math.max(sharersMost, serving);
-        return sharersMost;
+        sharingEdgesMax = Math.max(sharingEdgesMax, serving);
+        return sharingEdgesMax;
     }
 
     /** Nodes configured with other counts of nodes than this one: shared bounds are divided by them. */
--- a/spokestall/src/main/java/spokestall/node/PersistedState.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -15,15 +15,15 @@
 final class PersistedState {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int BYTES_MAX = 256 << 10;
-    private final Acceptor voter;
+    private final Acceptor acceptor;
     private final String key;
     private final LongSupplier changes;
     private final Supplier<Message> now;
     private long written;
     private boolean writing;
 
-    PersistedState(final Acceptor voter, final String key, final LongSupplier changes, final Supplier<Message> now) {
-        this.voter = voter;
+    PersistedState(final Acceptor acceptor, final String key, final LongSupplier changes, final Supplier<Message> now) {
+        this.acceptor = acceptor;
         this.key = key;
         this.changes = changes;
         this.now = now;
@@ -31,9 +31,9 @@
 
     /** What was kept, or null. */
     <T extends Message> T read(final Class<T> type) {
-        final byte[] had = voter.own(key);
+        final byte[] had = acceptor.own(key);
         try {
-            return had == null ? null : type.cast(MessageCodec.note(had));
+            return had == null ? null : type.cast(MessageCodec.message(had));
         } catch (final IOException | ClassCastException e) {
             LOG.atWarning().log("event=kept_unread key=%s why=\"%s\"", key, e.getMessage());
             return null;
@@ -45,12 +45,12 @@
         if (writing || change == written) {
             return;
         }
-        final byte[] bytes = MessageCodec.note(now.get(), MessageCodec.VERSION);
+        final byte[] bytes = MessageCodec.message(now.get(), MessageCodec.VERSION);
         if (bytes.length > BYTES_MAX) {
             return;
         }
         writing = true;
-        voter.keepOwn(key, bytes, ok -> {
+        acceptor.keepOwn(key, bytes, ok -> {
             writing = false;
             written = ok ? change : written;
         });
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -22,9 +22,9 @@
 final class ProxyComponent implements GracefulShutdown.Requests {
     private final NodeContext context;
     private final PeerDirectory neighbours;
-    private final ConfigurationStore book;
-    private final EndpointRegistry listing;
-    private final LoadBalancer elector;
+    private final ConfigurationStore configurationStore;
+    private final EndpointRegistry endpointRegistry;
+    private final LoadBalancer loadBalancer;
     private Set<String> heldBefore = Set.of();
     final AdmissionController edge;
     final UsageCounter counter;
@@ -32,31 +32,31 @@
     /** What it takes of the other parts of its node. */
     record Sources(
             NodeInfo self,
-            ConfigurationStore book,
-            EndpointRegistry listing,
+            ConfigurationStore configurationStore,
+            EndpointRegistry endpointRegistry,
             FeedClient follower,
             Proposer proposer,
-            ResponseCache shelf,
+            ResponseCache responseCache,
             UpstreamClient upstreams) {}
 
     ProxyComponent(final NodeContext context, final PeerDirectory neighbours, final Sources sources) {
         this.context = context;
         this.neighbours = neighbours;
-        this.book = sources.book();
-        this.listing = sources.listing();
-        this.elector = new LoadBalancer(
+        this.configurationStore = sources.configurationStore();
+        this.endpointRegistry = sources.endpointRegistry();
+        this.loadBalancer = new LoadBalancer(
                 context.settings().region(),
                 context.settings().text("district"),
-                service -> listing.ready(service, context.fleet.nowMs()),
+                service -> endpointRegistry.ready(service, context.fleet.nowMs()),
                 context.clock,
                 context.fleet,
                 context.random,
-                context.paces().elector(neighbours::sharers));
+                context.timings().loadBalancer(neighbours::sharingEdges));
         this.counter = new UsageCounter(
                 context.name,
                 context.address,
-                context.life,
-                context.paces().counter(),
+                context.incarnation,
+                context.timings().counter(),
                 context.clock,
                 context.fleet,
                 context.post,
@@ -68,26 +68,26 @@
         return new AdmissionController(
                 new ProxyContext(
                         sources.self(),
-                        book,
+                        configurationStore,
                         sources.follower(),
                         sources.proposer(),
-                        elector,
+                        loadBalancer,
                         sources.upstreams(),
                         counter,
-                        sources.shelf(),
+                        sources.responseCache(),
                         context.post,
                         context.clock,
                         context.fleet,
                         context.random,
-                        neighbours::sharers,
+                        neighbours::sharingEdges,
                         neighbours::homeCores),
-                context.paces().edge());
+                context.timings().edge());
     }
 
     /** Goes by newer settings. */
     void renew() {
-        elector.pace(context.paces().elector(neighbours::sharers));
-        edge.pace(context.paces().edge());
+        loadBalancer.timing(context.timings().loadBalancer(neighbours::sharingEdges));
+        edge.timing(context.timings().edge());
     }
 
     void tickCounts() {
@@ -96,29 +96,30 @@
 
     /** Forgets what was learnt of upstreams that are listed no more. */
     void retain() {
-        elector.retain(listing.listed().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
+        loadBalancer.retain(
+                endpointRegistry.listed().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
     }
 
-    void hear(final UsageMessage.CountsHad message) {
-        counter.hear(message, neighbours.seatAddress(message.name()));
+    void hear(final UsageMessage.CountsAcknowledged message) {
+        counter.hear(message, neighbours.voterAddress(message.name()));
     }
 
-    /** Upstreams of a district that is given back may have turned cold while nothing was sent there. */
-    void policyMoved() {
-        final Set<String> now = book.policy().holds();
-        for (final String district : heldBefore) {
-            if (!now.contains(district)) {
-                chill(district);
+    /** Upstreams of a zone that is given back may have turned cold while nothing was sent there. */
+    void configurationMoved() {
+        final Set<String> now = configurationStore.configuration().holds();
+        for (final String zone : heldBefore) {
+            if (!now.contains(zone)) {
+                chill(zone);
             }
         }
         heldBefore = Set.copyOf(now);
     }
 
-    private void chill(final String district) {
-        for (final Endpoint listed : listing.listed()) {
-            final ServiceLimits rule = book.policy().service(listed.service());
-            if (listed.district().equals(district) && rule != null) {
-                elector.chill(
+    private void chill(final String zone) {
+        for (final Endpoint listed : endpointRegistry.listed()) {
+            final ServiceLimits rule = configurationStore.configuration().service(listed.service());
+            if (listed.zone().equals(zone) && rule != null) {
+                loadBalancer.chill(
                         List.of(listed.instance()),
                         rule.warmupMs() + context.settings().part("leaveBoundMs", 0.5));
             }
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -21,8 +21,8 @@
     private final long claimKeepMs;
     private final long marginMs;
     private final long windowMs;
-    private final Supplier<VoterSet> voters;
-    private final LongSupplier policyFloor;
+    private final Supplier<VoterSet> voterSet;
+    private final LongSupplier configurationFloor;
     private final LongSupplier snapshotDown;
 
     RegisterRetention(
@@ -31,8 +31,8 @@
             final long claimKeepMs,
             final long marginMs,
             final long windowMs,
-            final Supplier<VoterSet> voters,
-            final LongSupplier policyFloor,
+            final Supplier<VoterSet> voterSet,
+            final LongSupplier configurationFloor,
             final LongSupplier snapshotDown,
             final DoubleSupplier fill) {
         this.ready = ready;
@@ -41,8 +41,8 @@
         this.claimKeepMs = claimKeepMs;
         this.marginMs = marginMs;
         this.windowMs = windowMs;
-        this.voters = voters;
-        this.policyFloor = policyFloor;
+        this.voterSet = voterSet;
+        this.configurationFloor = configurationFloor;
         this.snapshotDown = snapshotDown;
     }
 
@@ -55,7 +55,8 @@
     public boolean gone(final String key) {
         final long version = ConfigurationKeys.of(key);
         if (version >= 0) {
-            return version <= policyFloor.getAsLong() || version < voters.get().firstNumber();
+            return version <= configurationFloor.getAsLong()
+                    || version < voterSet.get().firstNumber();
         }
         final long window = SealedWindow.windowOf(key);
         if (window >= 0) {
@@ -63,7 +64,7 @@
         }
         return key.startsWith(VoterSet.KEYS)
                 && !key.equals(
-                        VoterSet.key(voters.get().generation(), voters.get().epoch() + 1));
+                        VoterSet.key(voterSet.get().generation(), voterSet.get().epoch() + 1));
     }
 
     /** Claims come by the thousand, versions may be large; what keeps the fleet itself going must still fit when they don't. */
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -20,7 +20,7 @@
 /** The time spans and bounds of each part of a node, taken from the settings. */
 final class Timings {
     /** What a count that was not told is taken for where a table needs a bound. */
-    private static final int UNTOLD = VoterSet.SEATS_MAX;
+    private static final int UNTOLD = VoterSet.VOTERS_MAX;
     /** The version of messages since which an asker is told only what it lacks. */
     private static final int TERSE = 3;
 
@@ -36,8 +36,8 @@
         return settings.ms(count) == 0 ? UNTOLD : (int) settings.ms(count);
     }
 
-    /** A policy, and a founding with it and all else that is left, must fit into one record of the cores' rings. */
-    int policyBytesMost() {
+    /** A configuration, and a founding with it and all else that is left, must fit into one record of the cores' rings. */
+    int configurationBytesMost() {
         return (int) Math.min(settings.ms("policyMaxBytes"), settings.ms("ringSegmentBytes") / 2);
     }
 
@@ -46,21 +46,21 @@
         return settings.ms("reportWindowS") * 1000;
     }
 
-    PartialView.Pace view() {
-        return new PartialView.Pace(
+    PartialView.Timing view() {
+        return new PartialView.Timing(
                 2 * (told("cores") + told("edges")),
                 6,
                 settings.part("leaveBoundMs", 4),
                 settings.part("leaveBoundMs", 1));
     }
 
-    Proposer.Pace proposer() {
+    Proposer.Timing proposer() {
         final long farMs = settings.ms("farMs");
-        return new Proposer.Pace(4 * farMs, Math.max(1, farMs / 2), 64);
+        return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), 64);
     }
 
-    FeedClient.Pace follower() {
-        return new FeedClient.Pace(
+    FeedClient.Timing follower() {
+        return new FeedClient.Timing(
                 settings.ms("freshMs"),
                 32,
                 3 * settings.ms("proofMs"),
@@ -68,13 +68,13 @@
                 settings.ms("noteVersion") < TERSE);
     }
 
-    BootstrapProposer.Pace founder() {
-        return new BootstrapProposer.Pace(
+    BootstrapProposer.Timing bootstrapProposer() {
+        return new BootstrapProposer.Timing(
                 settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
     }
 
-    MembershipCoordinator.Pace formation() {
-        return new MembershipCoordinator.Pace(
+    MembershipCoordinator.Timing membershipCoordinator() {
+        return new MembershipCoordinator.Timing(
                 (int) settings.ms("cores"),
                 settings.part("leaveBoundMs", 0.6),
                 settings.part("leaveBoundMs", 0.15),
@@ -86,12 +86,12 @@
                 settings.part("leaveBoundMs", 8));
     }
 
-    GracefulHandover.Pace handover() {
-        return new GracefulHandover.Pace(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
+    GracefulHandover.Timing handover() {
+        return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
-    HealthChecker.Pace prober() {
-        return new HealthChecker.Pace(
+    HealthChecker.Timing prober() {
+        return new HealthChecker.Timing(
                 settings.part("leaveBoundMs", 0.25),
                 settings.part("leaveBoundMs", 0.5),
                 2,
@@ -101,8 +101,8 @@
                 settings.ms("probes") == 1);
     }
 
-    UsageCounter.Pace counter() {
-        return new UsageCounter.Pace(
+    UsageCounter.Timing counter() {
+        return new UsageCounter.Timing(
                 windowMs(),
                 settings.part("reportDueMs", 0.1),
                 3,
@@ -111,8 +111,8 @@
                 settings.ms("farMs") / 2);
     }
 
-    UsageReporter.Pace reporter() {
-        return new UsageReporter.Pace(
+    UsageReporter.Timing reporter() {
+        return new UsageReporter.Timing(
                 windowMs(),
                 settings.part("reportDueMs", 0.15),
                 settings.part("reportDueMs", 0.5),
@@ -123,8 +123,8 @@
                 settings.number("dutiesPerS"));
     }
 
-    LeaseManager.Pace lease() {
-        return new LeaseManager.Pace(
+    LeaseManager.Timing lease() {
+        return new LeaseManager.Timing(
                 settings.ms("leaseMs"),
                 settings.part("leaseMs", 0.2),
                 settings.part("leaseMs", 0.4),
@@ -134,9 +134,9 @@
                 settings.ms("restMs"));
     }
 
-    LoadBalancer.Pace elector(final IntSupplier sharers) {
-        return new LoadBalancer.Pace(
-                sharers,
+    LoadBalancer.Timing loadBalancer(final IntSupplier sharingEdges) {
+        return new LoadBalancer.Timing(
+                sharingEdges,
                 settings.number("warmRatio"),
                 settings.number("warmSlack"),
                 settings.part("leaveBoundMs", 0.25),
@@ -145,8 +145,8 @@
                 settings.number("regionCost"));
     }
 
-    AdmissionController.Pace edge() {
-        return new AdmissionController.Pace(
+    AdmissionController.Timing edge() {
+        return new AdmissionController.Timing(
                 (int) settings.ms("askOpenMax"),
                 settings.ms("heldMaxBytes"),
                 settings.ms("claimKeepMs"),
@@ -167,8 +167,8 @@
                         settings.ms("any500") == 1));
     }
 
-    GracefulShutdown.Pace departure() {
-        return new GracefulShutdown.Pace(
+    GracefulShutdown.Timing departure() {
+        return new GracefulShutdown.Timing(
                 settings.part("stopWaitMs", 0.2),
                 settings.part("stopWaitMs", 0.75),
                 settings.part("stopWaitMs", 0.9),
--- a/spokestall/src/main/java/spokestall/node/ToleratedSeatLoss.java
+++ b/spokestall/src/main/java/spokestall/node/ToleratedSeatLoss.java
@@ -10,7 +10,7 @@
 import spokestall.gossip.PartialView;
 import spokestall.settings.Settings;
 
-/** How many seats the largest loss that must be borne can take: so many cores, or districts, or regions at once. */
+/** How many seats the largest loss that must be borne can take: so many cores, or zones, or regions at once. */
 final class ToleratedSeatLoss implements ToIntFunction<List<Voter>> {
     private final Settings settings;
     private final PartialView view;
@@ -21,21 +21,21 @@
     }
 
     @Override
-    public int applyAsInt(final List<Voter> seats) {
+    public int applyAsInt(final List<Voter> voters) {
         final int byCores = (int) settings.ms("lossCores");
-        final int byDistricts = largest(seats, NodeInfo::district, (int) settings.ms("lossDistricts"));
-        final int byRegions = largest(seats, NodeInfo::region, (int) settings.ms("lossRegions"));
-        return Math.max(byCores, Math.max(byDistricts, byRegions));
+        final int byZones = largest(voters, NodeInfo::zone, (int) settings.ms("lossDistricts"));
+        final int byRegions = largest(voters, NodeInfo::region, (int) settings.ms("lossRegions"));
+        return Math.max(byCores, Math.max(byZones, byRegions));
     }
 
     /** The seats in so many of the places that have the most. A core whose place is not known counts as one by itself. */
-    private int largest(final List<Voter> seats, final Function<NodeInfo, String> placeOf, final int places) {
+    private int largest(final List<Voter> voters, final Function<NodeInfo, String> placeOf, final int places) {
         final Map<String, String> known = new HashMap<>();
         view.members().forEach(m -> known.put(m.name(), placeOf.apply(m)));
         known.put(view.self().name(), placeOf.apply(view.self()));
-        final Map<String, Integer> seatsIn = new HashMap<>();
-        seats.forEach(seat -> seatsIn.merge(known.getOrDefault(seat.name(), "?" + seat.name()), 1, Integer::sum));
-        return seatsIn.values().stream()
+        final Map<String, Integer> votersIn = new HashMap<>();
+        voters.forEach(voter -> votersIn.merge(known.getOrDefault(voter.name(), "?" + voter.name()), 1, Integer::sum));
+        return votersIn.values().stream()
                 .sorted(java.util.Comparator.reverseOrder())
                 .limit(places)
                 .mapToInt(Integer::intValue)
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -22,28 +22,28 @@
     private static final Register NO_LEASE = new Register(ProposalNumber.NONE, ProposalNumber.NONE, null);
     private static final int WINDOWS_KEPT = 16;
     private final NodeContext context;
-    private final Acceptor voter;
+    private final Acceptor acceptor;
     private final UsageTable counts;
     private final PersistedState kept;
     private List<UsageMessage.Count> countsBefore = List.of();
     private long tokenSeen;
     final UsageReporter reporter;
-    final LeaseManager keeper;
+    final LeaseManager leaseManager;
 
     UsageComponent(
             final NodeContext context,
             final PeerDirectory neighbours,
-            final Acceptor voter,
+            final Acceptor acceptor,
             final Proposer proposer,
             final UsageReporter.Platform platform,
-            final Function<String, Long> presentLife) {
+            final Function<String, Long> presentIncarnation) {
         this.context = context;
-        this.voter = voter;
-        final Timings paces = context.paces();
-        final long windowMs = paces.windowMs();
+        this.acceptor = acceptor;
+        final Timings timings = context.timings();
+        final long windowMs = timings.windowMs();
         this.counts = new UsageTable(() -> context.fleet.nowMs() / windowMs, WINDOWS_KEPT);
         this.kept = new PersistedState(
-                voter, KEPT, counts::changes, () -> new UsageMessage.Counts(context.address, 0, counts.all()));
+                acceptor, KEPT, counts::changes, () -> new UsageMessage.Counts(context.address, 0, counts.all()));
         this.reporter = new UsageReporter(
                 context.name,
                 context.address,
@@ -53,12 +53,19 @@
                 context.post,
                 context.clock,
                 context.fleet,
-                paces.reporter(),
+                timings.reporter(),
                 neighbours::coreAddresses,
                 this::floorMs,
-                presentLife);
-        this.keeper = new LeaseManager(
-                DUTY, context.name, proposer, context.clock, context.random, paces.lease(), reporter, this::leaseHere);
+                presentIncarnation);
+        this.leaseManager = new LeaseManager(
+                DUTY,
+                context.name,
+                proposer,
+                context.clock,
+                context.random,
+                timings.lease(),
+                reporter,
+                this::leaseHere);
     }
 
     /** Reads what this core's disk has from before. */
@@ -67,7 +74,7 @@
         if (before != null) {
             countsBefore = before.counts();
         }
-        voter.registers().forEach(this::seen);
+        acceptor.registers().forEach(this::seen);
     }
 
     /** A register of this core's voter, as it is stored. */
@@ -89,9 +96,9 @@
      * doesn't vote: without the registers it can't tell which windows it may report.
      */
     void tickLease(final boolean leaving) {
-        final boolean mayAcquire = voter.state() == Acceptor.State.VOTING && !leaving;
-        if (context.fleet.settled() && (keeper.state() == LeaseManager.State.HOLDING || mayAcquire)) {
-            keeper.tick();
+        final boolean mayAcquire = acceptor.state() == Acceptor.State.VOTING && !leaving;
+        if (context.fleet.settled() && (leaseManager.state() == LeaseManager.State.HOLDING || mayAcquire)) {
+            leaseManager.tick();
         }
     }
 
@@ -110,27 +117,31 @@
     void hear(final UsageMessage message) {
         if (message instanceof UsageMessage.Counts told) {
             told.counts().forEach(counts::merge);
-            context.post.send(told.from(), new UsageMessage.CountsHad(context.name, told.stamp(), context.life));
-        } else if (message instanceof UsageMessage.CountAsk ask) {
             context.post.send(
-                    ask.from(), new UsageMessage.CountBack(context.name, ask.window(), counts.counts(ask.window())));
-        } else if (message instanceof UsageMessage.CountBack back) {
+                    told.from(), new UsageMessage.CountsAcknowledged(context.name, told.stamp(), context.incarnation));
+        } else if (message instanceof UsageMessage.CountsRequest ask) {
+            context.post.send(
+                    ask.from(),
+                    new UsageMessage.CountsResponse(context.name, ask.window(), counts.counts(ask.window())));
+        } else if (message instanceof UsageMessage.CountsResponse back) {
             reporter.hear(back);
         }
     }
 
     /** Gives up the lease; done is run when that is known to have ended. */
     void stop(final Runnable done) {
-        keeper.stop(done);
+        leaseManager.stop(done);
     }
 
     /** This voter's copy of the lease, or null while it doesn't vote. */
     private Register leaseHere() {
-        return voter.state() != Acceptor.State.VOTING ? null : voter.registers().getOrDefault(LEASE, NO_LEASE);
+        return acceptor.state() != Acceptor.State.VOTING
+                ? null
+                : acceptor.registers().getOrDefault(LEASE, NO_LEASE);
     }
 
     private long floorMs() {
-        final Register floor = voter.registers().get(GenerationMerger.FLOOR);
+        final Register floor = acceptor.registers().get(GenerationMerger.FLOOR);
         return floor == null || floor.value() == null
                 ? context.fleet.nowMs()
                 : Long.parseLong(new String(floor.value(), StandardCharsets.UTF_8));
--- a/spokestall/src/main/java/spokestall/proxy/AdaptiveLimit.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdaptiveLimit.java
@@ -3,7 +3,7 @@
 /**
  * How many goes one edge may have open at one upstream, found out by how long they take: one more after a full round that
  * was quick, fewer when one took longer than it should, half when one got no answer. So what an upstream can't take waits
- * with the caller, who is told when to come back, and not in the upstream's queue.
+ * with the client, who is told when to come back, and not in the upstream's queue.
  */
 final class AdaptiveLimit {
     /** Before anything is known of an upstream. */
--- a/spokestall/src/main/java/spokestall/proxy/Attempt.java
+++ b/spokestall/src/main/java/spokestall/proxy/Attempt.java
@@ -5,7 +5,7 @@
 
 /** One attempt to have an upstream answer an ask. */
 public record Attempt(
-        String askId,
+        String requestId,
         String tenant,
         String instance,
         String service,
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -24,12 +24,12 @@
     }
 
     private final ProxyContext parts;
-    private final AdmissionController.Pace pace;
+    private final AdmissionController.Timing timing;
     private final String key;
 
-    ClaimManager(final ProxyContext parts, final AdmissionController.Pace pace, final String key) {
+    ClaimManager(final ProxyContext parts, final AdmissionController.Timing timing, final String key) {
         this.parts = parts;
-        this.pace = pace;
+        this.timing = timing;
         this.key = key;
     }
 
@@ -61,7 +61,7 @@
         parts.proposer()
                 .change(
                         key,
-                        Math.min(pace.claimWaitMs(), waitMs),
+                        Math.min(timing.claimWaitMs(), waitMs),
                         had -> {
                             final IdempotencyClaim now = read(had);
                             if (now != null && now.claimId().equals(mine.claimId())) {
@@ -81,10 +81,10 @@
     private boolean old(final RequestTicket ticket) {
         final Proposer proposer = parts.proposer();
         final long ageMs = parts.fleet().nowMs() - ticket.issuedMs();
-        return proposer.voters() == null
-                || ticket.generation() != proposer.voters().generation()
-                || ageMs > pace.claimKeepMs()
-                || -ageMs > pace.ticketAheadMs();
+        return proposer.voterSet() == null
+                || ticket.generation() != proposer.voterSet().generation()
+                || ageMs > timing.claimKeepMs()
+                || -ageMs > timing.ticketAheadMs();
     }
 
     private Claimed claimed(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
@@ -123,7 +123,7 @@
         parts.proposer()
                 .change(
                         key,
-                        pace.claimWaitMs(),
+                        timing.claimWaitMs(),
                         had -> {
                             final IdempotencyClaim now = read(had);
                             final boolean own = now != null
--- a/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
@@ -10,23 +10,23 @@
  */
 final class ConcurrencyLimiter {
     private static final class Use {
-        private int asks;
+        private int requests;
         private long bytes;
     }
 
-    private final int asksMax;
+    private final int requestsMax;
     private final long bytesMax;
     private final Map<String, Use> uses = new HashMap<>();
-    private int asks;
+    private int requests;
     private long bytes;
 
-    ConcurrencyLimiter(final int asksMax, final long bytesMax) {
-        this.asksMax = asksMax;
+    ConcurrencyLimiter(final int requestsMax, final long bytesMax) {
+        this.requestsMax = requestsMax;
         this.bytesMax = bytesMax;
     }
 
-    int asks() {
-        return asks;
+    int requests() {
+        return requests;
     }
 
     long bytes() {
@@ -35,12 +35,12 @@
 
     boolean take(final String tenant, final long more) {
         final Use use = uses.getOrDefault(tenant, new Use());
-        if (use.asks >= asksMax - asks || use.bytes + more > bytesMax - bytes) {
+        if (use.requests >= requestsMax - requests || use.bytes + more > bytesMax - bytes) {
             return false;
         }
         uses.put(tenant, use);
-        use.asks++;
-        asks++;
+        use.requests++;
+        requests++;
         hold(tenant, more);
         return true;
     }
@@ -53,15 +53,16 @@
     }
 
     void leave(final String tenant) {
-        uses.get(tenant).asks--;
-        asks--;
+        uses.get(tenant).requests--;
+        requests--;
         tidy(tenant);
     }
 
     private void tidy(final String tenant) {
         final Use use = uses.get(tenant);
-        assert use.asks >= 0 && use.bytes >= 0 && asks <= asksMax : tenant + " holds " + use.asks + " and " + use.bytes;
-        if (use.asks == 0 && use.bytes == 0) {
+        assert use.requests >= 0 && use.bytes >= 0 && requests <= requestsMax
+                : tenant + " holds " + use.requests + " and " + use.bytes;
+        if (use.requests == 0 && use.bytes == 0) {
             uses.remove(tenant);
         }
     }
--- a/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
@@ -5,21 +5,20 @@
 import spokestall.gossip.NodeInfo;
 
 /**
- * The edges that callers are told of, as an immutable list: published by the node's stage, read by any thread. An answer made
+ * The edges that clients are told of, as an immutable list: published by the node's stage, read by any thread. An answer made
  * from it does not wait for the stage, and holds for as long as the list is the same object.
  */
 public final class EdgeDirectory {
     private volatile List<NodeInfo> edges = List.of();
 
-    /** Takes the edges as they are believed to serve now; a list that names the same ones keeps its place.
-     * Example: {@code directory.publish(node.edgesForClients());} */
+    /** Takes the edges as they are believed to serve now; a list that names the same ones keeps its place. */
     public void publish(final Collection<NodeInfo> now) {
         if (!same(now)) {
             edges = List.copyOf(now);
         }
     }
 
-    /** The edges last published. Example: {@code directory.edges() == answeredFor} */
+    /** The edges last published. */
     public List<NodeInfo> edges() {
         return edges;
     }
@@ -39,7 +38,7 @@
 
     private static boolean same(final NodeInfo one, final NodeInfo other) {
         return one.httpAddress().equals(other.httpAddress())
-                && one.district().equals(other.district())
+                && one.zone().equals(other.zone())
                 && one.region().equals(other.region())
                 && one.leaving() == other.leaving();
     }
--- a/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
@@ -11,7 +11,7 @@
 public final class EdgeSelector {
     private EdgeSelector() {}
 
-    /** Example: {@code EdgeSelector.elect("client-7", edges, tenant.homeRegions(), policy.holds(), 2)} */
+    /** Example: {@code EdgeSelector.elect("client-7", edges, tenant.homeRegions(), configuration.holds(), 2)} */
     public static List<NodeInfo> elect(
             final String client,
             final Collection<NodeInfo> edges,
@@ -20,7 +20,7 @@
             final int most) {
         final List<NodeInfo> fit = new ArrayList<>();
         for (final NodeInfo edge : edges) {
-            if (!edge.leaving() && homeRegions.contains(edge.region()) && !holds.contains(edge.district())) {
+            if (!edge.leaving() && homeRegions.contains(edge.region()) && !holds.contains(edge.zone())) {
                 fit.add(edge);
             }
         }
@@ -29,9 +29,8 @@
         return fit.subList(0, Math.min(most, fit.size()));
     }
 
-    /** Those of the district, of the region where the district has but one, or all where the region has none.
-     * Example: {@code EdgeSelector.near(edges, "r1", "d1")} */
-    public static List<NodeInfo> near(final Collection<NodeInfo> edges, final String region, final String district) {
+    /** Those of the zone, of the region where the zone has but one, or all where the region has none. */
+    public static List<NodeInfo> near(final Collection<NodeInfo> edges, final String region, final String zone) {
         final List<NodeInfo> here = new ArrayList<>();
         final List<NodeInfo> around = new ArrayList<>();
         final List<NodeInfo> all = new ArrayList<>();
@@ -40,7 +39,7 @@
                 all.add(edge);
                 if (edge.region().equals(region)) {
                     around.add(edge);
-                    if (edge.district().equals(district)) {
+                    if (edge.zone().equals(zone)) {
                         here.add(edge);
                     }
                 }
--- a/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
+++ b/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
@@ -12,7 +12,7 @@
         this.word = word;
     }
 
-    /** The header's word. Example: {@code ExecutionStatus.NOT_RUN.word().equals("not-run")} */
+    /** The header's word. */
     public String word() {
         return word;
     }
--- a/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
+++ b/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
@@ -17,12 +17,12 @@
         NOT_RUN
     }
 
-    /** The register's key. Example: {@code IdempotencyClaim.key("tenant-1", "pay-17")} */
-    public static String key(final String tenant, final String askId) {
-        return "once/" + tenant + "/" + askId;
+    /** The register's key. */
+    public static String key(final String tenant, final String requestId) {
+        return "once/" + tenant + "/" + requestId;
     }
 
-    /** Whether a register key is a claim's. Example: {@code IdempotencyClaim.isKey("once/t/1")} */
+    /** Whether a register key is a claim's. */
     public static boolean isKey(final String key) {
         return key.startsWith("once/");
     }
--- a/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
@@ -21,14 +21,14 @@
 public final class LoadBalancer {
     /** Bounds, from the settings: the edges that a cold upstream's ramp is divided among, the ramp's share that is
      * used and what may come over it each second in the whole fleet, and how long one in trouble is put aside. What it
-     * costs to leave the district, and the region, is a part of a slot's work. */
-    public record Pace(
+     * costs to leave the zone, and the region, is a part of a slot's work. */
+    public record Timing(
             IntSupplier edges,
             double warmRatio,
             double warmSlack,
             long ejectMs,
             long ejectMaxMs,
-            double districtCost,
+            double zoneCost,
             double regionCost) {}
 
     /** How a go ended, as far as its upstream is concerned. */
@@ -44,46 +44,45 @@
     private static final double QUICK_LEAST = 0.4;
     private static final double QUICK_MOST = 3;
     private final String region;
-    private final String district;
+    private final String zone;
     private final Function<String, List<Upstream>> ready;
     private final Clock clock;
     private final FleetClock fleet;
     private final Random random;
-    private Pace pace;
+    private Timing timing;
     private final Map<String, AdaptiveLimit> limits = new HashMap<>();
     private final Map<String, Integer> reserved = new HashMap<>();
     private final Map<String, Integer> held = new HashMap<>();
     private final Map<String, Ejected> ejected = new HashMap<>();
     private final Map<String, Integer> losses = new HashMap<>();
-    private final Map<String, SlowStart> warmth = new HashMap<>();
-    private final Map<String, Long> coldUntilMs = new HashMap<>();
-    private final LatencyTracker quickness = new LatencyTracker();
+    private final Map<String, SlowStart> slowStart = new HashMap<>();
+    private final Map<String, Long> warmUpUntilMs = new HashMap<>();
+    private final LatencyTracker latencyTracker = new LatencyTracker();
 
     /** Example: see {@code Node}. */
     public LoadBalancer(
             final String region,
-            final String district,
+            final String zone,
             final Function<String, List<Upstream>> ready,
             final Clock clock,
             final FleetClock fleet,
             final Random random,
-            final Pace pace) {
+            final Timing timing) {
         this.region = region;
-        this.district = district;
+        this.zone = zone;
         this.ready = ready;
         this.clock = clock;
         this.fleet = fleet;
         this.random = random;
-        this.pace = pace;
+        this.timing = timing;
     }
 
-    /** Keeps to other bounds from now on. Example: {@code elector.pace(newer);} */
-    public void pace(final Pace newer) {
-        pace = newer;
+    /** Keeps to other bounds from now on. */
+    public void timing(final Timing newer) {
+        timing = newer;
     }
 
-    /** The upstream for a go, or null when none may take it.
-     * Example: {@code elector.elect(rule, u -> binding.home(tenant, u.region()), Set.of())} */
+    /** The upstream for a go, or null when none may take it. */
     public Upstream elect(final ServiceLimits rule, final Predicate<Upstream> fits, final Set<String> tried) {
         final Set<String> passed = new HashSet<>(tried);
         Upstream best = cheapest(rule, fits, passed);
@@ -120,12 +119,10 @@
     }
 
     private double cost(final ServiceLimits rule, final Upstream u, final int open) {
-        final double quick = Math.max(QUICK_LEAST, Math.min(QUICK_MOST, quickness.of(rule.name(), u.instance())));
+        final double quick = Math.max(QUICK_LEAST, Math.min(QUICK_MOST, latencyTracker.of(rule.name(), u.instance())));
         final double queue = (open + 1.0) / Math.max(1, u.slots()) * quick;
         return queue
-                + (u.region().equals(region)
-                        ? u.district().equals(district) ? 0 : pace.districtCost()
-                        : pace.regionCost());
+                + (u.region().equals(region) ? u.zone().equals(zone) ? 0 : timing.zoneCost() : timing.regionCost());
     }
 
     private int room(final Upstream u) {
@@ -134,7 +131,7 @@
     }
 
     /** Whether upstreams have room for one more go of the tenant: more than is kept for others already, and than the
-     * tenant has. Example: {@code if (!elector.mayReserve(rule, "tenant-1", fits)) deny();} */
+     * tenant has. */
     public boolean mayReserve(final ServiceLimits rule, final String tenant, final Predicate<Upstream> fits) {
         final int taken = reserved.getOrDefault(rule.name(), 0) + held.getOrDefault(tenant + " " + rule.name(), 0);
         int room = 0;
@@ -148,13 +145,13 @@
     }
 
     /** Keeps the room that {@link #mayReserve} found in the same event, so that the ask finds it once it is claimed. It is
-     * given back by {@link #release}, and the ask itself by {@link #over}. Example: {@code elector.keep(rule, "tenant-1");} */
+     * given back by {@link #release}, and the ask itself by {@link #over}. */
     public void keep(final ServiceLimits rule, final String tenant) {
         reserved.merge(rule.name(), 1, Integer::sum);
         held.merge(tenant + " " + rule.name(), 1, Integer::sum);
     }
 
-    /** One of the tenant's asks is over. Example: {@code elector.over(rule, "tenant-1");} */
+    /** One of the tenant's asks is over. */
     public void over(final ServiceLimits rule, final String tenant) {
         less(held, tenant + " " + rule.name());
     }
@@ -163,7 +160,7 @@
         counts.merge(of, -1, (had, one) -> had + one <= 0 ? null : had + one);
     }
 
-    /** The ask goes now, or never. Example: {@code elector.release(rule);} */
+    /** The ask goes now, or never. */
     public void release(final ServiceLimits rule) {
         less(reserved, rule.name());
     }
@@ -173,42 +170,41 @@
         return e != null && nowMs < e.untilMs;
     }
 
-    /** From now on these may be cold for so long, whatever is known of them otherwise: their district is given back, say.
-     * Example: {@code elector.chill(List.of("i-1"), rule.warmupMs());} */
+    /** From now on these may be cold for so long, whatever is known of them otherwise: their zone is given back, say. */
     public void chill(final Iterable<String> instances, final long spanMs) {
-        instances.forEach(i -> coldUntilMs.merge(i, clock.nowMs() + spanMs, Math::max));
+        instances.forEach(i -> warmUpUntilMs.merge(i, clock.nowMs() + spanMs, Math::max));
     }
 
     private boolean warmEnough(final ServiceLimits rule, final Upstream u) {
         final long nowMs = fleet.nowMs();
         final long ageMs = Math.max(
-                0, u.coldUntilMs() > 0 ? rule.warmupMs() - (u.coldUntilMs() - nowMs) : nowMs - u.readySinceMs());
-        final Long chilled = coldUntilMs.get(u.instance());
-        final boolean cold = chilled != null && clock.nowMs() < chilled;
-        if (ageMs >= rule.warmupMs() && !cold) {
-            warmth.remove(u.instance());
-            coldUntilMs.remove(u.instance());
+                0, u.warmUpUntilMs() > 0 ? rule.warmupMs() - (u.warmUpUntilMs() - nowMs) : nowMs - u.readySinceMs());
+        final Long chilled = warmUpUntilMs.get(u.instance());
+        final boolean warmingUp = chilled != null && clock.nowMs() < chilled;
+        if (ageMs >= rule.warmupMs() && !warmingUp) {
+            slowStart.remove(u.instance());
+            warmUpUntilMs.remove(u.instance());
             return true;
         }
-        final double ramp = pace.warmSlack() > 0 ? 1 : cold ? 0.5 : (double) ageMs / rule.warmupMs();
-        final double perS = (pace.warmRatio() * rule.warmPerS() * ramp + pace.warmSlack())
-                / pace.edges().getAsInt();
-        return warmth.computeIfAbsent(u.instance(), i -> new SlowStart(clock.nowMs()))
+        final double ramp = timing.warmSlack() > 0 ? 1 : warmingUp ? 0.5 : (double) ageMs / rule.warmupMs();
+        final double perS = (timing.warmRatio() * rule.warmPerS() * ramp + timing.warmSlack())
+                / timing.edges().getAsInt();
+        return slowStart
+                .computeIfAbsent(u.instance(), i -> new SlowStart(clock.nowMs()))
                 .spend(clock.nowMs(), perS, 1);
     }
 
-    /** A go to it has begun. Example: {@code elector.begun(upstream.instance());} */
+    /** A go to it has begun. */
     public void begun(final String instance) {
         limits.computeIfAbsent(instance, i -> new AdaptiveLimit()).begun();
     }
 
-    /** A go to it has ended after so long; slow is what should be the most.
-     * Example: {@code elector.ended(rule.name(), upstream.instance(), End.WELL, 12, rule.goMs() / 2);} */
+    /** A go to it has ended after so long; slow is what should be the most. */
     public void ended(
             final String service, final String instance, final End how, final long spentMs, final long slowMs) {
         limits.get(instance).ended(how == End.WELL || how == End.DENIED, spentMs, slowMs, clock.nowMs());
         if (how == End.WELL) {
-            quickness.took(service, instance, spentMs);
+            latencyTracker.took(service, instance, spentMs);
             ejected.remove(instance);
             losses.remove(instance);
             return;
@@ -220,8 +216,7 @@
         aside(instance, how);
     }
 
-    /** One is silent for longer than it should be; two such in a row, or one and a lost answer, and it is put aside.
-     * Example: {@code elector.late(upstream.instance());} */
+    /** One is silent for longer than it should be; two such in a row, or one and a lost answer, and it is put aside. */
     public void late(final String instance) {
         if (losses.merge(instance, 1, Integer::sum) >= 2) {
             aside(instance, End.LOST);
@@ -231,18 +226,19 @@
     private void aside(final String instance, final End how) {
         final Ejected had = ejected.get(instance);
         final int times = had == null ? 1 : Math.min(had.times + 1, 8);
-        final long spanMs =
-                how == End.DENIED ? pace.ejectMs() / 4 : Math.min(pace.ejectMaxMs(), pace.ejectMs() << (times - 1));
+        final long spanMs = how == End.DENIED
+                ? timing.ejectMs() / 4
+                : Math.min(timing.ejectMaxMs(), timing.ejectMs() << (times - 1));
         ejected.put(instance, new Ejected(clock.nowMs() + spanMs, times));
     }
 
-    /** Forgets upstreams that are gone. Example: {@code elector.retain(known);} */
+    /** Forgets upstreams that are gone. */
     public void retain(final Set<String> known) {
         ejected.keySet().retainAll(known);
         losses.keySet().retainAll(known);
-        warmth.keySet().retainAll(known);
-        coldUntilMs.keySet().retainAll(known);
-        quickness.retain(known);
+        slowStart.keySet().retainAll(known);
+        warmUpUntilMs.keySet().retainAll(known);
+        latencyTracker.retain(known);
         limits.entrySet()
                 .removeIf(e -> !known.contains(e.getKey()) && e.getValue().idle());
     }
--- a/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
@@ -15,20 +15,20 @@
 import spokestall.time.FleetClock;
 import spokestall.usage.UsageCounter;
 
-/** What an edge works with: itself, the policy and its proof, the store of claims, upstreams, and time; sharers are the edges
+/** What an edge works with: itself, the configuration and its proof, the store of claims, upstreams, and time; sharers are the edges
  * that shared bounds are divided among. */
 public record ProxyContext(
         NodeInfo self,
-        ConfigurationStore book,
+        ConfigurationStore configurationStore,
         FeedClient follower,
         Proposer proposer,
-        LoadBalancer elector,
+        LoadBalancer loadBalancer,
         UpstreamClient upstreams,
         UsageCounter counter,
-        ResponseCache shelf,
+        ResponseCache responseCache,
         MessageSender post,
         Clock clock,
         FleetClock fleet,
         Random random,
-        IntSupplier sharers,
+        IntSupplier sharingEdges,
         Function<Set<String>, List<String>> homeCores) {}
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -24,7 +24,7 @@
             RequestTarget.Good target,
             String keyHash,
             Tenant tenant,
-            Route binding,
+            Route route,
             ServiceLimits rule,
             long deadlineMs) {}
 
@@ -44,20 +44,20 @@
     private final Grant ask;
     private final Consumer<Response> done;
     private final Set<String> tried = new HashSet<>();
-    private final ClaimManager desk;
+    private final ClaimManager claimManager;
     private Stage stage = Stage.READING;
     private byte[] body;
     private IdempotencyClaim claim;
-    private final AttemptBudget goes;
+    private final AttemptBudget attempts;
     private boolean mayHaveRun;
     private Response held;
-    private boolean callerGone;
+    private boolean clientGone;
     private boolean out;
     private boolean holding;
     private boolean reserved;
     private long heldBytes;
     private ServiceLimits rule;
-    private Route binding;
+    private Route route;
 
     RequestExecution(
             final AdmissionController edge,
@@ -71,13 +71,13 @@
         this.heldBytes = heldBytes;
         this.done = done;
         this.rule = ask.rule();
-        this.binding = ask.binding();
-        this.goes = new AttemptBudget(edge.pace().habits().unsentFree());
-        this.desk = ask.binding().runOnce() && edge.pace().habits().claims()
+        this.route = ask.route();
+        this.attempts = new AttemptBudget(edge.timing().conventions().unsentFree());
+        this.claimManager = ask.route().runOnce() && edge.timing().conventions().claims()
                 ? new ClaimManager(
                         parts,
-                        edge.pace(),
-                        IdempotencyClaim.key(ask.tenant().name(), ask.head().askId()))
+                        edge.timing(),
+                        IdempotencyClaim.key(ask.tenant().name(), ask.head().requestId()))
                 : null;
         parts.clock().after(Math.max(0, ask.deadlineMs() - parts.clock().nowMs()), () -> give(ResultCode.DEADLINE));
     }
@@ -97,8 +97,8 @@
     }
 
     private boolean fits(final Upstream u) {
-        return binding.home(ask.tenant(), u.region())
-                && !parts.book().policy().holds().contains(u.district());
+        return route.home(ask.tenant(), u.region())
+                && !parts.configurationStore().configuration().holds().contains(u.zone());
     }
 
     @Override
@@ -108,26 +108,26 @@
         }
         body = whole;
         hold(whole.length + (long) ask.rule().answerMaxBytes());
-        final ResultCode barred = barred();
-        if (barred != null) {
-            give(barred);
+        final ResultCode blocked = blocked();
+        if (blocked != null) {
+            give(blocked);
             return;
         }
         if (!reserve()) {
             give(ResultCode.NO_UPSTREAM);
             return;
         }
-        if (desk == null) {
+        if (claimManager == null) {
             change(Stage.GOING);
-            go();
+            attempt();
             return;
         }
         change(Stage.CLAIMING);
-        desk.claim(
-                RequestTicket.of(ask.head().askId()),
+        claimManager.claim(
+                RequestTicket.of(ask.head().requestId()),
                 body,
                 ask.deadlineMs() - parts.clock().nowMs(),
-                () -> barred() == null,
+                () -> blocked() == null,
                 this::claimed);
     }
 
@@ -140,7 +140,7 @@
 
     @Override
     public void gone() {
-        callerGone = true;
+        clientGone = true;
         drop(ResultCode.MALFORMED);
         written();
     }
@@ -156,13 +156,13 @@
     /** Keeps the room that admission found, where no body is to come; else it is kept once the body is there, or slow
      * bodies would hold it. */
     void keep() {
-        parts.elector().keep(ask.rule(), tenantName());
+        parts.loadBalancer().keep(ask.rule(), tenantName());
         holding = true;
         reserved = true;
     }
 
     private boolean reserve() {
-        if (!holding && parts.elector().mayReserve(ask.rule(), tenantName(), this::fits)) {
+        if (!holding && parts.loadBalancer().mayReserve(ask.rule(), tenantName(), this::fits)) {
             keep();
         }
         return holding;
@@ -171,7 +171,7 @@
     private void release() {
         if (reserved) {
             reserved = false;
-            parts.elector().release(ask.rule());
+            parts.loadBalancer().release(ask.rule());
         }
     }
 
@@ -190,7 +190,7 @@
         change(Stage.ENDED);
         release();
         if (holding) {
-            parts.elector().over(ask.rule(), tenantName());
+            parts.loadBalancer().over(ask.rule(), tenantName());
         }
         hold(out || answer.content() == null ? 0 : answer.content().body().length);
         edge.ended(this, tenantName(), answer.result());
@@ -207,18 +207,18 @@
 
     /** Ends it in spokestall's own words: proven not to have run only if this call sent nothing that may have, or may yet. */
     private void give(final ResultCode result) {
-        final boolean before = RequestTicket.of(ask.head().askId()) != null;
+        final boolean before = RequestTicket.of(ask.head().requestId()) != null;
         end(edge.deny(
                 result,
-                desk != null || before || mayHaveRun || goes.open() > 0
+                claimManager != null || before || mayHaveRun || attempts.open() > 0
                         ? ExecutionStatus.UNDECIDED
                         : ExecutionStatus.NOT_RUN,
-                goes.begun()));
+                attempts.begun()));
     }
 
-    /** Whether the ask may still be sent: fresh, with its key, region, binding and district as they are now. */
-    private ResultCode barred() {
-        if (stage == Stage.ENDED || callerGone || parts.clock().nowMs() >= ask.deadlineMs()) {
+    /** Whether the ask may still be sent: fresh, with its key, region, route and zone as they are now. */
+    private ResultCode blocked() {
+        if (stage == Stage.ENDED || clientGone || parts.clock().nowMs() >= ask.deadlineMs()) {
             return ResultCode.DEADLINE;
         }
         if (!parts.follower().fresh()) {
@@ -227,30 +227,30 @@
         if (!parts.counter().mayBegin()) {
             return ResultCode.UNCOUNTED;
         }
-        final Configuration policy = parts.book().policy();
+        final Configuration configuration = parts.configurationStore().configuration();
         final Configuration.Found now =
-                policy.find(ask.head().host(), ask.target().path(), ask.keyHash());
-        if (!(now.binding() != null && now.binding().open())
+                configuration.find(ask.head().host(), ask.target().path(), ask.keyHash());
+        if (!(now.route() != null && now.route().open())
                 && !AdmissionController.nameOf(now.tenant()).equals(tenantName())) {
             return ResultCode.BAD_KEY;
         }
         if (!edge.athome(now.tenant())) {
             return ResultCode.WRONG_REGION;
         }
-        if (now.binding() == null
-                || now.binding().runOnce() != ask.binding().runOnce()
-                || !follow(policy, now.binding())) {
+        if (now.route() == null
+                || now.route().runOnce() != ask.route().runOnce()
+                || !follow(configuration, now.route())) {
             return ResultCode.NO_BINDING;
         }
-        return edge.held(policy) ? ResultCode.HELD : null;
+        return edge.held(configuration) ? ResultCode.HELD : null;
     }
 
-    /** The binding may have been changed since the ask was let in; what is sent from now on goes by the new one. */
-    private boolean follow(final Configuration policy, final Route now) {
-        if (!now.equals(binding)) {
-            binding = now;
+    /** The route may have been changed since the ask was let in; what is sent from now on goes by the new one. */
+    private boolean follow(final Configuration configuration, final Route now) {
+        if (!now.equals(route)) {
+            route = now;
             if (!now.leadsTo(rule.name())) {
-                rule = policy.service(now.service(parts.random()));
+                rule = configuration.service(now.service(parts.random()));
             }
         }
         return rule != null;
@@ -260,15 +260,15 @@
         if (how instanceof ClaimManager.Claimed.Mine mine) {
             claim = mine.claim();
             if (stage == Stage.ENDED) {
-                desk.voided(claim, proven -> {});
+                claimManager.voided(claim, proven -> {});
                 return;
             }
             change(Stage.GOING);
-            go();
+            attempt();
         } else if (how instanceof ClaimManager.Claimed.Ran before) {
             edge.fetch(
                     ask.tenant(),
-                    desk.key(),
+                    claimManager.key(),
                     before.claim().answerDigest(),
                     kept -> end(
                             kept != null
@@ -287,56 +287,56 @@
                                             0,
                                             0)));
         } else if (how instanceof ClaimManager.Claimed.Not not) {
-            final ResultCode barred = not.why() == ResultCode.UNCLEAR ? barred() : null;
-            give(barred != null ? barred : not.why());
+            final ResultCode blocked = not.why() == ResultCode.UNCLEAR ? blocked() : null;
+            give(blocked != null ? blocked : not.why());
         }
     }
 
-    /** Nothing more is sent. Under a claim that was not used, that is said in its register first, then to the caller. */
+    /** Nothing more is sent. Under a claim that was not used, that is said in its register first, then to the client. */
     private void stopBefore(final ResultCode why) {
         if (claim != null && !mayHaveRun) {
-            desk.voided(
+            claimManager.voided(
                     claim,
                     proven -> end(edge.deny(
-                            why, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, goes.begun())));
+                            why, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, attempts.begun())));
         } else {
             give(why);
         }
     }
 
-    private void go() {
-        final ResultCode barred = barred();
-        final Upstream to = barred != null ? null : parts.elector().elect(rule, this::fits, tried);
+    private void attempt() {
+        final ResultCode blocked = blocked();
+        final Upstream to = blocked != null ? null : parts.loadBalancer().elect(rule, this::fits, tried);
         if (to == null) {
-            if (goes.open() == 0 && held != null) {
+            if (attempts.open() == 0 && held != null) {
                 end(held);
-            } else if (goes.open() == 0) {
-                stopBefore(barred != null ? barred : mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
+            } else if (attempts.open() == 0) {
+                stopBefore(blocked != null ? blocked : mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
             }
             return;
         }
-        if (goes.begin()) {
+        if (attempts.begin()) {
             // Retries are a share of what upstreams were first asked, not of what was let in.
             edge.budget(rule).asked();
         }
         tried.add(to.instance());
         final RequestHead head = ask.head();
         final long waitMs =
-                Math.min(rule.goMs(), ask.deadlineMs() - parts.clock().nowMs());
+                Math.min(rule.attemptMs(), ask.deadlineMs() - parts.clock().nowMs());
         final long begunMs = parts.clock().nowMs();
-        parts.elector().begun(to.instance());
+        parts.loadBalancer().begun(to.instance());
         release();
-        if (binding.aimMs() > 0 && !ask.binding().runOnce()) {
-            final int number = goes.begun();
-            parts.clock().after(Math.max(1, (long) (LATE * binding.aimMs())), () -> late(to, number));
+        if (route.aimMs() > 0 && !ask.route().runOnce()) {
+            final int number = attempts.begun();
+            parts.clock().after(Math.max(1, (long) (LATE * route.aimMs())), () -> late(to, number));
         }
-        final LongSupplier until = () -> barred() != null
+        final LongSupplier until = () -> blocked() != null
                 ? Long.MIN_VALUE
                 : Math.min(ask.deadlineMs(), parts.follower().freshUntilMs());
         parts.upstreams()
-                .go(
+                .attempt(
                         new Attempt(
-                                head.askId(),
+                                head.requestId(),
                                 ask.tenant() == null ? null : tenantName(),
                                 to.instance(),
                                 to.service(),
@@ -347,7 +347,7 @@
                                 body,
                                 waitMs,
                                 ask.rule().answerMaxBytes(),
-                                !binding.runOnce()),
+                                !route.runOnce()),
                         until,
                         () -> counted(),
                         result -> went(to, result, begunMs));
@@ -356,8 +356,8 @@
     /** An upstream that is silent for long may be gone. What may be repeated is asked of another one too, once and paid for,
      * and the first whole answer counts. */
     private void late(final Upstream silent, final int number) {
-        if (stage == Stage.GOING && goes.open() == 1 && goes.begun() == number) {
-            parts.elector().late(silent.instance());
+        if (stage == Stage.GOING && attempts.open() == 1 && attempts.begun() == number) {
+            parts.loadBalancer().late(silent.instance());
             again();
         }
     }
@@ -369,16 +369,16 @@
     }
 
     private void went(final Upstream to, final AttemptResult result, final long begunMs) {
-        goes.ended(!(result instanceof AttemptResult.NotSent));
+        attempts.ended(!(result instanceof AttemptResult.NotSent));
         mayHaveRun |= result instanceof AttemptResult.Whole || result instanceof AttemptResult.Lost;
-        final boolean barredHere =
+        final boolean blockedHere =
                 result instanceof AttemptResult.NotSent n && n.why().equals("barred");
-        final long slowMs = binding.aimMs() > 0 ? binding.aimMs() : rule.goMs() / 4;
-        parts.elector()
+        final long slowMs = route.aimMs() > 0 ? route.aimMs() : rule.attemptMs() / 4;
+        parts.loadBalancer()
                 .ended(
                         to.service(),
                         to.instance(),
-                        barredHere || result instanceof AttemptResult.Whole
+                        blockedHere || result instanceof AttemptResult.Whole
                                 ? LoadBalancer.End.WELL
                                 : result instanceof AttemptResult.NotRun
                                         ? LoadBalancer.End.DENIED
@@ -390,7 +390,7 @@
         if (result instanceof AttemptResult.Whole whole) {
             whole(to, whole);
         } else {
-            trouble(to, result);
+            error(to, result);
         }
     }
 
@@ -400,67 +400,67 @@
             record(to, whole);
         }
         final Response answer =
-                new Response(ResultCode.OK, ExecutionStatus.RAN, whole.content(), to.instance(), goes.begun(), 0);
+                new Response(ResultCode.OK, ExecutionStatus.RAN, whole.content(), to.instance(), attempts.begun(), 0);
         final boolean poor = status == 502
                 || status == 503
-                || status >= 500 && edge.pace().habits().any500();
-        if (claim == null && poor && !ask.binding().runOnce() && stage != Stage.ENDED) {
+                || status >= 500 && edge.timing().conventions().any500();
+        if (claim == null && poor && !ask.route().runOnce() && stage != Stage.ENDED) {
             held = answer;
-            if (goes.open() > 0 || again()) {
+            if (attempts.open() > 0 || again()) {
                 return;
             }
         }
         end(answer);
     }
 
-    private void trouble(final Upstream to, final AttemptResult result) {
+    private void error(final Upstream to, final AttemptResult result) {
         LOG.atFine().log(
                 "event=trouble node=%s instance=%s ask=%s result=%s",
-                parts.self().name(), to.instance(), ask.head().askId(), result);
+                parts.self().name(), to.instance(), ask.head().requestId(), result);
         if (stage == Stage.ENDED) {
             if (claim != null && !mayHaveRun) {
-                desk.voided(claim, proven -> {});
+                claimManager.voided(claim, proven -> {});
             }
             return;
         }
-        if (ask.binding().runOnce() && mayHaveRun) {
+        if (ask.route().runOnce() && mayHaveRun) {
             give(ResultCode.LOST);
             return;
         }
-        if (goes.open() > 0) {
+        if (attempts.open() > 0) {
             return;
         }
         if (held != null) {
             end(held);
             return;
         }
-        final ResultCode barred = barred();
-        if (barred != null) {
-            stopBefore(barred);
+        final ResultCode blocked = blocked();
+        if (blocked != null) {
+            stopBefore(blocked);
         } else if (!again()) {
             stopBefore(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
     }
 
     private boolean again() {
-        final int most = binding.goesMax() > 0
-                ? Math.min(binding.goesMax(), edge.pace().goesMax())
-                : edge.pace().goesMax();
-        if (stage == Stage.ENDED || barred() != null || !goes.again(most, edge.budget(rule))) {
+        final int most = route.attemptsMax() > 0
+                ? Math.min(route.attemptsMax(), edge.timing().attemptsMax())
+                : edge.timing().attemptsMax();
+        if (stage == Stage.ENDED || blocked() != null || !attempts.again(most, edge.budget(rule))) {
             return false;
         }
-        go();
+        attempt();
         return true;
     }
 
-    /** The claim's end and the answer go to the store and to home cores; the caller need not wait for it. */
+    /** The claim's end and the answer go to the store and to home cores; the client need not wait for it. */
     private void record(final Upstream to, final AttemptResult.Whole whole) {
-        final HandoffMessage.Keep keep =
-                new HandoffMessage.Keep(desk.key(), KeyHash.hex(MessageCodec.bytes(whole.content())), whole.content());
-        parts.shelf().keep(keep);
+        final HandoffMessage.Store keep = new HandoffMessage.Store(
+                claimManager.key(), KeyHash.hex(MessageCodec.bytes(whole.content())), whole.content());
+        parts.responseCache().keep(keep);
         for (final String core : parts.homeCores().apply(ask.tenant().homeRegions())) {
             parts.post().send(core, keep);
         }
-        desk.ran(claim, whole.content().status(), keep.digest(), to.instance());
+        claimManager.ran(claim, whole.content().status(), keep.digest(), to.instance());
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/RequestHead.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestHead.java
@@ -9,14 +9,14 @@
         String host,
         String target,
         String key,
-        String askId,
+        String requestId,
         long spanMs,
         long bodyBytes,
         List<Header> headers) {
-    /** The same, after so much of its span is over. Example: {@code head.later(waitedMs)} */
+    /** The same, after so much of its span is over. */
     public RequestHead later(final long waitedMs) {
         return spanMs == Long.MIN_VALUE
                 ? this
-                : new RequestHead(method, host, target, key, askId, spanMs - waitedMs, bodyBytes, headers);
+                : new RequestHead(method, host, target, key, requestId, spanMs - waitedMs, bodyBytes, headers);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/RequestTicket.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestTicket.java
@@ -1,6 +1,6 @@
 package spokestall.proxy;
 
-/** What a caller needs for a run-once ask: the generation and the fleet's time at which it was given out. */
+/** What a client needs for a run-once ask: the generation and the fleet's time at which it was given out. */
 public record RequestTicket(long generation, long issuedMs) {
     /** Example: {@code new RequestTicket(17, 1000).text().equals("t1-17-1000")} */
     public String text() {
@@ -10,13 +10,12 @@
     /**
      * The ticket that a run-once ask's id begins with, or null when it has none. A repeat has the same id and so the
      * same ticket: with a fresh one it could run again after its claim was lost or let go.
-     * Example: {@code RequestTicket.of("t1-17-1000.pay-4").generation() == 17}
      */
-    public static RequestTicket of(final String askId) {
-        if (askId == null || !askId.matches("t1-\\d{1,15}-\\d{1,15}\\..+")) {
+    public static RequestTicket of(final String requestId) {
+        if (requestId == null || !requestId.matches("t1-\\d{1,15}-\\d{1,15}\\..+")) {
             return null;
         }
-        final String[] parts = askId.substring(0, askId.indexOf('.')).split("-");
+        final String[] parts = requestId.substring(0, requestId.indexOf('.')).split("-");
         return new RequestTicket(Long.parseLong(parts[1]), Long.parseLong(parts[2]));
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/Response.java
+++ b/spokestall/src/main/java/spokestall/proxy/Response.java
@@ -9,5 +9,5 @@
         ExecutionStatus ran,
         ResponseContent content,
         String instance,
-        int goes,
+        int attempts,
         long retryAfterMs) {}
--- a/spokestall/src/main/java/spokestall/settings/Settings.java
+++ b/spokestall/src/main/java/spokestall/settings/Settings.java
@@ -19,7 +19,7 @@
  */
 public final class Settings {
     /** One thing wrong with the settings. */
-    public record Trouble(String key, String reason) {
+    public record ValidationError(String key, String reason) {
         @Override
         public String toString() {
             return key + ": " + reason;
@@ -32,7 +32,7 @@
         record Good(Settings settings) implements Read {}
 
         /** Every trouble found. */
-        record Bad(List<Trouble> troubles) implements Read {}
+        record Bad(List<ValidationError> errors) implements Read {}
     }
 
     /** A number that isn't given is a part of another, if there is one. */
@@ -231,7 +231,7 @@
         KEYS.put(key, new Key("", what, Kind.NUMBER, least, most, of, part));
     }
 
-    /** The settings page of the help. Example: {@code System.out.print(Settings.help());} */
+    /** The settings page of the help. */
     public static String help() {
         final StringBuilder out = new StringBuilder();
         KEYS.forEach((key, k) -> out.append(String.format(
@@ -246,59 +246,63 @@
         return out.toString();
     }
 
-    /** Reads a file and flags, which win over it. Example: {@code Settings.read(path, Map.of("name", "d1-core"), true)} */
+    /** Reads a file and flags, which win over it. */
     public static Read read(final Path file, final Map<String, String> flags, final boolean core) {
-        final List<Trouble> troubles = new ArrayList<>();
+        final List<ValidationError> errors = new ArrayList<>();
         final Map<String, String> values = new TreeMap<>();
         KEYS.forEach((key, k) -> values.put(key, k.fallback));
         if (file != null) {
-            readFile(file, values, troubles);
+            readFile(file, values, errors);
         }
-        flags.forEach((key, value) -> put(key, value, values, troubles));
-        KEYS.forEach((key, k) -> check(key, k, values.get(key), troubles));
+        flags.forEach((key, value) -> put(key, value, values, errors));
+        KEYS.forEach((key, k) -> check(key, k, values.get(key), errors));
         final int seeds = values.get("seeds") == null ? 3 : values.get("seeds").split(",", -1).length;
         if (seeds != 3 && !(seeds < 3 && "0".equals(values.get("cores")))) {
-            troubles.add(new Trouble("seeds", "needs three addresses, has " + seeds));
+            errors.add(new ValidationError("seeds", "needs three addresses, has " + seeds));
         }
-        if (troubles.isEmpty()) {
-            checkTogether(values, core, troubles);
+        if (errors.isEmpty()) {
+            checkTogether(values, core, errors);
         }
-        return troubles.isEmpty() ? new Read.Good(new Settings(values)) : new Read.Bad(troubles);
+        return errors.isEmpty() ? new Read.Good(new Settings(values)) : new Read.Bad(errors);
     }
 
-    private static void readFile(final Path file, final Map<String, String> values, final List<Trouble> troubles) {
+    private static void readFile(
+            final Path file, final Map<String, String> values, final List<ValidationError> errors) {
         try {
             final JsonNode tree = JSON.readTree(Files.readAllBytes(file));
             if (tree == null || !tree.isObject()) {
-                troubles.add(new Trouble("settings", file + " is not a JSON object"));
+                errors.add(new ValidationError("settings", file + " is not a JSON object"));
                 return;
             }
             tree.fields().forEachRemaining(e -> {
                 if (e.getValue().isContainerNode()) {
-                    troubles.add(new Trouble(e.getKey(), "must be a text or a number"));
+                    errors.add(new ValidationError(e.getKey(), "must be a text or a number"));
                 } else {
-                    put(e.getKey(), e.getValue().asText(), values, troubles);
+                    put(e.getKey(), e.getValue().asText(), values, errors);
                 }
             });
         } catch (final IOException e) {
-            troubles.add(new Trouble(
+            errors.add(new ValidationError(
                     "settings",
                     "can't read " + file + " as JSON: " + e.getMessage().split("\n")[0]));
         }
     }
 
     private static void put(
-            final String key, final String value, final Map<String, String> values, final List<Trouble> troubles) {
+            final String key,
+            final String value,
+            final Map<String, String> values,
+            final List<ValidationError> errors) {
         if (KEYS.containsKey(key)) {
             values.put(key, value);
         } else {
-            troubles.add(new Trouble(key, "no such setting"));
+            errors.add(new ValidationError(key, "no such setting"));
         }
     }
 
-    private static void check(final String key, final Key k, final String value, final List<Trouble> troubles) {
+    private static void check(final String key, final Key k, final String value, final List<ValidationError> errors) {
         if (value == null) {
-            troubles.add(new Trouble(key, "must be given: " + k.what));
+            errors.add(new ValidationError(key, "must be given: " + k.what));
             return;
         }
         switch (k.kind) {
@@ -309,48 +313,48 @@
                 try {
                     final double n = Double.parseDouble(value);
                     if (!(n >= k.least && n <= k.most)) {
-                        troubles.add(new Trouble(key, value + " is not between " + k.least + " and " + k.most));
+                        errors.add(new ValidationError(key, value + " is not between " + k.least + " and " + k.most));
                     }
                 } catch (final NumberFormatException e) {
-                    troubles.add(new Trouble(key, "'" + value + "' is not a number"));
+                    errors.add(new ValidationError(key, "'" + value + "' is not a number"));
                 }
             }
-            case ADDRESS -> address(key, value, troubles);
+            case ADDRESS -> address(key, value, errors);
             case MAYBE_ADDRESS -> {
                 if (!value.isEmpty()) {
-                    address(key, value, troubles);
+                    address(key, value, errors);
                 }
             }
             case ADDRESSES -> {
                 final String[] all = value.split(",", -1);
                 for (final String one : all) {
-                    address(key, one, troubles);
+                    address(key, one, errors);
                 }
             }
             case NETS -> {
                 for (final String one : value.isEmpty() ? new String[0] : value.split(",", -1)) {
                     final String[] parts = one.split("/", -1);
-                    address(key, parts[0] + ":1", troubles);
+                    address(key, parts[0] + ":1", errors);
                     if (parts.length > 2 || parts.length == 2 && !parts[1].matches("[12]?\\d|3[0-2]")) {
-                        troubles.add(
-                                new Trouble(key, "'" + one + "' is not an IP number or a network like 10.1.0.0/16"));
+                        errors.add(new ValidationError(
+                                key, "'" + one + "' is not an IP number or a network like 10.1.0.0/16"));
                     }
                 }
             }
             case DISTRICTS -> {
                 if (!value.matches("[^=,]+=[^=,]+(,[^=,]+=[^=,]+)*")) {
-                    troubles.add(new Trouble(key, "'" + value + "' is not of the form d1=r1,d2=r1"));
+                    errors.add(new ValidationError(key, "'" + value + "' is not of the form d1=r1,d2=r1"));
                 }
             }
             default -> {
                 if (key.equals("name") && !value.matches("[A-Za-z0-9._-]{1,64}")) {
-                    troubles.add(new Trouble(key, "'" + value + "' has other than letters, digits, . _ -"));
+                    errors.add(new ValidationError(key, "'" + value + "' has other than letters, digits, . _ -"));
                 }
             }
         }
     }
 
-    private static void address(final String key, final String value, final List<Trouble> troubles) {
+    private static void address(final String key, final String value, final List<ValidationError> errors) {
         final boolean four = value.matches("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}");
         boolean good = four;
         if (four) {
@@ -361,50 +365,51 @@
             good &= port > 0 && port < 65536;
         }
         if (!good) {
-            troubles.add(new Trouble(key, "'" + value + "' is not an IP number and port like 10.0.0.1:7100"));
+            errors.add(new ValidationError(key, "'" + value + "' is not an IP number and port like 10.0.0.1:7100"));
         }
     }
 
     private static void checkTogether(
-            final Map<String, String> values, final boolean core, final List<Trouble> troubles) {
+            final Map<String, String> values, final boolean core, final List<ValidationError> errors) {
         final Settings s = new Settings(values);
-        if (!s.districts().containsKey(s.text("district"))) {
-            troubles.add(new Trouble("district", "'" + s.text("district") + "' is not among districts"));
+        if (!s.zones().containsKey(s.text("district"))) {
+            errors.add(new ValidationError("district", "'" + s.text("district") + "' is not among districts"));
         }
         if (core && s.text("data").isEmpty()) {
-            troubles.add(new Trouble("data", "a core needs a data folder"));
+            errors.add(new ValidationError("data", "a core needs a data folder"));
         }
         if (s.seeds().stream().distinct().count() != s.seeds().size()) {
-            troubles.add(new Trouble("seeds", "names an address twice"));
+            errors.add(new ValidationError("seeds", "names an address twice"));
         }
         if (s.ms("bootstrap") == 1 && s.ms("cores") != 0) {
-            troubles.add(new Trouble("bootstrap", "is for a fleet with cores 0 only"));
+            errors.add(new ValidationError("bootstrap", "is for a fleet with cores 0 only"));
         }
         if (s.text("address").equals(s.text("http"))) {
-            troubles.add(new Trouble("http", "is the same as address"));
+            errors.add(new ValidationError("http", "is the same as address"));
         }
-        address("operators", s.operators(), troubles);
+        address("operators", s.operators(), errors);
         if (s.operators().equals(s.text("http"))
                 || s.operators().equals(s.text("address"))
                 || s.operators().equals(s.listen())) {
-            troubles.add(new Trouble("operators", s.operators() + " is an address of this node for others"));
+            errors.add(new ValidationError("operators", s.operators() + " is an address of this node for others"));
         }
         if (s.ms("freshMs") < 2 * s.ms("proofMs")) {
-            troubles.add(new Trouble("freshMs", "must be at least 2 x proofMs, for a proof to be renewed in time"));
+            errors.add(
+                    new ValidationError("freshMs", "must be at least 2 x proofMs, for a proof to be renewed in time"));
         }
         if (s.ms("freshMs") + s.ms("farMs") >= s.ms("keyBoundMs")) {
-            troubles.add(
-                    new Trouble("freshMs", "must be under keyBoundMs less farMs, for a withdrawn key to stop in time"));
+            errors.add(new ValidationError(
+                    "freshMs", "must be under keyBoundMs less farMs, for a withdrawn key to stop in time"));
         }
         if (s.ms("uncountedMs") > 0 && s.ms("uncountedMs") < 2 * s.ms("countPushMs")) {
-            troubles.add(new Trouble(
+            errors.add(new ValidationError(
                     "uncountedMs", "must be 0 or at least 2 x countPushMs, for counts to be with a majority in time"));
         }
         if (s.ms("leaseMs") < 8 * s.ms("farMs")) {
-            troubles.add(new Trouble("leaseMs", "must be at least 8 x farMs, to be renewed in time"));
+            errors.add(new ValidationError("leaseMs", "must be at least 8 x farMs, to be renewed in time"));
         }
         if (s.ms("reportDueMs") < 3 * s.ms("leaseMs")) {
-            troubles.add(new Trouble("reportDueMs", "must be at least 3 x leaseMs, for a takeover to fit in"));
+            errors.add(new ValidationError("reportDueMs", "must be at least 3 x leaseMs, for a takeover to fit in"));
         }
     }
 
@@ -413,39 +418,39 @@
         return values;
     }
 
-    /** A text. Example: {@code settings.text("name")} */
+    /** A text. */
     public String text(final String key) {
         return values.get(key);
     }
 
-    /** A span or count. Example: {@code settings.ms("leaseMs")} */
+    /** A span or count. */
     public long ms(final String key) {
         return (long) number(key);
     }
 
-    /** A number. Example: {@code settings.number("retryShare")} */
+    /** A number. */
     public double number(final String key) {
         final String value = values.get(key);
         final Key k = KEYS.get(key);
         return value.isEmpty() && k.of != null ? Math.rint(k.part * number(k.of)) : Double.parseDouble(value);
     }
 
-    /** A share of a span. Example: {@code settings.part("keyBoundMs", 0.5)} */
+    /** A share of a span. */
     public long part(final String key, final double ratio) {
         return Math.max(1, Math.round(number(key) * ratio));
     }
 
-    /** How long a core or an edge counts as there without being heard. Example: {@code settings.heardMs()} */
+    /** How long a core or an edge counts as there without being heard. */
     public long heardMs() {
         return Math.max(part("leaveBoundMs", 0.3), 3 * ms("proofMs"));
     }
 
-    /** Where to listen for other nodes. Example: {@code Addresses.of(settings.listen())} */
+    /** Where to listen for other nodes. */
     public String listen() {
         return text("listen").isEmpty() ? text("address") : text("listen");
     }
 
-    /** Where operators' calls come in, away from callers. Example: {@code Addresses.of(settings.operators())} */
+    /** Where operators' calls come in, away from clients. */
     public String operators() {
         final String http = text("http");
         return text("operators").isEmpty()
@@ -453,19 +458,19 @@
                 : text("operators");
     }
 
-    /** Whose wires are taken. Example: {@code new Peers(settings.peers())} */
+    /** Whose wires are taken. */
     public String peers() {
         final String own = text("address");
         return text("peers").isEmpty() ? own.substring(0, own.indexOf(':')) + "/16" : text("peers");
     }
 
-    /** The seeds. Example: {@code settings.seeds().get(0)} */
+    /** The seeds. */
     public List<String> seeds() {
         return List.of(text("seeds").split(","));
     }
 
-    /** Every district with its region. Example: {@code settings.districts().get("d1")} */
-    public Map<String, String> districts() {
+    /** Every zone with its region. */
+    public Map<String, String> zones() {
         final Map<String, String> found = new TreeMap<>();
         for (final String one : text("districts").split(",")) {
             found.put(one.substring(0, one.indexOf('=')), one.substring(one.indexOf('=') + 1));
@@ -473,18 +478,18 @@
         return found;
     }
 
-    /** The platform's own place, beside its address. Example: {@code settings.region("d1")} */
-    public String region(final String district) {
-        return districts().get(district);
+    /** The platform's own place, beside its address. */
+    public String region(final String zone) {
+        return zones().get(zone);
     }
 
-    /** Every region. Example: {@code settings.regions().contains("r1")} */
+    /** Every region. */
     public Set<String> regions() {
-        return new TreeSet<>(districts().values());
+        return new TreeSet<>(zones().values());
     }
 
-    /** This node's region. Example: {@code settings.region()} */
+    /** This node's region. */
     public String region() {
-        return districts().get(text("district"));
+        return zones().get(text("district"));
     }
 }
--- a/spokestall/src/main/java/spokestall/settings/SettingsSource.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsSource.java
@@ -5,14 +5,13 @@
 
 /** Where a node's settings come from, so that they can be read anew while it runs. */
 public interface SettingsSource {
-    /** Reads and checks all settings as they stand now. Example: {@code source.read() instanceof Settings.Read.Good} */
+    /** Reads and checks all settings as they stand now. */
     Settings.Read read();
 
-    /** The file whose change means that there are newer settings; empty where there is none.
-     * Example: {@code source.file().map(Path::toFile)} */
+    /** The file whose change means that there are newer settings; empty where there is none. */
     Optional<Path> file();
 
-    /** Settings that never change. Example: {@code SettingsSource.constant(settings)} */
+    /** Settings that never change. */
     static SettingsSource constant(final Settings settings) {
         return new SettingsSource() {
             @Override
--- a/spokestall/src/main/java/spokestall/settings/SettingsUpdate.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsUpdate.java
@@ -28,14 +28,14 @@
             "whereS");
 
     /** What a node that runs with some settings makes of newer ones, each set good by itself. A new value that does
-     * not fit what stays in force waits too. Example: {@code SettingsUpdate.of(inForce, newer).taken()} */
+     * not fit what stays in force waits too. */
     public static SettingsUpdate of(final Settings inForce, final Settings newer, final boolean core) {
         final Set<String> changed = changed(inForce.values(), newer.values());
         final Set<String> taken = new TreeSet<>(changed);
         taken.retainAll(LIVE);
         Settings.Read mixed = mixed(inForce, newer, taken, core);
         while (mixed instanceof Settings.Read.Bad bad) {
-            if (!taken.removeAll(keys(bad.troubles()))) {
+            if (!taken.removeAll(keys(bad.errors()))) {
                 taken.clear();
             }
             mixed = mixed(inForce, newer, taken, core);
@@ -62,9 +62,9 @@
         return Settings.read(null, values, core);
     }
 
-    private static List<String> keys(final List<Settings.Trouble> troubles) {
+    private static List<String> keys(final List<Settings.ValidationError> errors) {
         final List<String> keys = new ArrayList<>();
-        troubles.forEach(trouble -> keys.add(trouble.key()));
+        errors.forEach(error -> keys.add(error.key()));
         return keys;
     }
 }
--- a/spokestall/src/main/java/spokestall/storage/DirectorySync.java
+++ b/spokestall/src/main/java/spokestall/storage/DirectorySync.java
@@ -9,7 +9,7 @@
 public final class DirectorySync {
     private DirectorySync() {}
 
-    /** Syncs the names in a folder. Example: {@code DirectorySync.sync(data.resolve("ring"));} */
+    /** Syncs the names in a folder. */
     public static void sync(final Path folder) throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
--- a/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
-/** Preallocated files in the data folder. Writes and syncs run on the disk stage, never on the caller's. */
+/** Preallocated files in the data folder. Writes and syncs run on the disk stage, never on the client's. */
 public final class FileSegmentStore implements SegmentStore {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final List<FileChannel> files = new ArrayList<>();
@@ -132,23 +132,23 @@
     }
 
     @Override
-    public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
+    public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
         disk.execute(() -> {
-            final boolean ok = down(pieces);
+            final boolean ok = down(chunks);
             back.execute(() -> done.accept(ok));
         });
     }
 
-    private boolean down(final List<Piece> pieces) {
+    private boolean down(final List<Chunk> chunks) {
         try {
             final Set<Integer> touched = new LinkedHashSet<>();
-            for (final Piece piece : pieces) {
-                final ByteBuffer bytes = ByteBuffer.wrap(piece.bytes());
-                long at = piece.at();
+            for (final Chunk chunk : chunks) {
+                final ByteBuffer bytes = ByteBuffer.wrap(chunk.bytes());
+                long at = chunk.at();
                 while (bytes.hasRemaining()) {
-                    at += files.get(piece.segment()).write(bytes, at);
+                    at += files.get(chunk.segment()).write(bytes, at);
                 }
-                touched.add(piece.segment());
+                touched.add(chunk.segment());
             }
             for (final int segment : touched) {
                 files.get(segment).force(false);
--- a/spokestall/src/main/java/spokestall/storage/SegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentStore.java
@@ -6,17 +6,17 @@
 /** The preallocated files under a ring, at the rim: real files in a process, a losing disk in the simulator. */
 public interface SegmentStore {
     /** A piece to be written at a place in one file. */
-    record Piece(int segment, int at, byte[] bytes) {}
+    record Chunk(int segment, int at, byte[] bytes) {}
 
-    /** How many files there are. Example: {@code for (int i = 0; i < segments.count(); i++) ...} */
+    /** How many files there are. */
     int count();
 
-    /** The size of each. Example: {@code if (at + length > segments.sizeBytes()) ...} */
+    /** The size of each. */
     int sizeBytes();
 
-    /** A file's whole content, or null when it can't be read. Example: {@code byte[] all = segments.read(0);} */
+    /** A file's whole content, or null when it can't be read. */
     byte[] read(int segment);
 
-    /** Writes and syncs, then tells whether all of it is down. Example: {@code segments.commit(pieces, ok -> ...);} */
-    void commit(List<Piece> pieces, Consumer<Boolean> done);
+    /** Writes and syncs, then tells whether all of it is down. */
+    void commit(List<Chunk> chunks, Consumer<Boolean> done);
 }
--- a/spokestall/src/main/java/spokestall/storage/SegmentedLog.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentedLog.java
@@ -45,7 +45,15 @@
     private record Put(String key, byte[] value, Consumer<Boolean> done) {}
 
     private record Found(
-            int segment, int from, int next, int life, long seq, long batch, long floor, String key, byte[] value) {}
+            int segment,
+            int from,
+            int next,
+            int incarnation,
+            long seq,
+            long batch,
+            long floor,
+            String key,
+            byte[] value) {}
 
     private final SegmentStore segments;
     private final Map<String, byte[]> table = new HashMap<>();
@@ -54,11 +62,11 @@
     private final long[] firstSeq;
     private final ArrayDeque<Put> waiting = new ArrayDeque<>();
     private final List<Put> batch = new ArrayList<>();
-    private final List<SegmentStore.Piece> pieces = new ArrayList<>();
+    private final List<SegmentStore.Chunk> chunks = new ArrayList<>();
     private State state = State.OPEN;
     private boolean blank = true;
     private boolean committing;
-    private int life = 1;
+    private int incarnation = 1;
     private long nextSeq = 1;
     private long floorSeq = 1;
     private int head;
@@ -67,7 +75,7 @@
     private long commits;
     private long syncedSeq;
 
-    /** Opens the files and reads what is live. Example: {@code SegmentedLog ring = new SegmentedLog(segments); if (ring.blank()) ...} */
+    /** Opens the files and reads what is live. */
     public SegmentedLog(final SegmentStore segments) {
         this.segments = segments;
         this.firstSeq = new long[segments.count()];
@@ -77,51 +85,49 @@
         open();
     }
 
-    /** True when nothing valid was found. Example: {@code if (ring.blank()) identity = fresh();} */
+    /** True when nothing valid was found. */
     public boolean blank() {
         return blank;
     }
 
-    /** The ring's state. Example: {@code if (ring.state() == SegmentedLog.State.BROKEN) stopVoting();} */
+    /** The ring's state. */
     public State state() {
         return state;
     }
 
-    /** Whether the disk takes writes, as far as is known. Example: {@code if (!ring.canWrite()) stopVoting();} */
+    /** Whether the disk takes writes, as far as is known. */
     public boolean canWrite() {
         return state == State.OPEN || state == State.FULL;
     }
 
-    /** Writes again what the disk refused: the same bytes at the same places, so it is as if the disk had been slow.
-     * Example: {@code every(spanMs, ring::retry);} */
+    /** Writes again what the disk refused: the same bytes at the same places, so it is as if the disk had been slow. */
     public void retry() {
         if (state == State.REFUSING && !committing) {
             submit();
         }
     }
 
-    /** How many commits went down. Example: {@code syncs = ring.commits() - before;} */
+    /** How many commits went down. */
     public long commits() {
         return commits;
     }
 
-    /** The number of the newest record that is synced. Example: {@code if (ring.syncedSeq() < told) restart();} */
+    /** The number of the newest record that is synced. */
     public long syncedSeq() {
         return syncedSeq;
     }
 
-    /** What live records take, as a share of what fits. Example: {@code ring.fill() > 0.8} */
+    /** What live records take, as a share of what fits. */
     public double fill() {
         return (double) charged / capacityBytes();
     }
 
-    /** All live entries. Example: {@code ring.table().forEach(this::load);} */
+    /** All live entries. */
     public Map<String, byte[]> table() {
         return table;
     }
 
-    /** Puts a value, or drops the key when it is null; done tells whether it is synced.
-     * Example: {@code ring.put("duty/usage_report", bytes, ok -> answer(ok));} */
+    /** Puts a value, or drops the key when it is null; done tells whether it is synced. */
     public void put(final String key, final byte[] value, final Consumer<Boolean> done) {
         final boolean overdue = state == State.REFUSING && waiting.size() >= WAITING_MAX;
         if (state == State.BROKEN || overdue || value != null && oversize(key, value)) {
@@ -153,7 +159,6 @@
      * How many bytes of live records fit. A file is left when the next record doesn't fit, with less unused than that record
      * has bytes. So k files written from end to end hold k * size - (the records that came first in a file) or more; with
      * records of up to a quarter of a file counted once and larger ones twice, three quarters of the files' bytes are enough.
-     * Example: {@code ring.capacityBytes() / 10}
      */
     public long capacityBytes() {
         return (long) (segments.count() - SPARE_SEGMENTS - 1) * segments.sizeBytes() * 3 / 4;
@@ -196,7 +201,7 @@
 
     private void submit() {
         committing = true;
-        segments.commit(List.copyOf(pieces), ok -> {
+        segments.commit(List.copyOf(chunks), ok -> {
             committing = false;
             if (ok) {
                 committed();
@@ -212,7 +217,7 @@
         state = state == State.REFUSING ? State.OPEN : state;
         final List<Put> down = List.copyOf(batch);
         batch.clear();
-        pieces.clear();
+        chunks.clear();
         for (final Put put : down) {
             put.done.accept(true);
         }
@@ -228,7 +233,7 @@
             at = 0;
             firstSeq[head] = nextSeq;
         }
-        pieces.add(new SegmentStore.Piece(head, at, encode(nextSeq++, batchSeq, key, value)));
+        chunks.add(new SegmentStore.Chunk(head, at, encode(nextSeq++, batchSeq, key, value)));
         at += bytes;
         index(key, value, head, bytes);
     }
@@ -293,12 +298,13 @@
             final byte[] body = payload.toByteArray();
             final ByteBuffer all = ByteBuffer.allocate(HEAD_BYTES + body.length);
             all.putInt(MAGIC)
-                    .putInt(life)
+                    .putInt(incarnation)
                     .putLong(seq)
                     .putLong(batchSeq)
                     .putLong(floorSeq)
                     .putInt(body.length);
-            all.putInt(crc(life, seq, batchSeq, floorSeq, body, 0, body.length)).put(body);
+            all.putInt(crc(incarnation, seq, batchSeq, floorSeq, body, 0, body.length))
+                    .put(body);
             return all.array();
         } catch (final IOException e) {
             throw new IllegalStateException(e);
@@ -306,7 +312,7 @@
     }
 
     private static int crc(
-            final int life,
+            final int incarnation,
             final long seq,
             final long batch,
             final long floor,
@@ -315,7 +321,7 @@
             final int length) {
         final CRC32 crc = new CRC32();
         crc.update(ByteBuffer.allocate(28)
-                .putInt(life)
+                .putInt(incarnation)
                 .putLong(seq)
                 .putLong(batch)
                 .putLong(floor)
@@ -332,21 +338,21 @@
         if (b.getInt() != MAGIC) {
             return null;
         }
-        final int life = b.getInt();
+        final int incarnation = b.getInt();
         final long seq = b.getLong();
         final long batch = b.getLong();
         final long floor = b.getLong();
         final int length = b.getInt();
         final int crc = b.getInt();
         final int body = from + HEAD_BYTES;
-        if (length < 3 || length > in.length - body || crc(life, seq, batch, floor, in, body, length) != crc) {
+        if (length < 3 || length > in.length - body || crc(incarnation, seq, batch, floor, in, body, length) != crc) {
             return null;
         }
         final int keyBytes = b.getShort() & 0xffff;
         final String key = new String(in, body + 2, keyBytes, StandardCharsets.UTF_8);
         final int valueAt = body + 2 + keyBytes + 1;
         final byte[] value = in[valueAt - 1] == 0 ? null : java.util.Arrays.copyOfRange(in, valueAt, body + length);
-        return new Found(segment, from, body + length, life, seq, batch, floor, key, value);
+        return new Found(segment, from, body + length, incarnation, seq, batch, floor, key, value);
     }
 
     private void open() {
@@ -381,8 +387,8 @@
             if (found == null) {
                 from++;
             } else {
-                life = Math.max(life, found.life + 1);
-                bySeq.merge(found.seq, found, (a, b) -> b.life > a.life ? b : a);
+                incarnation = Math.max(incarnation, found.incarnation + 1);
+                bySeq.merge(found.seq, found, (a, b) -> b.incarnation > a.incarnation ? b : a);
                 from = found.next;
             }
         }
@@ -393,7 +399,7 @@
         final List<List<Found>> runs = new ArrayList<>();
         Found before = null;
         for (final Found found : bySeq.values()) {
-            if (before == null || found.seq != before.seq + 1 || found.life < before.life) {
+            if (before == null || found.seq != before.seq + 1 || found.incarnation < before.incarnation) {
                 runs.add(new ArrayList<>());
             }
             runs.get(runs.size() - 1).add(found);
@@ -406,7 +412,7 @@
     private static boolean torn(final List<List<Found>> later, final Found last) {
         for (final List<Found> run : later) {
             for (final Found found : run) {
-                if (found.life >= last.life && found.batch > last.seq + 1) {
+                if (found.incarnation >= last.incarnation && found.batch > last.seq + 1) {
                     return false;
                 }
             }
--- a/spokestall/src/main/java/spokestall/time/FleetClock.java
+++ b/spokestall/src/main/java/spokestall/time/FleetClock.java
@@ -27,27 +27,27 @@
         this.ownOffsetMs = clock.wallMs() - clock.nowMs();
     }
 
-    /** The fleet's time. Example: {@code long window = fleet.nowMs() / windowMs;} */
+    /** The fleet's time. */
     public long nowMs() {
         return clock.nowMs() + ownOffsetMs;
     }
 
-    /** True once peers have been heard. Example: {@code if (!fleet.settled()) return;} */
+    /** True once peers have been heard. */
     public boolean settled() {
         return settled;
     }
 
     /** Takes a peer's reading. One that was long on its way, as when either end stood still, may be off by half of that: it does
-     * not replace a reading that the peer has given before. Example: {@code fleet.heard("d1-core", peerMs, true, askedMs);} */
-    public void heard(final String peer, final long peerMs, final boolean peerSettled, final long askedMs) {
+     * not replace a reading that the peer has given before. */
+    public void heard(final String peer, final long peerMs, final boolean peerSettled, final long requestedMs) {
         final long nowMs = clock.nowMs();
-        if (nowMs - askedMs > stepMs
+        if (nowMs - requestedMs > stepMs
                 && (settledPeers.containsKey(peer) || !peerSettled && freshPeers.containsKey(peer))) {
             return;
         }
         final Map<String, Long> of = peerSettled ? settledPeers : freshPeers;
         if (of.size() < PEERS_MAX || of.containsKey(peer)) {
-            of.put(peer, peerMs + (nowMs - askedMs) / 2 - nowMs);
+            of.put(peer, peerMs + (nowMs - requestedMs) / 2 - nowMs);
             (peerSettled ? freshPeers : settledPeers).remove(peer);
             move();
         }
--- a/spokestall/src/main/java/spokestall/usage/UsageCounter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageCounter.java
@@ -21,7 +21,7 @@
  */
 public final class UsageCounter {
     /** Spans and sizes, from the settings. Nothing is held back if {@code uncountedMs} is zero. */
-    public record Pace(long windowMs, long closeMs, int windowsKept, long uncountedMs, int cores, long againMs) {}
+    public record Timing(long windowMs, long closeMs, int windowsKept, long uncountedMs, int cores, long againMs) {}
 
     /** Counts on their way: of which tenants in which windows, the oldest from when. */
     private static final class Push {
@@ -40,8 +40,8 @@
     private static final long NEVER = Long.MAX_VALUE;
     private final String edge;
     private final String address;
-    private final long life;
-    private final Pace pace;
+    private final long incarnation;
+    private final Timing timing;
     private final Clock clock;
     private final FleetClock fleet;
     private final MessageSender post;
@@ -50,69 +50,67 @@
     private final Map<Long, Set<String>> changed = new TreeMap<>();
     private final TreeMap<Long, Push> pushes = new TreeMap<>();
     private final Set<Long> closed = new TreeSet<>();
-    private final Map<String, Long> lives = new HashMap<>();
+    private final Map<String, Long> incarnations = new HashMap<>();
     private long changedMs = NEVER;
     private long nextStamp = 1;
     private boolean stopped;
 
-    /** Example: {@code new UsageCounter("d1-edge", address, life, pace, clock, fleet, post, cores)} */
+    /** Example: {@code new UsageCounter("d1-edge", address, incarnation, timing, clock, fleet, post, cores)} */
     public UsageCounter(
             final String edge,
             final String address,
-            final long life,
-            final Pace pace,
+            final long incarnation,
+            final Timing timing,
             final Clock clock,
             final FleetClock fleet,
             final MessageSender post,
             final Supplier<List<String>> cores) {
         this.edge = edge;
         this.address = address;
-        this.life = life;
-        this.pace = pace;
+        this.incarnation = incarnation;
+        this.timing = timing;
         this.clock = clock;
         this.fleet = fleet;
         this.post = post;
         this.cores = cores;
     }
 
-    /** Counts one ask that an upstream began. Example: {@code counter.begun("tenant-1");} */
+    /** Counts one ask that an upstream began. */
     public void begun(final String tenant) {
-        final long window = fleet.nowMs() / pace.windowMs();
+        final long window = fleet.nowMs() / timing.windowMs();
         begun.computeIfAbsent(window, w -> new HashMap<>()).merge(tenant, 1L, Long::sum);
         changed.computeIfAbsent(window, w -> new TreeSet<>()).add(tenant);
         changedMs = Math.min(changedMs, clock.nowMs());
     }
 
-    /** Whether one more may begin: what a majority does not have yet is not older than the span for that.
-     * Example: {@code if (!counter.mayBegin()) deny();} */
+    /** Whether one more may begin: what a majority does not have yet is not older than the span for that. */
     public boolean mayBegin() {
         long oldestMs = changedMs;
         for (final Push push : pushes.values()) {
             oldestMs = Math.min(oldestMs, push.sinceMs);
         }
-        return pace.uncountedMs() == 0 || oldestMs == NEVER || clock.nowMs() - oldestMs <= pace.uncountedMs();
+        return timing.uncountedMs() == 0 || oldestMs == NEVER || clock.nowMs() - oldestMs <= timing.uncountedMs();
     }
 
-    /** Nothing more will be counted here. Example: {@code counter.stop();} */
+    /** Nothing more will be counted here. */
     public void stop() {
         stopped = true;
         begun.keySet().forEach(this::whole);
         push();
     }
 
-    /** One beat: pushes what changed and each window that is well over, and again what was not taken.
-     * Example: {@code counter.tick();} */
+    /** One beat: pushes what changed and each window that is well over, and again what was not taken. */
     public void tick() {
         if (!fleet.settled()) {
             return;
         }
-        final long now = fleet.nowMs() / pace.windowMs();
-        begun.headMap(now - pace.windowsKept()).clear();
-        changed.keySet().removeIf(w -> w < now - pace.windowsKept());
-        closed.removeIf(w -> w < now - pace.windowsKept());
+        final long now = fleet.nowMs() / timing.windowMs();
+        begun.headMap(now - timing.windowsKept()).clear();
+        changed.keySet().removeIf(w -> w < now - timing.windowsKept());
+        closed.removeIf(w -> w < now - timing.windowsKept());
         pushes.values()
                 .removeIf(p ->
-                        !p.what.isEmpty() && p.what.keySet().stream().allMatch(w -> w < now - pace.windowsKept()));
+                        !p.what.isEmpty() && p.what.keySet().stream().allMatch(w -> w < now - timing.windowsKept()));
         begun.computeIfAbsent(now, w -> new HashMap<>());
         begun.computeIfAbsent(now - 1, w -> new HashMap<>());
         for (final long window : begun.keySet()) {
@@ -121,7 +119,7 @@
             }
         }
         for (final Map.Entry<Long, Push> push : pushes.entrySet()) {
-            if (clock.nowMs() - push.getValue().sentMs >= pace.againMs()) {
+            if (clock.nowMs() - push.getValue().sentMs >= timing.againMs()) {
                 send(push.getKey(), push.getValue());
             }
         }
@@ -131,7 +129,7 @@
     }
 
     private boolean over(final long window) {
-        return stopped || (window + 1) * pace.windowMs() + pace.closeMs() < fleet.nowMs();
+        return stopped || (window + 1) * timing.windowMs() + timing.closeMs() < fleet.nowMs();
     }
 
     private void whole(final long window) {
@@ -161,7 +159,7 @@
         push.what.forEach((window, tenants) -> {
             final Map<String, Long> of = new TreeMap<>(begun.getOrDefault(window, Map.of()));
             of.keySet().retainAll(tenants);
-            counts.add(new UsageMessage.Count(edge, life, window, of, over(window)));
+            counts.add(new UsageMessage.Count(edge, incarnation, window, of, over(window)));
         });
         push.sentMs = clock.nowMs();
         for (final String core : cores.get()) {
@@ -171,18 +169,18 @@
         }
     }
 
-    /** Hears that a core has the counts of a push. Example: {@code counter.hear(had, "10.0.1.1:7100");} */
-    public void hear(final UsageMessage.CountsHad note, final String core) {
-        final Long before = lives.put(note.name(), note.life());
-        if (before != null && before != note.life()) {
+    /** Hears that a core has the counts of a push. */
+    public void hear(final UsageMessage.CountsAcknowledged message, final String core) {
+        final Long before = incarnations.put(message.name(), message.incarnation());
+        if (before != null && before != message.incarnation()) {
             // It came back, without what it had.
             begun.keySet().forEach(this::whole);
         }
-        final Push push = pushes.get(note.stamp());
+        final Push push = pushes.get(message.stamp());
         if (push != null
                 && push.had.add(core)
-                && push.had.size() > Math.max(pace.cores(), cores.get().size()) / 2) {
-            pushes.remove(note.stamp());
+                && push.had.size() > Math.max(timing.cores(), cores.get().size()) / 2) {
+            pushes.remove(message.stamp());
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -27,7 +27,7 @@
  */
 public final class UsageReporter implements LeaseManager.Work {
     /** Spans, from the settings. */
-    public record Pace(
+    public record Timing(
             long windowMs,
             long graceMs,
             long waitMaxMs,
@@ -62,7 +62,7 @@
         private final long window;
         private Stage stage = Stage.GATHER;
         private final Set<String> answered = new HashSet<>();
-        private long askedMs = -1;
+        private long requestedMs = -1;
         private long firstMs = -1;
         private SealedWindow sealed;
 
@@ -74,16 +74,16 @@
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
     private final String address;
-    private final UsageTable book;
+    private final UsageTable configurationStore;
     private final Proposer proposer;
     private final Platform platform;
     private final MessageSender post;
     private final Clock clock;
     private final FleetClock fleet;
-    private final Pace pace;
+    private final Timing timing;
     private final Supplier<List<String>> cores;
     private final LongSupplier floorMs;
-    private final Function<String, Long> presentLife;
+    private final Function<String, Long> presentIncarnation;
     private final TreeMap<Long, Unit> units = new TreeMap<>();
     private LeaseSession execution;
     private long next;
@@ -97,36 +97,36 @@
     public UsageReporter(
             final String name,
             final String address,
-            final UsageTable book,
+            final UsageTable configurationStore,
             final Proposer proposer,
             final Platform platform,
             final MessageSender post,
             final Clock clock,
             final FleetClock fleet,
-            final Pace pace,
+            final Timing timing,
             final Supplier<List<String>> cores,
             final LongSupplier floorMs,
-            final Function<String, Long> presentLife) {
+            final Function<String, Long> presentIncarnation) {
         this.name = name;
         this.address = address;
-        this.book = book;
+        this.configurationStore = configurationStore;
         this.proposer = proposer;
         this.platform = platform;
         this.post = post;
         this.clock = clock;
         this.fleet = fleet;
-        this.pace = pace;
+        this.timing = timing;
         this.cores = cores;
         this.floorMs = floorMs;
-        this.presentLife = presentLife;
+        this.presentIncarnation = presentIncarnation;
     }
 
-    /** The newest window this node sealed or saw sealed. Example: {@code reporter.lastSealed()} */
+    /** The newest window this node sealed or saw sealed. */
     public long lastSealed() {
         return lastSealed;
     }
 
-    /** Windows that could not be sent in time. Example: {@code reporter.missed()} */
+    /** Windows that could not be sent in time. */
     public long missed() {
         return missed;
     }
@@ -137,7 +137,7 @@
         units.clear();
         unanswered = false;
         sentMs = clock.nowMs();
-        next = Math.floorDiv(fleet.nowMs() - pace.dueMs(), pace.windowMs());
+        next = Math.floorDiv(fleet.nowMs() - timing.dueMs(), timing.windowMs());
         LOG.atInfo().log(
                 "event=duty_begin node=%s executionId=%s token=%s from=%s",
                 name, begun.executionId(), begun.token(), next);
@@ -149,7 +149,7 @@
         return callsOpen == 0 && !unanswered;
     }
 
-    /** One beat. Example: {@code reporter.tick();} */
+    /** One beat. */
     public void tick() {
         if (execution == null) {
             return;
@@ -177,11 +177,11 @@
 
     /** A window that began before this generation may have been reported with counts that were lost since. */
     private boolean reportable(final long window) {
-        return window * pace.windowMs() >= floorMs.getAsLong();
+        return window * timing.windowMs() >= floorMs.getAsLong();
     }
 
     private long endMs(final long window) {
-        return (window + 1) * pace.windowMs();
+        return (window + 1) * timing.windowMs();
     }
 
     private void step(final LeaseSession mine, final Unit unit) {
@@ -189,14 +189,14 @@
         if (unit.stage == Stage.GATHER) {
             gather(mine, unit, lateMs);
         } else if (unit.stage == Stage.SEND) {
-            if (lateMs + pace.sendWaitMs() / 2 > pace.dueMs()) {
+            if (lateMs + timing.sendWaitMs() / 2 > timing.dueMs()) {
                 missed++;
                 LOG.atWarning().log(
                         "event=window_missed node=%s window=%s executionId=%s lateMs=%s",
                         name, unit.window, mine.executionId(), lateMs);
                 unit.stage = Stage.OVER;
-            } else if (clock.nowMs() - sentMs >= 1000 / pace.perS()) {
-                send(mine, unit, Math.min(pace.sendWaitMs(), pace.dueMs() - lateMs));
+            } else if (clock.nowMs() - sentMs >= 1000 / timing.perS()) {
+                send(mine, unit, Math.min(timing.sendWaitMs(), timing.dueMs() - lateMs));
             }
         }
     }
@@ -204,31 +204,31 @@
     /** Seals once the others were asked and could answer, and every edge has closed the window or the wait is over. */
     private void gather(final LeaseSession mine, final Unit unit, final long lateMs) {
         // Whatever was begun in the window is with a majority by then, or never will be.
-        if (lateMs < pace.graceMs() - pace.gatherMs()) {
+        if (lateMs < timing.graceMs() - timing.gatherMs()) {
             return;
         }
         final long nowMs = clock.nowMs();
         final int all = cores.get().size();
         final boolean majority = unit.answered.size() > all / 2;
-        final boolean closed = book.closed(unit.window, presentLife);
-        final boolean askAgain = (!closed || !majority) && nowMs - unit.askedMs >= pace.gatherMs();
-        if (unit.askedMs < 0 || askAgain) {
-            unit.askedMs = nowMs;
+        final boolean closed = configurationStore.closed(unit.window, presentIncarnation);
+        final boolean askAgain = (!closed || !majority) && nowMs - unit.requestedMs >= timing.gatherMs();
+        if (unit.requestedMs < 0 || askAgain) {
+            unit.requestedMs = nowMs;
             unit.firstMs = unit.firstMs < 0 ? nowMs : unit.firstMs;
             for (final String core : cores.get()) {
-                post.send(core, new UsageMessage.CountAsk(address, unit.window));
+                post.send(core, new UsageMessage.CountsRequest(address, unit.window));
             }
         }
-        final boolean heard = unit.answered.size() >= all || majority && nowMs - unit.firstMs >= pace.gatherMs();
-        final boolean whole = closed && lateMs >= pace.graceMs();
-        if (heard && (whole || lateMs >= pace.waitMaxMs())) {
+        final boolean heard = unit.answered.size() >= all || majority && nowMs - unit.firstMs >= timing.gatherMs();
+        final boolean whole = closed && lateMs >= timing.graceMs();
+        if (heard && (whole || lateMs >= timing.waitMaxMs())) {
             seal(mine, unit);
         }
     }
 
-    /** Hears what another core has of a window. Example: {@code reporter.hear(back);} */
-    public void hear(final UsageMessage.CountBack back) {
-        back.counts().forEach(book::merge);
+    /** Hears what another core has of a window. */
+    public void hear(final UsageMessage.CountsResponse back) {
+        back.counts().forEach(configurationStore::merge);
         final Unit unit = units.get(back.window());
         if (unit != null) {
             unit.answered.add(back.name());
@@ -237,12 +237,12 @@
 
     private void seal(final LeaseSession mine, final Unit unit) {
         unit.stage = Stage.SEALING;
-        final Map<String, Long> counts = book.sum(unit.window);
+        final Map<String, Long> counts = configurationStore.sum(unit.window);
         final byte[] value =
                 MessageCodec.bytes(new SealedWindow(unit.window, counts, mine.owner(), mine.token(), false));
         proposer.change(
                 SealedWindow.key(unit.window),
-                pace.storeWaitMs(),
+                timing.storeWaitMs(),
                 now -> now == null && mine.mayWork(clock.nowMs()) && reportable(unit.window)
                         ? new RegisterEdit.Set(value)
                         : RegisterEdit.LEAVE,
@@ -294,7 +294,7 @@
         unit.stage = Stage.COMPLETING;
         proposer.change(
                 SealedWindow.key(unit.window),
-                pace.storeWaitMs(),
+                timing.storeWaitMs(),
                 value -> {
                     final SealedWindow now = value == null ? null : MessageCodec.record(value, SealedWindow.class);
                     return now == null || now.completed()
--- a/spokestall/src/test/java/spokestall/GoldenFile.java
+++ b/spokestall/src/test/java/spokestall/GoldenFile.java
@@ -13,7 +13,7 @@
 
     private GoldenFile() {}
 
-    /** The whole text of a file in the folder golden. Example: {@code GoldenFile.text("settings.json")} */
+    /** The whole text of a file in the folder golden. */
     public static String text(final String name) {
         try (InputStream in = GoldenFile.class.getResourceAsStream("/golden/" + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -22,17 +22,17 @@
         }
     }
 
-    /** Its lines. Example: {@code GoldenFile.lines("results.txt").get(0)} */
+    /** Its lines. */
     public static List<String> lines(final String name) {
         return text(name).lines().toList();
     }
 
-    /** Its text as JSON. Example: {@code GoldenFile.json("settings.json").path("name")} */
+    /** Its text as JSON. */
     public static JsonNode json(final String name) {
         return parsed(text(name));
     }
 
-    /** Any text as JSON. Example: {@code GoldenFile.parsed("{}").isObject()} */
+    /** Any text as JSON. */
     public static JsonNode parsed(final String text) {
         try {
             return JSON.readTree(text);
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -19,34 +19,38 @@
         return new ConfigurationChange("order-" + ++versions, ConfigurationChange.Kind.PATCH, PATCH, acceptedMs);
     }
 
-    private void apply(final ConfigurationStore book, final long acceptedMs) {
+    private void apply(final ConfigurationStore configurationStore, final long acceptedMs) {
         final ConfigurationChange change = change(acceptedMs);
-        book.apply(versions, change);
+        configurationStore.apply(versions, change);
     }
 
     @Test
     void anOrderIsKnownForTenMinutesWhateverComesAfterItUpToTheMost() {
-        final ConfigurationStore book = new ConfigurationStore(8);
-        apply(book, 1_000_000);
+        final ConfigurationStore configurationStore = new ConfigurationStore(8);
+        apply(configurationStore, 1_000_000);
         for (int i = 2; i <= CommittedChanges.KEPT_MOST; i++) {
-            apply(book, 1_000_000 + i * CommittedChanges.KEPT_MS / CommittedChanges.KEPT_MOST);
+            apply(configurationStore, 1_000_000 + i * CommittedChanges.KEPT_MS / CommittedChanges.KEPT_MOST);
         }
-        assertThat(book.versionOf("order-1")).as("at the end of its time").isEqualTo(1);
-        apply(book, 1_000_000 + CommittedChanges.KEPT_MS);
-        assertThat(book.versionOf("order-1")).as("one more than the most").isNull();
-        assertThat(book.orders()).hasSize(CommittedChanges.KEPT_MOST);
+        assertThat(configurationStore.versionOf("order-1"))
+                .as("at the end of its time")
+                .isEqualTo(1);
+        apply(configurationStore, 1_000_000 + CommittedChanges.KEPT_MS);
+        assertThat(configurationStore.versionOf("order-1"))
+                .as("one more than the most")
+                .isNull();
+        assertThat(configurationStore.orders()).hasSize(CommittedChanges.KEPT_MOST);
     }
 
     @Test
     void afterItsTimeAnOrderIsKnownUntilTheLeastCameAfterIt() {
-        final ConfigurationStore book = new ConfigurationStore(8);
+        final ConfigurationStore configurationStore = new ConfigurationStore(8);
         for (int i = 0; i < CommittedChanges.KEPT_LEAST; i++) {
-            apply(book, i * CommittedChanges.KEPT_MS);
+            apply(configurationStore, i * CommittedChanges.KEPT_MS);
         }
-        assertThat(book.versionOf("order-1")).isEqualTo(1);
-        apply(book, CommittedChanges.KEPT_LEAST * CommittedChanges.KEPT_MS);
-        assertThat(book.versionOf("order-1")).isNull();
-        assertThat(book.versionOf("order-2")).isEqualTo(2);
+        assertThat(configurationStore.versionOf("order-1")).isEqualTo(1);
+        apply(configurationStore, CommittedChanges.KEPT_LEAST * CommittedChanges.KEPT_MS);
+        assertThat(configurationStore.versionOf("order-1")).isNull();
+        assertThat(configurationStore.versionOf("order-2")).isEqualTo(2);
     }
 
     @Test
@@ -79,16 +83,16 @@
         final Map<String, Long> ids = new LinkedHashMap<>(Map.of("a", 6L));
         final ConfigurationSnapshot read =
                 MessageCodec.record(MessageCodec.bytes(new OldSnapshot(7, PATCH, ids)), ConfigurationSnapshot.class);
-        final ConfigurationStore book = new ConfigurationStore(4);
-        book.load(read);
-        assertThat(book.versionOf("a")).isEqualTo(6);
-        book.apply(
+        final ConfigurationStore configurationStore = new ConfigurationStore(4);
+        configurationStore.load(read);
+        assertThat(configurationStore.versionOf("a")).isEqualTo(6);
+        configurationStore.apply(
                 8,
                 MessageCodec.record(
                         MessageCodec.bytes(new OldChange("b", ConfigurationChange.Kind.PATCH, PATCH)),
                         ConfigurationChange.class));
-        assertThat(book.versionOf("b")).isEqualTo(8);
-        assertThat(MessageCodec.record(MessageCodec.bytes(book.snapshot()), OldSnapshot.class)
+        assertThat(configurationStore.versionOf("b")).isEqualTo(8);
+        assertThat(MessageCodec.record(MessageCodec.bytes(configurationStore.snapshot()), OldSnapshot.class)
                         .changeIds())
                 .containsOnlyKeys("a", "b");
         assertThat(MessageCodec.record(MessageCodec.bytes(change(5)), OldChange.class)
@@ -105,9 +109,9 @@
         final ConfigurationStore blank = new ConfigurationStore(4);
         final ConfigurationStore ahead = new ConfigurationStore(4);
         apply(ahead, 15);
-        for (final ConfigurationStore book : List.of(blank, ahead)) {
-            book.apply(900, MessageCodec.record(MessageCodec.bytes(first), ConfigurationChange.class));
-            assertThat(book.orders())
+        for (final ConfigurationStore configurationStore : List.of(blank, ahead)) {
+            configurationStore.apply(900, MessageCodec.record(MessageCodec.bytes(first), ConfigurationChange.class));
+            assertThat(configurationStore.orders())
                     .containsExactly(before.get(0), before.get(1), new CommittedChange("founding-9", 900, 30));
         }
     }
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
@@ -11,61 +11,62 @@
 import spokestall.GoldenFile;
 import spokestall.api.CallRegistry;
 
-/** The policy as operators write it: each of its fields, what it means, and how troubles in it are told. */
+/** The configuration as operators write it: each of its fields, what it means, and how troubles in it are told. */
 class ConfigurationFormatTest {
     private static final ConfigurationValidator RULES = new ConfigurationValidator(
             new CallRegistry().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1", "d2"));
     private static final NativeConfigurationFormat FORM = new NativeConfigurationFormat(RULES);
     private static final String KEY_HASH = "8ae87d5cf3a5c7a0dc57ccb0d7ca2e4ee7ac7a24d6fdbc2b3f2ce0dfdfab5ed1";
 
-    private static Configuration policy() {
+    private static Configuration configuration() {
         return FORM.read(17, GoldenFile.json("policy.json"), null);
     }
 
-    private static List<String> troubles(final String file) {
+    private static List<String> errors(final String file) {
         final List<String> told = new ArrayList<>();
         FORM.check(GoldenFile.json(file), GoldenFile.parsed("{}"))
-                .forEach(trouble -> told.add(trouble.pointer() + " " + trouble.reason()));
+                .forEach(error -> told.add(error.pointer() + " " + error.reason()));
         return told;
     }
 
     @Test
-    void thePolicyWithEveryFieldIsGood() {
-        assertThat(troubles("policy.json")).isEmpty();
+    void theConfigurationWithEveryFieldIsGood() {
+        assertThat(errors("policy.json")).isEmpty();
     }
 
     @Test
     void itIsWrittenAsItWasRead() {
         final JsonNode written = GoldenFile.json("policy.json");
-        assertThat(policy().tree()).isEqualTo(written);
-        final ConfigurationStore book = new ConfigurationStore(8, FORM);
+        assertThat(configuration().tree()).isEqualTo(written);
+        final ConfigurationStore configurationStore = new ConfigurationStore(8, FORM);
         final byte[] sent = GoldenFile.text("policy.json").getBytes(StandardCharsets.UTF_8);
-        book.apply(1, new ConfigurationChange("change-1", ConfigurationChange.Kind.PUT, sent, 0));
-        assertThat(book.policy().tree()).isEqualTo(written);
-        final String kept = new String(book.snapshot().json(), StandardCharsets.UTF_8);
+        configurationStore.apply(1, new ConfigurationChange("change-1", ConfigurationChange.Kind.PUT, sent, 0));
+        assertThat(configurationStore.configuration().tree()).isEqualTo(written);
+        final String kept = new String(configurationStore.snapshot().json(), StandardCharsets.UTF_8);
         assertThat(kept).isEqualTo(written.toString());
     }
 
     @Test
-    void tenantsAndTheirBindingsAreRead() {
-        final Configuration policy = policy();
-        assertThat(policy.tenants()).containsOnlyKeys("tenant-1", "tenant-2", "tenant-3");
-        final Tenant tenant = policy.tenantOf(KEY_HASH);
+    void tenantsAndTheirRoutesAreRead() {
+        final Configuration configuration = configuration();
+        assertThat(configuration.tenants()).containsOnlyKeys("tenant-1", "tenant-2", "tenant-3");
+        final Tenant tenant = configuration.tenantOf(KEY_HASH);
         assertThat(tenant.name()).isEqualTo("tenant-1");
         assertThat(tenant.cell()).isEqualTo("cell-1");
         assertThat(tenant.homeRegions()).containsExactlyInAnyOrder("r1", "r2");
         assertThat(tenant.keys()).hasSize(2);
         assertThat(tenant.priority(9)).isEqualTo(3);
-        assertThat(policy.tenants().get("tenant-2").priority(9)).isEqualTo(9);
-        final Route pay = tenant.binding("/pay/17");
+        assertThat(configuration.tenants().get("tenant-2").priority(9)).isEqualTo(9);
+        final Route pay = tenant.route("/pay/17");
         assertThat(pay.name()).isEqualTo("pay");
         assertThat(pay.split()).containsExactly(new Route.Share("transfers", 1));
         assertThat(pay.runOnce()).isTrue();
     }
 
     @Test
-    void bindingsForAllAreRead() {
-        final Route shared = policy().find("a.example", "/records/1", KEY_HASH).binding();
+    void routesForAllAreRead() {
+        final Route shared =
+                configuration().find("a.example", "/records/1", KEY_HASH).route();
         assertThat(shared)
                 .isEqualTo(new Route(
                         "shared-service",
@@ -79,31 +80,32 @@
                         4,
                         true,
                         Set.of("r2")));
-        assertThat(policy().find("", "/split", KEY_HASH).binding().split())
+        assertThat(configuration().find("", "/split", KEY_HASH).route().split())
                 .containsExactly(new Route.Share("records", 90), new Route.Share("transfers", 10));
     }
 
     @Test
     void servicesLimitsAndHoldsAreRead() {
-        final Configuration policy = policy();
-        assertThat(policy.service("records")).isEqualTo(new ServiceLimits("records", 1000, 2000, 300, 4000, 5.5));
-        assertThat(policy.service("transfers"))
+        final Configuration configuration = configuration();
+        assertThat(configuration.service("records"))
+                .isEqualTo(new ServiceLimits("records", 1000, 2000, 300, 4000, 5.5));
+        assertThat(configuration.service("transfers"))
                 .as("what holds without a word")
                 .isEqualTo(new ServiceLimits("transfers", 65_536, 262_144, 2000, 10_000, 10));
-        assertThat(policy.limits()).isEqualTo(new ClientLimits(8192, 3000, 15_000));
-        assertThat(policy.holds()).containsExactlyInAnyOrder("d1", "d2");
+        assertThat(configuration.limits()).isEqualTo(new ClientLimits(8192, 3000, 15_000));
+        assertThat(configuration.holds()).containsExactlyInAnyOrder("d1", "d2");
     }
 
     @Test
-    void troublesAreToldByTheirPlacesAndReasons() {
-        assertThat(troubles("policy-broken.json")).isEqualTo(GoldenFile.lines("policy-broken-troubles.txt"));
+    void errorsAreToldByTheirPlacesAndReasons() {
+        assertThat(errors("policy-broken.json")).isEqualTo(GoldenFile.lines("policy-broken-troubles.txt"));
     }
 
     @Test
     void whatDoesNotFitTheSchemaIsToldByItsPlaces() {
         final List<String> places = new ArrayList<>();
         FORM.check(GoldenFile.json("policy-not-of-the-schema.json"), GoldenFile.parsed("{}"))
-                .forEach(trouble -> places.add(trouble.pointer()));
+                .forEach(error -> places.add(error.pointer()));
         assertThat(places)
                 .containsExactlyInAnyOrder(
                         "/cells/cell-1/tenants/tenant-1",
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
@@ -13,17 +13,17 @@
     private static final ConfigurationValidator RULES =
             new ConfigurationValidator(new CallRegistry().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
 
-    private static ObjectNode policy() {
-        final ObjectNode policy = ConfigurationStore.JSON.createObjectNode();
-        final ObjectNode cells = policy.putObject("cells");
+    private static ObjectNode configuration() {
+        final ObjectNode configuration = ConfigurationStore.JSON.createObjectNode();
+        final ObjectNode cells = configuration.putObject("cells");
         for (int i = 0; i < 4; i++) {
             final ObjectNode t = cells.putObject("c" + i).putObject("tenants").putObject("t" + i);
             t.putArray("homeRegions").add("r1");
             t.putObject("keys").putObject("k").put("sha256", KeyHash.of("key-" + i));
             t.putObject("bindings").putObject("b").put("path", "/b" + i).put("service", "s");
         }
-        policy.putObject("services").putObject("s");
-        return policy;
+        configuration.putObject("services").putObject("s");
+        return configuration;
     }
 
     private static JsonNode patch(final Random random) {
@@ -58,25 +58,25 @@
 
     /** Checking only what changed says the same as checking all, whatever came before. */
     @Test
-    void whatIsSharedWithAGoodPolicyNeedNotBeCheckedAgain() {
+    void whatIsSharedWithAGoodConfigurationNeedNotBeCheckedAgain() {
         final Random random = new Random(4);
-        JsonNode good = policy();
+        JsonNode good = configuration();
         final JsonNode nothing = ConfigurationStore.JSON.createObjectNode();
         int accepted = 0;
-        int denied = 0;
+        int rejected = 0;
         for (int i = 0; i < 3000; i++) {
             final JsonNode after = MergePatch.apply(good, patch(random));
             final var whole = RULES.check(after, nothing);
             final var part = RULES.check(after, good);
             assertThat(part.isEmpty()).as(after + " " + whole + " " + part).isEqualTo(whole.isEmpty());
             if (whole.isEmpty()) {
-                good = random.nextInt(20) == 0 ? policy() : after;
+                good = random.nextInt(20) == 0 ? configuration() : after;
                 accepted++;
             } else {
-                denied++;
+                rejected++;
             }
         }
         assertThat(accepted).isGreaterThan(300);
-        assertThat(denied).isGreaterThan(300);
+        assertThat(rejected).isGreaterThan(300);
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
@@ -21,10 +21,8 @@
     }
 
     /** The rule as it is told: the longest that leads there. */
-    private static boolean leads(final String binding, final String path) {
-        return binding.endsWith("/")
-                ? path.startsWith(binding)
-                : path.equals(binding) || path.startsWith(binding + "/");
+    private static boolean leads(final String route, final String path) {
+        return route.endsWith("/") ? path.startsWith(route) : path.equals(route) || path.startsWith(route + "/");
     }
 
     @Test
@@ -32,11 +30,11 @@
         final Random random = new Random(7);
         int found = 0;
         for (int round = 0; round < 2000; round++) {
-            final RouteTable bindings = new RouteTable();
+            final RouteTable routes = new RouteTable();
             final List<String> all = new ArrayList<>();
             for (int n = random.nextInt(8); n >= 0; n--) {
                 final String path = random.nextInt(20) == 0 ? "/" : path(random, true);
-                bindings.add(Route.of("b", path, "s", false));
+                routes.add(Route.of("b", path, "s", false));
                 all.add(path);
             }
             final String asked = path(random, true);
@@ -44,17 +42,17 @@
                     .filter(b -> leads(b, asked))
                     .max(Comparator.comparingInt(String::length))
                     .orElse(null);
-            final Route binding = bindings.find(asked);
-            assertThat(binding == null ? null : binding.path())
+            final Route route = routes.find(asked);
+            assertThat(route == null ? null : route.path())
                     .as(asked + " among " + all)
                     .isEqualTo(expected);
-            found += binding == null ? 0 : 1;
+            found += route == null ? 0 : 1;
         }
         assertThat(found).isBetween(300, 1900);
     }
 
     @Test
-    void whatABindingAndATenantSayOfRegionsBothBind() {
+    void whatARouteAndATenantSayOfRegionsBothBind() {
         final Route open = Route.of("b", "/b", "s", false);
         final Route two = new Route("b", "", "/b", open.split(), false, 0, 0, 0, 0, false, Set.of("r1", "r2"));
         final Tenant tenant = new Tenant("t", "", null, Set.of("r2", "r3"), Set.of(), null, List.of());
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -20,15 +20,15 @@
 
 /** Whom a follower asks for news, seen from the cores. */
 class FeedClientTest {
-    private record Sent(String to, Message note) {}
+    private record Sent(String to, Message message) {}
 
-    private static final long BEAT_MS = 400;
+    private static final long TICK_MS = 400;
     private static final VoterSet TABLE =
-            new VoterSet(1, 1, List.of(seat("a"), seat("b"), seat("c"), seat("d"), seat("e")));
+            new VoterSet(1, 1, List.of(voter("a"), voter("b"), voter("c"), voter("d"), voter("e")));
     private static final long BASE = TABLE.firstNumber();
     private final List<Sent> sent = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
-    private final ConfigurationStore book = new ConfigurationStore(8);
+    private final ConfigurationStore configurationStore = new ConfigurationStore(8);
     private final NodeInfo self = new NodeInfo("edge", "x", "x", false, "d1", "r1", 7, 0, false, 5, 1, false);
     private final FeedClient follower;
 
@@ -36,21 +36,21 @@
         final Proposer proposer = new Proposer(
                 "edge#7",
                 "x",
-                (to, note) -> sent.add(new Sent(to, note)),
+                (to, message) -> sent.add(new Sent(to, message)),
                 clock,
                 new Random(1),
-                new Proposer.Pace(400, 50, 64),
-                (seat, key) -> {});
+                new Proposer.Timing(400, 50, 64),
+                (voter, key) -> {});
         proposer.adopt(TABLE);
-        book.load(snapshot(BASE + 1));
+        configurationStore.load(snapshot(BASE + 1));
         follower = new FeedClient(
                 () -> self,
-                book,
+                configurationStore,
                 new EndpointRegistry(7, 64, 4000, true),
                 proposer,
-                (to, note) -> sent.add(new Sent(to, note)),
+                (to, message) -> sent.add(new Sent(to, message)),
                 clock,
-                new FeedClient.Pace(1000, 32, 3 * BEAT_MS, 64, false),
+                new FeedClient.Timing(1000, 32, 3 * TICK_MS, 64, false),
                 List::of,
                 table -> {},
                 () -> {},
@@ -58,7 +58,7 @@
                 address -> address.charAt(0));
     }
 
-    private static Voter seat(final String name) {
+    private static Voter voter(final String name) {
         return new Voter(name, name, "disk-" + name);
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Beats and gives what was sent. */
-    private List<Sent> beat() {
+    private List<Sent> tick() {
         sent.clear();
         follower.tick();
         return List.copyOf(sent);
@@ -75,30 +75,30 @@
 
     private static List<String> askedForNews(final List<Sent> of) {
         return of.stream()
-                .filter(s -> s.note instanceof FeedMessage.FeedAsk a && a.news())
+                .filter(s -> s.message instanceof FeedMessage.FeedRequest a && a.update())
                 .map(Sent::to)
                 .toList();
     }
 
-    private static long askId(final List<Sent> of) {
-        return ((FeedMessage.FeedAsk) of.stream()
-                        .filter(s -> s.note instanceof FeedMessage.FeedAsk)
+    private static long requestId(final List<Sent> of) {
+        return ((FeedMessage.FeedRequest) of.stream()
+                        .filter(s -> s.message instanceof FeedMessage.FeedRequest)
                         .findFirst()
                         .orElseThrow()
-                        .note)
-                .askId();
+                        .message)
+                .requestId();
     }
 
-    private void proof(final String core, final long askId, final long applied) {
-        follower.hear(
-                new FeedMessage.ProofBack(core, askId, 1, 1, Fingerprints.of("disk-" + core), true, false, applied, 0));
+    private void proof(final String core, final long requestId, final long applied) {
+        follower.hear(new FeedMessage.FreshnessResponse(
+                core, requestId, 1, 1, Fingerprints.of("disk-" + core), true, false, applied, 0));
     }
 
-    private void back(final String core, final long askId, final long applied, final ConfigurationSnapshot with) {
-        follower.hear(new FeedMessage.FeedBack(
+    private void back(final String core, final long requestId, final long applied, final ConfigurationSnapshot with) {
+        follower.hear(new FeedMessage.FeedResponse(
                 core,
                 "disk-" + core,
-                askId,
+                requestId,
                 null,
                 true,
                 applied,
@@ -123,13 +123,13 @@
         final List<Boolean> told = new ArrayList<>();
         sent.clear();
         follower.current(500, told::add);
-        final long inTime = askId(sent);
+        final long inTime = requestId(sent);
         clock.advance(200);
         List.of("b", "c", "d").forEach(core -> proof(core, inTime, BASE + 1));
         assertThat(told).containsExactly(true);
         sent.clear();
         follower.current(500, told::add);
-        final long late = askId(sent);
+        final long late = requestId(sent);
         clock.advance(20_000);
         List.of("b", "c", "d").forEach(core -> proof(core, late, BASE + 1));
         assertThat(told).containsExactly(true, false);
@@ -137,54 +137,54 @@
 
     @Test
     void whenAllAreAheadOneIsAskedForNewsOnce() {
-        final List<Sent> first = beat();
+        final List<Sent> first = tick();
         assertThat(askedForNews(first)).containsExactly("a");
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("b", "c", "d", "e")) {
-            proof(core, askId(first), BASE + 2);
+            proof(core, requestId(first), BASE + 2);
         }
         assertThat(askedForNews(sent))
                 .as("the nearest was asked already, its reply is on its way")
                 .isEmpty();
-        back("a", askId(first), BASE + 2, snapshot(BASE + 2));
-        assertThat(book.policy().version()).isEqualTo(BASE + 2);
+        back("a", requestId(first), BASE + 2, snapshot(BASE + 2));
+        assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
         assertThat(askedForNews(sent)).isEmpty();
         assertThat(follower.ageMs()).as("proved by the ask of the beat").isEqualTo(20);
     }
 
     @Test
     void whenWhoWasAskedIsBehindItselfOneThatIsAheadIsAskedAtOnce() {
-        final List<Sent> first = beat();
+        final List<Sent> first = tick();
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("e", "d", "c", "b")) {
-            proof(core, askId(first), BASE + 2);
+            proof(core, requestId(first), BASE + 2);
         }
-        back("a", askId(first), BASE + 1, null);
+        back("a", requestId(first), BASE + 1, null);
         assertThat(askedForNews(sent)).containsExactly("b");
     }
 
     @Test
     void whenWhoWasAskedIsSilentABeatLaterAnotherIsAsked() {
-        beat();
-        clock.advance(BEAT_MS);
-        final List<Sent> second = beat();
+        tick();
+        clock.advance(TICK_MS);
+        final List<Sent> second = tick();
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("b", "c", "d", "e")) {
-            proof(core, askId(second), BASE + 2);
+            proof(core, requestId(second), BASE + 2);
         }
         assertThat(askedForNews(sent)).containsExactly("b");
         back("b", 0, BASE + 2, snapshot(BASE + 2));
-        assertThat(book.policy().version()).isEqualTo(BASE + 2);
+        assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
     }
 
     @Test
     void aCoreThatSaysItIsAheadAndSendsNothingIsNotAskedWithoutEnd() {
-        final List<Sent> first = beat();
+        final List<Sent> first = tick();
         sent.clear();
-        back("a", askId(first), BASE + 2, null);
+        back("a", requestId(first), BASE + 2, null);
         for (int i = 0; i < 10; i++) {
             back("a", 0, BASE + 2, null);
         }
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -8,8 +8,8 @@
 /** Keys of what a voter keeps beside its registers, against their literals. */
 class AcceptorKeyStabilityTest {
     @Test
-    void keysOfAVotersOwnRecordsAreTheLiteralOnes() {
-        assertThat(Acceptor.VOTERS).isEqualTo("~voters");
+    void keysOfAVoterSetOwnRecordsAreTheLiteralOnes() {
+        assertThat(Acceptor.VOTER_SET).isEqualTo("~voters");
         assertThat(Acceptor.CAUGHT).isEqualTo("~caught");
         assertThat(Acceptor.DISK).isEqualTo("~disk");
         assertThat(Acceptor.FLOOR).isEqualTo("~floor");
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -68,53 +68,53 @@
         return new InMemorySegmentStore(8, 1 << 14);
     }
 
-    private static VoterSet table(final int seats) {
+    private static VoterSet table(final int voters) {
         final List<Voter> all = new ArrayList<>();
-        for (int i = 0; i < seats; i++) {
+        for (int i = 0; i < voters; i++) {
             all.add(new Voter("v" + i, "v" + i, "disk-" + i));
         }
         return new VoterSet(3, 4, all);
     }
 
     private static Acceptor joiner() {
-        return new Acceptor("v0", new SegmentedLog(disk()), (to, note) -> {}, OPEN, "disk-0");
+        return new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, OPEN, "disk-0");
     }
 
     @Test
     void aJoinerVotesOnlyOnceItHasReadFromSoManyThatEveryMajorityIsMet() {
-        for (int seats = 2; seats <= VoterSet.SEATS_MAX; seats++) {
-            final VoterSet table = table(seats);
-            assertThat(table.meeting() + table.majority()).isGreaterThan(seats);
-            assertThat(table(seats + 1).meeting()).isGreaterThanOrEqualTo(table.meeting());
-            final Acceptor voter = joiner();
-            voter.adopt(table);
+        for (int voters = 2; voters <= VoterSet.VOTERS_MAX; voters++) {
+            final VoterSet table = table(voters);
+            assertThat(table.meeting() + table.majority()).isGreaterThan(voters);
+            assertThat(table(voters + 1).meeting()).isGreaterThanOrEqualTo(table.meeting());
+            final Acceptor acceptor = joiner();
+            acceptor.adopt(table);
             for (int i = 1; i <= table.meeting(); i++) {
-                assertThat(voter.state()).as("%s of %s", i, seats).isEqualTo(Acceptor.State.CATCHING_UP);
-                final ConsensusMessage.CatchBack back =
-                        new ConsensusMessage.CatchBack("v" + i, 3, 4, "", List.of(), true, 0);
-                voter.hear(back, "v0");
-                voter.hear(back, "v0");
-                voter.hear(new ConsensusMessage.CatchBack("v" + (i + 1), 3, 3, "", List.of(), true, 0), "v0");
+                assertThat(acceptor.state()).as("%s of %s", i, voters).isEqualTo(Acceptor.State.CATCHING_UP);
+                final ConsensusMessage.CatchUpResponse back =
+                        new ConsensusMessage.CatchUpResponse("v" + i, 3, 4, "", List.of(), true, 0);
+                acceptor.hear(back, "v0");
+                acceptor.hear(back, "v0");
+                acceptor.hear(new ConsensusMessage.CatchUpResponse("v" + (i + 1), 3, 3, "", List.of(), true, 0), "v0");
             }
-            assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
+            assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
         }
     }
 
-    private static ConsensusMessage.CatchBack allOf(final String name, final long floor) {
-        return new ConsensusMessage.CatchBack(name, 3, 4, "", List.of(), true, floor);
+    private static ConsensusMessage.CatchUpResponse allOf(final String name, final long floor) {
+        return new ConsensusMessage.CatchUpResponse(name, 3, 4, "", List.of(), true, floor);
     }
 
     @Test
     void aJoinerTakesTheHighestFloorOfThoseThatItReadFromAndKeepsItThroughARestart() {
         final SegmentStore disk = disk();
-        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
-        voter.adopt(table(5));
-        voter.hear(allOf("v1", 7), "v0");
-        voter.hear(allOf("v2", 40), "v0");
-        voter.hear(allOf("v3", 0), "v0");
-        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
-        assertThat(voter.floor()).isEqualTo(40);
-        final Acceptor again = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "other");
+        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
+        acceptor.adopt(table(5));
+        acceptor.hear(allOf("v1", 7), "v0");
+        acceptor.hear(allOf("v2", 40), "v0");
+        acceptor.hear(allOf("v3", 0), "v0");
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
+        assertThat(acceptor.floor()).isEqualTo(40);
+        final Acceptor again = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "other");
         assertThat(again.state()).isEqualTo(Acceptor.State.VOTING);
         assertThat(again.floor()).isEqualTo(40);
     }
@@ -122,17 +122,17 @@
     @Test
     void aJoinerDoesNotVoteBeforeWhatTheOthersLetGoIsOnItsOwnDisk() {
         final AtomicLong snapshotDown = new AtomicLong(39);
-        final Acceptor voter =
-                new Acceptor("v0", new SegmentedLog(disk()), (to, note) -> {}, new Holding(snapshotDown), "disk-0");
-        voter.adopt(table(5));
-        voter.hear(allOf("v1", 7), "v0");
-        voter.hear(allOf("v2", 40), "v0");
-        voter.hear(allOf("v3", 0), "v0");
-        voter.tick("v0");
-        assertThat(voter.state()).isEqualTo(Acceptor.State.CATCHING_UP);
+        final Acceptor acceptor =
+                new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, new Holding(snapshotDown), "disk-0");
+        acceptor.adopt(table(5));
+        acceptor.hear(allOf("v1", 7), "v0");
+        acceptor.hear(allOf("v2", 40), "v0");
+        acceptor.hear(allOf("v3", 0), "v0");
+        acceptor.tick("v0");
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
         snapshotDown.set(40);
-        voter.tick("v0");
-        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
+        acceptor.tick("v0");
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
     @Test
@@ -152,16 +152,16 @@
 
     @Test
     void whoResignedFromAGenerationVotesInNoneOfItsEpochs() {
-        final Acceptor voter = joiner();
-        voter.found(table(3), List.of());
-        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
-        voter.resign(3);
-        voter.adopt(table(3).add(new Voter("new", "new", "x")));
-        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
-        voter.foundLate(table(3), List.of());
-        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
-        voter.adopt(new VoterSet(9, 1, table(3).seats()));
-        assertThat(voter.state()).isEqualTo(Acceptor.State.CATCHING_UP);
+        final Acceptor acceptor = joiner();
+        acceptor.found(table(3), List.of());
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
+        acceptor.resign(3);
+        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
+        acceptor.foundLate(table(3), List.of());
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
+        acceptor.adopt(new VoterSet(9, 1, table(3).voters()));
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
     }
 
     /** A disk whose writes are down when the test says so. */
@@ -174,8 +174,8 @@
         }
 
         @Override
-        public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
-            held.add(() -> super.commit(pieces, done));
+        public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
+            held.add(() -> super.commit(chunks, done));
             if (!holds) {
                 letGo();
             }
@@ -191,46 +191,46 @@
     @Test
     void whoResignsWhileATableIsOnItsWayToTheDiskStaysResigned() {
         final Held disk = new Held();
-        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
-        voter.found(table(3), List.of());
+        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
+        acceptor.found(table(3), List.of());
         disk.holds = true;
-        voter.adopt(table(3).add(new Voter("new", "new", "x")));
-        voter.resign(3);
+        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
+        acceptor.resign(3);
         disk.letGo();
-        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
     }
 
     @Test
     void whoResignedCatchesUpInNoLaterEpoch() {
         final Held disk = new Held();
-        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
-        voter.found(table(3), List.of());
-        voter.resign(3);
+        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
+        acceptor.found(table(3), List.of());
+        acceptor.resign(3);
         disk.holds = true;
-        voter.adopt(table(3).add(new Voter("new", "new", "x")));
+        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
         for (int i = 1; i < 3; i++) {
-            voter.hear(new ConsensusMessage.CatchBack("v" + i, 3, 5, "", List.of(), true, 0), "v0");
+            acceptor.hear(new ConsensusMessage.CatchUpResponse("v" + i, 3, 5, "", List.of(), true, 0), "v0");
         }
         disk.letGo();
-        assertThat(voter.state()).isEqualTo(Acceptor.State.RESIGNED);
-        assertThat(voter.keepsState()).isTrue();
-        assertThat(voter.hasState()).isFalse();
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
+        assertThat(acceptor.keepsState()).isTrue();
+        assertThat(acceptor.hasState()).isFalse();
     }
 
     /** Two joiners that each had caught up as the other's table came would wait for each other's votes for ever. */
     @Test
     void whoHasCaughtUpAsATableComesVotesOnceItIsDown() {
         final Held disk = new Held();
-        final Acceptor voter = new Acceptor("v0", new SegmentedLog(disk), (to, note) -> {}, OPEN, "disk-0");
-        voter.adopt(table(3));
-        assertThat(voter.state()).isEqualTo(Acceptor.State.CATCHING_UP);
+        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
+        acceptor.adopt(table(3));
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
         disk.holds = true;
         for (int i = 1; i < 3; i++) {
-            voter.hear(new ConsensusMessage.CatchBack("v" + i, 3, 4, "", List.of(), true, 0), "v0");
+            acceptor.hear(new ConsensusMessage.CatchUpResponse("v" + i, 3, 4, "", List.of(), true, 0), "v0");
         }
-        voter.adopt(table(3).add(new Voter("new", "new", "x")));
-        assertThat(voter.state()).as("before the table is down").isEqualTo(Acceptor.State.CATCHING_UP);
+        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
+        assertThat(acceptor.state()).as("before the table is down").isEqualTo(Acceptor.State.CATCHING_UP);
         disk.letGo();
-        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 }
--- a/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
+++ b/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
@@ -11,7 +11,7 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.EventClock;
 
-/** Six voters and some proposers in virtual time, with notes late, lost and doubled, and voters that lose power. */
+/** Six voters and some proposers in virtual time, with messages late, lost and doubled, and voters that lose power. */
 public final class ConsensusTestContext {
     /** Takes every value and never lets a key go. */
     private static final class Open implements RegisterGuard {
@@ -50,41 +50,42 @@
     public ConsensusTestContext(final long seed, final double loss) {
         this.random = new Random(seed);
         this.loss = loss;
-        final List<Voter> seats = new ArrayList<>();
+        final List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            seats.add(new Voter("v" + i, "v" + i, "disk-" + i));
+            voters.add(new Voter("v" + i, "v" + i, "disk-" + i));
             disks.add(new DelayedSegmentStore(8, 1 << 16, clock, () -> 1 + random.nextInt(3)));
         }
-        table = new VoterSet(1, 1, seats);
+        table = new VoterSet(1, 1, voters);
         for (int i = 0; i < 6; i++) {
-            final Acceptor voter = voter(i);
-            clock.after(0, () -> voter.found(table, List.of()));
+            final Acceptor acceptor = acceptor(i);
+            clock.after(0, () -> acceptor.found(table, List.of()));
         }
         run(100);
     }
 
-    private Acceptor voter(final int i) {
+    private Acceptor acceptor(final int i) {
         final String name = "v" + i;
-        final Acceptor voter = new Acceptor(name, new SegmentedLog(disks.get(i)), this::send, new Open(), "disk-" + i);
-        ears.put(name, note -> voter.hear((ConsensusMessage) note, name));
-        return voter;
+        final Acceptor acceptor =
+                new Acceptor(name, new SegmentedLog(disks.get(i)), this::send, new Open(), "disk-" + i);
+        ears.put(name, message -> acceptor.hear((ConsensusMessage) message, name));
+        return acceptor;
     }
 
     /** Sends a note late, twice or not at all. */
-    public void send(final String to, final Message note) {
+    public void send(final String to, final Message message) {
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
         for (int i = 0; i < times; i++) {
-            clock.after(1 + random.nextInt(40), () -> ears.get(to).accept(note));
+            clock.after(1 + random.nextInt(40), () -> ears.get(to).accept(message));
         }
     }
 
     /** A proposer of its own name. */
     public Proposer proposer(final String name) {
         final Proposer made = new Proposer(
-                name + "#1", name, this::send, clock, random, new Proposer.Pace(150, 30, 1000), (seat, key) -> {});
+                name + "#1", name, this::send, clock, random, new Proposer.Timing(150, 30, 1000), (voter, key) -> {});
         made.adopt(table);
-        ears.put(name, note -> {
-            if (note instanceof ConsensusMessage b) {
+        ears.put(name, message -> {
+            if (message instanceof ConsensusMessage b) {
                 made.hear(b);
             }
         });
@@ -94,7 +95,7 @@
     /** The power of one voter goes and comes back at once: what was not synced is lost. */
     public void bounce(final int i) {
         disks.get(i).losePower();
-        voter(i);
+        acceptor(i);
     }
 
     /** Goes on until then. */
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -17,7 +17,7 @@
 
 /** Versions that were decided and let go are decided for good, whoever is replaced or restarted after. */
 class VersionFloorTest {
-    private static final int SEATS = 6;
+    private static final int VOTERS = 6;
     private static final long DECIDED = 40;
     private static final long FLOOR = 30;
     private static final byte[] FIRST = {1};
@@ -27,14 +27,14 @@
     private final class Machine implements RegisterGuard {
         private final String name;
         private InMemorySegmentStore disk = new InMemorySegmentStore(8, 1 << 14);
-        private Acceptor voter;
+        private Acceptor acceptor;
 
         Machine(final String name) {
             this.name = name;
         }
 
         void start(final String freshId) {
-            voter = new Acceptor(name, new SegmentedLog(disk), VersionFloorTest.this::post, this, freshId);
+            acceptor = new Acceptor(name, new SegmentedLog(disk), VersionFloorTest.this::post, this, freshId);
         }
 
         @Override
@@ -45,7 +45,7 @@
         @Override
         public boolean gone(final String key) {
             final long version = ConfigurationKeys.of(key);
-            return version >= 0 && version <= voter.floor();
+            return version >= 0 && version <= acceptor.floor();
         }
 
         @Override
@@ -59,12 +59,12 @@
         }
     }
 
-    private record Sent(String to, Message note) {}
+    private record Sent(String to, Message message) {}
 
     private record Timer(long atMs, Runnable what) {}
 
     private final Map<String, Machine> machines = new TreeMap<>();
-    private final ArrayDeque<Sent> wire = new ArrayDeque<>();
+    private final ArrayDeque<Sent> connection = new ArrayDeque<>();
     private final List<Timer> timers = new ArrayList<>();
     private final Clock clock = new Clock() {
         @Override
@@ -83,12 +83,12 @@
         }
     };
     private final Proposer proposer = new Proposer(
-            "late#1", "late", this::post, clock, new Random(1), new Proposer.Pace(100, 10, 1000), (seat, key) -> {});
+            "late#1", "late", this::post, clock, new Random(1), new Proposer.Timing(100, 10, 1000), (voter, key) -> {});
     private VoterSet table;
     private long nowMs;
 
-    private void post(final String to, final Message note) {
-        wire.add(new Sent(to, note));
+    private void post(final String to, final Message message) {
+        connection.add(new Sent(to, message));
     }
 
     private void run(final long spanMs) {
@@ -102,35 +102,36 @@
     }
 
     private void deliver() {
-        while (!wire.isEmpty()) {
-            final Sent sent = wire.poll();
+        while (!connection.isEmpty()) {
+            final Sent sent = connection.poll();
             if (sent.to.equals("late")) {
-                proposer.hear((ConsensusMessage) sent.note);
+                proposer.hear((ConsensusMessage) sent.message);
             } else {
-                machines.get(sent.to).voter.hear((ConsensusMessage) sent.note, sent.to);
+                machines.get(sent.to).acceptor.hear((ConsensusMessage) sent.message, sent.to);
             }
         }
     }
 
     /** Six voters that have decided some versions, all but the newest of which they have let go. */
     private void found() {
-        final List<Voter> seats = new ArrayList<>();
-        for (int i = 0; i < SEATS; i++) {
+        final List<Voter> voters = new ArrayList<>();
+        for (int i = 0; i < VOTERS; i++) {
             final String name = "v" + i;
-            seats.add(new Voter(name, name, "disk-" + i));
+            voters.add(new Voter(name, name, "disk-" + i));
             machines.put(name, new Machine(name));
             machines.get(name).start("disk-" + i);
         }
-        table = new VoterSet(1, 1, seats);
-        machines.values().forEach(m -> m.voter.found(table, List.of()));
+        table = new VoterSet(1, 1, voters);
+        machines.values().forEach(m -> m.acceptor.found(table, List.of()));
         proposer.adopt(table);
         for (long version = 1; version <= DECIDED; version++) {
             assertThat(propose(version, FIRST)).isInstanceOf(ProposalOutcome.Done.class);
         }
         machines.values()
-                .forEach(m -> m.voter.raiseFloor(
+                .forEach(m -> m.acceptor.raiseFloor(
                         FLOOR,
-                        () -> ConfigurationKeys.upTo(m.voter.registers(), FLOOR).forEach(m.voter::drop)));
+                        () -> ConfigurationKeys.upTo(m.acceptor.registers(), FLOOR)
+                                .forEach(m.acceptor::drop)));
     }
 
     private ProposalOutcome propose(final long version, final byte[] value) {
@@ -148,13 +149,13 @@
         final Machine machine = machines.get("v" + i);
         machine.disk = new InMemorySegmentStore(8, 1 << 14);
         machine.start("disk-" + i + "-new");
-        table = table.swap(new Voter(machine.name, machine.name, machine.voter.diskId()));
-        machines.values().forEach(m -> m.voter.adopt(table));
-        for (int beat = 0; beat < 10; beat++) {
-            machine.voter.tick(machine.name);
+        table = table.swap(new Voter(machine.name, machine.name, machine.acceptor.diskId()));
+        machines.values().forEach(m -> m.acceptor.adopt(table));
+        for (int tick = 0; tick < 10; tick++) {
+            machine.acceptor.tick(machine.name);
             run(1);
         }
-        assertThat(machine.voter.state()).isEqualTo(Acceptor.State.VOTING);
+        assertThat(machine.acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
     private void decidedForGood() {
@@ -174,7 +175,7 @@
     @Test
     void whenAllMachinesWereReplacedInTurnNoVersionIsDecidedAnew() {
         found();
-        for (int i = 0; i < SEATS; i++) {
+        for (int i = 0; i < VOTERS; i++) {
             replace(i);
         }
         decidedForGood();
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -39,14 +39,14 @@
                             m,
                             listings.get(m.name()),
                             reach(m.name()),
-                            (to, note) -> {
-                                final DiscoveryMessage.Push push = (DiscoveryMessage.Push) note;
+                            (to, message) -> {
+                                final DiscoveryMessage.Push push = (DiscoveryMessage.Push) message;
                                 heard.merge(to, 1, Integer::sum);
                                 listings.get(to).merge(push.listed(), push.reports());
                                 listings.get(to).read(push.readMs());
                             },
                             fleet,
-                            new HealthChecker.Pace(500, 100, 2, 2, LIST_MS, 1000, false),
+                            new HealthChecker.Timing(500, 100, 2, 2, LIST_MS, 1000, false),
                             () -> members.stream()
                                     .filter(o -> o.core() && o != m)
                                     .toList(),
@@ -79,8 +79,8 @@
         }
     }
 
-    private static Endpoint one(final String instance, final boolean leaving, final long coldForMs) {
-        return Endpoint.read(instance, "s", "10.0.0.1:80", "d", "r", leaving, coldForMs, 0);
+    private static Endpoint one(final String instance, final boolean leaving, final long warmUpForMs) {
+        return Endpoint.read(instance, "s", "10.0.0.1:80", "d", "r", leaving, warmUpForMs, 0);
     }
 
     @Test
@@ -102,8 +102,8 @@
         run(2000);
         final List<Upstream> ready = listings.get("edge").ready("s", fleet.nowMs());
         assertThat(ready).hasSize(2);
-        assertThat(ready.get(0).coldUntilMs()).isBetween(fleet.nowMs(), fleet.nowMs() + 3000);
-        assertThat(ready.get(1).coldUntilMs()).isZero();
+        assertThat(ready.get(0).warmUpUntilMs()).isBetween(fleet.nowMs(), fleet.nowMs() + 3000);
+        assertThat(ready.get(1).warmUpUntilMs()).isZero();
         assertThat(ready.get(1).readySinceMs())
                 .as("when it was first listed")
                 .isBetween(fleet.nowMs() - 2000, fleet.nowMs());
--- a/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
+++ b/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
@@ -14,11 +14,11 @@
     private final PartialView view = new PartialView(
             member("self", 0),
             List.of("10.0.0.9:1"),
-            (to, note) -> {},
+            (to, message) -> {},
             clock,
             new FleetClock(clock, 250),
             new Random(1),
-            new PartialView.Pace(8, 6, GONE_MS, 500));
+            new PartialView.Timing(8, 6, GONE_MS, 500));
 
     private static NodeInfo member(final String name, final long heardMs) {
         return new NodeInfo(name, name + ":1", name + ":80", false, "d1", "r1", 1, heardMs, false, 0, 0, true);
--- a/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
@@ -198,11 +198,11 @@
             try (Socket socket = kept("i-1")) {
                 final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
                 final BlockingQueue<HttpResult> second = call("second", "i-1", held::add);
-                final Runnable go = held.poll(WAIT_MS, TimeUnit.MILLISECONDS);
+                final Runnable attempt = held.poll(WAIT_MS, TimeUnit.MILLISECONDS);
                 write(socket, last);
                 socket.shutdownOutput();
                 awaitClosed(socket);
-                go.run();
+                attempt.run();
                 try (Socket fresh = accept()) {
                     held.poll(WAIT_MS, TimeUnit.MILLISECONDS).run();
                     assertThat(request(fresh)).isEqualTo("second");
@@ -221,10 +221,10 @@
         final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
         final BlockingQueue<HttpResult> only = call("only", "i-1", held::add);
         try (Socket socket = accept()) {
-            final Runnable go = held.poll(WAIT_MS, TimeUnit.MILLISECONDS);
+            final Runnable attempt = held.poll(WAIT_MS, TimeUnit.MILLISECONDS);
             socket.shutdownOutput();
             awaitClosed(socket);
-            go.run();
+            attempt.run();
             assertThat(got(only)).isInstanceOf(HttpResult.NotSent.class);
         }
     }
--- a/spokestall/src/test/java/spokestall/io/http/IdleConnectionTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleConnectionTest.java
@@ -25,7 +25,7 @@
 class IdleConnectionTest {
     private static final long REST_MS = 1000;
     private final AtomicLong nowMs = new AtomicLong(1_000_000);
-    private final AtomicInteger wires = new AtomicInteger();
+    private final AtomicInteger connections = new AtomicInteger();
     private final XnioWorker worker = createWorker();
     private final HttpClient client =
             new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), REST_MS, nowMs::get);
@@ -48,9 +48,9 @@
         final ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         daemon(() -> {
             while (true) {
-                final Socket wire = server.accept();
-                wires.incrementAndGet();
-                daemon(() -> answer(wire, field));
+                final Socket connection = server.accept();
+                connections.incrementAndGet();
+                daemon(() -> answer(connection, field));
             }
         });
         return server;
@@ -72,9 +72,9 @@
         thread.start();
     }
 
-    private static void answer(final Socket wire, final String field) throws IOException {
+    private static void answer(final Socket connection, final String field) throws IOException {
         final BufferedReader in =
-                new BufferedReader(new InputStreamReader(wire.getInputStream(), StandardCharsets.US_ASCII));
+                new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.US_ASCII));
         while (true) {
             String line = in.readLine();
             while (line != null && !line.isEmpty()) {
@@ -83,7 +83,8 @@
             if (line == null) {
                 return;
             }
-            wire.getOutputStream()
+            connection
+                    .getOutputStream()
                     .write(("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n" + field + "\r\nok")
                             .getBytes(StandardCharsets.US_ASCII));
         }
@@ -120,15 +121,15 @@
             call(server, true);
             nowMs.addAndGet(6_900);
             call(server, true);
-            assertThat(wires).hasValue(1);
+            assertThat(connections).hasValue(1);
             nowMs.addAndGet(3_600);
             call(server, false);
-            assertThat(wires)
+            assertThat(connections)
                     .as("what runs once takes none that rested for half of that")
                     .hasValue(2);
             nowMs.addAndGet(7_100);
             call(server, true);
-            assertThat(wires).hasValue(3);
+            assertThat(connections).hasValue(3);
         }
     }
 
@@ -138,10 +139,10 @@
             call(server, true);
             nowMs.addAndGet(REST_MS - 1);
             call(server, true);
-            assertThat(wires).hasValue(1);
+            assertThat(connections).hasValue(1);
             nowMs.addAndGet(REST_MS + 1);
             call(server, true);
-            assertThat(wires).hasValue(2);
+            assertThat(connections).hasValue(2);
         }
     }
 }
--- a/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
@@ -23,13 +23,13 @@
 import spokestall.proxy.Response;
 import spokestall.usage.SealedWindow;
 
-/** The heads of spokestall's own interface: with callers, with upstreams and with a platform. */
+/** The heads of spokestall's own interface: with clients, with upstreams and with a platform. */
 class HeadsFormatTest {
-    private static final NativeClientProtocol ASKS = new NativeClientProtocol();
-    private static final NativeUpstreamProtocol GOES = new NativeUpstreamProtocol();
+    private static final NativeClientProtocol REQUESTS = new NativeClientProtocol();
+    private static final NativeUpstreamProtocol ATTEMPTS = new NativeUpstreamProtocol();
     private static final NativePlatformProtocol PLATFORM = new NativePlatformProtocol();
     private static final byte[] BODY = "{}".getBytes(StandardCharsets.UTF_8);
-    private static final Attempt GO = new Attempt(
+    private static final Attempt ATTEMPT = new Attempt(
             "t1-17-1000.pay-4",
             "tenant-1",
             "i-1",
@@ -70,22 +70,23 @@
 
     private static String answered(final String title, final Response answer) {
         final HeaderMap headers = new HeaderMap();
-        ASKS.headers(answer, headers);
+        REQUESTS.headers(answer, headers);
         final String body =
-                answer.content() == null ? new String(ASKS.body(answer), StandardCharsets.UTF_8) + "\n" : "";
-        return title + "\nstatus " + ASKS.status(answer) + "\n" + sorted(headers) + body + "\n";
+                answer.content() == null ? new String(REQUESTS.body(answer), StandardCharsets.UTF_8) + "\n" : "";
+        return title + "\nstatus " + REQUESTS.status(answer) + "\n" + sorted(headers) + body + "\n";
     }
 
     private static AttemptResult judged(final String head) {
-        return GOES.judge(GO, new HttpResult.Whole(201, fields(head.lines().toList()), BODY));
+        return ATTEMPTS.judge(
+                ATTEMPT, new HttpResult.Whole(201, fields(head.lines().toList()), BODY));
     }
 
     @Test
     void theHeadOfAnAskIsRead() {
         final HeaderMap fields = fields(GoldenFile.lines("ask-request-head.txt"));
-        final RequestHead head = ASKS.head("POST", "a.example", "/transfers/17?full=1", fields, 12);
+        final RequestHead head = REQUESTS.head("POST", "a.example", "/transfers/17?full=1", fields, 12);
         assertThat(head.key()).isEqualTo("key-1");
-        assertThat(head.askId()).isEqualTo("t1-17-1000.pay-4");
+        assertThat(head.requestId()).isEqualTo("t1-17-1000.pay-4");
         assertThat(head.spanMs()).isEqualTo(2500);
         assertThat(head.headers())
                 .as("what is passed on")
@@ -93,7 +94,7 @@
     }
 
     @Test
-    void answersToCallersAreWritten() {
+    void answersToClientsAreWritten() {
         final ResponseContent content = new ResponseContent(201, List.of(), BODY);
         final String written =
                 answered("of the upstream", new Response(ResultCode.OK, ExecutionStatus.RAN, content, "i-1", 2, 0))
@@ -108,7 +109,7 @@
 
     @Test
     void theHeadOfAGoIsWritten() {
-        assertThat(written(GOES.headers(GO))).isEqualTo(GoldenFile.text("go-request-head.txt"));
+        assertThat(written(ATTEMPTS.headers(ATTEMPT))).isEqualTo(GoldenFile.text("go-request-head.txt"));
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
+++ b/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
@@ -30,23 +30,23 @@
     void aWireThatNobodyHearsIsGivenUpAndOpenedAgain() throws Exception {
         MessageCodec.number(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        final ScheduledExecutorService beat = Executors.newSingleThreadScheduledExecutor();
+        final ScheduledExecutorService tick = Executors.newSingleThreadScheduledExecutor();
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(20_000);
-            final TcpTransport wires =
-                    new TcpTransport(worker, note -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
+            final TcpTransport connections = new TcpTransport(
+                    worker, message -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
             final String to = "127.0.0.1:" + server.getLocalPort();
-            final ScheduledFuture<?> unused =
-                    beat.scheduleAtFixedRate(() -> wires.send(to, new Hello(1, "x")), 0, 20, TimeUnit.MILLISECONDS);
+            final ScheduledFuture<?> unused = tick.scheduleAtFixedRate(
+                    () -> connections.send(to, new Hello(1, "x")), 0, 20, TimeUnit.MILLISECONDS);
             final Socket deaf = server.accept();
             final Socket again = server.accept();
             assertThat(deaf.isClosed()).isFalse();
             final DataInputStream in = new DataInputStream(again.getInputStream());
             final byte[] frame = new byte[in.readInt()];
             in.readFully(frame);
-            assertThat(MessageCodec.note(frame)).isEqualTo(new Hello(1, "x"));
+            assertThat(MessageCodec.message(frame)).isEqualTo(new Hello(1, "x"));
         } finally {
-            beat.shutdownNow();
+            tick.shutdownNow();
             worker.shutdownNow();
         }
     }
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void notesArriveWholeAndInOrderOverOneWireThatIsHeard() throws Exception {
+    void messagesArriveWholeAndInOrderOverOneWireThatIsHeard() throws Exception {
         MessageCodec.number(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 2));
         final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
@@ -92,7 +92,7 @@
                 new TcpTransport(worker, heard::add, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
         there.listen(Addresses.of("127.0.0.1:" + port));
         final TcpTransport here =
-                new TcpTransport(worker, note -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
+                new TcpTransport(worker, message -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
         for (int i = 0; i < 2000; i++) {
             here.send("127.0.0.1:" + port, new Hello(i, "n".repeat(i % 700)));
         }
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aNoteThatComesInPiecesIsHeardOnceItIsWhole() throws Exception {
+    void aMessageThatComesInPiecesIsHeardOnceItIsWhole() throws Exception {
         MessageCodec.number(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
@@ -118,19 +118,19 @@
         there.listen(Addresses.of("127.0.0.1:" + port));
         final Hello large = new Hello(1, "n".repeat(50_000));
         final Hello small = new Hello(2, "x");
-        try (Socket wire = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            wire.setSoTimeout(20_000);
+        try (Socket connection = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            connection.setSoTimeout(20_000);
             final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-            for (final Hello note : List.of(large, small, large)) {
-                final byte[] frame = MessageCodec.note(note, MessageCodec.VERSION);
+            for (final Hello message : List.of(large, small, large)) {
+                final byte[] frame = MessageCodec.message(message, MessageCodec.VERSION);
                 new DataOutputStream(bytes).writeInt(frame.length);
                 bytes.write(frame);
             }
             // Each piece is known to have been read before the next one leaves, by the byte that comes back for it.
             final byte[] all = bytes.toByteArray();
             for (int from = 0; from < all.length; from += 8191) {
-                wire.getOutputStream().write(all, from, Math.min(8191, all.length - from));
-                assertThat(wire.getInputStream().read()).isGreaterThanOrEqualTo(0);
+                connection.getOutputStream().write(all, from, Math.min(8191, all.length - from));
+                assertThat(connection.getInputStream().read()).isGreaterThanOrEqualTo(0);
             }
         }
         assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo(large);
