--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -16,10 +16,10 @@
 import spokestall.message.MessageCodec;
 
 class LeaseManagerTest {
-    private static final LeaseManager.Pace PACE = new LeaseManager.Pace(2000, 400, 800, 200, 100, 20_000, 0);
+    private static final LeaseManager.Timing TIMING = new LeaseManager.Timing(2000, 400, 800, 200, 100, 20_000, 0);
     private static final long LOOKED_AT_MS = 3000;
     /** Rivals come one after another, by the six seats of the bench. */
-    private static final long TURNS_MAX_MS = 6 * PACE.turnMs();
+    private static final long TURNS_MAX_MS = 6 * TIMING.turnMs();
 
     /** Keepers in a lossy network, now and then stopped in the middle of things: never two may work, tokens rise. */
     @Test
@@ -66,13 +66,13 @@
             final long[] frozenUntilMs = new long[4];
             for (int k = 0; k < 4; k++) {
                 final int number = k;
-                final LeaseManager keeper = new LeaseManager(
+                final LeaseManager leaseManager = new LeaseManager(
                         "usage_report",
                         "k" + k,
                         bench.proposer("k" + k),
                         bench.clock,
                         bench.random,
-                        PACE,
+                        TIMING,
                         execution -> {
                             assertThat(all).allSatisfy(e -> {
                                 assertThat(e.token()).isLessThan(execution.token());
@@ -81,16 +81,16 @@
                             all.add(execution);
                         },
                         copies ? copy(bench, k) : () -> null);
-                final Runnable beat = new Runnable() {
+                final Runnable tick = new Runnable() {
                     @Override
                     public void run() {
                         bench.clock.after(100, this);
                         if (bench.clock.nowMs() >= frozenUntilMs[number]) {
-                            keeper.tick();
+                            leaseManager.tick();
                         }
                     }
                 };
-                bench.clock.after(bench.random.nextInt(100), beat);
+                bench.clock.after(bench.random.nextInt(100), tick);
             }
             for (int i = 0; i < 10; i++) {
                 bench.clock.after(
@@ -128,30 +128,30 @@
         renew.run();
         bench.run(bench.clock.nowMs() + 300);
         final long[] begunMs = {-1};
-        final LeaseManager keeper = new LeaseManager(
+        final LeaseManager leaseManager = new LeaseManager(
                 "usage_report",
                 "k",
                 bench.proposer("k"),
                 bench.clock,
                 bench.random,
-                PACE,
+                TIMING,
                 execution -> begunMs[0] = bench.clock.nowMs(),
                 () -> register(copy[0]));
         for (int i = 0; i < 100; i++) {
             if (i % 4 == 0) {
                 renew.run();
             }
-            keeper.tick();
+            leaseManager.tick();
             bench.run(bench.clock.nowMs() + 100);
             assertThat(begunMs[0]).isNegative();
         }
         final long stoppedMs = renewedMs[0];
         while (begunMs[0] < 0 && bench.clock.nowMs() < stoppedMs + 6000) {
-            keeper.tick();
+            leaseManager.tick();
             bench.run(bench.clock.nowMs() + 50);
         }
-        assertThat(keeper.seen().token()).isGreaterThan(1);
-        assertThat(begunMs[0] - stoppedMs).isBetween(PACE.leaseMs() + PACE.marginMs(), 2 * PACE.leaseMs());
+        assertThat(leaseManager.seen().token()).isGreaterThan(1);
+        assertThat(begunMs[0] - stoppedMs).isBetween(TIMING.leaseMs() + TIMING.marginMs(), 2 * TIMING.leaseMs());
     }
 
     /** A lease that is not there may have been lost with its disks while its holder still works. */
@@ -159,37 +159,41 @@
     void noLeaseAtAllIsWatchedForTheWholeSpanBeforeItIsTaken() {
         final ConsensusTestContext bench = new ConsensusTestContext(1, 0);
         final long[] begunMs = {-1};
-        final LeaseManager keeper = new LeaseManager(
+        final LeaseManager leaseManager = new LeaseManager(
                 "usage_report",
                 "k",
                 bench.proposer("k"),
                 bench.clock,
                 bench.random,
-                PACE,
+                TIMING,
                 execution -> begunMs[0] = bench.clock.nowMs());
         final long fromMs = bench.clock.nowMs();
         for (long atMs = fromMs; atMs < fromMs + 6000; atMs += 50) {
             bench.run(atMs);
-            keeper.tick();
+            leaseManager.tick();
         }
-        assertThat(begunMs[0] - fromMs).isBetween(PACE.leaseMs() + PACE.marginMs(), 2 * PACE.leaseMs());
+        assertThat(begunMs[0] - fromMs).isBetween(TIMING.leaseMs() + TIMING.marginMs(), 2 * TIMING.leaseMs());
     }
 
-    private static final LeaseManager.Pace RESTING = new LeaseManager.Pace(2000, 400, 800, 200, 100, 20_000, 3600);
+    private static final LeaseManager.Timing RESTING = new LeaseManager.Timing(2000, 400, 800, 200, 100, 20_000, 3600);
 
     /** One life of a node: its keeper, what it began, and until when it may have acted. */
-    private static final class Life implements LeaseManager.Work {
+    private static final class Incarnation implements LeaseManager.Work {
         private final ConsensusTestContext bench;
         private final String name;
-        private final LeaseManager keeper;
+        private final LeaseManager leaseManager;
         private final List<LeaseSession> begun = new ArrayList<>();
         private boolean callsOpen;
 
-        Life(final ConsensusTestContext bench, final String name, final int number, final LeaseManager.Pace pace) {
+        Incarnation(
+                final ConsensusTestContext bench,
+                final String name,
+                final int number,
+                final LeaseManager.Timing timing) {
             this.bench = bench;
             this.name = name;
-            this.keeper = new LeaseManager(
-                    "usage_report", name, bench.proposer(name + "." + number), bench.clock, bench.random, pace, this);
+            this.leaseManager = new LeaseManager(
+                    "usage_report", name, bench.proposer(name + "." + number), bench.clock, bench.random, timing, this);
         }
 
         @Override
@@ -209,13 +213,16 @@
 
     /** Ticks these until one of them begins an execution, and tells how long that took; the whole span if none did. */
     private static long begins(
-            final ConsensusTestContext bench, final long spanMs, final Life awaited, final Life... others) {
+            final ConsensusTestContext bench,
+            final long spanMs,
+            final Incarnation awaited,
+            final Incarnation... others) {
         final long fromMs = bench.clock.nowMs();
         final int before = awaited.begun.size();
         while (awaited.begun.size() == before && bench.clock.nowMs() < fromMs + spanMs) {
-            awaited.keeper.tick();
-            for (final Life other : others) {
-                other.keeper.tick();
+            awaited.leaseManager.tick();
+            for (final Incarnation other : others) {
+                other.leaseManager.tick();
             }
             bench.run(bench.clock.nowMs() + 20);
         }
@@ -227,10 +234,10 @@
     @Test
     void aHolderThatRestartsAcquiresItsOwnLeaseWithoutWaitingForItsExpiry() {
         final ConsensusTestContext bench = new ConsensusTestContext(3, 0);
-        final Life before = new Life(bench, "k", 1, RESTING);
+        final Incarnation before = new Incarnation(bench, "k", 1, RESTING);
         begins(bench, 10_000, before);
-        final Life after = new Life(bench, "k", 2, RESTING);
-        assertThat(begins(bench, 10_000, after)).isLessThan(PACE.leaseMs() / 2);
+        final Incarnation after = new Incarnation(bench, "k", 2, RESTING);
+        assertThat(begins(bench, 10_000, after)).isLessThan(TIMING.leaseMs() / 2);
         assertThat(after.begun.get(0).token()).isGreaterThan(before.begun.get(0).token());
     }
 
@@ -243,27 +250,27 @@
                         Lease.key("usage_report"),
                         800,
                         value -> new RegisterEdit.Set(
-                                MessageCodec.bytes(new Lease("k/1", "k", 0, 7, PACE.leaseMs(), false))),
+                                MessageCodec.bytes(new Lease("k/1", "k", 0, 7, TIMING.leaseMs(), false))),
                         outcome -> {});
         bench.run(bench.clock.nowMs() + 500);
-        assertThat(begins(bench, 10_000, new Life(bench, "k", 1, PACE)))
-                .isGreaterThanOrEqualTo(PACE.leaseMs() + PACE.marginMs());
+        assertThat(begins(bench, 10_000, new Incarnation(bench, "k", 1, TIMING)))
+                .isGreaterThanOrEqualTo(TIMING.leaseMs() + TIMING.marginMs());
     }
 
     /** A node in order hands over: what it released is acquired at once, but not by one that held it a short while ago. */
     @Test
     void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsRest() {
         final ConsensusTestContext bench = new ConsensusTestContext(6, 0);
-        final Life one = new Life(bench, "k1", 1, RESTING);
-        final Life two = new Life(bench, "k2", 1, RESTING);
+        final Incarnation one = new Incarnation(bench, "k1", 1, RESTING);
+        final Incarnation two = new Incarnation(bench, "k2", 1, RESTING);
         begins(bench, 10_000, one);
         begins(bench, RESTING.restMs(), two, one);
         final long stoppedMs = bench.clock.nowMs();
-        one.keeper.stop(() -> {});
-        assertThat(begins(bench, 10_000, two)).isLessThan(TURNS_MAX_MS + PACE.leaseMs() / 2);
-        final Life oneAgain = new Life(bench, "k1", 2, RESTING);
+        one.leaseManager.stop(() -> {});
+        assertThat(begins(bench, 10_000, two)).isLessThan(TURNS_MAX_MS + TIMING.leaseMs() / 2);
+        final Incarnation oneAgain = new Incarnation(bench, "k1", 2, RESTING);
         begins(bench, 500, oneAgain, two);
-        two.keeper.stop(() -> {});
+        two.leaseManager.stop(() -> {});
         begins(bench, 10_000, oneAgain);
         assertThat(oneAgain.begun).hasSize(1);
         assertThat(bench.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(RESTING.restMs());
@@ -273,13 +280,13 @@
     @Test
     void aHolderWithACallUnderWayLeavesItsLeaseToExpire() {
         final ConsensusTestContext bench = new ConsensusTestContext(7, 0);
-        final Life one = new Life(bench, "k1", 1, RESTING);
-        final Life two = new Life(bench, "k2", 1, RESTING);
+        final Incarnation one = new Incarnation(bench, "k1", 1, RESTING);
+        final Incarnation two = new Incarnation(bench, "k2", 1, RESTING);
         begins(bench, 10_000, one);
         begins(bench, RESTING.restMs(), two, one);
         one.callsOpen = true;
-        one.keeper.stop(() -> {});
-        assertThat(begins(bench, 10_000, two)).isGreaterThan(PACE.leaseMs() - PACE.renewMs());
+        one.leaseManager.stop(() -> {});
+        assertThat(begins(bench, 10_000, two)).isGreaterThan(TIMING.leaseMs() - TIMING.renewMs());
     }
 
     /** Holders that end, come back and hand over at any moment: one works at a time, and none follows its successor within the
@@ -295,40 +302,41 @@
 
     private static int held(final long seed) {
         final ConsensusTestContext bench = new ConsensusTestContext(seed, 0.05);
-        final List<Life> lives = new ArrayList<>();
+        final List<Incarnation> incarnations = new ArrayList<>();
         final List<String> actors = new ArrayList<>();
         final List<Long> lastActMs = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
-            lives.add(new Life(bench, "k" + k, 0, RESTING));
+            incarnations.add(new Incarnation(bench, "k" + k, 0, RESTING));
         }
         int number = 1;
-        for (int beat = 0; beat < 8000; beat++) {
+        for (int tick = 0; tick < 8000; tick++) {
             final long nowMs = bench.clock.nowMs();
-            final List<Life> acting = lives.stream().filter(Life::acts).toList();
+            final List<Incarnation> acting =
+                    incarnations.stream().filter(Incarnation::acts).toList();
             assertThat(acting).hasSizeLessThanOrEqualTo(1);
-            for (final Life life : acting) {
-                if (actors.isEmpty() || !actors.get(actors.size() - 1).equals(life.name)) {
-                    final int before = actors.lastIndexOf(life.name);
+            for (final Incarnation incarnation : acting) {
+                if (actors.isEmpty() || !actors.get(actors.size() - 1).equals(incarnation.name)) {
+                    final int before = actors.lastIndexOf(incarnation.name);
                     assertThat(before < 0 ? Long.MAX_VALUE : nowMs - lastActMs.get(before))
                             .isGreaterThanOrEqualTo(LOOKED_AT_MS);
-                    actors.add(life.name);
+                    actors.add(incarnation.name);
                     lastActMs.add(nowMs);
                 }
                 lastActMs.set(lastActMs.size() - 1, nowMs);
             }
             if (bench.random.nextInt(200) == 0) {
                 final int of = acting.isEmpty() || bench.random.nextInt(3) == 0
-                        ? bench.random.nextInt(lives.size())
-                        : lives.indexOf(acting.get(0));
-                final Life old = lives.get(of);
+                        ? bench.random.nextInt(incarnations.size())
+                        : incarnations.indexOf(acting.get(0));
+                final Incarnation old = incarnations.get(of);
                 if (bench.random.nextBoolean()) {
-                    old.keeper.stop(() -> {});
+                    old.leaseManager.stop(() -> {});
                 }
-                lives.set(of, new Life(bench, old.name, number++, RESTING));
+                incarnations.set(of, new Incarnation(bench, old.name, number++, RESTING));
             }
-            for (int k = 0; k < lives.size(); k++) {
-                if ((beat + k) % 10 == 0) {
-                    lives.get(k).keeper.tick();
+            for (int k = 0; k < incarnations.size(); k++) {
+                if ((tick + k) % 10 == 0) {
+                    incarnations.get(k).leaseManager.tick();
                 }
             }
             bench.run(nowMs + 20);
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
@@ -28,7 +28,7 @@
     private static final int SEEDS = Integer.getInteger("seeds", 12);
     private static final int CORES = 6;
     private static final int REGIONS = 3;
-    private static final int TROUBLES = 9;
+    private static final int ERRORS = 9;
 
     /** The faults planted, all off by default. */
     private static void none(final MembershipTestContext bench) {}
@@ -43,7 +43,7 @@
         private int calmCopies = Integer.MAX_VALUE;
         private int leastCopies = Integer.MAX_VALUE;
 
-        Run(final long seed, final Consumer<MembershipTestContext> plant) {
+        Run(final long seed, final Consumer<MembershipTestContext> injectedFault) {
             this.seed = seed;
             bench = new MembershipTestContext(seed);
             bench.regions = true;
@@ -56,7 +56,7 @@
             }
             bench.machines.values().forEach(MembershipTestContext.Machine::start);
             bench.run(12_000);
-            plant.accept(bench);
+            injectedFault.accept(bench);
             bench.loss = 0.04 * (seed % 3);
         }
 
@@ -118,7 +118,7 @@
         private void calm() {
             pass(bench.loss == 0 ? CATCH_UP_MS : CATCH_UP_LOSSY_MS);
             assertThat(bearsTheNextLoss()).as(shown()).isTrue();
-            assertThat(bench.newest().seats().size())
+            assertThat(bench.newest().voters().size())
                     .as(shown())
                     .isLessThanOrEqualTo(bench.cores().size() + 1);
             calmCopies = Math.min(calmCopies, bench.copies(confirmed).fewest());
@@ -128,11 +128,11 @@
         private boolean bearsTheNextLoss() {
             final VoterSet table = bench.newest();
             final List<MembershipTestContext.Machine> seated = bench.cores().stream()
-                    .filter(m -> table.seat(m.name) != null)
+                    .filter(m -> table.voter(m.name) != null)
                     .toList();
             boolean bears = seated.stream()
-                    .allMatch(m -> m.voter.state() == Acceptor.State.VOTING
-                            && m.voter.voters().same(table.generation(), table.epoch()));
+                    .allMatch(m -> m.acceptor.state() == Acceptor.State.VOTING
+                            && m.acceptor.voterSet().same(table.generation(), table.epoch()));
             for (int region = 0; region < REGIONS; region++) {
                 final int lost = region;
                 bears &= seated.stream().filter(m -> m.region() != lost).count() >= table.majority();
@@ -196,7 +196,7 @@
         }
 
         private void untilItVotes(final MembershipTestContext.Machine m) {
-            for (int i = 0; i < 100 && m.voter.state() != Acceptor.State.VOTING; i++) {
+            for (int i = 0; i < 100 && m.acceptor.state() != Acceptor.State.VOTING; i++) {
                 bench.run(bench.nowMs() + 20);
             }
             look();
@@ -264,7 +264,7 @@
             }
         }
 
-        private void trouble() {
+        private void error() {
             final int region = random(REGIONS);
             switch (random(6)) {
                 case 0 -> wipe(region);
@@ -278,8 +278,8 @@
 
         Run all() {
             calm();
-            for (int i = 0; i < TROUBLES; i++) {
-                trouble();
+            for (int i = 0; i < ERRORS; i++) {
+                error();
                 calm();
             }
             bench.loss = 0;
@@ -319,11 +319,11 @@
         System.out.printf("%d seeds, %d confirmed, %d copies at the least%n", SEEDS, writes, least);
     }
 
-    private static int found(final int seeds, final Consumer<MembershipTestContext> plant) {
+    private static int found(final int seeds, final Consumer<MembershipTestContext> injectedFault) {
         int found = 0;
         for (int seed = 0; seed < seeds; seed++) {
             try {
-                new Run(seed, plant).all();
+                new Run(seed, injectedFault).all();
             } catch (final AssertionError e) {
                 found++;
             }
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -26,7 +26,7 @@
 import spokestall.time.Clock;
 import spokestall.time.EventClock;
 
-/** A fleet of unknown size in virtual time: cores and edges that come late, restart, and lose disks, with notes late, lost
+/** A fleet of unknown size in virtual time: cores and edges that come late, restart, and lose disks, with messages late, lost
  * and doubled. After every event it is looked at whether two tables contradict each other. */
 final class MembershipTestContext {
     private DelayedSegmentStore disk() {
@@ -39,17 +39,17 @@
         final boolean core;
         boolean up;
         boolean bootstrap;
-        int lives;
+        int incarnations;
         /** Gone for good, and its disk with it. */
         boolean gone;
 
-        Acceptor voter;
-        MembershipCoordinator formation;
+        Acceptor acceptor;
+        MembershipCoordinator membershipCoordinator;
         Proposer proposer;
         private DelayedSegmentStore disk = disk();
-        private BootstrapAcceptor council;
+        private BootstrapAcceptor bootstrapAcceptor;
         private GracefulHandover handover;
-        private BootstrapProposer founder;
+        private BootstrapProposer bootstrapProposer;
         private long startedMs;
 
         Machine(final String name, final boolean core, final boolean bootstrap) {
@@ -60,11 +60,11 @@
 
         /** Only the first life is told that the fleet has never run, unless the bench plants just that. */
         void start() {
-            lives++;
+            incarnations++;
             up = true;
             startedMs = clock.nowMs();
-            final int mine = lives;
-            final boolean told = bootstrap && (lives == 1 || alwaysFirst);
+            final int mine = incarnations;
+            final boolean told = bootstrap && (incarnations == 1 || alwaysFirst);
             final Clock own = new Clock() {
                 @Override
                 public long nowMs() {
@@ -79,101 +79,101 @@
                 @Override
                 public void after(final long waitMs, final Runnable event) {
                     clock.after(waitMs, () -> {
-                        if (up && lives == mine) {
+                        if (up && incarnations == mine) {
                             event.run();
                         }
                     });
                 }
             };
             proposer = new Proposer(
-                    name + "#" + lives,
+                    name + "#" + incarnations,
                     name,
                     this::send,
                     own,
                     random,
-                    new Proposer.Pace(150, 30, 1000),
-                    (seat, key) -> {});
-            voter = core ? new Acceptor(name, new SegmentedLog(disk), this::send, new Open(this), freshId()) : null;
-            final boolean first = told && (!core || voter.openedBlank());
-            council = new BootstrapAcceptor(
+                    new Proposer.Timing(150, 30, 1000),
+                    (voter, key) -> {});
+            acceptor = core ? new Acceptor(name, new SegmentedLog(disk), this::send, new Open(this), freshId()) : null;
+            final boolean first = told && (!core || acceptor.openedBlank());
+            bootstrapAcceptor = new BootstrapAcceptor(
                     name,
                     seeds,
                     first,
                     this::send,
-                    () -> proposer.voters(),
-                    core ? then -> voter.keepOwn("~council", new byte[0], ok -> then.run()) : Runnable::run);
-            founder = core && first
+                    () -> proposer.voterSet(),
+                    core ? then -> acceptor.keepOwn("~council", new byte[0], ok -> then.run()) : Runnable::run);
+            bootstrapProposer = core && first
                     ? new BootstrapProposer(
                             name,
                             name,
-                            name + "#" + lives,
+                            name + "#" + incarnations,
                             seeds,
                             this::send,
                             own,
-                            new BootstrapProposer.Pace(2000, 1000, 880),
-                            seats -> founding(0, seats))
+                            new BootstrapProposer.Timing(2000, 1000, 880),
+                            voters -> founding(0, voters))
                     : null;
-            formation = core
+            membershipCoordinator = core
                     ? new MembershipCoordinator(
                             name,
                             name,
-                            name + "#" + lives,
-                            voter,
+                            name + "#" + incarnations,
+                            acceptor,
                             proposer,
                             this::send,
                             own,
-                            new MembershipCoordinator.Pace(0, 2400, 600, 3000, 880, 1000, false, 2000, 32_000),
-                            (base, left, seats) -> {
-                                final InitialState founding = founding(base, seats);
+                            new MembershipCoordinator.Timing(0, 2400, 600, 3000, 880, 1000, false, 2000, 32_000),
+                            (base, left, voters) -> {
+                                final InitialState founding = founding(base, voters);
                                 mergedFrom.put(founding.table().generation(), withState(base, left));
                                 return founding;
                             },
-                            this::remains,
+                            this::survivingState,
                             () -> others(true),
                             () -> others(false),
-                            founder,
+                            bootstrapProposer,
                             this::freshId,
                             () -> true,
                             MembershipTestContext.this::mostLost)
                     : null;
             handover = core
-                    ? new GracefulHandover(name, name, voter, this::send, own, new GracefulHandover.Pace(220, 900))
+                    ? new GracefulHandover(name, name, acceptor, this::send, own, new GracefulHandover.Timing(220, 900))
                     : null;
-            if (core && voter.voters() != null) {
-                proposer.adopt(voter.voters());
+            if (core && acceptor.voterSet() != null) {
+                proposer.adopt(acceptor.voterSet());
             }
             if (core) {
-                beat(own);
+                tick(own);
             } else {
                 feed(own);
             }
         }
 
-        private SurvivingState remains() {
-            return new SurvivingState(name, generation(), 0, null, 0, voter.keepsState(), registers());
+        private SurvivingState survivingState() {
+            return new SurvivingState(name, generation(), 0, null, 0, acceptor.keepsState(), registers());
         }
 
         private long generation() {
-            return voter.voters() == null ? 0 : voter.voters().generation();
+            return acceptor.voterSet() == null ? 0 : acceptor.voterSet().generation();
         }
 
         private List<ConsensusMessage.Entry> registers() {
             final List<ConsensusMessage.Entry> all = new ArrayList<>();
-            voter.registers().forEach((key, r) -> all.add(new ConsensusMessage.Entry(key, r)));
+            acceptor.registers().forEach((key, r) -> all.add(new ConsensusMessage.Entry(key, r)));
             return all;
         }
 
-        private void beat(final Clock own) {
-            own.after(250, () -> beat(own));
-            formation.tick();
+        private void tick(final Clock own) {
+            own.after(250, () -> tick(own));
+            membershipCoordinator.tick();
         }
 
         /** An edge hears of tables by the feed that it asks all cores for. */
         private void feed(final Clock own) {
             own.after(400, () -> feed(own));
             for (final Machine m : machines.values()) {
-                if (!deafEdges && m.core && m.up && m.proposer.voters() != null && random.nextDouble() >= loss) {
-                    proposer.adopt(m.proposer.voters());
+                if (!deafEdges && m.core && m.up && m.proposer.voterSet() != null && random.nextDouble() >= loss) {
+                    proposer.adopt(m.proposer.voterSet());
                 }
             }
         }
@@ -187,7 +187,7 @@
             final List<String> known = new ArrayList<>();
             machines.forEach((other, m) -> {
                 if (m != this
-                        && m.lives > 0
+                        && m.incarnations > 0
                         && (m.core || edgesToo)
                         && clock.nowMs() - Math.max(startedMs, m.startedMs) > (name + other).hashCode() % 1500) {
                     known.add(other);
@@ -232,36 +232,36 @@
             return Integer.parseInt(name.replaceAll("[^0-9]", "")) % 3;
         }
 
-        void send(final String to, final Message note) {
-            MembershipTestContext.this.send(name, to, emptied(note));
+        void send(final String to, final Message message) {
+            MembershipTestContext.this.send(name, to, emptied(message));
         }
 
-        void hear(final Message note) {
-            if (note instanceof BootstrapMessage c) {
-                council.hear(c);
-                if (founder != null) {
-                    founder.hear(c);
+        void hear(final Message message) {
+            if (message instanceof BootstrapMessage c) {
+                bootstrapAcceptor.hear(c);
+                if (bootstrapProposer != null) {
+                    bootstrapProposer.hear(c);
                 }
-            } else if (note instanceof ConsensusMessage.Table t) {
+            } else if (message instanceof ConsensusMessage.Table t) {
                 if (core) {
-                    formation.adopt(t.voters());
+                    membershipCoordinator.adopt(t.voterSet());
                 } else {
-                    proposer.adopt(t.voters());
+                    proposer.adopt(t.voterSet());
                 }
-            } else if (note instanceof ConsensusMessage.HoldBack back) {
+            } else if (message instanceof ConsensusMessage.HandoverResponse back) {
                 handover.hear(back);
-            } else if (note instanceof ConsensusMessage b) {
+            } else if (message instanceof ConsensusMessage b) {
                 proposer.hear(b);
                 if (core) {
-                    voter.hear(b, name);
+                    acceptor.hear(b, name);
                 }
-            } else if (note instanceof MembershipMessage.RemainsAsk ask && core) {
-                send(ask.from(), new MembershipMessage.RemainsBack(remains()));
-            } else if (note instanceof MembershipMessage f && core) {
-                formation.hear(f);
-            } else if (note instanceof MembershipMessage.Standing s) {
-                if (s.lacks(proposer.voters())) {
-                    send(s.address(), new ConsensusMessage.Table(proposer.voters()));
+            } else if (message instanceof MembershipMessage.SurvivingStateRequest ask && core) {
+                send(ask.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
+            } else if (message instanceof MembershipMessage f && core) {
+                membershipCoordinator.hear(f);
+            } else if (message instanceof MembershipMessage.VoterStatus s) {
+                if (s.lacks(proposer.voterSet())) {
+                    send(s.address(), new ConsensusMessage.Table(proposer.voterSet()));
                 } else if (s.table() != null) {
                     proposer.adopt(s.table());
                 }
@@ -283,7 +283,7 @@
 
         @Override
         public boolean gone(final String key) {
-            final VoterSet v = of.voter.voters();
+            final VoterSet v = of.acceptor.voterSet();
             return key.startsWith("voters/") && !key.equals("voters/" + v.generation() + "/" + (v.epoch() + 1));
         }
 
@@ -314,10 +314,10 @@
     /** Whose state each founding that was proposed was made from, by the generation that it would begin. */
     final Map<Long, Set<String>> mergedFrom = new HashMap<>();
 
-    long notes;
+    long messages;
     long tables;
     private final Map<Long, Long> baseOf = new HashMap<>();
-    private final Map<String, List<Voter>> seatsOf = new HashMap<>();
+    private final Map<String, List<Voter>> votersOf = new HashMap<>();
     private long generations = 1;
     private VoterSet newest;
 
@@ -332,11 +332,11 @@
     }
 
     /** Every founding has a generation of its own, so that two are told apart. */
-    private InitialState founding(final long base, final List<Voter> seats) {
+    private InitialState founding(final long base, final List<Voter> voters) {
         final long generation = Math.max(base, generations) + 1;
         generations = generation;
         baseOf.put(generation, base);
-        return new InitialState(new VoterSet(generation, 1, seats), List.of());
+        return new InitialState(new VoterSet(generation, 1, voters), List.of());
     }
 
     private static Set<String> withState(final long base, final List<SurvivingState> left) {
@@ -345,19 +345,19 @@
         return names;
     }
 
-    private Message emptied(final Message note) {
-        return emptyPages && note instanceof ConsensusMessage.CatchBack b
-                ? new ConsensusMessage.CatchBack(
+    private Message emptied(final Message message) {
+        return emptyPages && message instanceof ConsensusMessage.CatchUpResponse b
+                ? new ConsensusMessage.CatchUpResponse(
                         b.name(), b.generation(), b.epoch(), b.after(), List.of(), true, b.floor())
-                : note;
+                : message;
     }
 
-    int mostLost(final List<Voter> seats) {
+    int mostLost(final List<Voter> voters) {
         if (!regions) {
             return 1;
         }
         final int[] inRegion = new int[3];
-        seats.forEach(seat -> inRegion[machines.get(seat.name()).region()]++);
+        voters.forEach(voter -> inRegion[machines.get(voter.name()).region()]++);
         return Math.max(inRegion[0], Math.max(inRegion[1], inRegion[2]));
     }
 
@@ -366,48 +366,48 @@
         return newest;
     }
 
-    private void send(final String from, final String to, final Message note) {
+    private void send(final String from, final String to, final Message message) {
         if (cut.contains(from + ">" + to)) {
             return;
         }
-        notes++;
-        tables += note instanceof MembershipMessage.Standing s && s.table() != null
-                        || note instanceof ConsensusMessage.Table
+        messages++;
+        tables += message instanceof MembershipMessage.VoterStatus s && s.table() != null
+                        || message instanceof ConsensusMessage.Table
                 ? 1
                 : 0;
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
         final Machine target = machines.get(to);
         for (int i = 0; target != null && i < times; i++) {
-            final int life = target.lives;
+            final int incarnation = target.incarnations;
             clock.after(1 + random.nextInt(60), () -> {
-                if (target.up && target.lives == life) {
-                    target.hear(note);
+                if (target.up && target.incarnations == incarnation) {
+                    target.hear(message);
                 }
             });
         }
     }
 
     private void look(final Machine m) {
-        final VoterSet table = m.up ? m.proposer.voters() : null;
+        final VoterSet table = m.up ? m.proposer.voterSet() : null;
         if (table != null) {
             newest = table.newerThan(newest) ? table : newest;
-            final List<Voter> had = seatsOf.putIfAbsent(table.generation() + "/" + table.epoch(), table.seats());
-            assertThat(had == null || had.equals(table.seats()))
+            final List<Voter> had = votersOf.putIfAbsent(table.generation() + "/" + table.epoch(), table.voters());
+            assertThat(had == null || had.equals(table.voters()))
                     .as("one table for %s, at %s: %s, %s", m.name, clock.nowMs(), had, table)
                     .isTrue();
-            assertThat(table.seats().stream().map(Voter::name).distinct().count())
-                    .isEqualTo(table.seats().size());
+            assertThat(table.voters().stream().map(Voter::name).distinct().count())
+                    .isEqualTo(table.voters().size());
             founded.computeIfAbsent(baseOf.get(table.generation()), b -> new HashSet<>())
                     .add(table.generation());
         }
     }
 
     /** What a seat of the newest table has on its disk, synced; empty if its disk is gone or has not caught up. */
-    private Optional<Map<String, byte[]>> state(final Voter seat) {
-        final Machine m = machines.get(seat.name());
+    private Optional<Map<String, byte[]>> state(final Voter voter) {
+        final Machine m = machines.get(voter.name());
         final Map<String, byte[]> table = m.gone ? Map.of() : m.synced();
-        final boolean same = seat.diskId().equals(text(table.get("~disk")));
-        final String mark = seat.diskId() + "/" + newest.generation();
+        final boolean same = voter.diskId().equals(text(table.get("~disk")));
+        final String mark = voter.diskId() + "/" + newest.generation();
         return same && mark.equals(text(table.get("~caught"))) ? Optional.of(table) : Optional.empty();
     }
 
@@ -416,16 +416,16 @@
     }
 
     /** How many disks have what, of those with a seat in the newest table. */
-    record Copies(int seats, int withState, int fewest, String fewestKey) {
+    record Copies(int voters, int withState, int fewest, String fewestKey) {
         /** The copies that there have to be: a majority, less the seats whose disks are lost or still catch up. */
         int owed() {
-            return seats / 2 + 1 - (seats - withState);
+            return voters / 2 + 1 - (voters - withState);
         }
     }
 
     /** Counts the copies of written-once values on disks, synced. */
     Copies copies(final Map<String, String> confirmed) {
-        final List<Map<String, byte[]>> states = newest.seats().stream()
+        final List<Map<String, byte[]>> states = newest.voters().stream()
                 .map(this::state)
                 .flatMap(Optional::stream)
                 .toList();
@@ -447,7 +447,7 @@
                 fewestKey = e.getKey();
             }
         }
-        return new Copies(newest.seats().size(), states.size(), fewest, fewestKey);
+        return new Copies(newest.voters().size(), states.size(), fewest, fewestKey);
     }
 
     List<Machine> cores() {
@@ -457,12 +457,12 @@
     /** Whether every core that runs votes, all by one table that has a seat for each. */
     boolean whole() {
         final List<Machine> cores = cores();
-        final VoterSet table = cores.get(0).proposer.voters();
+        final VoterSet table = cores.get(0).proposer.voterSet();
         return table != null
                 && cores.stream()
-                        .allMatch(m -> m.voter.state() == Acceptor.State.VOTING
-                                && m.proposer.voters().same(table.generation(), table.epoch())
-                                && table.seat(m.name) != null);
+                        .allMatch(m -> m.acceptor.state() == Acceptor.State.VOTING
+                                && m.proposer.voterSet().same(table.generation(), table.epoch())
+                                && table.voter(m.name) != null);
     }
 
     String shown() {
@@ -471,10 +471,10 @@
                 .append(name)
                 .append(m.up ? " up" : " down")
                 .append(" lives ")
-                .append(m.lives)
+                .append(m.incarnations)
                 .append(m.bootstrap ? " first " : " ")
-                .append(m.core && m.voter != null ? m.voter.state() : "")
-                .append(m.proposer == null ? "" : " " + m.proposer.voters()));
+                .append(m.core && m.acceptor != null ? m.acceptor.state() : "")
+                .append(m.proposer == null ? "" : " " + m.proposer.voterSet()));
         return out.toString();
     }
 
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -100,18 +100,23 @@
         final List<BootstrapAcceptor> councils = new ArrayList<>();
         for (final String seed : seeds) {
             councils.add(new BootstrapAcceptor(
-                    seed, seeds, true, (to, note) -> sent.add((BootstrapMessage) note), () -> null, Runnable::run));
+                    seed,
+                    seeds,
+                    true,
+                    (to, message) -> sent.add((BootstrapMessage) message),
+                    () -> null,
+                    Runnable::run));
         }
         final ProposalNumber one = new ProposalNumber(1, "a");
         final ProposalNumber two = new ProposalNumber(2, "b");
         final InitialState first = new InitialState(new VoterSet(7, 1, List.of(new Voter("a", "a", "x"))), List.of());
         final InitialState second = new InitialState(new VoterSet(8, 1, List.of(new Voter("b", "b", "y"))), List.of());
-        councils.get(0).hear(new BootstrapMessage.Ask("a", seeds, one));
-        councils.get(1).hear(new BootstrapMessage.Ask("a", seeds, one));
-        councils.get(0).hear(new BootstrapMessage.Offer("a", seeds, one, first));
-        councils.get(1).hear(new BootstrapMessage.Offer("a", seeds, one, first));
+        councils.get(0).hear(new BootstrapMessage.Prepare("a", seeds, one));
+        councils.get(1).hear(new BootstrapMessage.Prepare("a", seeds, one));
+        councils.get(0).hear(new BootstrapMessage.Accept("a", seeds, one, first));
+        councils.get(1).hear(new BootstrapMessage.Accept("a", seeds, one, first));
         assertThat(sent)
-                .filteredOn(n -> n instanceof BootstrapMessage.Taken t && t.yes())
+                .filteredOn(n -> n instanceof BootstrapMessage.Accepted t && t.yes())
                 .hasSize(2);
         sent.clear();
         councils.set(
@@ -120,33 +125,33 @@
                         "s1",
                         seeds,
                         false,
-                        (to, note) -> sent.add((BootstrapMessage) note),
+                        (to, message) -> sent.add((BootstrapMessage) message),
                         () -> null,
                         Runnable::run));
-        councils.get(1).hear(new BootstrapMessage.Ask("b", seeds, two));
-        councils.get(2).hear(new BootstrapMessage.Ask("b", seeds, two));
-        councils.get(1).hear(new BootstrapMessage.Offer("b", seeds, two, second));
-        councils.get(2).hear(new BootstrapMessage.Offer("b", seeds, two, second));
+        councils.get(1).hear(new BootstrapMessage.Prepare("b", seeds, two));
+        councils.get(2).hear(new BootstrapMessage.Prepare("b", seeds, two));
+        councils.get(1).hear(new BootstrapMessage.Accept("b", seeds, two, second));
+        councils.get(2).hear(new BootstrapMessage.Accept("b", seeds, two, second));
         assertThat(sent)
                 .as("one seed of three")
                 .filteredOn(n -> n instanceof BootstrapMessage.Promise)
                 .hasSize(1);
-        assertThat(sent).filteredOn(n -> n instanceof BootstrapMessage.Taken).hasSize(1);
+        assertThat(sent).filteredOn(n -> n instanceof BootstrapMessage.Accepted).hasSize(1);
         sent.clear();
-        councils.get(0).hear(new BootstrapMessage.Ask("b", seeds, two));
+        councils.get(0).hear(new BootstrapMessage.Prepare("b", seeds, two));
         assertThat(sent)
                 .first()
                 .isInstanceOfSatisfying(
                         BootstrapMessage.Promise.class,
                         p -> assertThat(p.founding()).isEqualTo(first));
         sent.clear();
-        councils.get(0).hear(new BootstrapMessage.Ask("b", List.of("s0", "s1", "s9"), new ProposalNumber(3, "b")));
+        councils.get(0).hear(new BootstrapMessage.Prepare("b", List.of("s0", "s1", "s9"), new ProposalNumber(3, "b")));
         assertThat(sent).as("whoever goes by other seeds gets no vote").isEmpty();
     }
 
     /** Cores come under new names and lose disks; numbers that were agreed stand, and none stands for two changes. */
     @Test
-    void whatWasAgreedStandsWhileSeatsAreAddedAndSwapped() {
+    void whatWasAgreedStandsWhileVotersAreAddedAndSwapped() {
         long changes = 0;
         for (int seed = 0; seed < 40; seed++) {
             final MembershipTestContext bench = fleet(seed, 2 + seed % 3, 2, 1);
@@ -209,9 +214,9 @@
         final MembershipTestContext.Machine fresh = bench.machine("n0", true, false);
         fresh.start();
         long heardMs = -1;
-        while (fresh.voter.state() != Acceptor.State.VOTING && bench.nowMs() < 25_000) {
+        while (fresh.acceptor.state() != Acceptor.State.VOTING && bench.nowMs() < 25_000) {
             bench.run(bench.nowMs() + 10);
-            heardMs = heardMs < 0 && fresh.proposer.voters() != null ? bench.nowMs() : heardMs;
+            heardMs = heardMs < 0 && fresh.proposer.voterSet() != null ? bench.nowMs() : heardMs;
         }
         assertThat(heardMs).isPositive();
         assertThat(bench.nowMs() - heardMs).isLessThan(1000);
@@ -223,7 +228,7 @@
         bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(60_000);
         assertThat(bench.founded).isEmpty();
-        assertThat(bench.cores()).allMatch(m -> m.voter.state() == Acceptor.State.BLANK);
+        assertThat(bench.cores()).allMatch(m -> m.acceptor.state() == Acceptor.State.BLANK);
     }
 
     /** A core that is told again that it is the first, by whoever restarts it, has a disk that knows better. */
@@ -252,7 +257,7 @@
 
     /** Most disks go, perhaps all, while cores under new names come: each generation ends in one other at most. */
     @Test
-    void aGenerationIsFollowedByOneOnlyWhileSeatsAreAdded() {
+    void aGenerationIsFollowedByOneOnlyWhileVotersAreAdded() {
         int more = 0;
         for (int seed = 0; seed < 60; seed++) {
             final MembershipTestContext bench = fleet(seed, 2 + seed % 4, 2, 1);
@@ -301,16 +306,16 @@
         final MembershipTestContext bench = fleet(1, 6, 6, 1);
         bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
-        final long notes = bench.notes;
+        final long messages = bench.messages;
         final long tables = bench.tables;
         bench.run(25_000);
-        assertThat(bench.notes - notes).isLessThanOrEqualTo(6 * 5 * 11);
+        assertThat(bench.messages - messages).isLessThanOrEqualTo(6 * 5 * 11);
         assertThat(bench.tables - tables).isZero();
     }
 
     /** Six machines go for good one after another, each followed by an empty one under another name and address. */
     @Test
-    void aMachineThatIsReplacedLeavesNoSeatBehind() {
+    void aMachineThatIsReplacedLeavesNoVoterBehind() {
         final MembershipTestContext bench = fleet(1, 6, 2, 1);
         bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
@@ -320,14 +325,14 @@
             bench.machine("n" + i, true, false).start();
             bench.run(bench.nowMs() + 4000);
             assertThat(bench.whole()).as(i + " " + bench.shown()).isTrue();
-            assertThat(bench.newest().seats()).hasSize(6);
+            assertThat(bench.newest().voters()).hasSize(6);
         }
         assertThat(bench.founded).hasSize(1);
     }
 
     /** As when each new machine comes before the old one leaves: one seat more, and no more than that. */
     @Test
-    void aMachineThatIsReplacedInOrderLeavesNoMoreThanOneSeatBehind() {
+    void aMachineThatIsReplacedInOrderLeavesNoMoreThanOneVoterBehind() {
         final MembershipTestContext bench = fleet(1, 6, 2, 1);
         bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
@@ -337,43 +342,43 @@
             assertThat(bench.whole()).as(i + " " + bench.shown()).isTrue();
             bench.machines.get("c" + i).goForGood();
             bench.run(bench.nowMs() + 4000);
-            assertThat(bench.newest().seats()).hasSize(7);
+            assertThat(bench.newest().voters()).hasSize(7);
         }
         assertThat(bench.founded).hasSize(1);
     }
 
     /** A seat whose core never comes back is given up, and the core that does come back has no vote by its old disk. */
     @Test
-    void aSeatLongSilentIsGivenUpAndItsDiskHasNoVoteWhenItIsBack() {
+    void aVoterLongSilentIsGivenUpAndItsDiskHasNoVoteWhenItIsBack() {
         final MembershipTestContext bench = fleet(1, 6, 2, 1);
         bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         final MembershipTestContext.Machine away = bench.machines.get("c2");
-        final String disk = away.voter.diskId();
+        final String disk = away.acceptor.diskId();
         away.stop();
         bench.run(bench.nowMs() + 28_000);
-        assertThat(bench.newest().seats()).as("not yet").hasSize(6);
+        assertThat(bench.newest().voters()).as("not yet").hasSize(6);
         bench.run(bench.nowMs() + 6000);
-        assertThat(bench.newest().seats()).hasSize(5);
-        assertThat(bench.newest().seat("c2")).isNull();
+        assertThat(bench.newest().voters()).hasSize(5);
+        assertThat(bench.newest().voter("c2")).isNull();
         away.start();
         bench.run(bench.nowMs() + 4000);
         assertThat(bench.whole()).as(bench.shown()).isTrue();
-        assertThat(bench.newest().seat("c2").diskId())
-                .isEqualTo(away.voter.diskId())
+        assertThat(bench.newest().voter("c2").diskId())
+                .isEqualTo(away.acceptor.diskId())
                 .isNotEqualTo(disk);
     }
 
     /** Of four seats one may be given up where one loss must be borne; of two none is. */
     @Test
-    void noSeatIsGivenUpBelowWhatMustBeBorne() {
+    void noVoterIsGivenUpBelowWhatMustBeBorne() {
         final MembershipTestContext bench = fleet(1, 4, 2, 1);
         bench.regions = true;
         bench.machines.values().forEach(MembershipTestContext.Machine::start);
         bench.run(15_000);
         bench.machines.get("c1").stop();
         bench.run(bench.nowMs() + 60_000);
-        assertThat(bench.newest().seats()).as("c0 and c3 are of one region").hasSize(4);
+        assertThat(bench.newest().voters()).as("c0 and c3 are of one region").hasSize(4);
     }
 
     /** Half of the disks are gone, so a new generation is founded; the other half's are slow, but nothing is left behind. */
@@ -412,7 +417,7 @@
                 bench.machines.get("c" + i).start();
             }
             final MembershipTestContext.Machine some = bench.machines.get("c4");
-            while (some.voter.state() != Acceptor.State.RESIGNED && bench.nowMs() < 40_000) {
+            while (some.acceptor.state() != Acceptor.State.RESIGNED && bench.nowMs() < 40_000) {
                 bench.run(bench.nowMs() + 5);
             }
             bench.run(bench.nowMs() + bench.random.nextInt(150));
--- a/spokestall/src/test/java/spokestall/membership/StoredRecords.java
+++ b/spokestall/src/test/java/spokestall/membership/StoredRecords.java
@@ -6,13 +6,13 @@
 public final class StoredRecords {
     private StoredRecords() {}
 
-    /** What a core keeps about the ballot for a new generation. */
-    public static Class<? extends Record> formationBallot() {
+    /** What a core keeps about the proposal number for a new generation. */
+    public static Class<? extends Record> coordinatorProposal() {
         return MembershipCoordinator.Kept.class;
     }
 
-    /** A ballot in which nothing was accepted yet. */
-    public static Record formationBallot(final long base, final ProposalNumber promised) {
+    /** A proposal number in which nothing was accepted yet. */
+    public static Record coordinatorProposal(final long base, final ProposalNumber promised) {
         return new MembershipCoordinator.Kept(base, promised, ProposalNumber.NONE, null);
     }
 }
--- a/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -38,10 +38,11 @@
             for (int version = MessageCodec.OLDEST; version <= MessageCodec.VERSION; version++) {
                 final String which = number + " v" + version;
                 lines.put(
-                        which + " full", HEX.formatHex(MessageCodec.note((Message) SampleRecords.full(type), version)));
+                        which + " full",
+                        HEX.formatHex(MessageCodec.message((Message) SampleRecords.full(type), version)));
                 lines.put(
                         which + " empty",
-                        HEX.formatHex(MessageCodec.note((Message) SampleRecords.empty(type), version)));
+                        HEX.formatHex(MessageCodec.message((Message) SampleRecords.empty(type), version)));
             }
         });
         return lines;
@@ -64,10 +65,10 @@
         for (final Map.Entry<String, String> line :
                 GoldenLines.read("messages.txt").entrySet()) {
             final String[] which = line.getKey().split(" ", -1);
-            final Message note = MessageCodec.note(HEX.parseHex(line.getValue()));
+            final Message message = MessageCodec.message(HEX.parseHex(line.getValue()));
             final int version = Integer.parseInt(which[1].substring(1));
-            assertThat(note).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(which[0])));
-            assertThat(HEX.formatHex(MessageCodec.note(note, version)))
+            assertThat(message).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(which[0])));
+            assertThat(HEX.formatHex(MessageCodec.message(message, version)))
                     .as(line.getKey())
                     .isEqualTo(line.getValue());
         }
--- a/spokestall/src/test/java/spokestall/message/GoldenLines.java
+++ b/spokestall/src/test/java/spokestall/message/GoldenLines.java
@@ -10,7 +10,7 @@
 final class GoldenLines {
     private GoldenLines() {}
 
-    /** What stands before the hex, with the hex. Example: {@code GoldenLines.read("messages.txt").get("1 v4 full")} */
+    /** What stands before the hex, with the hex. */
     static Map<String, String> read(final String resource) throws IOException {
         final Map<String, String> lines = new TreeMap<>();
         text(resource)
--- a/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
@@ -12,73 +12,73 @@
 class MessageCodecTest {
     record Inner(String name, @SinceVersion(2) int more) {}
 
-    record Beat(
+    record Tick(
             long at, List<Inner> inners, @SinceVersion(2) boolean warm, String last) implements Message {}
 
     static {
-        MessageCodec.number(201, Beat.class);
+        MessageCodec.number(201, Tick.class);
     }
 
-    private static Beat beat(final int more, final boolean warm) {
-        return new Beat(7, List.of(new Inner("a", more), new Inner("b", more)), warm, "end");
+    private static Tick tick(final int more, final boolean warm) {
+        return new Tick(7, List.of(new Inner("a", more), new Inner("b", more)), warm, "end");
     }
 
     @Test
     void aNodeHearsTheVersionBeforeItsOwnAndNamesWhatItCannot() throws Exception {
-        assertThat(MessageCodec.note(MessageCodec.note(beat(3, true), 2))).isEqualTo(beat(3, true));
-        assertThat(MessageCodec.note(MessageCodec.note(beat(3, true), 1))).isEqualTo(beat(0, false));
-        final byte[] first = MessageCodec.note(beat(3, true), 1);
+        assertThat(MessageCodec.message(MessageCodec.message(tick(3, true), 2))).isEqualTo(tick(3, true));
+        assertThat(MessageCodec.message(MessageCodec.message(tick(3, true), 1))).isEqualTo(tick(0, false));
+        final byte[] first = MessageCodec.message(tick(3, true), 1);
         assertThat(first[0])
                 .as("the first version begins with its kind's number")
                 .isZero();
-        final byte[] later = MessageCodec.note(beat(3, true), 2);
+        final byte[] later = MessageCodec.message(tick(3, true), 2);
         later[0] = MessageCodec.VERSION + 1;
-        assertThatThrownBy(() -> MessageCodec.note(later))
+        assertThatThrownBy(() -> MessageCodec.message(later))
                 .isInstanceOf(UnknownMessageException.class)
                 .hasMessage("version " + (MessageCodec.VERSION + 1));
-        final byte[] strange = MessageCodec.note(beat(3, true), 2);
+        final byte[] strange = MessageCodec.message(tick(3, true), 2);
         strange[2] ^= 0x40;
-        assertThatThrownBy(() -> MessageCodec.note(strange))
+        assertThatThrownBy(() -> MessageCodec.message(strange))
                 .isInstanceOf(UnknownMessageException.class)
                 .hasMessageStartingWith("kind ");
     }
 
     @Test
     void aRecordAloneHasItsLaterFieldsBehindTheOthersAndIsReadWithoutThem() {
-        final Beat whole = beat(3, true);
+        final Tick whole = tick(3, true);
         final byte[] bytes = MessageCodec.bytes(whole);
-        final Beat read = MessageCodec.record(bytes, Beat.class);
+        final Tick read = MessageCodec.record(bytes, Tick.class);
         assertThat(read.warm()).isTrue();
         assertThat(read.last()).isEqualTo("end");
         final byte[] older = Arrays.copyOf(bytes, bytes.length - 1);
-        assertThat(MessageCodec.record(older, Beat.class)).isEqualTo(beat(0, false));
+        assertThat(MessageCodec.record(older, Tick.class)).isEqualTo(tick(0, false));
     }
 
     @Test
     void theThirdVersionTakesAsManyBytesAsItsNumbersNeed() throws Exception {
         for (final int n : new int[] {0, 1, -1, 63, 64, -65, 1 << 20, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
             for (final long at : new long[] {0, -1, 1L << 40, Long.MAX_VALUE, Long.MIN_VALUE}) {
-                final Beat one = new Beat(at, List.of(new Inner(null, n), new Inner("", n)), true, "\u00fc");
-                assertThat(MessageCodec.note(MessageCodec.note(one, 3))).isEqualTo(one);
+                final Tick one = new Tick(at, List.of(new Inner(null, n), new Inner("", n)), true, "\u00fc");
+                assertThat(MessageCodec.message(MessageCodec.message(one, 3))).isEqualTo(one);
             }
         }
-        assertThat(MessageCodec.note(beat(3, true), 3).length)
-                .isLessThan(MessageCodec.note(beat(3, true), 2).length / 2);
+        assertThat(MessageCodec.message(tick(3, true), 3).length)
+                .isLessThan(MessageCodec.message(tick(3, true), 2).length / 2);
     }
 
     @Test
     void whateverBytesComeTheyAreReadOrRefusedAsBadInput() throws Exception {
         final Random random = new Random(5);
         for (int i = 0; i < 100_000; i++) {
-            final byte[] frame = MessageCodec.note(
-                    beat(random.nextInt(), random.nextBoolean()), 1 + random.nextInt(MessageCodec.VERSION));
+            final byte[] frame = MessageCodec.message(
+                    tick(random.nextInt(), random.nextBoolean()), 1 + random.nextInt(MessageCodec.VERSION));
             for (int n = 1 + random.nextInt(4); n > 0; n--) {
                 frame[random.nextInt(frame.length)] = (byte) random.nextInt();
             }
             final byte[] cut =
                     random.nextInt(3) == 0 ? Arrays.copyOf(frame, 2 + random.nextInt(frame.length - 2)) : frame;
             try {
-                assertThat(MessageCodec.note(cut)).isInstanceOf(Beat.class);
+                assertThat(MessageCodec.message(cut)).isInstanceOf(Tick.class);
             } catch (final IOException bad) {
                 assertThat(bad).isNotNull();
             }
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -61,7 +61,7 @@
         }
     }
 
-    private Acceptor voter() throws IOException {
+    private Acceptor acceptor() throws IOException {
         return SampleCore.open(
                 FileSegmentStore.open(
                         folder.resolve("ring"),
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void theRingIsWrittenAsTheLiteralBytes() throws Exception {
+    void theLogIsWrittenAsTheLiteralBytes() throws Exception {
         final InMemorySegmentStore segments = new InMemorySegmentStore(SampleCore.SEGMENTS, SampleCore.SEGMENT_BYTES);
         SampleCore.run(segments);
         for (int i = 0; i < SampleCore.SEGMENTS; i++) {
@@ -91,14 +91,14 @@
     }
 
     @Test
-    void theVoterIsWhatItWas() throws Exception {
-        final Acceptor voter = voter();
-        assertThat(voter.openedBlank()).isFalse();
-        assertThat(voter.state()).isEqualTo(Acceptor.State.VOTING);
-        assertThat(voter.diskId()).isEqualTo("d1-core/1f");
-        assertThat(voter.voters()).isEqualTo(SampleCore.TABLE);
-        assertThat(voter.floor()).isEqualTo(7_340_032);
-        assertThat(voter.registers())
+    void theAcceptorIsWhatItWas() throws Exception {
+        final Acceptor acceptor = acceptor();
+        assertThat(acceptor.openedBlank()).isFalse();
+        assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
+        assertThat(acceptor.diskId()).isEqualTo("d1-core/1f");
+        assertThat(acceptor.voterSet()).isEqualTo(SampleCore.TABLE);
+        assertThat(acceptor.floor()).isEqualTo(7_340_032);
+        assertThat(acceptor.registers())
                 .containsOnlyKeys(
                         "duty/floor",
                         "duty/usage_report",
@@ -110,7 +110,7 @@
 
     @Test
     void registersHaveTheirRanksAndValues() throws Exception {
-        final Map<String, Register> registers = voter().registers();
+        final Map<String, Register> registers = acceptor().registers();
         final Register lease = registers.get("duty/usage_report");
         assertThat(lease.promised()).isEqualTo(new ProposalNumber(10, "d3-core/b2"));
         assertThat(lease.accepted()).isEqualTo(new ProposalNumber(9, "d3-core/b2"));
@@ -129,18 +129,19 @@
 
     @Test
     void theConfigurationIsReadFromTheSnapshotAndTheChange() throws Exception {
-        final Acceptor voter = voter();
-        final ConfigurationSnapshot snapshot = MessageCodec.record(voter.own("~policy"), ConfigurationSnapshot.class);
+        final Acceptor acceptor = acceptor();
+        final ConfigurationSnapshot snapshot =
+                MessageCodec.record(acceptor.own("~policy"), ConfigurationSnapshot.class);
         assertThat(snapshot.orders())
                 .containsExactly(
                         new CommittedChange("founding-7", 7_340_032, 1_000),
                         new CommittedChange("chg-2", 7_340_033, 2_000));
-        final ConfigurationStore book = new ConfigurationStore(16);
-        assertThat(book.load(snapshot)).isTrue();
-        assertThat(book.policy().version()).isEqualTo(7_340_033);
-        assertThat(book.policy().holds()).containsExactly("d2");
+        final ConfigurationStore configurationStore = new ConfigurationStore(16);
+        assertThat(configurationStore.load(snapshot)).isTrue();
+        assertThat(configurationStore.configuration().version()).isEqualTo(7_340_033);
+        assertThat(configurationStore.configuration().holds()).containsExactly("d2");
         final ConfigurationChange change = MessageCodec.record(
-                voter.registers().get("policy/0000000000007340033").value(), ConfigurationChange.class);
+                acceptor.registers().get("policy/0000000000007340033").value(), ConfigurationChange.class);
         assertThat(change.changeId()).isEqualTo("chg-2");
         assertThat(change.kind()).isEqualTo(ConfigurationChange.Kind.PATCH);
         assertThat(change.json()).asString().isEqualTo("{\"holds\":{\"d2\":{}}}");
@@ -150,13 +151,13 @@
     @Test
     void aCoresOwnRecordsAreRead() throws Exception {
         MessageNumbers.number();
-        final Acceptor voter = voter();
-        assertThat(voter.own("~council")).isEmpty();
-        assertThat(MessageCodec.record(voter.own("~form"), StoredRecords.formationBallot()))
-                .isEqualTo(StoredRecords.formationBallot(6, SampleCore.CAST));
-        assertThat(MessageCodec.note(voter.own("~usage")))
+        final Acceptor acceptor = acceptor();
+        assertThat(acceptor.own("~council")).isEmpty();
+        assertThat(MessageCodec.record(acceptor.own("~form"), StoredRecords.coordinatorProposal()))
+                .isEqualTo(StoredRecords.coordinatorProposal(6, SampleCore.CAST));
+        assertThat(MessageCodec.message(acceptor.own("~usage")))
                 .isEqualTo(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(SampleCore.COUNT)));
-        assertThat(MessageCodec.note(voter.own("~listed")))
+        assertThat(MessageCodec.message(acceptor.own("~listed")))
                 .isEqualTo(new DiscoveryMessage.Push(List.of(SampleCore.LISTED), List.of(), 0));
     }
 
--- a/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
+++ b/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
@@ -12,7 +12,7 @@
     private final EventClock clock = new EventClock(BEGUN_MS);
     private final List<String> steps = new ArrayList<>();
     private int connections;
-    private int asks;
+    private int inFlight;
 
     private void say(final String step) {
         steps.add(step + "@" + (clock.nowMs() - BEGUN_MS));
@@ -53,11 +53,11 @@
 
             @Override
             public boolean open() {
-                return asks > 0;
+                return inFlight > 0;
             }
         };
-        final GracefulShutdown.Pace pace = new GracefulShutdown.Pace(200, 700, 900, 1000, 20, 50);
-        new GracefulShutdown(to, requests, clock, pace, () -> say("done")).begin();
+        final GracefulShutdown.Timing timing = new GracefulShutdown.Timing(200, 700, 900, 1000, 20, 50);
+        new GracefulShutdown(to, requests, clock, timing, () -> say("done")).begin();
         clock.runAll();
     }
 
@@ -92,9 +92,9 @@
     @Test
     void itWaitsForTheLastConnectionAndTheLastRequest() {
         connections = 1;
-        asks = 1;
+        inFlight = 1;
         clock.after(300, () -> connections = 0);
-        clock.after(505, () -> asks = 0);
+        clock.after(505, () -> inFlight = 0);
         depart();
         assertThat(steps).containsExactly("endWithAnswers@0", "stopAccepting@200", "done@520");
     }
--- a/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
@@ -40,7 +40,7 @@
     @Test
     void keysOfACoresOwnRecordsAreTheLiteralOnes() {
         assertThat(CoreStorage.POLICY).isEqualTo("~policy");
-        assertThat(CoreStorage.COUNCIL).isEqualTo("~council");
+        assertThat(CoreStorage.BOOTSTRAP_ACCEPTOR).isEqualTo("~council");
         assertThat(DiscoveryComponent.KEPT).isEqualTo("~listed");
         assertThat(UsageComponent.KEPT).isEqualTo("~usage");
     }
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -37,8 +37,8 @@
     static final String DISK_ID = "d1-core/1f";
     static final int SEGMENTS = 6;
     static final int SEGMENT_BYTES = 2048;
-    /** The version of notes in which the sample's kept notes are written. */
-    static final int NOTE_VERSION = 4;
+    /** The version of messages in which the sample's kept messages are written. */
+    static final int MESSAGE_VERSION = 4;
 
     static final VoterSet TABLE = new VoterSet(
             7,
@@ -89,51 +89,51 @@
 
     /** Reads a disk as a core that starts does; the fresh identity is for a blank one. */
     static Acceptor open(final SegmentStore segments, final String freshDiskId) {
-        return new Acceptor(NAME, new SegmentedLog(segments), (address, note) -> {}, KEEPS_ALL, freshDiskId);
+        return new Acceptor(NAME, new SegmentedLog(segments), (address, message) -> {}, KEEPS_ALL, freshDiskId);
     }
 
     /** Two lives of a core on a blank disk. */
     static void run(final SegmentStore segments) {
-        firstLife(open(segments, DISK_ID));
+        firstIncarnation(open(segments, DISK_ID));
         accept(open(segments, "unused"), Lease.key("usage_report"), CAST_LATER, MessageCodec.bytes(LEASE));
     }
 
-    private static void firstLife(final Acceptor voter) {
-        voter.found(
+    private static void firstIncarnation(final Acceptor acceptor) {
+        acceptor.found(
                 TABLE,
                 List.of(
                         founded("duty/floor", "12345".getBytes(StandardCharsets.UTF_8)),
                         founded("duty/usage_report", MessageCodec.bytes(FIRST_LEASE)),
                         founded(ConfigurationKeys.key(FIRST_VERSION), MessageCodec.bytes(firstChange()))));
-        accept(voter, ConfigurationKeys.key(FIRST_VERSION + 1), CAST, MessageCodec.bytes(secondChange()));
-        accept(voter, SealedWindow.key(344), CAST, MessageCodec.bytes(WINDOW));
-        accept(voter, SealedWindow.key(345), CAST, MessageCodec.bytes(WINDOW));
-        accept(voter, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.bytes(CLAIM));
-        voter.hear(
+        accept(acceptor, ConfigurationKeys.key(FIRST_VERSION + 1), CAST, MessageCodec.bytes(secondChange()));
+        accept(acceptor, SealedWindow.key(344), CAST, MessageCodec.bytes(WINDOW));
+        accept(acceptor, SealedWindow.key(345), CAST, MessageCodec.bytes(WINDOW));
+        accept(acceptor, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.bytes(CLAIM));
+        acceptor.hear(
                 new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", CAST, false),
                 "10.0.0.1:7000");
-        keepOwnRecords(voter);
-        voter.raiseFloor(FIRST_VERSION, () -> voter.drop(ConfigurationKeys.key(FIRST_VERSION)));
-        voter.drop(SealedWindow.key(344));
+        keepOwnRecords(acceptor);
+        acceptor.raiseFloor(FIRST_VERSION, () -> acceptor.drop(ConfigurationKeys.key(FIRST_VERSION)));
+        acceptor.drop(SealedWindow.key(344));
     }
 
-    private static void keepOwnRecords(final Acceptor voter) {
+    private static void keepOwnRecords(final Acceptor acceptor) {
         MessageNumbers.number();
-        keep(voter, "~policy", MessageCodec.bytes(book().snapshot()));
-        keep(voter, "~council", new byte[0]);
-        keep(voter, "~form", MessageCodec.bytes(StoredRecords.formationBallot(6, CAST)));
+        keep(acceptor, "~policy", MessageCodec.bytes(configurationStore().snapshot()));
+        keep(acceptor, "~council", new byte[0]);
+        keep(acceptor, "~form", MessageCodec.bytes(StoredRecords.coordinatorProposal(6, CAST)));
         keep(
-                voter,
+                acceptor,
                 "~usage",
-                MessageCodec.note(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(COUNT)), NOTE_VERSION));
+                MessageCodec.message(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(COUNT)), MESSAGE_VERSION));
         keep(
-                voter,
+                acceptor,
                 "~listed",
-                MessageCodec.note(new DiscoveryMessage.Push(List.of(LISTED), List.of(), 0), NOTE_VERSION));
+                MessageCodec.message(new DiscoveryMessage.Push(List.of(LISTED), List.of(), 0), MESSAGE_VERSION));
     }
 
-    private static void keep(final Acceptor voter, final String key, final byte[] value) {
-        voter.keepOwn(key, value, ok -> {
+    private static void keep(final Acceptor acceptor, final String key, final byte[] value) {
+        acceptor.keepOwn(key, value, ok -> {
             if (!ok) {
                 throw new IllegalStateException("no room for " + key);
             }
@@ -145,8 +145,9 @@
     }
 
     private static void accept(
-            final Acceptor voter, final String key, final ProposalNumber ballot, final byte[] value) {
-        voter.hear(new ConsensusMessage.Accept(4, "10.0.0.2:7000", 7, 1, key, ballot, value), "10.0.0.1:7000");
+            final Acceptor acceptor, final String key, final ProposalNumber proposalNumber, final byte[] value) {
+        acceptor.hear(
+                new ConsensusMessage.Accept(4, "10.0.0.2:7000", 7, 1, key, proposalNumber, value), "10.0.0.1:7000");
     }
 
     static ConfigurationChange firstChange() {
@@ -163,22 +164,22 @@
     }
 
     /** The configuration after both changes. */
-    static ConfigurationStore book() {
-        final ConfigurationStore book = new ConfigurationStore(16);
-        book.apply(FIRST_VERSION, firstChange());
-        book.apply(FIRST_VERSION + 1, secondChange());
-        return book;
+    static ConfigurationStore configurationStore() {
+        final ConfigurationStore configurationStore = new ConfigurationStore(16);
+        configurationStore.apply(FIRST_VERSION, firstChange());
+        configurationStore.apply(FIRST_VERSION + 1, secondChange());
+        return configurationStore;
     }
 
     /** Has everything that was decided written down, and some entries more, so that it takes two files. */
     static void tell(final AuditSink audit) {
         final LongSupplier fleetMs = () -> 5_000;
-        final Auditor auditor = new Auditor(audit, book(), fleetMs);
+        final Auditor auditor = new Auditor(audit, configurationStore(), fleetMs);
         auditor.table(TABLE);
-        auditor.policy();
+        auditor.configuration();
         auditor.lease(LEASE);
         auditor.window(WINDOW);
-        IntStream.range(0, 3).forEach(i -> audit.note("sample", numbered(i)));
+        IntStream.range(0, 3).forEach(i -> audit.message("sample", numbered(i)));
     }
 
     private static ObjectNode numbered(final int number) {
--- a/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
@@ -9,63 +9,64 @@
         return new RetryBudget(() -> 0, () -> retries);
     }
 
-    private static int goes(final boolean unsentFree, final int most, final RetryBudget budget, final boolean arrives) {
-        final AttemptBudget goes = new AttemptBudget(unsentFree);
+    private static int attempts(
+            final boolean unsentFree, final int most, final RetryBudget budget, final boolean arrives) {
+        final AttemptBudget attempts = new AttemptBudget(unsentFree);
         do {
-            assertThat(goes.begin()).isEqualTo(goes.begun() == 1);
-            goes.ended(arrives);
-        } while (goes.again(most, budget));
-        return goes.begun();
+            assertThat(attempts.begin()).isEqualTo(attempts.begun() == 1);
+            attempts.ended(arrives);
+        } while (attempts.again(most, budget));
+        return attempts.begun();
     }
 
     @Test
     void eachFurtherGoIsARetryWhetherOrNotTheOneBeforeWasSent() {
         final RetryBudget two = budget(2);
-        assertThat(goes(false, 9, two, false)).isEqualTo(3);
-        assertThat(goes(false, 9, two, false)).as("the budget is spent").isEqualTo(1);
-        assertThat(goes(false, 9, budget(2), true)).isEqualTo(3);
+        assertThat(attempts(false, 9, two, false)).isEqualTo(3);
+        assertThat(attempts(false, 9, two, false)).as("the budget is spent").isEqualTo(1);
+        assertThat(attempts(false, 9, budget(2), true)).isEqualTo(3);
     }
 
     @Test
     void eachGoCountsAgainstTheMostWhetherOrNotItWasSent() {
-        assertThat(goes(false, 3, budget(100), false)).isEqualTo(3);
-        assertThat(goes(false, 3, budget(100), true)).isEqualTo(3);
+        assertThat(attempts(false, 3, budget(100), false)).isEqualTo(3);
+        assertThat(attempts(false, 3, budget(100), true)).isEqualTo(3);
     }
 
     @Test
     void whatWasNeverSentIsFreeOnlyWhereThatIsTheHabitAndNotWithoutEnd() {
-        assertThat(goes(true, 3, budget(0), false)).isEqualTo(AttemptBudget.MOST);
-        assertThat(goes(true, 9, budget(2), true)).isEqualTo(3);
-        assertThat(goes(true, 3, budget(100), true)).isEqualTo(3);
+        assertThat(attempts(true, 3, budget(0), false)).isEqualTo(AttemptBudget.MOST);
+        assertThat(attempts(true, 9, budget(2), true)).isEqualTo(3);
+        assertThat(attempts(true, 3, budget(100), true)).isEqualTo(3);
     }
 
     @Test
     void aGoBesideOneThatIsUnderWayIsAlwaysPaidForAndCounted() {
         final RetryBudget one = budget(1);
-        final AttemptBudget goes = new AttemptBudget(true);
-        goes.begin();
-        assertThat(goes.again(2, one)).isTrue();
-        goes.begin();
-        assertThat(goes.open()).isEqualTo(2);
-        assertThat(goes.again(2, budget(100))).as("both may arrive").isFalse();
-        assertThat(goes.again(9, one)).as("nothing is left to pay for it").isFalse();
-        goes.ended(true);
-        goes.ended(true);
-        assertThat(goes.open()).isZero();
+        final AttemptBudget attempts = new AttemptBudget(true);
+        attempts.begin();
+        assertThat(attempts.again(2, one)).isTrue();
+        attempts.begin();
+        assertThat(attempts.open()).isEqualTo(2);
+        assertThat(attempts.again(2, budget(100))).as("both may arrive").isFalse();
+        assertThat(attempts.again(9, one)).as("nothing is left to pay for it").isFalse();
+        attempts.ended(true);
+        attempts.ended(true);
+        assertThat(attempts.open()).isZero();
     }
 
     @Test
     void aGoAfterOneThatMayHaveArrivedIsPaidForAlsoWhereUnsentOnesAreFree() {
         final RetryBudget one = budget(1);
-        final AttemptBudget goes = new AttemptBudget(true);
-        goes.begin();
-        goes.ended(false);
-        assertThat(goes.again(3, one)).isTrue();
-        goes.begin();
-        goes.ended(true);
-        assertThat(goes.again(3, one)).isTrue();
-        goes.begin();
-        goes.ended(true);
-        assertThat(goes.again(3, one)).as("nothing is left to pay for it").isFalse();
+        final AttemptBudget attempts = new AttemptBudget(true);
+        attempts.begin();
+        attempts.ended(false);
+        assertThat(attempts.again(3, one)).isTrue();
+        attempts.begin();
+        attempts.ended(true);
+        assertThat(attempts.again(3, one)).isTrue();
+        attempts.begin();
+        attempts.ended(true);
+        assertThat(attempts.again(3, one)).as("nothing is left to pay for it").isFalse();
     }
 }
--- a/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
@@ -29,12 +29,12 @@
                     places.leave(one.tenant);
                     places.hold(one.tenant, -one.bytes);
                 }
-                assertThat(places.asks()).isEqualTo(held.size()).isLessThanOrEqualTo(100);
+                assertThat(places.requests()).isEqualTo(held.size()).isLessThanOrEqualTo(100);
                 assertThat(places.bytes())
                         .isEqualTo(held.stream().mapToLong(Held::bytes).sum())
                         .isLessThanOrEqualTo(1_000_000);
             }
-            assertThat(places.asks()).as("most places are used").isGreaterThan(40);
+            assertThat(places.requests()).as("most places are used").isGreaterThan(40);
             assertThat(places.take("small", 20_000)).as("room beside " + greedy).isTrue();
         }
     }
--- a/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
@@ -19,7 +19,7 @@
     private final List<Upstream> listed = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
 
-    private LoadBalancer elector(final int edges, final long seed) {
+    private LoadBalancer loadBalancer(final int edges, final long seed) {
         return new LoadBalancer(
                 "r1",
                 "d1",
@@ -27,11 +27,11 @@
                 clock,
                 new FleetClock(clock, 250),
                 new Random(seed),
-                new LoadBalancer.Pace(() -> edges, 1.2, 4, 750, 6000, 0.15, 1));
+                new LoadBalancer.Timing(() -> edges, 1.2, 4, 750, 6000, 0.15, 1));
     }
 
-    private void list(final String instance, final String district, final String region, final int slots) {
-        listed.add(new Upstream(instance, "s", "10.0.0.1:80", district, region, 0, slots, 0));
+    private void list(final String instance, final String zone, final String region, final int slots) {
+        listed.add(new Upstream(instance, "s", "10.0.0.1:80", zone, region, 0, slots, 0));
     }
 
     @Test
@@ -39,11 +39,11 @@
         list("near", "d1", "r1", 3);
         list("around", "d2", "r1", 3);
         list("far", "d5", "r3", 3);
-        final LoadBalancer elector = elector(1, 1);
+        final LoadBalancer loadBalancer = loadBalancer(1, 1);
         final Map<String, Integer> open = new HashMap<>();
         for (int n = 0; n < 8; n++) {
-            final Upstream to = elector.elect(RULE, u -> true, Set.of());
-            elector.begun(to.instance());
+            final Upstream to = loadBalancer.elect(RULE, u -> true, Set.of());
+            loadBalancer.begun(to.instance());
             open.merge(to.instance(), 1, Integer::sum);
             assertThat(open.getOrDefault("far", 0))
                     .as("while others have room: " + open)
@@ -57,22 +57,22 @@
     void oneLossIsChanceTwoInARowPutAsideAndAnAnswerBringsBack() {
         list("one", "d1", "r1", 3);
         list("two", "d2", "r1", 3);
-        final LoadBalancer elector = elector(1, 2);
-        elector.begun("one");
-        elector.ended("s", "one", LoadBalancer.End.LOST, 10, 500);
-        assertThat(elector.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
-        elector.late("one");
+        final LoadBalancer loadBalancer = loadBalancer(1, 2);
+        loadBalancer.begun("one");
+        loadBalancer.ended("s", "one", LoadBalancer.End.LOST, 10, 500);
+        assertThat(loadBalancer.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
+        loadBalancer.late("one");
         for (int n = 0; n < 20; n++) {
-            assertThat(elector.elect(RULE, u -> true, Set.of()).instance())
+            assertThat(loadBalancer.elect(RULE, u -> true, Set.of()).instance())
                     .as("put aside")
                     .isEqualTo("two");
         }
-        assertThat(elector.elect(RULE, u -> u.instance().equals("one"), Set.of()))
+        assertThat(loadBalancer.elect(RULE, u -> u.instance().equals("one"), Set.of()))
                 .as("better than none")
                 .isNotNull();
-        elector.begun("one");
-        elector.ended("s", "one", LoadBalancer.End.WELL, 10, 500);
-        assertThat(elector.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
+        loadBalancer.begun("one");
+        loadBalancer.ended("s", "one", LoadBalancer.End.WELL, 10, 500);
+        assertThat(loadBalancer.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
     }
 
     @Test
@@ -81,13 +81,13 @@
         final int edges = 12;
         final List<LoadBalancer> all = new ArrayList<>();
         for (int i = 0; i < edges; i++) {
-            all.add(elector(edges, i));
+            all.add(loadBalancer(edges, i));
             all.get(i).chill(List.of("cold"), 3000);
         }
         final List<Long> sentMs = new ArrayList<>();
         for (final long untilMs = clock.nowMs() + 2900; clock.nowMs() < untilMs; clock.advance(10)) {
-            for (final LoadBalancer elector : all) {
-                if (elector.elect(RULE, u -> true, Set.of()) != null) {
+            for (final LoadBalancer loadBalancer : all) {
+                if (loadBalancer.elect(RULE, u -> true, Set.of()) != null) {
                     sentMs.add(clock.nowMs());
                 }
             }
--- a/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
@@ -56,7 +56,7 @@
         assertThat(settings.operators()).isEqualTo("10.1.0.1:8090");
         assertThat(settings.peers()).isEqualTo("10.1.0.0/16,10.2.0.0/16");
         assertThat(settings.seeds()).containsExactly("10.1.0.1:7100", "10.2.0.1:7100", "10.3.0.1:7100");
-        assertThat(settings.districts()).isEqualTo(Map.of("d1", "r1", "d2", "r2", "d3", "r2"));
+        assertThat(settings.zones()).isEqualTo(Map.of("d1", "r1", "d2", "r2", "d3", "r2"));
         assertThat(settings.regions()).containsExactly("r1", "r2");
         assertThat(settings.region()).isEqualTo("r1");
         assertThat(settings.region("d3")).isEqualTo("r2");
@@ -78,10 +78,10 @@
     }
 
     @Test
-    void troublesAreToldByTheirKeysAndReasons(@TempDir final Path folder) throws Exception {
+    void errorsAreToldByTheirKeysAndReasons(@TempDir final Path folder) throws Exception {
         final Settings.Read read = read(folder, GoldenFile.text("settings-broken.json"));
         final List<String> told = new ArrayList<>();
-        ((Settings.Read.Bad) read).troubles().forEach(trouble -> told.add(trouble.toString()));
+        ((Settings.Read.Bad) read).errors().forEach(error -> told.add(error.toString()));
         assertThat(told).isEqualTo(GoldenFile.lines("settings-broken-troubles.txt"));
     }
 }
--- a/spokestall/src/test/java/spokestall/settings/SettingsTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void allTroublesAreNamedAtOnceByTheirKey(@TempDir final Path folder) throws Exception {
+    void allErrorsAreNamedAtOnceByTheirKey(@TempDir final Path folder) throws Exception {
         final Path file = folder.resolve("s.json");
         Files.writeString(
                 file,
@@ -39,8 +39,8 @@
                         + "\"colour\":\"red\",\"seeds\":\"10.0.0.1:7100\"}");
         final Settings.Read read = Settings.read(file, Map.of(), true);
         assertThat(read).isInstanceOf(Settings.Read.Bad.class);
-        assertThat(((Settings.Read.Bad) read).troubles())
-                .extracting(Settings.Trouble::key)
+        assertThat(((Settings.Read.Bad) read).errors())
+                .extracting(Settings.ValidationError::key)
                 .contains(
                         "name",
                         "address",
@@ -52,8 +52,8 @@
                         "districts",
                         "platform",
                         "http");
-        assertThat(((Settings.Read.Bad) read).troubles())
-                .extracting(Settings.Trouble::reason)
+        assertThat(((Settings.Read.Bad) read).errors())
+                .extracting(Settings.ValidationError::reason)
                 .allSatisfy(r -> assertThat(r).isNotBlank());
     }
 
@@ -73,13 +73,13 @@
                 .isEqualTo(2100);
         flags.put("leaseMs", "500");
         flags.put("operators", "10.0.0.1:7200");
-        assertThat(((Settings.Read.Bad) Settings.read(file, Map.of("peers", "10.0.0.0/33,x"), true)).troubles())
+        assertThat(((Settings.Read.Bad) Settings.read(file, Map.of("peers", "10.0.0.0/33,x"), true)).errors())
                 .filteredOn(t -> t.key().equals("peers"))
                 .hasSize(2);
         flags.put("district", "d9");
         flags.put("data", "");
-        assertThat(((Settings.Read.Bad) Settings.read(file, flags, true)).troubles())
-                .extracting(Settings.Trouble::key)
+        assertThat(((Settings.Read.Bad) Settings.read(file, flags, true)).errors())
+                .extracting(Settings.ValidationError::key)
                 .containsExactlyInAnyOrder("operators", "leaseMs", "district", "data");
     }
 
@@ -92,16 +92,16 @@
                         .seeds())
                 .hasSize(1);
         flags.put("cores", "3");
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).troubles())
-                .extracting(Settings.Trouble::key)
+        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
+                .extracting(Settings.ValidationError::key)
                 .contains("seeds");
         flags.put("seeds", good().get("seeds"));
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).troubles())
-                .extracting(Settings.Trouble::key)
+        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
+                .extracting(Settings.ValidationError::key)
                 .containsExactly("bootstrap");
         flags.putAll(Map.of("cores", "0", "seeds", "10.0.0.1:7100,10.0.0.1:7100"));
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).troubles())
-                .extracting(Settings.Trouble::key)
+        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
+                .extracting(Settings.ValidationError::key)
                 .containsExactly("seeds");
     }
 
@@ -121,8 +121,8 @@
         assertThat(other.ms("uncountedMs")).isZero();
         flags.put("freshMs", "1000");
         flags.put("uncountedMs", "60");
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).troubles())
-                .extracting(Settings.Trouble::key)
+        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
+                .extracting(Settings.ValidationError::key)
                 .containsExactlyInAnyOrder("freshMs", "uncountedMs");
     }
 }
--- a/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
@@ -10,7 +10,7 @@
     private final Clock clock;
     private final IntSupplier delayMs;
     private long slowMs;
-    private long life;
+    private long incarnation;
 
     /** Example: {@code new DelayedSegmentStore(8, 1 << 16, clock, () -> 1 + random.nextInt(3))} */
     public DelayedSegmentStore(final int count, final int sizeBytes, final Clock clock, final IntSupplier delayMs) {
@@ -20,23 +20,23 @@
     }
 
     @Override
-    public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
-        final long mine = life;
+    public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
+        final long mine = incarnation;
         clock.after(slowMs + delayMs.getAsInt(), () -> {
-            if (life == mine) {
-                write(pieces);
+            if (incarnation == mine) {
+                write(chunks);
                 done.accept(true);
             }
         });
     }
 
-    /** Each commit takes so much longer from now on. Example: {@code disk.slowBy(300);} */
+    /** Each commit takes so much longer from now on. */
     public void slowBy(final long byMs) {
         slowMs = byMs;
     }
 
-    /** What is not down yet is lost, and nobody is told. Example: {@code disk.losePower();} */
+    /** What is not down yet is lost, and nobody is told. */
     public void losePower() {
-        life++;
+        incarnation++;
     }
 }
--- a/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
+++ b/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
@@ -26,9 +26,10 @@
 
     /** A ring that has gone on to its fourth file. */
     private void write() throws IOException {
-        final SegmentedLog ring = open();
+        final SegmentedLog segmentedLog = open();
         for (int i = 0; i < 200; i++) {
-            ring.put("key-" + i % 20, new byte[1000], ok -> assertThat(ok).isTrue());
+            segmentedLog.put(
+                    "key-" + i % 20, new byte[1000], ok -> assertThat(ok).isTrue());
         }
     }
 
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void aLostFileMakesTheRingBlankWhicheverItIs() throws IOException {
+    void aLostFileMakesTheLogBlankWhicheverItIs() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             Files.delete(file(segment));
@@ -48,7 +49,7 @@
     }
 
     @Test
-    void aFileThatWasCutShortMakesTheRingBlank() throws IOException {
+    void aFileThatWasCutShortMakesTheLogBlank() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             try (RandomAccessFile cut = new RandomAccessFile(file(segment).toFile(), "rw")) {
--- a/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
@@ -28,22 +28,22 @@
     }
 
     @Override
-    public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
-        write(pieces);
+    public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
+        write(chunks);
         done.accept(true);
     }
 
     /** Puts whole pieces down. */
-    protected final void write(final List<Piece> pieces) {
-        pieces.forEach(piece -> write(piece, piece.bytes().length));
+    protected final void write(final List<Chunk> chunks) {
+        chunks.forEach(chunk -> write(chunk, chunk.bytes().length));
     }
 
     /** Puts the beginning of a piece down, as a loss of power may leave it. */
-    protected final void write(final Piece piece, final int bytes) {
-        System.arraycopy(piece.bytes(), 0, files[piece.segment()], piece.at(), bytes);
+    protected final void write(final Chunk chunk, final int bytes) {
+        System.arraycopy(chunk.bytes(), 0, files[chunk.segment()], chunk.at(), bytes);
     }
 
-    /** Changes some bits of a byte, as a disk that decays. Example: {@code disk.flip(0, 17, 0x20);} */
+    /** Changes some bits of a byte, as a disk that decays. */
     public final void flip(final int segment, final int at, final int bits) {
         files[segment][at] ^= (byte) bits;
     }
--- a/spokestall/src/test/java/spokestall/storage/SegmentedLogTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogTest.java
@@ -16,7 +16,7 @@
 class SegmentedLogTest {
     /** A disk that holds commits back until told, and may lose or tear what is not synced. */
     private static final class Disk extends InMemorySegmentStore {
-        private final List<Piece> flying = new ArrayList<>();
+        private final List<Chunk> flying = new ArrayList<>();
         private Consumer<Boolean> waiting;
 
         Disk(final int count, final int size) {
@@ -24,9 +24,9 @@
         }
 
         @Override
-        public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
+        public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
             assertThat(waiting).as("one commit at a time").isNull();
-            flying.addAll(pieces);
+            flying.addAll(chunks);
             waiting = done;
         }
 
@@ -56,7 +56,7 @@
         }
 
         void losePower(final Random random) {
-            for (final Piece p : flying) {
+            for (final Chunk p : flying) {
                 write(p, random.nextInt(p.bytes().length + 1));
             }
             flying.clear();
@@ -70,8 +70,8 @@
         for (int seed = 0; seed < 60; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(6, 4096);
-            SegmentedLog ring = new SegmentedLog(disk);
-            assertThat(ring.blank()).isTrue();
+            SegmentedLog segmentedLog = new SegmentedLog(disk);
+            assertThat(segmentedLog.blank()).isTrue();
             // For each key the value that was synced last, and those put since.
             final Map<String, String> synced = new HashMap<>();
             final Map<String, List<String>> maybe = new HashMap<>();
@@ -82,7 +82,7 @@
                         : String.format("%03d/%05d", seed, step)
                                 + "x".repeat(random.nextBoolean() ? 20 : random.nextInt(200));
                 maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
-                ring.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
+                segmentedLog.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
                     assertThat(ok).isTrue();
                     synced.put(key, value);
                     maybe.get(key).remove(0);
@@ -92,14 +92,14 @@
                 }
                 if (random.nextInt(50) == 0) {
                     disk.losePower(random);
-                    ring = new SegmentedLog(disk);
+                    segmentedLog = new SegmentedLog(disk);
                     losses++;
-                    assertThat(ring.blank() && !synced.isEmpty())
+                    assertThat(segmentedLog.blank() && !synced.isEmpty())
                             .as("not blank")
                             .isFalse();
                     for (int k = 0; k < 12; k++) {
                         final String name = "key-" + k;
-                        final byte[] found = ring.table().get(name);
+                        final byte[] found = segmentedLog.table().get(name);
                         final String text = found == null ? null : new String(found, StandardCharsets.UTF_8);
                         final List<String> allowed = new ArrayList<>(maybe.getOrDefault(name, List.of()));
                         allowed.add(synced.get(name));
@@ -119,9 +119,9 @@
         for (int seed = 0; seed < 200; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(6, 4096);
-            final SegmentedLog ring = new SegmentedLog(disk);
+            final SegmentedLog segmentedLog = new SegmentedLog(disk);
             for (int i = 0; i < 60; i++) {
-                ring.put("key-" + i % 7, ("value " + i).getBytes(StandardCharsets.UTF_8), ok -> {});
+                segmentedLog.put("key-" + i % 7, ("value " + i).getBytes(StandardCharsets.UTF_8), ok -> {});
                 disk.sync();
             }
             final int last = 59;
@@ -141,23 +141,23 @@
     }
 
     @Test
-    void aRingThatIsFullSaysSoAndTakesDropsAndThenPutsAgain() {
+    void aLogThatIsFullSaysSoAndTakesDropsAndThenPutsAgain() {
         final Disk disk = new Disk(6, 4096);
-        final SegmentedLog ring = new SegmentedLog(disk);
+        final SegmentedLog segmentedLog = new SegmentedLog(disk);
         final List<Boolean> taken = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            ring.put("key-" + i, new byte[100], taken::add);
+            segmentedLog.put("key-" + i, new byte[100], taken::add);
             disk.sync();
         }
-        assertThat(ring.state()).isEqualTo(SegmentedLog.State.FULL);
+        assertThat(segmentedLog.state()).isEqualTo(SegmentedLog.State.FULL);
         assertThat(taken).contains(true, false);
-        final int kept = ring.table().size();
+        final int kept = segmentedLog.table().size();
         for (int i = 0; i < kept; i++) {
-            ring.put("key-" + i, null, ok -> {});
+            segmentedLog.put("key-" + i, null, ok -> {});
             disk.sync();
         }
         taken.clear();
-        ring.put("after", new byte[100], taken::add);
+        segmentedLog.put("after", new byte[100], taken::add);
         disk.sync();
         assertThat(taken).containsExactly(true);
         assertThat(new SegmentedLog(disk).table()).containsOnlyKeys("after");
@@ -170,7 +170,7 @@
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(8, size);
-            SegmentedLog ring = new SegmentedLog(disk);
+            SegmentedLog segmentedLog = new SegmentedLog(disk);
             final AtomicBoolean anything = new AtomicBoolean();
             final Map<String, String> synced = new HashMap<>();
             final Map<String, List<String>> maybe = new HashMap<>();
@@ -179,7 +179,7 @@
                 final int bytes = random.nextInt(3) == 0 ? 20 + random.nextInt(size - 100) : random.nextInt(200);
                 final String value = random.nextInt(9) == 0 ? null : step + "/" + "x".repeat(bytes);
                 maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
-                ring.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
+                segmentedLog.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
                     if (ok) {
                         synced.put(key, value);
                         anything.set(true);
@@ -191,13 +191,13 @@
                 }
                 if (random.nextInt(40) == 0) {
                     disk.losePower(random);
-                    ring = new SegmentedLog(disk);
-                    assertThat(ring.blank() && anything.get())
+                    segmentedLog = new SegmentedLog(disk);
+                    assertThat(segmentedLog.blank() && anything.get())
                             .as("blank, seed %s step %s", seed, step)
                             .isFalse();
                     for (int k = 0; k < 9; k++) {
                         final String name = "key-" + k;
-                        final byte[] found = ring.table().get(name);
+                        final byte[] found = segmentedLog.table().get(name);
                         final String text = found == null ? null : new String(found, StandardCharsets.UTF_8);
                         final List<String> allowed = new ArrayList<>(maybe.getOrDefault(name, List.of()));
                         allowed.add(synced.get(name));
@@ -215,22 +215,22 @@
     @Test
     void aDiskThatRefusesAWriteIsAskedAgainAndWhatItRefusedIsToldWhenItIsDown() {
         final Disk disk = new Disk(6, 4096);
-        final SegmentedLog ring = new SegmentedLog(disk);
+        final SegmentedLog segmentedLog = new SegmentedLog(disk);
         final List<Boolean> told = new ArrayList<>();
-        ring.put("one", new byte[10], told::add);
-        ring.put("two", new byte[20], told::add);
+        segmentedLog.put("one", new byte[10], told::add);
+        segmentedLog.put("two", new byte[20], told::add);
         disk.refuse();
         assertThat(told).isEmpty();
-        assertThat(ring.state()).isEqualTo(SegmentedLog.State.REFUSING);
-        assertThat(ring.canWrite()).isFalse();
-        ring.put("three", new byte[30], told::add);
-        ring.retry();
+        assertThat(segmentedLog.state()).isEqualTo(SegmentedLog.State.REFUSING);
+        assertThat(segmentedLog.canWrite()).isFalse();
+        segmentedLog.put("three", new byte[30], told::add);
+        segmentedLog.retry();
         disk.refuse();
-        assertThat(ring.canWrite()).isFalse();
-        ring.retry();
-        ring.retry();
+        assertThat(segmentedLog.canWrite()).isFalse();
+        segmentedLog.retry();
+        segmentedLog.retry();
         disk.sync();
-        assertThat(ring.canWrite()).isTrue();
+        assertThat(segmentedLog.canWrite()).isTrue();
         disk.sync();
         assertThat(told).containsExactly(true, true, true);
         assertThat(new SegmentedLog(disk).table()).containsOnlyKeys("one", "two", "three");
@@ -239,24 +239,24 @@
     @Test
     void whatADiskThatRefusesHasToKeepWaitingIsBounded() {
         final Disk disk = new Disk(6, 4096);
-        final SegmentedLog ring = new SegmentedLog(disk);
-        ring.put("first", new byte[1], ok -> {});
+        final SegmentedLog segmentedLog = new SegmentedLog(disk);
+        segmentedLog.put("first", new byte[1], ok -> {});
         disk.refuse();
         final List<Boolean> told = new ArrayList<>();
         for (int i = 0; i < 100_000; i++) {
-            ring.put("key", new byte[1], told::add);
+            segmentedLog.put("key", new byte[1], told::add);
         }
         assertThat(told).hasSizeGreaterThan(90_000).containsOnly(false);
     }
 
     @Test
-    void whatWasWrittenOnceInTheFirstLifeIsStillThereAfterTheRingHasGoneRoundManyTimes() {
+    void whatWasWrittenOnceInTheFirstLifeIsStillThereAfterTheLogHasGoneRoundManyTimes() {
         final Disk disk = new Disk(8, 4096);
-        final SegmentedLog ring = new SegmentedLog(disk);
-        ring.put("identity", "disk-1".getBytes(StandardCharsets.UTF_8), ok -> {});
+        final SegmentedLog segmentedLog = new SegmentedLog(disk);
+        segmentedLog.put("identity", "disk-1".getBytes(StandardCharsets.UTF_8), ok -> {});
         disk.sync();
         for (int i = 0; i < 2000; i++) {
-            ring.put("other", ("value " + i + "x".repeat(100)).getBytes(StandardCharsets.UTF_8), ok -> {});
+            segmentedLog.put("other", ("value " + i + "x".repeat(100)).getBytes(StandardCharsets.UTF_8), ok -> {});
             disk.sync();
             if (i % 50 == 0) {
                 assertThat(new SegmentedLog(disk).table()).as("after %s", i).containsOnlyKeys("identity", "other");
@@ -269,8 +269,8 @@
         return ByteBuffer.allocate(Integer.BYTES + bytes).putInt(number).array();
     }
 
-    private static int number(final SegmentedLog ring, final String key) {
-        final byte[] found = ring.table().get(key);
+    private static int number(final SegmentedLog segmentedLog, final String key) {
+        final byte[] found = segmentedLog.table().get(key);
         return found == null ? 0 : ByteBuffer.wrap(found).getInt();
     }
 
@@ -279,20 +279,20 @@
         for (int seed = 0; seed < 100; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(8, 4096);
-            SegmentedLog ring = new SegmentedLog(disk);
+            SegmentedLog segmentedLog = new SegmentedLog(disk);
             for (int step = 1; step <= 300; step++) {
                 // As a snapshot is put before what it makes superfluous is let go.
-                ring.put("snapshot", numbered(step, random.nextInt(1500)), ok -> {});
-                ring.put("floor", numbered(step, 0), ok -> {});
+                segmentedLog.put("snapshot", numbered(step, random.nextInt(1500)), ok -> {});
+                segmentedLog.put("floor", numbered(step, 0), ok -> {});
                 if (random.nextInt(3) == 0) {
                     disk.sync();
                 }
                 if (random.nextInt(20) == 0) {
                     disk.losePower(random);
-                    ring = new SegmentedLog(disk);
-                    assertThat(number(ring, "floor"))
+                    segmentedLog = new SegmentedLog(disk);
+                    assertThat(number(segmentedLog, "floor"))
                             .as("floor, seed %s step %s", seed, step)
-                            .isLessThanOrEqualTo(number(ring, "snapshot"));
+                            .isLessThanOrEqualTo(number(segmentedLog, "snapshot"));
                 }
             }
         }
@@ -304,20 +304,20 @@
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final Disk disk = new Disk(8, 1024);
-            SegmentedLog ring = new SegmentedLog(disk);
+            SegmentedLog segmentedLog = new SegmentedLog(disk);
             final Map<String, Integer> synced = new HashMap<>();
             for (int step = 1; step <= 600; step++) {
                 final int number = step;
                 final String key = "key-" + random.nextInt(8);
-                ring.put(key, numbered(number, random.nextInt(200)), ok -> synced.put(key, number));
+                segmentedLog.put(key, numbered(number, random.nextInt(200)), ok -> synced.put(key, number));
                 if (random.nextInt(3) > 0) {
                     disk.sync();
                     continue;
                 }
                 disk.losePowerBut(random.nextInt(3));
-                ring = new SegmentedLog(disk);
+                segmentedLog = new SegmentedLog(disk);
                 for (final Map.Entry<String, Integer> e : synced.entrySet()) {
-                    assertThat(number(ring, e.getKey()))
+                    assertThat(number(segmentedLog, e.getKey()))
                             .as("%s, seed %s step %s", e.getKey(), seed, step)
                             .isGreaterThanOrEqualTo(e.getValue());
                 }
--- a/spokestall/src/test/java/spokestall/time/EventClock.java
+++ b/spokestall/src/test/java/spokestall/time/EventClock.java
@@ -32,7 +32,7 @@
         events.add(new Event(nowMs + Math.max(0, waitMs), started++, event));
     }
 
-    /** Runs what is due until then, and stands there. Example: {@code clock.runUntil(5000, () -> check());} */
+    /** Runs what is due until then, and stands there. */
     public void runUntil(final long untilMs, final Runnable afterEach) {
         while (!events.isEmpty() && events.peek().atMs <= untilMs) {
             next();
@@ -41,7 +41,7 @@
         nowMs = untilMs;
     }
 
-    /** Runs until no timer is left. Example: {@code clock.runAll();} */
+    /** Runs until no timer is left. */
     public void runAll() {
         while (!events.isEmpty()) {
             next();
--- a/spokestall/src/test/java/spokestall/time/ManualClock.java
+++ b/spokestall/src/test/java/spokestall/time/ManualClock.java
@@ -6,7 +6,7 @@
     private long calendarMs;
     private boolean ignoresTimers;
 
-    /** Both times begin at the same value. Example: {@code new ManualClock(1_000_000)} */
+    /** Both times begin at the same value. */
     public ManualClock(final long startMs) {
         this(startMs, startMs);
     }
@@ -17,13 +17,13 @@
         this.calendarMs = calendarMs;
     }
 
-    /** Lets time pass. Example: {@code clock.advance(100);} */
+    /** Lets time pass. */
     public void advance(final long spanMs) {
         monotonicMs += spanMs;
         calendarMs += spanMs;
     }
 
-    /** Timers may be started from now on; none goes off. Example: {@code clock.ignoreTimers();} */
+    /** Timers may be started from now on; none goes off. */
     public void ignoreTimers() {
         ignoresTimers = true;
     }
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -14,8 +14,8 @@
 class UsageReporterTest {
     private static final long WINDOW_MS = 5000;
     private static final long DUE_MS = 10_000;
-    private static final UsageReporter.Pace PACE =
-            new UsageReporter.Pace(WINDOW_MS, 1500, 5000, 300, DUE_MS, 800, 800, 10);
+    private static final UsageReporter.Timing TIMING =
+            new UsageReporter.Timing(WINDOW_MS, 1500, 5000, 300, DUE_MS, 800, 800, 10);
     private static final List<String> CORES = List.of("v0", "v1", "v2", "v3", "v4", "v5");
 
     private record Call(long window, long atMs, long waitMs, Consumer<Boolean> done) {}
@@ -23,25 +23,25 @@
     private final ConsensusTestContext bench = new ConsensusTestContext(1, 0);
     private final FleetClock fleet = new FleetClock(bench.clock, 100);
     private final List<Call> calls = new ArrayList<>();
-    private final UsageTable book = new UsageTable(() -> fleet.nowMs() / WINDOW_MS, 16);
+    private final UsageTable configurationStore = new UsageTable(() -> fleet.nowMs() / WINDOW_MS, 16);
     private final UsageReporter reporter = new UsageReporter(
             "k",
             "k",
-            book,
+            configurationStore,
             bench.proposer("k"),
             (holder, token, window, waitMs, until, done) ->
                     calls.add(new Call(window.window(), bench.clock.nowMs(), waitMs, done)),
             this::answer,
             bench.clock,
             fleet,
-            PACE,
+            TIMING,
             () -> CORES,
             () -> 0,
             edge -> null);
 
-    private void answer(final String core, final Message note) {
-        final UsageMessage.CountAsk ask = (UsageMessage.CountAsk) note;
-        bench.clock.after(5, () -> reporter.hear(new UsageMessage.CountBack(core, ask.window(), List.of())));
+    private void answer(final String core, final Message message) {
+        final UsageMessage.CountsRequest ask = (UsageMessage.CountsRequest) message;
+        bench.clock.after(5, () -> reporter.hear(new UsageMessage.CountsResponse(core, ask.window(), List.of())));
     }
 
     private void beginAt(final long ms) {
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -32,16 +32,16 @@
         CUT
     }
 
-    /** How one core came back: from when it was reachable until it voted with the newest policy, and what it was sent. */
+    /** How one core came back: from when it was reachable until it voted with the newest configuration, and what it was sent. */
     record Back(Return from, long tookMs, long bytes, long startUs) {}
 
     /** What there was at so many changes: the most of any core, and how cores came back. */
     record Row(
             int changes,
-            double ringFill,
+            double logFill,
             int registers,
             long registerBytes,
-            long bookBytes,
+            long configurationStoreBytes,
             long heapBytes,
             List<Back> backs) {}
 
@@ -52,8 +52,8 @@
     private static final long FULL_MS = 5000;
     private static final long STEP_MS = 10;
     private static final long MOST_MS = 4L * 3_600_000;
-    private static final int TROUBLE_EVERY = 20;
-    private static final int SMALL_BINDINGS = 20;
+    private static final int ERROR_EVERY = 20;
+    private static final int SMALL_ROUTES = 20;
     private static final int SEGMENT_BYTES = 2 << 20;
     private final SimulatedWorld world;
     private final Random random;
@@ -72,8 +72,8 @@
     private long longestMs;
     private long acknowledgedMs;
 
-    /** Every so many changes a policy with so many bindings is put. */
-    ChangeHistory(final long seed, final List<Integer> marks, final int largeEvery, final int largeBindings) {
+    /** Every so many changes a configuration with so many routes is put. */
+    ChangeHistory(final long seed, final List<Integer> marks, final int largeEvery, final int largeRoutes) {
         this.world = new SimulatedWorld(
                 seed,
                 Deployment.PADMA,
@@ -84,8 +84,8 @@
         this.random = world.sim.random("history");
         this.marks = new ArrayDeque<>(marks);
         this.last = marks.get(marks.size() - 1);
-        this.small = ConfigurationGrowth.policy(SMALL_BINDINGS);
-        this.large = ConfigurationGrowth.policy(largeBindings);
+        this.small = ConfigurationGrowth.configuration(SMALL_ROUTES);
+        this.large = ConfigurationGrowth.configuration(largeRoutes);
         this.largeEvery = largeEvery;
     }
 
@@ -134,8 +134,8 @@
         }
         if (!marks.isEmpty() && made >= marks.peek() && !troubled) {
             measure(marks.poll());
-        } else if (made % TROUBLE_EVERY == TROUBLE_EVERY - 1 && !troubled) {
-            trouble(Return.values()[random.nextInt(Return.values().length)], () -> {});
+        } else if (made % ERROR_EVERY == ERROR_EVERY - 1 && !troubled) {
+            error(Return.values()[random.nextInt(Return.values().length)], () -> {});
         }
         final SimulatedNode core = world.any(world.cores(), random);
         if (!core.running()) {
@@ -145,7 +145,8 @@
         final int call = ++calls;
         final boolean whole = made % largeEvery == 0 || made % largeEvery == largeEvery / 2;
         final ObjectNode params = ConfigurationStore.JSON.createObjectNode();
-        params.put("base", core.node().book().policy().version()).put("changeId", "change-" + made);
+        params.put("base", core.node().configurationStore().configuration().version())
+                .put("changeId", "change-" + made);
         if (whole) {
             params.set("policy", made % largeEvery == 0 ? large : small);
         } else {
@@ -162,7 +163,7 @@
                 .putObject("tenants")
                 .putObject(Deployment.tenant(3))
                 .putObject("bindings")
-                .putObject("new" + made % SMALL_BINDINGS)
+                .putObject("new" + made % SMALL_ROUTES)
                 .put("path", "/new/" + made)
                 .put("service", world.deployment.big);
         return patch;
@@ -196,20 +197,21 @@
         double fill = 0;
         int registers = 0;
         long registerBytes = 0;
-        long bookBytes = 0;
+        long configurationStoreBytes = 0;
         for (final SimulatedNode core : world.cores()) {
             if (core.running()) {
-                fill = Math.max(fill, core.node().ringFill());
-                registers = Math.max(registers, core.node().voter().registers().size());
-                registerBytes = Math.max(registerBytes, bytes(core.node().voter()));
-                bookBytes = Math.max(
-                        bookBytes,
-                        core.node().book().kept(0).values().stream()
+                fill = Math.max(fill, core.node().logFill());
+                registers =
+                        Math.max(registers, core.node().acceptor().registers().size());
+                registerBytes = Math.max(registerBytes, bytes(core.node().acceptor()));
+                configurationStoreBytes = Math.max(
+                        configurationStoreBytes,
+                        core.node().configurationStore().kept(0).values().stream()
                                 .mapToLong(c -> c.json().length)
                                 .sum());
             }
         }
-        rows.add(new Row(changes, fill, registers, registerBytes, bookBytes, heapBytes(), mine));
+        rows.add(new Row(changes, fill, registers, registerBytes, configurationStoreBytes, heapBytes(), mine));
         next(mine, new ArrayDeque<>(List.of(Return.values())));
     }
 
@@ -226,21 +228,21 @@
 
     private void next(final List<Back> mine, final ArrayDeque<Return> left) {
         if (!left.isEmpty()) {
-            trouble(left.poll(), () -> {
+            error(left.poll(), () -> {
                 mine.add(backs.get(backs.size() - 1));
                 next(mine, left);
             });
         }
     }
 
-    private static long bytes(final Acceptor voter) {
-        return voter.registers().values().stream()
+    private static long bytes(final Acceptor acceptor) {
+        return acceptor.registers().values().stream()
                 .map(Register::value)
                 .mapToLong(v -> v == null ? 0 : v.length)
                 .sum();
     }
 
-    private void trouble(final Return from, final Runnable then) {
+    private void error(final Return from, final Runnable then) {
         troubled = true;
         final SimulatedNode core = world.any(world.cores(), random);
         if (from == Return.CUT) {
@@ -290,11 +292,11 @@
     }
 
     private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
-        final boolean voting = core.running() && core.node().voter().state() == Acceptor.State.VOTING;
+        final boolean voting = core.running() && core.node().acceptor().state() == Acceptor.State.VOTING;
         if (voting
                 && core.node().follower().fresh()
                 && core.node().follower().freshUntilMs() > provedBefore
-                && core.node().book().policy().version() + 1 >= acknowledged) {
+                && core.node().configurationStore().configuration().version() + 1 >= acknowledged) {
             then.run();
         } else {
             world.sim.after(STEP_MS, () -> whenBack(core, provedBefore, then));
@@ -305,10 +307,10 @@
     private void look() {
         long having = 0;
         for (final SimulatedNode core : world.cores()) {
-            final Acceptor voter = core.running() ? core.node().voter() : null;
-            if (voter != null && voter.state() == Acceptor.State.VOTING) {
-                final Register r = voter.registers().get(ConfigurationKeys.key(acknowledged));
-                having += voter.floor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
+            final Acceptor acceptor = core.running() ? core.node().acceptor() : null;
+            if (acceptor != null && acceptor.state() == Acceptor.State.VOTING) {
+                final Register r = acceptor.registers().get(ConfigurationKeys.key(acknowledged));
+                having += acceptor.floor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
             }
         }
         if (having < world.cores().size() / 2 + 1) {
@@ -329,10 +331,10 @@
                 System.out.printf(
                         "| %d | %.3f | %d | %d | %d | %d | %s | %d | %d | %d |%n",
                         row.changes,
-                        row.ringFill,
+                        row.logFill,
                         row.registers,
                         row.registerBytes >> 10,
-                        row.bookBytes >> 10,
+                        row.configurationStoreBytes >> 10,
                         row.heapBytes >> 10,
                         back.from,
                         back.tookMs,
--- a/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
+++ b/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
@@ -12,7 +12,7 @@
 import spokestall.configuration.ConfigurationValidator;
 import spokestall.message.MessageCodec;
 
-/** What one more binding costs a core and the feed, against how many there are. */
+/** What one more route costs a core and the feed, against how many there are. */
 final class ConfigurationGrowth {
     private static final int TURNS = 41;
 
@@ -24,36 +24,42 @@
                 Set.of("r1", "r2", "r3"),
                 Set.of("d1", "d2", "d3", "d4", "d5", "d6"));
         double first = 0;
-        for (final int bindings : new int[] {100, 100, 1000, 10_000}) {
-            final ConfigurationStore book = new ConfigurationStore(1024);
-            book.apply(
+        for (final int routes : new int[] {100, 100, 1000, 10_000}) {
+            final ConfigurationStore configurationStore = new ConfigurationStore(1024);
+            configurationStore.apply(
                     1,
                     new ConfigurationChange(
                             "all",
                             ConfigurationChange.Kind.PUT,
-                            policy(bindings).toString().getBytes(StandardCharsets.UTF_8),
+                            configuration(routes).toString().getBytes(StandardCharsets.UTF_8),
                             0));
             final long[] us = new long[TURNS];
             int bytes = 0;
             for (int i = 0; i < TURNS; i++) {
                 final ConfigurationChange one = patch(i);
                 final long fromNs = System.nanoTime();
-                final JsonNode after = book.preview(one);
-                if (!rules.check(after, book.policy().tree()).isEmpty()) {
+                final JsonNode after = configurationStore.preview(one);
+                if (!rules.check(after, configurationStore.configuration().tree())
+                        .isEmpty()) {
                     throw new IllegalStateException("the policy is invalid");
                 }
-                book.apply(book.policy().version() + 1, one);
+                configurationStore.apply(configurationStore.configuration().version() + 1, one);
                 us[i] = (System.nanoTime() - fromNs) / 1000;
                 bytes = MessageCodec.bytes(one).length;
             }
             Arrays.sort(us);
             final double cost = us[TURNS / 2];
-            first = first == 0 || bindings == 100 ? cost : first;
+            first = first == 0 || routes == 100 ? cost : first;
             System.out.printf(
                     "bindings=%d acceptAndApplyUs=%.0f overHundred=%.1f feedBytes=%d snapshotBytes=%d heapKiB=%d%n",
-                    bindings, cost, cost / first, bytes, MessageCodec.bytes(book.snapshot()).length, heap(() -> {
+                    routes,
+                    cost,
+                    cost / first,
+                    bytes,
+                    MessageCodec.bytes(configurationStore.snapshot()).length,
+                    heap(() -> {
                         final ConfigurationStore other = new ConfigurationStore(1024);
-                        other.load(book.snapshot());
+                        other.load(configurationStore.snapshot());
                         return other;
                     }));
         }
@@ -71,23 +77,23 @@
         System.gc();
         final long after =
                 Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-        return (after - before) / 1024 / kept.length * (kept[0].policy().version() > 0 ? 1 : 0);
+        return (after - before) / 1024 / kept.length * (kept[0].configuration().version() > 0 ? 1 : 0);
     }
 
-    static ObjectNode policy(final int bindings) {
-        final ObjectNode policy = Deployment.PADMA.policy();
-        for (int i = 0; i < bindings; i++) {
-            bindings(policy, i % Deployment.TENANTS)
+    static ObjectNode configuration(final int routes) {
+        final ObjectNode configuration = Deployment.PADMA.configuration();
+        for (int i = 0; i < routes; i++) {
+            routes(configuration, i % Deployment.TENANTS)
                     .putObject("more" + i)
                     .put("path", "/more/" + i)
                     .put("service", Deployment.PADMA.big);
         }
-        return policy;
+        return configuration;
     }
 
-    private static ObjectNode bindings(final ObjectNode policy, final int tenant) {
-        return (ObjectNode)
-                policy.at("/cells/" + Deployment.cell(tenant) + "/tenants/" + Deployment.tenant(tenant) + "/bindings");
+    private static ObjectNode routes(final ObjectNode configuration, final int tenant) {
+        return (ObjectNode) configuration.at(
+                "/cells/" + Deployment.cell(tenant) + "/tenants/" + Deployment.tenant(tenant) + "/bindings");
     }
 
     private static ConfigurationChange patch(final int i) {
--- a/testbed/src/main/java/spokestall/testbed/Deployment.java
+++ b/testbed/src/main/java/spokestall/testbed/Deployment.java
@@ -44,12 +44,12 @@
     }
 
     /** One upstream's place. */
-    public record Place(String instance, String service, String district, String region) {}
+    public record Place(String instance, String service, String zone, String region) {}
 
-    /** One kind of ask that callers make. */
+    /** One kind of ask that clients make. */
     public record Kind(String tenant, String key, String path, boolean runOnce, int weight) {}
 
-    public static String district(final int i) {
+    public static String zone(final int i) {
         return "d" + (i % DISTRICTS + 1);
     }
 
@@ -57,10 +57,10 @@
         return "r" + (i % DISTRICTS / 2 + 1);
     }
 
-    public static String districts() {
+    public static String zones() {
         final List<String> all = new ArrayList<>();
         for (int i = 0; i < DISTRICTS; i++) {
-            all.add(district(i) + "=" + region(i));
+            all.add(zone(i) + "=" + region(i));
         }
         return String.join(",", all);
     }
@@ -69,7 +69,7 @@
         final List<Place> all = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
             final String service = i < UPSTREAMS * 2 / 3 ? big : small;
-            all.add(new Place(service + "-" + i, service, district(i), region(i)));
+            all.add(new Place(service + "-" + i, service, zone(i), region(i)));
         }
         return all;
     }
@@ -114,9 +114,9 @@
         return list;
     }
 
-    public ObjectNode policy() {
-        final ObjectNode policy = JSON.createObjectNode();
-        final ObjectNode cells = policy.putObject("cells");
+    public ObjectNode configuration() {
+        final ObjectNode configuration = JSON.createObjectNode();
+        final ObjectNode cells = configuration.putObject("cells");
         for (int i = 0; i < TENANTS; i++) {
             final ObjectNode cell = cells.has(cell(i)) ? (ObjectNode) cells.get(cell(i)) : cells.putObject(cell(i));
             final ObjectNode tenants =
@@ -125,12 +125,12 @@
             final ArrayNode home = t.putArray("homeRegions");
             home(i).forEach(home::add);
             t.putObject("keys").putObject("main").put("sha256", KeyHash.of(key(i)));
-            final ObjectNode bindings = t.putObject("bindings");
-            bindings.putObject("once").put("path", once).put("service", big).put("runOnce", true);
-            bindings.putObject("look").put("path", look).put("service", big);
-            bindings.putObject("other").put("path", other).put("service", small);
+            final ObjectNode routes = t.putObject("bindings");
+            routes.putObject("once").put("path", once).put("service", big).put("runOnce", true);
+            routes.putObject("look").put("path", look).put("service", big);
+            routes.putObject("other").put("path", other).put("service", small);
         }
-        final ObjectNode services = policy.putObject("services");
+        final ObjectNode services = configuration.putObject("services");
         services.putObject(big)
                 .put("warmPerS", SimulatedWorld.WARM_PER_S)
                 .put("warmupMs", 10_000)
@@ -139,6 +139,6 @@
                 .put("warmPerS", SimulatedWorld.WARM_PER_S)
                 .put("warmupMs", 10_000)
                 .put("goMs", 2000);
-        return policy;
+        return configuration;
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -71,7 +71,7 @@
         private int threads = 6;
 
         @Option(name = "--plant", usage = "a fault to plant, to see that the rules' judge finds it")
-        private InjectedFault plant = InjectedFault.NONE;
+        private InjectedFault injectedFault = InjectedFault.NONE;
 
         @Option(name = "--trace", usage = "print the trace of the one run")
         private boolean trace;
@@ -153,7 +153,7 @@
                 Deployment.DISTRICTS,
                 flags.distant ? deployment.apartMs / 2 : 0)) {
             fleet.start();
-            final long version = fleet.putPolicy();
+            final long version = fleet.putConfiguration();
             fleet.ready(version);
             System.out.println("fleet=up folder=" + fleet.folder() + " nodes="
                     + fleet.members().size() + " version=" + version);
@@ -227,7 +227,7 @@
             fleet.hooked();
             fault.before(fleet);
             fleet.start();
-            fleet.ready(fleet.putPolicy());
+            fleet.ready(fleet.putConfiguration());
             final FleetJudge judge = new FleetJudge(fleet);
             final Process demand = fleet.demand(flags.seconds, fault.least());
             Fleet.until("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
@@ -309,7 +309,8 @@
         final long from = seeds[0];
         final long until = seeds[1];
         if (flags.trace) {
-            final SimulationRun run = new SimulationRun(from, deployments.get(0), scenarios.get(0), true, flags.plant);
+            final SimulationRun run =
+                    new SimulationRun(from, deployments.get(0), scenarios.get(0), true, flags.injectedFault);
             run.play();
             System.out.print(run.world.sim.traced());
             System.out.println(run.results());
@@ -324,6 +325,6 @@
             return 0;
         }
         Logger.getLogger("").setLevel(Level.OFF);
-        return ScenarioSweep.run(scenarios, deployments, from, until, flags.threads, flags.plant) == 0 ? 0 : 1;
+        return ScenarioSweep.run(scenarios, deployments, from, until, flags.threads, flags.injectedFault) == 0 ? 0 : 1;
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/fault/InjectedFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/InjectedFault.java
@@ -5,12 +5,12 @@
 /** Faults that are planted to see that the judge finds them: a guard widened by settings, or the world made to lie. */
 public enum InjectedFault {
     NONE(Map.of()),
-    /** Proofs of the policy count twelve times as long and are asked for as seldom; words on upstreams five times. A cut-off
+    /** Proofs of the configuration count twelve times as long and are asked for as seldom; words on upstreams five times. A cut-off
      * edge is not stopped by its counts either, or they would hide it. */
     OLD_PROOFS(Map.of("keyBoundMs", "60000", "leaveBoundMs", "20000", "uncountedMs", "0")),
     /** Upstreams are probed and views shuffled fifteen times as seldom. */
     SELDOM_PROBES(Map.of("leaveBoundMs", "60000")),
-    /** Nodes believe that their districts lie in other regions. */
+    /** Nodes believe that their zones lie in other regions. */
     WRONG_REGIONS(Map.of("districts", "d1=r2,d2=r2,d3=r1,d4=r1,d5=r3,d6=r3")),
     /** Each edge takes a shared bound as its own. */
     UNDIVIDED(Map.of("edges", "1")),
@@ -38,7 +38,7 @@
     SLOW_LEAVING(Map.of("leaveBoundMs", "24000")),
     /** Whoever asks a core that it is cut off from hears that what it has is the newest. */
     FORGED_PROOFS(Map.of()),
-    /** Each change of the policy says that it was made an hour after the one before. */
+    /** Each change of the configuration says that it was made an hour after the one before. */
     LEAPING_CHANGES(Map.of());
 
     @SuppressWarnings("ImmutableEnumChecker") // All are made by Map.of.
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -36,7 +36,7 @@
             }
         }
     },
-    DISTRICT_KILL {
+    ZONE_KILL {
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             down(fleet, fleet.names(m -> m.name.startsWith("d4-")), 6000);
@@ -267,7 +267,7 @@
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Upstreams take twice the usual demand; ten times as much comes, and then the usual again.
-            fleet.stands().forEach(u -> u.limit(90));
+            fleet.standIns().forEach(u -> u.limit(90));
             final Process more = fleet.demand(8, 0, 1800, fleet.folder().resolve("more"));
             more.waitFor();
         }
@@ -281,11 +281,11 @@
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             final UpstreamStandIn.Manner[] all = UpstreamStandIn.Manner.values();
-            for (int i = 0; i < fleet.stands().size(); i += 3) {
-                fleet.stands().get(i).behave(all[1 + i / 3 % (all.length - 1)]);
+            for (int i = 0; i < fleet.standIns().size(); i += 3) {
+                fleet.standIns().get(i).behave(all[1 + i / 3 % (all.length - 1)]);
             }
             pause(8000);
-            fleet.stands().forEach(u -> u.behave(UpstreamStandIn.Manner.WELL));
+            fleet.standIns().forEach(u -> u.behave(UpstreamStandIn.Manner.WELL));
         }
 
         @Override
@@ -297,7 +297,7 @@
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 4; i++) {
-                final UpstreamStandIn up = fleet.stands().get(i * 5);
+                final UpstreamStandIn up = fleet.standIns().get(i * 5);
                 up.leave();
                 judge.emptied(up.place().instance(), System.currentTimeMillis(), Long.MAX_VALUE);
                 judge.judge().check(Rule.LEAVING, 0, "leaving");
@@ -311,7 +311,7 @@
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Upstreams go at once, and each address passes to a cold one of the other service.
             for (int i = 0; i < 4; i++) {
-                final UpstreamStandIn old = fleet.stands().get(3 + i * 8);
+                final UpstreamStandIn old = fleet.standIns().get(3 + i * 8);
                 old.stop();
                 final Deployment.Place was = old.place();
                 final String other = was.service().equals(Deployment.PADMA.big)
@@ -321,26 +321,25 @@
                                 : was.service().equals(Deployment.VERDE.big)
                                         ? Deployment.VERDE.small
                                         : Deployment.VERDE.big;
-                judge.cold(
-                        fleet.replace(
-                                old, new Deployment.Place(other + "-new-" + i, other, was.district(), was.region())),
+                judge.warmingUp(
+                        fleet.replace(old, new Deployment.Place(other + "-new-" + i, other, was.zone(), was.region())),
                         System.currentTimeMillis());
                 pause(2500);
             }
         }
     },
-    COLD_RETURN {
+    WARM_UP_RETURN {
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            for (final UpstreamStandIn old : fleet.stands()) {
+            for (final UpstreamStandIn old : fleet.standIns()) {
                 if (Integer.parseInt(old.place().instance().replaceAll(".*-", "")) % 2 == 0) {
                     old.stop();
                     final Deployment.Place was = old.place();
-                    judge.cold(
+                    judge.warmingUp(
                             fleet.replace(
                                     old,
                                     new Deployment.Place(
-                                            was.instance() + "-new", was.service(), was.district(), was.region())),
+                                            was.instance() + "-new", was.service(), was.zone(), was.region())),
                             System.currentTimeMillis());
                 }
             }
@@ -484,6 +483,6 @@
     }
 
     private static String service(final Fleet fleet) {
-        return fleet.stands().get(0).place().service();
+        return fleet.standIns().get(0).place().service();
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -56,13 +56,13 @@
         return () -> {
             final long untilMs = until.getAsLong();
             if (Files.exists(hooks.resolve("gap"))) {
-                stand(GAP_MS);
+                standIn(GAP_MS);
             }
             return untilMs;
         };
     }
 
-    private static void stand(final long ms) {
+    private static void standIn(final long ms) {
         final long endNs = System.nanoTime() + ms * 1_000_000;
         while (System.nanoTime() < endNs) {
             LockSupport.parkNanos(endNs - System.nanoTime());
@@ -87,13 +87,13 @@
         }
 
         @Override
-        public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
+        public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
             // Commits pile up behind a stall, in their order, as they do in front of a disk that doesn't answer.
             FRONT.execute(() -> {
                 while (Files.exists(hooks.resolve("stall"))) {
-                    stand(20);
+                    standIn(20);
                 }
-                disk.commit(pieces, ok -> done.accept(ok && !Files.exists(hooks.resolve("full"))));
+                disk.commit(chunks, ok -> done.accept(ok && !Files.exists(hooks.resolve("full"))));
             });
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -83,16 +83,16 @@
         UpstreamInstance make(Deployment.Place place, int port);
     }
 
-    public Fleet(final Deployment deployment, final Path folder, final int districts, final long delayMs)
+    public Fleet(final Deployment deployment, final Path folder, final int zones, final long delayMs)
             throws IOException {
-        this(deployment, folder, districts, delayMs, deployment.upstreams(), null, Map.of());
+        this(deployment, folder, zones, delayMs, deployment.upstreams(), null, Map.of());
     }
 
     /** With other upstreams than the deployment's, and settings of its own. */
     public Fleet(
             final Deployment deployment,
             final Path folder,
-            final int districts,
+            final int zones,
             final long delayMs,
             final List<Deployment.Place> places,
             final Maker maker,
@@ -103,7 +103,7 @@
         this.links = new LinkConditions(delayMs);
         Files.createDirectories(folder);
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 2));
-        final List<Integer> ports = freePorts(1 + places.size() + 8 * districts);
+        final List<Integer> ports = freePorts(1 + places.size() + 8 * zones);
         int next = 0;
         platform = new PlatformStandIn(ports.get(next++), worker, ledger, () -> upstreams, 1000);
         for (final Deployment.Place place : places) {
@@ -115,21 +115,21 @@
         }
         final List<String> seeds = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            seeds.add("127.0.0.1:" + ports.get(next + 8 * (i % districts)));
+            seeds.add("127.0.0.1:" + ports.get(next + 8 * (i % zones)));
         }
-        for (int i = 0; i < districts; i++) {
+        for (int i = 0; i < zones; i++) {
             for (final boolean core : new boolean[] {true, false}) {
-                final String name = Deployment.district(i) + (core ? "-core" : "-edge");
+                final String name = Deployment.zone(i) + (core ? "-core" : "-edge");
                 final ObjectNode s = JSON.createObjectNode();
                 final int outside = ports.get(next++);
                 final int inside = ports.get(next++);
                 s.put("name", name).put("address", "127.0.0.1:" + outside).put("listen", "127.0.0.1:" + inside);
-                s.put("http", "127.0.0.1:" + ports.get(next++)).put("district", Deployment.district(i));
+                s.put("http", "127.0.0.1:" + ports.get(next++)).put("district", Deployment.zone(i));
                 s.put("operators", "127.0.0.1:" + ports.get(next++));
-                s.put("districts", Deployment.districts()).put("seeds", String.join(",", seeds));
+                s.put("districts", Deployment.zones()).put("seeds", String.join(",", seeds));
                 s.put("platform", "127.0.0.1:" + ports.get(0))
-                        .put("cores", districts)
-                        .put("edges", districts);
+                        .put("cores", zones)
+                        .put("edges", zones);
                 more.forEach(s::put);
                 final Path data = folder.resolve(name);
                 if (core) {
@@ -195,7 +195,7 @@
     }
 
     /** The upstreams that can misbehave. */
-    public List<UpstreamStandIn> stands() {
+    public List<UpstreamStandIn> standIns() {
         return upstreams.stream().map(UpstreamStandIn.class::cast).toList();
     }
 
@@ -297,14 +297,14 @@
         until(m.name + " is fresh", 20_000, () -> status(m).path("fresh").asBoolean());
     }
 
-    /** Puts the deployment's policy, asking again with the same change id until the outcome is known. */
-    public long putPolicy() {
-        return putPolicy("first-policy", deployment.policy());
+    /** Puts the deployment's configuration, asking again with the same change id until the outcome is known. */
+    public long putConfiguration() {
+        return putConfiguration("first-policy", deployment.configuration());
     }
 
-    public long putPolicy(final String changeId, final ObjectNode policy) {
+    public long putConfiguration(final String changeId, final ObjectNode configuration) {
         final ObjectNode params = JSON.createObjectNode().put("changeId", changeId);
-        params.set("policy", policy);
+        params.set("policy", configuration);
         final long[] version = {-1};
         until("the policy is accepted", 30_000, () -> {
             final String to = anyCore().operators;
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
@@ -73,11 +73,11 @@
                     // What went missing would make nonsense of what comes now.
                     return;
                 } else {
-                    final byte[] piece = java.util.Arrays.copyOf(buffer, n);
+                    final byte[] chunk = java.util.Arrays.copyOf(buffer, n);
                     final long nowMs = System.nanoTime() / 1_000_000;
                     notBeforeMs = Math.max(notBeforeMs, nowMs + links.lateMs());
                     final ScheduledFuture<?> unused =
-                            late.schedule(() -> write(piece, into), notBeforeMs - nowMs, TimeUnit.MILLISECONDS);
+                            late.schedule(() -> write(chunk, into), notBeforeMs - nowMs, TimeUnit.MILLISECONDS);
                 }
                 n = in.read(buffer);
             }
@@ -91,9 +91,9 @@
         }
     }
 
-    private static void write(final byte[] piece, final Socket into) {
+    private static void write(final byte[] chunk, final Socket into) {
         try {
-            into.getOutputStream().write(piece);
+            into.getOutputStream().write(chunk);
         } catch (final IOException e) {
             close(into);
         }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleCommand.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleCommand.java
@@ -27,14 +27,14 @@
                     flags.nodes,
                     flags.cores,
                     flags.regions,
-                    flags.districts,
+                    flags.zones,
                     flags.upstreams,
                     flags.services,
-                    flags.bindings,
+                    flags.routes,
                     flags.tenants,
                     flags.rate,
                     flags.seed,
-                    run.policyBytes,
+                    run.configurationBytes,
                     flags.set);
             run.play();
             final long disks = 8L * run.segmentBytes * flags.cores;
@@ -127,7 +127,7 @@
                                 && f.role().equals(role)
                                 && f.what().equals(what)
                                 && !f.kind().equals(Figure.ALL)
-                                && f.zone().equals(Figure.ALL))
+                                && f.distance().equals(Figure.ALL))
                         .sorted(Comparator.comparingDouble(Figure::value).reversed())
                         .limit(KINDS_TOLD)
                         .map(f -> f.kind() + String.format("=%.4g", f.value()))
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleDay.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleDay.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** An ordinary day pressed together: restarts, machines that fail, a district lost, a region parted. */
+/** An ordinary day pressed together: restarts, machines that fail, a zone lost, a region parted. */
 final class ScaleDay {
     private static final long DOWN_MS = 1000;
     private final ScaleRun run;
@@ -33,10 +33,10 @@
             final int up = chance.nextInt(flags.upstreams);
             at(spanMs * i / replaced, () -> run.outside.replace(up));
         }
-        final int lost = 1 % flags.districts;
+        final int lost = 1 % flags.zones;
         at(
                 spanMs * 4 / 10,
-                () -> run.nodes.stream().filter(n -> n.district == lost).forEach(n -> down(n, spanMs * 2 / 10)));
+                () -> run.nodes.stream().filter(n -> n.zone == lost).forEach(n -> down(n, spanMs * 2 / 10)));
         final int region = flags.regions - 1;
         at(spanMs * 7 / 10, () -> run.net.part(region, flags.regions > 1));
         at(spanMs * 9 / 10, () -> run.net.part(region, false));
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleDisk.java
@@ -14,7 +14,7 @@
 
     private static final int COUNT = 8;
     private final byte[][] down;
-    private final List<Piece> flying = new ArrayList<>();
+    private final List<Chunk> flying = new ArrayList<>();
     private Back back;
     private long syncs;
     private long bytes;
@@ -24,7 +24,7 @@
     }
 
     /** The process is gone or new: what it had written is in the machine's memory and gets down. */
-    void life(final Back mine) {
+    void incarnation(final Back mine) {
         flying.forEach(this::write);
         flying.clear();
         back = mine;
@@ -54,18 +54,18 @@
     }
 
     @Override
-    public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
+    public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
         syncs++;
-        pieces.forEach(p -> bytes += p.bytes().length);
-        flying.addAll(pieces);
+        chunks.forEach(p -> bytes += p.bytes().length);
+        flying.addAll(chunks);
         back.after(1 + syncs % 2, () -> {
-            pieces.forEach(this::write);
-            flying.removeAll(pieces);
+            chunks.forEach(this::write);
+            flying.removeAll(chunks);
             done.accept(true);
         });
     }
 
-    private void write(final Piece p) {
+    private void write(final Chunk p) {
         System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleEnvironment.java
@@ -20,19 +20,15 @@
 
     ScaleEnvironment(final SteppedTime steps, final List<Deployment.Place> places) {
         this.steps = steps;
-        places.forEach(p -> listed.add(add(p.instance(), p.service(), p.district(), p.region(), -WARM_MS)));
+        places.forEach(p -> listed.add(add(p.instance(), p.service(), p.zone(), p.region(), -WARM_MS)));
         list = List.copyOf(listed);
     }
 
     private Endpoint add(
-            final String instance,
-            final String service,
-            final String district,
-            final String region,
-            final long readyAtMs) {
+            final String instance, final String service, final String zone, final String region, final long readyAtMs) {
         final int i = made++;
         final Endpoint up = Endpoint.read(
-                instance, service, "10.1." + i / 200 + "." + (i % 200 + 1) + ":80", district, region, false, -1, 0);
+                instance, service, "10.1." + i / 200 + "." + (i % 200 + 1) + ":80", zone, region, false, -1, 0);
         byAddress.put(up.address(), up);
         readyMs.put(up.instance(), readyAtMs);
         return up;
@@ -56,7 +52,7 @@
         byAddress.remove(old.address());
         listed.set(
                 i % listed.size(),
-                add(old.service() + "-r" + made, old.service(), old.district(), old.region(), steps.nowMs()));
+                add(old.service() + "-r" + made, old.service(), old.zone(), old.region(), steps.nowMs()));
         list = List.copyOf(listed);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
@@ -14,7 +14,7 @@
     private final List<Figure> found = new ArrayList<>();
 
     private interface Count {
-        long of(ScaleTraffic traffic, Phase phase, Distance zone, int kind);
+        long of(ScaleTraffic traffic, Phase phase, Distance distance, int kind);
     }
 
     private ScaleFigures(final ScaleRun run) {
@@ -43,8 +43,8 @@
             final String role = core ? "core" : "edge";
             final List<ScaleNode> of =
                     run.nodes.stream().filter(n -> n.core == core).toList();
-            traffic(phase, role, of, s, "notesIn", ScaleTraffic::notesIn);
-            traffic(phase, role, of, s, "notesOut", ScaleTraffic::notesOut);
+            traffic(phase, role, of, s, "notesIn", ScaleTraffic::messagesIn);
+            traffic(phase, role, of, s, "notesOut", ScaleTraffic::messagesOut);
             traffic(phase, role, of, s, "bytesIn", ScaleTraffic::bytesIn);
             traffic(phase, role, of, s, "bytesOut", ScaleTraffic::bytesOut);
             cpu(phase, role, of, s);
@@ -58,9 +58,9 @@
                 run.wordless.getOrDefault(phase, 0L)
                         / (double) Math.max(
                                 1, run.words.get(phase).getTotalCount() + run.wordless.getOrDefault(phase, 0L)));
-        final double asks = Math.max(1, sum(n -> !n.core, n -> n.asks[phase.ordinal()]));
-        add(phase.name(), "edge", "deniedStale", sum(n -> !n.core, n -> n.stale[phase.ordinal()]) / asks);
-        add(phase.name(), "edge", "deniedUncounted", sum(n -> !n.core, n -> n.uncounted[phase.ordinal()]) / asks);
+        final double requests = Math.max(1, sum(n -> !n.core, n -> n.requests[phase.ordinal()]));
+        add(phase.name(), "edge", "deniedStale", sum(n -> !n.core, n -> n.stale[phase.ordinal()]) / requests);
+        add(phase.name(), "edge", "deniedUncounted", sum(n -> !n.core, n -> n.uncounted[phase.ordinal()]) / requests);
         final Histogram most = new Histogram(3);
         final Histogram all = new Histogram(3);
         run.inForce.forEach((a, at) -> {
@@ -102,12 +102,12 @@
         long most = 0;
         for (final ScaleNode n : of) {
             long mine = 0;
-            for (final Distance zone : Distance.values()) {
+            for (final Distance distance : Distance.values()) {
                 for (int kind = 0; kind < ScaleTraffic.TIMER; kind++) {
-                    final long c = count.of(n.traffic, phase, zone, kind);
+                    final long c = count.of(n.traffic, phase, distance, kind);
                     if (c > 0) {
-                        byKind.computeIfAbsent(name(kind), k -> new double[all.length])[zone.ordinal()] += c / per;
-                        all[zone.ordinal()] += c / per;
+                        byKind.computeIfAbsent(name(kind), k -> new double[all.length])[distance.ordinal()] += c / per;
+                        all[distance.ordinal()] += c / per;
                         mine += c;
                     }
                 }
@@ -121,9 +121,9 @@
 
     private void put(final Phase phase, final String role, final String what, final String kind, final double[] zones) {
         double sum = 0;
-        for (final Distance zone : Distance.values()) {
-            sum += zones[zone.ordinal()];
-            found.add(new Figure(phase.name(), role, what, kind, zone.name(), zones[zone.ordinal()]));
+        for (final Distance distance : Distance.values()) {
+            sum += zones[distance.ordinal()];
+            found.add(new Figure(phase.name(), role, what, kind, distance.name(), zones[distance.ordinal()]));
         }
         found.add(new Figure(phase.name(), role, what, kind, Figure.ALL, sum));
     }
@@ -164,7 +164,7 @@
         final String end = "END";
         final double runS = Math.max(1, run.steps.nowMs()) / 1000.0;
         add(end, "fleet", "heapBytesPerNode", (double) heapBytes / run.nodes.size());
-        add(end, "fleet", "policyBytes", (double) run.policyBytes);
+        add(end, "fleet", "policyBytes", (double) run.configurationBytes);
         add(end, "fleet", "reports", (double) run.judge.reports());
         add(end, "fleet", "readyMs", (double) run.readyMs());
         for (final boolean core : new boolean[] {true, false}) {
@@ -176,7 +176,7 @@
                     role,
                     "listed",
                     of.stream()
-                            .mapToInt(n -> n.node().listing().listed().size())
+                            .mapToInt(n -> n.node().endpointRegistry().listed().size())
                             .average()
                             .orElse(0));
             add(
@@ -184,7 +184,8 @@
                     role,
                     "words",
                     of.stream()
-                            .mapToInt(n -> n.node().listing().reportsAfter(0).size())
+                            .mapToInt(n ->
+                                    n.node().endpointRegistry().reportsAfter(0).size())
                             .average()
                             .orElse(0));
             add(
@@ -193,10 +194,10 @@
                     "listBytes",
                     of.stream()
                             .limit(3)
-                            .mapToLong(n -> n.node().listing().listed().stream()
+                            .mapToLong(n -> n.node().endpointRegistry().listed().stream()
                                             .mapToLong(l -> MessageCodec.bytes(l).length)
                                             .sum()
-                                    + n.node().listing().reportsAfter(0).stream()
+                                    + n.node().endpointRegistry().reportsAfter(0).stream()
                                             .mapToLong(r -> MessageCodec.bytes(r).length)
                                             .sum())
                             .average()
@@ -220,7 +221,7 @@
                 "core",
                 "registers",
                 up.stream()
-                        .mapToInt(n -> n.node().voter().registers().size())
+                        .mapToInt(n -> n.node().acceptor().registers().size())
                         .average()
                         .orElse(0));
         add(
@@ -228,7 +229,7 @@
                 "core",
                 "registerBytes",
                 up.stream()
-                        .mapToLong(n -> n.node().voter().registers().values().stream()
+                        .mapToLong(n -> n.node().acceptor().registers().values().stream()
                                 .mapToLong(r -> MessageCodec.bytes(r).length)
                                 .sum())
                         .average()
@@ -245,7 +246,7 @@
             long bestNs = Long.MAX_VALUE;
             for (int turn = 0; turn < TURNS; turn++) {
                 final long fromNs = System.nanoTime();
-                n.node().listing().ready(service, n.node().fleetMs());
+                n.node().endpointRegistry().ready(service, n.node().fleetMs());
                 bestNs = Math.min(bestNs, System.nanoTime() - fromNs);
             }
             add(end, "edge", "readyUs", bestNs / 1000.0);
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleFlags.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFlags.java
@@ -15,7 +15,7 @@
     static final int AIM_EDGES = 633;
     static final int AIM_UPSTREAMS = 3900;
     static final int AIM_SERVICES = 100;
-    static final int AIM_BINDINGS = 860;
+    static final int AIM_ROUTES = 860;
     static final int AIM_TENANTS = 19_000;
     static final int AIM_RATE = 77_000;
 
@@ -29,7 +29,7 @@
     int regions = 4;
 
     @Option(name = "--districts", usage = "how many districts")
-    int districts = 9;
+    int zones = 9;
 
     @Option(name = "--upstreams", usage = "how many upstreams [3900 at 640 nodes, in proportion]")
     int upstreams;
@@ -38,7 +38,7 @@
     int services;
 
     @Option(name = "--bindings", usage = "how many bindings [860 at 640 nodes]")
-    int bindings;
+    int routes;
 
     @Option(name = "--tenants", usage = "how many tenants [19000 at 640 nodes]")
     int tenants;
@@ -96,18 +96,18 @@
         within("--nodes", nodes, 12, AIM_NODES);
         cores = cores == 0 ? nodes <= 48 ? 6 : 7 : cores;
         within("--cores", cores, 3, Math.min(63, nodes / 2));
-        within("--districts", districts, 1, 99);
-        within("--regions", regions, 1, districts);
+        within("--districts", zones, 1, 99);
+        within("--regions", regions, 1, zones);
         upstreams = share(upstreams, AIM_UPSTREAMS, 12);
         services = share(services, AIM_SERVICES, 2);
         tenants = share(tenants, AIM_TENANTS, 8);
-        bindings = share(bindings, AIM_BINDINGS, 8);
+        routes = share(routes, AIM_ROUTES, 8);
         rate = rate < 0 ? (int) ((long) AIM_RATE * (nodes - cores) / AIM_EDGES) : rate;
         seconds = seconds == 0 ? Math.max(8, Math.min(60, 960 / nodes)) : seconds;
         within("--upstreams", upstreams, 1, 8000);
         within("--services", services, 1, upstreams);
         within("--tenants", tenants, 1, 100_000);
-        within("--bindings", bindings, 1, 100_000);
+        within("--bindings", routes, 1, 100_000);
         within("--rate", rate, 0, 200_000);
         within("--seconds", seconds, 1, 3600);
         warm = warm < 0 ? nodes <= 48 ? 15 : 3 : warm;
@@ -164,7 +164,7 @@
                 });
         own.putAll(given);
         if (Settings.read(null, own, true) instanceof Settings.Read.Bad bad) {
-            throw new IllegalArgumentException("--set: " + bad.troubles());
+            throw new IllegalArgumentException("--set: " + bad.errors());
         }
     }
 
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleJudge.java
@@ -16,7 +16,7 @@
     final Judge judge;
     private final Map<Long, ConfigurationChange> versions = new HashMap<>();
     private final Map<ScaleNode, Long> seen = new HashMap<>();
-    private final Map<ScaleNode, Long> seenLife = new HashMap<>();
+    private final Map<ScaleNode, Long> seenIncarnation = new HashMap<>();
     private final TreeMap<Long, Report> reports = new TreeMap<>();
     private long token;
     private String holder = "";
@@ -28,15 +28,16 @@
 
     /** Never two versions of one number, and none back. */
     void versions(final ScaleNode node) {
-        final long version = node.node().book().policy().version();
-        final long before = node.upSinceMs() == seenLife.getOrDefault(node, -2L) ? seen.getOrDefault(node, 0L) : 0;
+        final long version = node.node().configurationStore().configuration().version();
+        final long before =
+                node.upSinceMs() == seenIncarnation.getOrDefault(node, -2L) ? seen.getOrDefault(node, 0L) : 0;
         if (version == before) {
             return;
         }
-        seenLife.put(node, node.upSinceMs());
+        seenIncarnation.put(node, node.upSinceMs());
         seen.put(node, version);
         judge.check(Rule.POLICY, version < before ? 2 : 0, node.name + " went from " + before + " back to " + version);
-        node.node().book().kept(before).forEach((v, change) -> {
+        node.node().configurationStore().kept(before).forEach((v, change) -> {
             final ConfigurationChange had = versions.putIfAbsent(v, change);
             judge.check(
                     Rule.POLICY,
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNetwork.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNetwork.java
@@ -24,14 +24,14 @@
         return parted[node.region];
     }
 
-    static Distance zone(final ScaleNode one, final ScaleNode other) {
-        return one.district == other.district
+    static Distance distance(final ScaleNode one, final ScaleNode other) {
+        return one.zone == other.zone
                 ? Distance.DISTRICT
                 : one.region == other.region ? Distance.DISTRICTS : Distance.REGIONS;
     }
 
-    static long wayMs(final Distance zone, final Random random) {
-        return switch (zone) {
+    static long wayMs(final Distance distance, final Random random) {
+        return switch (distance) {
             case DISTRICT -> 1;
             case DISTRICTS -> 1 + random.nextInt(2);
             case REGIONS -> REGIONS_APART_MS + random.nextInt(5);
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -29,11 +29,11 @@
 /** The product's own node on a lane of its own, with everything around it hollow; what it sends and computes is counted. */
 final class ScaleNode {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static final long BEAT_MS = 50;
+    private static final long TICK_MS = 50;
     final String name;
     final boolean core;
     final int lane;
-    final int district;
+    final int zone;
     final int region;
     final String address;
     final ScaleTraffic traffic = new ScaleTraffic();
@@ -43,7 +43,7 @@
 
     final CRC32 digest = new CRC32();
     /** Asks that came, and those not let in: the proof too old, or counts not with a majority in time. */
-    final long[] asks = new long[Phase.values().length];
+    final long[] requests = new long[Phase.values().length];
 
     final long[] stale = new long[Phase.values().length];
     final long[] uncounted = new long[Phase.values().length];
@@ -59,7 +59,7 @@
     private final Random chance;
     private Node node;
     private UsageCounter counter;
-    private long life;
+    private long incarnation;
     private long startedMs = -1;
     private double owed;
 
@@ -67,9 +67,9 @@
         this.run = run;
         this.lane = i;
         this.core = core;
-        this.district = run.shape.districtOf(i);
-        this.region = run.shape.regionOf(district);
-        this.name = run.shape.district(i) + (core ? "-core-" : "-edge-") + i;
+        this.zone = run.shape.zoneOf(i);
+        this.region = run.shape.regionOf(zone);
+        this.name = run.shape.zone(i) + (core ? "-core-" : "-edge-") + i;
         this.address = ScaleShape.address(i);
         this.chance = run.random(name);
         this.monotonicMs = 1000L + chance.nextInt(1_000_000);
@@ -78,11 +78,11 @@
         flags.put("name", name);
         flags.put("address", address);
         flags.put("http", address.replace(":7100", ":7200"));
-        flags.put("district", run.shape.district(i));
+        flags.put("district", run.shape.zone(i));
         flags.put("data", "/scale/" + name);
         final Settings.Read read = Settings.read(null, flags, core);
         if (read instanceof Settings.Read.Bad bad) {
-            throw new IllegalStateException(bad.troubles().toString());
+            throw new IllegalStateException(bad.errors().toString());
         }
         settings = ((Settings.Read.Good) read).settings();
     }
@@ -109,14 +109,14 @@
         if (node != null) {
             return;
         }
-        final long mine = ++life;
+        final long mine = ++incarnation;
         startedMs = run.steps.nowMs();
         owed = 0;
         run.steps.byWorld(lane, 0, () -> timed(ScaleTraffic.START, () -> begin(mine)));
     }
 
     private void begin(final long mine) {
-        if (mine != life) {
+        if (mine != incarnation) {
             return;
         }
         final Clock clock = new Clock() {
@@ -136,16 +136,16 @@
             }
         };
         if (core) {
-            disk.life((waitMs, what) -> later(mine, waitMs, ScaleTraffic.DISK, what));
+            disk.incarnation((waitMs, what) -> later(mine, waitMs, ScaleTraffic.DISK, what));
         }
         final Hollow hollow = new Hollow(mine);
         node = new Node(
                 settings,
                 core,
-                new Node.Rim(
+                new Node.NodeEnvironment(
                         clock,
                         run.random(name + "/" + mine),
-                        (to, note) -> send(mine, to, note),
+                        (to, message) -> send(mine, to, message),
                         disk,
                         hollow,
                         hollow,
@@ -154,7 +154,7 @@
         node.start();
         if (!core) {
             counter = node.counter();
-            later(mine, 1 + chance.nextInt((int) BEAT_MS), ScaleTraffic.ASKS, () -> asks(mine));
+            later(mine, 1 + chance.nextInt((int) TICK_MS), ScaleTraffic.REQUESTS, () -> requests(mine));
         }
     }
 
@@ -163,13 +163,13 @@
         if (node != null) {
             node = null;
             counter = null;
-            life++;
+            incarnation++;
         }
     }
 
     /** By the world: something that is run on the node's lane, if it is up. */
     void call(final Consumer<Node> what) {
-        final long mine = life;
+        final long mine = incarnation;
         run.steps.byWorld(lane, 0, () -> run(mine, ScaleTraffic.CALL, () -> what.accept(node)));
     }
 
@@ -183,7 +183,7 @@
     }
 
     private void run(final long mine, final int kind, final Runnable event) {
-        if (mine == life && node != null) {
+        if (mine == incarnation && node != null) {
             timed(kind, event);
         }
     }
@@ -195,37 +195,40 @@
         traffic.spent(phase, kind, THREADS.getCurrentThreadCpuTime() - fromNs);
     }
 
-    private void send(final long mine, final String to, final Message note) {
+    private void send(final long mine, final String to, final Message message) {
         final ScaleNode target = run.at(to);
-        if (mine != life) {
+        if (mine != incarnation) {
             return;
         }
-        final byte[] frame = MessageCodec.note(note, (int) settings.ms("noteVersion"));
+        final byte[] frame = MessageCodec.message(message, (int) settings.ms("noteVersion"));
         final int kind = ScaleTraffic.kind(frame);
         if (kinds[kind] == null) {
-            kinds[kind] = note.getClass().getSimpleName();
+            kinds[kind] = message.getClass().getSimpleName();
         }
         digest.update(frame);
         if (target == null) {
             return;
         }
-        final Distance zone = ScaleNetwork.zone(this, target);
-        traffic.out(run.phase(), zone, kind, frame.length);
+        final Distance distance = ScaleNetwork.distance(this, target);
+        traffic.out(run.phase(), distance, kind, frame.length);
         if (run.net.open(this, target)) {
-            final long theirs = target.life;
+            final long theirs = target.incarnation;
             run.steps.byNode(
-                    lane, target.lane, ScaleNetwork.wayMs(zone, chance), () -> target.hear(theirs, zone, kind, frame));
+                    lane,
+                    target.lane,
+                    ScaleNetwork.wayMs(distance, chance),
+                    () -> target.hear(theirs, distance, kind, frame));
         }
     }
 
-    private void hear(final long mine, final Distance zone, final int kind, final byte[] frame) {
-        if (mine != life || node == null) {
+    private void hear(final long mine, final Distance distance, final int kind, final byte[] frame) {
+        if (mine != incarnation || node == null) {
             return;
         }
-        traffic.in(run.phase(), zone, kind, frame.length);
+        traffic.in(run.phase(), distance, kind, frame.length);
         timed(kind, () -> {
             try {
-                node.hear(MessageCodec.note(frame));
+                node.hear(MessageCodec.message(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -233,16 +236,16 @@
     }
 
     /** One beat of asks by formula: as many as are due, each counted as one that an upstream began. */
-    private void asks(final long mine) {
-        later(mine, BEAT_MS, ScaleTraffic.ASKS, () -> asks(mine));
-        owed += run.shape.flags.rate * BEAT_MS / 1000.0 / run.edges();
+    private void requests(final long mine) {
+        later(mine, TICK_MS, ScaleTraffic.REQUESTS, () -> requests(mine));
+        owed += run.shape.flags.rate * TICK_MS / 1000.0 / run.edges();
         final int due = (int) owed;
         owed -= due;
         if (!run.asking() || due == 0) {
             return;
         }
         final int phase = run.phase().ordinal();
-        asks[phase] += due;
+        requests[phase] += due;
         if (!node.follower().fresh()) {
             stale[phase] += due;
             return;
@@ -256,7 +259,9 @@
             counted.merge(node.fleetMs() / run.windowMs, 1L, Long::sum);
             acted++;
         }
-        actedLateMs = Math.max(actedLateMs, run.lateMs(node.book().policy().version()));
+        actedLateMs = Math.max(
+                actedLateMs,
+                run.lateMs(node.configurationStore().configuration().version()));
     }
 
     /** What is around a node: the platform, and upstreams that answer at once and take nothing. */
@@ -293,8 +298,11 @@
         }
 
         @Override
-        public void go(
-                final Attempt go, final LongSupplier until, final Runnable sent, final Consumer<AttemptResult> done) {
+        public void attempt(
+                final Attempt attempt,
+                final LongSupplier until,
+                final Runnable sent,
+                final Consumer<AttemptResult> done) {
             later(mine, 1, ScaleTraffic.OUTSIDE, () -> done.accept(new AttemptResult.NotSent("hollow")));
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleProcesses.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleProcesses.java
@@ -23,7 +23,7 @@
         try (Fleet fleet =
                 new Fleet(Deployment.PADMA, folder.resolve("" + System.currentTimeMillis()), processes / 2, 0)) {
             fleet.start();
-            fleet.ready(fleet.putPolicy());
+            fleet.ready(fleet.putConfiguration());
             fleet.demand(SECONDS, 0).waitFor();
             for (final int rate : RATES) {
                 final Map<String, Long> before = spent(fleet);
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -46,10 +46,10 @@
     final Map<Phase, Long> wordless = new EnumMap<>(Phase.class);
     final List<AcknowledgedChange> changes = new ArrayList<>();
     final Map<AcknowledgedChange, long[]> inForce = new HashMap<>();
-    final long policyBytes;
+    final long configurationBytes;
     private final Map<String, ScaleNode> byAddress = new HashMap<>();
     private final Random chance;
-    private final ObjectNode policy;
+    private final ObjectNode configuration;
     private Phase phase = Phase.BOOT;
     private long phaseFromMs;
     private long readyMs = -1;
@@ -65,15 +65,15 @@
         this.outside = new ScaleEnvironment(steps, shape.upstreams());
         this.judge = new ScaleJudge(this);
         this.chance = random("day");
-        this.policy = shape.policy();
-        this.policyBytes = policy.toString().length();
-        this.segmentBytes = (int) Math.max(1 << 20, Math.min(8 << 20, 3 * policyBytes));
+        this.configuration = shape.configuration();
+        this.configurationBytes = configuration.toString().length();
+        this.segmentBytes = (int) Math.max(1 << 20, Math.min(8 << 20, 3 * configurationBytes));
         for (final Phase p : Phase.values()) {
             proofs.put(p, Map.of(true, new Histogram(3), false, new Histogram(3)));
             words.put(p, new Histogram(3));
         }
         final Map<String, String> shared = new TreeMap<>(flags.settings());
-        shared.put("districts", shape.districts());
+        shared.put("districts", shape.zones());
         shared.put(
                 "seeds",
                 ScaleShape.address(0) + "," + ScaleShape.address(flags.cores / 2) + ","
@@ -158,7 +158,10 @@
                     up.size(),
                     up.stream().filter(n -> n.node().follower().fresh()).count(),
                     up.stream()
-                                    .mapToLong(n -> n.node().book().policy().version())
+                                    .mapToLong(n -> n.node()
+                                            .configurationStore()
+                                            .configuration()
+                                            .version())
                                     .min()
                                     .orElse(0)
                             & 0xffff,
@@ -169,15 +172,17 @@
 
     private void first() {
         final ObjectNode params = JSON.createObjectNode();
-        params.set("policy", policy);
+        params.set("policy", configuration);
         change("policy.put", "first", params, steps.nowMs());
     }
 
     /** Tries on one core after another until a change is told as accepted. */
     private void change(final String method, final String id, final ObjectNode params, final long sentMs) {
         final List<ScaleNode> able = nodes.stream()
-                .filter(n ->
-                        n.core && n.up() && !net.cutOff(n) && n.node().voter().state() == Acceptor.State.VOTING)
+                .filter(n -> n.core
+                        && n.up()
+                        && !net.cutOff(n)
+                        && n.node().acceptor().state() == Acceptor.State.VOTING)
                 .toList();
         if (able.isEmpty()) {
             steps.byWorld(SteppedTime.WORLD, 500, () -> change(method, id, params, sentMs));
@@ -189,7 +194,7 @@
                 method,
                 params.deepCopy()
                         .put("changeId", id)
-                        .put("base", node.book().policy().version()),
+                        .put("base", node.configurationStore().configuration().version()),
                 reply -> to.tell(() -> {
                     if (answered[0]) {
                         return;
@@ -233,7 +238,8 @@
                         .filter(n -> n.up() && n.upSinceMs() < a.sentMs() && !net.cutOff(n))
                         .toList();
                 final long have = of.stream()
-                        .filter(n -> n.node().book().policy().version() >= a.version())
+                        .filter(n ->
+                                n.node().configurationStore().configuration().version() >= a.version())
                         .count();
                 at[0] = at[0] < 0 && have >= 0.99 * of.size() ? nowMs : at[0];
                 at[1] = have == of.size() ? nowMs : at[1];
@@ -253,11 +259,11 @@
                 && nodes.stream()
                         .allMatch(n -> n.up()
                                 && n.node().follower().fresh()
-                                && n.node().book().policy().version()
+                                && n.node().configurationStore().configuration().version()
                                         >= changes.get(0).version()
                                 && (n.core
-                                        ? n.node().voter().state() == Acceptor.State.VOTING
-                                        : n.node().listing().listed().size() == shape.flags.upstreams));
+                                        ? n.node().acceptor().state() == Acceptor.State.VOTING
+                                        : n.node().endpointRegistry().listed().size() == shape.flags.upstreams));
     }
 
     /** How old the newest word on some upstreams is at each edge. */
@@ -269,7 +275,7 @@
                             .get(chance.nextInt(outside.list().size()))
                             .instance();
                     final HealthObservation word =
-                            n.node().listing().word(instance, n.node().fleetMs());
+                            n.node().endpointRegistry().word(instance, n.node().fleetMs());
                     if (word == null) {
                         wordless.merge(phase, 1L, Long::sum);
                     } else {
@@ -319,7 +325,12 @@
         final CRC32 crc = new CRC32();
         for (final ScaleNode n : nodes) {
             crc.update((n.name + " " + n.digest.getValue() + " "
-                            + (n.up() ? n.node().book().policy().version() : -1))
+                            + (n.up()
+                                    ? n.node()
+                                            .configurationStore()
+                                            .configuration()
+                                            .version()
+                                    : -1))
                     .getBytes(StandardCharsets.UTF_8));
         }
         return crc.getValue();
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleShape.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleShape.java
@@ -9,7 +9,7 @@
 import spokestall.configuration.KeyHash;
 import spokestall.testbed.Deployment;
 
-/** The shape of a fleet at scale: its districts, upstreams, tenants, policy, and who asks how often, all by formula. */
+/** The shape of a fleet at scale: its zones, upstreams, tenants, configuration, and who asks how often, all by formula. */
 final class ScaleShape {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int TENANTS_A_CELL = 200;
@@ -24,26 +24,26 @@
         }
     }
 
-    int districtOf(final int i) {
-        return i % flags.districts;
+    int zoneOf(final int i) {
+        return i % flags.zones;
     }
 
-    int regionOf(final int district) {
-        return district * flags.regions / flags.districts;
+    int regionOf(final int zone) {
+        return zone * flags.regions / flags.zones;
     }
 
-    String district(final int i) {
-        return "d" + (districtOf(i) + 1);
+    String zone(final int i) {
+        return "d" + (zoneOf(i) + 1);
     }
 
     String region(final int i) {
-        return "r" + (regionOf(districtOf(i)) + 1);
+        return "r" + (regionOf(zoneOf(i)) + 1);
     }
 
-    String districts() {
+    String zones() {
         final List<String> all = new ArrayList<>();
-        for (int i = 0; i < flags.districts; i++) {
-            all.add(district(i) + "=" + region(i));
+        for (int i = 0; i < flags.zones; i++) {
+            all.add(zone(i) + "=" + region(i));
         }
         return String.join(",", all);
     }
@@ -57,7 +57,7 @@
         for (int i = 0; i < flags.upstreams; i++) {
             final String service = service(i % flags.services);
             final int at = i / flags.services + i;
-            all.add(new Deployment.Place(service + "-" + i, service, district(at), region(at)));
+            all.add(new Deployment.Place(service + "-" + i, service, zone(at), region(at)));
         }
         return all;
     }
@@ -76,9 +76,9 @@
         return "cell-" + tenant / TENANTS_A_CELL;
     }
 
-    ObjectNode policy() {
-        final ObjectNode policy = JSON.createObjectNode();
-        final ObjectNode cells = policy.putObject("cells");
+    ObjectNode configuration() {
+        final ObjectNode configuration = JSON.createObjectNode();
+        final ObjectNode cells = configuration.putObject("cells");
         for (int i = 0; i < flags.tenants; i++) {
             final ObjectNode cell = cells.has(cell(i)) ? (ObjectNode) cells.get(cell(i)) : cells.putObject(cell(i));
             final ObjectNode of = cell.has("tenants") ? (ObjectNode) cell.get("tenants") : cell.putObject("tenants");
@@ -89,22 +89,22 @@
                 home.add("r" + ((i + 1) % flags.regions + 1));
             }
             t.putObject("keys").putObject("main").put("sha256", KeyHash.of("key-of-" + tenants[i]));
-            final ObjectNode bindings = t.putObject("bindings");
-            for (int b = i; b < flags.bindings; b += flags.tenants) {
-                bindings.putObject("b" + b).put("path", "/b" + b).put("service", service(b));
+            final ObjectNode routes = t.putObject("bindings");
+            for (int b = i; b < flags.routes; b += flags.tenants) {
+                routes.putObject("b" + b).put("path", "/b" + b).put("service", service(b));
             }
         }
-        final ObjectNode services = policy.putObject("services");
+        final ObjectNode services = configuration.putObject("services");
         for (int i = 0; i < flags.services; i++) {
             services.putObject(service(i))
                     .put("warmPerS", 5)
                     .put("warmupMs", 10_000)
                     .put("goMs", 2000);
         }
-        return policy;
+        return configuration;
     }
 
-    /** A patch that adds the n-th binding. */
+    /** A patch that adds the n-th route. */
     ObjectNode patch(final int n) {
         final int tenant = (int) (n * 7919L % flags.tenants);
         final ObjectNode patch = JSON.createObjectNode();
--- a/testbed/src/main/java/spokestall/testbed/scale/SteppedTime.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/SteppedTime.java
@@ -118,7 +118,7 @@
             return;
         }
         final AtomicInteger next = new AtomicInteger();
-        final RuntimeException[] trouble = new RuntimeException[1];
+        final RuntimeException[] error = new RuntimeException[1];
         final CountDownLatch ended = new CountDownLatch(threads - 1);
         final Runnable some = () -> {
             for (int i = next.getAndIncrement(); i < busy.size(); i = next.getAndIncrement()) {
@@ -130,8 +130,8 @@
                 try {
                     some.run();
                 } catch (final RuntimeException | AssertionError e) {
-                    synchronized (trouble) {
-                        trouble[0] = new IllegalStateException("in a node's event", e);
+                    synchronized (error) {
+                        error[0] = new IllegalStateException("in a node's event", e);
                     }
                 } finally {
                     ended.countDown();
@@ -144,9 +144,9 @@
         } catch (final InterruptedException e) {
             throw new IllegalStateException(e);
         }
-        synchronized (trouble) {
-            if (trouble[0] != null) {
-                throw trouble[0];
+        synchronized (error) {
+            if (error[0] != null) {
+                throw error[0];
             }
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/ExpectedAvailability.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ExpectedAvailability.java
@@ -58,7 +58,7 @@
     }
 
     private static boolean good(final SimulatedNode core) {
-        if (core.running() && core.node().voter().state() == Acceptor.State.VOTING) {
+        if (core.running() && core.node().acceptor().state() == Acceptor.State.VOTING) {
             core.disk.written();
         }
         return core.running() && core.disk.working() && !core.disk.blank();
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
@@ -10,31 +10,31 @@
 import spokestall.message.MessageCodec;
 import spokestall.testbed.fault.InjectedFault;
 
-/** Alters notes on their way, for the planted faults that need it. */
+/** Alters messages on their way, for the planted faults that need it. */
 final class MessageForger {
     private static final long HOUR_MS = 3_600_000;
 
     private MessageForger() {}
 
     /** The note as it arrives under a plant. */
-    static Message altered(final InjectedFault plant, final Message note) {
-        if (plant != InjectedFault.LEAPING_CHANGES) {
-            return note;
+    static Message altered(final InjectedFault injectedFault, final Message message) {
+        if (injectedFault != InjectedFault.LEAPING_CHANGES) {
+            return message;
         }
-        if (note instanceof ConsensusMessage.Accept a && ConfigurationKeys.of(a.key()) >= 0) {
+        if (message instanceof ConsensusMessage.Accept a && ConfigurationKeys.of(a.key()) >= 0) {
             return new ConsensusMessage.Accept(
-                    a.goId(),
+                    a.attemptId(),
                     a.from(),
                     a.generation(),
                     a.epoch(),
                     a.key(),
-                    a.ballot(),
+                    a.proposalNumber(),
                     leapt(ConfigurationKeys.of(a.key()), a.value()));
         }
-        if (note instanceof FeedMessage.FeedNews n && n.change() != null) {
-            return new FeedMessage.FeedNews(n.version(), leapt(n.version(), n.change()));
+        if (message instanceof FeedMessage.FeedUpdate n && n.change() != null) {
+            return new FeedMessage.FeedUpdate(n.version(), leapt(n.version(), n.change()));
         }
-        return note;
+        return message;
     }
 
     private static byte[] leapt(final long version, final byte[] value) {
@@ -45,23 +45,23 @@
     }
 
     /** The proof that an asker hears in place of one that can't reach it, or null where the note asks for none. */
-    static Message proof(final Message note, final SimulatedNode asker, final SimulatedNode core) {
-        final long askId = note instanceof FeedMessage.ProofAsk p
-                ? p.askId()
-                : note instanceof FeedMessage.FeedAsk f ? f.askId() : 0;
-        if (askId == 0 || !core.up() || core.node().voter() == null) {
+    static Message proof(final Message message, final SimulatedNode asker, final SimulatedNode core) {
+        final long requestId = message instanceof FeedMessage.FreshnessRequest p
+                ? p.requestId()
+                : message instanceof FeedMessage.FeedRequest f ? f.requestId() : 0;
+        if (requestId == 0 || !core.up() || core.node().acceptor() == null) {
             return null;
         }
-        final VoterSet table = core.node().voter().voters();
-        return new FeedMessage.ProofBack(
+        final VoterSet table = core.node().acceptor().voterSet();
+        return new FeedMessage.FreshnessResponse(
                 core.name,
-                askId,
+                requestId,
                 table.generation(),
                 table.epoch(),
-                Fingerprints.of(core.node().voter().diskId()),
+                Fingerprints.of(core.node().acceptor().diskId()),
                 true,
                 false,
-                asker.node().book().policy().version(),
+                asker.node().configurationStore().configuration().version(),
                 0);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageTraffic.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageTraffic.java
@@ -6,17 +6,17 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
 
-/** What notes cost: how many bytes of each kind went between regions, between districts of one, and within one. */
+/** What messages cost: how many bytes of each kind went between regions, between zones of one, and within one. */
 public final class MessageTraffic {
     /** One kind's sums. */
     public static final class Sum {
-        public long notes;
+        public long messages;
         long regions;
-        long districts;
+        long zones;
         long within;
 
         public long bytes() {
-            return regions + districts + within;
+            return regions + zones + within;
         }
     }
 
@@ -25,14 +25,14 @@
     private final Map<String, Long> sentTo = new TreeMap<>();
 
     /** Counts one note on its way. */
-    void sent(final SimulatedNode from, final SimulatedNode to, final Message note, final int bytes) {
-        final Sum sum = sums.computeIfAbsent(note.getClass().getSimpleName(), k -> new Sum());
-        sum.notes++;
+    void sent(final SimulatedNode from, final SimulatedNode to, final Message message, final int bytes) {
+        final Sum sum = sums.computeIfAbsent(message.getClass().getSimpleName(), k -> new Sum());
+        sum.messages++;
         sentTo.merge(to.name, (long) bytes, Long::sum);
         if (!from.region.equals(to.region)) {
             sum.regions += bytes;
-        } else if (!from.district.equals(to.district)) {
-            sum.districts += bytes;
+        } else if (!from.zone.equals(to.zone)) {
+            sum.zones += bytes;
         } else {
             sum.within += bytes;
         }
@@ -64,7 +64,7 @@
 
     /** Half a minute of a fleet that has come up: with asks at the deployment's rate, or at rest. */
     public static Map<String, Sum> of(
-            final long seed, final Deployment deployment, final boolean asks, final Map<String, String> settings) {
+            final long seed, final Deployment deployment, final boolean requests, final Map<String, String> settings) {
         final SimulatedWorld world =
                 new SimulatedWorld(seed, deployment, false, InjectedFault.NONE, Scenario.CALM, settings);
         final SimulatedOperator operator = new SimulatedOperator(world);
@@ -74,8 +74,8 @@
         world.sim.after(
                 2000,
                 () -> operator.first(() -> {
-                    if (asks) {
-                        world.sim.after(2500, world.callers::start);
+                    if (requests) {
+                        world.sim.after(2500, world.clients::start);
                     }
                 }));
         world.sim.run(30_000);
@@ -86,17 +86,17 @@
 
     /** Prints both, a line a kind, in a second and node. */
     public static void run(final long seed, final Deployment deployment, final Map<String, String> settings) {
-        for (final boolean asks : new boolean[] {false, true}) {
-            final Map<String, Sum> sums = of(seed, deployment, asks, settings);
+        for (final boolean requests : new boolean[] {false, true}) {
+            final Map<String, Sum> sums = of(seed, deployment, requests, settings);
             final Sum all = new Sum();
             System.out.printf(
                     "| %s | notes | bytes each | regions | districts | within |%n| --- | --- | --- | --- | --- | --- |%n",
-                    asks ? "with asks" : "at rest");
+                    requests ? "with asks" : "at rest");
             sums.forEach((kind, sum) -> {
                 line(kind, sum);
-                all.notes += sum.notes;
+                all.messages += sum.messages;
                 all.regions += sum.regions;
-                all.districts += sum.districts;
+                all.zones += sum.zones;
                 all.within += sum.within;
             });
             line("all", all);
@@ -108,10 +108,10 @@
         System.out.printf(
                 "| %s | %.2f | %.0f | %.0f | %.0f | %.0f |%n",
                 kind,
-                sum.notes / per,
-                sum.bytes() / (double) sum.notes,
+                sum.messages / per,
+                sum.bytes() / (double) sum.messages,
                 sum.regions / per,
-                sum.districts / per,
+                sum.zones / per,
                 sum.within / per);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -43,10 +43,10 @@
             }
         }
     },
-    COLD_RETURN {
+    WARM_UP_RETURN {
         @Override
         void play(final SimulationRun run) {
-            run.world.callers.rate(3 * run.world.deployment.rate);
+            run.world.clients.rate(3 * run.world.deployment.rate);
             for (final SimulatedEnvironment.Up old : run.world.outside.running()) {
                 if (old.service.equals(run.world.deployment.big)) {
                     run.world.outside.stop(old);
@@ -54,7 +54,7 @@
                     run.later(4000, () -> run.world.outside.replace(old));
                 }
             }
-            run.later(16_000, () -> run.world.callers.rate(run.world.deployment.rate));
+            run.later(16_000, () -> run.world.clients.rate(run.world.deployment.rate));
         }
     },
     BAD_ANSWERS {
@@ -105,13 +105,13 @@
             }
         }
     },
-    DISTRICT_POWER {
+    ZONE_POWER {
         @Override
         void play(final SimulationRun run) {
             for (int i = 0; i < 3; i++) {
                 run.later(i * 10_000L, () -> {
-                    final String district = Deployment.district(run.random.nextInt(6));
-                    run.world.inDistrict(district).forEach(n -> run.bounce(n, 6000, true));
+                    final String zone = Deployment.zone(run.random.nextInt(6));
+                    run.world.inZone(zone).forEach(n -> run.bounce(n, 6000, true));
                 });
             }
         }
@@ -162,7 +162,7 @@
             }
             run.operator.bind();
             run.operator.withdraw(3, 8000);
-            run.operator.hold(Deployment.district(run.random.nextInt(6)), 8000);
+            run.operator.hold(Deployment.zone(run.random.nextInt(6)), 8000);
             run.later(9000, () -> run.bounce(run.any(run.world.cores()), 3000, true));
             run.later(16_000, () -> {
                 if (run.world.holder() != null) {
@@ -236,8 +236,8 @@
             for (final SimulatedEnvironment.Up up : run.world.outside.running()) {
                 up.eachMs = 1000L * run.world.outside.running().size() / (2L * run.world.deployment.rate);
             }
-            run.world.callers.rate(10 * run.world.deployment.rate);
-            run.later(12_000, () -> run.world.callers.rate(run.world.deployment.rate));
+            run.world.clients.rate(10 * run.world.deployment.rate);
+            run.later(12_000, () -> run.world.clients.rate(run.world.deployment.rate));
         }
     },
     SEEDS_DEAD {
@@ -316,8 +316,8 @@
     CLAIMS_FULL {
         @Override
         void play(final SimulationRun run) {
-            run.world.callers.rate(4 * run.world.deployment.rate);
-            run.later(15_000, () -> run.world.callers.rate(run.world.deployment.rate));
+            run.world.clients.rate(4 * run.world.deployment.rate);
+            run.later(15_000, () -> run.world.clients.rate(run.world.deployment.rate));
             run.later(6000, run.operator::bind);
             run.later(12_000, run.operator::bind);
         }
@@ -417,8 +417,8 @@
             }
             run.operator.grow(3000);
             run.operator.withdraw(3, 8000);
-            run.operator.hold(Deployment.district(run.random.nextInt(6)), 10_000);
-            run.later(2000, () -> run.world.inDistrict("d3").forEach(n -> run.bounce(n, 5000, true)));
+            run.operator.hold(Deployment.zone(run.random.nextInt(6)), 10_000);
+            run.later(2000, () -> run.world.inZone("d3").forEach(n -> run.bounce(n, 5000, true)));
         }
     },
     LONG {
--- a/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
@@ -59,8 +59,8 @@
     private ScenarioSweep() {}
 
     public static Outcome one(
-            final long seed, final Deployment deployment, final Scenario scenario, final InjectedFault plant) {
-        final SimulationRun run = new SimulationRun(seed, deployment, scenario, false, plant);
+            final long seed, final Deployment deployment, final Scenario scenario, final InjectedFault injectedFault) {
+        final SimulationRun run = new SimulationRun(seed, deployment, scenario, false, injectedFault);
         final boolean up = run.play();
         return new Outcome(
                 scenario,
@@ -90,7 +90,7 @@
             final long from,
             final long until,
             final int threads,
-            final InjectedFault plant)
+            final InjectedFault injectedFault)
             throws InterruptedException {
         final ExecutorService pool = Executors.newFixedThreadPool(threads);
         final Map<Rule, Sum> sums = new EnumMap<>(Rule.class);
@@ -104,7 +104,7 @@
                     final long s = seed;
                     pool.execute(() -> {
                         try {
-                            final Outcome o = one(s, deployment, scenario, plant);
+                            final Outcome o = one(s, deployment, scenario, injectedFault);
                             synchronized (sums) {
                                 bad[0] += add(o, sums);
                             }
