--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -16,7 +16,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.verdict.Rule;
 
-/** Callers that ask where to go, then ask, ask again when they may, and keep what they were told. */
+/** Clients that ask where to go, then ask, ask again when they may, and keep what they were told. */
 final class SimulatedClients {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long SPAN_MS = 5000;
@@ -141,15 +141,23 @@
             final int turn,
             final long begunMs,
             final Place place) {
-        final String askId = kind.runOnce() ? named.computeIfAbsent(id, i -> place.ticket + "." + i) : id + "." + turn;
+        final String requestId =
+                kind.runOnce() ? named.computeIfAbsent(id, i -> place.ticket + "." + i) : id + "." + turn;
         final SimulatedWorld.Asked asked =
-                world.asked.computeIfAbsent(askId, i -> new SimulatedWorld.Asked(askId, kind));
+                world.asked.computeIfAbsent(requestId, i -> new SimulatedWorld.Asked(requestId, kind));
         asked.sentMs.add(world.sim.nowMs());
         final SimulatedNode edge = place.edges.get(turn % place.edges.size());
         final byte[] body = kind.runOnce() ? body(id) : new byte[0];
         final long spanMs = SPAN_MS - (world.sim.nowMs() - begunMs);
         final RequestHead head = new RequestHead(
-                kind.runOnce() ? "POST" : "GET", "", kind.path(), kind.key(), askId, spanMs, body.length, List.of());
+                kind.runOnce() ? "POST" : "GET",
+                "",
+                kind.path(),
+                kind.key(),
+                requestId,
+                spanMs,
+                body.length,
+                List.of());
         final boolean[] back = {false};
         final Runnable nothing = () -> {
             if (!back[0]) {
@@ -166,10 +174,10 @@
                 nothing.run();
                 return;
             }
-            final long life = edge.life();
+            final long incarnation = edge.incarnation();
             edge.run(
-                    life,
-                    () -> take(edge, life, head, body, answer -> {
+                    incarnation,
+                    () -> take(edge, incarnation, head, body, answer -> {
                         if (!back[0]) {
                             back[0] = true;
                             told(kind, who, id, asked, turn, begunMs, answer);
@@ -180,7 +188,7 @@
 
     private void take(
             final SimulatedNode edge,
-            final long life,
+            final long incarnation,
             final RequestHead head,
             final byte[] body,
             final java.util.function.Consumer<Response> done) {
@@ -191,21 +199,21 @@
                         head,
                         answer -> world.sim.after(1 + random.nextInt(20), () -> {
                             done.accept(answer);
-                            edge.run(life, () -> mine[0].written());
+                            edge.run(incarnation, () -> mine[0].written());
                         }));
-        if (opened instanceof AdmissionResult.Deny deny) {
+        if (opened instanceof AdmissionResult.Rejected deny) {
             world.sim.after(1 + random.nextInt(20), () -> done.accept(deny.answer()));
             return;
         }
         world.judge.check(
                 Rule.HOME,
-                world.home(world.asked.get(head.askId()).kind.tenant()).contains(edge.region) ? 0 : 2,
-                "body of " + head.askId() + " carried to " + edge.region);
+                world.home(world.asked.get(head.requestId()).kind.tenant()).contains(edge.region) ? 0 : 2,
+                "body of " + head.requestId() + " carried to " + edge.region);
         // The body comes a little later than the head.
         mine[0] = ((AdmissionResult.Admit) opened).ask();
-        world.asked.get(head.askId()).admittedMs = world.sim.nowMs();
-        world.asked.get(head.askId()).spanMs = head.spanMs();
-        world.sim.after(1 + random.nextInt(5), () -> edge.run(life, () -> mine[0].run(body)));
+        world.asked.get(head.requestId()).admittedMs = world.sim.nowMs();
+        world.asked.get(head.requestId()).spanMs = head.spanMs();
+        world.sim.after(1 + random.nextInt(5), () -> edge.run(incarnation, () -> mine[0].run(body)));
     }
 
     private void told(
@@ -217,7 +225,7 @@
             final long begunMs,
             final Response answer) {
         world.told.add(new SimulatedWorld.Told(
-                asked.askId,
+                asked.requestId,
                 answer.result().number(),
                 answer.ran(),
                 answer.instance(),
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
@@ -13,7 +13,7 @@
     private final Random random;
     private final int size;
     private final byte[][] down;
-    private final List<Piece> flying = new ArrayList<>();
+    private final List<Chunk> flying = new ArrayList<>();
     private long stalledUntilMs;
     private long slowMs = 2;
     private boolean failing;
@@ -45,12 +45,12 @@
     }
 
     @Override
-    public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
+    public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
         throw new IllegalStateException("through a life only");
     }
 
     /** The same disk as seen by one life of a node: what comes back after its death is dropped. */
-    SegmentStore life(final BooleanSupplier alive, final Consumer<Runnable> back, final boolean lies) {
+    SegmentStore incarnation(final BooleanSupplier alive, final Consumer<Runnable> back, final boolean lies) {
         final SimulatedDisk disk = this;
         return new SegmentStore() {
             @Override
@@ -69,14 +69,14 @@
             }
 
             @Override
-            public void commit(final List<Piece> pieces, final Consumer<Boolean> done) {
-                disk.commit(pieces, done, alive, back, lies);
+            public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
+                disk.commit(chunks, done, alive, back, lies);
             }
         };
     }
 
     private void commit(
-            final List<Piece> pieces,
+            final List<Chunk> chunks,
             final Consumer<Boolean> done,
             final BooleanSupplier alive,
             final Consumer<Runnable> back,
@@ -85,26 +85,26 @@
         lied = lies;
         if (lies) {
             // Says at once that all is down, and gets it down seconds later, as a cache without a battery would.
-            flying.addAll(pieces);
+            flying.addAll(chunks);
             sim.after(4000, () -> {
                 if (alive.getAsBoolean()) {
-                    flying.removeAll(pieces);
-                    pieces.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
+                    flying.removeAll(chunks);
+                    chunks.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
                 }
             });
             sim.after(1, () -> back.accept(() -> done.accept(true)));
             return;
         }
-        flying.addAll(pieces);
+        flying.addAll(chunks);
         final long waitMs = Math.max(0, stalledUntilMs - sim.nowMs()) + 1 + random.nextInt((int) slowMs);
         sim.after(waitMs, () -> {
             if (!alive.getAsBoolean()) {
                 return;
             }
             final boolean ok = !failing && !full;
-            flying.removeAll(pieces);
+            flying.removeAll(chunks);
             if (ok) {
-                pieces.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
+                chunks.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
             }
             back.accept(() -> done.accept(ok));
         });
@@ -115,7 +115,7 @@
         if (lied) {
             flying.clear();
         }
-        for (final Piece p : flying) {
+        for (final Chunk p : flying) {
             final int kept = switch (random.nextInt(3)) {
                 case 0 -> 0;
                 case 1 -> random.nextInt(p.bytes().length + 1);
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -30,7 +30,7 @@
         final String instance;
         final String service;
         final String address;
-        final String district;
+        final String zone;
         final String region;
         final long readyAtMs;
         boolean running = true;
@@ -46,13 +46,13 @@
                 final String instance,
                 final String service,
                 final String address,
-                final String district,
+                final String zone,
                 final String region,
                 final long readyAtMs) {
             this.instance = instance;
             this.service = service;
             this.address = address;
-            this.district = district;
+            this.zone = zone;
             this.region = region;
             this.readyAtMs = readyAtMs;
         }
@@ -71,7 +71,7 @@
         this.world = world;
         this.random = world.sim.random("outside");
         for (final Deployment.Place p : world.deployment.upstreams()) {
-            add(p.service(), address(made), p.district(), p.region(), -60_000);
+            add(p.service(), address(made), p.zone(), p.region(), -60_000);
         }
         refresh();
     }
@@ -80,13 +80,8 @@
         return "10.1." + (i / 200) + "." + (i % 200 + 1) + ":80";
     }
 
-    Up add(
-            final String service,
-            final String address,
-            final String district,
-            final String region,
-            final long readyAtMs) {
-        final Up up = new Up(service + "-" + made++, service, address, district, region, readyAtMs);
+    Up add(final String service, final String address, final String zone, final String region, final long readyAtMs) {
+        final Up up = new Up(service + "-" + made++, service, address, zone, region, readyAtMs);
         byAddress.put(address, up);
         byInstance.put(up.instance, up);
         world.net.place(address, region);
@@ -95,7 +90,7 @@
 
     /** A new instance at a fresh address in the place of one. */
     Up replace(final Up old) {
-        return add(old.service, address(made), old.district, old.region, world.sim.nowMs());
+        return add(old.service, address(made), old.zone, old.region, world.sim.nowMs());
     }
 
     List<Up> running() {
@@ -119,7 +114,7 @@
                         u.instance,
                         u.service,
                         u.address,
-                        u.district,
+                        u.zone,
                         u.region,
                         u.leaving,
                         Math.max(0, u.readyAtMs + SimulatedWorld.WARMUP_MS - world.sim.nowMs()),
@@ -131,22 +126,22 @@
     }
 
     /** What one life of a node reaches the outside by. */
-    Rim of(final SimulatedNode node, final long life) {
-        return new Rim(node, life);
+    NodeEnvironment of(final SimulatedNode node, final long incarnation) {
+        return new NodeEnvironment(node, incarnation);
     }
 
     /** The rim of one life. */
-    final class Rim implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+    final class NodeEnvironment implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
         private final SimulatedNode node;
-        private final long life;
+        private final long incarnation;
 
-        Rim(final SimulatedNode node, final long life) {
+        NodeEnvironment(final SimulatedNode node, final long incarnation) {
             this.node = node;
-            this.life = life;
+            this.incarnation = incarnation;
         }
 
         private void back(final long waitMs, final Runnable event) {
-            world.sim.after(waitMs, () -> node.run(life, event));
+            world.sim.after(waitMs, () -> node.run(incarnation, event));
         }
 
         @Override
@@ -184,12 +179,12 @@
             // Connecting takes a round trip; the check is made when the bytes are about to leave.
             leave(2 * way, until, () -> done.accept(false), () -> {
                 final TreeMap<String, Long> counts = new TreeMap<>(sealed.counts());
-                if (world.plant == InjectedFault.SWAPPED_TENANTS) {
+                if (world.injectedFault == InjectedFault.SWAPPED_TENANTS) {
                     final Long first = counts.get(Deployment.tenant(0));
                     counts.put(Deployment.tenant(0), counts.getOrDefault(Deployment.tenant(5), 0L));
                     counts.put(Deployment.tenant(5), first);
                 }
-                if (world.plant != InjectedFault.DEAF_PLATFORM || world.sim.nowMs() > 35_000) {
+                if (world.injectedFault != InjectedFault.DEAF_PLATFORM || world.sim.nowMs() > 35_000) {
                     world.sim.after(
                             way,
                             () -> world.reported.add(
@@ -201,19 +196,19 @@
         }
 
         @Override
-        public void go(
-                final Attempt go,
+        public void attempt(
+                final Attempt attempt,
                 final LongSupplier until,
                 final Runnable counted,
                 final Consumer<AttemptResult> done) {
-            final int turn = turns.merge(go.askId(), 1, Integer::sum);
-            final SimulatedWorld.Asked asked = world.asked.get(go.askId());
-            world.goes.add(new SimulatedWorld.Gone(
-                    go.askId(), go.service(), asked.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
-            final long way = world.net.wayMs(node.address, go.address());
+            final int turn = turns.merge(attempt.requestId(), 1, Integer::sum);
+            final SimulatedWorld.Asked asked = world.asked.get(attempt.requestId());
+            world.attempts.add(new SimulatedWorld.Gone(
+                    attempt.requestId(), attempt.service(), asked.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
+            final long way = world.net.wayMs(node.address, attempt.address());
             final boolean[] over = {false};
             final boolean[] sent = {false};
-            back(go.waitMs(), () -> {
+            back(attempt.waitMs(), () -> {
                 if (!over[0]) {
                     over[0] = true;
                     done.accept(sent[0] ? new AttemptResult.Lost("timeout") : new AttemptResult.NotSent("timeout"));
@@ -232,7 +227,7 @@
                 if (over[0]) {
                     return;
                 }
-                if (byAddress.get(go.address()) == null) {
+                if (byAddress.get(attempt.address()) == null) {
                     once.accept(new AttemptResult.NotSent("refused"));
                     return;
                 }
@@ -240,14 +235,15 @@
                     if (!over[0]) {
                         sent[0] = true;
                         counted.run();
-                        travel(go, once);
+                        travel(attempt, once);
                     }
                 });
             });
         }
 
         /** Asks, changes threads, looks once more, and lets the bytes go; a freeze may come between. */
-        private void leave(final long waitMs, final LongSupplier until, final Runnable barred, final Runnable go) {
+        private void leave(
+                final long waitMs, final LongSupplier until, final Runnable blocked, final Runnable attempt) {
             back(waitMs, () -> {
                 final long untilMs = until.getAsLong();
                 // A report is hit often, but not two in a row: no window outlives that.
@@ -260,80 +256,83 @@
                     world.sim.after(world.gapMs, node::thaw);
                 }
                 back(random.nextInt(2), () -> {
-                    if (node.nowMs() >= untilMs && world.plant != InjectedFault.NO_LAST_LOOK) {
-                        barred.run();
+                    if (node.nowMs() >= untilMs && world.injectedFault != InjectedFault.NO_LAST_LOOK) {
+                        blocked.run();
                     } else {
-                        go.run();
+                        attempt.run();
                     }
                 });
             });
         }
 
-        private String askOf(final Attempt go) {
-            return world.plant == InjectedFault.OTHERS_HEADERS && random.nextInt(100) == 0 ? "another" : go.askId();
+        private String askOf(final Attempt attempt) {
+            return world.injectedFault == InjectedFault.OTHERS_HEADERS && random.nextInt(100) == 0
+                    ? "another"
+                    : attempt.requestId();
         }
 
-        private AttemptResult whole(final Attempt go, final String body) {
+        private AttemptResult whole(final Attempt attempt, final String body) {
             return new AttemptResult.Whole(new ResponseContent(
                     200,
-                    List.of(new Header("Content-Type", "text/plain"), new Header("X-Answer-To", askOf(go))),
+                    List.of(new Header("Content-Type", "text/plain"), new Header("X-Answer-To", askOf(attempt))),
                     body.getBytes(StandardCharsets.UTF_8)));
         }
 
-        private void travel(final Attempt go, final Consumer<AttemptResult> once) {
-            final long way = world.net.sureMs(node.address, go.address());
+        private void travel(final Attempt attempt, final Consumer<AttemptResult> once) {
+            final long way = world.net.sureMs(node.address, attempt.address());
             if (way < 0) {
                 return;
             }
             world.sim.after(way, () -> {
-                final Up up = byAddress.get(go.address());
+                final Up up = byAddress.get(attempt.address());
                 if (up == null || !up.running) {
                     back(way, () -> once.accept(new AttemptResult.Lost("reset")));
-                } else if (!up.instance.equals(go.instance())) {
+                } else if (!up.instance.equals(attempt.instance())) {
                     back(way, () -> once.accept(new AttemptResult.NotRun("not the instance that was meant")));
                 } else {
-                    work(go, up, once);
+                    work(attempt, up, once);
                 }
             });
         }
 
-        private void work(final Attempt go, final Up up, final Consumer<AttemptResult> once) {
+        private void work(final Attempt attempt, final Up up, final Consumer<AttemptResult> once) {
             world.begun.add(new SimulatedWorld.Begun(
-                    go.askId(),
+                    attempt.requestId(),
                     up.instance,
-                    up.district,
+                    up.zone,
                     up.region,
-                    node.district,
+                    node.zone,
                     node.region,
                     world.sim.nowMs() - up.readyAtMs,
                     world.sim.nowMs()));
-            final boolean cold = world.sim.nowMs() - up.readyAtMs < SimulatedWorld.WARMUP_MS;
+            final boolean warmingUp = world.sim.nowMs() - up.readyAtMs < SimulatedWorld.WARMUP_MS;
             up.busyUntilMs = Math.max(up.busyUntilMs, world.sim.nowMs()) + up.eachMs;
             final long workMs = up.busyUntilMs
                     - world.sim.nowMs()
-                    + (cold ? 20 : 3)
+                    + (warmingUp ? 20 : 3)
                     + random.nextInt(10)
                     + (up.manner == UpstreamStandIn.Manner.SLOW ? 1500 : 0);
             world.sim.after(workMs, () -> {
-                final long way = world.net.sureMs(go.address(), node.address);
+                final long way = world.net.sureMs(attempt.address(), node.address);
                 if (way < 0) {
                     return;
                 }
-                final String whole = "answer to " + go.askId() + " by " + up.instance + " whole";
+                final String whole = "answer to " + attempt.requestId() + " by " + up.instance + " whole";
                 final AttemptResult result = !up.running
                         ? new AttemptResult.Lost("reset")
                         : switch (up.manner) {
                             case LOSE ->
-                                world.plant == InjectedFault.LOST_AS_NOT_SENT
+                                world.injectedFault == InjectedFault.LOST_AS_NOT_SENT
                                         ? new AttemptResult.NotSent("closed")
                                         : new AttemptResult.Lost("closed");
-                            case FLAKY -> random.nextBoolean() ? new AttemptResult.Lost("closed") : whole(go, whole);
+                            case FLAKY ->
+                                random.nextBoolean() ? new AttemptResult.Lost("closed") : whole(attempt, whole);
                             case GARBAGE ->
-                                world.plant == InjectedFault.GARBAGE_PASSED
-                                        ? whole(go, "garbage")
+                                world.injectedFault == InjectedFault.GARBAGE_PASSED
+                                        ? whole(attempt, "garbage")
                                         : new AttemptResult.Lost("answer of another instance");
                             case TRUNCATE -> new AttemptResult.Lost("answer: truncated");
-                            default -> whole(go, whole);
+                            default -> whole(attempt, whole);
                         };
                 back(way, () -> once.accept(result));
             });
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
@@ -85,18 +85,18 @@
     int carry(
             final String from,
             final String to,
-            final Message note,
+            final Message message,
             final int version,
             final java.util.function.Consumer<Message> arrive) {
         final long ms = wayMs(from, to);
-        final byte[] frame = MessageCodec.note(note, version);
+        final byte[] frame = MessageCodec.message(message, version);
         sim.carried(frame);
         if (ms < 0) {
             return frame.length;
         }
         sim.after(ms, () -> {
             try {
-                arrive.accept(MessageCodec.note(frame));
+                arrive.accept(MessageCodec.message(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -18,7 +18,7 @@
 public final class SimulatedNode {
     public final String name;
     public final boolean core;
-    final String district;
+    final String zone;
     final String region;
     String address;
     final String http;
@@ -29,7 +29,7 @@
     private final ArrayDeque<Runnable> held = new ArrayDeque<>();
     private final long monotonicMs;
     private Node node;
-    private long life;
+    private long incarnation;
     private boolean frozen;
     private long wallJumpMs;
     private long versionSeen;
@@ -43,7 +43,7 @@
         this.world = world;
         this.name = name;
         this.core = core;
-        this.district = Deployment.district(i);
+        this.zone = Deployment.zone(i);
         this.region = Deployment.region(i);
         this.address = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7100";
         this.http = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7200";
@@ -53,8 +53,8 @@
         flags.put("name", name);
         flags.put("address", address);
         flags.put("http", http);
-        flags.put("district", district);
-        flags.put("districts", Deployment.districts());
+        flags.put("district", zone);
+        flags.put("districts", Deployment.zones());
         flags.put("seeds", "10.0.1.1:7100,10.0.1.3:7100,10.0.1.5:7100");
         flags.put("platform", "10.0.9.1:80");
         flags.put("data", "/sim/" + name);
@@ -66,7 +66,7 @@
     private void read() {
         final Settings.Read read = Settings.read(null, flags, core);
         if (read instanceof Settings.Read.Bad bad) {
-            throw new IllegalStateException(bad.troubles().toString());
+            throw new IllegalStateException(bad.errors().toString());
         }
         settings = ((Settings.Read.Good) read).settings();
     }
@@ -76,7 +76,7 @@
         flags.put(key, value);
     }
 
-    int noteVersion() {
+    int messageVersion() {
         return (int) settings.ms("noteVersion");
     }
 
@@ -104,11 +104,11 @@
         if (node != null) {
             return;
         }
-        life++;
+        incarnation++;
         read();
         // Only a machine's very first start may be told that the fleet has never run.
         set("bootstrap", "0");
-        final long mine = life;
+        final long mine = incarnation;
         final Clock clock = new Clock() {
             @Override
             public long nowMs() {
@@ -125,34 +125,34 @@
                 world.sim.after(Math.max(0, waitMs), () -> run(mine, event));
             }
         };
-        final Random random = world.sim.random(name + "/" + life);
-        world.sim.trace("start " + name + " life " + life);
-        final Node.Rim rim = new Node.Rim(
+        final Random random = world.sim.random(name + "/" + incarnation);
+        world.sim.trace("start " + name + " life " + incarnation);
+        final Node.NodeEnvironment environment = new Node.NodeEnvironment(
                 clock,
                 random,
-                (to, note) -> world.send(this, mine, to, note),
+                (to, message) -> world.send(this, mine, to, message),
                 core
-                        ? disk.life(
-                                () -> life == mine && node != null,
+                        ? disk.incarnation(
+                                () -> incarnation == mine && node != null,
                                 e -> run(mine, e),
-                                world.plant == InjectedFault.LYING_DISK)
+                                world.injectedFault == InjectedFault.LYING_DISK)
                         : null,
                 world.outside.of(this, mine),
                 world.outside.of(this, mine),
                 world.outside.of(this, mine),
                 AuditSink.NONE);
-        node = new Node(settings, core, rim);
+        node = new Node(settings, core, environment);
         node.start();
         versionSeen = 0;
     }
 
     /** Runs an event of one life: not after its end, and not while frozen. */
-    public void run(final long ofLife, final Runnable event) {
-        if (life != ofLife || node == null) {
+    public void run(final long ofIncarnation, final Runnable event) {
+        if (incarnation != ofIncarnation || node == null) {
             return;
         }
         if (frozen) {
-            held.add(() -> run(ofLife, event));
+            held.add(() -> run(ofIncarnation, event));
             return;
         }
         event.run();
@@ -164,19 +164,19 @@
         if (node == null) {
             return;
         }
-        final long version = node.book().policy().version();
+        final long version = node.configurationStore().configuration().version();
         if (version < versionSeen) {
             world.judge.violated(Rule.POLICY, name + " went from " + versionSeen + " back to " + version);
         }
         versionSeen = version;
     }
 
-    public long life() {
-        return life;
+    public long incarnation() {
+        return incarnation;
     }
 
-    void hear(final long ofLife, final Message note) {
-        run(ofLife, () -> node.hear(note));
+    void hear(final long ofIncarnation, final Message message) {
+        run(ofIncarnation, () -> node.hear(message));
     }
 
     public void kill() {
@@ -191,7 +191,7 @@
         if (node != null) {
             world.sim.trace(how + " " + name);
             node = null;
-            life++;
+            incarnation++;
             held.clear();
             frozen = false;
             if (disk != null) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -14,14 +14,14 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.verdict.Rule;
 
-/** Operators that change the policy, race each other, send what is stale or invalid, and repeat what is unclear. */
+/** Operators that change the configuration, race each other, send what is stale or invalid, and repeat what is unclear. */
 final class SimulatedOperator {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long IN_FORCE_MS = Rule.POLICY.nearMs;
     private final SimulatedWorld world;
     private final Random random;
     private final Set<String> accepted = new HashSet<>();
-    private final Set<String> denied = new HashSet<>();
+    private final Set<String> rejected = new HashSet<>();
     private int made;
     long slowestMs;
 
@@ -34,14 +34,14 @@
         return accepted;
     }
 
-    /** Puts the deployment's policy; then is run once it is accepted. */
+    /** Puts the deployment's configuration; then is run once it is accepted. */
     void first(final Runnable then) {
         final ObjectNode params = JSON.createObjectNode();
-        params.set("policy", world.policy());
+        params.set("policy", world.configuration());
         change("policy.put", params, "first", world.sim.nowMs() + 60_000, at -> then.run());
     }
 
-    /** Adds a binding that carries the change's own name, so that it can be looked for later. */
+    /** Adds a route that carries the change's own name, so that it can be looked for later. */
     void bind() {
         bind(world.sim.nowMs() + 8000);
     }
@@ -51,13 +51,13 @@
         change("policy.patch", patch(id, 1), id, untilMs, at -> {});
     }
 
-    /** Adds very many bindings at once. */
-    void grow(final int bindings) {
+    /** Adds very many routes at once. */
+    void grow(final int routes) {
         final String id = "bind-" + made++;
-        change("policy.patch", patch(id, bindings), id, world.sim.nowMs() + 8000, at -> {});
+        change("policy.patch", patch(id, routes), id, world.sim.nowMs() + 8000, at -> {});
     }
 
-    private ObjectNode patch(final String id, final int bindings) {
+    private ObjectNode patch(final String id, final int routes) {
         final ObjectNode params = JSON.createObjectNode();
         final ObjectNode at = params.putObject("patch")
                 .putObject("cells")
@@ -66,7 +66,7 @@
                 .putObject(Deployment.tenant(3))
                 .putObject("bindings");
         at.putObject(id).put("path", "/more/" + id).put("service", world.deployment.big);
-        for (int i = 1; i < bindings; i++) {
+        for (int i = 1; i < routes; i++) {
             at.putObject(id + "." + i).put("path", "/more/" + id + "/" + i).put("service", world.deployment.big);
         }
         return params;
@@ -96,21 +96,21 @@
         final ObjectNode old = patch(stale, 1);
         old.put("base", 1).put("changeId", stale);
         world.call(core, "policy.patch", old, reply -> {
-            denied.add(stale);
+            rejected.add(stale);
             world.judge.check(Rule.POLICY, reply.result().number() == 1000 ? 2 : 0, stale + " was accepted");
         });
     }
 
-    void hold(final String district, final long spanMs) {
-        final ObjectNode set = JSON.createObjectNode().put("district", district);
+    void hold(final String zone, final long spanMs) {
+        final ObjectNode set = JSON.createObjectNode().put("district", zone);
         change("hold.set", set, "hold-" + made++, world.sim.nowMs() + 8000, at -> {
             final int slot = world.emptied.size();
-            world.emptied.add(new SimulatedWorld.Span(district, at, Long.MAX_VALUE));
+            world.emptied.add(new SimulatedWorld.Span(zone, at, Long.MAX_VALUE));
             world.sim.after(spanMs, () -> {
-                world.emptied.set(slot, new SimulatedWorld.Span(district, at, world.sim.nowMs()));
+                world.emptied.set(slot, new SimulatedWorld.Span(zone, at, world.sim.nowMs()));
                 change(
                         "hold.clear",
-                        JSON.createObjectNode().put("district", district),
+                        JSON.createObjectNode().put("district", zone),
                         "clear-" + made++,
                         world.sim.nowMs() + 30_000,
                         done -> {});
@@ -250,12 +250,12 @@
                 case STALE_BASE -> {
                     // Its one place went to another change: it may be tried anew under a new name, as an operator
                     // would.
-                    denied.add(id);
+                    rejected.add(id);
                     if (!id.startsWith("bind")) {
                         new Try(method, params, id + "+", untilMs, then).fresh();
                     }
                 }
-                default -> denied.add(id);
+                default -> rejected.add(id);
             }
         }
 
@@ -267,7 +267,7 @@
                 if (!edge.running() || !world.undisturbed(edge, atMs)) {
                     continue;
                 }
-                if (edge.node().book().policy().version() >= version) {
+                if (edge.node().configurationStore().configuration().version() >= version) {
                     slowestMs = Math.max(slowestMs, spentMs);
                     world.judge.check(
                             Rule.POLICY,
@@ -287,7 +287,8 @@
             world.sim.after(IN_FORCE_MS, () -> {
                 for (final SimulatedNode edge : world.edges()) {
                     if (edge.running()) {
-                        final boolean has = edge.node().book().policy().version() >= version;
+                        final boolean has =
+                                edge.node().configurationStore().configuration().version() >= version;
                         final boolean serves = edge.node().follower().fresh();
                         final boolean alone = world.undisturbed(edge, atMs);
                         world.judge.check(
@@ -301,15 +302,15 @@
         }
     }
 
-    /** At the end: each accepted binding is in force on every fresh node, and no denied one on any. */
+    /** At the end: each accepted route is in force on every fresh node, and no denied one on any. */
     void end(final boolean wiped) {
         for (final SimulatedNode node : world.nodes.values()) {
             if (!node.running() || !node.node().follower().fresh()) {
                 continue;
             }
-            final var bindings = node.node()
-                    .book()
-                    .policy()
+            final var routes = node.node()
+                    .configurationStore()
+                    .configuration()
                     .tree()
                     .path("cells")
                     .path(Deployment.cell(3))
@@ -318,11 +319,11 @@
                     .path("bindings");
             for (final String id : List.copyOf(accepted)) {
                 if (id.startsWith("bind")) {
-                    world.judge.check(Rule.POLICY, bindings.has(id) || wiped ? 0 : 2, node.name + " lost " + id);
+                    world.judge.check(Rule.POLICY, routes.has(id) || wiped ? 0 : 2, node.name + " lost " + id);
                 }
             }
-            for (final String id : List.copyOf(denied)) {
-                world.judge.check(Rule.POLICY, bindings.has(id) ? 2 : 0, node.name + " has denied " + id);
+            for (final String id : List.copyOf(rejected)) {
+                world.judge.check(Rule.POLICY, routes.has(id) ? 2 : 0, node.name + " has denied " + id);
             }
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -20,7 +20,7 @@
 import spokestall.testbed.verdict.Ledger;
 import spokestall.testbed.verdict.Rule;
 
-/** One simulated run's whole world: machines, network, upstreams, platform, callers, operators, and what they saw. */
+/** One simulated run's whole world: machines, network, upstreams, platform, clients, operators, and what they saw. */
 public final class SimulatedWorld {
     public static final long EPOCH_MS = 1_800_000_000_000L;
     public static final long WINDOW_MS = 5000;
@@ -29,28 +29,28 @@
 
     /** One ask that an upstream began, and through which edge. */
     public record Begun(
-            String askId,
+            String requestId,
             String instance,
-            String district,
+            String zone,
             String region,
-            String edgeDistrict,
+            String edgeZone,
             String edgeRegion,
             long ageMs,
             long atMs) {}
 
     /** One go that an edge sent out. */
-    public record Gone(String askId, String service, int turn, long atMs) {}
+    public record Gone(String requestId, String service, int turn, long atMs) {}
 
-    /** One final answer that a caller got. */
+    /** One final answer that a client got. */
     public record Told(
-            String askId, int code, ExecutionStatus ran, String instance, ResponseContent content, long atMs) {}
+            String requestId, int code, ExecutionStatus ran, String instance, ResponseContent content, long atMs) {}
 
     /** Something held from one time to another. */
     public record Span(String what, long fromMs, long untilMs) {}
 
-    /** One ask as its caller knows it. */
+    /** One ask as its client knows it. */
     public static final class Asked {
-        final String askId;
+        final String requestId;
         public final Deployment.Kind kind;
         public final List<Long> sentMs = new ArrayList<>();
         /** When it was admitted, and its span from there; -1 if it never was. */
@@ -60,13 +60,13 @@
         long answeredMs = -1;
         boolean ran;
 
-        Asked(final String askId, final Deployment.Kind kind) {
-            this.askId = askId;
+        Asked(final String requestId, final Deployment.Kind kind) {
+            this.requestId = requestId;
             this.kind = kind;
         }
     }
 
-    final InjectedFault plant;
+    final InjectedFault injectedFault;
     final int segmentBytes;
     private final Map<String, String> settings;
     /** How often, and for how long, a machine freezes just between its last check and its bytes leaving. */
@@ -79,13 +79,13 @@
     public final MessageTraffic traffic = new MessageTraffic();
     final Judge judge;
     final SimulatedEnvironment outside;
-    final SimulatedClients callers;
-    public final ExpectedAvailability ability;
+    final SimulatedClients clients;
+    public final ExpectedAvailability availability;
     private final Map<String, List<String>> homes = new TreeMap<>();
     public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
     final Map<String, SimulatedNode> byAddress = new TreeMap<>();
     public final List<Begun> begun = new ArrayList<>();
-    public final List<Gone> goes = new ArrayList<>();
+    public final List<Gone> attempts = new ArrayList<>();
     public final List<Told> told = new ArrayList<>();
     public final Map<String, Asked> asked = new LinkedHashMap<>();
     public final List<Ledger.Reported> reported = new ArrayList<>();
@@ -97,30 +97,30 @@
             final long seed,
             final Deployment deployment,
             final boolean traced,
-            final InjectedFault plant,
+            final InjectedFault injectedFault,
             final Scenario scenario) {
-        this(seed, deployment, traced, plant, scenario, Map.of());
+        this(seed, deployment, traced, injectedFault, scenario, Map.of());
     }
 
     public SimulatedWorld(
             final long seed,
             final Deployment deployment,
             final boolean traced,
-            final InjectedFault plant,
+            final InjectedFault injectedFault,
             final Scenario scenario,
             final Map<String, String> more) {
         this.settings = new TreeMap<>(scenario.settings());
-        settings.putAll(plant.settings());
+        settings.putAll(injectedFault.settings());
         settings.putAll(more);
         this.segmentBytes = Integer.parseInt(settings.getOrDefault("ringSegmentBytes", "" + scenario.segmentBytes()));
-        this.plant = plant;
+        this.injectedFault = injectedFault;
         this.sim = new VirtualTime(seed, traced);
         this.deployment = deployment;
         this.net = new SimulatedNetwork(sim, deployment.apartMs);
         this.judge = new Judge(sim::nowMs, sim::trace);
         this.outside = new SimulatedEnvironment(this);
-        this.callers = new SimulatedClients(this);
-        this.ability = new ExpectedAvailability(this);
+        this.clients = new SimulatedClients(this);
+        this.availability = new ExpectedAvailability(this);
         final Random shape = sim.random("shape");
         for (int i = 0; i < Deployment.TENANTS; i++) {
             final List<String> all = new ArrayList<>(Deployment.home(0));
@@ -130,8 +130,8 @@
                     i < 2 ? Deployment.home(i) : List.copyOf(all.subList(0, 1 + shape.nextInt(3))));
         }
         for (int i = 0; i < Deployment.DISTRICTS; i++) {
-            add(new SimulatedNode(this, Deployment.district(i) + "-core", true, i, settings));
-            add(new SimulatedNode(this, Deployment.district(i) + "-edge", false, i, settings));
+            add(new SimulatedNode(this, Deployment.zone(i) + "-core", true, i, settings));
+            add(new SimulatedNode(this, Deployment.zone(i) + "-edge", false, i, settings));
         }
     }
 
@@ -140,20 +140,21 @@
         return homes.get(tenant);
     }
 
-    /** The policy that this run begins with: homes of its own, and some bindings that nobody asks by. */
-    public ObjectNode policy() {
-        final ObjectNode policy = deployment.policy();
+    /** The configuration that this run begins with: homes of its own, and some routes that nobody asks by. */
+    public ObjectNode configuration() {
+        final ObjectNode configuration = deployment.configuration();
         final Random shape = sim.random("policy");
-        policy.path("cells")
+        configuration
+                .path("cells")
                 .forEach(c -> c.path("tenants").fields().forEachRemaining(t -> {
                     final ArrayNode at = ((ObjectNode) t.getValue()).putArray("homeRegions");
                     homes.get(t.getKey()).forEach(at::add);
-                    final ObjectNode bindings = (ObjectNode) t.getValue().get("bindings");
+                    final ObjectNode routes = (ObjectNode) t.getValue().get("bindings");
                     for (int i = shape.nextInt(1 << shape.nextInt(8)); i > 0; i--) {
-                        bindings.putObject("idle" + i).put("path", "/idle/" + i).put("service", deployment.small);
+                        routes.putObject("idle" + i).put("path", "/idle/" + i).put("service", deployment.small);
                     }
                 }));
-        return policy;
+        return configuration;
     }
 
     /** A machine goes, and comes back at another address with its disk. */
@@ -191,44 +192,44 @@
         return nodes.values().stream().filter(n -> n.region.equals(region)).toList();
     }
 
-    List<SimulatedNode> inDistrict(final String district) {
-        return nodes.values().stream().filter(n -> n.district.equals(district)).toList();
+    List<SimulatedNode> inZone(final String zone) {
+        return nodes.values().stream().filter(n -> n.zone.equals(zone)).toList();
     }
 
     public <T> T any(final List<T> of, final Random random) {
         return of.get(random.nextInt(of.size()));
     }
 
-    void send(final SimulatedNode from, final long life, final String to, final Message note) {
+    void send(final SimulatedNode from, final long incarnation, final String to, final Message message) {
         final SimulatedNode target = byAddress.get(to);
-        if (target == null || from.life() != life) {
+        if (target == null || from.incarnation() != incarnation) {
             return;
         }
-        final long targetLife = target.life();
-        if (note instanceof HandoffMessage.Keep keep) {
+        final long targetIncarnation = target.incarnation();
+        if (message instanceof HandoffMessage.Store keep) {
             carried(keep.key(), target);
-            if (plant == InjectedFault.KEPT_ABROAD) {
+            if (injectedFault == InjectedFault.KEPT_ABROAD) {
                 cores().forEach(c -> carried(keep.key(), c));
             }
-        } else if (note instanceof HandoffMessage.Back back && back.content() != null) {
+        } else if (message instanceof HandoffMessage.FetchResult back && back.content() != null) {
             carried(back.key(), target);
         }
-        if (plant == InjectedFault.FORGED_PROOFS && !net.open(from.address, to)) {
-            final Message forged = MessageForger.proof(note, from, target);
+        if (injectedFault == InjectedFault.FORGED_PROOFS && !net.open(from.address, to)) {
+            final Message forged = MessageForger.proof(message, from, target);
             if (forged != null) {
-                sim.after(1, () -> from.hear(life, forged));
+                sim.after(1, () -> from.hear(incarnation, forged));
             }
         }
         traffic.sent(
                 from,
                 target,
-                note,
+                message,
                 net.carry(
                         from.address,
                         to,
-                        MessageForger.altered(plant, note),
-                        from.noteVersion(),
-                        arrived -> target.hear(targetLife, arrived)));
+                        MessageForger.altered(injectedFault, message),
+                        from.messageVersion(),
+                        arrived -> target.hear(targetIncarnation, arrived)));
     }
 
     /** A kept answer goes to a node: it must be at home there. */
@@ -254,13 +255,13 @@
     }
 
     boolean undisturbed(final SimulatedNode node, final long sinceMs) {
-        return disturbedMs.getOrDefault(node.name, -1L) < sinceMs && !ability.unable(sinceMs, sim.nowMs());
+        return disturbedMs.getOrDefault(node.name, -1L) < sinceMs && !availability.unable(sinceMs, sim.nowMs());
     }
 
     /** The core that holds the duty now, or null. */
     SimulatedNode holder() {
         for (final SimulatedNode core : cores()) {
-            if (core.up() && core.node().keeper().execution() != null) {
+            if (core.up() && core.node().leaseManager().execution() != null) {
                 return core;
             }
         }
@@ -273,7 +274,7 @@
             final JsonNode params,
             final java.util.function.Consumer<spokestall.api.Reply> done) {
         if (to.running()) {
-            to.run(to.life(), () -> to.node().call(method, params, done));
+            to.run(to.incarnation(), () -> to.node().call(method, params, done));
         }
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -31,8 +31,8 @@
             final Deployment deployment,
             final Scenario scenario,
             final boolean traced,
-            final InjectedFault plant) {
-        this.world = new SimulatedWorld(seed, deployment, traced, plant, scenario);
+            final InjectedFault injectedFault) {
+        this.world = new SimulatedWorld(seed, deployment, traced, injectedFault, scenario);
         this.operator = new SimulatedOperator(world);
         this.random = world.sim.random("scenario");
         this.scenario = scenario;
@@ -44,7 +44,7 @@
 
     /** Plays the whole run; false if the fleet never came up. */
     public boolean play() {
-        world.ability.watch();
+        world.availability.watch();
         for (final SimulatedNode node : world.nodes.values()) {
             world.sim.after(scenario.startMs(node, random), node::start);
         }
@@ -55,7 +55,7 @@
         }
         endMs = begunMs + 3000 + scenario.playMs() + MEND_MS + LAST_MS;
         world.sim.run(endMs);
-        world.callers.stop();
+        world.clients.stop();
         world.sim.run(endMs + 12_000);
         lastShare = share(endMs - LAST_MS, endMs - 3000);
         operator.end(wiped);
@@ -65,7 +65,7 @@
 
     private void begin() {
         begunMs = world.sim.nowMs();
-        world.callers.start();
+        world.clients.start();
         world.sim.after(3000, () -> scenario.play(this));
         world.sim.after(3000, this::watchHolder);
         world.sim.after(3000 + scenario.playMs(), this::mend);
@@ -76,8 +76,8 @@
         final long nowMs = world.sim.nowMs();
         for (final SimulatedNode c : world.cores()) {
             if (c.running()
-                    && c.node().keeper().execution() != null
-                    && c.node().keeper().execution().mayWork(c.nowMs())) {
+                    && c.node().leaseManager().execution() != null
+                    && c.node().leaseManager().execution().mayWork(c.nowMs())) {
                 gapMs = heldMs < 0 ? 0 : Math.max(gapMs, nowMs - heldMs);
                 heldMs = nowMs;
             }
@@ -92,7 +92,7 @@
             }
             if (world.cores().stream()
                             .filter(SimulatedNode::running)
-                            .allMatch(c -> c.node().voter().state() == spokestall.consensus.Acceptor.State.VOTING)
+                            .allMatch(c -> c.node().acceptor().state() == spokestall.consensus.Acceptor.State.VOTING)
                     && votingMs < fromMs) {
                 votingMs = nowMs;
             }
@@ -104,7 +104,7 @@
 
     /** From when recovery counts: all machines are there again, or four cores with state could agree again. */
     private long recoverFromMs() {
-        return world.ability.ableAgainMs() > begunMs ? world.ability.ableAgainMs() : mendedMs;
+        return world.availability.ableAgainMs() > begunMs ? world.availability.ableAgainMs() : mendedMs;
     }
 
     /** The bound on recovery: longer where a majority's disks were lost, and with them what was acknowledged. */
@@ -132,7 +132,7 @@
         return uneven(world.begun.stream()
                 .filter(b -> b.atMs() >= begunMs + 3000)
                 .collect(java.util.stream.Collectors.groupingBy(
-                        SimulatedWorld.Begun::edgeDistrict, java.util.stream.Collectors.counting())));
+                        SimulatedWorld.Begun::edgeZone, java.util.stream.Collectors.counting())));
     }
 
     /** The most any upstream of the larger service had, over an even share. */
@@ -153,7 +153,7 @@
     /** Synced commits of all cores for each run-once ask that ran. */
     double commitsPerOrder() {
         final long orders = world.begun.stream()
-                .filter(b -> world.asked.get(b.askId()).kind.runOnce())
+                .filter(b -> world.asked.get(b.requestId()).kind.runOnce())
                 .count();
         return orders == 0
                 ? 0
@@ -167,7 +167,8 @@
         for (final SimulatedNode node : nodes()) {
             node.thaw();
             if (node.core) {
-                if (node.node() != null && node.node().voter().state() == spokestall.consensus.Acceptor.State.STOPPED) {
+                if (node.node() != null
+                        && node.node().acceptor().state() == spokestall.consensus.Acceptor.State.STOPPED) {
                     // What an operator does about a failed disk: a new one.
                     node.kill();
                     node.disk.wipe();
@@ -196,7 +197,10 @@
                         reply.fields().path("hints").forEach(h -> most.merge("hints", h.asDouble(), Math::max));
                     });
             if (node.running()) {
-                most.merge("listed", (double) node.node().listing().listed().size(), Math::max);
+                most.merge(
+                        "listed",
+                        (double) node.node().endpointRegistry().listed().size(),
+                        Math::max);
             }
         }
         return "sizes atS=" + (world.sim.nowMs() - begunMs) / 1000 + " " + most + " asks=" + world.asked.size()
@@ -210,7 +214,7 @@
         long ran = 0;
         final Map<String, Boolean> ids = new java.util.HashMap<>();
         for (final SimulatedWorld.Asked a : world.asked.values()) {
-            final String id = a.kind.runOnce() ? a.askId : a.askId.substring(0, a.askId.indexOf('.'));
+            final String id = a.kind.runOnce() ? a.requestId : a.requestId.substring(0, a.requestId.indexOf('.'));
             if (a.sentMs.get(0) >= fromMs && a.sentMs.get(0) < untilMs) {
                 ids.merge(id, a.ran, Boolean::logicalOr);
             }
@@ -228,32 +232,32 @@
         for (final SimulatedWorld.Told t : world.told) {
             final String of = t.ran() == spokestall.proxy.ExecutionStatus.RAN
                     ? ""
-                    : " " + world.asked.get(t.askId()).kind.tenant();
+                    : " " + world.asked.get(t.requestId()).kind.tenant();
             found.merge(t.code() + " " + t.ran() + of, 1, Integer::sum);
         }
         return found;
     }
 
-    /** Begun asks of one window by the district of the edge they came through. */
+    /** Begun asks of one window by the zone of the edge they came through. */
     public Map<String, Integer> byEdge(final long window) {
         final Map<String, Integer> found = new java.util.TreeMap<>();
         world.begun.stream()
                 .filter(b -> (SimulatedWorld.EPOCH_MS + b.atMs()) / SimulatedWorld.WINDOW_MS == window)
-                .forEach(b -> found.merge(b.edgeDistrict(), 1, Integer::sum));
+                .forEach(b -> found.merge(b.edgeZone(), 1, Integer::sum));
         return found;
     }
 
     /** All that is known of one ask. */
-    public String story(final String askId) {
-        final StringBuilder out = new StringBuilder(askId + " sent " + world.asked.get(askId).sentMs);
-        world.goes.stream()
-                .filter(g -> g.askId().equals(askId))
+    public String story(final String requestId) {
+        final StringBuilder out = new StringBuilder(requestId + " sent " + world.asked.get(requestId).sentMs);
+        world.attempts.stream()
+                .filter(g -> g.requestId().equals(requestId))
                 .forEach(g -> out.append("\n  ").append(g));
         world.begun.stream()
-                .filter(g -> g.askId().equals(askId))
+                .filter(g -> g.requestId().equals(requestId))
                 .forEach(g -> out.append("\n  ").append(g));
         world.told.stream()
-                .filter(g -> g.askId().equals(askId))
+                .filter(g -> g.requestId().equals(requestId))
                 .forEach(g -> out.append("\n  ").append(g));
         return out.toString();
     }
@@ -293,7 +297,7 @@
         for (final SimulatedNode c : world.cores()) {
             if (c.running()) {
                 c.node()
-                        .voter()
+                        .acceptor()
                         .registers()
                         .forEach((k, r) -> newest.merge(k, r.accepted(), (a, o) -> a.compareTo(o) >= 0 ? a : o));
             }
@@ -303,7 +307,7 @@
             if (c.running() && !newest.isEmpty()) {
                 final long lacks = newest.entrySet().stream()
                         .filter(e -> {
-                            final var r = c.node().voter().registers().get(e.getKey());
+                            final var r = c.node().acceptor().registers().get(e.getKey());
                             return r == null || r.accepted().compareTo(e.getValue()) < 0;
                         })
                         .count();
@@ -381,7 +385,7 @@
     void pass(final SimulatedEnvironment.Up up) {
         world.outside.stop(up);
         final String other = up.service.equals(world.deployment.big) ? world.deployment.small : world.deployment.big;
-        world.outside.add(other, up.address, up.district, up.region, world.sim.nowMs());
+        world.outside.add(other, up.address, up.zone, up.region, world.sim.nowMs());
         later(2000, () -> up.listed = false);
     }
 
@@ -431,7 +435,7 @@
             case 12 -> operator.race();
             case 13 -> operator.wrong();
             case 14 -> operator.withdraw(2 + random.nextInt(4), 8000);
-            default -> operator.hold(Deployment.district(random.nextInt(6)), 6000);
+            default -> operator.hold(Deployment.zone(random.nextInt(6)), 6000);
         }
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
@@ -60,7 +60,7 @@
                         .put("instance", u.place().instance())
                         .put("service", u.place().service())
                         .put("address", u.address())
-                        .put("district", u.place().district())
+                        .put("district", u.place().zone())
                         .put("region", u.place().region())
                         .put("leaving", u.leaving());
             }
--- a/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
@@ -17,7 +17,7 @@
 /** An upstream made of bytes: it keeps what came as it came, and answers whatever it was told to write. */
 public final class RawUpstream implements UpstreamInstance {
     /** One ask as it was on the wire; head ends before the empty line, each wire has a number of its own. */
-    public record Came(int wire, String head, String body) {
+    public record Came(int connection, String head, String body) {
         public String line() {
             return head.substring(0, head.indexOf("\r\n"));
         }
@@ -46,7 +46,7 @@
 
     private final Deployment.Place place;
     private final int port;
-    private final AtomicInteger wires = new AtomicInteger();
+    private final AtomicInteger connections = new AtomicInteger();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private ServerSocket server;
     public final LinkedBlockingQueue<Came> came = new LinkedBlockingQueue<>();
@@ -107,10 +107,10 @@
         thread(() -> {
             while (!server.isClosed()) {
                 try {
-                    final Socket wire = server.accept();
-                    wire.setTcpNoDelay(true);
-                    open.add(wire);
-                    thread(() -> serve(wire, wires.incrementAndGet()));
+                    final Socket connection = server.accept();
+                    connection.setTcpNoDelay(true);
+                    open.add(connection);
+                    thread(() -> serve(connection, connections.incrementAndGet()));
                 } catch (final IOException e) {
                     return;
                 }
@@ -128,26 +128,26 @@
     public void stop() {
         try {
             server.close();
-            for (final Socket wire : open) {
-                wire.close();
+            for (final Socket connection : open) {
+                connection.close();
             }
         } catch (final IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void serve(final Socket wire, final int number) {
-        try (wire;
-                InputStream in = new BufferedInputStream(wire.getInputStream())) {
+    private void serve(final Socket connection, final int number) {
+        try (connection;
+                InputStream in = new BufferedInputStream(connection.getInputStream())) {
             final Writer out = new Writer() {
                 @Override
                 public void write(final String latin) throws IOException {
-                    wire.getOutputStream().write(latin.getBytes(StandardCharsets.ISO_8859_1));
+                    connection.getOutputStream().write(latin.getBytes(StandardCharsets.ISO_8859_1));
                 }
 
                 @Override
                 public void close() throws IOException {
-                    wire.close();
+                    connection.close();
                 }
             };
             String head = head(in);
@@ -171,11 +171,11 @@
             }
         } catch (final IOException e) {
             // The other side went, which is part of what is tried.
-            open.remove(wire);
+            open.remove(connection);
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(wire);
+            open.remove(connection);
         }
     }
 
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamInstance.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamInstance.java
@@ -4,7 +4,7 @@
 
 /** What stands for an upstream: where it is, what it says it is, and how it comes and goes. */
 public interface UpstreamInstance {
-    /** Its instance, service, district and region. */
+    /** Its instance, service, zone and region. */
     Deployment.Place place();
 
     /** Its IP number and port. */
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
@@ -110,8 +110,8 @@
                             + (System.currentTimeMillis() - readyAtMs) + "}");
             return;
         }
-        final String askId = exchange.getRequestHeaders().getFirst(ASK);
-        exchange.getResponseHeaders().put(ASK, askId);
+        final String requestId = exchange.getRequestHeaders().getFirst(ASK);
+        exchange.getResponseHeaders().put(ASK, requestId);
         exchange.getResponseHeaders().put(INSTANCE, place.instance());
         if (!place.instance().equals(exchange.getRequestHeaders().getFirst(INSTANCE))) {
             exchange.getResponseHeaders().put(new HttpString("Spokestall-Outcome"), "not-run");
@@ -122,31 +122,31 @@
             ledger.began(new Ledger.Began(
                     place.instance(),
                     place.service(),
-                    place.district(),
+                    place.zone(),
                     place.region(),
                     e.getRequestHeaders().getFirst("Spokestall-Tenant"),
-                    askId,
+                    requestId,
                     System.currentTimeMillis()));
             e.dispatch(
                     SameThreadExecutor.INSTANCE,
                     () -> e.getIoThread()
                             .executeAfter(
-                                    () -> answer(e, askId),
+                                    () -> answer(e, requestId),
                                     waitMs() + (manner == Manner.SLOW ? 50 * workMs : workMs),
                                     TimeUnit.MILLISECONDS));
         });
     }
 
-    private void answer(final HttpServerExchange e, final String askId) {
+    private void answer(final HttpServerExchange e, final String requestId) {
         final Manner how = manner;
-        if (how == Manner.LOSE || how == Manner.FLAKY && askId.hashCode() % 2 == 0) {
+        if (how == Manner.LOSE || how == Manner.FLAKY && requestId.hashCode() % 2 == 0) {
             IoUtils.safeClose(e.getConnection());
             return;
         }
         if (how == Manner.GARBAGE) {
             e.getResponseHeaders().put(ASK, "garbage").put(INSTANCE, "garbage");
         }
-        final byte[] out = ("{\"answerTo\":\"" + askId + "\",\"by\":\"" + place.instance() + "\"}")
+        final byte[] out = ("{\"answerTo\":\"" + requestId + "\",\"by\":\"" + place.instance() + "\"}")
                 .getBytes(StandardCharsets.UTF_8);
         e.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         if (how == Manner.TRUNCATE) {
--- a/testbed/src/main/java/spokestall/testbed/verdict/AcknowledgedChange.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/AcknowledgedChange.java
@@ -2,5 +2,5 @@
 
 import spokestall.testbed.scale.Phase;
 
-/** A change of the policy as an operator saw it: its version, when it was sent and when told as accepted. */
+/** A change of the configuration as an operator saw it: its version, when it was sent and when told as accepted. */
 public record AcknowledgedChange(long version, long sentMs, long toldMs, Phase phase) {}
--- a/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
@@ -12,7 +12,7 @@
 import spokestall.testbed.simulation.ExpectedAvailability;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** Judges a run of real processes by the same rules, from the ledger of the stand-ins and what callers recorded. */
+/** Judges a run of real processes by the same rules, from the ledger of the stand-ins and what clients recorded. */
 public final class FleetJudge {
     private static final long WINDOW_MS = SimulatedWorld.WINDOW_MS;
     private final Fleet fleet;
@@ -35,7 +35,7 @@
         withdrawn.add(new SimulatedWorld.Span(tenant, fromMs, untilMs));
     }
 
-    /** An instance is leaving, or a district held. */
+    /** An instance is leaving, or a zone held. */
     public void emptied(final String what, final long fromMs, final long untilMs) {
         emptied.add(new SimulatedWorld.Span(what, fromMs, untilMs));
     }
@@ -49,7 +49,7 @@
     }
 
     /** An upstream that came up cold. */
-    public void cold(final String instance, final long atMs) {
+    public void warmingUp(final String instance, final long atMs) {
         readyAtMs.put(instance, atMs);
     }
 
@@ -57,8 +57,8 @@
     public void end() throws IOException {
         final List<Ledger.Began> began = fleet.ledger().began();
         final Map<String, List<Long>> begins = new HashMap<>();
-        began.forEach(
-                b -> begins.computeIfAbsent(b.askId(), i -> new ArrayList<>()).add(b.atMs()));
+        began.forEach(b ->
+                begins.computeIfAbsent(b.requestId(), i -> new ArrayList<>()).add(b.atMs()));
         begins.forEach((id, at) -> {
             if (id.startsWith("t1-")) {
                 judge.check(Rule.ONCE, at.size() > 1 ? at.size() : 0.5, id + " ran " + at.size() + " times");
@@ -73,12 +73,12 @@
                                     .contains(b.region())
                             ? 0
                             : 2,
-                    b.askId() + " of " + b.tenant() + " in " + b.region());
+                    b.requestId() + " of " + b.tenant() + " in " + b.region());
             spans(withdrawn, Rule.KEY, b, b.tenant());
             spans(emptied, Rule.LEAVING, b, b.instance());
-            spans(emptied, Rule.LEAVING, b, b.district());
+            spans(emptied, Rule.LEAVING, b, b.zone());
         }
-        cold(began);
+        warmingUp(began);
         reports(began);
     }
 
@@ -105,12 +105,12 @@
                 judge.check(
                         rule,
                         (b.atMs() - span.fromMs()) / (double) rule.nearMs,
-                        b.askId() + " to " + what + " " + (b.atMs() - span.fromMs()) + " ms after");
+                        b.requestId() + " to " + what + " " + (b.atMs() - span.fromMs()) + " ms after");
             }
         }
     }
 
-    private void cold(final List<Ledger.Began> began) {
+    private void warmingUp(final List<Ledger.Began> began) {
         final Map<String, Map<Long, Integer>> perSecond = new TreeMap<>();
         for (final Ledger.Began b : began) {
             final Long ready = readyAtMs.get(b.instance());
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -14,7 +14,7 @@
 import spokestall.message.Header;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** Judges a run from outside, from what callers, upstreams and the platform saw. */
+/** Judges a run from outside, from what clients, upstreams and the platform saw. */
 public final class Judge {
     /** What came of one rule: how often it was looked at, how often broken, and the closest it came (1 = at the bound). */
     public static final class Tally {
@@ -67,7 +67,7 @@
         once(world);
         told(world);
         begun(world);
-        cold(world);
+        warmingUp(world);
         retries(world);
         reports(world);
     }
@@ -75,9 +75,9 @@
     private void once(final SimulatedWorld w) {
         final Map<String, Integer> runs = new HashMap<>();
         for (final SimulatedWorld.Begun b : w.begun) {
-            final SimulatedWorld.Asked asked = w.asked.get(b.askId());
+            final SimulatedWorld.Asked asked = w.asked.get(b.requestId());
             if (asked != null && asked.kind.runOnce()) {
-                runs.merge(b.askId(), 1, Integer::sum);
+                runs.merge(b.requestId(), 1, Integer::sum);
             }
         }
         runs.forEach((id, n) -> check(Rule.ONCE, n > 1 ? n : 0.5, id + " ran " + n + " times"));
@@ -86,24 +86,24 @@
     private void told(final SimulatedWorld w) {
         final Map<String, List<Long>> begins = new HashMap<>();
         for (final SimulatedWorld.Begun b : w.begun) {
-            begins.computeIfAbsent(b.askId(), i -> new ArrayList<>()).add(b.atMs());
+            begins.computeIfAbsent(b.requestId(), i -> new ArrayList<>()).add(b.atMs());
         }
         for (final SimulatedWorld.Told t : w.told) {
-            final SimulatedWorld.Asked asked = w.asked.get(t.askId());
+            final SimulatedWorld.Asked asked = w.asked.get(t.requestId());
             if (t.ran() == spokestall.proxy.ExecutionStatus.NOT_RUN) {
                 boolean broken = false;
-                for (final long at : begins.getOrDefault(t.askId(), List.of())) {
-                    // A begin after the answer is the caller's own later go at it, if there was one before that begin.
+                for (final long at : begins.getOrDefault(t.requestId(), List.of())) {
+                    // A begin after the answer is the client's own later go at it, if there was one before that begin.
                     final boolean later = asked.sentMs.stream().anyMatch(s -> s >= t.atMs() && s <= at);
                     broken |= !(at > t.atMs() && later);
                 }
                 check(
                         Rule.NOT_RUN,
                         broken ? 2 : 0,
-                        t.askId() + " told not run at " + t.atMs() + " begun at " + begins.get(t.askId()));
+                        t.requestId() + " told not run at " + t.atMs() + " begun at " + begins.get(t.requestId()));
             } else if (t.ran() == spokestall.proxy.ExecutionStatus.RAN) {
-                final boolean ran = begins.containsKey(t.askId());
-                final String want = "answer to " + t.askId() + " by " + t.instance();
+                final boolean ran = begins.containsKey(t.requestId());
+                final String want = "answer to " + t.requestId() + " by " + t.instance();
                 final String body =
                         t.content() == null ? null : new String(t.content().body(), StandardCharsets.UTF_8);
                 final boolean own = ran
@@ -111,37 +111,37 @@
                                 || body != null
                                         && body.startsWith(want)
                                         && body.endsWith("whole")
-                                        && t.content().headers().contains(new Header("X-Answer-To", t.askId())));
-                check(Rule.OWN_ANSWER, own ? 0 : 2, t.askId() + " got '" + body + "'");
+                                        && t.content().headers().contains(new Header("X-Answer-To", t.requestId())));
+                check(Rule.OWN_ANSWER, own ? 0 : 2, t.requestId() + " got '" + body + "'");
             }
         }
     }
 
     private void begun(final SimulatedWorld w) {
         for (final SimulatedWorld.Begun b : w.begun) {
-            final SimulatedWorld.Asked asked = w.asked.get(b.askId());
+            final SimulatedWorld.Asked asked = w.asked.get(b.requestId());
             final List<String> home = w.home(asked.kind.tenant());
             check(
                     Rule.HOME,
                     home.contains(b.region()) && home.contains(b.edgeRegion()) ? 0 : 2,
-                    b.askId() + " of " + asked.kind.tenant() + " in " + b.edgeRegion() + " and " + b.region());
+                    b.requestId() + " of " + asked.kind.tenant() + " in " + b.edgeRegion() + " and " + b.region());
             for (final SimulatedWorld.Span span : w.withdrawn) {
                 if (span.what().equals(asked.kind.key()) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
                     check(
                             Rule.KEY,
                             (b.atMs() - span.fromMs()) / (double) Rule.KEY.nearMs,
-                            b.askId() + " with " + span.what() + " " + (b.atMs() - span.fromMs()) + " ms after");
+                            b.requestId() + " with " + span.what() + " " + (b.atMs() - span.fromMs()) + " ms after");
                 }
             }
             for (final SimulatedWorld.Span span : w.emptied) {
                 final boolean there = span.what().equals(b.instance())
-                        || span.what().equals(b.district())
-                        || span.what().equals(b.edgeDistrict());
+                        || span.what().equals(b.zone())
+                        || span.what().equals(b.edgeZone());
                 if (there && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
                     check(
                             Rule.LEAVING,
                             (b.atMs() - span.fromMs()) / (double) Rule.LEAVING.nearMs,
-                            b.askId() + " to " + span.what() + " " + (b.atMs() - span.fromMs()) + " ms after");
+                            b.requestId() + " to " + span.what() + " " + (b.atMs() - span.fromMs()) + " ms after");
                 }
             }
         }
@@ -154,7 +154,7 @@
     }
 
     /** In each second of its warm-up, at most one and a half times the ramp, plus a few. */
-    private void cold(final SimulatedWorld w) {
+    private void warmingUp(final SimulatedWorld w) {
         final Map<String, Map<Long, Integer>> perSecond = new HashMap<>();
         for (final SimulatedWorld.Begun b : w.begun) {
             if (b.ageMs() < SimulatedWorld.WARMUP_MS) {
@@ -163,9 +163,9 @@
                         .merge(b.ageMs() / 1000, 1, Integer::sum);
             }
         }
-        perSecond.forEach((life, seconds) -> seconds.forEach((second, n) -> {
+        perSecond.forEach((incarnation, seconds) -> seconds.forEach((second, n) -> {
             final double most = rampMost(second);
-            check(Rule.COLD, n / most, life + " got " + n + " in second " + second + ", most " + most);
+            check(Rule.COLD, n / most, incarnation + " got " + n + " in second " + second + ", most " + most);
         }));
     }
 
@@ -176,19 +176,19 @@
 
     private void retries(final SimulatedWorld w) {
         final Map<String, List<SimulatedWorld.Gone>> byService = new TreeMap<>();
-        w.goes.forEach(g ->
+        w.attempts.forEach(g ->
                 byService.computeIfAbsent(g.service(), s -> new ArrayList<>()).add(g));
-        byService.forEach((service, goes) -> {
+        byService.forEach((service, attempts) -> {
             int from = 0;
             int first = 0;
             int again = 0;
-            for (int to = 0; to < goes.size(); to++) {
-                final SimulatedWorld.Gone g = goes.get(to);
+            for (int to = 0; to < attempts.size(); to++) {
+                final SimulatedWorld.Gone g = attempts.get(to);
                 first += g.turn() == 1 ? 1 : 0;
                 again += g.turn() > 1 ? 1 : 0;
-                while (g.atMs() - goes.get(from).atMs() > Rule.RETRIES.nearMs) {
-                    first -= goes.get(from).turn() == 1 ? 1 : 0;
-                    again -= goes.get(from).turn() > 1 ? 1 : 0;
+                while (g.atMs() - attempts.get(from).atMs() > Rule.RETRIES.nearMs) {
+                    first -= attempts.get(from).turn() == 1 ? 1 : 0;
+                    again -= attempts.get(from).turn() > 1 ? 1 : 0;
                     from++;
                 }
                 check(
@@ -231,7 +231,7 @@
         final Map<Long, Map<String, Long>> truth = new TreeMap<>();
         w.begun.forEach(b -> truth.computeIfAbsent(
                         (SimulatedWorld.EPOCH_MS + b.atMs()) / SimulatedWorld.WINDOW_MS, x -> new TreeMap<>())
-                .merge(w.asked.get(b.askId()).kind.tenant(), 1L, Long::sum));
+                .merge(w.asked.get(b.requestId()).kind.tenant(), 1L, Long::sum));
         truth.forEach((window, real) -> {
             final long endMs = (window + 1) * SimulatedWorld.WINDOW_MS - SimulatedWorld.EPOCH_MS;
             if (endMs + Rule.IN_TIME.nearMs > nowMs.getAsLong()) {
@@ -239,12 +239,12 @@
             }
             final Map<String, Long> said = counts.get(window);
             if (said == null) {
-                if (!w.ability.unable(endMs, endMs + Rule.IN_TIME.nearMs)) {
+                if (!w.availability.unable(endMs, endMs + Rule.IN_TIME.nearMs)) {
                     violated(Rule.IN_TIME, "window " + window + " ended at " + endMs + " and never came");
                 }
                 return;
             }
-            if (!w.ability.forgot(endMs - SimulatedWorld.WINDOW_MS, firstOf.get(window))) {
+            if (!w.availability.forgot(endMs - SimulatedWorld.WINDOW_MS, firstOf.get(window))) {
                 counted(window, real, said);
             }
         });
--- a/testbed/src/main/java/spokestall/testbed/verdict/Ledger.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Ledger.java
@@ -10,7 +10,7 @@
 public final class Ledger {
     /** One ask that an upstream began. */
     public record Began(
-            String instance, String service, String district, String region, String tenant, String askId, long atMs) {}
+            String instance, String service, String zone, String region, String tenant, String requestId, long atMs) {}
 
     /** One report that the platform took. */
     public record Reported(String holder, long token, long window, Map<String, Long> counts, long atMs) {}
@@ -37,7 +37,7 @@
     /** How often each ask id was begun. */
     Map<String, Integer> timesBegun() {
         final Map<String, Integer> times = new HashMap<>();
-        began().forEach(b -> times.merge(b.askId(), 1, Integer::sum));
+        began().forEach(b -> times.merge(b.requestId(), 1, Integer::sum));
         return times;
     }
 
--- a/testbed/src/test/java/spokestall/testbed/ChangeHistoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/ChangeHistoryTest.java
@@ -23,8 +23,8 @@
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
         assertThat(history.lost()).isEmpty();
         assertThat(history.rows()).hasSize(3).allSatisfy(row -> {
-            assertThat(row.ringFill()).isLessThan(0.7);
-            assertThat(row.bookBytes()).isLessThan(3 << 20);
+            assertThat(row.logFill()).isLessThan(0.7);
+            assertThat(row.configurationStoreBytes()).isLessThan(3 << 20);
         });
         assertThat(history.backs())
                 .allSatisfy(back -> assertThat(back.tookMs()).as("%s", back).isLessThan(CATCH_UP_MS));
@@ -35,7 +35,7 @@
         final ChangeHistory history = new ChangeHistory(3, List.of(20, 60), 1, 9000);
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
         assertThat(history.lost()).isEmpty();
-        assertThat(history.rows()).allSatisfy(row -> assertThat(row.ringFill()).isLessThan(0.7));
+        assertThat(history.rows()).allSatisfy(row -> assertThat(row.logFill()).isLessThan(0.7));
         assertThat(history.backs())
                 .allSatisfy(back -> assertThat(back.tookMs()).as("%s", back).isLessThan(CATCH_UP_MS));
     }
--- a/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
@@ -20,7 +20,7 @@
 
 /** A judge that can't find anything is worth nothing: with a fault planted, each rule must be seen to break. */
 class InjectedFaultTest {
-    private record Case(Rule rule, InjectedFault plant, Scenario scenario, long seeds) {}
+    private record Case(Rule rule, InjectedFault injectedFault, Scenario scenario, long seeds) {}
 
     private static final List<Case> CASES = List.of(
             new Case(Rule.ONCE, InjectedFault.LYING_DISK, Scenario.RESTART_ALL, 1),
@@ -30,7 +30,7 @@
             new Case(Rule.POLICY, InjectedFault.OLD_PROOFS, Scenario.CUTS, 1),
             new Case(Rule.LEAVING, InjectedFault.SELDOM_PROBES, Scenario.ROLLING, 8),
             new Case(Rule.HOME, InjectedFault.WRONG_REGIONS, Scenario.CALM, 1),
-            new Case(Rule.COLD, InjectedFault.UNDIVIDED, Scenario.COLD_RETURN, 1),
+            new Case(Rule.COLD, InjectedFault.UNDIVIDED, Scenario.WARM_UP_RETURN, 1),
             new Case(Rule.RETRIES, InjectedFault.FREE_RETRIES, Scenario.BROWNOUT, 1),
             new Case(Rule.SAME_COUNTS, InjectedFault.LYING_DISK, Scenario.BLINK, 1),
             new Case(Rule.TOKEN, InjectedFault.NO_LAST_LOOK, Scenario.FREEZE_AT_SEND, 4),
@@ -55,7 +55,7 @@
                 of.add(c);
                 runs.add(pool.submit(() -> {
                     final Set<Rule> broken = EnumSet.noneOf(Rule.class);
-                    ScenarioSweep.one(s, Deployment.PADMA, c.scenario, c.plant)
+                    ScenarioSweep.one(s, Deployment.PADMA, c.scenario, c.injectedFault)
                             .tallies()
                             .forEach((rule, t) -> {
                                 if (t.broken > 0) {
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -16,12 +16,12 @@
 import spokestall.testbed.simulation.SimulatedNode;
 import spokestall.testbed.simulation.SimulationRun;
 
-/** Whatever has gone, a node that is in contact with a majority has edges to name to callers. */
+/** Whatever has gone, a node that is in contact with a majority has edges to name to clients. */
 class DirectoryTest {
-    private static final long BEAT_MS = 100;
+    private static final long TICK_MS = 100;
     private static final long FROM_MS = 2000;
     private static final long UNTIL_MS = 90_000;
-    /** Callers give a node a second to answer. */
+    /** Clients give a node a second to answer. */
     private static final long WITHOUT_MAX_MS = 1000;
 
     @BeforeAll
@@ -51,7 +51,7 @@
                     }
                 }
                 if (nowMs < UNTIL_MS) {
-                    run.world.sim.after(BEAT_MS, this);
+                    run.world.sim.after(TICK_MS, this);
                 }
             }
         };
@@ -65,7 +65,7 @@
     void aNodeInContactHasEdgesToName() {
         for (final Scenario scenario : List.of(
                 Scenario.RESTART_ALL,
-                Scenario.DISTRICT_POWER,
+                Scenario.ZONE_POWER,
                 Scenario.NODE_KILLS,
                 Scenario.CUTS,
                 Scenario.SPLIT,
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
@@ -20,7 +20,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.standin.RawUpstream;
 
-/** What a caller sends and gets, byte by byte, through a real core and a real edge to an upstream made of bytes. */
+/** What a client sends and gets, byte by byte, through a real core and a real edge to an upstream made of bytes. */
 class FleetClientsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = "key-one-0001";
@@ -40,26 +40,31 @@
                 (place, port) -> up = new RawUpstream(place, port),
                 Map.of("askOpenMax", Integer.toString(PLACES), "askSpanMaxMs", "6000"));
         fleet.start();
-        fleet.ready(fleet.putPolicy("raw", policy()));
+        fleet.ready(fleet.putConfiguration("raw", configuration()));
         edge = fleet.members().get("d1-edge").http;
     }
 
-    private static ObjectNode policy() {
-        final ObjectNode policy = JSON.createObjectNode();
-        final ObjectNode tenants = policy.putObject("cells").putObject("cell").putObject("tenants");
+    private static ObjectNode configuration() {
+        final ObjectNode configuration = JSON.createObjectNode();
+        final ObjectNode tenants =
+                configuration.putObject("cells").putObject("cell").putObject("tenants");
         for (final String name : List.of("one", "two")) {
             final ObjectNode t = tenants.putObject(name);
             t.putArray("homeRegions").add("r1");
             t.putObject("keys").putObject("main").put("sha256", KeyHash.of("key-" + name + "-0001"));
-            final ObjectNode bindings = t.putObject("bindings");
-            bindings.putObject("all").put("path", "/transfers").put("service", "transfers");
-            bindings.putObject("once")
+            final ObjectNode routes = t.putObject("bindings");
+            routes.putObject("all").put("path", "/transfers").put("service", "transfers");
+            routes.putObject("once")
                     .put("path", "/transfers/payout")
                     .put("service", "transfers")
                     .put("runOnce", true);
         }
-        policy.putObject("services").putObject("transfers").put("goMs", 2000).put("answerMaxBytes", 8 << 20);
-        return policy;
+        configuration
+                .putObject("services")
+                .putObject("transfers")
+                .put("goMs", 2000)
+                .put("answerMaxBytes", 8 << 20);
+        return configuration;
     }
 
     @AfterAll
@@ -74,9 +79,9 @@
     }
 
     private static RawClient.Got ask(final String method, final String target, final String more) throws IOException {
-        try (RawClient caller = new RawClient(edge)) {
-            caller.send(RawClient.head(method, target, KEY, RawClient.freshId()) + more + "\r\n");
-            return caller.got(method.equals("HEAD"));
+        try (RawClient client = new RawClient(edge)) {
+            client.send(RawClient.head(method, target, KEY, RawClient.freshId()) + more + "\r\n");
+            return client.got(method.equals("HEAD"));
         }
     }
 
@@ -87,7 +92,7 @@
     }
 
     @Test
-    void aCallerCannotMakeAnOperatorsCall() throws Exception {
+    void aClientCannotMakeAnOperatorsCall() throws Exception {
         final long before =
                 fleet.status(fleet.members().get("d1-edge")).path("version").asLong();
         for (final String node : List.of(edge, fleet.members().get("d1-core").http)) {
@@ -95,7 +100,7 @@
                     List.of("policy.put", "policy.patch", "hold.set", "key.add", "status", "nothing")) {
                 final ObjectNode params =
                         JSON.createObjectNode().put("base", before).put("changeId", "bad");
-                params.set("policy", policy());
+                params.set("policy", configuration());
                 assertThat(fleet.call(node, method, params).path("code").asInt())
                         .as(method)
                         .isEqualTo(4004);
@@ -131,7 +136,7 @@
     }
 
     @Test
-    void aTargetWithoutOneCanonicalFormIsDeniedAndNeverForwarded() throws Exception {
+    void aTargetWithoutOneCanonicalFormIsRejectedAndNeverForwarded() throws Exception {
         for (final String target : List.of(
                 "/x/../transfers/payout",
                 "//transfers/payout",
@@ -230,18 +235,18 @@
                 .path("ticket")
                 .asText();
         final List<RawClient.Got> got = new ArrayList<>();
-        try (RawClient caller = new RawClient(edge)) {
-            caller.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
+        try (RawClient client = new RawClient(edge)) {
+            client.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                     + "Content-Length: 2\r\n\r\nhi");
-            got.add(caller.got());
+            got.add(client.got());
         }
         assertThat(got.get(0).code()).isEqualTo("1000");
         came();
         Fleet.until("the repeat finds the recorded answer", 5000, () -> {
-            try (RawClient caller = new RawClient(edge)) {
-                caller.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
+            try (RawClient client = new RawClient(edge)) {
+                client.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                         + "Content-Length: 2\r\n\r\nhi");
-                got.add(caller.got());
+                got.add(client.got());
                 return "1001".equals(got.get(got.size() - 1).code());
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
@@ -264,21 +269,21 @@
         assertThat(head.status()).isEqualTo(200);
         assertThat(head.header("Content-Length")).isEqualTo("5000");
         up.manner = (c, out) -> out.write("HTTP/1.1 204 No Content\r\n" + RawUpstream.names(c) + "\r\n");
-        try (RawClient caller = new RawClient(edge)) {
-            caller.send(RawClient.head("DELETE", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
-            final RawClient.Got none = caller.got();
+        try (RawClient client = new RawClient(edge)) {
+            client.send(RawClient.head("DELETE", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
+            final RawClient.Got none = client.got();
             assertThat(none.status()).isEqualTo(204);
             assertThat(none.header("Content-Length")).isNull();
             up.manner = (c, out) ->
                     out.write("HTTP/1.1 304 Not Modified\r\nETag: \"v1\"\r\n" + RawUpstream.names(c) + "\r\n");
-            caller.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
-            final RawClient.Got same = caller.got();
+            client.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
+            final RawClient.Got same = client.got();
             assertThat(same.status()).isEqualTo(304);
             assertThat(same.header("ETag")).isEqualTo("\"v1\"");
             up.manner = (c, out) -> out.write("HTTP/1.1 206 Partial Content\r\nContent-Range: bytes 0-1/9\r\n"
                     + RawUpstream.names(c) + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n");
-            caller.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
-            final RawClient.Got part = caller.got();
+            client.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
+            final RawClient.Got part = client.got();
             assertThat(part.status()).isEqualTo(206);
             assertThat(part.header("Content-Range")).isEqualTo("bytes 0-1/9");
             assertThat(part.body()).isEqualTo("ab");
@@ -296,7 +301,7 @@
     }
 
     @Test
-    void anAskWithAmbiguousFramingIsDeniedAndItsWireEnds() throws Exception {
+    void anAskWithAmbiguousFramingIsRejectedAndItsWireEnds() throws Exception {
         for (final String framing : List.of(
                 "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
                 "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
@@ -310,12 +315,12 @@
                 "Content-Length: -1\r\n\r\n",
                 "Content-Length : 3\r\n\r\nabc",
                 "Host: other\r\n\r\n")) {
-            try (RawClient caller = new RawClient(edge)) {
-                caller.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + framing
+            try (RawClient client = new RawClient(edge)) {
+                client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + framing
                         + "GET /transfers/smuggled HTTP/1.1\r\n\r\n");
-                final RawClient.Got got = caller.got();
+                final RawClient.Got got = client.got();
                 assertThat(got == null ? 400 : got.status()).as(framing).isEqualTo(400);
-                assertThat(caller.ended()).as(framing).isTrue();
+                assertThat(client.ended()).as(framing).isTrue();
             }
         }
         nothingCame();
@@ -346,21 +351,21 @@
     }
 
     @Test
-    void aCallerThatAsksMaySendItsBodyIsToldSoOnceItIsLetIn() throws Exception {
+    void aClientThatAsksMaySendItsBodyIsToldSoOnceItIsLetIn() throws Exception {
         final String expecting = "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n";
-        try (RawClient caller = new RawClient(edge)) {
+        try (RawClient client = new RawClient(edge)) {
             for (int i = 0; i < 2; i++) {
-                caller.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + expecting);
-                assertThat(caller.got().status()).isEqualTo(100);
-                caller.send("body");
-                assertThat(caller.got().status()).isEqualTo(200);
+                client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + expecting);
+                assertThat(client.got().status()).isEqualTo(100);
+                client.send("body");
+                assertThat(client.got().status()).isEqualTo(200);
                 assertThat(came().body()).isEqualTo("body");
             }
         }
-        try (RawClient caller = new RawClient(edge)) {
-            caller.send(RawClient.head("POST", "/transfers/a", "no-such-key", RawClient.freshId()) + expecting);
-            assertThat(caller.got().status()).as("denied without its body").isEqualTo(401);
-            assertThat(caller.ended())
+        try (RawClient client = new RawClient(edge)) {
+            client.send(RawClient.head("POST", "/transfers/a", "no-such-key", RawClient.freshId()) + expecting);
+            assertThat(client.got().status()).as("denied without its body").isEqualTo(401);
+            assertThat(client.ended())
                     .as("what comes next could be the body or another ask")
                     .isTrue();
         }
@@ -376,7 +381,7 @@
     }
 
     @Test
-    void callersThatStopInMidBodyLoseTheirPlacesAtTheDeadline() throws Exception {
+    void clientsThatStopInMidBodyLoseTheirPlacesAtTheDeadline() throws Exception {
         final List<RawClient> halves = new ArrayList<>();
         try {
             for (int i = 0; i < PLACES; i++) {
@@ -417,7 +422,7 @@
     }
 
     @Test
-    void callersThatLeaveInMidBodyLoseTheirPlacesAtOnce() throws Exception {
+    void clientsThatLeaveInMidBodyLoseTheirPlacesAtOnce() throws Exception {
         for (int i = 0; i < PLACES; i++) {
             try (RawClient half = new RawClient(edge)) {
                 half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
@@ -432,7 +437,7 @@
     }
 
     @Test
-    void aCallerThatDoesNotReadItsAnswerHoldsItsBytesOnlySoLong() throws Exception {
+    void aClientThatDoesNotReadItsAnswerHoldsItsBytesOnlySoLong() throws Exception {
         up.manner = (c, out) -> {
             out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + "Content-Length: 8000000\r\n\r\n");
             out.write("x".repeat(8_000_000));
@@ -471,9 +476,9 @@
                 ask("GET", "/transfers/a", "");
                 up.manner = RawUpstream::well;
                 final String id = RawClient.freshId();
-                try (RawClient caller = new RawClient(edge)) {
-                    caller.send(RawClient.head("GET", "/transfers/b", KEY, id) + "\r\n");
-                    final RawClient.Got got = caller.got();
+                try (RawClient client = new RawClient(edge)) {
+                    client.send(RawClient.head("GET", "/transfers/b", KEY, id) + "\r\n");
+                    final RawClient.Got got = client.got();
                     assertThat(got.body()).as("turn " + i + " " + got).isEqualTo("answer to " + id);
                     assertThat(got.header("Spokestall-Goes"))
                             .as("no go was lost to what an earlier one left")
@@ -482,11 +487,11 @@
             }
         }
         up.early = true;
-        try (RawClient caller = new RawClient(edge)) {
+        try (RawClient client = new RawClient(edge)) {
             final String body = "x".repeat(60_000);
-            caller.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
+            client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
                     + "Content-Length: 60000\r\n\r\n" + body);
-            assertThat(caller.got().status()).isIn(200, 502);
+            assertThat(client.got().status()).isIn(200, 502);
         }
         up.reset();
         up.manner = (c, out) -> {
@@ -512,8 +517,8 @@
     void aWireThatLeadsToAnotherInstanceIsNotUsedAgain() throws Exception {
         final int[] elsewhere = {-1};
         up.manner = (c, out) -> {
-            if (elsewhere[0] < 0 || c.wire() == elsewhere[0]) {
-                elsewhere[0] = c.wire();
+            if (elsewhere[0] < 0 || c.connection() == elsewhere[0]) {
+                elsewhere[0] = c.connection();
                 out.write(
                         "HTTP/1.1 421 Misdirected\r\nSpokestall-Ask-Id: " + c.header("Spokestall-Ask-Id")
                                 + "\r\nSpokestall-Instance: another\r\nSpokestall-Outcome: not-run\r\nContent-Length: 0\r\n\r\n");
@@ -522,13 +527,13 @@
             }
         };
         assertThat(ask("GET", "/transfers/a", "").status()).isEqualTo(503);
-        final int first = came().wire();
+        final int first = came().connection();
         Fleet.until("asks reach the right instance on another wire", 8000, FleetClientsTest::usable);
         RawUpstream.Came last = came();
         while (up.came.peek() != null) {
             last = came();
         }
-        assertThat(last.wire()).isNotEqualTo(first);
+        assertThat(last.connection()).isNotEqualTo(first);
         assertThat(up.came).isEmpty();
     }
 
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -28,7 +28,7 @@
     void servesWhileACoreAndAnEdgeAreKilledAndStopsCleanly(@TempDir final Path folder) throws Exception {
         try (Fleet fleet = new Fleet(Deployment.PADMA, folder, Deployment.DISTRICTS, 2)) {
             fleet.start();
-            final long version = fleet.putPolicy();
+            final long version = fleet.putConfiguration();
             fleet.ready(version);
             final Process demand = fleet.demand(10, 0.95);
             Fleet.until("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
@@ -50,8 +50,9 @@
                 .isLessThan(350);
         assertThat(of(rest, "Push")).isLessThan(1000);
         assertThat(of(rest, "Shuffle")).isLessThan(600);
-        assertThat(rest.get("ProofAsk").bytes() / rest.get("ProofAsk").notes).isLessThan(60);
-        assertThat(rest.get("ProofBack").bytes() / rest.get("ProofBack").notes).isLessThan(70);
+        assertThat(rest.get("ProofAsk").bytes() / rest.get("ProofAsk").messages).isLessThan(60);
+        assertThat(rest.get("ProofBack").bytes() / rest.get("ProofBack").messages)
+                .isLessThan(70);
         final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, false, SPARING);
         assertThat(of(sparing) - of(sparing, "Standing")).isLessThan(1500);
         assertThat(of(sparing, "Push")).isLessThan(20);
@@ -59,9 +60,9 @@
 
     @Test
     void withAsksCountsAreSmall() {
-        final Map<String, MessageTraffic.Sum> asks = MessageTraffic.of(1, Deployment.PADMA, true, Map.of());
-        assertThat(of(asks, "Counts", "CountsHad")).isLessThan(3500);
-        assertThat(of(asks, "ProofAsk", "ProofBack", "FeedAsk", "FeedBack", "Push", "Shuffle"))
+        final Map<String, MessageTraffic.Sum> requests = MessageTraffic.of(1, Deployment.PADMA, true, Map.of());
+        assertThat(of(requests, "Counts", "CountsHad")).isLessThan(3500);
+        assertThat(of(requests, "ProofAsk", "ProofBack", "FeedAsk", "FeedBack", "Push", "Shuffle"))
                 .isLessThan(3400);
         final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, true, SPARING);
         assertThat(of(sparing, "Counts", "CountsHad")).isLessThan(1200);
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -20,7 +20,7 @@
 import spokestall.testbed.simulation.SimulatedNode;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** A simulated fleet without callers whose operators' calls a test makes one by one. */
+/** A simulated fleet without clients whose operators' calls a test makes one by one. */
 public final class OperatorFleet {
     public static final ObjectMapper JSON = new ObjectMapper();
     private static final long STEP_MS = 5;
@@ -41,25 +41,25 @@
         this(seed, deployment, InjectedFault.NONE);
     }
 
-    public OperatorFleet(final long seed, final Deployment deployment, final InjectedFault plant) {
-        this(seed, deployment, plant, Map.of());
+    public OperatorFleet(final long seed, final Deployment deployment, final InjectedFault injectedFault) {
+        this(seed, deployment, injectedFault, Map.of());
     }
 
     public OperatorFleet(
             final long seed,
             final Deployment deployment,
-            final InjectedFault plant,
+            final InjectedFault injectedFault,
             final Map<String, String> settings) {
         Logger.getLogger("").setLevel(Level.OFF);
-        world = new SimulatedWorld(seed, deployment, false, plant, Scenario.CALM, settings);
+        world = new SimulatedWorld(seed, deployment, false, injectedFault, Scenario.CALM, settings);
     }
 
-    /** Starts all nodes and puts the deployment's policy. */
+    /** Starts all nodes and puts the deployment's configuration. */
     public OperatorFleet begun() {
         world.nodes.values().forEach(SimulatedNode::start);
         fresh();
         final ObjectNode params = JSON.createObjectNode();
-        params.set("policy", world.policy());
+        params.set("policy", world.configuration());
         final SimulatedNode core = world.cores().get(0);
         until("the first policy is accepted", 10_000, () -> {
             params.put("base", version(core)).put("changeId", "first");
@@ -76,7 +76,7 @@
     private static boolean able(final SimulatedNode node) {
         return node.running()
                 && node.node().follower().fresh()
-                && (!node.core || node.node().voter().state() == Acceptor.State.VOTING);
+                && (!node.core || node.node().acceptor().state() == Acceptor.State.VOTING);
     }
 
     public long nowMs() {
@@ -118,7 +118,7 @@
             final ChangeDraft draft,
             final long waitMs,
             final Consumer<Reply> done) {
-        to.run(to.life(), () -> to.node().acceptance().agree(changeId, draft, waitMs, done));
+        to.run(to.incarnation(), () -> to.node().acceptance().agree(changeId, draft, waitMs, done));
     }
 
     /** Gives an order made against a base, at any node. */
@@ -128,7 +128,7 @@
             final String changeId,
             final ChangeDraft draft,
             final Consumer<Reply> done) {
-        to.run(to.life(), () -> to.node().acceptance().take(base, changeId, draft, done));
+        to.run(to.incarnation(), () -> to.node().acceptance().take(base, changeId, draft, done));
     }
 
     /** Gives an order made against a base and waits for its reply. */
@@ -156,7 +156,7 @@
     }
 
     public static long version(final SimulatedNode node) {
-        return node.node().book().policy().version();
+        return node.node().configurationStore().configuration().version();
     }
 
     public long newestVersion() {
@@ -167,7 +167,7 @@
                 .orElse(0);
     }
 
-    /** A patch that adds one binding. */
+    /** A patch that adds one route. */
     public ObjectNode bind(final long base, final String changeId, final String path) {
         final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", changeId);
         params.putObject("patch")
--- a/testbed/src/test/java/spokestall/testbed/fleet/RawClient.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/RawClient.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A caller made of bytes, on one wire. */
+/** A client made of bytes, on one wire. */
 final class RawClient implements AutoCloseable {
     /** One answer as it came. */
     record Got(int status, List<String> headers, String body) {
@@ -31,7 +31,7 @@
         }
     }
 
-    private static int asks;
+    private static int requests;
     private final Socket socket;
     private final InputStream in;
 
@@ -44,7 +44,7 @@
     }
 
     static synchronized String freshId() {
-        return "raw-" + ++asks;
+        return "raw-" + ++requests;
     }
 
     /** The head of an ask, without its empty line. */
--- a/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
@@ -39,18 +39,21 @@
                 (place, port) -> upstream = new RawUpstream(place, port),
                 Map.of());
         fleet.start();
-        fleet.ready(fleet.putPolicy("raw", policy()));
+        fleet.ready(fleet.putConfiguration("raw", configuration()));
     }
 
-    private static ObjectNode policy() {
-        final ObjectNode policy = JSON.createObjectNode();
-        final ObjectNode tenant =
-                policy.putObject("cells").putObject("cell").putObject("tenants").putObject("one");
+    private static ObjectNode configuration() {
+        final ObjectNode configuration = JSON.createObjectNode();
+        final ObjectNode tenant = configuration
+                .putObject("cells")
+                .putObject("cell")
+                .putObject("tenants")
+                .putObject("one");
         tenant.putArray("homeRegions").add("r1").add("r2").add("r3");
         tenant.putObject("keys").putObject("main").put("sha256", KeyHash.of(KEY));
         tenant.putObject("bindings").putObject("all").put("path", "/transfers").put("service", "transfers");
-        policy.putObject("services").putObject("transfers").put("goMs", 10_000);
-        return policy;
+        configuration.putObject("services").putObject("transfers").put("goMs", 10_000);
+        return configuration;
     }
 
     @AfterAll
@@ -59,9 +62,9 @@
         fleet.close();
     }
 
-    private static RawClient.Got ask(final RawClient caller) throws IOException {
-        caller.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
-        return caller.got();
+    private static RawClient.Got ask(final RawClient client) throws IOException {
+        client.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
+        return client.got();
     }
 
     private static void signal(final Fleet.Member member, final String name) throws Exception {
@@ -92,15 +95,15 @@
     void aHangupHasTheSettingsReadAnewAndCutsNothing() throws Exception {
         for (final String name : List.of("d1-edge", "d1-core")) {
             final Fleet.Member member = fleet.members().get(name);
-            try (RawClient caller = new RawClient(fleet.members().get("d1-edge").http)) {
-                assertThat(ask(caller).status()).isEqualTo(200);
+            try (RawClient client = new RawClient(fleet.members().get("d1-edge").http)) {
+                assertThat(ask(client).status()).isEqualTo(200);
                 change(member, "whereS", "3");
                 signal(member, "HUP");
                 untilLogged(member, "event=settings_renewed node=" + name + " taken=[whereS] waiting=[]");
                 change(member, "whereS", "soon");
                 signal(member, "HUP");
                 untilLogged(member, "event=settings_refused");
-                assertThat(ask(caller).status()).isEqualTo(200);
+                assertThat(ask(client).status()).isEqualTo(200);
                 assertThat(member.process.isAlive()).isTrue();
                 change(member, "whereS", "2.5");
                 signal(member, "HUP");
@@ -139,17 +142,17 @@
         try (RawClient first = new RawClient(member.http);
                 RawClient second = new RawClient(member.http);
                 RawClient atRest = new RawClient(member.http)) {
-            for (final RawClient caller : List.of(first, second, atRest)) {
-                assertThat(ask(caller).status()).isEqualTo(200);
+            for (final RawClient client : List.of(first, second, atRest)) {
+                assertThat(ask(client).status()).isEqualTo(200);
             }
             signal(member, "TERM");
             untilRefused(member);
-            for (final RawClient caller : List.of(first, second)) {
-                final RawClient.Got got = ask(caller);
+            for (final RawClient client : List.of(first, second)) {
+                final RawClient.Got got = ask(client);
                 assertThat(got).as("an answer, not a cut").isNotNull();
                 assertThat(got.status()).isEqualTo(200);
                 assertThat(got.header("Connection")).isEqualTo("close");
-                assertThat(caller.ended()).isTrue();
+                assertThat(client.ended()).isTrue();
                 assertThat(member.process.isAlive()).as("one is at rest").isTrue();
             }
             assertThat(atRest.endedInOrder()).as("closed, not reset").isTrue();
@@ -161,13 +164,13 @@
     void aRequestThatIsUnderWayAtTheEndOfAStopIsAnswered() throws Exception {
         final Fleet.Member member = fleet.members().get("d1-edge");
         final CountDownLatch over = new CountDownLatch(1);
-        try (RawClient caller = new RawClient(member.http)) {
+        try (RawClient client = new RawClient(member.http)) {
             upstream.manner = (came, out) -> over.await();
             upstream.came.clear();
-            caller.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
+            client.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
             assertThat(upstream.next(5000)).isNotNull();
             signal(member, "TERM");
-            final RawClient.Got got = caller.got();
+            final RawClient.Got got = client.got();
             assertThat(got).as("an answer, not a cut").isNotNull();
             assertThat(got.status()).isEqualTo(503);
             assertThat(got.header("Spokestall-Outcome")).isEqualTo("undecided");
--- a/testbed/src/test/java/spokestall/testbed/simulation/OlderDiskTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OlderDiskTest.java
@@ -41,7 +41,7 @@
         final SimulatedNode core = world.any(world.cores(), world.sim.random("older"));
         final byte[][] older = core.disk.copy();
         world.sim.run(22_000);
-        final String before = core.node().voter().diskId();
+        final String before = core.node().acceptor().diskId();
         core.kill();
         core.disk.restore(older);
         what.accept(core.disk);
@@ -49,15 +49,15 @@
         core.start();
         for (long atMs = 23_000; atMs < 23_000 + CATCH_UP_MS; atMs += 5) {
             world.sim.run(atMs);
-            assertThat(core.node().voter().diskId().equals(before)
-                            && core.node().voter().state() == Acceptor.State.VOTING
+            assertThat(core.node().acceptor().diskId().equals(before)
+                            && core.node().acceptor().state() == Acceptor.State.VOTING
                             && core.node().votes())
                     .as("seed %s votes as before %s ms after its start", seed, atMs - 23_000)
                     .isFalse();
         }
-        assertThat(core.node().voter().state()).as("seed %s", seed).isEqualTo(Acceptor.State.VOTING);
-        final Voter seat = core.node().voter().voters().seat(core.name);
-        assertThat(seat.diskId()).isEqualTo(core.node().voter().diskId()).isNotEqualTo(before);
+        assertThat(core.node().acceptor().state()).as("seed %s", seed).isEqualTo(Acceptor.State.VOTING);
+        final Voter voter = core.node().acceptor().voterSet().voter(core.name);
+        assertThat(voter.diskId()).isEqualTo(core.node().acceptor().diskId()).isNotEqualTo(before);
         assertThat(core.node().follower().fresh()).isTrue();
     }
 
@@ -74,13 +74,13 @@
             final SimulatedWorld world = world(seed);
             world.sim.run(22_000);
             final SimulatedNode core = world.any(world.cores(), world.sim.random("older"));
-            final String before = core.node().voter().diskId();
+            final String before = core.node().acceptor().diskId();
             core.losePower();
             world.sim.run(23_000);
             core.start();
             world.sim.run(23_000 + CATCH_UP_MS);
-            assertThat(core.node().voter().diskId()).isEqualTo(before);
-            assertThat(core.node().voter().state()).isEqualTo(Acceptor.State.VOTING);
+            assertThat(core.node().acceptor().diskId()).isEqualTo(before);
+            assertThat(core.node().acceptor().state()).isEqualTo(Acceptor.State.VOTING);
         }
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
@@ -15,7 +15,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** The replies to operators and callers as a whole fleet gives them: every field's name and kind, against literals. */
+/** The replies to operators and clients as a whole fleet gives them: every field's name and kind, against literals. */
 class OperatorRepliesFormatTest {
     private static final ObjectNode NOTHING = OperatorFleet.JSON.createObjectNode();
     private OperatorFleet fleet;
@@ -46,7 +46,7 @@
         return new ArrayList<>(found);
     }
 
-    /** One line for each field and its kind; what is named after a node, an instance or a district is one star. */
+    /** One line for each field and its kind; what is named after a node, an instance or a zone is one star. */
     private void describe(final String at, final JsonNode json, final Collection<String> found) {
         if (json.isContainerNode()) {
             found.add(at + (json.isObject() ? " object" : " list"));
@@ -75,12 +75,12 @@
     }
 
     @Test
-    void thePolicyIsToldWithItsVersionAndAge() {
+    void theConfigurationIsToldWithItsVersionAndAge() {
         final JsonNode reply = reply(edge, "policy.get", NOTHING);
         final List<String> names = new ArrayList<>();
         reply.path("result").fieldNames().forEachRemaining(names::add);
         assertThat(names).containsExactly("version", "ageMs", "policy");
-        assertThat(reply.at("/result/policy")).isEqualTo(fleet.world.policy());
+        assertThat(reply.at("/result/policy")).isEqualTo(fleet.world.configuration());
     }
 
     @Test
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -27,7 +27,7 @@
     private static final long SLOW_MS = 400;
     /** How long a node that hears no one may still name edges. */
     private static final long NAMED_MS = 20_000;
-    /** Answers that say nothing of the policy: come back, or ask elsewhere. */
+    /** Answers that say nothing of the configuration: come back, or ask elsewhere. */
     private static final Set<ResultCode> SAYS_NOTHING =
             EnumSet.of(ResultCode.NOT_READY, ResultCode.UNDECIDED, ResultCode.NOT_FRESH, ResultCode.BUSY);
 
@@ -74,8 +74,9 @@
     }
 
     /** The cut-off node that still names edges or is ready when it should not, or null. */
-    private static SimulatedNode namesNoneWhenCut(final long seed, final InjectedFault plant) {
-        final OperatorFleet fleet = new OperatorFleet(seed, Deployment.PADMA, plant, Map.of("alsoEdge", "1")).begun();
+    private static SimulatedNode namesNoneWhenCut(final long seed, final InjectedFault injectedFault) {
+        final OperatorFleet fleet =
+                new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).begun();
         final Random random = new Random(seed);
         final SimulatedNode lone =
                 fleet.nodes().get(random.nextInt(fleet.nodes().size()));
@@ -102,12 +103,13 @@
     }
 
     private static int named(final SimulatedNode node) {
-        return EdgeSelector.near(node.node().directory().edges(), node.region, node.district)
+        return EdgeSelector.near(node.node().directory().edges(), node.region, node.zone)
                 .size();
     }
 
-    private void play(final long seed, final Apart how, final InjectedFault plant) {
-        final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], plant).begun();
+    private void play(final long seed, final Apart how, final InjectedFault injectedFault) {
+        final OperatorFleet fleet =
+                new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], injectedFault).begun();
         final Random random = new Random(seed);
         final List<SimulatedNode> cores = fleet.world.cores();
         final SimulatedNode lone = cores.get(how == Apart.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
@@ -134,7 +136,7 @@
                 how + " " + seed + " is back in touch",
                 CONTACT_MS,
                 () -> lone.running()
-                        && lone.node().voter().state() == Acceptor.State.VOTING
+                        && lone.node().acceptor().state() == Acceptor.State.VOTING
                         && lone.node().follower().fresh()
                         && OperatorFleet.version(lone) == fleet.newestVersion());
         expect(how + " back", fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode()), ResultCode.OK);
@@ -199,7 +201,12 @@
                 "where",
                 OperatorFleet.JSON.createObjectNode().put("client", "c").put("key", "another-key-" + turn));
         if (where.result() == ResultCode.BAD_KEY
-                && other.node().book().policy().tree().toString().contains("\"k" + turn + "\"")) {
+                && other.node()
+                        .configurationStore()
+                        .configuration()
+                        .tree()
+                        .toString()
+                        .contains("\"k" + turn + "\"")) {
             wrong.add(id + " where refused a key that the majority knows");
         }
     }
--- a/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -44,12 +44,13 @@
             final boolean begin,
             final java.util.function.Consumer<Reply> done) {
         final String id = "hold-" + fleet.nowMs() + at.name;
-        at.run(at.life(), () -> at.node().acceptance().takeUnnamed(id, hold(begin), WAIT_MS, done));
+        at.run(at.incarnation(), () -> at.node().acceptance().takeUnnamed(id, hold(begin), WAIT_MS, done));
     }
 
     private static List<SimulatedNode> heldAt(final OperatorFleet fleet) {
         return fleet.nodes().stream()
-                .filter(n -> n.node().book().policy().holds().contains(DISTRICT))
+                .filter(n ->
+                        n.node().configurationStore().configuration().holds().contains(DISTRICT))
                 .toList();
     }
 
@@ -81,7 +82,7 @@
         }
     }
 
-    /** The attack itself: an order that is taken without that look does empty the district anew. */
+    /** The attack itself: an order that is taken without that look does empty the zone anew. */
     @Test
     void takenLikeAnOrderWithAnIdItWouldUndoIt() {
         final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).begun();
