--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -36,7 +36,7 @@
             }
         }
     },
-    ZONE_KILL {
+    DISTRICT_KILL {
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             down(fleet, fleet.names(m -> m.name.startsWith("d4-")), 6000);
@@ -328,7 +328,7 @@
             }
         }
     },
-    WARM_UP_RETURN {
+    COLD_RETURN {
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final UpstreamStandIn old : fleet.standIns()) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -43,7 +43,7 @@
             }
         }
     },
-    WARM_UP_RETURN {
+    COLD_RETURN {
         @Override
         void play(final SimulationRun run) {
             run.world.clients.rate(3 * run.world.deployment.rate);
@@ -105,7 +105,7 @@
             }
         }
     },
-    ZONE_POWER {
+    DISTRICT_POWER {
         @Override
         void play(final SimulationRun run) {
             for (int i = 0; i < 3; i++) {
--- a/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
@@ -30,7 +30,7 @@
             new Case(Rule.POLICY, InjectedFault.OLD_PROOFS, Scenario.CUTS, 1),
             new Case(Rule.LEAVING, InjectedFault.SELDOM_PROBES, Scenario.ROLLING, 8),
             new Case(Rule.HOME, InjectedFault.WRONG_REGIONS, Scenario.CALM, 1),
-            new Case(Rule.COLD, InjectedFault.UNDIVIDED, Scenario.WARM_UP_RETURN, 1),
+            new Case(Rule.COLD, InjectedFault.UNDIVIDED, Scenario.COLD_RETURN, 1),
             new Case(Rule.RETRIES, InjectedFault.FREE_RETRIES, Scenario.BROWNOUT, 1),
             new Case(Rule.SAME_COUNTS, InjectedFault.LYING_DISK, Scenario.BLINK, 1),
             new Case(Rule.TOKEN, InjectedFault.NO_LAST_LOOK, Scenario.FREEZE_AT_SEND, 4),
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -65,7 +65,7 @@
     void aNodeInContactHasEdgesToName() {
         for (final Scenario scenario : List.of(
                 Scenario.RESTART_ALL,
-                Scenario.ZONE_POWER,
+                Scenario.DISTRICT_POWER,
                 Scenario.NODE_KILLS,
                 Scenario.CUTS,
                 Scenario.SPLIT,
