--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -101,7 +101,7 @@
             case "scale" -> scale(rest);
             default -> {
                 System.err.println(
-                        "proof fleet|faults|sim|scale [--help], proof growth, proof history [CHANGES]..., proof traffic [key=value]...");
+                        "testbed fleet|faults|sim|scale [--help], testbed growth, testbed history [CHANGES]..., testbed traffic [key=value]...");
                 yield 2;
             }
         };
