--- a/testbed/src/test/java/spokestall/testbed/simulation/SimulationTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/SimulationTest.java
@@ -62,11 +62,11 @@
             });
         }
         pool.shutdown();
-        final List<String> known = KnownRed.of("SimTest");
+        final List<String> known = KnownRed.of("SimulationTest");
         final List<String> redStill = known.stream()
                 .filter(k -> bad.stream().anyMatch(b -> isThat(b, k)))
                 .toList();
-        redStill.forEach(k -> System.out.println("known red: SimTest " + k));
+        redStill.forEach(k -> System.out.println("known red: SimulationTest " + k));
         assertThat(redStill).as("what is mended is taken out of KNOWN-RED.txt").isEqualTo(known);
         bad.removeIf(b -> known.stream().anyMatch(k -> isThat(b, k)));
         assertThat(bad).isEmpty();
