--- a/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
@@ -43,6 +43,6 @@
         if (attempt.method().equals("HEAD") && whole.header("Content-Length") != null) {
             headers.add(new Header("Content-Length", whole.header("Content-Length")));
         }
-        return new AttemptResult.Whole(new ResponseContent(whole.status(), headers, whole.body()));
+        return new AttemptResult.Answered(new ResponseContent(whole.status(), headers, whole.body()));
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -129,7 +129,7 @@
         if (edge == null) {
             answer(exchange, new Response(ResultCode.NO_BINDING, ExecutionStatus.NOT_RUN, null, null, 0, 0));
         } else if (!stage.offer(() -> open(exchange, edge, head, cameMs))) {
-            answer(exchange, edge.crowded(head));
+            answer(exchange, edge.overloaded(head));
         }
     }
 
@@ -139,13 +139,13 @@
             final RequestHead came,
             final long cameMs) {
         final RequestHead head = came.later(System.nanoTime() / 1_000_000 - cameMs);
-        final AdmissionResult opened =
-                edge.open(head, a -> exchange.getIoThread().execute(() -> answer(exchange, a)));
-        if (opened instanceof AdmissionResult.Rejected deny) {
-            exchange.getIoThread().execute(() -> answer(exchange, deny.answer()));
+        final AdmissionResult admission =
+                edge.admit(head, a -> exchange.getIoThread().execute(() -> answer(exchange, a)));
+        if (admission instanceof AdmissionResult.Rejected rejected) {
+            exchange.getIoThread().execute(() -> answer(exchange, rejected.response()));
         } else {
-            final AdmittedRequest ask = ((AdmissionResult.Admit) opened).ask();
-            exchange.getIoThread().execute(() -> body(exchange, ask));
+            final AdmittedRequest request = ((AdmissionResult.Admitted) admission).request();
+            exchange.getIoThread().execute(() -> body(exchange, request));
         }
     }
 
@@ -169,7 +169,7 @@
     }
 
     /** Which ask a wire carries now, so that it is told when the wire ends; one listener serves a wire for all its asks. */
-    private void carry(final HttpServerExchange exchange, final AdmittedRequest ask) {
+    private void carry(final HttpServerExchange exchange, final AdmittedRequest request) {
         AtomicReference<AdmittedRequest> carried = exchange.getConnection().getAttachment(ASK);
         if (carried == null) {
             final AtomicReference<AdmittedRequest> made = new AtomicReference<>();
@@ -177,50 +177,50 @@
             exchange.getConnection().addCloseListener(c -> {
                 final AdmittedRequest left = made.getAndSet(null);
                 if (left != null) {
-                    stage.execute(left::gone);
+                    stage.execute(left::onClientDisconnected);
                 }
             });
             carried = made;
         }
         final AtomicReference<AdmittedRequest> here = carried;
-        here.set(ask);
+        here.set(request);
         exchange.addExchangeCompleteListener((e, next) -> {
-            if (here.compareAndSet(ask, null)) {
-                stage.execute(ask::written);
+            if (here.compareAndSet(request, null)) {
+                stage.execute(request::onResponseWritten);
             }
             next.proceed();
         });
     }
 
     /** Who sends the body only when told to is told so now, when the ask is let in. */
-    private void body(final HttpServerExchange exchange, final AdmittedRequest ask) {
-        carry(exchange, ask);
+    private void body(final HttpServerExchange exchange, final AdmittedRequest request) {
+        carry(exchange, request);
         if (!HttpContinue.requiresContinueResponse(exchange)) {
-            receive(exchange, ask);
+            receive(exchange, request);
             return;
         }
         HttpContinue.sendContinueResponse(exchange, new IoCallback() {
             @Override
             public void onComplete(final HttpServerExchange e, final Sender sender) {
-                receive(e, ask);
+                receive(e, request);
             }
 
             @Override
             public void onException(final HttpServerExchange e, final Sender sender, final IOException error) {
-                stage.execute(() -> ask.drop(ResultCode.MALFORMED));
+                stage.execute(() -> request.onBodyFailed(ResultCode.MALFORMED));
             }
         });
     }
 
-    private void receive(final HttpServerExchange exchange, final AdmittedRequest ask) {
+    private void receive(final HttpServerExchange exchange, final AdmittedRequest request) {
         // The receiver's own bound leaves the wire open for the answer; an entity bound would cut it.
         final Receiver receiver = exchange.getRequestReceiver();
-        receiver.setMaxBufferSize(Math.max(1, ask.rule().requestMaxBytes()));
+        receiver.setMaxBufferSize(Math.max(1, request.serviceLimits().requestMaxBytes()));
         receiver.receiveFullBytes(
-                (e, body) -> e.dispatch(SameThreadExecutor.INSTANCE, () -> stage.execute(() -> ask.run(body))),
+                (e, body) -> e.dispatch(SameThreadExecutor.INSTANCE, () -> stage.execute(() -> request.onBody(body))),
                 (e, error) -> e.dispatch(
                         SameThreadExecutor.INSTANCE,
-                        () -> stage.execute(() -> ask.drop(
+                        () -> stage.execute(() -> request.onBodyFailed(
                                 error instanceof Receiver.RequestToLargeException
                                         ? ResultCode.TOO_LARGE
                                         : ResultCode.MALFORMED))));
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -80,7 +80,7 @@
         } else if (message instanceof HandoffMessage.Fetch ask) {
             answer(ask);
         } else if (message instanceof HandoffMessage.FetchResult back && edge != null) {
-            edge.hear(back);
+            edge.onFetchResult(back);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -290,9 +290,10 @@
                             .put("leaving", p.member().leaving())
                             .put("heardMs", node.context.clock.nowMs() - p.heardMs()));
         } else {
-            out.put("open", node.edge().open()).put("heldBytes", node.edge().heldBytes());
+            out.put("open", node.edge().requestsInFlight())
+                    .put("heldBytes", node.edge().heldBytes());
             final ObjectNode told = out.putObject("told");
-            node.edge().told().forEach((result, n) -> told.put(result.number() + " " + result.name(), n));
+            node.edge().resultCounts().forEach((result, n) -> told.put(result.number() + " " + result.name(), n));
         }
         return out;
     }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -87,7 +87,7 @@
     /** Goes by newer settings. */
     void renew() {
         loadBalancer.timing(context.timings().loadBalancer(neighbours::sharingEdges));
-        edge.timing(context.timings().edge());
+        edge.limits(context.timings().edge());
     }
 
     void tickCounts() {
@@ -127,7 +127,7 @@
     }
 
     int openRequests() {
-        return edge.open();
+        return edge.requestsInFlight();
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -10,8 +10,8 @@
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
-import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
 import spokestall.usage.UsageCounter;
@@ -145,8 +145,8 @@
                 settings.number("regionCost"));
     }
 
-    AdmissionController.Timing edge() {
-        return new AdmissionController.Timing(
+    ProxyLimits edge() {
+        return new ProxyLimits(
                 (int) settings.ms("askOpenMax"),
                 settings.ms("heldMaxBytes"),
                 settings.ms("claimKeepMs"),
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -16,210 +16,224 @@
 import spokestall.configuration.Route;
 import spokestall.configuration.ServiceLimits;
 import spokestall.configuration.Tenant;
+import spokestall.discovery.Upstream;
 import spokestall.handoff.HandoffMessage;
 import spokestall.message.ResponseContent;
 
 /**
- * An edge's asks: admission, before a body is read, and what all asks share. Without a fresh proof of the configuration nothing
- * is admitted and no go is begun. "Not run" is said only when it is proven.
+ * Admits requests before their bodies are read, and holds what all requests of an edge share: the concurrency limiter, the
+ * retry budgets by service, the requests under way and the counts of results. Nothing is admitted without a fresh proof that
+ * the configuration here is the newest. Not thread-safe; all calls are made on the node's event loop.
  */
 public final class AdmissionController {
-    /** Bounds, from the settings. */
-    public record Timing(
-            int openRequestsMax,
-            long heldMaxBytes,
-            long claimKeepMs,
-            long claimWaitMs,
-            long handWaitMs,
-            long retryAfterMs,
-            int attemptsMax,
-            double retryShare,
-            double retryAllowance,
-            long spanMaxMs,
-            long ticketAheadMs,
-            RequestConventions conventions) {}
-
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Methods that speak of the wire, not of what is behind it. */
+    /** Methods that concern the connection, not the resource. */
     private static final Set<String> NOT_PROXIED = Set.of("CONNECT", "TRACE");
 
     private static final Pattern REQUEST_ID = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
-    private final ProxyContext parts;
-    private Timing timing;
-    private final ConcurrencyLimiter places;
+    private final ProxyContext context;
+    private ProxyLimits limits;
+    private final ConcurrencyLimiter limiter;
     private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private final Map<Long, Consumer<HandoffMessage.FetchResult>> handRequests = new HashMap<>();
-    private final Map<ResultCode, Long> told = new EnumMap<>(ResultCode.class);
-    private final Map<ResultCode, Long> said = new EnumMap<>(ResultCode.class);
-    private final Set<RequestExecution> underway = new HashSet<>();
+    private final Map<Long, Consumer<HandoffMessage.FetchResult>> storedResponseFetches = new HashMap<>();
+    private final Map<ResultCode, Long> resultCounts = new EnumMap<>(ResultCode.class);
+    private final Map<ResultCode, Long> loggedMs = new EnumMap<>(ResultCode.class);
+    private final Set<RequestExecution> inFlight = new HashSet<>();
     private boolean leaving;
-    private long nextHandId = 1;
+    private long nextFetchId = 1;
 
-    /** Example: see {@code Node}. */
-    public AdmissionController(final ProxyContext parts, final Timing timing) {
-        this.parts = parts;
-        this.timing = timing;
-        this.places = new ConcurrencyLimiter(timing.openRequestsMax(), timing.heldMaxBytes());
+    public AdmissionController(final ProxyContext context, final ProxyLimits limits) {
+        this.context = context;
+        this.limits = limits;
+        this.limiter = new ConcurrencyLimiter(limits.openRequestsMax(), limits.heldMaxBytes());
     }
 
-    /** Keeps to other bounds from now on; places and bytes stay as they were handed out. */
-    public void timing(final Timing newer) {
-        timing = newer;
+    /** Applies other limits from now on; permits and bytes that were taken stay taken. */
+    public void limits(final ProxyLimits newer) {
+        limits = newer;
     }
 
-    Timing timing() {
-        return timing;
+    ProxyLimits limits() {
+        return limits;
     }
 
-    ConcurrencyLimiter places() {
-        return places;
+    ConcurrencyLimiter limiter() {
+        return limiter;
     }
 
-    /** Asks in flight here. */
-    public int open() {
-        return places.requests();
+    /** The number of requests in flight. */
+    public int requestsInFlight() {
+        return limiter.requests();
     }
 
-    /** Bytes of bodies held here, or promised to. */
+    /** Bytes of bodies that are held here or reserved. */
     public long heldBytes() {
-        return places.bytes();
+        return limiter.bytes();
     }
 
-    /** How often each result was told. */
-    public Map<ResultCode, Long> told() {
-        return told;
+    /** How often each result was given. */
+    public Map<ResultCode, Long> resultCounts() {
+        return resultCounts;
     }
 
-    /** From now on nothing new is admitted. */
+    /** Admits nothing from now on. */
     public void leave() {
         leaving = true;
     }
 
-    /** Answers all that is under way; what may have run is said to be undecided. */
+    /** Ends all requests in flight; those that may have run end as undecided. */
     public void giveUp() {
-        List.copyOf(underway).forEach(RequestExecution::giveUp);
+        List.copyOf(inFlight).forEach(RequestExecution::giveUp);
     }
 
-    /** Admission, before the body is read; done hears the final answer of an ask that was let in. */
-    public AdmissionResult open(final RequestHead head, final Consumer<Response> done) {
-        final RequestTicket ticket = RequestTicket.of(head.requestId());
-        final ExecutionStatus doubt = ticket != null ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN;
-        if (timing.conventions().keyed() && head.key() == null
-                || head.requestId() == null
-                || !REQUEST_ID.matcher(head.requestId()).matches()
-                || head.spanMs() == Long.MIN_VALUE
-                || NOT_PROXIED.contains(head.method())) {
-            return rejected(ResultCode.MALFORMED, doubt);
+    /** Admits or rejects a request before its body is read; {@code responded} receives an admitted request's response. */
+    public AdmissionResult admit(final RequestHead head, final Consumer<Response> responded) {
+        final ExecutionStatus unproven =
+                RequestTicket.of(head.requestId()) != null ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN;
+        if (isMalformed(head)) {
+            return rejected(ResultCode.MALFORMED, unproven);
         }
         if (!(RequestTarget.of(head.target()) instanceof RequestTarget.Good target)) {
-            return rejected(ResultCode.BAD_TARGET, doubt);
+            return rejected(ResultCode.BAD_TARGET, unproven);
         }
-        if (!parts.follower().fresh() || !parts.fleet().settled()) {
-            return rejected(ResultCode.NOT_FRESH, doubt);
+        final ResultCode unready = unreadiness();
+        if (unready != null) {
+            return rejected(unready, unproven);
         }
-        if (!parts.counter().mayBegin()) {
-            return rejected(ResultCode.UNCOUNTED, doubt);
+        final Configuration configuration = context.configurationStore().configuration();
+        if (leaving || isOwnZoneDrained(configuration)) {
+            return rejected(ResultCode.HELD, unproven);
         }
-        final Configuration configuration = parts.configurationStore().configuration();
-        if (leaving || held(configuration)) {
-            return rejected(ResultCode.HELD, doubt);
+        final String keyHash = head.key() == null ? null : KeyHash.of(head.key());
+        final Configuration.Found found = configuration.find(head.host(), target.path(), keyHash);
+        final ResultCode unauthorized = unauthorized(found);
+        if (unauthorized != null) {
+            return rejected(unauthorized, unproven);
         }
-        final String hash = head.key() == null ? null : KeyHash.of(head.key());
-        final Configuration.Found found = configuration.find(head.host(), target.path(), hash);
-        final Tenant tenant = found.tenant();
         final Route route = found.route();
-        if (timing.conventions().keyed() ? tenant == null : route != null && found.keyMissing()) {
-            return rejected(ResultCode.BAD_KEY, doubt);
+        final ServiceLimits service = route == null ? null : configuration.service(route.service(context.random()));
+        if (service == null) {
+            return rejected(ResultCode.NO_BINDING, unproven);
         }
-        if (!athome(tenant)) {
-            return rejected(ResultCode.WRONG_REGION, doubt);
+        final AdmissionGrant grant = new AdmissionGrant(
+                head,
+                target,
+                keyHash,
+                found.tenant(),
+                route,
+                service,
+                context.clock().nowMs() + spanMs(head, route));
+        return admit(grant, unproven, responded);
+    }
+
+    private boolean isMalformed(final RequestHead head) {
+        return limits.conventions().keyed() && head.key() == null
+                || head.requestId() == null
+                || !REQUEST_ID.matcher(head.requestId()).matches()
+                || head.spanMs() == Long.MIN_VALUE
+                || NOT_PROXIED.contains(head.method());
+    }
+
+    /** Why this edge can admit nothing now, or null. */
+    private ResultCode unreadiness() {
+        if (!context.follower().fresh() || !context.fleet().settled()) {
+            return ResultCode.NOT_FRESH;
         }
-        final ServiceLimits rule = route == null ? null : configuration.service(route.service(parts.random()));
-        if (rule == null) {
-            return rejected(ResultCode.NO_BINDING, doubt);
+        return context.counter().mayBegin() ? null : ResultCode.UNCOUNTED;
+    }
+
+    /** Why whoever sent the request may not, or null. */
+    private ResultCode unauthorized(final Configuration.Found found) {
+        final boolean keyLacks =
+                limits.conventions().keyed() ? found.tenant() == null : found.route() != null && found.keyMissing();
+        if (keyLacks) {
+            return ResultCode.BAD_KEY;
         }
-        final boolean claims = route.runOnce() && timing.conventions().claims();
-        final ExecutionStatus unproven = claims ? ExecutionStatus.UNDECIDED : doubt;
-        if (claims && ticket == null) {
+        return isHomeOf(found.tenant()) ? null : ResultCode.WRONG_REGION;
+    }
+
+    private AdmissionResult admit(
+            final AdmissionGrant grant, final ExecutionStatus ticketUnproven, final Consumer<Response> responded) {
+        final RequestHead head = grant.head();
+        final ServiceLimits service = grant.service();
+        final boolean claims = grant.route().runOnce() && limits.conventions().claims();
+        final ExecutionStatus unproven = claims ? ExecutionStatus.UNDECIDED : ticketUnproven;
+        if (claims && !grant.hasTicket()) {
             return rejected(ResultCode.TICKET_MISSING, unproven);
         }
         if (head.spanMs() <= 0) {
             return rejected(ResultCode.DEADLINE, unproven);
         }
-        if (head.bodyBytes() > rule.requestMaxBytes()) {
+        if (head.bodyBytes() > service.requestMaxBytes()) {
             return rejected(ResultCode.TOO_LARGE, unproven);
         }
-        if (!parts.loadBalancer()
-                .mayReserve(
-                        rule,
-                        nameOf(tenant),
-                        u -> route.home(tenant, u.region())
-                                && !configuration.holds().contains(u.zone()))) {
-            say(ResultCode.NO_UPSTREAM, tenant, route);
+        if (!context.loadBalancer()
+                .mayReserve(service, grant.tenantName(), u -> allows(grant.route(), grant.tenant(), u))) {
+            logRejected(ResultCode.NO_UPSTREAM, grant.tenant(), grant.route());
             return rejected(ResultCode.NO_UPSTREAM, unproven);
         }
-        // The longest that both bodies may be is kept free for the ask from here on.
-        final long bytes =
-                (head.bodyBytes() < 0 ? rule.requestMaxBytes() : head.bodyBytes()) + (long) rule.answerMaxBytes();
-        if (!places.take(nameOf(tenant), bytes)) {
+        // The longest that both bodies may be is kept free for the request from here on.
+        final long heldBytes =
+                (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes()) + (long) service.answerMaxBytes();
+        if (!limiter.take(grant.tenantName(), heldBytes)) {
             return rejected(ResultCode.BUSY, unproven);
         }
-        final RequestExecution run = new RequestExecution(
-                this,
-                parts,
-                new RequestExecution.Grant(
-                        head, target, hash, tenant, route, rule, parts.clock().nowMs() + spanMs(head, route)),
-                bytes,
-                done);
-        underway.add(run);
+        final RequestExecution request = new RequestExecution(this, context, grant, heldBytes, responded);
+        inFlight.add(request);
         if (head.bodyBytes() == 0) {
-            run.keep();
+            request.reserve();
         }
-        return new AdmissionResult.Admit(run);
+        return new AdmissionResult.Admitted(request);
     }
 
     private long spanMs(final RequestHead head, final Route route) {
-        final long spanMs = Math.min(head.spanMs(), timing.spanMaxMs());
+        final long spanMs = Math.min(head.spanMs(), limits.spanMaxMs());
         return route.spanMs() > 0 ? Math.min(spanMs, route.spanMs()) : spanMs;
     }
 
-    /** Whether this node's own zone is to be empty of asks too, not only of goes. */
-    boolean held(final Configuration configuration) {
-        return timing.conventions().holdsEdges()
-                && configuration.holds().contains(parts.self().zone());
+    /** Whether an upstream may be picked for a request: in a home region of it, and in no drained zone. */
+    boolean allows(final Route route, final Tenant tenant, final Upstream upstream) {
+        return route.home(tenant, upstream.region())
+                && !context.configurationStore().configuration().holds().contains(upstream.zone());
+    }
+
+    /** Whether this node's own zone is drained and its edges take no requests then. */
+    boolean isOwnZoneDrained(final Configuration configuration) {
+        return limits.conventions().holdsEdges()
+                && configuration.holds().contains(context.self().zone());
     }
 
-    /** Whether this node may take the tenant's asks. */
-    boolean athome(final Tenant tenant) {
-        return !timing.conventions().homeEdges()
+    /** Whether this node may take the tenant's requests. */
+    boolean isHomeOf(final Tenant tenant) {
+        return !limits.conventions().homeEdges()
                 || tenant == null
                 || tenant.homeRegions().isEmpty()
-                || tenant.homeRegions().contains(parts.self().region());
+                || tenant.homeRegions().contains(context.self().region());
     }
 
     static String nameOf(final Tenant tenant) {
         return tenant == null ? "" : tenant.name();
     }
 
-    /** What is told when there is no room even to look at an ask. */
-    public Response crowded(final RequestHead head) {
-        return deny(
+    /** The response when the node's event loop has no room even to admit or reject a request. */
+    public Response overloaded(final RequestHead head) {
+        return reject(
                 ResultCode.BUSY,
                 RequestTicket.of(head.requestId()) != null ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN,
                 0);
     }
 
-    /** One line a second for each reason at the most; {@link #told} has the counts. */
-    void say(final ResultCode why, final Tenant tenant, final Route route) {
-        final long nowMs = parts.clock().nowMs();
-        final Long saidMs = said.get(why);
-        if (saidMs == null || nowMs - saidMs >= 1000) {
-            said.put(why, nowMs);
+    /** Logs one line a second for each reason at most; {@link #resultCounts} has the counts. */
+    private void logRejected(final ResultCode reason, final Tenant tenant, final Route route) {
+        final long nowMs = context.clock().nowMs();
+        final Long lastMs = loggedMs.get(reason);
+        if (lastMs == null || nowMs - lastMs >= 1000) {
+            loggedMs.put(reason, nowMs);
             LOG.atInfo().log(
-                    "event=denied node=%s code=%s tenant=%s homes=%s binding=%s regions=%s",
-                    parts.self().name(),
-                    why.number(),
+                    "event=request_rejected node=%s code=%s tenant=%s homes=%s route=%s regions=%s",
+                    context.self().name(),
+                    reason.number(),
                     nameOf(tenant),
                     tenant == null ? "" : tenant.homeRegions(),
                     route.name(),
@@ -227,64 +241,69 @@
         }
     }
 
-    private AdmissionResult rejected(final ResultCode result, final ExecutionStatus ran) {
-        told.merge(result, 1L, Long::sum);
-        return new AdmissionResult.Rejected(deny(result, ran, 0));
+    private AdmissionResult rejected(final ResultCode result, final ExecutionStatus status) {
+        resultCounts.merge(result, 1L, Long::sum);
+        return new AdmissionResult.Rejected(reject(result, status, 0));
     }
 
-    Response deny(final ResultCode result, final ExecutionStatus ran, final int attempts) {
+    /** A response of this node's own; one that may be repeated later says when, at random, so that clients spread out. */
+    Response reject(final ResultCode result, final ExecutionStatus status, final int attempts) {
         final boolean later = result.httpStatus() == 503 || result.httpStatus() == 504;
-        final long waitMs = later ? timing.retryAfterMs() + parts.random().nextInt((int) timing.retryAfterMs()) : 0;
-        return new Response(result, ran, null, null, attempts, waitMs);
+        final long waitMs = later ? limits.retryAfterMs() + context.random().nextInt((int) limits.retryAfterMs()) : 0;
+        return new Response(result, status, null, null, attempts, waitMs);
     }
 
-    void ended(final RequestExecution run, final String tenant, final ResultCode result) {
-        underway.remove(run);
-        places.leave(tenant);
-        told.merge(result, 1L, Long::sum);
+    void onEnded(final RequestExecution request, final String tenant, final ResultCode result) {
+        inFlight.remove(request);
+        limiter.leave(tenant);
+        resultCounts.merge(result, 1L, Long::sum);
     }
 
-    RetryBudget budget(final ServiceLimits rule) {
+    RetryBudget budget(final ServiceLimits service) {
         return budgets.computeIfAbsent(
-                rule.name(),
-                s -> new RetryBudget(
-                        () -> timing.retryShare(),
-                        () -> timing.retryAllowance() / parts.sharingEdges().getAsInt()));
+                service.name(),
+                name -> new RetryBudget(
+                        () -> limits.retryShare(),
+                        () -> limits.retryAllowance() / context.sharingEdges().getAsInt()));
     }
 
-    /** Hears what another node kept. */
-    public void hear(final HandoffMessage.FetchResult back) {
-        final Consumer<HandoffMessage.FetchResult> waiting = handRequests.remove(back.requestId());
+    /** Receives a stored response, or that another node has none. */
+    public void onFetchResult(final HandoffMessage.FetchResult result) {
+        final Consumer<HandoffMessage.FetchResult> waiting = storedResponseFetches.remove(result.requestId());
         if (waiting != null) {
-            waiting.accept(back);
+            waiting.accept(result);
         }
     }
 
-    /** A kept answer, from here or from a core of the tenant's home regions; null if none has it in time. */
-    void fetch(final Tenant tenant, final String key, final String digest, final Consumer<ResponseContent> done) {
-        final HandoffMessage.Store own = parts.responseCache().find(key, digest);
+    /**
+     * Finds the response of a run-once request that ran before, here or at a core of the tenant's home regions; {@code done}
+     * receives null if none has it in time.
+     */
+    void fetchStoredResponse(
+            final Tenant tenant, final String key, final String digest, final Consumer<ResponseContent> done) {
+        final HandoffMessage.Store own = context.responseCache().find(key, digest);
         if (own != null) {
             done.accept(own.content());
             return;
         }
-        final long id = nextHandId++;
-        final List<String> cores = parts.homeCores().apply(tenant.homeRegions());
-        final int[] left = {cores.size()};
-        handRequests.put(id, new Consumer<>() {
+        final long id = nextFetchId++;
+        final List<String> cores = context.homeCores().apply(tenant.homeRegions());
+        final int[] pending = {cores.size()};
+        storedResponseFetches.put(id, new Consumer<>() {
             @Override
-            public void accept(final HandoffMessage.FetchResult back) {
-                if (back.content() == null && --left[0] > 0) {
-                    handRequests.put(id, this);
+            public void accept(final HandoffMessage.FetchResult result) {
+                if (result.content() == null && --pending[0] > 0) {
+                    storedResponseFetches.put(id, this);
                 } else {
-                    done.accept(back.content());
+                    done.accept(result.content());
                 }
             }
         });
         for (final String core : cores) {
-            parts.post().send(core, new HandoffMessage.Fetch(parts.self().address(), id, key, digest));
+            context.post().send(core, new HandoffMessage.Fetch(context.self().address(), id, key, digest));
         }
-        parts.clock().after(timing.handWaitMs(), () -> {
-            if (handRequests.remove(id) != null) {
+        context.clock().after(limits.handWaitMs(), () -> {
+            if (storedResponseFetches.remove(id) != null) {
                 done.accept(null);
             }
         });
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionResult.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionResult.java
@@ -1,10 +1,10 @@
 package spokestall.proxy;
 
-/** What admission says before the body is read. */
+/** The outcome of admission, before the body is read. */
 public sealed interface AdmissionResult {
     /** Not admitted; the body is not to be read. */
-    record Rejected(Response answer) implements AdmissionResult {}
+    record Rejected(Response response) implements AdmissionResult {}
 
-    /** Admitted; up to so many bytes of body may be read. */
-    record Admit(AdmittedRequest ask) implements AdmissionResult {}
+    /** Admitted; its body may be read, within its service's limits. */
+    record Admitted(AdmittedRequest request) implements AdmissionResult {}
 }
--- a/spokestall/src/main/java/spokestall/proxy/AdmittedRequest.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmittedRequest.java
@@ -3,21 +3,23 @@
 import spokestall.api.ResultCode;
 import spokestall.configuration.ServiceLimits;
 
-/** An ask that was let in and has its place. From here on its deadline runs, and its final answer comes by the callback
- * that was given with it, once. All of it is called on the stage. */
+/**
+ * A request that was admitted and holds its permit. From its admission on its deadline runs, and its final response comes by
+ * the callback that was given at admission, once. Not thread-safe; all calls are made on the node's event loop.
+ */
 public interface AdmittedRequest {
-    /** The bounds it was let in by. */
-    ServiceLimits rule();
+    /** The limits of the service that it goes to. */
+    ServiceLimits serviceLimits();
 
-    /** Its whole body is here. */
-    void run(byte[] body);
+    /** The complete body has arrived. */
+    void onBody(byte[] body);
 
-    /** Its body can't be had. */
-    void drop(ResultCode why);
+    /** The body can't be read; the request ends with this result. */
+    void onBodyFailed(ResultCode reason);
 
-    /** Its client's wire is gone: what may still be stopped is stopped. */
-    void gone();
+    /** The client's connection has closed: what can still be stopped is stopped. */
+    void onClientDisconnected();
 
-    /** Its answer is out, or can't get out: its bytes count no longer. */
-    void written();
+    /** The response was written, or can't be written: its bytes count no longer. */
+    void onResponseWritten();
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
@@ -0,0 +1,82 @@
+package spokestall.proxy;
+
+import spokestall.api.ResultCode;
+import spokestall.configuration.Configuration;
+import spokestall.configuration.Route;
+import spokestall.configuration.ServiceLimits;
+import spokestall.discovery.Upstream;
+
+/**
+ * Decides, before each attempt and right before its bytes leave, whether an admitted request may still be sent: the
+ * configuration is proven fresh, and the request's key, region, route and zone are allowed by the configuration now in
+ * force. Follows the route when the configuration changes it. Not thread-safe; all calls are made on the node's event loop.
+ */
+final class AttemptPermission {
+    private final AdmissionController admission;
+    private final ProxyContext context;
+    private final AdmissionGrant grant;
+    private Route route;
+    private ServiceLimits service;
+
+    AttemptPermission(final AdmissionController admission, final ProxyContext context, final AdmissionGrant grant) {
+        this.admission = admission;
+        this.context = context;
+        this.grant = grant;
+        this.route = grant.route();
+        this.service = grant.service();
+    }
+
+    /** The route that the newest check found. */
+    Route route() {
+        return route;
+    }
+
+    /** The limits of the service that the next attempt goes to; null if the newest configuration no longer has it. */
+    ServiceLimits service() {
+        return service;
+    }
+
+    /** Why the request may not be sent now, or null if it may; follows a changed route. */
+    ResultCode refusal() {
+        if (context.clock().nowMs() >= grant.deadlineMs()) {
+            return ResultCode.DEADLINE;
+        }
+        if (!context.follower().fresh()) {
+            return ResultCode.NOT_FRESH;
+        }
+        if (!context.counter().mayBegin()) {
+            return ResultCode.UNCOUNTED;
+        }
+        final Configuration configuration = context.configurationStore().configuration();
+        final Configuration.Found found =
+                configuration.find(grant.head().host(), grant.target().path(), grant.keyHash());
+        if (!(found.route() != null && found.route().open())
+                && !AdmissionController.nameOf(found.tenant()).equals(grant.tenantName())) {
+            return ResultCode.BAD_KEY;
+        }
+        if (!admission.isHomeOf(found.tenant())) {
+            return ResultCode.WRONG_REGION;
+        }
+        if (found.route() == null
+                || found.route().runOnce() != grant.route().runOnce()
+                || !follow(configuration, found.route())) {
+            return ResultCode.NO_BINDING;
+        }
+        return admission.isOwnZoneDrained(configuration) ? ResultCode.HELD : null;
+    }
+
+    /** Whether an upstream may be picked: it is in a home region of the request and its zone is not drained. */
+    boolean allows(final Upstream upstream) {
+        return admission.allows(route, grant.tenant(), upstream);
+    }
+
+    private boolean follow(final Configuration configuration, final Route newest) {
+        if (!newest.equals(route)) {
+            route = newest;
+            if (!newest.leadsTo(service.name())) {
+                service = configuration.service(newest.service(context.random()));
+            }
+        }
+        return service != null;
+    }
+}
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -9,123 +9,130 @@
 import spokestall.consensus.RegisterEdit;
 import spokestall.message.MessageCodec;
 
-/** The claim of one run-once ask in its register: made before anything is sent, ended when it is known how that went. */
+/**
+ * The claim of one run-once request in its register ({@link IdempotencyClaim}): a majority of acceptors stores it before
+ * anything is sent, and its end is recorded once that is known. While a claim is open the request may have run, so nobody
+ * else may send it. Not thread-safe; all calls are made on the node's event loop.
+ */
 final class ClaimManager {
-    /** What came of claiming. */
-    sealed interface Claimed {
-        /** The claim is this ask's own; it may be sent. */
-        record Mine(IdempotencyClaim claim) implements Claimed {}
-
-        /** The ask ran before. */
-        record Ran(IdempotencyClaim claim) implements Claimed {}
-
-        /** It may not be sent, and this is why. */
-        record Not(ResultCode why) implements Claimed {}
-    }
-
-    private final ProxyContext parts;
-    private final AdmissionController.Timing timing;
+    private final ProxyContext context;
+    private final ProxyLimits limits;
     private final String key;
 
-    ClaimManager(final ProxyContext parts, final AdmissionController.Timing timing, final String key) {
-        this.parts = parts;
-        this.timing = timing;
+    ClaimManager(final ProxyContext context, final ProxyLimits limits, final String key) {
+        this.context = context;
+        this.limits = limits;
         this.key = key;
     }
 
+    /** The key of the claim's register. */
     String key() {
         return key;
     }
 
-    private static IdempotencyClaim read(final byte[] had) {
-        return had == null ? null : MessageCodec.record(had, IdempotencyClaim.class);
+    private static IdempotencyClaim read(final byte[] stored) {
+        return stored == null ? null : MessageCodec.record(stored, IdempotencyClaim.class);
     }
 
+    /**
+     * Claims the request for this node, unless it has run, is claimed, or its ticket is too old.
+     *
+     * @param waitMs how long the claim may take at most
+     * @param maySend whether the request may still be sent; asked again in each round of the register's change
+     * @param done receives the result, once
+     */
     void claim(
             final RequestTicket ticket,
             final byte[] body,
             final long waitMs,
-            final BooleanSupplier may,
-            final Consumer<Claimed> done) {
+            final BooleanSupplier maySend,
+            final Consumer<ClaimResult> done) {
         final String digest = KeyHash.hex(body);
-        final IdempotencyClaim mine = new IdempotencyClaim(
-                parts.self().name() + "/" + Long.toHexString(parts.random().nextLong()),
-                digest,
-                ticket.issuedMs(),
-                parts.fleet().nowMs(),
-                IdempotencyClaim.State.OPEN,
-                0,
-                "",
-                "");
+        final IdempotencyClaim mine = openClaim(ticket, digest);
         final byte[] value = MessageCodec.bytes(mine);
-        parts.proposer()
+        context.proposer()
                 .change(
                         key,
-                        Math.min(timing.claimWaitMs(), waitMs),
-                        had -> {
-                            final IdempotencyClaim now = read(had);
+                        Math.min(limits.claimWaitMs(), waitMs),
+                        stored -> {
+                            final IdempotencyClaim now = read(stored);
                             if (now != null && now.claimId().equals(mine.claimId())) {
-                                return new RegisterEdit.Set(had);
+                                return new RegisterEdit.Set(stored);
                             }
                             final boolean free = now == null
                                     || now.state() == IdempotencyClaim.State.NOT_RUN
                                             && now.digest().equals(digest);
-                            return free && !old(ticket) && may.getAsBoolean()
+                            return free && !isExpired(ticket) && maySend.getAsBoolean()
                                     ? new RegisterEdit.Set(value)
                                     : RegisterEdit.LEAVE;
                         },
-                        outcome -> done.accept(claimed(outcome, mine, ticket)));
+                        outcome -> done.accept(result(outcome, mine, ticket)));
+    }
+
+    private IdempotencyClaim openClaim(final RequestTicket ticket, final String digest) {
+        return new IdempotencyClaim(
+                context.self().name() + "/" + Long.toHexString(context.random().nextLong()),
+                digest,
+                ticket.issuedMs(),
+                context.fleet().nowMs(),
+                IdempotencyClaim.State.OPEN,
+                0,
+                "",
+                "");
     }
 
-    /** Asked anew in each round: a generation may begin between two of them. */
-    private boolean old(final RequestTicket ticket) {
-        final Proposer proposer = parts.proposer();
-        final long ageMs = parts.fleet().nowMs() - ticket.issuedMs();
+    /** Checked again in each round: a generation may begin between two of them. */
+    private boolean isExpired(final RequestTicket ticket) {
+        final Proposer proposer = context.proposer();
+        final long ageMs = context.fleet().nowMs() - ticket.issuedMs();
         return proposer.voterSet() == null
                 || ticket.generation() != proposer.voterSet().generation()
-                || ageMs > timing.claimKeepMs()
-                || -ageMs > timing.ticketAheadMs();
+                || ageMs > limits.claimKeepMs()
+                || -ageMs > limits.ticketAheadMs();
     }
 
-    private Claimed claimed(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
+    private ClaimResult result(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
         if (!(outcome instanceof ProposalOutcome.Done done)) {
             final boolean full =
                     outcome instanceof ProposalOutcome.NotDone n && n.why().equals(Proposer.DENIED);
-            return new Claimed.Not(
-                    outcome instanceof ProposalOutcome.Gone
-                            ? ResultCode.TICKET_OLD
-                            : full ? ResultCode.CLAIMS_FULL : ResultCode.UNCLEAR);
+            if (outcome instanceof ProposalOutcome.Gone) {
+                return new ClaimResult.Refused(ResultCode.TICKET_OLD);
+            }
+            return new ClaimResult.Refused(full ? ResultCode.CLAIMS_FULL : ResultCode.UNCLEAR);
         }
         final IdempotencyClaim now = read(done.value());
         if (now != null && now.claimId().equals(mine.claimId())) {
-            return new Claimed.Mine(now);
+            return new ClaimResult.Granted(now);
         }
         if (now == null || now.state() == IdempotencyClaim.State.NOT_RUN) {
-            return new Claimed.Not(old(ticket) ? ResultCode.TICKET_OLD : ResultCode.UNCLEAR);
+            return new ClaimResult.Refused(isExpired(ticket) ? ResultCode.TICKET_OLD : ResultCode.UNCLEAR);
         }
         if (!now.digest().equals(mine.digest())) {
-            return new Claimed.Not(ResultCode.CONFLICT);
+            return new ClaimResult.Refused(ResultCode.CONFLICT);
         }
-        return now.state() == IdempotencyClaim.State.OPEN ? new Claimed.Not(ResultCode.CLAIMED) : new Claimed.Ran(now);
+        return now.state() == IdempotencyClaim.State.OPEN
+                ? new ClaimResult.Refused(ResultCode.CLAIMED)
+                : new ClaimResult.AlreadyRan(now);
     }
 
-    /** Nothing was sent under the claim: says so in the register; done hears whether that is proven. */
-    void voided(final IdempotencyClaim mine, final Consumer<Boolean> done) {
+    /** Records that nothing was sent under the claim; {@code done} receives whether a majority has stored that. */
+    void releaseUnused(final IdempotencyClaim mine, final Consumer<Boolean> done) {
         end(mine, mine.ended(IdempotencyClaim.State.NOT_RUN, 0, "", ""), done);
     }
 
-    /** It ran, and this is how. */
-    void ran(final IdempotencyClaim mine, final int status, final String answerDigest, final String instance) {
+    /** Records that the request ran, and with which response. */
+    void recordExecuted(
+            final IdempotencyClaim mine, final int status, final String answerDigest, final String instance) {
         end(mine, mine.ended(IdempotencyClaim.State.RAN, status, answerDigest, instance), proven -> {});
     }
 
     private void end(final IdempotencyClaim mine, final IdempotencyClaim ended, final Consumer<Boolean> done) {
-        parts.proposer()
+        context.proposer()
                 .change(
                         key,
-                        timing.claimWaitMs(),
-                        had -> {
-                            final IdempotencyClaim now = read(had);
+                        limits.claimWaitMs(),
+                        stored -> {
+                            final IdempotencyClaim now = read(stored);
                             final boolean own = now != null
                                     && now.claimId().equals(mine.claimId())
                                     && now.state() == IdempotencyClaim.State.OPEN;
--- a/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
@@ -5,13 +5,13 @@
 import spokestall.gossip.NodeInfo;
 
 /**
- * The edges that clients are told of, as an immutable list: published by the node's stage, read by any thread. An answer made
- * from it does not wait for the stage, and holds for as long as the list is the same object.
+ * The edges that clients are sent to, as an immutable list. Thread-safe: published by the node's event loop, read by any
+ * thread without waiting for it. A response made from a list stays valid for as long as {@link #edges} is the same object.
  */
 public final class EdgeDirectory {
     private volatile List<NodeInfo> edges = List.of();
 
-    /** Takes the edges as they are believed to serve now; a list that names the same ones keeps its place. */
+    /** Replaces the edges; a list that names the same ones leaves the published object as it is. */
     public void publish(final Collection<NodeInfo> now) {
         if (!same(now)) {
             edges = List.copyOf(now);
--- a/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
+++ b/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
@@ -1,6 +1,6 @@
 package spokestall.proxy;
 
-/** What is known of whether an ask ran. */
+/** What is known of whether a request ran. */
 public enum ExecutionStatus {
     RAN("ran"),
     NOT_RUN("not-run"),
@@ -12,7 +12,7 @@
         this.word = word;
     }
 
-    /** The header's word. */
+    /** The value in the response header. */
     public String word() {
         return word;
     }
--- a/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
+++ b/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
@@ -1,6 +1,16 @@
 package spokestall.proxy;
 
-/** The register of a run-once ask: who may send it, for which body, and how it ended. */
+/**
+ * The value of a run-once request's register: who may send it, for which body, and how it ended. Stored by its fields' order.
+ *
+ * @param claimId names one act of claiming
+ * @param digest the body's digest; a repeat must have the same
+ * @param ticketMs the fleet's time at which the client's ticket was issued
+ * @param claimedMs the fleet's time of the claim
+ * @param status the upstream's status, zero unless it ran
+ * @param answerDigest the digest of the upstream's response, empty unless it ran
+ * @param instance the upstream that ran it, empty unless it ran
+ */
 public record IdempotencyClaim(
         String claimId,
         String digest,
--- a/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
@@ -15,8 +15,15 @@
 import spokestall.time.FleetClock;
 import spokestall.usage.UsageCounter;
 
-/** What an edge works with: itself, the configuration and its proof, the store of claims, upstreams, and time; sharers are the edges
- * that shared bounds are divided among. */
+/**
+ * What the data path of an edge works with.
+ *
+ * @param follower says whether the configuration here is proven fresh
+ * @param proposer changes the registers of claims
+ * @param counter counts what was sent to upstreams, for the usage report
+ * @param sharingEdges how many edges shared bounds are divided among
+ * @param homeCores the addresses of the cores in some regions
+ */
 public record ProxyContext(
         NodeInfo self,
         ConfigurationStore configurationStore,
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -6,461 +6,430 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import spokestall.api.ResultCode;
-import spokestall.configuration.Configuration;
 import spokestall.configuration.KeyHash;
-import spokestall.configuration.RequestTarget;
 import spokestall.configuration.Route;
 import spokestall.configuration.ServiceLimits;
-import spokestall.configuration.Tenant;
 import spokestall.discovery.Upstream;
 import spokestall.handoff.HandoffMessage;
 import spokestall.message.MessageCodec;
 
-/** One ask on its way, from the moment it got its place to its final answer. */
+/**
+ * One admitted request until its final response: reads its body, claims it if it must run once, attempts it at upstreams,
+ * retries and hedges where that is allowed, and responds exactly once.
+ *
+ * <p>Stages only go forward: {@code READING_BODY}, {@code CLAIMING} (run-once requests with claims), {@code ATTEMPTING},
+ * {@code ENDED}; each may go to {@code ENDED} directly. The claim is decided by a majority before the first byte of a
+ * run-once request leaves this node. A response says "not run" only when that is proven.
+ *
+ * <p>Not thread-safe; all calls are made on the node's event loop.
+ */
 final class RequestExecution implements AdmittedRequest {
-    /** What an ask was let in by. */
-    record Grant(
-            RequestHead head,
-            RequestTarget.Good target,
-            String keyHash,
-            Tenant tenant,
-            Route route,
-            ServiceLimits rule,
-            long deadlineMs) {}
-
     private enum Stage {
-        READING,
+        READING_BODY,
         CLAIMING,
-        GOING,
+        ATTEMPTING,
         ENDED
     }
 
-    /** The part of an aim after which what may be repeated is asked of a second upstream as well. */
-    private static final double LATE = 0.6;
+    /** The part of a latency target after which an idempotent request is hedged at a second upstream. */
+    private static final double HEDGE_AFTER = 0.6;
+
+    /** What an upstream client says of an attempt that {@link AttemptPermission} stopped in the last moment. */
+    private static final String STOPPED_HERE = "barred";
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private final AdmissionController edge;
-    private final ProxyContext parts;
-    private final Grant ask;
-    private final Consumer<Response> done;
-    private final Set<String> tried = new HashSet<>();
+    private final AdmissionController admission;
+    private final ProxyContext context;
+    private final AdmissionGrant grant;
+    private final Consumer<Response> responded;
+    private final AttemptPermission permission;
+    private final RequestReservation reservation;
+    private final AttemptBudget attempts;
+    /** Null if this request needs no claim. */
     private final ClaimManager claimManager;
-    private Stage stage = Stage.READING;
+
+    private final Set<String> attemptedInstances = new HashSet<>();
+    private Stage stage = Stage.READING_BODY;
     private byte[] body;
     private IdempotencyClaim claim;
-    private final AttemptBudget attempts;
     private boolean mayHaveRun;
-    private Response held;
-    private boolean clientGone;
-    private boolean out;
-    private boolean holding;
-    private boolean reserved;
-    private long heldBytes;
-    private ServiceLimits rule;
-    private Route route;
+    /** A failed upstream response that is passed on if no retry brings a better one. */
+    private Response failedResponse;
+
+    private boolean clientDisconnected;
+    private boolean responseWritten;
 
+    /** {@code heldBytes} were taken at admission; {@code responded} gets the final response, once. */
     RequestExecution(
-            final AdmissionController edge,
-            final ProxyContext parts,
-            final Grant ask,
+            final AdmissionController admission,
+            final ProxyContext context,
+            final AdmissionGrant grant,
             final long heldBytes,
-            final Consumer<Response> done) {
-        this.edge = edge;
-        this.parts = parts;
-        this.ask = ask;
-        this.heldBytes = heldBytes;
-        this.done = done;
-        this.rule = ask.rule();
-        this.route = ask.route();
-        this.attempts = new AttemptBudget(edge.timing().conventions().unsentFree());
-        this.claimManager = ask.route().runOnce() && edge.timing().conventions().claims()
-                ? new ClaimManager(
-                        parts,
-                        edge.timing(),
-                        IdempotencyClaim.key(ask.tenant().name(), ask.head().requestId()))
-                : null;
-        parts.clock().after(Math.max(0, ask.deadlineMs() - parts.clock().nowMs()), () -> give(ResultCode.DEADLINE));
-    }
-
-    private void change(final Stage to) {
-        assert to.ordinal() > stage.ordinal() : stage + " to " + to;
-        stage = to;
+            final Consumer<Response> responded) {
+        this.admission = admission;
+        this.context = context;
+        this.grant = grant;
+        this.responded = responded;
+        this.permission = new AttemptPermission(admission, context, grant);
+        this.reservation = new RequestReservation(
+                admission.limiter(), context.loadBalancer(), grant.service(), grant.tenantName(), heldBytes);
+        this.attempts = new AttemptBudget(admission.limits().conventions().unsentFree());
+        this.claimManager = needsClaim() ? claimManager() : null;
+        context.clock().after(Math.max(0, remainingMs()), () -> endWith(ResultCode.DEADLINE));
     }
 
-    @Override
-    public ServiceLimits rule() {
-        return rule;
+    private boolean needsClaim() {
+        return grant.route().runOnce() && admission.limits().conventions().claims();
+    }
+
+    private ClaimManager claimManager() {
+        return new ClaimManager(
+                context,
+                admission.limits(),
+                IdempotencyClaim.key(grant.tenant().name(), grant.head().requestId()));
     }
 
-    private String tenantName() {
-        return AdmissionController.nameOf(ask.tenant());
+    private long remainingMs() {
+        return grant.deadlineMs() - context.clock().nowMs();
     }
 
-    private boolean fits(final Upstream u) {
-        return route.home(ask.tenant(), u.region())
-                && !parts.configurationStore().configuration().holds().contains(u.zone());
+    private void transitionTo(final Stage next) {
+        assert next.ordinal() > stage.ordinal() : stage + " to " + next;
+        stage = next;
     }
 
     @Override
-    public void run(final byte[] whole) {
-        if (stage != Stage.READING) {
-            return;
-        }
-        body = whole;
-        hold(whole.length + (long) ask.rule().answerMaxBytes());
-        final ResultCode blocked = blocked();
-        if (blocked != null) {
-            give(blocked);
-            return;
-        }
-        if (!reserve()) {
-            give(ResultCode.NO_UPSTREAM);
+    public ServiceLimits serviceLimits() {
+        return permission.service();
+    }
+
+    @Override
+    public void onBody(final byte[] complete) {
+        if (stage != Stage.READING_BODY) {
             return;
         }
-        if (claimManager == null) {
-            change(Stage.GOING);
+        body = complete;
+        reservation.holdBytes(complete.length + (long) grant.service().answerMaxBytes());
+        final ResultCode refusal = refusal();
+        if (refusal != null) {
+            endWith(refusal);
+        } else if (!reserveCapacity()) {
+            endWith(ResultCode.NO_UPSTREAM);
+        } else if (claimManager == null) {
+            transitionTo(Stage.ATTEMPTING);
             attempt();
-            return;
+        } else {
+            transitionTo(Stage.CLAIMING);
+            claimManager.claim(
+                    RequestTicket.of(grant.head().requestId()),
+                    body,
+                    remainingMs(),
+                    () -> refusal() == null,
+                    this::onClaimResult);
         }
-        change(Stage.CLAIMING);
-        claimManager.claim(
-                RequestTicket.of(ask.head().requestId()),
-                body,
-                ask.deadlineMs() - parts.clock().nowMs(),
-                () -> blocked() == null,
-                this::claimed);
     }
 
     @Override
-    public void drop(final ResultCode why) {
-        if (stage == Stage.READING) {
-            give(why);
+    public void onBodyFailed(final ResultCode reason) {
+        if (stage == Stage.READING_BODY) {
+            endWith(reason);
         }
     }
 
     @Override
-    public void gone() {
-        clientGone = true;
-        drop(ResultCode.MALFORMED);
-        written();
+    public void onClientDisconnected() {
+        clientDisconnected = true;
+        onBodyFailed(ResultCode.MALFORMED);
+        onResponseWritten();
     }
 
     @Override
-    public void written() {
-        out = true;
+    public void onResponseWritten() {
+        responseWritten = true;
         if (stage == Stage.ENDED) {
-            hold(0);
+            reservation.holdBytes(0);
         }
     }
 
-    /** Keeps the room that admission found, where no body is to come; else it is kept once the body is there, or slow
-     * bodies would hold it. */
-    void keep() {
-        parts.loadBalancer().keep(ask.rule(), tenantName());
-        holding = true;
-        reserved = true;
-    }
-
-    private boolean reserve() {
-        if (!holding && parts.loadBalancer().mayReserve(ask.rule(), tenantName(), this::fits)) {
-            keep();
-        }
-        return holding;
+    /**
+     * Reserves the upstream capacity that admission found, for a request without a body. With a body it is reserved once
+     * that has arrived, or clients that send slowly would occupy it.
+     */
+    void reserve() {
+        reservation.reserve();
     }
 
-    private void release() {
-        if (reserved) {
-            reserved = false;
-            parts.loadBalancer().release(ask.rule());
+    private boolean reserveCapacity() {
+        if (!reservation.hasCapacity()
+                && context.loadBalancer().mayReserve(grant.service(), grant.tenantName(), permission::allows)) {
+            reservation.reserve();
         }
+        return reservation.hasCapacity();
     }
 
-    private void hold(final long bytes) {
-        if (bytes == heldBytes) {
-            return;
+    /** Ends the request with what is known of it, because this node shuts down. */
+    void giveUp() {
+        if (stage != Stage.ENDED) {
+            endUnsent(ResultCode.HELD);
         }
-        edge.places().hold(tenantName(), bytes - heldBytes);
-        heldBytes = bytes;
     }
 
-    private void end(final Response answer) {
+    private void end(final Response response) {
         if (stage == Stage.ENDED) {
             return;
         }
-        change(Stage.ENDED);
-        release();
-        if (holding) {
-            parts.loadBalancer().over(ask.rule(), tenantName());
-        }
-        hold(out || answer.content() == null ? 0 : answer.content().body().length);
-        edge.ended(this, tenantName(), answer.result());
+        transitionTo(Stage.ENDED);
+        reservation.end();
+        reservation.holdBytes(
+                responseWritten || response.content() == null
+                        ? 0
+                        : response.content().body().length);
+        admission.onEnded(this, grant.tenantName(), response.result());
         body = null;
-        done.accept(answer);
+        responded.accept(response);
     }
 
-    /** Ends it with what is known of it, as this node is going. */
-    void giveUp() {
-        if (stage != Stage.ENDED) {
-            stopBefore(ResultCode.HELD);
-        }
-    }
-
-    /** Ends it in spokestall's own words: proven not to have run only if this call sent nothing that may have, or may yet. */
-    private void give(final ResultCode result) {
-        final boolean before = RequestTicket.of(ask.head().requestId()) != null;
-        end(edge.deny(
-                result,
-                claimManager != null || before || mayHaveRun || attempts.open() > 0
-                        ? ExecutionStatus.UNDECIDED
-                        : ExecutionStatus.NOT_RUN,
-                attempts.begun()));
+    /** Ends the request with a result of this node's own; "not run" only if no attempt may have run it, or may yet. */
+    private void endWith(final ResultCode result) {
+        final boolean undecided = claimManager != null || grant.hasTicket() || mayHaveRun || attempts.open() > 0;
+        end(admission.reject(
+                result, undecided ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN, attempts.begun()));
     }
 
-    /** Whether the ask may still be sent: fresh, with its key, region, route and zone as they are now. */
-    private ResultCode blocked() {
-        if (stage == Stage.ENDED || clientGone || parts.clock().nowMs() >= ask.deadlineMs()) {
-            return ResultCode.DEADLINE;
-        }
-        if (!parts.follower().fresh()) {
-            return ResultCode.NOT_FRESH;
-        }
-        if (!parts.counter().mayBegin()) {
-            return ResultCode.UNCOUNTED;
-        }
-        final Configuration configuration = parts.configurationStore().configuration();
-        final Configuration.Found now =
-                configuration.find(ask.head().host(), ask.target().path(), ask.keyHash());
-        if (!(now.route() != null && now.route().open())
-                && !AdmissionController.nameOf(now.tenant()).equals(tenantName())) {
-            return ResultCode.BAD_KEY;
-        }
-        if (!edge.athome(now.tenant())) {
-            return ResultCode.WRONG_REGION;
-        }
-        if (now.route() == null
-                || now.route().runOnce() != ask.route().runOnce()
-                || !follow(configuration, now.route())) {
-            return ResultCode.NO_BINDING;
+    /** Sends nothing more. A claim that was not used is first released in its register, then the client is answered. */
+    private void endUnsent(final ResultCode reason) {
+        if (claim != null && !mayHaveRun) {
+            claimManager.releaseUnused(
+                    claim,
+                    proven -> end(admission.reject(
+                            reason, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, attempts.begun())));
+        } else {
+            endWith(reason);
         }
-        return edge.held(configuration) ? ResultCode.HELD : null;
     }
 
-    /** The route may have been changed since the ask was let in; what is sent from now on goes by the new one. */
-    private boolean follow(final Configuration configuration, final Route now) {
-        if (!now.equals(route)) {
-            route = now;
-            if (!now.leadsTo(rule.name())) {
-                rule = configuration.service(now.service(parts.random()));
-            }
-        }
-        return rule != null;
+    /** Why nothing may be sent now, or null if an attempt may begin. */
+    private ResultCode refusal() {
+        return stage == Stage.ENDED || clientDisconnected ? ResultCode.DEADLINE : permission.refusal();
     }
 
-    private void claimed(final ClaimManager.Claimed how) {
-        if (how instanceof ClaimManager.Claimed.Mine mine) {
-            claim = mine.claim();
-            if (stage == Stage.ENDED) {
-                claimManager.voided(claim, proven -> {});
-                return;
-            }
-            change(Stage.GOING);
-            attempt();
-        } else if (how instanceof ClaimManager.Claimed.Ran before) {
-            edge.fetch(
-                    ask.tenant(),
+    private void onClaimResult(final ClaimResult result) {
+        if (result instanceof ClaimResult.Granted granted) {
+            onClaimGranted(granted.claim());
+        } else if (result instanceof ClaimResult.AlreadyRan earlier) {
+            admission.fetchStoredResponse(
+                    grant.tenant(),
                     claimManager.key(),
-                    before.claim().answerDigest(),
-                    kept -> end(
-                            kept != null
-                                    ? new Response(
-                                            ResultCode.REPEATED,
-                                            ExecutionStatus.RAN,
-                                            kept,
-                                            before.claim().instance(),
-                                            0,
-                                            0)
-                                    : new Response(
-                                            ResultCode.RAN_ANSWER_GONE,
-                                            ExecutionStatus.RAN,
-                                            null,
-                                            before.claim().instance(),
-                                            0,
-                                            0)));
-        } else if (how instanceof ClaimManager.Claimed.Not not) {
-            final ResultCode blocked = not.why() == ResultCode.UNCLEAR ? blocked() : null;
-            give(blocked != null ? blocked : not.why());
+                    earlier.claim().answerDigest(),
+                    content -> end(new Response(
+                            content != null ? ResultCode.REPEATED : ResultCode.RAN_ANSWER_GONE,
+                            ExecutionStatus.RAN,
+                            content,
+                            earlier.claim().instance(),
+                            0,
+                            0)));
+        } else if (result instanceof ClaimResult.Refused refused) {
+            final ResultCode refusal = refused.reason() == ResultCode.UNCLEAR ? refusal() : null;
+            endWith(refusal != null ? refusal : refused.reason());
         }
     }
 
-    /** Nothing more is sent. Under a claim that was not used, that is said in its register first, then to the client. */
-    private void stopBefore(final ResultCode why) {
-        if (claim != null && !mayHaveRun) {
-            claimManager.voided(
-                    claim,
-                    proven -> end(edge.deny(
-                            why, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, attempts.begun())));
-        } else {
-            give(why);
+    private void onClaimGranted(final IdempotencyClaim granted) {
+        claim = granted;
+        if (stage == Stage.ENDED) {
+            claimManager.releaseUnused(claim, proven -> {});
+            return;
         }
+        transitionTo(Stage.ATTEMPTING);
+        attempt();
     }
 
     private void attempt() {
-        final ResultCode blocked = blocked();
-        final Upstream to = blocked != null ? null : parts.loadBalancer().elect(rule, this::fits, tried);
-        if (to == null) {
-            if (attempts.open() == 0 && held != null) {
-                end(held);
-            } else if (attempts.open() == 0) {
-                stopBefore(blocked != null ? blocked : mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
-            }
+        final ResultCode refusal = refusal();
+        final Upstream upstream = refusal != null
+                ? null
+                : context.loadBalancer().elect(permission.service(), permission::allows, attemptedInstances);
+        if (upstream == null) {
+            onNoUpstream(refusal);
             return;
         }
         if (attempts.begin()) {
-            // Retries are a share of what upstreams were first asked, not of what was let in.
-            edge.budget(rule).asked();
+            // Retries are a share of the requests that reached an upstream, not of those that were admitted.
+            admission.budget(permission.service()).asked();
+        }
+        attemptedInstances.add(upstream.instance());
+        final Attempt attempt = attemptAt(upstream);
+        final long begunMs = context.clock().nowMs();
+        context.loadBalancer().begun(upstream.instance());
+        reservation.release();
+        scheduleHedge(upstream);
+        final LongSupplier sendableUntilMs = () -> refusal() != null
+                ? Long.MIN_VALUE
+                : Math.min(grant.deadlineMs(), context.follower().freshUntilMs());
+        context.upstreams()
+                .attempt(
+                        attempt,
+                        sendableUntilMs,
+                        this::onAttemptSent,
+                        result -> onAttemptEnded(upstream, result, begunMs));
+    }
+
+    private void onNoUpstream(final ResultCode refusal) {
+        if (attempts.open() > 0) {
+            return;
+        }
+        if (failedResponse != null) {
+            end(failedResponse);
+        } else if (refusal != null) {
+            endUnsent(refusal);
+        } else {
+            endUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
-        tried.add(to.instance());
-        final RequestHead head = ask.head();
-        final long waitMs =
-                Math.min(rule.attemptMs(), ask.deadlineMs() - parts.clock().nowMs());
-        final long begunMs = parts.clock().nowMs();
-        parts.loadBalancer().begun(to.instance());
-        release();
-        if (route.aimMs() > 0 && !ask.route().runOnce()) {
+    }
+
+    private Attempt attemptAt(final Upstream upstream) {
+        final RequestHead head = grant.head();
+        return new Attempt(
+                head.requestId(),
+                grant.tenant() == null ? null : grant.tenantName(),
+                upstream.instance(),
+                upstream.service(),
+                upstream.address(),
+                head.method(),
+                grant.target().raw(),
+                head.headers(),
+                body,
+                Math.min(permission.service().attemptMs(), remainingMs()),
+                grant.service().answerMaxBytes(),
+                !permission.route().runOnce());
+    }
+
+    private void scheduleHedge(final Upstream upstream) {
+        final long latencyTargetMs = permission.route().aimMs();
+        if (latencyTargetMs > 0 && !grant.route().runOnce()) {
             final int number = attempts.begun();
-            parts.clock().after(Math.max(1, (long) (LATE * route.aimMs())), () -> late(to, number));
+            context.clock()
+                    .after(Math.max(1, (long) (HEDGE_AFTER * latencyTargetMs)), () -> onHedgeDue(upstream, number));
         }
-        final LongSupplier until = () -> blocked() != null
-                ? Long.MIN_VALUE
-                : Math.min(ask.deadlineMs(), parts.follower().freshUntilMs());
-        parts.upstreams()
-                .attempt(
-                        new Attempt(
-                                head.requestId(),
-                                ask.tenant() == null ? null : tenantName(),
-                                to.instance(),
-                                to.service(),
-                                to.address(),
-                                head.method(),
-                                ask.target().raw(),
-                                head.headers(),
-                                body,
-                                waitMs,
-                                ask.rule().answerMaxBytes(),
-                                !route.runOnce()),
-                        until,
-                        () -> counted(),
-                        result -> went(to, result, begunMs));
-    }
-
-    /** An upstream that is silent for long may be gone. What may be repeated is asked of another one too, once and paid for,
-     * and the first whole answer counts. */
-    private void late(final Upstream silent, final int number) {
-        if (stage == Stage.GOING && attempts.open() == 1 && attempts.begun() == number) {
-            parts.loadBalancer().late(silent.instance());
-            again();
+    }
+
+    /** An idempotent request is sent to a second upstream as well, once and paid for; the first complete answer counts. */
+    private void onHedgeDue(final Upstream silent, final int number) {
+        if (stage == Stage.ATTEMPTING && attempts.open() == 1 && attempts.begun() == number) {
+            context.loadBalancer().late(silent.instance());
+            retry();
         }
     }
 
-    private void counted() {
-        if (ask.tenant() != null) {
-            parts.counter().begun(tenantName());
+    private void onAttemptSent() {
+        if (grant.tenant() != null) {
+            context.counter().begun(grant.tenantName());
         }
     }
 
-    private void went(final Upstream to, final AttemptResult result, final long begunMs) {
+    private void onAttemptEnded(final Upstream upstream, final AttemptResult result, final long begunMs) {
         attempts.ended(!(result instanceof AttemptResult.NotSent));
-        mayHaveRun |= result instanceof AttemptResult.Whole || result instanceof AttemptResult.Lost;
-        final boolean blockedHere =
-                result instanceof AttemptResult.NotSent n && n.why().equals("barred");
-        final long slowMs = route.aimMs() > 0 ? route.aimMs() : rule.attemptMs() / 4;
-        parts.loadBalancer()
+        mayHaveRun |= result instanceof AttemptResult.Answered || result instanceof AttemptResult.Lost;
+        final Route route = permission.route();
+        final long slowMs =
+                route.aimMs() > 0 ? route.aimMs() : permission.service().attemptMs() / 4;
+        context.loadBalancer()
                 .ended(
-                        to.service(),
-                        to.instance(),
-                        blockedHere || result instanceof AttemptResult.Whole
-                                ? LoadBalancer.End.WELL
-                                : result instanceof AttemptResult.NotRun
-                                        ? LoadBalancer.End.DENIED
-                                        : result instanceof AttemptResult.NotSent
-                                                ? LoadBalancer.End.UNREACHED
-                                                : LoadBalancer.End.LOST,
-                        parts.clock().nowMs() - begunMs,
+                        upstream.service(),
+                        upstream.instance(),
+                        endFor(result),
+                        context.clock().nowMs() - begunMs,
                         slowMs);
-        if (result instanceof AttemptResult.Whole whole) {
-            whole(to, whole);
+        if (result instanceof AttemptResult.Answered answered) {
+            onAnswered(upstream, answered);
         } else {
-            error(to, result);
+            onAttemptFailed(upstream, result);
         }
     }
 
-    private void whole(final Upstream to, final AttemptResult.Whole whole) {
-        final int status = whole.content().status();
-        if (claim != null) {
-            record(to, whole);
+    private static LoadBalancer.End endFor(final AttemptResult result) {
+        if (result instanceof AttemptResult.Answered) {
+            return LoadBalancer.End.WELL;
         }
-        final Response answer =
-                new Response(ResultCode.OK, ExecutionStatus.RAN, whole.content(), to.instance(), attempts.begun(), 0);
-        final boolean poor = status == 502
-                || status == 503
-                || status >= 500 && edge.timing().conventions().any500();
-        if (claim == null && poor && !ask.route().runOnce() && stage != Stage.ENDED) {
-            held = answer;
-            if (attempts.open() > 0 || again()) {
+        if (result instanceof AttemptResult.NotSent unsent) {
+            return unsent.why().equals(STOPPED_HERE) ? LoadBalancer.End.WELL : LoadBalancer.End.UNREACHED;
+        }
+        return result instanceof AttemptResult.NotRun ? LoadBalancer.End.DENIED : LoadBalancer.End.LOST;
+    }
+
+    private void onAnswered(final Upstream upstream, final AttemptResult.Answered answered) {
+        if (claim != null) {
+            recordExecuted(upstream, answered);
+        }
+        final Response response = new Response(
+                ResultCode.OK, ExecutionStatus.RAN, answered.content(), upstream.instance(), attempts.begun(), 0);
+        final boolean failed = isFailure(answered.content().status());
+        if (claim == null && failed && !grant.route().runOnce() && stage != Stage.ENDED) {
+            failedResponse = response;
+            if (attempts.open() > 0 || retry()) {
                 return;
             }
         }
-        end(answer);
+        end(response);
     }
 
-    private void error(final Upstream to, final AttemptResult result) {
+    private boolean isFailure(final int status) {
+        return status == 502
+                || status == 503
+                || status >= 500 && admission.limits().conventions().any500();
+    }
+
+    private void onAttemptFailed(final Upstream upstream, final AttemptResult result) {
         LOG.atFine().log(
-                "event=trouble node=%s instance=%s ask=%s result=%s",
-                parts.self().name(), to.instance(), ask.head().requestId(), result);
+                "event=attempt_failed node=%s instance=%s request=%s result=%s",
+                context.self().name(), upstream.instance(), grant.head().requestId(), result);
         if (stage == Stage.ENDED) {
             if (claim != null && !mayHaveRun) {
-                claimManager.voided(claim, proven -> {});
+                claimManager.releaseUnused(claim, proven -> {});
             }
-            return;
-        }
-        if (ask.route().runOnce() && mayHaveRun) {
-            give(ResultCode.LOST);
-            return;
+        } else if (grant.route().runOnce() && mayHaveRun) {
+            endWith(ResultCode.LOST);
+        } else if (attempts.open() == 0) {
+            retryOrEnd();
         }
-        if (attempts.open() > 0) {
-            return;
-        }
-        if (held != null) {
-            end(held);
+    }
+
+    private void retryOrEnd() {
+        if (failedResponse != null) {
+            end(failedResponse);
             return;
         }
-        final ResultCode blocked = blocked();
-        if (blocked != null) {
-            stopBefore(blocked);
-        } else if (!again()) {
-            stopBefore(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
+        final ResultCode refusal = refusal();
+        if (refusal != null) {
+            endUnsent(refusal);
+        } else if (!retry()) {
+            endUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
     }
 
-    private boolean again() {
-        final int most = route.attemptsMax() > 0
-                ? Math.min(route.attemptsMax(), edge.timing().attemptsMax())
-                : edge.timing().attemptsMax();
-        if (stage == Stage.ENDED || blocked() != null || !attempts.again(most, edge.budget(rule))) {
+    /** Begins one more attempt if limits and the retry budget allow it. */
+    private boolean retry() {
+        final int configuredMax = permission.route().attemptsMax();
+        final int attemptsMax = configuredMax > 0
+                ? Math.min(configuredMax, admission.limits().attemptsMax())
+                : admission.limits().attemptsMax();
+        if (stage == Stage.ENDED
+                || refusal() != null
+                || !attempts.again(attemptsMax, admission.budget(permission.service()))) {
             return false;
         }
         attempt();
         return true;
     }
 
-    /** The claim's end and the answer go to the store and to home cores; the client need not wait for it. */
-    private void record(final Upstream to, final AttemptResult.Whole whole) {
-        final HandoffMessage.Store keep = new HandoffMessage.Store(
-                claimManager.key(), KeyHash.hex(MessageCodec.bytes(whole.content())), whole.content());
-        parts.responseCache().keep(keep);
-        for (final String core : parts.homeCores().apply(ask.tenant().homeRegions())) {
-            parts.post().send(core, keep);
+    /** The claim's end and the response go to their stores and to cores of the home regions; the client doesn't wait. */
+    private void recordExecuted(final Upstream upstream, final AttemptResult.Answered answered) {
+        final HandoffMessage.Store stored = new HandoffMessage.Store(
+                claimManager.key(), KeyHash.hex(MessageCodec.bytes(answered.content())), answered.content());
+        context.responseCache().keep(stored);
+        for (final String core : context.homeCores().apply(grant.tenant().homeRegions())) {
+            context.post().send(core, stored);
         }
-        claimManager.ran(claim, whole.content().status(), keep.digest(), to.instance());
+        claimManager.recordExecuted(claim, answered.content().status(), stored.digest(), upstream.instance());
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/RequestHead.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestHead.java
@@ -3,7 +3,17 @@
 import java.util.List;
 import spokestall.message.Header;
 
-/** What is known of an ask before its body is read; headers are the end-to-end ones, host is empty where it does not count, key is null where none came, target is as it came, spanMs is what remains until its deadline. */
+/**
+ * What is known of a request before its body is read.
+ *
+ * @param host empty where it doesn't count
+ * @param target the request target as it came
+ * @param key the client's key, null if none came
+ * @param requestId the client's id of the request, null if none came
+ * @param spanMs what remains until its deadline; {@code Long.MIN_VALUE} if that could not be read
+ * @param bodyBytes its body's length, negative if that isn't known yet
+ * @param headers the end-to-end headers
+ */
 public record RequestHead(
         String method,
         String host,
@@ -13,7 +23,7 @@
         long spanMs,
         long bodyBytes,
         List<Header> headers) {
-    /** The same, after so much of its span is over. */
+    /** The same head after it has waited; less remains until its deadline. */
     public RequestHead later(final long waitedMs) {
         return spanMs == Long.MIN_VALUE
                 ? this
--- a/spokestall/src/main/java/spokestall/proxy/Response.java
+++ b/spokestall/src/main/java/spokestall/proxy/Response.java
@@ -3,7 +3,15 @@
 import spokestall.api.ResultCode;
 import spokestall.message.ResponseContent;
 
-/** The final answer to an ask; content is the upstream's own, or null when spokestall itself answers. */
+/**
+ * The final response to a request.
+ *
+ * @param ran what is known of whether the request ran
+ * @param content the upstream's own response, null when spokestall itself responds
+ * @param instance the upstream that ran it, null if none did
+ * @param attempts how many attempts were begun
+ * @param retryAfterMs when the client may come back, zero if that isn't said
+ */
 public record Response(
         ResultCode result,
         ExecutionStatus ran,
--- a/spokestall/src/main/java/spokestall/proxy/UpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/proxy/UpstreamClient.java
@@ -3,11 +3,15 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** How an edge reaches upstreams, at the rim. */
+/** Sends attempts to upstreams; implemented by the I/O layer. */
 public interface UpstreamClient {
-    /** {@code until} is asked on the stage when the wire is open, and tells until when, on the monotonic clock, the
-     * first bytes may leave; it is looked at once more in the moment they do. A time gone by is "not at all".
-     * When they have left, {@code sent} is run on
-     * the stage, before {@code done}. */
+    /**
+     * Sends an attempt.
+     *
+     * @param until asked on the event loop when a connection is open: until when, on the monotonic clock, the first bytes may
+     *     leave; checked once more in the moment they do. A time in the past means not at all.
+     * @param sent run on the event loop when the first bytes have left, before {@code done}
+     * @param done receives how the attempt ended, once, on the event loop
+     */
     void attempt(Attempt attempt, LongSupplier until, Runnable sent, Consumer<AttemptResult> done);
 }
--- a/spokestall/src/main/java/spokestall/proxy/package-info.java
+++ b/spokestall/src/main/java/spokestall/proxy/package-info.java
@@ -2,7 +2,7 @@
  * The data path: a client's request from its admission to its answer.
  *
  * <p>Owns: admission before the body is read ({@link spokestall.proxy.AdmissionController}), the attempts of a request
- * ({@code Run}, {@code Goes}), the choice of an upstream ({@link spokestall.proxy.LoadBalancer}), concurrency limits, the
+ * ({@link spokestall.proxy.AdmittedRequest}), the choice of an upstream ({@link spokestall.proxy.LoadBalancer}), concurrency limits, the
  * retry budget, and the claim of a run-once request ({@link spokestall.proxy.IdempotencyClaim}).
  *
  * <p>Invariants: without a fresh confirmation that its configuration is the newest, an edge admits nothing and begins no
@@ -10,6 +10,6 @@
  * deployment has claims. Each request gets one answer.
  *
  * <p>Callers: the server in {@code rim} opens requests here; {@code Node} builds the edge. It reaches upstreams only through
- * {@link spokestall.proxy.UpstreamClient}. All calls are made on the node's stage.
+ * {@link spokestall.proxy.UpstreamClient}. All calls are made on the node's event loop.
  */
 package spokestall.proxy;
--- a/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
@@ -115,8 +115,8 @@
     @Test
     void theHeadOfAnUpstreamsAnswerIsRead() {
         final AttemptResult result = judged(GoldenFile.text("go-answer-head.txt"));
-        assertThat(result).isInstanceOf(AttemptResult.Whole.class);
-        final ResponseContent content = ((AttemptResult.Whole) result).content();
+        assertThat(result).isInstanceOf(AttemptResult.Answered.class);
+        final ResponseContent content = ((AttemptResult.Answered) result).content();
         assertThat(content.status()).isEqualTo(201);
         assertThat(content.headers())
                 .containsExactlyInAnyOrder(new Header("Content-Type", "application/json"), new Header("X-Trace", "7"));
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -195,14 +195,14 @@
         final AdmittedRequest[] mine = {null};
         final AdmissionResult opened = edge.node()
                 .edge()
-                .open(
+                .admit(
                         head,
                         answer -> world.sim.after(1 + random.nextInt(20), () -> {
                             done.accept(answer);
-                            edge.run(incarnation, () -> mine[0].written());
+                            edge.run(incarnation, () -> mine[0].onResponseWritten());
                         }));
-        if (opened instanceof AdmissionResult.Rejected deny) {
-            world.sim.after(1 + random.nextInt(20), () -> done.accept(deny.answer()));
+        if (opened instanceof AdmissionResult.Rejected rejected) {
+            world.sim.after(1 + random.nextInt(20), () -> done.accept(rejected.response()));
             return;
         }
         world.judge.check(
@@ -210,10 +210,10 @@
                 world.home(world.asked.get(head.requestId()).kind.tenant()).contains(edge.region) ? 0 : 2,
                 "body of " + head.requestId() + " carried to " + edge.region);
         // The body comes a little later than the head.
-        mine[0] = ((AdmissionResult.Admit) opened).ask();
+        mine[0] = ((AdmissionResult.Admitted) opened).request();
         world.asked.get(head.requestId()).admittedMs = world.sim.nowMs();
         world.asked.get(head.requestId()).spanMs = head.spanMs();
-        world.sim.after(1 + random.nextInt(5), () -> edge.run(incarnation, () -> mine[0].run(body)));
+        world.sim.after(1 + random.nextInt(5), () -> edge.run(incarnation, () -> mine[0].onBody(body)));
     }
 
     private void told(
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -272,7 +272,7 @@
         }
 
         private AttemptResult whole(final Attempt attempt, final String body) {
-            return new AttemptResult.Whole(new ResponseContent(
+            return new AttemptResult.Answered(new ResponseContent(
                     200,
                     List.of(new Header("Content-Type", "text/plain"), new Header("X-Answer-To", askOf(attempt))),
                     body.getBytes(StandardCharsets.UTF_8)));
