--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -15,6 +15,7 @@
 import spokestall.io.LogLineFormatter;
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fault.ProcessFault;
+import spokestall.testbed.fault.RollingUpgrade;
 import spokestall.testbed.fleet.Fleet;
 import spokestall.testbed.scale.ScaleCommand;
 import spokestall.testbed.scale.ScaleFlags;
@@ -94,6 +95,7 @@
         final int code = switch (what) {
             case "fleet" -> fleet(rest);
             case "faults" -> faults(rest);
+            case "upgrade" -> upgrade(rest);
             case "sim" -> sim(rest);
             case "growth" -> ConfigurationGrowth.run();
             case "history" -> history(rest);
@@ -101,7 +103,7 @@
             case "scale" -> scale(rest);
             default -> {
                 System.err.println(
-                        "proof fleet|faults|sim|scale [--help], proof growth, proof history [CHANGES]..., proof traffic [key=value]...");
+                        "testbed fleet|faults|upgrade|sim|scale [--help], testbed growth, testbed history [CHANGES]..., testbed traffic [key=value]...");
                 yield 2;
             }
         };
@@ -210,6 +212,13 @@
         return bad == 0 ? 0 : 1;
     }
 
+    /** An older build replaced by this one, node by node. */
+    private static int upgrade(final String[] args) throws Exception {
+        final RollingUpgrade.Flags flags = new RollingUpgrade.Flags();
+        final Integer done = read(flags, args, () -> {});
+        return done != null ? done : RollingUpgrade.run(flags);
+    }
+
     /** One fault on a fleet of its own; whether all came out as it must. */
     private static boolean one(
             final FleetFlags flags,
--- /dev/null
+++ b/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
@@ -0,0 +1,120 @@
+package spokestall.testbed.fault;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.kohsuke.args4j.Option;
+import spokestall.testbed.Deployment;
+import spokestall.testbed.fleet.Fleet;
+import spokestall.testbed.fleet.NodeBuild;
+import spokestall.testbed.verdict.FleetJudge;
+
+/**
+ * A fleet of processes that begins with an older build and is replaced by this one under load, a node at a time: first the
+ * cores, each on the data that the older build left, then the edges. The configuration is changed before, in the middle of
+ * and after the replacement, and each change must be in force at nodes of both builds. All rules are judged.
+ */
+public final class RollingUpgrade {
+    /** Flags of the command. */
+    public static final class Flags {
+        @Option(name = "--older", required = true, usage = "class path of the older build: its classes and libraries")
+        private String olderClassPath;
+
+        @Option(name = "--older-main", usage = "its main class")
+        private String olderMainClass = "spokestall.Main";
+
+        @Option(name = "--deployment", usage = "padma or verde")
+        private Deployment deployment = Deployment.PADMA;
+
+        @Option(name = "--seconds", usage = "how long clients send requests")
+        private int seconds = 90;
+
+        @Option(name = "--folder", usage = "where settings, data and logs go")
+        private Path folder = Path.of("target", "fleet");
+
+        @Option(name = "--help", help = true, usage = "this page")
+        @SuppressWarnings("UnusedVariable") // args4j looks for the option, not at the field.
+        private boolean help;
+    }
+
+    private static final double SERVED_RATIO_MIN = 0.99;
+    private static final int REQUESTS_BEFORE_UPGRADE = 200;
+    private static final long REQUESTS_WAIT_MS = 20_000;
+
+    private RollingUpgrade() {}
+
+    /** Runs it; zero if every rule was kept, enough requests were served and all processes stopped cleanly. */
+    public static int run(final Flags flags) throws Exception {
+        final Path folder = flags.folder.resolve("upgrade-" + System.currentTimeMillis());
+        try (Fleet fleet = new Fleet(flags.deployment, folder, Deployment.DISTRICTS, 0)) {
+            final NodeBuild older = new NodeBuild(flags.olderClassPath, flags.olderMainClass);
+            fleet.members().values().forEach(member -> fleet.build(member, older));
+            fleet.start();
+            fleet.ready(fleet.putConfiguration());
+            final FleetJudge judge = new FleetJudge(fleet);
+            final Process clients = fleet.demand(flags.seconds, SERVED_RATIO_MIN);
+            Fleet.until(
+                    "requests arrive",
+                    REQUESTS_WAIT_MS,
+                    () -> fleet.ledger().began().size() > REQUESTS_BEFORE_UPGRADE);
+            upgrade(fleet, flags.deployment);
+            final int served = clients.waitFor();
+            for (final Fleet.Member member : fleet.members().values()) {
+                fleet.freshAgain(member);
+            }
+            judge.end();
+            final boolean clean = fleet.stopAll();
+            final List<String> broken = broken(judge);
+            System.out.println("upgrade deployment=" + flags.deployment + " served=" + (served == 0 ? "good" : "bad")
+                    + " broken=" + broken + " stopped=" + (clean ? "clean" : "unclean") + " folder=" + folder);
+            return served == 0 && broken.isEmpty() && clean ? 0 : 1;
+        }
+    }
+
+    private static void upgrade(final Fleet fleet, final Deployment deployment)
+            throws IOException, InterruptedException {
+        final List<Fleet.Member> order = new ArrayList<>(
+                fleet.members().values().stream().filter(m -> m.core).toList());
+        fleet.members().values().stream().filter(m -> !m.core).forEach(order::add);
+        for (int i = 0; i < order.size(); i++) {
+            if (i == order.size() / 4) {
+                change(fleet, deployment, "cores-of-both-builds");
+            }
+            if (i == order.size() * 3 / 4) {
+                change(fleet, deployment, "edges-of-both-builds");
+            }
+            replace(fleet, order.get(i));
+        }
+        change(fleet, deployment, "all-of-this-build");
+    }
+
+    /** Stops a node in order and starts this build with the same settings and data. */
+    private static void replace(final Fleet fleet, final Fleet.Member member) throws IOException, InterruptedException {
+        member.process.destroy();
+        member.process.waitFor();
+        fleet.build(member, NodeBuild.THIS);
+        fleet.start(member);
+        fleet.freshAgain(member);
+        System.out.println("upgraded " + member.name);
+    }
+
+    /** Puts the configuration as another version and waits until every node has it. */
+    private static void change(final Fleet fleet, final Deployment deployment, final String changeId) {
+        final ObjectNode configuration = deployment.configuration();
+        final long version = fleet.putConfiguration(changeId, configuration);
+        fleet.ready(version);
+        System.out.println("changed " + changeId + " version=" + version);
+    }
+
+    private static List<String> broken(final FleetJudge judge) {
+        final List<String> broken = new ArrayList<>();
+        judge.judge().tallies().forEach((rule, tally) -> {
+            if (tally.broken > 0) {
+                broken.add(rule + " x" + tally.broken + " " + tally.first);
+            }
+        });
+        return broken;
+    }
+}
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -15,6 +15,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -70,6 +71,9 @@
     private final Path folder;
     private final LinkConditions links;
     private boolean hooked;
+    /** The build that members start with, where that isn't this one. */
+    private final Map<Member, NodeBuild> builds = new HashMap<>();
+
     private final Ledger ledger = new Ledger();
     private final XnioWorker worker;
     private final List<UpstreamInstance> upstreams = new CopyOnWriteArrayList<>();
@@ -204,6 +208,11 @@
         hooked = true;
     }
 
+    /** Has a member run this build from its next start on. */
+    public void build(final Member member, final NodeBuild build) {
+        builds.put(member, build);
+    }
+
     public void start() throws IOException {
         platform.start();
         for (final UpstreamInstance u : upstreams) {
@@ -217,6 +226,7 @@
     public void start(final Member m) throws IOException {
         final String java =
                 Path.of(System.getProperty("java.home"), "bin", "java").toString();
+        final NodeBuild build = builds.getOrDefault(m, hooked ? NodeBuild.HOOKED : NodeBuild.THIS);
         m.process = new ProcessBuilder(
                         java,
                         "-ea",
@@ -224,8 +234,8 @@
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
-                        System.getProperty("java.class.path"),
-                        hooked ? "spokestall.testbed.fleet.FaultHookNode" : "spokestall.cli.Main",
+                        build.classPath(),
+                        build.mainClass(),
                         m.core ? "core" : "edge",
                         hooked ? m.settings.toString() : "--settings",
                         hooked ? m.hooks.toString() : m.settings.toString())
