--- a/spokestall/src/test/java/spokestall/PagesTest.java
+++ b/spokestall/src/test/java/spokestall/PagesTest.java
@@ -12,13 +12,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The pages for newcomers name classes that exist, in the packages that they name. */
+/** The pages for newcomers name classes that exist, in the packages that they name; the page for operators has every log event. */
 class PagesTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
     /** A package's last part if given, a class, and a nested class or a member of it if given. */
     private static final Pattern NAME = Pattern.compile("`(?:([a-z]+)\\.)?([A-Z]\\w+)(?:\\.(\\w+))?`");
 
+    private static final Pattern EVENT = Pattern.compile("\"event=([a-zA-Z_]+)");
+
     private static List<Path> sources() throws IOException {
         try (Stream<Path> files = Files.walk(ROOT)) {
             return files.filter(f -> f.toString().contains("/src/"))
@@ -59,4 +61,34 @@
             assertThat(unknown(Files.readString(ROOT.resolve(page)))).as(page).isEmpty();
         }
     }
+
+    private static List<String> eventsOf(final String source) {
+        final List<String> events = new ArrayList<>();
+        final Matcher event = EVENT.matcher(source);
+        while (event.find()) {
+            events.add(event.group(1));
+        }
+        return events;
+    }
+
+    @Test
+    void everyLogEventIsOnTheOperatorsPage() throws IOException {
+        final String page = Files.readString(ROOT.resolve("docs/operating.md"));
+        assertThat(eventsOf("log(\"event=one node=%s\"); log(\"event=an_other\")"))
+                .containsExactly("one", "an_other");
+        final List<String> missing = new ArrayList<>();
+        int found = 0;
+        for (final Path file : sources()) {
+            if (file.toString().contains("/src/main/") && !file.startsWith(ROOT.resolve("testbed"))) {
+                for (final String event : eventsOf(Files.readString(file))) {
+                    found++;
+                    if (!page.contains("`" + event + "`")) {
+                        missing.add(file.getFileName() + " logs " + event);
+                    }
+                }
+            }
+        }
+        assertThat(found).as("events in the sources").isGreaterThan(20);
+        assertThat(missing).isEmpty();
+    }
 }
