--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -29,6 +29,7 @@
 import spokestall.io.transport.TcpTransport;
 import spokestall.io.transport.TrustedNetworks;
 import spokestall.node.Node;
+import spokestall.node.NodeEnvironment;
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsSource;
 import spokestall.storage.FileSegmentStore;
@@ -156,7 +157,7 @@
                 node = new Node(
                         settings,
                         core,
-                        new Node.NodeEnvironment(
+                        new NodeEnvironment(
                                 clock,
                                 new Random(new SecureRandom().nextLong()),
                                 transport,
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.google.common.flogger.FluentLogger;
 import java.util.List;
-import java.util.Random;
 import java.util.function.Consumer;
 import spokestall.api.CallRegistry;
 import spokestall.api.Reply;
@@ -24,7 +23,6 @@
 import spokestall.consensus.VoterSet;
 import spokestall.discovery.DiscoveryMessage;
 import spokestall.discovery.EndpointRegistry;
-import spokestall.discovery.HealthChecker;
 import spokestall.gossip.GossipMessage;
 import spokestall.gossip.PartialView;
 import spokestall.handoff.HandoffMessage;
@@ -33,35 +31,19 @@
 import spokestall.membership.MembershipMessage;
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
-import spokestall.message.MessageSender;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.EdgeDirectory;
-import spokestall.proxy.UpstreamClient;
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsUpdate;
-import spokestall.storage.SegmentStore;
-import spokestall.time.Clock;
 import spokestall.usage.SealedWindow;
 import spokestall.usage.UsageCounter;
 import spokestall.usage.UsageMessage;
-import spokestall.usage.UsageReporter;
 
 /**
  * One node, whole: its state machines joined to each other and to the rim. Everything here runs on one stage; time,
  * randomness, the network and the disk come from outside, so that a process and the simulator run the same node.
  */
 public final class Node {
-    /** What a node reaches the world by. */
-    public record NodeEnvironment(
-            Clock clock,
-            Random random,
-            MessageSender post,
-            SegmentStore segments,
-            HealthChecker.Reach reach,
-            UpstreamClient upstreams,
-            UsageReporter.Platform platform,
-            AuditSink audit) {}
-
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int HURRIED = 4;
 
--- a/spokestall/src/main/java/spokestall/node/NodeContext.java
+++ b/spokestall/src/main/java/spokestall/node/NodeContext.java
@@ -25,7 +25,7 @@
     NodeContext(
             final Settings settings,
             final boolean core,
-            final Node.NodeEnvironment environment,
+            final NodeEnvironment environment,
             final java.util.function.Consumer<Message> receiver) {
         this.settings = settings;
         this.core = core;
@@ -40,7 +40,7 @@
             if (to.equals(address)) {
                 clock.after(0, () -> receiver.accept(message));
             } else {
-                environment.post().send(to, message);
+                environment.messageSender().send(to, message);
             }
         };
     }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -16,6 +16,7 @@
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
 import spokestall.node.Node;
+import spokestall.node.NodeEnvironment;
 import spokestall.proxy.Attempt;
 import spokestall.proxy.AttemptResult;
 import spokestall.proxy.UpstreamClient;
@@ -142,7 +143,7 @@
         node = new Node(
                 settings,
                 core,
-                new Node.NodeEnvironment(
+                new NodeEnvironment(
                         clock,
                         run.random(name + "/" + mine),
                         (to, message) -> send(mine, to, message),
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -8,6 +8,7 @@
 import spokestall.audit.AuditSink;
 import spokestall.message.Message;
 import spokestall.node.Node;
+import spokestall.node.NodeEnvironment;
 import spokestall.settings.Settings;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
@@ -127,7 +128,7 @@
         };
         final Random random = world.sim.random(name + "/" + incarnation);
         world.sim.trace("start " + name + " life " + incarnation);
-        final Node.NodeEnvironment environment = new Node.NodeEnvironment(
+        final NodeEnvironment environment = new NodeEnvironment(
                 clock,
                 random,
                 (to, message) -> world.send(this, mine, to, message),
