--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void endWithAnswers() {
+    public void closeAfterResponses() {
         ending = true;
     }
 
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public void endResting() {
+    public void closeIdle() {
         clients.forEach(client -> client.execute(client::endUnlessUnderWay));
     }
 
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -140,7 +140,7 @@
         final Clock clock = new SystemClock(timer, stage);
         final TcpTransport transport = new TcpTransport(
                 worker,
-                message -> stage.offer(() -> node.hear(message)),
+                message -> stage.offer(() -> node.onMessage(message)),
                 settings.part("leaveBoundMs", 0.25),
                 (int) settings.ms("noteVersion"),
                 new TrustedNetworks(settings.peers()));
@@ -184,14 +184,14 @@
                     + settings.operators() + ": " + e.getMessage());
         }
         stage.execute(() -> {
-            node.watch(configuration -> server.limits(configuration.limits()));
+            node.listenToConfiguration(configuration -> server.limits(configuration.limits()));
             node.start();
         });
         watch(timer, worker, stage, server);
         final CountDownLatch stopped = new CountDownLatch(1);
         final CountDownLatch gone = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            stage.execute(() -> node.leave(server.connections(), stopped::countDown));
+            stage.execute(() -> node.shutDown(server.connections(), stopped::countDown));
             try {
                 stopped.await((long) (STOP_RATIO * settings.ms("stopWaitMs")) + STOP_LEAST_MS, TimeUnit.MILLISECONDS);
             } catch (final InterruptedException e) {
@@ -209,7 +209,7 @@
         final SettingsReloader watch = new SettingsReloader(
                 source,
                 new EventLoop(reader, STAGE_BOUND),
-                newer -> stage.execute(() -> server.renew(node.renew(newer))));
+                newer -> stage.execute(() -> server.renew(node.applySettings(newer))));
         HangupSignal.process().listen(watch::signalled);
         if (source.file().isPresent()) {
             timer.executeAtInterval(watch::look, LOOK_MS, TimeUnit.MILLISECONDS);
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -119,7 +119,7 @@
     }
 
     void ask(final HttpServerExchange exchange, final long cameMs) {
-        final AdmissionController edge = node.edge();
+        final AdmissionController edge = node.admissionController();
         final RequestHead head = protocol.head(
                 exchange.getRequestMethod().toString(),
                 host(exchange),
--- a/spokestall/src/main/java/spokestall/node/ClientConnections.java
+++ b/spokestall/src/main/java/spokestall/node/ClientConnections.java
@@ -1,16 +1,20 @@
 package spokestall.node;
 
-/** The connections of those outside the fleet to a node, as far as its leaving goes. */
+/**
+ * The connections of clients to a node, as far as its graceful shutdown is concerned. Implemented by the listeners.
+ *
+ * <p>Called on the node's event loop; implementations hand over to their own I/O threads.
+ */
 public interface ClientConnections {
-    /** From now on each answer is the last one on its connection, and says so. */
-    void endWithAnswers();
+    /** From now on each response is the last one on its connection, and says so. */
+    void closeAfterResponses();
 
-    /** Takes no more connections; those that are open go on. */
+    /** Accepts no more connections; those that are open go on. */
     void stopAccepting();
 
-    /** Ends each connection that no request is under way on; what arrives from then on is not read. */
-    void endResting();
+    /** Closes each connection that has no request in flight; what arrives from then on is not read. */
+    void closeIdle();
 
-    /** Connections on which a request is under way or may still come. */
+    /** Returns the number of connections on which a request is in flight or may still arrive. */
     int open();
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/CoreStatus.java
@@ -0,0 +1,68 @@
+package spokestall.node;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+
+/**
+ * A core's part of {@code status}: its voter and disk, the usage report's lease, the hints that it stores for other voters, and
+ * the edges that request the feed from it.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
+final class CoreStatus implements StatusCalls.RoleStatus {
+    private final NodeContext context;
+    private final CoreStorage storage;
+    private final UsageComponent usage;
+    private final HandoffComponent handoff;
+    private final FeedServer feedServer;
+
+    CoreStatus(
+            final NodeContext context,
+            final CoreStorage storage,
+            final UsageComponent usage,
+            final HandoffComponent handoff,
+            final FeedServer feedServer) {
+        this.context = context;
+        this.storage = storage;
+        this.usage = usage;
+        this.handoff = handoff;
+        this.feedServer = feedServer;
+    }
+
+    @Override
+    public void describe(final ObjectNode status) {
+        status.put("voter", storage.acceptor.state().name())
+                .put("ring", storage.segmentedLog.state().name())
+                .put("ringFill", storage.segmentedLog.fill())
+                .put("registers", storage.acceptor.registers().size());
+        addLease(status.putObject("duty"));
+        final ObjectNode hints = status.putObject("hints");
+        handoff.hints.sizes().forEach(hints::put);
+        final ObjectNode edges = status.putObject("edges");
+        feedServer
+                .edges()
+                .forEach((name, edge) -> edges.putObject(name)
+                        .put("fresh", edge.fresh())
+                        .put("open", edge.open())
+                        .put("leaving", edge.member().leaving())
+                        .put("heardMs", context.clock.nowMs() - edge.heardMs()));
+    }
+
+    private void addLease(final ObjectNode lease) {
+        lease.put("state", usage.leaseManager.state().name());
+        if (usage.leaseManager.seen() != null) {
+            lease.put("holder", usage.leaseManager.seen().holder())
+                    .put("token", usage.leaseManager.seen().token());
+        }
+        lease.put("lastSealed", usage.reporter.lastSealed()).put("missed", usage.reporter.missed());
+    }
+
+    /** The zone is evacuated once no edge in it has a request in flight. */
+    @Override
+    public void describeEvacuation(final String zone, final ObjectNode evacuation) {
+        int open = 0;
+        for (final FeedServer.Present edge : feedServer.edges().values()) {
+            open += edge.member().zone().equals(zone) ? edge.open() : 0;
+        }
+        evacuation.put("open", open).put("empty", open == 0);
+    }
+}
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -4,36 +4,37 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import spokestall.configuration.ConfigurationSnapshot;
 import spokestall.configuration.ConfigurationStore;
 import spokestall.configuration.feed.ConfigurationKeys;
 import spokestall.configuration.feed.FeedClient;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.Register;
 import spokestall.consensus.VoterSet;
-import spokestall.message.MessageCodec;
 import spokestall.storage.SegmentStore;
 import spokestall.storage.SegmentedLog;
 
-/** A core's disk: its voter's registers, which of them are kept, and the configuration's snapshot beside them. */
+/**
+ * A core's disk: the log, the acceptor whose registers are in it, which of these are retained, and the configuration's snapshot.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
 final class CoreStorage {
-    /** How many of the newest changes followers may start from. */
-    static final int CONFIGURATION_KEPT = 1024;
+    /** How many of the newest versions a feed client can catch up on one by one. */
+    static final int VERSIONS_KEPT = 1024;
 
-    static final String POLICY = "~policy";
+    /** The key of the mark that this disk took part in a bootstrap, among the acceptor's local records. */
     static final String BOOTSTRAP_ACCEPTOR = "~council";
-    /** The share of the ring that registers of versions that are in the snapshot may take. */
-    private static final double CONFIGURATION_KEPT_SHARE = 0.1;
+    /** The ratio of {@code claimKeepMs} for which a claim is kept beyond it, so that no two cores' clocks differ over it. */
+    private static final double CLAIM_MARGIN_RATIO = 0.2;
 
     private final NodeContext context;
     private final ConfigurationStore configurationStore;
-    private final RegisterRetention keeping;
-    private boolean configurationDirty;
-    private boolean keepingConfiguration;
-    private long snapshotDown;
+    private final RegisterRetention retention;
+    private final SnapshotStore snapshots;
     final SegmentedLog segmentedLog;
     final Acceptor acceptor;
 
+    /** {@code ready} returns whether this core knows enough of the fleet to vote, if its acceptor does. */
     CoreStorage(
             final NodeContext context,
             final SegmentStore segments,
@@ -43,109 +44,101 @@
         this.context = context;
         this.configurationStore = configurationStore;
         this.segmentedLog = new SegmentedLog(segments);
-        this.keeping = new RegisterRetention(
-                ready,
+        this.retention = new RegisterRetention(
+                new RegisterRetention.Periods(
+                        context.settings().ms("claimKeepMs"),
+                        context.settings().part("claimKeepMs", CLAIM_MARGIN_RATIO),
+                        context.timings().windowMs()),
                 context.fleet,
-                context.settings().ms("claimKeepMs"),
-                context.settings().part("claimKeepMs", 0.2),
-                context.timings().windowMs(),
-                voterSet,
-                this::floor,
-                () -> snapshotDown,
-                segmentedLog::fill);
-        this.acceptor = new Acceptor(context.name, segmentedLog, context.post, keeping, context.freshDiskId());
+                new RetentionState(voterSet, ready));
+        this.acceptor = new Acceptor(context.name, segmentedLog, context.post, retention, context.freshDiskId());
+        this.snapshots = new SnapshotStore(acceptor, configurationStore, VERSIONS_KEPT, segmentedLog.capacityBytes());
     }
 
-    private long floor() {
-        return acceptor.floor();
+    private final class RetentionState implements RegisterRetention.CoreState {
+        private final Supplier<VoterSet> voterSet;
+        private final BooleanSupplier ready;
+
+        RetentionState(final Supplier<VoterSet> voterSet, final BooleanSupplier ready) {
+            this.voterSet = voterSet;
+            this.ready = ready;
+        }
+
+        @Override
+        public boolean ready() {
+            return ready.getAsBoolean();
+        }
+
+        @Override
+        public VoterSet voterSet() {
+            return voterSet.get();
+        }
+
+        @Override
+        public long versionFloor() {
+            return acceptor.floor();
+        }
+
+        @Override
+        public long snapshotVersion() {
+            return snapshots.storedVersion();
+        }
+
+        @Override
+        public double logFill() {
+            return segmentedLog.fill();
+        }
     }
 
     /** Reads the configuration that this core's disk has. */
     void open() {
-        final byte[] stored = acceptor.own(POLICY);
-        if (stored != null) {
-            final ConfigurationSnapshot snapshot = MessageCodec.record(stored, ConfigurationSnapshot.class);
-            configurationStore.load(snapshot);
-            snapshotDown = snapshot.version();
-            raiseFloor();
-        }
+        snapshots.load();
     }
 
-    /** Whether the voter may give votes now. */
+    /** Returns whether the acceptor may promise and accept now. */
     boolean votes() {
-        return acceptor.state() == Acceptor.State.VOTING && keeping.ready();
+        return acceptor.state() == Acceptor.State.VOTING && retention.ready();
     }
 
-    /** Marks the disk as one that took part in a bootstrap. */
+    /** Marks the disk as one that took part in a bootstrap; {@code then} runs once that is synced, and not if it fails. */
     void mark(final Runnable then) {
-        acceptor.keepOwn(BOOTSTRAP_ACCEPTOR, new byte[0], ok -> {
-            if (ok) {
+        acceptor.keepOwn(BOOTSTRAP_ACCEPTOR, new byte[0], synced -> {
+            if (synced) {
                 then.run();
             }
         });
     }
 
-    void configurationMoved() {
-        configurationDirty = true;
-        storeConfiguration();
-    }
-
-    /** The configuration goes to this core's own disk as often as the disk takes it: a core that starts must not read each version
-     * since from the others first. */
-    private void storeConfiguration() {
-        if (!configurationDirty || keepingConfiguration) {
-            return;
-        }
-        configurationDirty = false;
-        keepingConfiguration = true;
-        final long version = configurationStore.configuration().version();
-        acceptor.keepOwn(POLICY, MessageCodec.bytes(configurationStore.snapshot()), ok -> {
-            keepingConfiguration = false;
-            if (ok) {
-                snapshotDown = version;
-                raiseFloor();
-                storeConfiguration();
-            }
-        });
-    }
-
-    private void raiseFloor() {
-        final long bytesMost = (long) (segmentedLog.capacityBytes() * CONFIGURATION_KEPT_SHARE);
-        acceptor.raiseFloor(
-                ConfigurationKeys.floor(acceptor.registers(), snapshotDown, CONFIGURATION_KEPT, bytesMost),
-                this::letVersionsGo);
-    }
-
-    /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
-    private void letVersionsGo() {
-        ConfigurationKeys.upTo(acceptor.registers(), acceptor.floor()).forEach(acceptor::drop);
+    /** Stores the configuration in force. */
+    void onConfigurationApplied() {
+        snapshots.onConfigurationApplied();
     }
 
-    /** A new generation's first version is chosen by being in the founding. */
-    void learnFounded(final FeedClient follower) {
-        final VoterSet table = acceptor.voterSet();
-        if (table == null
+    /** Applies the first version of a new generation, which is chosen by being in the generation's initial state. */
+    void applyFirstVersion(final FeedClient feedClient) {
+        final VoterSet voterSet = acceptor.voterSet();
+        if (voterSet == null
                 || acceptor.state() != Acceptor.State.VOTING
-                || configurationStore.configuration().version() >= table.firstNumber()) {
+                || configurationStore.configuration().version() >= voterSet.firstNumber()) {
             return;
         }
-        final Register first = acceptor.registers().get(ConfigurationKeys.key(table.firstNumber()));
+        final Register first = acceptor.registers().get(ConfigurationKeys.key(voterSet.firstNumber()));
         if (first != null && first.value() != null) {
-            follower.learn(table.firstNumber(), first.value());
+            feedClient.learn(voterSet.firstNumber(), first.value());
         }
     }
 
-    /** Drops the registers that nothing refers to any more. */
-    void tidy() {
+    /** Drops the registers that nothing refers to any more; needs the fleet's time, by which claims and windows expire. */
+    void pruneRegisters() {
         if (acceptor.state() != Acceptor.State.VOTING || !context.fleet.settled()) {
             return;
         }
-        final List<String> over = new ArrayList<>();
+        final List<String> expired = new ArrayList<>();
         acceptor.registers().forEach((key, register) -> {
-            if (keeping.over(key, register.value())) {
-                over.add(key);
+            if (retention.expired(key, register.value())) {
+                expired.add(key);
             }
         });
-        over.forEach(acceptor::drop);
+        expired.forEach(acceptor::drop);
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -0,0 +1,104 @@
+package spokestall.node;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.function.Consumer;
+import spokestall.api.CallRegistry;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.KeyHash;
+import spokestall.configuration.Tenant;
+import spokestall.configuration.change.ChangeCoordinator;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.VoterSet;
+import spokestall.gossip.NodeInfo;
+import spokestall.proxy.EdgeSelector;
+import spokestall.proxy.RequestTicket;
+
+/**
+ * The call {@code where}: names the edges that a client is to send its requests to, and gives it a ticket.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. A key is rejected only by a configuration that was proved newest
+ * after the call was received; a known key needs no more than a fresh one.
+ */
+final class DirectoryCall {
+    /** How many edges one answer names: the client's own and one to fail over to. */
+    private static final int EDGES_NAMED = 2;
+    /** For how many leave bounds the client may use the answer. */
+    private static final double VALID_LEAVE_BOUNDS = 0.4;
+
+    private final NodeContext context;
+    private final ConfigurationStore configurationStore;
+    private final FeedClient feedClient;
+    private final Proposer proposer;
+    private final ChangeCoordinator changeCoordinator;
+    private final KnownEdges knownEdges;
+
+    DirectoryCall(
+            final NodeContext context,
+            final ConfigurationStore configurationStore,
+            final FeedClient feedClient,
+            final Proposer proposer,
+            final ChangeCoordinator changeCoordinator,
+            final KnownEdges knownEdges) {
+        this.context = context;
+        this.configurationStore = configurationStore;
+        this.feedClient = feedClient;
+        this.proposer = proposer;
+        this.changeCoordinator = changeCoordinator;
+        this.knownEdges = knownEdges;
+    }
+
+    /** Registers the call, which any node answers. */
+    void register(final CallRegistry calls) {
+        calls.on("where", this::locateEdges);
+    }
+
+    private void locateEdges(final JsonNode params, final Consumer<Reply> done) {
+        if (!feedClient.fresh() || proposer.voterSet() == null) {
+            done.accept(Reply.of(ResultCode.NOT_FRESH, null));
+            return;
+        }
+        final String keyHash = KeyHash.of(params.get("key").asText());
+        final Tenant tenant = configurationStore.configuration().tenantOf(keyHash);
+        if (tenant != null) {
+            done.accept(edgesFor(params, tenant));
+            return;
+        }
+        changeCoordinator.newest(context.settings().ms("freshMs"), configuration -> {
+            if (configuration == null) {
+                done.accept(Reply.of(ResultCode.NOT_FRESH, null));
+            } else if (configuration.tenantOf(keyHash) == null) {
+                done.accept(Reply.of(ResultCode.BAD_KEY, null));
+            } else {
+                done.accept(edgesFor(params, configuration.tenantOf(keyHash)));
+            }
+        });
+    }
+
+    private Reply edgesFor(final JsonNode params, final Tenant tenant) {
+        final List<NodeInfo> selected = EdgeSelector.elect(
+                params.get("client").asText(),
+                knownEdges.forClients(),
+                tenant.homeRegions(),
+                configurationStore.configuration().holds(),
+                EDGES_NAMED);
+        if (selected.isEmpty()) {
+            return Reply.of(ResultCode.NO_UPSTREAM, null);
+        }
+        final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
+        final ArrayNode edges = fields.putArray("edges");
+        selected.forEach(edge -> edges.addObject()
+                .put("name", edge.name())
+                .put("address", edge.httpAddress())
+                .put("region", edge.region()));
+        fields.put("forMs", context.settings().part("leaveBoundMs", VALID_LEAVE_BOUNDS));
+        final VoterSet voterSet = proposer.voterSet();
+        fields.put("ticket", new RequestTicket(voterSet.generation(), context.fleet.nowMs()).text());
+        return Reply.of(ResultCode.OK, fields);
+    }
+}
--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -28,12 +28,12 @@
     /** The version of messages since which what an asker has already can be left out. */
     private static final int TERSE = 3;
 
-    private final Node node;
+    private final NodeComponents node;
     private final Map<String, Present> edges = new TreeMap<>();
     /** The name that was last heard from an address. */
     private final Map<String, String> names = new HashMap<>();
 
-    FeedServer(final Node node) {
+    FeedServer(final NodeComponents node) {
         this.node = node;
     }
 
--- a/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
+++ b/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
@@ -1,53 +1,72 @@
 package spokestall.node;
 
+import com.google.common.flogger.FluentLogger;
 import spokestall.time.Clock;
 
 /**
- * A node's way out towards those outside: it serves on while connections are open, each answer ending its connection;
- * then takes no more of them; then denies what still comes, which has not run; then ends the connections at rest; and at
- * the end of its time answers what is still under way. It is over sooner when no connection is open.
+ * Ends a node's service to its clients: it serves on while connections are open, each response closing its connection; then
+ * accepts no more connections; then rejects new requests, which have not run; then closes idle connections; and at the end
+ * of its time answers what is still in flight. It ends sooner once no connection is open.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class GracefulShutdown {
-    /** How long after its begin each step comes, the last one ending it, and how often it is looked at. An answer that
-     * was given has so long to be written. */
-    record Timing(long acceptMs, long admitMs, long restMs, long mostMs, long lookMs, long writeMs) {}
+    /**
+     * When each phase begins, in milliseconds after {@link #begin}, in rising order.
+     *
+     * @param stopAcceptingMs when no more connections are accepted
+     * @param rejectMs when new requests are rejected
+     * @param closeIdleMs when idle connections are closed
+     * @param maxMs when what is still in flight is answered as failed
+     * @param checkMs how often the connections are checked
+     * @param writeMs how long a last answer has to be written
+     */
+    record Timing(long stopAcceptingMs, long rejectMs, long closeIdleMs, long maxMs, long checkMs, long writeMs) {}
 
-    /** What the node does of it. */
+    /** The clients' requests at this node. */
     interface Requests {
-        /** Denies what comes from now on. */
-        void deny();
+        /** Rejects all requests from now on; those in flight go on. */
+        void rejectNew();
 
-        /** Answers all that is under way. */
-        void giveUp();
+        /** Answers all that is in flight, as failed. */
+        void abort();
 
-        /** Whether anything is under way. */
-        boolean open();
+        /** Returns whether any request is in flight. */
+        boolean inFlight();
     }
 
-    /** A node that answers no clients. */
-    static final class Idle implements Requests {
+    /** The requests of a node that serves no clients. */
+    static final Requests NO_REQUESTS = new Requests() {
         @Override
-        public void deny() {}
+        public void rejectNew() {}
 
         @Override
-        public void giveUp() {}
+        public void abort() {}
 
         @Override
-        public boolean open() {
+        public boolean inFlight() {
             return false;
         }
+    };
+
+    private enum Phase {
+        SERVING,
+        NOT_ACCEPTING,
+        REJECTING,
+        CLOSING_IDLE,
+        ENDED
     }
 
+    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final ClientConnections connections;
     private final Requests requests;
     private final Clock clock;
     private final Timing timing;
     private final Runnable done;
     private final long begunMs;
-    private boolean closed;
-    private boolean denying;
-    private boolean ending;
+    private Phase phase = Phase.SERVING;
 
+    /** {@code done} runs once, when the shutdown has ended. */
     GracefulShutdown(
             final ClientConnections connections,
             final Requests requests,
@@ -62,34 +81,46 @@
         this.begunMs = clock.nowMs();
     }
 
+    /** Begins the shutdown. Called once. */
     void begin() {
-        connections.endWithAnswers();
-        look();
+        connections.closeAfterResponses();
+        onTick();
     }
 
-    private void look() {
-        final long spentMs = clock.nowMs() - begunMs;
-        // A connection may be taken at the very moment that the port closes, so it is quiet at the next look at the
-        // soonest.
-        final boolean closedBefore = closed;
-        closed = step(closed, spentMs >= timing.acceptMs(), connections::stopAccepting);
-        denying = step(denying, spentMs >= timing.admitMs(), requests::deny);
-        ending = step(ending, spentMs >= timing.restMs(), connections::endResting);
-        final boolean quiet = connections.open() == 0 && !requests.open();
-        if (closedBefore && quiet) {
+    private void onTick() {
+        final long elapsedMs = clock.nowMs() - begunMs;
+        // A connection may be accepted at the very moment that the port closes, so quiet counts from the next check on.
+        final boolean accepting = phase == Phase.SERVING;
+        if (phase == Phase.SERVING && elapsedMs >= timing.stopAcceptingMs()) {
+            transitionTo(Phase.NOT_ACCEPTING);
+            connections.stopAccepting();
+        }
+        if (phase == Phase.NOT_ACCEPTING && elapsedMs >= timing.rejectMs()) {
+            transitionTo(Phase.REJECTING);
+            requests.rejectNew();
+        }
+        if (phase == Phase.REJECTING && elapsedMs >= timing.closeIdleMs()) {
+            transitionTo(Phase.CLOSING_IDLE);
+            connections.closeIdle();
+        }
+        final boolean quiet = connections.open() == 0 && !requests.inFlight();
+        if (!accepting && quiet) {
+            transitionTo(Phase.ENDED);
             done.run();
-        } else if (spentMs >= timing.mostMs()) {
-            requests.giveUp();
+        } else if (elapsedMs >= timing.maxMs()) {
+            transitionTo(Phase.ENDED);
+            requests.abort();
             clock.after(timing.writeMs(), done);
         } else {
-            clock.after(timing.lookMs(), this::look);
+            clock.after(timing.checkMs(), this::onTick);
         }
     }
 
-    private static boolean step(final boolean made, final boolean due, final Runnable step) {
-        if (!made && due) {
-            step.run();
-        }
-        return made || due;
+    /** Phases follow in their order; any of them may be the last before the end. */
+    private void transitionTo(final Phase next) {
+        assert next == Phase.ENDED && phase != Phase.ENDED || next.ordinal() == phase.ordinal() + 1
+                : phase + " to " + next;
+        LOG.atFine().log("event=shutdown_phase from=%s to=%s elapsedMs=%s", phase, next, clock.nowMs() - begunMs);
+        phase = next;
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
@@ -0,0 +1,96 @@
+package spokestall.node;
+
+import spokestall.configuration.feed.FeedClient;
+import spokestall.configuration.feed.FeedMessage;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.discovery.DiscoveryMessage;
+import spokestall.gossip.GossipMessage;
+import spokestall.gossip.PartialView;
+import spokestall.handoff.HandoffMessage;
+import spokestall.membership.BootstrapMessage;
+import spokestall.membership.MembershipMessage;
+import spokestall.message.Message;
+import spokestall.usage.UsageMessage;
+
+/**
+ * Passes each message from another node to the component that handles it. A message that this node's role has no component
+ * for is dropped: the sender's knowledge of roles may be out of date.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
+final class MessageDispatcher {
+    /** The components that every node has. */
+    record Components(
+            PartialView view,
+            MembershipComponent membership,
+            FeedClient feedClient,
+            DiscoveryComponent discovery,
+            HandoffComponent handoff) {}
+
+    /** The components that only a core has. */
+    record CoreComponents(CoreStorage storage, FeedServer feedServer, UsageComponent usage) {}
+
+    private final Components components;
+    private final CoreComponents core;
+    private final ProxyComponent proxy;
+
+    /** The core components are null on an edge, the proxy is null on a node that serves no clients. */
+    MessageDispatcher(final Components components, final CoreComponents core, final ProxyComponent proxy) {
+        this.components = components;
+        this.core = core;
+        this.proxy = proxy;
+    }
+
+    /** Handles one message. */
+    void onMessage(final Message received) {
+        if (received instanceof GossipMessage message) {
+            components.view.hear(message);
+        } else if (received instanceof ConsensusMessage message) {
+            components.membership.hear(message);
+        } else if (received instanceof BootstrapMessage message) {
+            components.membership.hear(message);
+        } else if (received instanceof MembershipMessage message) {
+            onMembershipMessage(message);
+        } else if (received instanceof FeedMessage message) {
+            onFeedMessage(message);
+        } else if (received instanceof DiscoveryMessage.Push message) {
+            components.discovery.hear(message);
+        } else if (received instanceof UsageMessage message) {
+            onUsageMessage(message);
+        } else if (received instanceof HandoffMessage message) {
+            components.handoff.hear(message, proxy == null ? null : proxy.admissionController);
+        }
+    }
+
+    /** A voter that votes again is sent the hints that were stored for it, after its status was taken in. */
+    private void onMembershipMessage(final MembershipMessage message) {
+        components.membership.hear(message);
+        if (core != null && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
+            components.handoff.handOver(voterStatus, core.storage.acceptor);
+        }
+    }
+
+    /** Requests are for cores, responses and updates for all. */
+    private void onFeedMessage(final FeedMessage message) {
+        if (message instanceof FeedMessage.FeedRequest request) {
+            if (core != null) {
+                core.feedServer.answer(request);
+            }
+        } else if (message instanceof FeedMessage.FreshnessRequest request) {
+            if (core != null) {
+                core.feedServer.answer(request);
+            }
+        } else {
+            components.feedClient.hear(message);
+        }
+    }
+
+    private void onUsageMessage(final UsageMessage message) {
+        if (message instanceof UsageMessage.CountsAcknowledged acknowledged && proxy != null) {
+            proxy.onCountsAcknowledged(acknowledged);
+        }
+        if (core != null) {
+            core.usage.hear(message);
+        }
+    }
+}
--- a/spokestall/src/main/java/spokestall/node/MessageNumbers.java
+++ b/spokestall/src/main/java/spokestall/node/MessageNumbers.java
@@ -10,11 +10,15 @@
 import spokestall.message.MessageCodec;
 import spokestall.usage.UsageMessage;
 
-/** The numbers of all messages. A number is never given to another kind. */
+/**
+ * The numbers by which messages are written. They are part of the wire format and of stored state: a number never changes, and
+ * that of a removed message is never used again.
+ */
 final class MessageNumbers {
     private MessageNumbers() {}
 
-    static void number() {
+    /** Registers all numbers with the codec. May be called again; it then has no effect. */
+    static void register() {
         MessageCodec.number(1, GossipMessage.Shuffle.class);
         MessageCodec.number(10, ConsensusMessage.Prepare.class);
         MessageCodec.number(11, ConsensusMessage.Promise.class);
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -0,0 +1,260 @@
+package spokestall.node;
+
+import spokestall.api.CallRegistry;
+import spokestall.audit.Auditor;
+import spokestall.configuration.ConfigurationFormat;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.ConfigurationValidator;
+import spokestall.configuration.NativeConfigurationFormat;
+import spokestall.configuration.change.ChangeCoordinator;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.VoterSet;
+import spokestall.gossip.PartialView;
+import spokestall.message.Message;
+import spokestall.settings.Settings;
+
+/**
+ * Wires the components of one node to each other. Holds no state of its own.
+ *
+ * <p>The order of construction is part of the contract: components draw from the node's random source when they are created,
+ * and a simulation must repeat. A component gets another one that is created after it only as a function to call later.
+ */
+final class NodeComponents {
+    /** What the components report to the node that they are part of. */
+    interface Listener {
+        /** Handles a message that this node sent to its own address. */
+        void onMessage(Message message);
+
+        /** Called each time a newer configuration is in force here. */
+        void onConfigurationApplied();
+    }
+
+    final NodeContext context;
+    final CallRegistry calls = new CallRegistry();
+    final ConfigurationStore configurationStore;
+    final PartialView view;
+    final PeerDirectory peerDirectory;
+    final DiscoveryComponent discovery;
+    final HandoffComponent handoff;
+    final Proposer proposer;
+    final FeedServer feedServer;
+    final MembershipComponent membership;
+    final FeedClient feedClient;
+    final KnownEdges knownEdges;
+    final ChangeCoordinator changeCoordinator;
+    /** Null on an edge. */
+    final CoreStorage storage;
+    /** Null on an edge. */
+    final UsageComponent usage;
+    /** Null on an edge. */
+    final AuditComponent audit;
+    /** Null on a core that serves no clients. */
+    final ProxyComponent proxy;
+
+    private final NodeEnvironment environment;
+    private final Listener listener;
+
+    /** Creates all components; a core also reads back what its disk has. A null format is spokestall's own. */
+    NodeComponents(
+            final Settings settings,
+            final boolean core,
+            final NodeEnvironment environment,
+            final ConfigurationFormat foreignFormat,
+            final Listener listener) {
+        this.environment = environment;
+        this.listener = listener;
+        final ConfigurationFormat format = foreignFormat == null ? nativeFormat(settings) : foreignFormat;
+        this.context = new NodeContext(settings, core, environment, listener::onMessage);
+        this.configurationStore = new ConfigurationStore(CoreStorage.VERSIONS_KEPT, format);
+        this.view = partialView();
+        this.peerDirectory = new PeerDirectory(context, view, this::voterSet);
+        this.discovery = new DiscoveryComponent(context);
+        this.handoff = new HandoffComponent(context, this::voterSet, this::sinceHeardMs);
+        this.proposer = proposer();
+        this.feedServer = new FeedServer(this);
+        this.storage = core ? coreStorage() : null;
+        this.usage = core ? usageComponent() : null;
+        this.membership = membershipComponent();
+        this.feedClient = feedClient();
+        this.knownEdges = new KnownEdges(context, view, feedClient, feedServer, this::ready);
+        this.proxy = context.serves ? proxyComponent() : null;
+        this.changeCoordinator = changeCoordinator(format);
+        this.audit = core ? auditComponent() : null;
+        if (core) {
+            openCore();
+        }
+        registerCalls();
+    }
+
+    private ConfigurationFormat nativeFormat(final Settings settings) {
+        return new NativeConfigurationFormat(new ConfigurationValidator(
+                calls.file().at("/$defs/policy"),
+                settings.regions(),
+                settings.zones().keySet()));
+    }
+
+    private PartialView partialView() {
+        return new PartialView(
+                context.self(),
+                context.settings().seeds(),
+                context.post,
+                context.clock,
+                context.fleet,
+                context.random,
+                context.timings().view());
+    }
+
+    private Proposer proposer() {
+        return new Proposer(
+                context.proposerId(),
+                context.address,
+                context.post,
+                context.clock,
+                context.random,
+                context.timings().proposer(),
+                handoff::missed);
+    }
+
+    private CoreStorage coreStorage() {
+        return new CoreStorage(context, environment.segments(), configurationStore, this::voterSet, this::mayVote);
+    }
+
+    private UsageComponent usageComponent() {
+        return new UsageComponent(
+                context,
+                peerDirectory,
+                storage.acceptor,
+                proposer,
+                environment.platform(),
+                feedServer::presentIncarnation);
+    }
+
+    private MembershipComponent membershipComponent() {
+        return new MembershipComponent(
+                context,
+                peerDirectory,
+                proposer,
+                configurationStore,
+                storage,
+                new ToleratedSeatLoss(context.settings(), view),
+                usage == null ? () -> 0 : usage::tokenSeen);
+    }
+
+    private FeedClient feedClient() {
+        return new FeedClient(
+                view::self,
+                configurationStore,
+                discovery.endpointRegistry,
+                proposer,
+                context.post,
+                context.clock,
+                context.timings().feedClient(),
+                peerDirectory::coreAddresses,
+                membership::adopt,
+                listener::onConfigurationApplied,
+                this::openRequests,
+                peerDirectory::distance);
+    }
+
+    private ProxyComponent proxyComponent() {
+        return new ProxyComponent(
+                context,
+                peerDirectory,
+                new ProxyComponent.Sources(
+                        view.self(),
+                        configurationStore,
+                        discovery.endpointRegistry,
+                        feedClient,
+                        proposer,
+                        handoff.responseCache,
+                        environment.upstreams()));
+    }
+
+    private ChangeCoordinator changeCoordinator(final ConfigurationFormat format) {
+        return new ChangeCoordinator(
+                context.name,
+                configurationStore,
+                format,
+                proposer,
+                feedClient,
+                context.clock,
+                () -> context.fleet.settled() ? context.fleet.nowMs() : 0,
+                context.timings().changeMs(),
+                context.timings().configurationMaxBytes(),
+                feedServer::tell);
+    }
+
+    private AuditComponent auditComponent() {
+        final Auditor auditor = new Auditor(environment.audit(), configurationStore, context.fleet::nowMs);
+        return new AuditComponent(context, auditor, proposer, usage.leaseManager);
+    }
+
+    private void openCore() {
+        storage.open();
+        membership.open();
+        discovery.open(peerDirectory, view, storage.acceptor, environment.reach());
+        usage.open();
+        storage.acceptor.watch((key, register) -> {
+            usage.seen(key, register);
+            audit.onRegisterStored(key, register);
+        });
+    }
+
+    private void registerCalls() {
+        final ConfigurationCalls configurationCalls = new ConfigurationCalls(context, changeCoordinator, feedClient);
+        final RecordCalls recordCalls = new RecordCalls(context, proposer, environment.audit());
+        new DirectoryCall(context, configurationStore, feedClient, proposer, changeCoordinator, knownEdges)
+                .register(calls);
+        new StatusCalls(
+                        context,
+                        new StatusCalls.Sources(
+                                view,
+                                peerDirectory,
+                                configurationStore,
+                                feedClient,
+                                proposer,
+                                discovery.endpointRegistry),
+                        context.core
+                                ? new CoreStatus(context, storage, usage, handoff, feedServer)
+                                : new EdgeStatus(proxy.admissionController))
+                .register(calls);
+        configurationCalls.registerReads(calls);
+        recordCalls.registerUsage(calls);
+        if (context.core) {
+            configurationCalls.registerWrites(calls);
+            recordCalls.registerAudit(calls);
+        }
+    }
+
+    /** Creates the dispatcher of messages from other nodes to these components. */
+    MessageDispatcher dispatcher() {
+        return new MessageDispatcher(
+                new MessageDispatcher.Components(view, membership, feedClient, discovery, handoff),
+                context.core ? new MessageDispatcher.CoreComponents(storage, feedServer, usage) : null,
+                proxy);
+    }
+
+    /** Returns the voters in force here, or null while none are known. */
+    VoterSet voterSet() {
+        return proposer.voterSet();
+    }
+
+    /** Returns whether this node serves clients now. */
+    boolean ready() {
+        return proxy != null && !view.self().leaving() && feedClient.fresh() && context.fleet.settled();
+    }
+
+    /** A core's voter waits for the fleet's time, and until it knows that its disk is not an older state of itself. */
+    private boolean mayVote() {
+        return context.fleet.settled() && membership.checked();
+    }
+
+    private long sinceHeardMs(final String core) {
+        return feedClient.heardMs(core);
+    }
+
+    private int openRequests() {
+        return proxy == null ? 0 : proxy.openRequests();
+    }
+}
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -0,0 +1,117 @@
+package spokestall.node;
+
+import com.google.common.flogger.FluentLogger;
+import java.util.List;
+import spokestall.settings.Settings;
+
+/**
+ * The periodic work of a node, and the faster requests of its first moments.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. Periods are read once, at the start. The order in which the tasks are
+ * begun is part of the contract, since each draws its first delay from the node's random source.
+ */
+final class NodeSchedule {
+    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+    /** How many feed requests a starting node sends at once before it slows down, and the unit of the slower ones. */
+    private static final int FAST_ATTEMPTS = 4;
+    /** For how many leave bounds a starting node asks faster than by its periods, and how often. */
+    private static final double FAST_START_LEAVE_BOUNDS = 1.5;
+
+    private static final double FAST_PERIOD_LEAVE_BOUNDS = 0.03;
+    /** For how many leave bounds an edge that sends no request stays known to a core. */
+    private static final int EDGE_KEPT_LEAVE_BOUNDS = 2;
+
+    private final NodeComponents components;
+    private final NodeContext context;
+    private final Ticker ticker;
+
+    NodeSchedule(final NodeComponents components, final Ticker ticker) {
+        this.components = components;
+        this.context = components.context;
+        this.ticker = ticker;
+    }
+
+    /** Begins all periodic work; it ends when the ticker is stopped. */
+    void start() {
+        final Settings settings = context.settings();
+        fastStart(context.clock.nowMs() + settings.part("leaveBoundMs", FAST_START_LEAVE_BOUNDS), 0);
+        ticker.every(settings.part("leaveBoundMs", 0.125), () -> {
+            components.view.tick();
+            components.knownEdges.publish();
+        });
+        ticker.every(settings.ms("proofMs"), () -> {
+            components.feedClient.tick();
+            components.knownEdges.publish();
+        });
+        if (context.core) {
+            startCore(settings);
+        }
+        final ProxyComponent proxy = components.proxy;
+        if (proxy != null) {
+            ticker.every(settings.ms("countPushMs"), proxy::onCountTick);
+            ticker.every(settings.part("leaveBoundMs", 1), proxy::onRetainTick);
+        }
+        ticker.every(settings.part("leaveBoundMs", 2), this::warnOfOtherCounts);
+        ticker.every(settings.part("leaveBoundMs", 2), components.discovery::prune);
+    }
+
+    private void startCore(final Settings settings) {
+        final UsageComponent usage = components.usage;
+        final CoreStorage storage = components.storage;
+        ticker.every(settings.part("leaveBoundMs", 0.0625), components.membership::tick);
+        ticker.every(settings.part("leaveBoundMs", 0.125), components.discovery::tick);
+        ticker.every(
+                settings.part("leaseMs", 0.1),
+                () -> usage.tickLease(components.view.self().leaving()));
+        ticker.every(settings.part("reportDueMs", 0.01), usage.reporter::tick);
+        ticker.every(settings.part("keyBoundMs", 0.2), this::pruneCore);
+        ticker.every(settings.ms("countPushMs"), usage::tickKept);
+        ticker.every(settings.ms("listMs"), components.discovery::tickKept);
+        ticker.every(settings.part("keyBoundMs", 0.02), usage::recount);
+        ticker.every(settings.part("keyBoundMs", 0.1), components.audit::onTick);
+        ticker.every(settings.part("keyBoundMs", 0.02), () -> storage.applyFirstVersion(components.feedClient));
+    }
+
+    private void pruneCore() {
+        components.feedServer.tidy(context.settings().part("leaveBoundMs", EDGE_KEPT_LEAVE_BOUNDS));
+        components.storage.pruneRegisters();
+    }
+
+    /** Bounds shared by all edges are divided by the configured counts, so nodes must agree on them. */
+    private void warnOfOtherCounts() {
+        final List<String> differing = components.peerDirectory.differing();
+        if (!differing.isEmpty()) {
+            LOG.atWarning().log(
+                    "event=counts_differ node=%s cores=%s edges=%s from=%s",
+                    context.name,
+                    context.settings().ms("cores"),
+                    context.settings().ms("edges"),
+                    differing);
+        }
+    }
+
+    /** Sends requests without waiting for the periods, until this node has what it needs to serve. */
+    private void fastStart(final long untilMs, final int attempt) {
+        if (ticker.stopped() || mayServe() || context.clock.nowMs() >= untilMs) {
+            return;
+        }
+        final boolean votersKnown = components.voterSet() != null;
+        components.view.greet(votersKnown ? components.peerDirectory.coreAddresses() : List.of());
+        components.knownEdges.publish();
+        // Before there are voters nothing can be proved, and bootstrap takes seconds, so requests become rarer then.
+        final boolean proofPossible = votersKnown && !components.feedClient.fresh();
+        if (proofPossible || attempt < FAST_ATTEMPTS || attempt % (2 * FAST_ATTEMPTS) == 0) {
+            components.feedClient.tick();
+        }
+        context.clock.after(
+                context.settings().part("leaveBoundMs", FAST_PERIOD_LEAVE_BOUNDS),
+                () -> fastStart(untilMs, attempt + 1));
+    }
+
+    private boolean mayServe() {
+        return context.fleet.settled()
+                && components.feedClient.fresh()
+                && (components.proxy == null
+                        || !components.discovery.endpointRegistry.listed().isEmpty());
+    }
+}
--- a/spokestall/src/main/java/spokestall/node/PersistedState.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -9,50 +9,59 @@
 import spokestall.message.MessageCodec;
 
 /**
- * A part of a core's memory that also lies on its disk, so that a core that starts need not wait for others to tell it: what
- * it was before the last loss, written as a note of the newest version, at most once a beat and while no write is under way.
+ * State in a core's memory that is also written to its disk, so that a core that restarts need not wait for the others. Stored
+ * as one message under one key, in the newest version of messages; it is written at most once a tick, with one write in
+ * flight. State of more than {@value #MAX_BYTES} bytes is not written, and the older state stays.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class PersistedState {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int BYTES_MAX = 256 << 10;
+    private static final int MAX_BYTES = 256 << 10;
     private final Acceptor acceptor;
     private final String key;
-    private final LongSupplier changes;
-    private final Supplier<Message> now;
-    private long written;
+    private final LongSupplier changeCount;
+    private final Supplier<Message> currentState;
+    private long writtenChangeCount;
     private boolean writing;
 
-    PersistedState(final Acceptor acceptor, final String key, final LongSupplier changes, final Supplier<Message> now) {
+    /** {@code changeCount} returns a number that differs whenever {@code currentState} does. */
+    PersistedState(
+            final Acceptor acceptor,
+            final String key,
+            final LongSupplier changeCount,
+            final Supplier<Message> currentState) {
         this.acceptor = acceptor;
         this.key = key;
-        this.changes = changes;
-        this.now = now;
+        this.changeCount = changeCount;
+        this.currentState = currentState;
     }
 
-    /** What was kept, or null. */
+    /** Returns the state on this disk, or null if there is none or it can't be read; the core then learns it from others. */
     <T extends Message> T read(final Class<T> type) {
-        final byte[] had = acceptor.own(key);
+        final byte[] stored = acceptor.own(key);
         try {
-            return had == null ? null : type.cast(MessageCodec.message(had));
+            return stored == null ? null : type.cast(MessageCodec.message(stored));
         } catch (final IOException | ClassCastException e) {
-            LOG.atWarning().log("event=kept_unread key=%s why=\"%s\"", key, e.getMessage());
+            LOG.atWarning().log("event=persisted_state_unreadable key=%s reason=\"%s\"", key, e.getMessage());
             return null;
         }
     }
 
+    /** Writes the state if it changed since it was last written. */
     void tick() {
-        final long change = changes.getAsLong();
-        if (writing || change == written) {
+        final long changes = changeCount.getAsLong();
+        if (writing || changes == writtenChangeCount) {
             return;
         }
-        final byte[] bytes = MessageCodec.message(now.get(), MessageCodec.VERSION);
-        if (bytes.length > BYTES_MAX) {
+        final byte[] bytes = MessageCodec.message(currentState.get(), MessageCodec.VERSION);
+        if (bytes.length > MAX_BYTES) {
             return;
         }
         writing = true;
-        acceptor.keepOwn(key, bytes, ok -> {
+        acceptor.keepOwn(key, bytes, synced -> {
             writing = false;
-            written = ok ? change : written;
+            writtenChangeCount = synced ? changes : writtenChangeCount;
         });
     }
 }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
+import spokestall.configuration.Configuration;
 import spokestall.configuration.ConfigurationStore;
 import spokestall.configuration.ServiceLimits;
 import spokestall.configuration.feed.FeedClient;
@@ -18,135 +19,150 @@
 import spokestall.usage.UsageCounter;
 import spokestall.usage.UsageMessage;
 
-/** The part of a node that answers clients: their requests, the choice of upstreams, and the count of what was begun. */
+/**
+ * The component that serves clients: admission and execution of their requests, the choice of upstreams, and the count of
+ * requests that upstreams began.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
 final class ProxyComponent implements GracefulShutdown.Requests {
+    /** For how many leave bounds beyond its own time an upstream warms up after its zone's evacuation ended. */
+    private static final double WARMUP_MARGIN_LEAVE_BOUNDS = 0.5;
+
     private final NodeContext context;
-    private final PeerDirectory neighbours;
+    private final PeerDirectory peerDirectory;
     private final ConfigurationStore configurationStore;
     private final EndpointRegistry endpointRegistry;
     private final LoadBalancer loadBalancer;
-    private Set<String> heldBefore = Set.of();
-    final AdmissionController edge;
-    final UsageCounter counter;
+    private Set<String> evacuatedZones = Set.of();
+    final AdmissionController admissionController;
+    final UsageCounter usageCounter;
 
-    /** What it takes of the other parts of its node. */
+    /** The other components of the node that this one uses. */
     record Sources(
             NodeInfo self,
             ConfigurationStore configurationStore,
             EndpointRegistry endpointRegistry,
-            FeedClient follower,
+            FeedClient feedClient,
             Proposer proposer,
             ResponseCache responseCache,
             UpstreamClient upstreams) {}
 
-    ProxyComponent(final NodeContext context, final PeerDirectory neighbours, final Sources sources) {
+    ProxyComponent(final NodeContext context, final PeerDirectory peerDirectory, final Sources sources) {
         this.context = context;
-        this.neighbours = neighbours;
+        this.peerDirectory = peerDirectory;
         this.configurationStore = sources.configurationStore();
         this.endpointRegistry = sources.endpointRegistry();
-        this.loadBalancer = new LoadBalancer(
-                context.settings().region(),
-                context.settings().text("district"),
-                service -> endpointRegistry.ready(service, context.fleet.nowMs()),
-                context.clock,
-                context.fleet,
-                context.random,
-                context.timings().loadBalancer(neighbours::sharingEdges));
-        this.counter = new UsageCounter(
+        this.loadBalancer = loadBalancer();
+        this.usageCounter = new UsageCounter(
                 context.name,
                 context.address,
                 context.incarnation,
-                context.timings().counter(),
+                context.timings().usageCounter(),
                 context.clock,
                 context.fleet,
                 context.post,
-                neighbours::coreAddresses);
-        this.edge = edge(sources);
+                peerDirectory::coreAddresses);
+        this.admissionController = admissionController(sources);
+    }
+
+    private LoadBalancer loadBalancer() {
+        return new LoadBalancer(
+                context.settings().region(),
+                context.settings().text("district"),
+                service -> endpointRegistry.ready(service, context.fleet.nowMs()),
+                context.clock,
+                context.fleet,
+                context.random,
+                context.timings().loadBalancer(peerDirectory::sharingEdges));
     }
 
-    private AdmissionController edge(final Sources sources) {
+    private AdmissionController admissionController(final Sources sources) {
         return new AdmissionController(
                 new ProxyContext(
                         sources.self(),
                         configurationStore,
-                        sources.follower(),
+                        sources.feedClient(),
                         sources.proposer(),
                         loadBalancer,
                         sources.upstreams(),
-                        counter,
+                        usageCounter,
                         sources.responseCache(),
                         context.post,
                         context.clock,
                         context.fleet,
                         context.random,
-                        neighbours::sharingEdges,
-                        neighbours::homeCores),
-                context.timings().edge());
+                        peerDirectory::sharingEdges,
+                        peerDirectory::homeCores),
+                context.timings().proxy());
     }
 
-    /** Goes by newer settings. */
-    void renew() {
-        loadBalancer.timing(context.timings().loadBalancer(neighbours::sharingEdges));
-        edge.timing(context.timings().edge());
+    /** Applies the node's newer settings. */
+    void applySettings() {
+        loadBalancer.timing(context.timings().loadBalancer(peerDirectory::sharingEdges));
+        admissionController.timing(context.timings().proxy());
     }
 
-    void tickCounts() {
-        counter.tick();
+    /** Sends counts that are due. */
+    void onCountTick() {
+        usageCounter.tick();
     }
 
-    /** Forgets what was learnt of upstreams that are listed no more. */
-    void retain() {
+    /** Removes the load balancer's state of endpoints that are no longer listed. */
+    void onRetainTick() {
         loadBalancer.retain(
                 endpointRegistry.listed().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
     }
 
-    void hear(final UsageMessage.CountsAcknowledged message) {
-        counter.hear(message, neighbours.voterAddress(message.name()));
+    /** Takes a core's acknowledgement of counts. */
+    void onCountsAcknowledged(final UsageMessage.CountsAcknowledged message) {
+        usageCounter.hear(message, peerDirectory.voterAddress(message.name()));
     }
 
-    /** Upstreams of a zone that is given back may have turned cold while nothing was sent there. */
-    void configurationMoved() {
-        final Set<String> now = configurationStore.configuration().holds();
-        for (final String zone : heldBefore) {
-            if (!now.contains(zone)) {
-                chill(zone);
+    /** Upstreams of a zone whose evacuation ended received nothing meanwhile, so their slow start begins again. */
+    void onConfigurationApplied() {
+        final Configuration configuration = configurationStore.configuration();
+        final Set<String> evacuatedNow = configuration.holds();
+        for (final String zone : evacuatedZones) {
+            if (!evacuatedNow.contains(zone)) {
+                restartWarmup(zone, configuration);
             }
         }
-        heldBefore = Set.copyOf(now);
+        evacuatedZones = Set.copyOf(evacuatedNow);
     }
 
-    private void chill(final String zone) {
-        for (final Endpoint listed : endpointRegistry.listed()) {
-            final ServiceLimits rule = configurationStore.configuration().service(listed.service());
-            if (listed.zone().equals(zone) && rule != null) {
-                loadBalancer.chill(
-                        List.of(listed.instance()),
-                        rule.warmupMs() + context.settings().part("leaveBoundMs", 0.5));
+    private void restartWarmup(final String zone, final Configuration configuration) {
+        final long marginMs = context.settings().part("leaveBoundMs", WARMUP_MARGIN_LEAVE_BOUNDS);
+        for (final Endpoint endpoint : endpointRegistry.listed()) {
+            final ServiceLimits limits = configuration.service(endpoint.service());
+            if (endpoint.zone().equals(zone) && limits != null) {
+                loadBalancer.chill(List.of(endpoint.instance()), limits.warmupMs() + marginMs);
             }
         }
     }
 
+    /** Returns the number of clients' requests in flight. */
     int openRequests() {
-        return edge.open();
+        return admissionController.open();
     }
 
     @Override
-    public void deny() {
-        edge.leave();
+    public void rejectNew() {
+        admissionController.leave();
     }
 
     @Override
-    public void giveUp() {
-        edge.giveUp();
+    public void abort() {
+        admissionController.giveUp();
     }
 
     @Override
-    public boolean open() {
+    public boolean inFlight() {
         return openRequests() > 0;
     }
 
-    /** Nothing more is counted. */
+    /** Ends the counting of requests. */
     void stop() {
-        counter.stop();
+        usageCounter.stop();
     }
 }
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -1,9 +1,5 @@
 package spokestall.node;
 
-import java.util.function.BooleanSupplier;
-import java.util.function.DoubleSupplier;
-import java.util.function.LongSupplier;
-import java.util.function.Supplier;
 import spokestall.configuration.feed.ConfigurationKeys;
 import spokestall.consensus.RegisterGuard;
 import spokestall.consensus.VoterSet;
@@ -12,88 +8,103 @@
 import spokestall.time.FleetClock;
 import spokestall.usage.SealedWindow;
 
-/** Which register keys the voters keep, and for how long; what was let go can't be made anew. */
+/**
+ * Decides which registers a core's acceptor keeps, and for how long. A register that was dropped must not be created anew, or
+ * what it had decided could be decided again.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
 final class RegisterRetention implements RegisterGuard {
-    private static final double FILLED_SHARE = 0.7;
-    private final BooleanSupplier ready;
-    private final FleetClock fleet;
-    private final DoubleSupplier fill;
-    private final long claimKeepMs;
-    private final long marginMs;
-    private final long windowMs;
-    private final Supplier<VoterSet> voterSet;
-    private final LongSupplier configurationFloor;
-    private final LongSupplier snapshotDown;
-
-    RegisterRetention(
-            final BooleanSupplier ready,
-            final FleetClock fleet,
-            final long claimKeepMs,
-            final long marginMs,
-            final long windowMs,
-            final Supplier<VoterSet> voterSet,
-            final LongSupplier configurationFloor,
-            final LongSupplier snapshotDown,
-            final DoubleSupplier fill) {
-        this.ready = ready;
-        this.fill = fill;
-        this.fleet = fleet;
-        this.claimKeepMs = claimKeepMs;
-        this.marginMs = marginMs;
-        this.windowMs = windowMs;
-        this.voterSet = voterSet;
-        this.configurationFloor = configurationFloor;
-        this.snapshotDown = snapshotDown;
+    /** Up to this fill of the log claims and configuration versions may take new registers; the rest is for all else. */
+    private static final double BULK_FILL_RATIO = 0.7;
+
+    /**
+     * How long registers are kept.
+     *
+     * @param claimKeepMs for how long a claim answers a repeated request
+     * @param marginMs for how much longer it is kept, against clocks that differ
+     * @param windowMs the length of a usage window
+     */
+    record Periods(long claimKeepMs, long marginMs, long windowMs) {}
+
+    /** The state of the core that retention depends on. */
+    interface CoreState {
+        /** Returns whether this core knows enough of the fleet for the answers to be relied on. */
+        boolean ready();
+
+        /** Returns the voters in force. */
+        VoterSet voterSet();
+
+        /** Returns the version up to which this core needs no registers of versions. */
+        long versionFloor();
+
+        /** Returns the version of the configuration snapshot on this disk, 0 if there is none. */
+        long snapshotVersion();
+
+        /** Returns how full the log is, as a ratio. */
+        double logFill();
+    }
+
+    private final Periods periods;
+    private final FleetClock fleetClock;
+    private final CoreState core;
+
+    RegisterRetention(final Periods periods, final FleetClock fleetClock, final CoreState core) {
+        this.periods = periods;
+        this.fleetClock = fleetClock;
+        this.core = core;
     }
 
     @Override
     public boolean ready() {
-        return ready.getAsBoolean();
+        return core.ready();
     }
 
     @Override
     public boolean gone(final String key) {
         final long version = ConfigurationKeys.of(key);
         if (version >= 0) {
-            return version <= configurationFloor.getAsLong()
-                    || version < voterSet.get().firstNumber();
+            return version <= core.versionFloor() || version < core.voterSet().firstNumber();
         }
         final long window = SealedWindow.windowOf(key);
         if (window >= 0) {
-            return (window + 1) * windowMs + claimKeepMs < fleet.nowMs();
+            return (window + 1) * periods.windowMs + periods.claimKeepMs < fleetClock.nowMs();
         }
-        return key.startsWith(VoterSet.KEYS)
-                && !key.equals(
-                        VoterSet.key(voterSet.get().generation(), voterSet.get().epoch() + 1));
+        final VoterSet voterSet = core.voterSet();
+        return key.startsWith(VoterSet.KEYS) && !key.equals(VoterSet.key(voterSet.generation(), voterSet.epoch() + 1));
     }
 
-    /** Claims come by the thousand, versions may be large; what keeps the fleet itself going must still fit when they don't. */
+    /** Claims come in large numbers and versions may be large, so they must leave capacity for what keeps the fleet going. */
     @Override
     public boolean room(final String key) {
-        return !IdempotencyClaim.isKey(key) && ConfigurationKeys.of(key) < 0 || fill.getAsDouble() < FILLED_SHARE;
+        final boolean bulk = IdempotencyClaim.isKey(key) || ConfigurationKeys.of(key) >= 0;
+        return !bulk || core.logFill() < BULK_FILL_RATIO;
     }
 
     @Override
     public boolean holds(final long floor) {
-        return snapshotDown.getAsLong() >= floor;
+        return core.snapshotVersion() >= floor;
     }
 
+    /** A claim whose ticket is too old is not accepted: the claim that it repeats may be dropped already. */
     @Override
     public boolean takes(final String key, final byte[] value) {
         if (!IdempotencyClaim.isKey(key) || value == null) {
             return true;
         }
         final IdempotencyClaim claim = MessageCodec.record(value, IdempotencyClaim.class);
-        return claim.ticketMs() + claimKeepMs + marginMs / 2 >= fleet.nowMs();
+        return claim.ticketMs() + periods.claimKeepMs + periods.marginMs / 2 >= fleetClock.nowMs();
     }
 
-    /** Whether a register may be dropped now: nothing that is let in can still refer to it. */
-    boolean over(final String key, final byte[] value) {
-        if (IdempotencyClaim.isKey(key)) {
-            return value != null
-                    && MessageCodec.record(value, IdempotencyClaim.class).claimedMs() + claimKeepMs + marginMs
-                            < fleet.nowMs();
+    /** Returns whether a register may be dropped now: nothing that is still accepted can refer to it. */
+    boolean expired(final String key, final byte[] value) {
+        if (!IdempotencyClaim.isKey(key)) {
+            return gone(key);
         }
-        return gone(key);
+        if (value == null) {
+            return false;
+        }
+        final IdempotencyClaim claim = MessageCodec.record(value, IdempotencyClaim.class);
+        return claim.claimedMs() + periods.claimKeepMs + periods.marginMs < fleetClock.nowMs();
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -0,0 +1,146 @@
+package spokestall.node;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import spokestall.api.CallRegistry;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.Configuration;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.configuration.feed.FeedClient;
+import spokestall.consensus.Proposer;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.discovery.Endpoint;
+import spokestall.discovery.EndpointRegistry;
+import spokestall.discovery.HealthObservation;
+import spokestall.gossip.NodeInfo;
+import spokestall.gossip.PartialView;
+
+/**
+ * The calls {@code status} and {@code upstreams}: this node's own view, which may be older than other nodes' views.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. Both answer at once and never fail.
+ */
+final class StatusCalls {
+    /** The part of a status that depends on the node's role. */
+    interface RoleStatus {
+        /** Adds this role's fields to the status. */
+        void describe(ObjectNode status);
+
+        /** Adds to an evacuated zone's entry what this role knows about its progress. */
+        void describeEvacuation(String zone, ObjectNode evacuation);
+    }
+
+    /** The components whose state is shown, on a node of any role. */
+    record Sources(
+            PartialView view,
+            PeerDirectory peerDirectory,
+            ConfigurationStore configurationStore,
+            FeedClient feedClient,
+            Proposer proposer,
+            EndpointRegistry endpointRegistry) {}
+
+    private final NodeContext context;
+    private final PartialView view;
+    private final PeerDirectory peerDirectory;
+    private final ConfigurationStore configurationStore;
+    private final FeedClient feedClient;
+    private final Proposer proposer;
+    private final EndpointRegistry endpointRegistry;
+    private final RoleStatus roleStatus;
+
+    StatusCalls(final NodeContext context, final Sources sources, final RoleStatus roleStatus) {
+        this.context = context;
+        this.view = sources.view();
+        this.peerDirectory = sources.peerDirectory();
+        this.configurationStore = sources.configurationStore();
+        this.feedClient = sources.feedClient();
+        this.proposer = sources.proposer();
+        this.endpointRegistry = sources.endpointRegistry();
+        this.roleStatus = roleStatus;
+    }
+
+    /** Registers both calls, which any node answers. */
+    void register(final CallRegistry calls) {
+        calls.on("status", (params, done) -> done.accept(Reply.of(ResultCode.OK, status())));
+        calls.on("upstreams", (params, done) -> done.accept(Reply.of(ResultCode.OK, upstreams())));
+    }
+
+    /** Marks an answer as this node's own view: by which version, how old its proof is, and whether that still counts. */
+    private void addOwnView(final ObjectNode fields) {
+        fields.put("local", true)
+                .put("version", configurationStore.configuration().version())
+                .put("proofAgeMs", feedClient.ageMs())
+                .put("fresh", feedClient.fresh());
+    }
+
+    private ObjectNode upstreams() {
+        final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
+        addOwnView(fields);
+        final ArrayNode upstreams = fields.putArray("upstreams");
+        for (final Endpoint endpoint : endpointRegistry.listed()) {
+            final HealthObservation health = endpointRegistry.word(endpoint.instance(), context.fleet.nowMs());
+            upstreams
+                    .addObject()
+                    .put("instance", endpoint.instance())
+                    .put("service", endpoint.service())
+                    .put("address", endpoint.address())
+                    .put("district", endpoint.zone())
+                    .put("listed", endpoint.present())
+                    .put("leaving", endpoint.leaving())
+                    .put("status", health == null ? "UNKNOWN" : health.status().name());
+        }
+        return fields;
+    }
+
+    private ObjectNode status() {
+        final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
+        fields.put("node", context.name)
+                .put("role", context.core ? "core" : "edge")
+                .put("fleetMs", context.fleet.nowMs());
+        addOwnView(fields);
+        addNodes(fields.putObject("nodes"));
+        peerDirectory.differing().forEach(fields.putArray("differing")::add);
+        if (proposer.voterSet() != null) {
+            addVoters(proposer.voterSet(), fields.putObject("voters"));
+        }
+        addEvacuations(fields.putObject("holds"));
+        roleStatus.describe(fields);
+        return fields;
+    }
+
+    private void addNodes(final ObjectNode nodes) {
+        for (final NodeInfo member : view.members()) {
+            nodes.putObject(member.name())
+                    .put("role", member.core() ? "core" : "edge")
+                    .put("address", member.address())
+                    .put("http", member.httpAddress())
+                    .put("district", member.zone())
+                    .put("leaving", member.leaving())
+                    .put("heardMs", context.fleet.nowMs() - member.heardMs());
+        }
+    }
+
+    private void addVoters(final VoterSet voterSet, final ObjectNode voters) {
+        voters.put("generation", voterSet.generation()).put("epoch", voterSet.epoch());
+        final long timeoutMs = Math.max(
+                context.settings().ms("leaveBoundMs"), context.settings().heardMs());
+        for (final Voter voter : voterSet.voters()) {
+            final FeedClient.Observation last = feedClient.last().get(voter.name());
+            final boolean heard = last != null && feedClient.heardMs(voter.name()) < timeoutMs;
+            voters.putObject(voter.name())
+                    .put("state", !heard ? "unheard" : last.voting() ? "voting" : "blank")
+                    .put("applied", heard ? last.applied() : 0);
+        }
+    }
+
+    private void addEvacuations(final ObjectNode evacuations) {
+        final Configuration configuration = configurationStore.configuration();
+        for (final String zone : configuration.holds()) {
+            final String reason =
+                    configuration.tree().path("holds").path(zone).path("reason").asText();
+            roleStatus.describeEvacuation(zone, evacuations.putObject(zone).put("reason", reason));
+        }
+    }
+}
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -17,12 +17,17 @@
 import spokestall.usage.UsageCounter;
 import spokestall.usage.UsageReporter;
 
-/** The time spans and bounds of each part of a node, taken from the settings. */
+/**
+ * Derives each component's periods, time-outs and bounds from the settings. The settings give a few bounds that operators care
+ * about; all else is a ratio of these, so that one setting scales everything that depends on it.
+ *
+ * <p>Immutable; a node creates a new one whenever its settings change.
+ */
 final class Timings {
-    /** What a count that was not told is taken for where a table needs a bound. */
-    private static final int UNTOLD = VoterSet.VOTERS_MAX;
-    /** The version of messages since which an asker is told only what it lacks. */
-    private static final int TERSE = 3;
+    /** Stands for a count of nodes that is not configured, where a bound is needed. */
+    private static final int UNCONFIGURED_COUNT = VoterSet.VOTERS_MAX;
+    /** The version of messages since which a response may omit what the requester has. */
+    private static final int OMISSIONS_SINCE = 3;
 
     private final Settings settings;
     private final boolean core;
@@ -32,23 +37,31 @@
         this.core = core;
     }
 
-    private int told(final String count) {
-        return settings.ms(count) == 0 ? UNTOLD : (int) settings.ms(count);
+    private int countOrBound(final String count) {
+        return settings.ms(count) == 0 ? UNCONFIGURED_COUNT : (int) settings.ms(count);
     }
 
-    /** A configuration, and a founding with it and all else that is left, must fit into one record of the cores' rings. */
-    int configurationBytesMost() {
+    /**
+     * Returns the largest size of a configuration in bytes: one must fit into a record of the cores' logs, together with all else
+     * of a new generation's initial state.
+     */
+    int configurationMaxBytes() {
         return (int) Math.min(settings.ms("policyMaxBytes"), settings.ms("ringSegmentBytes") / 2);
     }
 
-    /** The span whose counts are reported together. */
+    /** Returns the length of a usage window, whose counts are reported together. */
     long windowMs() {
         return settings.ms("reportWindowS") * 1000;
     }
 
+    /** Returns for how long a change to the configuration may take before its caller is answered. */
+    long changeMs() {
+        return settings.part("policyBoundMs", 0.8);
+    }
+
     PartialView.Timing view() {
         return new PartialView.Timing(
-                2 * (told("cores") + told("edges")),
+                2 * (countOrBound("cores") + countOrBound("edges")),
                 6,
                 settings.part("leaveBoundMs", 4),
                 settings.part("leaveBoundMs", 1));
@@ -59,13 +72,13 @@
         return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), 64);
     }
 
-    FeedClient.Timing follower() {
+    FeedClient.Timing feedClient() {
         return new FeedClient.Timing(
                 settings.ms("freshMs"),
                 32,
                 3 * settings.ms("proofMs"),
                 core ? 8 : 64,
-                settings.ms("noteVersion") < TERSE);
+                settings.ms("noteVersion") < OMISSIONS_SINCE);
     }
 
     BootstrapProposer.Timing bootstrapProposer() {
@@ -81,7 +94,7 @@
                 settings.part("leaveBoundMs", 0.75),
                 8 * settings.ms("farMs"),
                 settings.part("leaveBoundMs", 0.25),
-                settings.ms("noteVersion") < TERSE,
+                settings.ms("noteVersion") < OMISSIONS_SINCE,
                 settings.part("leaveBoundMs", 0.5),
                 settings.part("leaveBoundMs", 8));
     }
@@ -101,7 +114,7 @@
                 settings.ms("probes") == 1);
     }
 
-    UsageCounter.Timing counter() {
+    UsageCounter.Timing usageCounter() {
         return new UsageCounter.Timing(
                 windowMs(),
                 settings.part("reportDueMs", 0.1),
@@ -145,7 +158,7 @@
                 settings.number("regionCost"));
     }
 
-    AdmissionController.Timing edge() {
+    AdmissionController.Timing proxy() {
         return new AdmissionController.Timing(
                 (int) settings.ms("askOpenMax"),
                 settings.ms("heldMaxBytes"),
@@ -167,7 +180,7 @@
                         settings.ms("any500") == 1));
     }
 
-    GracefulShutdown.Timing departure() {
+    GracefulShutdown.Timing gracefulShutdown() {
         return new GracefulShutdown.Timing(
                 settings.part("stopWaitMs", 0.2),
                 settings.part("stopWaitMs", 0.75),
--- a/spokestall/src/test/java/spokestall/io/http/HttpListenerTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpListenerTest.java
@@ -158,8 +158,8 @@
             send(underWay, GET.replace("/x", "/held") + "\r\n");
             final HttpServerExchange exchange = held.poll(10, TimeUnit.SECONDS);
             assertThat(port.open()).isEqualTo(2);
-            port.endWithAnswers();
-            port.endResting();
+            port.closeAfterResponses();
+            port.closeIdle();
             assertThat(closed(atRest)).isTrue();
             assertThat(port.open()).isEqualTo(1);
             exchange.getResponseSender().send("well");
@@ -177,7 +177,7 @@
             send(inPart, GET);
             send(other, GET + "\r\n");
             answer(other);
-            port.endResting();
+            port.closeIdle();
             assertThat(answer(inPart)).startsWith("HTTP/1.1 408 ").contains("Connection: close");
             assertThat(closed(inPart)).isTrue();
         }
@@ -189,7 +189,7 @@
         try (Socket socket = connect()) {
             send(socket, GET + "\r\n");
             answer(socket);
-            port.endResting();
+            port.closeIdle();
             assertThat(closed(socket)).isTrue();
             send(socket, GET.replace("/x", "/held?late") + "\r\n");
             try (Socket other = connect()) {
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -150,7 +150,7 @@
 
     @Test
     void aCoresOwnRecordsAreRead() throws Exception {
-        MessageNumbers.number();
+        MessageNumbers.register();
         final Acceptor acceptor = acceptor();
         assertThat(acceptor.own("~council")).isEmpty();
         assertThat(MessageCodec.record(acceptor.own("~form"), StoredRecords.coordinatorProposal()))
--- a/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
+++ b/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
@@ -12,27 +12,27 @@
     private final EventClock clock = new EventClock(BEGUN_MS);
     private final List<String> steps = new ArrayList<>();
     private int connections;
-    private int inFlight;
+    private int requestsInFlight;
 
-    private void say(final String step) {
+    private void record(final String step) {
         steps.add(step + "@" + (clock.nowMs() - BEGUN_MS));
     }
 
-    private void depart() {
-        final ClientConnections to = new ClientConnections() {
+    private void shutDown() {
+        final ClientConnections clientConnections = new ClientConnections() {
             @Override
-            public void endWithAnswers() {
-                say("endWithAnswers");
+            public void closeAfterResponses() {
+                record("closeAfterResponses");
             }
 
             @Override
             public void stopAccepting() {
-                say("stopAccepting");
+                record("stopAccepting");
             }
 
             @Override
-            public void endResting() {
-                say("endResting");
+            public void closeIdle() {
+                record("closeIdle");
             }
 
             @Override
@@ -42,60 +42,60 @@
         };
         final GracefulShutdown.Requests requests = new GracefulShutdown.Requests() {
             @Override
-            public void deny() {
-                say("deny");
+            public void rejectNew() {
+                record("rejectNew");
             }
 
             @Override
-            public void giveUp() {
-                say("giveUp");
+            public void abort() {
+                record("abort");
             }
 
             @Override
-            public boolean open() {
-                return inFlight > 0;
+            public boolean inFlight() {
+                return requestsInFlight > 0;
             }
         };
         final GracefulShutdown.Timing timing = new GracefulShutdown.Timing(200, 700, 900, 1000, 20, 50);
-        new GracefulShutdown(to, requests, clock, timing, () -> say("done")).begin();
+        new GracefulShutdown(clientConnections, requests, clock, timing, () -> record("done")).begin();
         clock.runAll();
     }
 
     @Test
-    void itUsesItsWholeTimeWhileAConnectionIsOpen() {
+    void usesAllItsTimeWhileAConnectionIsOpen() {
         connections = 1;
-        depart();
+        shutDown();
         assertThat(steps)
                 .containsExactly(
-                        "endWithAnswers@0",
+                        "closeAfterResponses@0",
                         "stopAccepting@200",
-                        "deny@700",
-                        "endResting@900",
-                        "giveUp@1000",
+                        "rejectNew@700",
+                        "closeIdle@900",
+                        "abort@1000",
                         "done@1050");
     }
 
     @Test
-    void itIsOverOnceNothingIsOpenAndNothingMoreCanCome() {
-        depart();
-        assertThat(steps).containsExactly("endWithAnswers@0", "stopAccepting@200", "done@220");
+    void endsOnceNothingIsOpenAndNothingMoreCanArrive() {
+        shutDown();
+        assertThat(steps).containsExactly("closeAfterResponses@0", "stopAccepting@200", "done@220");
     }
 
     @Test
-    void itWaitsForAConnectionThatWasTakenAsThePortClosed() {
+    void waitsForAConnectionThatWasAcceptedAsThePortClosed() {
         clock.after(205, () -> connections = 1);
         clock.after(405, () -> connections = 0);
-        depart();
-        assertThat(steps).containsExactly("endWithAnswers@0", "stopAccepting@200", "done@420");
+        shutDown();
+        assertThat(steps).containsExactly("closeAfterResponses@0", "stopAccepting@200", "done@420");
     }
 
     @Test
-    void itWaitsForTheLastConnectionAndTheLastRequest() {
+    void waitsForTheLastConnectionAndTheLastRequest() {
         connections = 1;
-        inFlight = 1;
+        requestsInFlight = 1;
         clock.after(300, () -> connections = 0);
-        clock.after(505, () -> inFlight = 0);
-        depart();
-        assertThat(steps).containsExactly("endWithAnswers@0", "stopAccepting@200", "done@520");
+        clock.after(505, () -> requestsInFlight = 0);
+        shutDown();
+        assertThat(steps).containsExactly("closeAfterResponses@0", "stopAccepting@200", "done@520");
     }
 }
--- a/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
@@ -39,7 +39,7 @@
 
     @Test
     void keysOfACoresOwnRecordsAreTheLiteralOnes() {
-        assertThat(CoreStorage.POLICY).isEqualTo("~policy");
+        assertThat(SnapshotStore.KEY).isEqualTo("~policy");
         assertThat(CoreStorage.BOOTSTRAP_ACCEPTOR).isEqualTo("~council");
         assertThat(DiscoveryComponent.KEPT).isEqualTo("~listed");
         assertThat(UsageComponent.KEPT).isEqualTo("~usage");
--- a/spokestall/src/test/java/spokestall/node/NumberedMessages.java
+++ b/spokestall/src/test/java/spokestall/node/NumberedMessages.java
@@ -6,6 +6,6 @@
 
     /** Example: {@code NumberedMessages.register(); Codec.message(frame);} */
     public static void register() {
-        MessageNumbers.number();
+        MessageNumbers.register();
     }
 }
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -118,7 +118,7 @@
     }
 
     private static void keepOwnRecords(final Acceptor acceptor) {
-        MessageNumbers.number();
+        MessageNumbers.register();
         keep(acceptor, "~policy", MessageCodec.bytes(configurationStore().snapshot()));
         keep(acceptor, "~council", new byte[0]);
         keep(acceptor, "~form", MessageCodec.bytes(StoredRecords.coordinatorProposal(6, CAST)));
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -282,7 +282,7 @@
     private void back(final SimulatedNode core, final Return from, final long startUs, final Runnable then) {
         final long fromMs = world.sim.nowMs();
         final long fromBytes = world.traffic.sentTo(core.name);
-        final long provedBefore = core.node().follower().freshUntilMs();
+        final long provedBefore = core.node().feedClient().freshUntilMs();
         whenBack(core, provedBefore, () -> {
             backs.add(new Back(from, world.sim.nowMs() - fromMs, world.traffic.sentTo(core.name) - fromBytes, startUs));
             look();
@@ -294,8 +294,8 @@
     private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
         final boolean voting = core.running() && core.node().acceptor().state() == Acceptor.State.VOTING;
         if (voting
-                && core.node().follower().fresh()
-                && core.node().follower().freshUntilMs() > provedBefore
+                && core.node().feedClient().fresh()
+                && core.node().feedClient().freshUntilMs() > provedBefore
                 && core.node().configurationStore().configuration().version() + 1 >= acknowledged) {
             then.run();
         } else {
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -154,7 +154,7 @@
                         AuditSink.NONE));
         node.start();
         if (!core) {
-            counter = node.counter();
+            counter = node.usageCounter();
             later(mine, 1 + chance.nextInt((int) TICK_MS), ScaleTraffic.REQUESTS, () -> requests(mine));
         }
     }
@@ -229,7 +229,7 @@
         traffic.in(run.phase(), distance, kind, frame.length);
         timed(kind, () -> {
             try {
-                node.hear(MessageCodec.message(frame));
+                node.onMessage(MessageCodec.message(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -247,7 +247,7 @@
         }
         final int phase = run.phase().ordinal();
         requests[phase] += due;
-        if (!node.follower().fresh()) {
+        if (!node.feedClient().fresh()) {
             stale[phase] += due;
             return;
         }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -194,7 +194,7 @@
             final java.util.function.Consumer<Response> done) {
         final AdmittedRequest[] mine = {null};
         final AdmissionResult opened = edge.node()
-                .edge()
+                .admissionController()
                 .open(
                         head,
                         answer -> world.sim.after(1 + random.nextInt(20), () -> {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -177,7 +177,7 @@
     }
 
     void hear(final long ofIncarnation, final Message message) {
-        run(ofIncarnation, () -> node.hear(message));
+        run(ofIncarnation, () -> node.onMessage(message));
     }
 
     public void kill() {
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -75,7 +75,7 @@
 
     private static boolean able(final SimulatedNode node) {
         return node.running()
-                && node.node().follower().fresh()
+                && node.node().feedClient().fresh()
                 && (!node.core || node.node().acceptor().state() == Acceptor.State.VOTING);
     }
 
@@ -118,7 +118,7 @@
             final ChangeDraft draft,
             final long waitMs,
             final Consumer<Reply> done) {
-        to.run(to.incarnation(), () -> to.node().acceptance().agree(changeId, draft, waitMs, done));
+        to.run(to.incarnation(), () -> to.node().changeCoordinator().agree(changeId, draft, waitMs, done));
     }
 
     /** Gives an order made against a base, at any node. */
@@ -128,7 +128,7 @@
             final String changeId,
             final ChangeDraft draft,
             final Consumer<Reply> done) {
-        to.run(to.incarnation(), () -> to.node().acceptance().take(base, changeId, draft, done));
+        to.run(to.incarnation(), () -> to.node().changeCoordinator().take(base, changeId, draft, done));
     }
 
     /** Gives an order made against a base and waits for its reply. */
--- a/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -44,7 +44,7 @@
             final boolean begin,
             final java.util.function.Consumer<Reply> done) {
         final String id = "hold-" + fleet.nowMs() + at.name;
-        at.run(at.incarnation(), () -> at.node().acceptance().takeUnnamed(id, hold(begin), WAIT_MS, done));
+        at.run(at.incarnation(), () -> at.node().changeCoordinator().takeUnnamed(id, hold(begin), WAIT_MS, done));
     }
 
     private static List<SimulatedNode> heldAt(final OperatorFleet fleet) {
