--- a/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
+++ b/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
@@ -14,7 +14,7 @@
 import spokestall.configuration.feed.FeedClient;
 
 /**
- * The calls that read and change the configuration: whole, in part, a tenant's keys, or a zone's evacuation.
+ * The calls that read and change the configuration: all of it, a part of it, a tenant's keys, or a zone's evacuation.
  *
  * <p>Not thread-safe; all calls on the node's event loop. A change is answered once it is known whether it was committed.
  */
--- a/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
+++ b/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
@@ -25,7 +25,7 @@
 
     /** The clients' requests at this node. */
     interface Requests {
-        /** Rejects all requests from now on; those in flight go on. */
+        /** Rejects all requests from now on; those in flight continue. */
         void rejectNew();
 
         /** Answers all that is in flight, as failed. */
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -143,7 +143,7 @@
                 .begin();
     }
 
-    /** The lease goes last: what edges count until their end must still be reported by whoever holds it. */
+    /** The lease is released last: what edges count until their end must still be reported by whoever holds it. */
     private void releaseRoles(final Runnable done) {
         if (components.proxy != null) {
             components.proxy.stop();
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -15,7 +15,7 @@
 import spokestall.settings.Settings;
 
 /**
- * Wires the components of one node to each other. Holds no state of its own.
+ * Creates the components of one node and passes them to each other. Holds no state of its own.
  *
  * <p>The order of construction is part of the contract: components draw from the node's random source when they are created,
  * and a simulation must repeat. A component gets another one that is created after it only as a function to call later.
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -14,7 +14,7 @@
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** How many feed requests a starting node sends at once before it slows down, and the unit of the slower ones. */
     private static final int FAST_ATTEMPTS = 4;
-    /** For how many leave bounds a starting node asks faster than by its periods, and how often. */
+    /** For how many leave bounds a starting node sends requests faster than by its periods, and how often. */
     private static final double FAST_START_LEAVE_BOUNDS = 1.5;
 
     private static final double FAST_PERIOD_LEAVE_BOUNDS = 0.03;
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -24,7 +24,7 @@
  * <p>Immutable; a node creates a new one whenever its settings change.
  */
 final class Timings {
-    /** Stands for a count of nodes that is not configured, where a bound is needed. */
+    /** Used for a count of nodes that is not configured, where a bound is needed. */
     private static final int UNCONFIGURED_COUNT = VoterSet.VOTERS_MAX;
     /** The version of messages since which a response may omit what the requester has. */
     private static final int OMISSIONS_SINCE = 3;
@@ -54,7 +54,7 @@
         return settings.ms("reportWindowS") * 1000;
     }
 
-    /** Returns for how long a change to the configuration may take before its caller is answered. */
+    /** Returns for how long a change to the configuration may take before it is answered. */
     long changeMs() {
         return settings.part("policyBoundMs", 0.8);
     }
