--- a/spokestall/src/main/java/spokestall/cli/AuditVerifier.java
+++ b/spokestall/src/main/java/spokestall/cli/AuditVerifier.java
@@ -9,15 +9,20 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
 import spokestall.audit.AuditChain;
 import spokestall.io.AuditFiles;
 
-/** Checks an audit: 0 it is whole, 1 it is not, 2 it could not be checked, 3 whole but for a last line cut off. */
+/**
+ * The command {@code audit}: checks that a core's audit log is complete and unaltered.
+ *
+ * <p>Exit codes: 0 if it is, 1 if it is not, 2 if it can't be checked, 3 if it is but for a last line that was cut off.
+ */
 public final class AuditVerifier {
-    /** The flags. */
+    /** The flags; their names and texts are the command's interface. */
     static final class Flags {
         @Option(
                 name = "--check",
@@ -38,8 +43,11 @@
         private boolean help;
     }
 
+    private static final int LAST_LINE_TORN = 3;
+
     private AuditVerifier() {}
 
+    /** Runs the command and returns its exit code. */
     public static int run(final String[] args) {
         final Flags flags = new Flags();
         final CmdLineParser parser = new CmdLineParser(flags);
@@ -51,7 +59,7 @@
                 System.err.println(e.getMessage());
             }
             parser.printUsage(help ? System.out : System.err);
-            return help ? 0 : 2;
+            return help ? ExitCode.OK : ExitCode.USAGE;
         }
         try {
             final ECKey key = ECKey.parse(Files.readString(flags.key)).toPublicJWK();
@@ -59,11 +67,11 @@
             for (final Path path : Files.isDirectory(flags.file) ? AuditFiles.files(flags.file) : List.of(flags.file)) {
                 text.append(Files.readString(path, StandardCharsets.ISO_8859_1));
             }
-            return verdict(AuditChain.check(
-                    key, lines(text.toString()), text.length() == 0 || text.charAt(text.length() - 1) == '\n'));
+            final boolean endsWithLine = text.length() == 0 || text.charAt(text.length() - 1) == '\n';
+            return print(AuditChain.check(key, lines(text.toString()), endsWithLine));
         } catch (final IOException | ParseException e) {
             System.err.println("can't be checked: " + e.toString().split("\n")[0]);
-            return 2;
+            return ExitCode.USAGE;
         }
     }
 
@@ -75,9 +83,12 @@
         return all;
     }
 
-    private static int verdict(final AuditChain.Verdict verdict) {
-        System.out.println(
-                "audit=" + verdict.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT) + " " + verdict);
-        return verdict instanceof AuditChain.Verdict.Good ? 0 : verdict instanceof AuditChain.Verdict.Torn ? 3 : 1;
+    /** The verdict is printed by the names of its record and components, which are the command's interface. */
+    private static int print(final AuditChain.Verdict verdict) {
+        System.out.println("audit=" + verdict.getClass().getSimpleName().toLowerCase(Locale.ROOT) + " " + verdict);
+        if (verdict instanceof AuditChain.Verdict.Good) {
+            return ExitCode.OK;
+        }
+        return verdict instanceof AuditChain.Verdict.Torn ? LAST_LINE_TORN : ExitCode.FAILED;
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/cli/CommandHttpClient.java
@@ -0,0 +1,64 @@
+package spokestall.cli;
+
+import io.undertow.server.DefaultByteBufferPool;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
+import spokestall.io.http.HttpCall;
+import spokestall.io.http.HttpClient;
+import spokestall.io.http.HttpResult;
+
+/**
+ * The HTTP client of a command, for requests as any client sends them and for calls to nodes.
+ *
+ * <p>Thread-safe. Results are passed on I/O threads, which must not be blocked. It is never closed: the process ends with its
+ * command.
+ */
+final class CommandHttpClient {
+    private static final int BUFFER_BYTES = 16 << 10;
+    private static final int CONNECTIONS_MAX = 1000;
+    private final HttpClient client;
+
+    CommandHttpClient(final int ioThreads) {
+        this.client =
+                new HttpClient(ioThreads(ioThreads), new DefaultByteBufferPool(true, BUFFER_BYTES), CONNECTIONS_MAX);
+    }
+
+    private static XnioWorker ioThreads(final int count) {
+        try {
+            return Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, count));
+        } catch (final IOException e) {
+            throw new IllegalStateException("the I/O threads of the HTTP client can't be started", e);
+        }
+    }
+
+    /** Sends a request; {@code done} receives its result once. */
+    void send(final HttpCall request, final Consumer<HttpResult> done) {
+        client.call(request, done);
+    }
+
+    /** Calls a method of the schema file at a node, with parameters as JSON; times are in milliseconds, sizes in bytes. */
+    void callNode(
+            final String address,
+            final String method,
+            final String params,
+            final long timeoutMs,
+            final int responseMaxBytes,
+            final Consumer<HttpResult> done) {
+        send(
+                HttpCall.plain(
+                        address,
+                        "POST",
+                        "/rpc/" + method,
+                        Map.of("Content-Type", "application/json"),
+                        params.getBytes(StandardCharsets.UTF_8),
+                        timeoutMs,
+                        responseMaxBytes),
+                done);
+    }
+}
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/cli/LoadClient.java
@@ -0,0 +1,157 @@
+package spokestall.cli;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import java.util.Queue;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledFuture;
+import java.util.concurrent.TimeUnit;
+import spokestall.configuration.ConfigurationStore;
+import spokestall.io.http.HttpCall;
+import spokestall.io.http.HttpResult;
+
+/**
+ * Sends requests as a well-behaved client does: looks up edges, sends to one of them, and retries what has not run, or what may
+ * run twice, until the deadline.
+ *
+ * <p>Thread-safe; attempts run on the timer's threads and the HTTP client's I/O threads.
+ */
+final class LoadClient {
+    private static final int ATTEMPTS_MAX = 5;
+    private static final int RESPONSE_MAX_BYTES = 16 << 20;
+    /** How much longer than the deadline a response is awaited, so that the edge's own time-out is seen. */
+    private static final long DEADLINE_MARGIN_MS = 500;
+
+    private static final long NO_EDGE_BACKOFF_MS = 300;
+    private static final long BACKOFF_MS = 100;
+
+    private final LoadOptions options;
+    private final CommandHttpClient httpClient;
+    private final EdgeLookup lookup;
+    private final ScheduledExecutorService timer;
+    private final LoadReport report;
+    private final Queue<String> recorded = new ConcurrentLinkedQueue<>();
+
+    /** The timer is the caller's to shut down; requests that are waiting then end at their next retry. */
+    LoadClient(
+            final LoadOptions options,
+            final CommandHttpClient httpClient,
+            final ScheduledExecutorService timer,
+            final LoadReport report) {
+        this.options = options;
+        this.httpClient = httpClient;
+        this.lookup = new EdgeLookup(httpClient, options.nodes());
+        this.timer = timer;
+        this.report = report;
+    }
+
+    /** Returns a line for each response, if responses are recorded. */
+    Iterable<String> recorded() {
+        return recorded;
+    }
+
+    /** Makes the request's present attempt, and further ones if it fails; the report receives its end. */
+    void attempt(final LoadRequest request) {
+        lookup.find(request, found -> {
+            if (found.isPresent()) {
+                send(request.named(found.get().ticket()), found.get());
+            } else {
+                retry(request, "nowhere", NO_EDGE_BACKOFF_MS);
+            }
+        });
+    }
+
+    private void send(final LoadRequest request, final EdgeLookup.Edges edges) {
+        final long leftMs = options.deadlineMs() - (MonotonicTime.nowMs() - request.begunMs());
+        if (leftMs <= 0) {
+            end(request, "out-of-time", null);
+            return;
+        }
+        final String edge =
+                edges.addresses().get(request.attempt() % edges.addresses().size());
+        final Map<String, String> headers = new TreeMap<>();
+        headers.put("Spokestall-Key", request.kind().key());
+        headers.put("Spokestall-Ask-Id", request.name());
+        headers.put("Spokestall-Deadline-Ms", Long.toString(leftMs));
+        final boolean runOnce = request.kind().runOnce();
+        final String body = runOnce ? "{\"do\":\"" + request.id() + "\"}" : "";
+        httpClient.send(
+                HttpCall.plain(
+                        edge,
+                        runOnce ? "POST" : "GET",
+                        request.kind().path(),
+                        headers,
+                        body.getBytes(StandardCharsets.UTF_8),
+                        leftMs + DEADLINE_MARGIN_MS,
+                        RESPONSE_MAX_BYTES),
+                result -> onResult(request, edge, result));
+    }
+
+    private void onResult(final LoadRequest request, final String edge, final HttpResult result) {
+        if (result instanceof HttpResult.Whole response) {
+            onResponse(request, edge, response);
+        } else if (result instanceof HttpResult.NotSent || !request.kind().runOnce()) {
+            lookup.invalidate(request);
+            retry(request, "unreached", BACKOFF_MS);
+        } else {
+            end(request, "no-answer", edge);
+        }
+    }
+
+    private void onResponse(final LoadRequest request, final String edge, final HttpResult.Whole response) {
+        final String outcome = response.header("Spokestall-Outcome");
+        final String code = response.header("Spokestall-Code");
+        if (options.record() != null) {
+            recorded.add(request.name() + " " + outcome + " " + code + " " + System.currentTimeMillis());
+        }
+        if ("ran".equals(outcome)) {
+            end(request, resultOf(request, response), edge);
+            return;
+        }
+        lookup.invalidate(request);
+        if ("not-run".equals(outcome) || !request.kind().runOnce()) {
+            final String retryAfterS = response.header("Retry-After");
+            final long waitMs =
+                    retryAfterS == null ? BACKOFF_MS : TimeUnit.SECONDS.toMillis(Long.parseLong(retryAfterS));
+            retry(request, outcome + "-" + code, waitMs);
+        } else {
+            end(request, outcome + "-" + code, edge);
+        }
+    }
+
+    private String resultOf(final LoadRequest request, final HttpResult.Whole response) {
+        if (options.echo() && response.status() == 200 && !echoes(response.body(), request.name())) {
+            return LoadReport.WRONG_ANSWER;
+        }
+        return response.status() < 500 ? LoadReport.RAN : LoadReport.RAN + "-" + response.status();
+    }
+
+    private static boolean echoes(final byte[] body, final String name) {
+        try {
+            final JsonNode read = ConfigurationStore.JSON.readTree(body);
+            return read != null && read.path("answerTo").asText().equals(name);
+        } catch (final IOException e) {
+            // A body that is no JSON names no request.
+            return false;
+        }
+    }
+
+    private void retry(final LoadRequest request, final String reason, final long waitMs) {
+        final boolean inTime = MonotonicTime.nowMs() + waitMs - request.begunMs() < options.deadlineMs();
+        if (request.attempt() + 1 >= ATTEMPTS_MAX || !inTime || timer.isShutdown()) {
+            end(request, reason, null);
+            return;
+        }
+        report.onRetry();
+        final ScheduledFuture<?> unused =
+                timer.schedule(() -> attempt(request.nextAttempt()), waitMs, TimeUnit.MILLISECONDS);
+    }
+
+    private void end(final LoadRequest request, final String result, final String edge) {
+        report.onEnd(result, edge, MonotonicTime.nowMs() - request.begunMs());
+    }
+}
--- a/spokestall/src/main/java/spokestall/cli/Main.java
+++ b/spokestall/src/main/java/spokestall/cli/Main.java
@@ -17,12 +17,12 @@
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsSource;
 
-/** The one program; the role is the subcommand. */
+/** The program's entry: its first argument names the command. */
 public final class Main {
     private Main() {}
 
-    /** Flags of the two daemons. */
-    static final class DaemonFlags {
+    /** The flags of the two commands that run a node; their names and texts are an interface. */
+    static final class NodeFlags {
         @Option(name = "--settings", metaVar = "FILE", usage = "settings file, a JSON object")
         private Path file;
 
@@ -36,22 +36,25 @@
         private boolean help;
     }
 
-    /** Example: {@code java -jar spokestall.jar core --settings d1-core.json} */
+    /**
+     * Runs one command and ends the process with its exit code. Example: {@code java -jar spokestall.jar core --settings
+     * d1-core.json}
+     */
     public static void main(final String[] args) throws Exception {
         HangupSignal.install();
         LogLineFormatter.install();
-        final String role = args.length == 0 ? "--help" : args[0];
+        final String command = args.length == 0 ? "--help" : args[0];
         final String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
-        final int code = switch (role) {
-            case "core" -> daemon(true, rest);
-            case "edge" -> daemon(false, rest);
+        final int code = switch (command) {
+            case "core" -> runNode(true, rest);
+            case "edge" -> runNode(false, rest);
             case "operator" -> OperatorCommand.run(rest);
             case "demand" -> LoadGenerator.run(rest);
             case "audit" -> AuditVerifier.run(rest);
-            case "--help", "help" -> help(0);
+            case "--help", "help" -> help(ExitCode.OK);
             default -> {
-                System.err.println("no such subcommand: " + role);
-                yield help(2);
+                System.err.println("no such subcommand: " + command);
+                yield help(ExitCode.USAGE);
             }
         };
         System.out.flush();
@@ -59,7 +62,7 @@
     }
 
     private static int help(final int code) {
-        (code == 0 ? System.out : System.err).print("""
+        (code == ExitCode.OK ? System.out : System.err).print("""
                 spokestall <subcommand> [flags]; each takes --help
                   core      a node with a disk: votes, probes upstreams, reports usage
                   edge      a node that answers callers
@@ -70,34 +73,39 @@
         return code;
     }
 
-    private static int daemon(final boolean core, final String[] args) throws Exception {
-        final DaemonFlags flags = new DaemonFlags();
+    private static int runNode(final boolean core, final String[] args) throws Exception {
+        final NodeFlags flags = new NodeFlags();
         final CmdLineParser parser = new CmdLineParser(flags);
         try {
             parser.parseArgument(args);
         } catch (final CmdLineException e) {
             System.err.println(e.getMessage());
             parser.printUsage(System.err);
-            return 2;
+            return ExitCode.USAGE;
         }
         if (flags.help) {
             System.out.println("spokestall " + (core ? "core" : "edge") + " [flags]");
             parser.printUsage(System.out);
             System.out.print("settings:\n" + Settings.help());
-            return 0;
+            return ExitCode.OK;
         }
-        final Map<String, String> sets = new LinkedHashMap<>();
-        for (final String set : flags.sets) {
-            final int at = set.indexOf('=');
-            sets.put(at < 0 ? set : set.substring(0, at), at < 0 ? "" : set.substring(at + 1));
-        }
-        final SettingsSource source = new FileSettings(flags.file, sets, core);
+        final SettingsSource source = new FileSettings(flags.file, settingsByKey(flags.sets), core);
         final Settings.Read read = source.read();
         if (read instanceof Settings.Read.Bad bad) {
-            bad.errors().forEach(t -> System.err.println(t.key() + ": " + t.reason()));
-            return 2;
+            bad.errors().forEach(error -> System.err.println(error.key() + ": " + error.reason()));
+            return ExitCode.USAGE;
         }
         final Settings settings = ((Settings.Read.Good) read).settings();
-        return flags.check ? 0 : new NodeProcess(settings, source, core, ProtocolAdapter.own()).run();
+        return flags.check ? ExitCode.OK : new NodeProcess(settings, source, core, ProtocolAdapter.own()).run();
+    }
+
+    /** A later value of a key replaces an earlier one. */
+    private static Map<String, String> settingsByKey(final List<String> sets) {
+        final Map<String, String> byKey = new LinkedHashMap<>();
+        for (final String set : sets) {
+            final int at = set.indexOf('=');
+            byKey.put(at < 0 ? set : set.substring(0, at), at < 0 ? "" : set.substring(at + 1));
+        }
+        return byKey;
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/cli/MonotonicTime.java
@@ -0,0 +1,13 @@
+package spokestall.cli;
+
+/** The process's monotonic clock. */
+final class MonotonicTime {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    private MonotonicTime() {}
+
+    /** Returns milliseconds since an arbitrary instant, which never go back. */
+    static long nowMs() {
+        return System.nanoTime() / NANOS_PER_MILLI;
+    }
+}
--- a/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
+++ b/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
@@ -1,70 +1,47 @@
 package spokestall.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.Map;
-import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicReference;
+import java.util.concurrent.TimeoutException;
 import spokestall.api.CallRegistry;
+import spokestall.api.ResultCode;
 import spokestall.configuration.ConfigurationStore;
-import spokestall.io.http.HttpCall;
-import spokestall.io.http.HttpClient;
 import spokestall.io.http.HttpResult;
 
-/** One call to any node, its flags made from the schema file. */
+/** The command {@code operator}: one call to any node. Its methods and flags are those of the schema file. */
 final class OperatorCommand {
-    private static final int ANSWER_MAX = 64 << 20;
+    private static final int RESPONSE_MAX_BYTES = 64 << 20;
+    /** How much longer than the call's own time-out the command waits. */
+    private static final long WAIT_MARGIN_MS = 1000;
 
     private OperatorCommand() {}
 
-    static int run(final String[] args) throws Exception {
+    /** Runs the command and returns its exit code. */
+    static int run(final String[] args) throws IOException, InterruptedException {
         final JsonNode methods = new CallRegistry().file().path("methods");
         if (args.length == 0 || args[0].equals("--help")) {
             System.out.println("spokestall operator <method> --to IP:PORT [flags]; a value of @FILE is read from it");
-            methods.fields().forEachRemaining(e -> describe(e.getKey(), e.getValue()));
-            return args.length == 0 ? 2 : 0;
+            methods.fields().forEachRemaining(method -> describe(method.getKey(), method.getValue()));
+            return args.length == 0 ? ExitCode.USAGE : ExitCode.OK;
         }
         final JsonNode method = methods.get(args[0]);
         if (method == null) {
             System.err.println("no such method: " + args[0]);
-            return 2;
+            return ExitCode.USAGE;
         }
-        final ObjectNode params = ConfigurationStore.JSON.createObjectNode();
-        String to = null;
-        long waitMs = 10_000;
-        for (int i = 1; i < args.length; i++) {
-            if (args[i].equals("--help")) {
-                describe(args[0], method);
-                return 0;
-            }
-            if (!args[i].startsWith("--") || i + 1 >= args.length) {
-                System.err.println("a flag with a value was expected, not: " + args[i]);
-                return 2;
-            }
-            final String flag = args[i].substring(2);
-            final String value = args[++i];
-            if (flag.equals("to")) {
-                to = value;
-            } else if (flag.equals("waitMs")) {
-                if (!value.matches("[1-9]\\d{0,6}")) {
-                    System.err.println("--waitMs: needs a number of milliseconds, not: " + value);
-                    return 2;
-                }
-                waitMs = Long.parseLong(value);
-            } else if (!param(params, method.path("params").path("properties").get(flag), flag, value)) {
-                return 2;
-            }
+        final OperatorArguments arguments = OperatorArguments.parse(method, args);
+        if (arguments instanceof OperatorArguments.Call call) {
+            return call(args[0], call);
         }
-        if (to == null || !to.matches("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}")) {
-            System.err.println("--to: needs a node's IP number and port");
-            return 2;
+        if (arguments instanceof OperatorArguments.Invalid invalid) {
+            System.err.println(invalid.reason());
+            return ExitCode.USAGE;
         }
-        return call(to, args[0], params, waitMs);
+        describe(args[0], method);
+        return ExitCode.OK;
     }
 
     private static void describe(final String name, final JsonNode method) {
@@ -72,59 +49,39 @@
         method.path("params")
                 .path("properties")
                 .fields()
-                .forEachRemaining(p -> System.out.printf(
+                .forEachRemaining(param -> System.out.printf(
                         "      --%s (%s) %s%n",
-                        p.getKey(),
-                        p.getValue().path("type").asText(),
-                        p.getValue().path("description").asText()));
+                        param.getKey(),
+                        param.getValue().path("type").asText(),
+                        param.getValue().path("description").asText()));
     }
 
-    private static boolean param(
-            final ObjectNode params, final JsonNode schema, final String flag, final String value) {
-        if (schema == null) {
-            System.err.println("--" + flag + ": no such flag for this method");
-            return false;
-        }
+    private static int call(final String method, final OperatorArguments.Call call)
+            throws IOException, InterruptedException {
+        final CompletableFuture<HttpResult> response = new CompletableFuture<>();
+        new CommandHttpClient(1)
+                .callNode(
+                        call.address(),
+                        method,
+                        call.params().toString(),
+                        call.waitMs(),
+                        RESPONSE_MAX_BYTES,
+                        response::complete);
+        HttpResult result = null;
         try {
-            final String text = value.startsWith("@") ? Files.readString(Path.of(value.substring(1))) : value;
-            if (schema.path("type").asText().equals("string")) {
-                params.put(flag, text);
-            } else {
-                params.set(flag, ConfigurationStore.JSON.readTree(text));
-            }
-            return true;
-        } catch (final IOException e) {
-            System.err.println("--" + flag + ": " + e.getMessage().split("\n")[0]);
-            return false;
+            result = response.get(call.waitMs() + WAIT_MARGIN_MS, TimeUnit.MILLISECONDS);
+        } catch (final TimeoutException e) {
+            // The client's own time-out should have come first; there is no result to print then.
+        } catch (final ExecutionException e) {
+            throw new IllegalStateException("the response is only ever completed with a result", e);
         }
-    }
-
-    private static int call(final String to, final String method, final ObjectNode params, final long waitMs)
-            throws Exception {
-        final HttpClient client = LoadGenerator.client(1);
-        final AtomicReference<HttpResult> got = new AtomicReference<>();
-        final CountDownLatch done = new CountDownLatch(1);
-        client.call(
-                HttpCall.plain(
-                        to,
-                        "POST",
-                        "/rpc/" + method,
-                        Map.of("Content-Type", "application/json"),
-                        params.toString().getBytes(StandardCharsets.UTF_8),
-                        waitMs,
-                        ANSWER_MAX),
-                r -> {
-                    got.set(r);
-                    done.countDown();
-                });
-        done.await(waitMs + 1000, TimeUnit.MILLISECONDS);
-        if (got.get() instanceof HttpResult.Whole whole) {
-            final JsonNode out = ConfigurationStore.JSON.readTree(whole.body());
+        if (result instanceof HttpResult.Whole received) {
+            final JsonNode reply = ConfigurationStore.JSON.readTree(received.body());
             System.out.println(
-                    ConfigurationStore.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(out));
-            return out.path("code").asInt() == 1000 ? 0 : 1;
+                    ConfigurationStore.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(reply));
+            return reply.path("code").asInt() == ResultCode.OK.number() ? ExitCode.OK : ExitCode.FAILED;
         }
-        System.err.println("no answer from " + to + ": " + got.get());
-        return 1;
+        System.err.println("no answer from " + call.address() + ": " + result);
+        return ExitCode.FAILED;
     }
 }
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
@@ -0,0 +1,72 @@
+package spokestall.cli;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import spokestall.api.CallRegistry;
+
+class OperatorArgumentsTest {
+    private static final String TO = "127.0.0.1:7200";
+    private static final JsonNode METHOD =
+            new CallRegistry().file().path("methods").path("policy.patch");
+
+    private static OperatorArguments parse(final String... args) {
+        final String[] all = new String[args.length + 1];
+        all[0] = "policy.patch";
+        System.arraycopy(args, 0, all, 1, args.length);
+        return OperatorArguments.parse(METHOD, all);
+    }
+
+    @Test
+    void paramsAreReadByTheirTypes() {
+        final OperatorArguments.Call call = (OperatorArguments.Call)
+                parse("--to", TO, "--base", "7", "--changeId", "12", "--patch", "{\"holds\":{}}", "--waitMs", "250");
+        assertThat(call.address()).isEqualTo(TO);
+        assertThat(call.waitMs()).isEqualTo(250);
+        assertThat(call.params()).hasToString("{\"base\":7,\"changeId\":\"12\",\"patch\":{\"holds\":{}}}");
+    }
+
+    @Test
+    void theWaitHasADefault() {
+        assertThat(((OperatorArguments.Call) parse("--to", TO)).waitMs()).isEqualTo(10_000);
+    }
+
+    @Test
+    void aValueWithAnAtSignIsReadFromItsFile(@TempDir final Path folder) throws IOException {
+        final Path file = Files.writeString(folder.resolve("patch.json"), "{\"cells\":{}}");
+        final OperatorArguments.Call call =
+                (OperatorArguments.Call) parse("--to", TO, "--patch", "@" + file, "--changeId", "c-1");
+        assertThat(call.params()).hasToString("{\"patch\":{\"cells\":{}},\"changeId\":\"c-1\"}");
+    }
+
+    @Test
+    void helpWinsOverWhatFollowsIt() {
+        assertThat(parse("--to", TO, "--help", "--no-such-flag")).isEqualTo(new OperatorArguments.Help());
+    }
+
+    @Test
+    void theFirstArgumentThatCantBeUsedIsNamed() {
+        assertThat(parse("to", TO))
+                .isEqualTo(new OperatorArguments.Invalid("a flag with a value was expected, not: to"));
+        assertThat(parse("--to"))
+                .isEqualTo(new OperatorArguments.Invalid("a flag with a value was expected, not: --to"));
+        assertThat(parse("--pach", "{}"))
+                .isEqualTo(new OperatorArguments.Invalid("--pach: no such flag for this method"));
+        assertThat(parse("--waitMs", "0", "--pach", "{}"))
+                .isEqualTo(new OperatorArguments.Invalid("--waitMs: needs a number of milliseconds, not: 0"));
+        assertThat(parse("--to", "localhost:7200"))
+                .isEqualTo(new OperatorArguments.Invalid("--to: needs a node's IP number and port"));
+        assertThat(parse()).isEqualTo(new OperatorArguments.Invalid("--to: needs a node's IP number and port"));
+    }
+
+    @Test
+    void valuesThatAreNoJsonAreNamedByTheirFlag() {
+        assertThat(((OperatorArguments.Invalid) parse("--to", TO, "--patch", "{")).reason())
+                .startsWith("--patch: ");
+    }
+}
