--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -230,7 +230,7 @@
     private void propose(final Attempt attempt, final long leftMs) {
         final byte[] value = MessageCodec.bytes(attempt.change);
         attempts.add(attempt);
-        proposer.change(
+        proposer.propose(
                 ConfigurationKeys.key(attempt.next),
                 leftMs,
                 now -> edit(attempt.next, attempt.change, value, now),
@@ -238,22 +238,22 @@
     }
 
     private void ended(final Attempt attempt, final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             chosen(attempt, done.value());
         }
         if (!attempts.remove(attempt)) {
             return;
         }
         final String changeId = attempt.change.changeId();
-        if (outcome instanceof ProposalOutcome.Done done
+        if (outcome instanceof ProposalOutcome.Committed done
                 && done.value() != null
                 && same(done.value(), attempt.change)) {
             attempt.known.accept(accepted(attempt.next, changeId));
-        } else if (outcome instanceof ProposalOutcome.Undecided) {
+        } else if (outcome instanceof ProposalOutcome.Indeterminate) {
             attempt.known.accept(Reply.of(
                     ResultCode.UNDECIDED,
                     fields(configurationStore.configuration().version(), changeId)));
-        } else if (outcome instanceof ProposalOutcome.NotDone) {
+        } else if (outcome instanceof ProposalOutcome.NotCommitted) {
             attempt.known.accept(notReady(changeId));
         } else {
             attempt.beaten.run();
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -331,8 +331,8 @@
         updateOf = answered ? null : updateOf;
         final boolean same = table != null
                 && (back.table() != null
-                        ? table.same(back.table().generation(), back.table().epoch())
-                        : table.same(back.generation(), back.epoch()));
+                        ? table.hasEpoch(back.table().generation(), back.table().epoch())
+                        : table.hasEpoch(back.generation(), back.epoch()));
         if (same) {
             take(back);
         }
@@ -367,7 +367,7 @@
                 back.name(),
                 new Observation(back.voting(), back.newest() - back.behind(), back.newest()),
                 back.requestId(),
-                table != null && table.same(back.generation(), back.epoch()),
+                table != null && table.hasEpoch(back.generation(), back.epoch()),
                 voter != null && Fingerprints.of(voter.diskId()) == back.diskMark());
     }
 
@@ -455,7 +455,7 @@
         finishing = true;
         proposer.read(ConfigurationKeys.key(next), timing.freshMs() / 2, outcome -> {
             finishing = false;
-            if (outcome instanceof spokestall.consensus.ProposalOutcome.Done done
+            if (outcome instanceof spokestall.consensus.ProposalOutcome.Committed done
                     && done.value() != null
                     && proposer.voterSet() == table) {
                 learn(next, done.value());
--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -91,29 +91,29 @@
     }
 
     /** Keeps a record of this node's own beside the registers. */
-    public void keepOwn(final String key, final byte[] value, final Consumer<Boolean> done) {
+    public void putLocalRecord(final String key, final byte[] value, final Consumer<Boolean> done) {
         assert key.startsWith("~") : key;
         segmentedLog.put(key, value, done);
     }
 
     /** A record of this node's own, or null. */
-    public byte[] own(final String key) {
+    public byte[] localRecord(final String key) {
         return segmentedLog.table().get(key);
     }
 
     /** Whether this voter has its state, be it voting at this moment or not. */
     public boolean hasState() {
-        return state != State.RESIGNED && keepsState();
+        return state != State.RESIGNED && hasStateOnDisk();
     }
 
     /** Whether it has its seat and reads what it lacks from the others. */
-    public boolean catchesUp() {
+    public boolean isCatchingUp() {
         return state() == State.CATCHING_UP && seated();
     }
 
     /** Whether its state is still on its disk, also after it resigned: a later round of a founding needs it as much as the
      * first. */
-    public boolean keepsState() {
+    public boolean hasStateOnDisk() {
         final byte[] caught = segmentedLog.table().get(CAUGHT);
         return segmentedLog.state() != SegmentedLog.State.BROKEN
                 && seated()
@@ -123,7 +123,7 @@
 
     /** Whether this disk's identity has voted, or may have: it must never get a seat anew, since what it missed without
      * one it would not know of. */
-    public boolean hasVoted() {
+    public boolean mayHaveVoted() {
         final byte[] caught = segmentedLog.table().get(CAUGHT);
         return caught != null && new String(caught, StandardCharsets.UTF_8).startsWith(diskId + "/");
     }
@@ -139,7 +139,7 @@
     }
 
     /** Called for each register change that is down. */
-    public void watch(final BiConsumer<String, Register> watcher) {
+    public void addListener(final BiConsumer<String, Register> watcher) {
         watchers.add(watcher);
     }
 
@@ -159,7 +159,7 @@
     }
 
     /** The number of the newest record that is synced. */
-    public long written() {
+    public long syncedSeq() {
         return segmentedLog.syncedSeq();
     }
 
@@ -187,7 +187,7 @@
     }
 
     /** Takes a newer table. Votes of older tables are denied from here on. */
-    public void adopt(final VoterSet table) {
+    public void updateVoterSet(final VoterSet table) {
         if (!table.newerThan(voterSet) || !segmentedLog.canWrite()) {
             return;
         }
@@ -206,7 +206,7 @@
             if (!ok || mark != tableEpochDown || state == State.RESIGNED) {
                 return;
             }
-            if (stays || keepsState()) {
+            if (stays || hasStateOnDisk()) {
                 // The second: it had caught up as the table came, and has all that a seat that votes has.
                 change(State.VOTING, "table-down");
             } else if (!seated()) {
@@ -222,25 +222,25 @@
 
     private void dropAll() {
         for (final String key : List.copyOf(registers.keySet())) {
-            drop(key);
+            removeRegister(key);
         }
         segmentedLog.put(CAUGHT, null, ok -> {});
     }
 
     /** Lets a register go for good. */
-    public void drop(final String key) {
+    public void removeRegister(final String key) {
         if (registers.remove(key) != null) {
             segmentedLog.put(key, null, ok -> {});
         }
     }
 
     /** The version up to which the registers of versions were let go; none of them is ever made anew here. */
-    public long floor() {
+    public long versionFloor() {
         return floor;
     }
 
     /** Raises the floor; registers may be let go once it is down, so that none is missing here without it. */
-    public void raiseFloor(final long to, final Runnable down) {
+    public void raiseVersionFloor(final long to, final Runnable down) {
         if (to <= floor) {
             return;
         }
@@ -261,7 +261,7 @@
 
     /** Starts over as a blank voter with a fresh identity, after a resignation that came to nothing or the
      * loss of its seat. */
-    public void restart(final String freshId) {
+    public void resetIdentity(final String freshId) {
         diskId = freshId;
         segmentedLog.put(DISK, diskId.getBytes(StandardCharsets.UTF_8), ok -> {});
         dropAll();
@@ -269,7 +269,7 @@
     }
 
     /** Takes a new generation's first registers. */
-    public void found(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
+    public void startGeneration(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
         if (voterSet != null && !table.newerThan(voterSet)) {
             return;
         }
@@ -285,7 +285,7 @@
     }
 
     /** A seat of the first table that missed the founding begins with it, late, as long as it has never voted. */
-    public void foundLate(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
+    public void startGenerationLate(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
         final Voter first = table.voter(name);
         if (state != State.CATCHING_UP
                 || voterSet == null
@@ -318,7 +318,7 @@
     }
 
     /** Asks again for what is missing; called on every beat. */
-    public void tick(final String address) {
+    public void onTick(final String address) {
         segmentedLog.retry();
         tellDisk();
         if (state() != State.CATCHING_UP || !seated()) {
@@ -351,7 +351,7 @@
     }
 
     /** Hears a proposer or another voter. */
-    public void hear(final ConsensusMessage message, final String address) {
+    public void onMessage(final ConsensusMessage message, final String address) {
         if (message instanceof ConsensusMessage.Prepare prepare) {
             prepare(prepare);
         } else if (message instanceof ConsensusMessage.Accept accept) {
@@ -369,38 +369,41 @@
 
     private ConsensusMessage.Reply ready(final long generation, final long epoch, final String from) {
         if (voterSet != null && new VoterSet(generation, epoch, List.of()).newerThan(voterSet) || voterSet == null) {
-            return ConsensusMessage.Reply.BLANK;
+            return ConsensusMessage.Reply.NOT_VOTING;
         }
-        if (!voterSet.same(generation, epoch)) {
-            post.send(from, new ConsensusMessage.Table(voterSet));
-            return ConsensusMessage.Reply.OLD_TABLE;
+        if (!voterSet.hasEpoch(generation, epoch)) {
+            post.send(from, new ConsensusMessage.VoterSetUpdate(voterSet));
+            return ConsensusMessage.Reply.STALE_VOTER_SET;
         }
-        return state() == State.VOTING && guard.ready() ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.BLANK;
+        return state() == State.VOTING && guard.ready() ? ConsensusMessage.Reply.OK : ConsensusMessage.Reply.NOT_VOTING;
     }
 
     private void prepare(final ConsensusMessage.Prepare ask) {
         ConsensusMessage.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
-        if (reply == ConsensusMessage.Reply.YES && guard.gone(ask.key())) {
-            reply = ConsensusMessage.Reply.GONE;
+        if (reply == ConsensusMessage.Reply.OK && guard.isPruned(ask.key())) {
+            reply = ConsensusMessage.Reply.PRUNED;
         }
-        if (reply == ConsensusMessage.Reply.YES
+        if (reply == ConsensusMessage.Reply.OK
                 && !ask.peek()
                 && !registers.containsKey(ask.key())
-                && !guard.room(ask.key())) {
-            reply = ConsensusMessage.Reply.DENIED;
+                && !guard.hasCapacityFor(ask.key())) {
+            reply = ConsensusMessage.Reply.REJECTED;
         }
         final Register had = registers.getOrDefault(ask.key(), Register.EMPTY);
-        if (reply != ConsensusMessage.Reply.YES || ask.peek()) {
+        if (reply != ConsensusMessage.Reply.OK || ask.peek()) {
             // A look must not show what a power loss could still take away.
             promise(ask, reply, before.getOrDefault(ask.key(), had));
             return;
         }
         if (ask.proposalNumber().compareTo(had.promised()) < 0) {
-            promise(ask, ConsensusMessage.Reply.LOWER, had);
+            promise(ask, ConsensusMessage.Reply.OUTRANKED, had);
             return;
         }
         final Register now = new Register(ask.proposalNumber(), had.accepted(), had.value());
-        store(ask.key(), now, ok -> promise(ask, ok ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.DISK, now));
+        store(
+                ask.key(),
+                now,
+                ok -> promise(ask, ok ? ConsensusMessage.Reply.OK : ConsensusMessage.Reply.WRITE_FAILED, now));
     }
 
     private void promise(final ConsensusMessage.Prepare ask, final ConsensusMessage.Reply reply, final Register r) {
@@ -413,21 +416,21 @@
                         reply,
                         r.promised(),
                         r.accepted(),
-                        reply == ConsensusMessage.Reply.YES ? r.value() : null));
+                        reply == ConsensusMessage.Reply.OK ? r.value() : null));
     }
 
     private void accept(final ConsensusMessage.Accept ask) {
         ConsensusMessage.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
-        if (reply == ConsensusMessage.Reply.YES && guard.gone(ask.key())) {
-            reply = ConsensusMessage.Reply.GONE;
-        } else if (reply == ConsensusMessage.Reply.YES && !guard.takes(ask.key(), ask.value())) {
-            reply = ConsensusMessage.Reply.DENIED;
+        if (reply == ConsensusMessage.Reply.OK && guard.isPruned(ask.key())) {
+            reply = ConsensusMessage.Reply.PRUNED;
+        } else if (reply == ConsensusMessage.Reply.OK && !guard.accepts(ask.key(), ask.value())) {
+            reply = ConsensusMessage.Reply.REJECTED;
         }
         final Register had = registers.getOrDefault(ask.key(), Register.EMPTY);
-        if (reply == ConsensusMessage.Reply.YES && ask.proposalNumber().compareTo(had.promised()) < 0) {
-            reply = ConsensusMessage.Reply.LOWER;
+        if (reply == ConsensusMessage.Reply.OK && ask.proposalNumber().compareTo(had.promised()) < 0) {
+            reply = ConsensusMessage.Reply.OUTRANKED;
         }
-        if (reply != ConsensusMessage.Reply.YES) {
+        if (reply != ConsensusMessage.Reply.OK) {
             accepted(ask, reply, had.promised());
             return;
         }
@@ -436,7 +439,9 @@
                 ask.key(),
                 new Register(ask.proposalNumber().next(), ask.proposalNumber(), ask.value()),
                 ok -> accepted(
-                        ask, ok ? ConsensusMessage.Reply.YES : ConsensusMessage.Reply.DISK, ask.proposalNumber()));
+                        ask,
+                        ok ? ConsensusMessage.Reply.OK : ConsensusMessage.Reply.WRITE_FAILED,
+                        ask.proposalNumber()));
     }
 
     private void accepted(
@@ -446,9 +451,9 @@
 
     private void chosen(final ConsensusMessage.Chosen chosen) {
         if (voterSet == null
-                || !voterSet.same(chosen.generation(), chosen.epoch())
+                || !voterSet.hasEpoch(chosen.generation(), chosen.epoch())
                 || state() != State.VOTING
-                || guard.gone(chosen.key())) {
+                || guard.isPruned(chosen.key())) {
             return;
         }
         final Register had = registers.getOrDefault(chosen.key(), Register.EMPTY);
@@ -490,14 +495,14 @@
 
     /** Names what it lacks on its disk of what another voter holds. */
     private void hold(final ConsensusMessage.HandoverRequest ask) {
-        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.YES) {
+        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.OK) {
             return;
         }
         final List<String> lacking = new ArrayList<>();
-        for (final ConsensusMessage.Held held : ask.held()) {
+        for (final ConsensusMessage.AcceptedEntry held : ask.accepted()) {
             final Register had = registers.getOrDefault(held.key(), Register.EMPTY);
             final Register synced = before.getOrDefault(held.key(), had);
-            if (synced.accepted().compareTo(held.accepted()) < 0 && !guard.gone(held.key())) {
+            if (synced.accepted().compareTo(held.accepted()) < 0 && !guard.isPruned(held.key())) {
                 lacking.add(held.key());
             }
         }
@@ -505,7 +510,7 @@
     }
 
     private void page(final ConsensusMessage.CatchUpRequest ask) {
-        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.YES) {
+        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.OK) {
             return;
         }
         final List<ConsensusMessage.Entry> entries = new ArrayList<>();
@@ -531,7 +536,7 @@
     private void caught(final ConsensusMessage.CatchUpResponse back, final String address) {
         if (state() != State.CATCHING_UP
                 || !seated()
-                || !voterSet.same(back.generation(), back.epoch())
+                || !voterSet.hasEpoch(back.generation(), back.epoch())
                 || caughtFrom.containsKey(back.name())
                 || !catchUp.getOrDefault(back.name(), "").equals(back.after())) {
             return;
@@ -551,8 +556,8 @@
 
     /** What the others let go is not among their registers, so it must be here in the form that they keep it in. */
     private void finishIfCaught() {
-        if (caughtFrom.size() >= voterSet.meeting() && guard.holds(floorOfOthers)) {
-            raiseFloor(floorOfOthers, () -> {});
+        if (caughtFrom.size() >= voterSet.intersectingQuorum() && guard.hasSnapshotUpTo(floorOfOthers)) {
+            raiseVersionFloor(floorOfOthers, () -> {});
             finishCatchUp(tableEpochDown);
         }
     }
--- a/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
+++ b/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
@@ -48,7 +48,7 @@
             implements ConsensusMessage {}
 
     /** A table of voters, said by whoever sees that the other has an older one. */
-    record Table(VoterSet voterSet) implements ConsensusMessage {}
+    record VoterSetUpdate(VoterSet voterSet) implements ConsensusMessage {}
 
     /** A voter that lost its disk asks the others for all they have, page by page. */
     record CatchUpRequest(String from, String name, long generation, long epoch, String after)
@@ -66,26 +66,27 @@
             implements ConsensusMessage {}
 
     /** A voter that leaves asks another whether it has accepted as much; the reply names what it lacks. */
-    record HandoverRequest(String from, long generation, long epoch, List<Held> held) implements ConsensusMessage {}
+    record HandoverRequest(String from, long generation, long epoch, List<AcceptedEntry> accepted)
+            implements ConsensusMessage {}
 
     /** The reply to {@link HandoverRequest}: the keys of which this voter has only older ranks, or none, on its disk. */
     record HandoverResponse(String name, long generation, long epoch, List<String> lacking)
             implements ConsensusMessage {}
 
     /** A register's key, and the rank at which its value was accepted. */
-    record Held(String key, ProposalNumber accepted) {}
+    record AcceptedEntry(String key, ProposalNumber accepted) {}
 
     /** One register under its key. */
     record Entry(String key, Register register) {}
 
     /** How a voter answered. */
     enum Reply {
-        YES,
-        LOWER,
-        OLD_TABLE,
-        BLANK,
-        GONE,
-        DENIED,
-        DISK
+        OK,
+        OUTRANKED,
+        STALE_VOTER_SET,
+        NOT_VOTING,
+        PRUNED,
+        REJECTED,
+        WRITE_FAILED
     }
 }
--- a/spokestall/src/main/java/spokestall/consensus/Proposer.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposer.java
@@ -83,19 +83,19 @@
     }
 
     /** Takes a newer table; rounds under way are begun again with it. */
-    public void adopt(final VoterSet table) {
+    public void updateVoterSet(final VoterSet table) {
         if (table.newerThan(voterSet)) {
             voterSet = table;
         }
     }
 
     /** How many rounds are open. */
-    public int open() {
+    public int roundsInFlight() {
         return rounds.size();
     }
 
     /** Changes a register. */
-    public void change(
+    public void propose(
             final String key,
             final long waitMs,
             final Function<byte[], RegisterEdit> edit,
@@ -109,7 +109,7 @@
     }
 
     /** Hears a voter's reply. */
-    public void hear(final ConsensusMessage message) {
+    public void onMessage(final ConsensusMessage message) {
         if (message instanceof ConsensusMessage.Promise promise) {
             final Round round = rounds.get(promise.attemptId());
             if (round != null) {
@@ -268,7 +268,7 @@
         }
 
         private ProposalOutcome giveUp(final String why) {
-            return mayHold ? new ProposalOutcome.Undecided() : new ProposalOutcome.NotDone(why);
+            return mayHold ? new ProposalOutcome.Indeterminate() : new ProposalOutcome.NotCommitted(why);
         }
 
         private void end(final ProposalOutcome outcome) {
@@ -286,10 +286,10 @@
                 return false;
             }
             final boolean good =
-                    reply == ConsensusMessage.Reply.YES && voter.diskId().equals(diskId);
-            gone |= reply == ConsensusMessage.Reply.GONE;
-            rejected |= reply == ConsensusMessage.Reply.DENIED;
-            outranked |= reply == ConsensusMessage.Reply.LOWER;
+                    reply == ConsensusMessage.Reply.OK && voter.diskId().equals(diskId);
+            gone |= reply == ConsensusMessage.Reply.PRUNED;
+            rejected |= reply == ConsensusMessage.Reply.REJECTED;
+            outranked |= reply == ConsensusMessage.Reply.OUTRANKED;
             (good ? yes : no).add(acceptor);
             return true;
         }
@@ -303,10 +303,10 @@
                     || !counts(promise.acceptor(), promise.diskId(), promise.reply())) {
                 return;
             }
-            if (promise.reply() == ConsensusMessage.Reply.LOWER) {
+            if (promise.reply() == ConsensusMessage.Reply.OUTRANKED) {
                 counts.merge(key, promise.promised().count() + 1, Math::max);
             }
-            if (yes.contains(promise.acceptor()) && promise.reply() == ConsensusMessage.Reply.YES) {
+            if (yes.contains(promise.acceptor()) && promise.reply() == ConsensusMessage.Reply.OK) {
                 seen.add(promise.accepted());
                 if (promise.accepted().compareTo(highest) > 0) {
                     highest = promise.accepted();
@@ -317,7 +317,7 @@
                 promised();
             } else if (lost()) {
                 if (gone) {
-                    end(mayHold ? new ProposalOutcome.Undecided() : new ProposalOutcome.Gone());
+                    end(mayHold ? new ProposalOutcome.Indeterminate() : new ProposalOutcome.Pruned());
                 } else if (rejected) {
                     end(giveUp(DENIED));
                 } else {
@@ -329,7 +329,7 @@
         private void promised() {
             if (phase == Phase.PEEK) {
                 if (seen.size() == 1) {
-                    end(new ProposalOutcome.Done(highestValue, false));
+                    end(new ProposalOutcome.Committed(highestValue, false));
                 } else {
                     begin(Phase.PREPARE);
                 }
@@ -343,7 +343,7 @@
             if (wanted instanceof RegisterEdit.Set set) {
                 propose(set.value(), true);
             } else if (seen.size() == 1) {
-                end(new ProposalOutcome.Done(highestValue, false));
+                end(new ProposalOutcome.Committed(highestValue, false));
             } else {
                 propose(highestValue, false);
             }
@@ -365,13 +365,13 @@
         }
 
         void accepted(final ConsensusMessage.Accepted accepted) {
-            if (phase == Phase.ENDED && accepted.reply() == ConsensusMessage.Reply.YES) {
+            if (phase == Phase.ENDED && accepted.reply() == ConsensusMessage.Reply.OK) {
                 yes.add(accepted.acceptor());
             }
             if (phase != Phase.ACCEPT || !counts(accepted.acceptor(), accepted.diskId(), accepted.reply())) {
                 return;
             }
-            if (accepted.reply() == ConsensusMessage.Reply.LOWER) {
+            if (accepted.reply() == ConsensusMessage.Reply.OUTRANKED) {
                 counts.merge(key, accepted.promised().count() + 1, Math::max);
             }
             if (yes.size() >= table.majority()) {
@@ -384,7 +384,7 @@
                                         table.generation(), table.epoch(), key, proposalNumber, proposed));
                     }
                 }
-                end(new ProposalOutcome.Done(proposed, wrote));
+                end(new ProposalOutcome.Committed(proposed, wrote));
                 awaitTheRest();
             } else if (lost()) {
                 if (rejected || gone) {
--- a/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
@@ -3,7 +3,7 @@
 /** Says which keys a voter still keeps, and which values it will never take. */
 public interface RegisterGuard {
     /** Whether what registers up to a version decided is on this disk in another form, so that they may be missing here. */
-    default boolean holds(final long floor) {
+    default boolean hasSnapshotUpTo(final long floor) {
         return true;
     }
 
@@ -11,11 +11,11 @@
     boolean ready();
 
     /** Whether the key was let go and must not be made anew. */
-    boolean gone(String key);
+    boolean isPruned(String key);
 
     /** Whether there is room to begin a register that is not there yet. Example: claims leave room for the rest. */
-    boolean room(String key);
+    boolean hasCapacityFor(String key);
 
     /** Whether a value may still be accepted. Example: a claim with an old ticket may not. */
-    boolean takes(String key, byte[] value);
+    boolean accepts(String key, byte[] value);
 }
--- a/spokestall/src/main/java/spokestall/consensus/VoterSet.java
+++ b/spokestall/src/main/java/spokestall/consensus/VoterSet.java
@@ -12,11 +12,11 @@
     public static final int VOTERS_MAX = 63;
 
     /** What the keys of the registers of tables begin with. */
-    public static final String KEYS = "voters/";
+    public static final String KEY_PREFIX = "voters/";
 
     /** The key of the register that a table is agreed in. */
     public static String key(final long generation, final long epoch) {
-        return KEYS + generation + "/" + epoch;
+        return KEY_PREFIX + generation + "/" + epoch;
     }
 
     /** The first number of this generation. */
@@ -31,7 +31,7 @@
 
     /** How many seats are in every majority's way: one of so many took part in whatever a majority did.
      * Example: with six seats it is three, with seven four. */
-    public int meeting() {
+    public int intersectingQuorum() {
         return voters.size() - majority() + 1;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** Whether both stand for the same vote. */
-    public boolean same(final long otherGeneration, final long otherEpoch) {
+    public boolean hasEpoch(final long otherGeneration, final long otherEpoch) {
         return generation == otherGeneration && epoch == otherEpoch;
     }
 
@@ -56,12 +56,12 @@
     }
 
     /** The next epoch, with one seat's disk swapped. */
-    public VoterSet swap(final Voter fresh) {
-        return replace(fresh.name(), fresh);
+    public VoterSet withReplacedDisk(final Voter fresh) {
+        return withReplacedVoter(fresh.name(), fresh);
     }
 
     /** The next epoch, with one seat more. */
-    public VoterSet add(final Voter fresh) {
+    public VoterSet withAddedVoter(final Voter fresh) {
         assert voter(fresh.name()) == null && voters.size() < VOTERS_MAX : fresh;
         final List<Voter> next = new ArrayList<>(voters);
         next.add(fresh);
@@ -69,7 +69,7 @@
     }
 
     /** The next epoch, with the seat of a core that is gone given to another. */
-    public VoterSet replace(final String goneVoterName, final Voter fresh) {
+    public VoterSet withReplacedVoter(final String goneVoterName, final Voter fresh) {
         assert voter(goneVoterName) != null : goneVoterName;
         assert goneVoterName.equals(fresh.name()) || voter(fresh.name()) == null : fresh;
         final List<Voter> next = new ArrayList<>(voters);
@@ -79,7 +79,7 @@
 
     /** The next epoch, with one seat fewer. Only a table of an even number may lose one: its majority has a seat more
      * than the next one needs, so what a majority accepted is with a majority of those that stay. */
-    public VoterSet remove(final String goneVoterName) {
+    public VoterSet withRemovedVoter(final String goneVoterName) {
         assert voter(goneVoterName) != null && voters.size() % 2 == 0 : goneVoterName;
         final List<Voter> next = new ArrayList<>(voters);
         next.removeIf(s -> s.name().equals(goneVoterName));
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -155,7 +155,7 @@
         reading = true;
         proposer.read(Lease.key(duty), timing.storeWaitMs(), outcome -> {
             reading = false;
-            if (state == State.WATCHING && outcome instanceof ProposalOutcome.Done done) {
+            if (state == State.WATCHING && outcome instanceof ProposalOutcome.Committed done) {
                 strange = false;
                 looked(done.value() == null ? null : MessageCodec.record(done.value(), Lease.class));
             }
@@ -253,7 +253,7 @@
         final String executionId = Long.toHexString(random.nextLong());
         execution = null;
         change(State.ACQUIRING, whyFree(expired));
-        proposer.change(
+        proposer.propose(
                 Lease.key(duty),
                 timing.storeWaitMs(),
                 value -> {
@@ -291,7 +291,7 @@
         final long nowMs = clock.nowMs();
         seen = null;
         looked = false;
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             final Lease now = MessageCodec.record(done.value(), Lease.class);
             seen = now;
             seenMs = nowMs;
@@ -311,7 +311,7 @@
         }
         // Denied, late or unclear: nothing is begun. If it took hold all the same, the next look finds it and begins
         // anew.
-        change(State.WATCHING, outcome instanceof ProposalOutcome.Done ? "denied" : "unclear");
+        change(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "denied" : "unclear");
     }
 
     private void hold() {
@@ -335,7 +335,7 @@
         renewing = true;
         final long requestedMs = clock.nowMs();
         renewAskedMs = requestedMs;
-        proposer.change(
+        proposer.propose(
                 Lease.key(duty),
                 timing.storeWaitMs(),
                 value -> ifOwned(
@@ -351,7 +351,7 @@
     /** The milliseconds a renewal gained; zero is not renewed. */
     private long remainingMs(final LeaseSession mine, final ProposalOutcome outcome, final long requestedMs) {
         final long nowMs = clock.nowMs();
-        final boolean good = outcome instanceof ProposalOutcome.Done done
+        final boolean good = outcome instanceof ProposalOutcome.Committed done
                 && done.wrote()
                 && MessageCodec.record(done.value(), Lease.class).owner().equals(mine.owner());
         final boolean timely = nowMs - requestedMs <= timing.storeWaitMs() && mine.mayWork(nowMs);
@@ -381,14 +381,14 @@
             ended("calls_open");
             return;
         }
-        proposer.change(
+        proposer.propose(
                 Lease.key(duty),
                 timing.storeWaitMs(),
                 value -> ifOwned(
                         value,
                         mine,
                         now -> new Lease(now.owner(), now.holder(), now.renewal(), now.token(), now.spanMs(), true)),
-                outcome -> ended(outcome instanceof ProposalOutcome.Done ? "released" : "unclear"));
+                outcome -> ended(outcome instanceof ProposalOutcome.Committed ? "released" : "unclear"));
     }
 
     private void ended(final String why) {
--- a/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -65,7 +65,7 @@
     /** Whoever asks after the founding is told of it; whoever goes by other seeds gets nothing. */
     private boolean mayVote(final String from, final List<String> asked) {
         if (table.get() != null) {
-            post.send(from, new ConsensusMessage.Table(table.get()));
+            post.send(from, new ConsensusMessage.VoterSetUpdate(table.get()));
             return false;
         }
         return first && asked.equals(seeds);
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -71,7 +71,7 @@
             table = acceptor.voterSet();
             holders.clear();
         }
-        final List<ConsensusMessage.Held> held = held();
+        final List<ConsensusMessage.AcceptedEntry> held = held();
         for (final Voter voter : table.voters()) {
             if (!voter.name().equals(name) && !holders.contains(voter.name())) {
                 post.send(
@@ -82,11 +82,11 @@
         clock.after(timing.askMs(), this::ask);
     }
 
-    private List<ConsensusMessage.Held> held() {
-        final List<ConsensusMessage.Held> held = new ArrayList<>();
+    private List<ConsensusMessage.AcceptedEntry> held() {
+        final List<ConsensusMessage.AcceptedEntry> held = new ArrayList<>();
         acceptor.registers().forEach((key, register) -> {
             if (register.value() != null) {
-                held.add(new ConsensusMessage.Held(key, register.accepted()));
+                held.add(new ConsensusMessage.AcceptedEntry(key, register.accepted()));
             }
         });
         return held;
@@ -94,7 +94,7 @@
 
     /** Hears what another voter lacks. */
     public void hear(final ConsensusMessage.HandoverResponse back) {
-        if (done == null || table == null || !table.same(back.generation(), back.epoch())) {
+        if (done == null || table == null || !table.hasEpoch(back.generation(), back.epoch())) {
             return;
         }
         final Voter voter = table.voter(back.name());
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -145,7 +145,7 @@
         this.ready = ready;
         this.membership = new ReconfigurationPlanner(name, mostLost);
         this.silence = new PeerLiveness(timing.sayMs());
-        final byte[] had = acceptor.own(FORM);
+        final byte[] had = acceptor.localRecord(FORM);
         kept = had == null ? null : MessageCodec.record(had, Kept.class);
         if (kept != null && kept.base == generation()) {
             acceptor.resign(kept.base);
@@ -169,7 +169,7 @@
                 0,
                 0,
                 bootstrapProposer != null && acceptor.voterSet() == null,
-                acceptor.catchesUp(),
+                acceptor.isCatchingUp(),
                 unheard(timing.silentMs()),
                 unheard(timing.goneMs()),
                 0,
@@ -183,10 +183,10 @@
     }
 
     private void say(final String to, final MembershipMessage.VoterStatus what) {
-        MembershipMessage.VoterStatus with = what.written(acceptor.written(), 0, 0);
+        MembershipMessage.VoterStatus with = what.written(acceptor.syncedSeq(), 0, 0);
         for (final Heard h : heard.values()) {
             if (h.voterStatus.address().equals(to)) {
-                with = what.written(acceptor.written(), Fingerprints.of(h.voterStatus.diskId()), h.written);
+                with = what.written(acceptor.syncedSeq(), Fingerprints.of(h.voterStatus.diskId()), h.written);
             }
         }
         post.send(to, with);
@@ -210,10 +210,10 @@
     private void older(final MembershipMessage.VoterStatus s) {
         LOG.atSevere().log(
                 "event=disk_older node=%s written=%s heard=%s from=%s",
-                name, acceptor.written(), s.yourWritten(), s.name());
+                name, acceptor.syncedSeq(), s.yourWritten(), s.name());
         kept = null;
-        acceptor.restart(freshId.get());
-        acceptor.keepOwn(FORM, null, ok -> {});
+        acceptor.resetIdentity(freshId.get());
+        acceptor.putLocalRecord(FORM, null, ok -> {});
     }
 
     /** The cores heard of late, by name, with what they said. */
@@ -231,13 +231,13 @@
     /** Takes a newer table from anywhere. */
     public void adopt(final VoterSet table) {
         final boolean newer = table.newerThan(acceptor.voterSet());
-        acceptor.adopt(table);
-        proposer.adopt(table);
+        acceptor.updateVoterSet(table);
+        proposer.updateVoterSet(table);
         if (newer) {
-            for (final String key :
-                    List.copyOf(acceptor.registers().tailMap(VoterSet.KEYS).keySet())) {
-                if (key.startsWith(VoterSet.KEYS)) {
-                    acceptor.drop(key);
+            for (final String key : List.copyOf(
+                    acceptor.registers().tailMap(VoterSet.KEY_PREFIX).keySet())) {
+                if (key.startsWith(VoterSet.KEY_PREFIX)) {
+                    acceptor.removeRegister(key);
                 }
             }
             change(Phase.IDLE, "table");
@@ -305,7 +305,7 @@
             silence.tick(acceptor.voterSet(), clock.nowMs());
         }
         say();
-        acceptor.tick(address);
+        acceptor.onTick(address);
         final Map<String, MembershipMessage.VoterStatus> fresh = fresh();
         if (founded != null
                 && founded.table().voters().stream()
@@ -377,7 +377,7 @@
             return canWrite == timing.cores();
         }
         // Whoever has a seat and still catches up will have its state, as long as enough are there to read from.
-        final int soon = withState >= acceptor.voterSet().meeting() ? withState + catchingUp : withState;
+        final int soon = withState >= acceptor.voterSet().intersectingQuorum() ? withState + catchingUp : withState;
         return canWrite >= majority() && canWrite - soon > size() - majority();
     }
 
@@ -489,7 +489,7 @@
             return;
         }
         silence.heard(s.name(), clock.nowMs());
-        if (s.heardFurther(acceptor.diskId(), acceptor.written()) && acceptor.canWrite()) {
+        if (s.heardFurther(acceptor.diskId(), acceptor.syncedSeq()) && acceptor.canWrite()) {
             older(s);
         }
         final Heard had = heard.get(s.name());
@@ -506,7 +506,7 @@
                     s.address(),
                     missedFounding(s)
                             ? new MembershipMessage.GenerationStarted(founded)
-                            : new ConsensusMessage.Table(acceptor.voterSet()));
+                            : new ConsensusMessage.VoterSetUpdate(acceptor.voterSet()));
         } else if (missedFounding(s)) {
             post.send(s.address(), new MembershipMessage.GenerationStarted(founded));
         }
@@ -536,7 +536,7 @@
                                 && p.epoch() < acceptor.voterSet().epoch());
         if (older || p.base() != generation() || !acceptor.canWrite() || !elects(name)) {
             if (older) {
-                post.send(p.from(), new ConsensusMessage.Table(acceptor.voterSet()));
+                post.send(p.from(), new ConsensusMessage.VoterSetUpdate(acceptor.voterSet()));
             }
             return;
         }
@@ -551,7 +551,7 @@
                 p.base(), p.proposalNumber(), same ? kept.accepted : ProposalNumber.NONE, same ? kept.founding : null);
         acceptor.resign(p.base());
         final Kept now = kept;
-        acceptor.keepOwn(FORM, MessageCodec.bytes(now), ok -> {
+        acceptor.putLocalRecord(FORM, MessageCodec.bytes(now), ok -> {
             if (ok) {
                 post.send(
                         p.from(),
@@ -612,7 +612,7 @@
         }
         kept = new Kept(a.base(), a.proposalNumber(), a.proposalNumber(), a.founding());
         acceptor.resign(a.base());
-        acceptor.keepOwn(FORM, MessageCodec.bytes(kept), ok -> {
+        acceptor.putLocalRecord(FORM, MessageCodec.bytes(kept), ok -> {
             if (ok) {
                 post.send(
                         a.from(),
@@ -648,7 +648,7 @@
 
     private void found(final InitialState founding) {
         if (acceptor.voterSet() != null && founding.table().generation() == generation()) {
-            acceptor.foundLate(founding.table(), founding.entries());
+            acceptor.startGenerationLate(founding.table(), founding.entries());
             founded = founding;
             return;
         }
@@ -664,8 +664,8 @@
         LOG.atInfo().log(
                 "event=founded node=%s generation=%s registers=%s",
                 name, founding.table().generation(), founding.entries().size());
-        acceptor.found(founding.table(), founding.entries());
-        proposer.adopt(founding.table());
+        acceptor.startGeneration(founding.table(), founding.entries());
+        proposer.updateVoterSet(founding.table());
         wantedSinceMs = -1;
         roundsWaited = 0;
         change(Phase.IDLE, "founded");
@@ -683,14 +683,14 @@
             case VOTING -> {
                 unseatedSinceMs = -1;
                 if (moved(table)) {
-                    propose(table.swap(voter()));
+                    propose(table.withReplacedDisk(voter()));
                 } else {
                     membership.thinned(table, fresh).ifPresent(this::propose);
                 }
             }
             default -> {
                 if (moved(table)) {
-                    propose(table.swap(voter()));
+                    propose(table.withReplacedDisk(voter()));
                 }
             }
         }
@@ -718,8 +718,8 @@
         stuckSinceMs = stuckSinceMs < 0 ? clock.nowMs() : stuckSinceMs;
         if (clock.nowMs() - stuckSinceMs > 4 * timing.roundMs()) {
             kept = null;
-            acceptor.restart(freshId.get());
-            acceptor.keepOwn(FORM, null, ok -> {});
+            acceptor.resetIdentity(freshId.get());
+            acceptor.putLocalRecord(FORM, null, ok -> {});
         }
     }
 
@@ -734,8 +734,8 @@
     /** A core without a seat of its own asks for one. A disk that has voted and lost its seat meanwhile gets a fresh
      * identity first. */
     private void join(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
-        if (acceptor.hasVoted()) {
-            acceptor.restart(freshId.get());
+        if (acceptor.mayHaveVoted()) {
+            acceptor.resetIdentity(freshId.get());
             return;
         }
         unseatedSinceMs = unseatedSinceMs < 0 ? clock.nowMs() : unseatedSinceMs;
@@ -746,7 +746,7 @@
     private void propose(final VoterSet next) {
         changing = true;
         final byte[] mine = MessageCodec.bytes(next);
-        proposer.change(
+        proposer.propose(
                 VoterSet.key(next.generation(), next.epoch()),
                 timing.roundMs() * 2,
                 now -> now == null ? new RegisterEdit.Set(mine) : RegisterEdit.LEAVE,
@@ -755,11 +755,11 @@
 
     private void changed(final ProposalOutcome outcome) {
         changing = false;
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             final VoterSet table = MessageCodec.record(done.value(), VoterSet.class);
             adopt(table);
             for (final String other : others.get()) {
-                post.send(other, new ConsensusMessage.Table(table));
+                post.send(other, new ConsensusMessage.VoterSetUpdate(table));
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -31,21 +31,23 @@
             final Map<String, MembershipMessage.VoterStatus> fresh,
             final boolean waited) {
         if (table.voter(name) != null) {
-            return Optional.of(table.swap(own));
+            return Optional.of(table.withReplacedDisk(own));
         }
         for (final Voter voter : table.voters()) {
             if (voter.address().equals(own.address())) {
-                return Optional.of(table.replace(voter.name(), own));
+                return Optional.of(table.withReplacedVoter(voter.name(), own));
             }
         }
         for (int place = 0; place < table.voters().size(); place++) {
             final String voter = table.voters().get(place).name();
             if (!fresh.containsKey(voter) && agreed(table, fresh, place, MembershipMessage.VoterStatus::silentVoters)) {
-                return Optional.of(table.replace(voter, own));
+                return Optional.of(table.withReplacedVoter(voter, own));
             }
         }
         final boolean allHeard = table.voters().stream().allMatch(voter -> fresh.containsKey(voter.name()));
-        return (allHeard || waited) && helps(table, own, fresh) ? Optional.of(table.add(own)) : Optional.empty();
+        return (allHeard || waited) && helps(table, own, fresh)
+                ? Optional.of(table.withAddedVoter(own))
+                : Optional.empty();
     }
 
     /** Whether one seat more is no harm: the table bears the largest loss with all seats that are waited for, or doesn't
@@ -55,14 +57,14 @@
         if (table.voters().size() >= VoterSet.VOTERS_MAX) {
             return false;
         }
-        VoterSet all = table.add(own);
+        VoterSet all = table.withAddedVoter(own);
         for (final MembershipMessage.VoterStatus s : fresh.values()) {
             final boolean waits = s.canWrite() && all.voter(s.name()) == null;
             if (waits && all.voters().size() < VoterSet.VOTERS_MAX) {
-                all = all.add(new Voter(s.name(), s.address(), s.diskId()));
+                all = all.withAddedVoter(new Voter(s.name(), s.address(), s.diskId()));
             }
         }
-        return bears(all) || bears(table.add(own)) || !bears(table);
+        return bears(all) || bears(table.withAddedVoter(own)) || !bears(table);
     }
 
     /** The table without a seat that is gone, or none. An odd table keeps it: with one seat silent it needs as many votes
@@ -74,7 +76,7 @@
         for (int place = 0; place < table.voters().size(); place++) {
             final String voter = table.voters().get(place).name();
             if (!fresh.containsKey(voter) && agreed(table, fresh, place, MembershipMessage.VoterStatus::goneVoters)) {
-                final VoterSet next = table.remove(voter);
+                final VoterSet next = table.withRemovedVoter(voter);
                 return bears(next) ? Optional.of(next) : Optional.empty();
             }
         }
@@ -118,6 +120,6 @@
         return s.voting()
                 && voter != null
                 && voter.diskId().equals(s.diskId())
-                && table.same(s.generation(), s.epoch());
+                && table.hasEpoch(s.generation(), s.epoch());
     }
 }
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -57,12 +57,12 @@
     }
 
     private long floor() {
-        return acceptor.floor();
+        return acceptor.versionFloor();
     }
 
     /** Reads the configuration that this core's disk has. */
     void open() {
-        final byte[] stored = acceptor.own(POLICY);
+        final byte[] stored = acceptor.localRecord(POLICY);
         if (stored != null) {
             final ConfigurationSnapshot snapshot = MessageCodec.record(stored, ConfigurationSnapshot.class);
             configurationStore.load(snapshot);
@@ -78,7 +78,7 @@
 
     /** Marks the disk as one that took part in a bootstrap. */
     void mark(final Runnable then) {
-        acceptor.keepOwn(BOOTSTRAP_ACCEPTOR, new byte[0], ok -> {
+        acceptor.putLocalRecord(BOOTSTRAP_ACCEPTOR, new byte[0], ok -> {
             if (ok) {
                 then.run();
             }
@@ -99,7 +99,7 @@
         configurationDirty = false;
         keepingConfiguration = true;
         final long version = configurationStore.configuration().version();
-        acceptor.keepOwn(POLICY, MessageCodec.bytes(configurationStore.snapshot()), ok -> {
+        acceptor.putLocalRecord(POLICY, MessageCodec.bytes(configurationStore.snapshot()), ok -> {
             keepingConfiguration = false;
             if (ok) {
                 snapshotDown = version;
@@ -111,14 +111,14 @@
 
     private void raiseFloor() {
         final long bytesMost = (long) (segmentedLog.capacityBytes() * CONFIGURATION_KEPT_SHARE);
-        acceptor.raiseFloor(
+        acceptor.raiseVersionFloor(
                 ConfigurationKeys.floor(acceptor.registers(), snapshotDown, CONFIGURATION_KEPT, bytesMost),
                 this::letVersionsGo);
     }
 
     /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
     private void letVersionsGo() {
-        ConfigurationKeys.upTo(acceptor.registers(), acceptor.floor()).forEach(acceptor::drop);
+        ConfigurationKeys.upTo(acceptor.registers(), acceptor.versionFloor()).forEach(acceptor::removeRegister);
     }
 
     /** A new generation's first version is chosen by being in the founding. */
@@ -146,6 +146,6 @@
                 over.add(key);
             }
         });
-        over.forEach(acceptor::drop);
+        over.forEach(acceptor::removeRegister);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -88,7 +88,7 @@
         final boolean update = ask.update() && ready;
         final VoterSet table = node.storage.acceptor.voterSet();
         final boolean terse = node.context.settings().ms("noteVersion") >= TERSE;
-        final boolean had = terse && table != null && table.same(ask.generation(), ask.epoch());
+        final boolean had = terse && table != null && table.hasEpoch(ask.generation(), ask.epoch());
         final Collection<NodeInfo> fresh = freshEdges();
         final long mark = terse ? mark(fresh) : 0;
         final boolean brief = terse && (ask.edgesMark() == mark || !ask.update());
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -56,7 +56,7 @@
 
     /** Hands over what a voter that is back should have had. It takes it like any late word of a chosen value. */
     void handOver(final MembershipMessage.VoterStatus back, final Acceptor acceptor) {
-        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().same(back.generation(), back.epoch())) {
+        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().hasEpoch(back.generation(), back.epoch())) {
             return;
         }
         final VoterSet table = voterSet.get();
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -112,7 +112,7 @@
     /** Goes by the table that this core's disk has. */
     void open() {
         if (acceptor.voterSet() != null) {
-            proposer.adopt(acceptor.voterSet());
+            proposer.updateVoterSet(acceptor.voterSet());
         }
     }
 
@@ -128,23 +128,23 @@
     /** Goes by a table, if it is newer than the one here. */
     void adopt(final VoterSet table) {
         if (membershipCoordinator == null) {
-            proposer.adopt(table);
+            proposer.updateVoterSet(table);
         } else {
             membershipCoordinator.adopt(table);
         }
     }
 
     void hear(final ConsensusMessage message) {
-        if (message instanceof ConsensusMessage.Table table) {
+        if (message instanceof ConsensusMessage.VoterSetUpdate table) {
             adopt(table.voterSet());
         } else if (message instanceof ConsensusMessage.HandoverResponse back) {
             if (handover != null) {
                 handover.hear(back);
             }
         } else if (message instanceof ConsensusMessage.Promise || message instanceof ConsensusMessage.Accepted) {
-            proposer.hear(message);
+            proposer.onMessage(message);
         } else if (acceptor != null) {
-            acceptor.hear(message, context.address);
+            acceptor.onMessage(message, context.address);
         }
     }
 
@@ -173,16 +173,16 @@
     /** An edge and a core tell each other of the newer table. */
     private void hear(final MembershipMessage.VoterStatus voterStatus) {
         if (voterStatus.table() != null && voterStatus.table().newerThan(proposer.voterSet())) {
-            proposer.adopt(voterStatus.table());
+            proposer.updateVoterSet(voterStatus.table());
         } else if (voterStatus.lacks(proposer.voterSet())) {
-            context.post.send(voterStatus.address(), new ConsensusMessage.Table(proposer.voterSet()));
+            context.post.send(voterStatus.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         }
     }
 
     /** What this node has for a new generation. */
     private SurvivingState survivingState() {
         final List<ConsensusMessage.Entry> registers = new ArrayList<>();
-        final boolean hasState = acceptor != null && acceptor.keepsState();
+        final boolean hasState = acceptor != null && acceptor.hasStateOnDisk();
         if (hasState) {
             acceptor.registers().forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
         }
--- a/spokestall/src/main/java/spokestall/node/MessageNumbers.java
+++ b/spokestall/src/main/java/spokestall/node/MessageNumbers.java
@@ -21,7 +21,7 @@
         MessageCodec.number(12, ConsensusMessage.Accept.class);
         MessageCodec.number(13, ConsensusMessage.Accepted.class);
         MessageCodec.number(14, ConsensusMessage.Chosen.class);
-        MessageCodec.number(15, ConsensusMessage.Table.class);
+        MessageCodec.number(15, ConsensusMessage.VoterSetUpdate.class);
         MessageCodec.number(16, ConsensusMessage.CatchUpRequest.class);
         MessageCodec.number(17, ConsensusMessage.CatchUpResponse.class);
         MessageCodec.number(18, ConsensusMessage.HandoverRequest.class);
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -209,7 +209,7 @@
         membership.open();
         discovery.open(neighbours, view, storage.acceptor, environment.reach());
         duty.open();
-        storage.acceptor.watch(this::stored);
+        storage.acceptor.addListener(this::stored);
     }
 
     private void stored(final String key, final Register register) {
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -167,7 +167,7 @@
                 SealedWindow.key(p.get("window").asLong()),
                 node.context.settings().ms("policyBoundMs"),
                 outcome -> {
-                    if (outcome instanceof ProposalOutcome.Done d && d.value() != null) {
+                    if (outcome instanceof ProposalOutcome.Committed d && d.value() != null) {
                         final SealedWindow sealed = MessageCodec.record(d.value(), SealedWindow.class);
                         final ObjectNode out = ConfigurationStore.JSON
                                 .createObjectNode()
@@ -179,7 +179,8 @@
                         done.accept(Reply.of(ResultCode.OK, out));
                     } else {
                         done.accept(Reply.of(
-                                outcome instanceof ProposalOutcome.Done || outcome instanceof ProposalOutcome.Gone
+                                outcome instanceof ProposalOutcome.Committed
+                                                || outcome instanceof ProposalOutcome.Pruned
                                         ? ResultCode.NOT_FOUND
                                         : ResultCode.NOT_READY,
                                 null));
--- a/spokestall/src/main/java/spokestall/node/PersistedState.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -31,7 +31,7 @@
 
     /** What was kept, or null. */
     <T extends Message> T read(final Class<T> type) {
-        final byte[] had = acceptor.own(key);
+        final byte[] had = acceptor.localRecord(key);
         try {
             return had == null ? null : type.cast(MessageCodec.message(had));
         } catch (final IOException | ClassCastException e) {
@@ -50,7 +50,7 @@
             return;
         }
         writing = true;
-        acceptor.keepOwn(key, bytes, ok -> {
+        acceptor.putLocalRecord(key, bytes, ok -> {
             writing = false;
             written = ok ? change : written;
         });
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public boolean gone(final String key) {
+    public boolean isPruned(final String key) {
         final long version = ConfigurationKeys.of(key);
         if (version >= 0) {
             return version <= configurationFloor.getAsLong()
@@ -62,24 +62,24 @@
         if (window >= 0) {
             return (window + 1) * windowMs + claimKeepMs < fleet.nowMs();
         }
-        return key.startsWith(VoterSet.KEYS)
+        return key.startsWith(VoterSet.KEY_PREFIX)
                 && !key.equals(
                         VoterSet.key(voterSet.get().generation(), voterSet.get().epoch() + 1));
     }
 
     /** Claims come by the thousand, versions may be large; what keeps the fleet itself going must still fit when they don't. */
     @Override
-    public boolean room(final String key) {
+    public boolean hasCapacityFor(final String key) {
         return !IdempotencyClaim.isKey(key) && ConfigurationKeys.of(key) < 0 || fill.getAsDouble() < FILLED_SHARE;
     }
 
     @Override
-    public boolean holds(final long floor) {
+    public boolean hasSnapshotUpTo(final long floor) {
         return snapshotDown.getAsLong() >= floor;
     }
 
     @Override
-    public boolean takes(final String key, final byte[] value) {
+    public boolean accepts(final String key, final byte[] value) {
         if (!IdempotencyClaim.isKey(key) || value == null) {
             return true;
         }
@@ -94,6 +94,6 @@
                     && MessageCodec.record(value, IdempotencyClaim.class).claimedMs() + claimKeepMs + marginMs
                             < fleet.nowMs();
         }
-        return gone(key);
+        return isPruned(key);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -59,7 +59,7 @@
                 "");
         final byte[] value = MessageCodec.bytes(mine);
         parts.proposer()
-                .change(
+                .propose(
                         key,
                         Math.min(timing.claimWaitMs(), waitMs),
                         had -> {
@@ -88,11 +88,11 @@
     }
 
     private Claimed claimed(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
-        if (!(outcome instanceof ProposalOutcome.Done done)) {
+        if (!(outcome instanceof ProposalOutcome.Committed done)) {
             final boolean full =
-                    outcome instanceof ProposalOutcome.NotDone n && n.why().equals(Proposer.DENIED);
+                    outcome instanceof ProposalOutcome.NotCommitted n && n.why().equals(Proposer.DENIED);
             return new Claimed.Not(
-                    outcome instanceof ProposalOutcome.Gone
+                    outcome instanceof ProposalOutcome.Pruned
                             ? ResultCode.TICKET_OLD
                             : full ? ResultCode.CLAIMS_FULL : ResultCode.UNCLEAR);
         }
@@ -121,7 +121,7 @@
 
     private void end(final IdempotencyClaim mine, final IdempotencyClaim ended, final Consumer<Boolean> done) {
         parts.proposer()
-                .change(
+                .propose(
                         key,
                         timing.claimWaitMs(),
                         had -> {
@@ -131,6 +131,6 @@
                                     && now.state() == IdempotencyClaim.State.OPEN;
                             return own ? new RegisterEdit.Set(MessageCodec.bytes(ended)) : RegisterEdit.LEAVE;
                         },
-                        outcome -> done.accept(outcome instanceof ProposalOutcome.Done d && d.wrote()));
+                        outcome -> done.accept(outcome instanceof ProposalOutcome.Committed d && d.wrote()));
     }
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -240,19 +240,19 @@
         final Map<String, Long> counts = configurationStore.sum(unit.window);
         final byte[] value =
                 MessageCodec.bytes(new SealedWindow(unit.window, counts, mine.owner(), mine.token(), false));
-        proposer.change(
+        proposer.propose(
                 SealedWindow.key(unit.window),
                 timing.storeWaitMs(),
                 now -> now == null && mine.mayWork(clock.nowMs()) && reportable(unit.window)
                         ? new RegisterEdit.Set(value)
                         : RegisterEdit.LEAVE,
                 outcome -> {
-                    if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+                    if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
                         unit.sealed = MessageCodec.record(done.value(), SealedWindow.class);
                         lastSealed = Math.max(lastSealed, unit.window);
                         unit.stage = unit.sealed.completed() ? Stage.OVER : Stage.SEND;
                     } else {
-                        final boolean over = outcome instanceof ProposalOutcome.Gone || !reportable(unit.window);
+                        final boolean over = outcome instanceof ProposalOutcome.Pruned || !reportable(unit.window);
                         unit.stage = over ? Stage.OVER : Stage.GATHER;
                     }
                 });
@@ -292,7 +292,7 @@
 
     private void complete(final LeaseSession mine, final Unit unit) {
         unit.stage = Stage.COMPLETING;
-        proposer.change(
+        proposer.propose(
                 SealedWindow.key(unit.window),
                 timing.storeWaitMs(),
                 value -> {
@@ -303,7 +303,7 @@
                 },
                 outcome -> {
                     unit.stage = Stage.OVER;
-                    if (!(outcome instanceof ProposalOutcome.Done)) {
+                    if (!(outcome instanceof ProposalOutcome.Committed)) {
                         LOG.atWarning().log(
                                 "event=completion_unclear node=%s window=%s executionId=%s",
                                 name, unit.window, mine.executionId());
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -41,7 +41,7 @@
                 new Random(1),
                 new Proposer.Timing(400, 50, 64),
                 (voter, key) -> {});
-        proposer.adopt(TABLE);
+        proposer.updateVoterSet(TABLE);
         configurationStore.load(snapshot(BASE + 1));
         follower = new FeedClient(
                 () -> self,
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -21,17 +21,17 @@
         }
 
         @Override
-        public boolean gone(final String key) {
+        public boolean isPruned(final String key) {
             return false;
         }
 
         @Override
-        public boolean room(final String key) {
+        public boolean hasCapacityFor(final String key) {
             return true;
         }
 
         @Override
-        public boolean takes(final String key, final byte[] value) {
+        public boolean accepts(final String key, final byte[] value) {
             return true;
         }
     };
@@ -39,7 +39,7 @@
     /** Keeps what versions decided in a snapshot of its own. */
     private record Holding(AtomicLong snapshotDown) implements RegisterGuard {
         @Override
-        public boolean holds(final long floor) {
+        public boolean hasSnapshotUpTo(final long floor) {
             return snapshotDown.get() >= floor;
         }
 
@@ -49,17 +49,17 @@
         }
 
         @Override
-        public boolean gone(final String key) {
+        public boolean isPruned(final String key) {
             return false;
         }
 
         @Override
-        public boolean room(final String key) {
+        public boolean hasCapacityFor(final String key) {
             return true;
         }
 
         @Override
-        public boolean takes(final String key, final byte[] value) {
+        public boolean accepts(final String key, final byte[] value) {
             return true;
         }
     }
@@ -84,17 +84,18 @@
     void aJoinerVotesOnlyOnceItHasReadFromSoManyThatEveryMajorityIsMet() {
         for (int voters = 2; voters <= VoterSet.VOTERS_MAX; voters++) {
             final VoterSet table = table(voters);
-            assertThat(table.meeting() + table.majority()).isGreaterThan(voters);
-            assertThat(table(voters + 1).meeting()).isGreaterThanOrEqualTo(table.meeting());
+            assertThat(table.intersectingQuorum() + table.majority()).isGreaterThan(voters);
+            assertThat(table(voters + 1).intersectingQuorum()).isGreaterThanOrEqualTo(table.intersectingQuorum());
             final Acceptor acceptor = joiner();
-            acceptor.adopt(table);
-            for (int i = 1; i <= table.meeting(); i++) {
+            acceptor.updateVoterSet(table);
+            for (int i = 1; i <= table.intersectingQuorum(); i++) {
                 assertThat(acceptor.state()).as("%s of %s", i, voters).isEqualTo(Acceptor.State.CATCHING_UP);
                 final ConsensusMessage.CatchUpResponse back =
                         new ConsensusMessage.CatchUpResponse("v" + i, 3, 4, "", List.of(), true, 0);
-                acceptor.hear(back, "v0");
-                acceptor.hear(back, "v0");
-                acceptor.hear(new ConsensusMessage.CatchUpResponse("v" + (i + 1), 3, 3, "", List.of(), true, 0), "v0");
+                acceptor.onMessage(back, "v0");
+                acceptor.onMessage(back, "v0");
+                acceptor.onMessage(
+                        new ConsensusMessage.CatchUpResponse("v" + (i + 1), 3, 3, "", List.of(), true, 0), "v0");
             }
             assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
         }
@@ -108,15 +109,15 @@
     void aJoinerTakesTheHighestFloorOfThoseThatItReadFromAndKeepsItThroughARestart() {
         final SegmentStore disk = disk();
         final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.adopt(table(5));
-        acceptor.hear(allOf("v1", 7), "v0");
-        acceptor.hear(allOf("v2", 40), "v0");
-        acceptor.hear(allOf("v3", 0), "v0");
+        acceptor.updateVoterSet(table(5));
+        acceptor.onMessage(allOf("v1", 7), "v0");
+        acceptor.onMessage(allOf("v2", 40), "v0");
+        acceptor.onMessage(allOf("v3", 0), "v0");
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
-        assertThat(acceptor.floor()).isEqualTo(40);
+        assertThat(acceptor.versionFloor()).isEqualTo(40);
         final Acceptor again = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "other");
         assertThat(again.state()).isEqualTo(Acceptor.State.VOTING);
-        assertThat(again.floor()).isEqualTo(40);
+        assertThat(again.versionFloor()).isEqualTo(40);
     }
 
     @Test
@@ -124,14 +125,14 @@
         final AtomicLong snapshotDown = new AtomicLong(39);
         final Acceptor acceptor =
                 new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, new Holding(snapshotDown), "disk-0");
-        acceptor.adopt(table(5));
-        acceptor.hear(allOf("v1", 7), "v0");
-        acceptor.hear(allOf("v2", 40), "v0");
-        acceptor.hear(allOf("v3", 0), "v0");
-        acceptor.tick("v0");
+        acceptor.updateVoterSet(table(5));
+        acceptor.onMessage(allOf("v1", 7), "v0");
+        acceptor.onMessage(allOf("v2", 40), "v0");
+        acceptor.onMessage(allOf("v3", 0), "v0");
+        acceptor.onTick("v0");
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
         snapshotDown.set(40);
-        acceptor.tick("v0");
+        acceptor.onTick("v0");
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
@@ -153,14 +154,14 @@
     @Test
     void whoResignedFromAGenerationVotesInNoneOfItsEpochs() {
         final Acceptor acceptor = joiner();
-        acceptor.found(table(3), List.of());
+        acceptor.startGeneration(table(3), List.of());
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
         acceptor.resign(3);
-        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
+        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
-        acceptor.foundLate(table(3), List.of());
+        acceptor.startGenerationLate(table(3), List.of());
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
-        acceptor.adopt(new VoterSet(9, 1, table(3).voters()));
+        acceptor.updateVoterSet(new VoterSet(9, 1, table(3).voters()));
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
     }
 
@@ -192,9 +193,9 @@
     void whoResignsWhileATableIsOnItsWayToTheDiskStaysResigned() {
         final Held disk = new Held();
         final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.found(table(3), List.of());
+        acceptor.startGeneration(table(3), List.of());
         disk.holds = true;
-        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
+        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
         acceptor.resign(3);
         disk.letGo();
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
@@ -204,16 +205,16 @@
     void whoResignedCatchesUpInNoLaterEpoch() {
         final Held disk = new Held();
         final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.found(table(3), List.of());
+        acceptor.startGeneration(table(3), List.of());
         acceptor.resign(3);
         disk.holds = true;
-        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
+        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
         for (int i = 1; i < 3; i++) {
-            acceptor.hear(new ConsensusMessage.CatchUpResponse("v" + i, 3, 5, "", List.of(), true, 0), "v0");
+            acceptor.onMessage(new ConsensusMessage.CatchUpResponse("v" + i, 3, 5, "", List.of(), true, 0), "v0");
         }
         disk.letGo();
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
-        assertThat(acceptor.keepsState()).isTrue();
+        assertThat(acceptor.hasStateOnDisk()).isTrue();
         assertThat(acceptor.hasState()).isFalse();
     }
 
@@ -222,13 +223,13 @@
     void whoHasCaughtUpAsATableComesVotesOnceItIsDown() {
         final Held disk = new Held();
         final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.adopt(table(3));
+        acceptor.updateVoterSet(table(3));
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
         disk.holds = true;
         for (int i = 1; i < 3; i++) {
-            acceptor.hear(new ConsensusMessage.CatchUpResponse("v" + i, 3, 4, "", List.of(), true, 0), "v0");
+            acceptor.onMessage(new ConsensusMessage.CatchUpResponse("v" + i, 3, 4, "", List.of(), true, 0), "v0");
         }
-        acceptor.adopt(table(3).add(new Voter("new", "new", "x")));
+        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
         assertThat(acceptor.state()).as("before the table is down").isEqualTo(Acceptor.State.CATCHING_UP);
         disk.letGo();
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
--- a/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
+++ b/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
@@ -21,17 +21,17 @@
         }
 
         @Override
-        public boolean room(final String key) {
+        public boolean hasCapacityFor(final String key) {
             return true;
         }
 
         @Override
-        public boolean gone(final String key) {
+        public boolean isPruned(final String key) {
             return false;
         }
 
         @Override
-        public boolean takes(final String key, final byte[] value) {
+        public boolean accepts(final String key, final byte[] value) {
             return true;
         }
     }
@@ -58,7 +58,7 @@
         table = new VoterSet(1, 1, voters);
         for (int i = 0; i < 6; i++) {
             final Acceptor acceptor = acceptor(i);
-            clock.after(0, () -> acceptor.found(table, List.of()));
+            clock.after(0, () -> acceptor.startGeneration(table, List.of()));
         }
         run(100);
     }
@@ -67,7 +67,7 @@
         final String name = "v" + i;
         final Acceptor acceptor =
                 new Acceptor(name, new SegmentedLog(disks.get(i)), this::send, new Open(), "disk-" + i);
-        ears.put(name, message -> acceptor.hear((ConsensusMessage) message, name));
+        ears.put(name, message -> acceptor.onMessage((ConsensusMessage) message, name));
         return acceptor;
     }
 
@@ -83,10 +83,10 @@
     public Proposer proposer(final String name) {
         final Proposer made = new Proposer(
                 name + "#1", name, this::send, clock, random, new Proposer.Timing(150, 30, 1000), (voter, key) -> {});
-        made.adopt(table);
+        made.updateVoterSet(table);
         ears.put(name, message -> {
             if (message instanceof ConsensusMessage b) {
-                made.hear(b);
+                made.onMessage(b);
             }
         });
         return made;
--- a/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -29,7 +29,7 @@
                     final String mark = name + "." + i;
                     bench.clock.after(bench.random.nextInt(6000), () -> {
                         final long floor = newest[0];
-                        proposer.change(
+                        proposer.propose(
                                 "count",
                                 4000,
                                 now -> {
@@ -43,7 +43,7 @@
                                                     : (number(now) + 1 + " " + mark).getBytes(StandardCharsets.UTF_8));
                                 },
                                 outcome -> {
-                                    if (outcome instanceof ProposalOutcome.Done d && d.wrote()) {
+                                    if (outcome instanceof ProposalOutcome.Committed d && d.wrote()) {
                                         counts[0]++;
                                         assertThat(number(d.value())).isGreaterThan(floor);
                                         done.add(new String(d.value(), StandardCharsets.UTF_8));
@@ -56,7 +56,7 @@
                     bench.clock.after(bench.random.nextInt(9000), () -> {
                         final long floor = newest[0];
                         proposer.read("count", 3000, outcome -> {
-                            if (outcome instanceof ProposalOutcome.Done d) {
+                            if (outcome instanceof ProposalOutcome.Committed d) {
                                 assertThat(number(d.value()))
                                         .as("a read after it was done")
                                         .isGreaterThanOrEqualTo(floor);
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -43,18 +43,18 @@
         }
 
         @Override
-        public boolean gone(final String key) {
+        public boolean isPruned(final String key) {
             final long version = ConfigurationKeys.of(key);
-            return version >= 0 && version <= acceptor.floor();
+            return version >= 0 && version <= acceptor.versionFloor();
         }
 
         @Override
-        public boolean room(final String key) {
+        public boolean hasCapacityFor(final String key) {
             return true;
         }
 
         @Override
-        public boolean takes(final String key, final byte[] value) {
+        public boolean accepts(final String key, final byte[] value) {
             return true;
         }
     }
@@ -105,9 +105,9 @@
         while (!connection.isEmpty()) {
             final Sent sent = connection.poll();
             if (sent.to.equals("late")) {
-                proposer.hear((ConsensusMessage) sent.message);
+                proposer.onMessage((ConsensusMessage) sent.message);
             } else {
-                machines.get(sent.to).acceptor.hear((ConsensusMessage) sent.message, sent.to);
+                machines.get(sent.to).acceptor.onMessage((ConsensusMessage) sent.message, sent.to);
             }
         }
     }
@@ -122,21 +122,21 @@
             machines.get(name).start("disk-" + i);
         }
         table = new VoterSet(1, 1, voters);
-        machines.values().forEach(m -> m.acceptor.found(table, List.of()));
-        proposer.adopt(table);
+        machines.values().forEach(m -> m.acceptor.startGeneration(table, List.of()));
+        proposer.updateVoterSet(table);
         for (long version = 1; version <= DECIDED; version++) {
-            assertThat(propose(version, FIRST)).isInstanceOf(ProposalOutcome.Done.class);
+            assertThat(propose(version, FIRST)).isInstanceOf(ProposalOutcome.Committed.class);
         }
         machines.values()
-                .forEach(m -> m.acceptor.raiseFloor(
+                .forEach(m -> m.acceptor.raiseVersionFloor(
                         FLOOR,
                         () -> ConfigurationKeys.upTo(m.acceptor.registers(), FLOOR)
-                                .forEach(m.acceptor::drop)));
+                                .forEach(m.acceptor::removeRegister)));
     }
 
     private ProposalOutcome propose(final long version, final byte[] value) {
         final List<ProposalOutcome> told = new ArrayList<>();
-        proposer.change(
+        proposer.propose(
                 ConfigurationKeys.key(version),
                 500,
                 now -> now == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
@@ -149,25 +149,25 @@
         final Machine machine = machines.get("v" + i);
         machine.disk = new InMemorySegmentStore(8, 1 << 14);
         machine.start("disk-" + i + "-new");
-        table = table.swap(new Voter(machine.name, machine.name, machine.acceptor.diskId()));
-        machines.values().forEach(m -> m.acceptor.adopt(table));
+        table = table.withReplacedDisk(new Voter(machine.name, machine.name, machine.acceptor.diskId()));
+        machines.values().forEach(m -> m.acceptor.updateVoterSet(table));
         for (int tick = 0; tick < 10; tick++) {
-            machine.acceptor.tick(machine.name);
+            machine.acceptor.onTick(machine.name);
             run(1);
         }
         assertThat(machine.acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
     private void decidedForGood() {
-        proposer.adopt(table);
+        proposer.updateVoterSet(table);
         for (long version = 1; version <= FLOOR; version++) {
-            assertThat(propose(version, OTHER)).as("version %s", version).isInstanceOf(ProposalOutcome.Gone.class);
+            assertThat(propose(version, OTHER)).as("version %s", version).isInstanceOf(ProposalOutcome.Pruned.class);
         }
         for (long version = FLOOR + 1; version <= DECIDED; version++) {
             assertThat(propose(version, OTHER))
                     .as("version %s", version)
                     .isInstanceOfSatisfying(
-                            ProposalOutcome.Done.class,
+                            ProposalOutcome.Committed.class,
                             done -> assertThat(done.value()).isEqualTo(FIRST));
         }
     }
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -41,7 +41,7 @@
             public void run() {
                 bench.clock.after(200, this);
                 reader.read(Lease.key("usage_report"), 300, outcome -> {
-                    if (number != 2 && outcome instanceof ProposalOutcome.Done done) {
+                    if (number != 2 && outcome instanceof ProposalOutcome.Committed done) {
                         late.add(register(done.value()));
                         if (late.size() > (number == 1 ? 5 : 1)) {
                             late.poll();
@@ -117,12 +117,12 @@
         final byte[][] copy = {null};
         final long[] renewal = {0};
         final long[] renewedMs = {0};
-        final Runnable renew = () -> writer.change(
+        final Runnable renew = () -> writer.propose(
                 Lease.key("usage_report"),
                 800,
                 value -> new RegisterEdit.Set(MessageCodec.bytes(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
                 outcome -> {
-                    copy[0] = ((ProposalOutcome.Done) outcome).value();
+                    copy[0] = ((ProposalOutcome.Committed) outcome).value();
                     renewedMs[0] = bench.clock.nowMs();
                 });
         renew.run();
@@ -246,7 +246,7 @@
     void aLeaseThatAnOlderGenerationAllottedIsWatchedByItsOwnHolderToo() {
         final ConsensusTestContext bench = new ConsensusTestContext(4, 0);
         bench.proposer("w")
-                .change(
+                .propose(
                         Lease.key("usage_report"),
                         800,
                         value -> new RegisterEdit.Set(
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
@@ -77,7 +77,7 @@
             for (int i = 0; i < 2; i++) {
                 final MembershipTestContext.Machine by = bench.machines.get("e" + i);
                 final String value = key + " by " + by.name;
-                by.proposer.change(
+                by.proposer.propose(
                         key,
                         2500,
                         now -> now == null
@@ -88,7 +88,7 @@
         }
 
         private void confirm(final String key, final ProposalOutcome outcome) {
-            if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+            if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
                 final String value = new String(done.value(), StandardCharsets.UTF_8);
                 assertThat(confirmed.getOrDefault(key, value)).as(shown()).isEqualTo(value);
                 confirmed.put(key, value);
@@ -132,7 +132,7 @@
                     .toList();
             boolean bears = seated.stream()
                     .allMatch(m -> m.acceptor.state() == Acceptor.State.VOTING
-                            && m.acceptor.voterSet().same(table.generation(), table.epoch()));
+                            && m.acceptor.voterSet().hasEpoch(table.generation(), table.epoch()));
             for (int region = 0; region < REGIONS; region++) {
                 final int lost = region;
                 bears &= seated.stream().filter(m -> m.region() != lost).count() >= table.majority();
@@ -295,7 +295,7 @@
             confirmed
                     .keySet()
                     .forEach(key -> bench.machines.get("e2").proposer.read(key, 3000, outcome -> {
-                        if (outcome instanceof ProposalOutcome.Done done) {
+                        if (outcome instanceof ProposalOutcome.Committed done) {
                             read.put(key, new String(done.value(), StandardCharsets.UTF_8));
                         }
                     }));
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -101,7 +101,7 @@
                     first,
                     this::send,
                     () -> proposer.voterSet(),
-                    core ? then -> acceptor.keepOwn("~council", new byte[0], ok -> then.run()) : Runnable::run);
+                    core ? then -> acceptor.putLocalRecord("~council", new byte[0], ok -> then.run()) : Runnable::run);
             bootstrapProposer = core && first
                     ? new BootstrapProposer(
                             name,
@@ -140,7 +140,7 @@
                     ? new GracefulHandover(name, name, acceptor, this::send, own, new GracefulHandover.Timing(220, 900))
                     : null;
             if (core && acceptor.voterSet() != null) {
-                proposer.adopt(acceptor.voterSet());
+                proposer.updateVoterSet(acceptor.voterSet());
             }
             if (core) {
                 tick(own);
@@ -150,7 +150,7 @@
         }
 
         private SurvivingState survivingState() {
-            return new SurvivingState(name, generation(), 0, null, 0, acceptor.keepsState(), registers());
+            return new SurvivingState(name, generation(), 0, null, 0, acceptor.hasStateOnDisk(), registers());
         }
 
         private long generation() {
@@ -173,7 +173,7 @@
             own.after(400, () -> feed(own));
             for (final Machine m : machines.values()) {
                 if (!deafEdges && m.core && m.up && m.proposer.voterSet() != null && random.nextDouble() >= loss) {
-                    proposer.adopt(m.proposer.voterSet());
+                    proposer.updateVoterSet(m.proposer.voterSet());
                 }
             }
         }
@@ -242,18 +242,18 @@
                 if (bootstrapProposer != null) {
                     bootstrapProposer.hear(c);
                 }
-            } else if (message instanceof ConsensusMessage.Table t) {
+            } else if (message instanceof ConsensusMessage.VoterSetUpdate t) {
                 if (core) {
                     membershipCoordinator.adopt(t.voterSet());
                 } else {
-                    proposer.adopt(t.voterSet());
+                    proposer.updateVoterSet(t.voterSet());
                 }
             } else if (message instanceof ConsensusMessage.HandoverResponse back) {
                 handover.hear(back);
             } else if (message instanceof ConsensusMessage b) {
-                proposer.hear(b);
+                proposer.onMessage(b);
                 if (core) {
-                    acceptor.hear(b, name);
+                    acceptor.onMessage(b, name);
                 }
             } else if (message instanceof MembershipMessage.SurvivingStateRequest ask && core) {
                 send(ask.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
@@ -261,9 +261,9 @@
                 membershipCoordinator.hear(f);
             } else if (message instanceof MembershipMessage.VoterStatus s) {
                 if (s.lacks(proposer.voterSet())) {
-                    send(s.address(), new ConsensusMessage.Table(proposer.voterSet()));
+                    send(s.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
                 } else if (s.table() != null) {
-                    proposer.adopt(s.table());
+                    proposer.updateVoterSet(s.table());
                 }
             }
         }
@@ -277,18 +277,18 @@
         }
 
         @Override
-        public boolean room(final String key) {
+        public boolean hasCapacityFor(final String key) {
             return true;
         }
 
         @Override
-        public boolean gone(final String key) {
+        public boolean isPruned(final String key) {
             final VoterSet v = of.acceptor.voterSet();
             return key.startsWith("voters/") && !key.equals("voters/" + v.generation() + "/" + (v.epoch() + 1));
         }
 
         @Override
-        public boolean takes(final String key, final byte[] value) {
+        public boolean accepts(final String key, final byte[] value) {
             return true;
         }
     }
@@ -372,7 +372,7 @@
         }
         messages++;
         tables += message instanceof MembershipMessage.VoterStatus s && s.table() != null
-                        || message instanceof ConsensusMessage.Table
+                        || message instanceof ConsensusMessage.VoterSetUpdate
                 ? 1
                 : 0;
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
@@ -461,7 +461,7 @@
         return table != null
                 && cores.stream()
                         .allMatch(m -> m.acceptor.state() == Acceptor.State.VOTING
-                                && m.proposer.voterSet().same(table.generation(), table.epoch())
+                                && m.proposer.voterSet().hasEpoch(table.generation(), table.epoch())
                                 && table.voter(m.name) != null);
     }
 
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -165,13 +165,13 @@
                 bench.clock.after(at, () -> {
                     final long floor =
                             done.stream().mapToLong(Long::longValue).max().orElse(0);
-                    by.proposer.change(
+                    by.proposer.propose(
                             "count",
                             2500,
                             now -> new RegisterEdit.Set(
                                     Long.toString(number(now) + 1).getBytes(StandardCharsets.UTF_8)),
                             o -> {
-                                if (o instanceof ProposalOutcome.Done d && d.wrote()) {
+                                if (o instanceof ProposalOutcome.Committed d && d.wrote()) {
                                     assertThat(number(d.value())).isGreaterThan(floor);
                                     done.add(number(d.value()));
                                 }
@@ -472,12 +472,12 @@
                 bench.machines
                         .get("e0")
                         .proposer
-                        .change(
+                        .propose(
                                 key,
                                 3000,
                                 now -> now == null ? new RegisterEdit.Set(key.getBytes(UTF_8)) : RegisterEdit.LEAVE,
                                 o -> {
-                                    if (o instanceof ProposalOutcome.Done) {
+                                    if (o instanceof ProposalOutcome.Committed) {
                                         confirmed.put(key, key);
                                     }
                                 });
--- a/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -78,13 +78,13 @@
     void constantsOfEnumsKeepTheirOrdinals() {
         assertThat(ConsensusMessage.Reply.values())
                 .containsExactly(
-                        ConsensusMessage.Reply.YES,
-                        ConsensusMessage.Reply.LOWER,
-                        ConsensusMessage.Reply.OLD_TABLE,
-                        ConsensusMessage.Reply.BLANK,
-                        ConsensusMessage.Reply.GONE,
-                        ConsensusMessage.Reply.DENIED,
-                        ConsensusMessage.Reply.DISK);
+                        ConsensusMessage.Reply.OK,
+                        ConsensusMessage.Reply.OUTRANKED,
+                        ConsensusMessage.Reply.STALE_VOTER_SET,
+                        ConsensusMessage.Reply.NOT_VOTING,
+                        ConsensusMessage.Reply.PRUNED,
+                        ConsensusMessage.Reply.REJECTED,
+                        ConsensusMessage.Reply.WRITE_FAILED);
         assertThat(ConfigurationChange.Kind.values())
                 .containsExactly(ConfigurationChange.Kind.PUT, ConfigurationChange.Kind.PATCH);
         assertThat(HealthStatus.values())
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -97,7 +97,7 @@
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
         assertThat(acceptor.diskId()).isEqualTo("d1-core/1f");
         assertThat(acceptor.voterSet()).isEqualTo(SampleCore.TABLE);
-        assertThat(acceptor.floor()).isEqualTo(7_340_032);
+        assertThat(acceptor.versionFloor()).isEqualTo(7_340_032);
         assertThat(acceptor.registers())
                 .containsOnlyKeys(
                         "duty/floor",
@@ -131,7 +131,7 @@
     void theConfigurationIsReadFromTheSnapshotAndTheChange() throws Exception {
         final Acceptor acceptor = acceptor();
         final ConfigurationSnapshot snapshot =
-                MessageCodec.record(acceptor.own("~policy"), ConfigurationSnapshot.class);
+                MessageCodec.record(acceptor.localRecord("~policy"), ConfigurationSnapshot.class);
         assertThat(snapshot.orders())
                 .containsExactly(
                         new CommittedChange("founding-7", 7_340_032, 1_000),
@@ -152,12 +152,12 @@
     void aCoresOwnRecordsAreRead() throws Exception {
         MessageNumbers.number();
         final Acceptor acceptor = acceptor();
-        assertThat(acceptor.own("~council")).isEmpty();
-        assertThat(MessageCodec.record(acceptor.own("~form"), StoredRecords.coordinatorProposal()))
+        assertThat(acceptor.localRecord("~council")).isEmpty();
+        assertThat(MessageCodec.record(acceptor.localRecord("~form"), StoredRecords.coordinatorProposal()))
                 .isEqualTo(StoredRecords.coordinatorProposal(6, SampleCore.CAST));
-        assertThat(MessageCodec.message(acceptor.own("~usage")))
+        assertThat(MessageCodec.message(acceptor.localRecord("~usage")))
                 .isEqualTo(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(SampleCore.COUNT)));
-        assertThat(MessageCodec.message(acceptor.own("~listed")))
+        assertThat(MessageCodec.message(acceptor.localRecord("~listed")))
                 .isEqualTo(new DiscoveryMessage.Push(List.of(SampleCore.LISTED), List.of(), 0));
     }
 
--- a/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
@@ -24,7 +24,7 @@
         assertThat(GenerationMerger.FLOOR).isEqualTo("duty/floor");
         assertThat(IdempotencyClaim.key("tenant-1", "pay-17")).isEqualTo("once/tenant-1/pay-17");
         assertThat(VoterSet.key(1_700_000_000L, 2)).isEqualTo("voters/1700000000/2");
-        assertThat(VoterSet.KEYS).isEqualTo("voters/");
+        assertThat(VoterSet.KEY_PREFIX).isEqualTo("voters/");
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -70,17 +70,17 @@
         }
 
         @Override
-        public boolean gone(final String key) {
+        public boolean isPruned(final String key) {
             return false;
         }
 
         @Override
-        public boolean room(final String key) {
+        public boolean hasCapacityFor(final String key) {
             return true;
         }
 
         @Override
-        public boolean takes(final String key, final byte[] value) {
+        public boolean accepts(final String key, final byte[] value) {
             return true;
         }
     };
@@ -99,7 +99,7 @@
     }
 
     private static void firstIncarnation(final Acceptor acceptor) {
-        acceptor.found(
+        acceptor.startGeneration(
                 TABLE,
                 List.of(
                         founded("duty/floor", "12345".getBytes(StandardCharsets.UTF_8)),
@@ -109,12 +109,12 @@
         accept(acceptor, SealedWindow.key(344), CAST, MessageCodec.bytes(WINDOW));
         accept(acceptor, SealedWindow.key(345), CAST, MessageCodec.bytes(WINDOW));
         accept(acceptor, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.bytes(CLAIM));
-        acceptor.hear(
+        acceptor.onMessage(
                 new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", CAST, false),
                 "10.0.0.1:7000");
         keepOwnRecords(acceptor);
-        acceptor.raiseFloor(FIRST_VERSION, () -> acceptor.drop(ConfigurationKeys.key(FIRST_VERSION)));
-        acceptor.drop(SealedWindow.key(344));
+        acceptor.raiseVersionFloor(FIRST_VERSION, () -> acceptor.removeRegister(ConfigurationKeys.key(FIRST_VERSION)));
+        acceptor.removeRegister(SealedWindow.key(344));
     }
 
     private static void keepOwnRecords(final Acceptor acceptor) {
@@ -133,7 +133,7 @@
     }
 
     private static void keep(final Acceptor acceptor, final String key, final byte[] value) {
-        acceptor.keepOwn(key, value, ok -> {
+        acceptor.putLocalRecord(key, value, ok -> {
             if (!ok) {
                 throw new IllegalStateException("no room for " + key);
             }
@@ -146,7 +146,7 @@
 
     private static void accept(
             final Acceptor acceptor, final String key, final ProposalNumber proposalNumber, final byte[] value) {
-        acceptor.hear(
+        acceptor.onMessage(
                 new ConsensusMessage.Accept(4, "10.0.0.2:7000", 7, 1, key, proposalNumber, value), "10.0.0.1:7000");
     }
 
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -310,7 +310,7 @@
             final Acceptor acceptor = core.running() ? core.node().acceptor() : null;
             if (acceptor != null && acceptor.state() == Acceptor.State.VOTING) {
                 final Register r = acceptor.registers().get(ConfigurationKeys.key(acknowledged));
-                having += acceptor.floor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
+                having += acceptor.versionFloor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
             }
         }
         if (having < world.cores().size() / 2 + 1) {
