--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -1,576 +1,392 @@
 package spokestall.consensus;
 
 import com.google.common.flogger.FluentLogger;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.BiConsumer;
-import java.util.function.Consumer;
-import spokestall.message.MessageCodec;
 import spokestall.message.MessageSender;
 import spokestall.storage.SegmentedLog;
 
 /**
- * A voter's registers. It answers only when what it answers is synced, and only for the table of voters it is in.
- * Keys that start with a tilde are its own and are no registers.
+ * A voter: promises proposal numbers and accepts values for the registers that it stores, on behalf of one voter set.
+ *
+ * <p><b>Protocol.</b> Each key is a register of its own and each change of it a single-decree agreement (Paxos): a proposer
+ * sends {@link ConsensusMessage.Prepare} with a proposal number, then {@link ConsensusMessage.Accept} with a value. An acceptor
+ * promises a number that is not below the one it promised before, and accepts a value under such a number. A value that a
+ * majority of the voter set accepted under one number is chosen. Only messages of this acceptor's own generation and epoch count;
+ * a sender with an older voter set receives the newer one.
+ *
+ * <p><b>States and transitions</b>, all made by {@link #transitionTo}:
+ *
+ * <ul>
+ *   <li>{@link State#BLANK}: no voter slot. To CATCHING_UP when a voter set arrives, or on opening a disk that has a slot; to
+ *       VOTING on opening a disk that has caught up.
+ *   <li>{@link State#CATCHING_UP}: has a voter set whose record is not synced yet, or a slot without the state that goes with it;
+ *       promises and accepts nothing. To VOTING when both are on disk; to BLANK when the voter set has no slot for this disk.
+ *   <li>{@link State#VOTING}: to CATCHING_UP while a newer voter set is being written.
+ *   <li>{@link State#RESIGNED}: votes in no epoch of this generation again, since a new generation may start from what it has. To
+ *       CATCHING_UP when a newer generation's voter set arrives.
+ *   <li>{@link State#STOPPED} is not stored: it hides any other state while the disk takes no writes.
+ * </ul>
+ *
+ * From every state, a resignation leads to RESIGNED and a reset of the identity to BLANK.
+ *
+ * <p><b>What is synced before which reply.</b> The promised number before {@link ConsensusMessage.Promise}; the accepted number and
+ * value before {@link ConsensusMessage.Accepted}; the voter set before any reply in its epoch; registers, version floor and the
+ * record of the catch-up before the first reply of a new voter. A reply to a peek, and to a handover request, shows synced state
+ * only.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 public final class Acceptor {
-    /** Explicit states of a voter. */
+    /** The states of an acceptor. The names are written into replies of the operator's calls. */
     public enum State {
+        /** Without a voter slot. */
         BLANK,
+        /** With a voter set, and without a part of what it takes to vote in it. */
         CATCHING_UP,
+        /** Promises and accepts. */
         VOTING,
+        /** Gave up its vote in this generation for a new one. */
         RESIGNED,
+        /** Its disk takes no writes. */
         STOPPED
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    static final String VOTER_SET = "~voters";
-    static final String CAUGHT = "~caught";
-    static final String DISK = "~disk";
-    static final String FLOOR = "~floor";
-    private static final int PAGE_BYTES = 256 << 10;
     private final String name;
-    private final SegmentedLog segmentedLog;
-    private final MessageSender post;
+    private final MessageSender sender;
     private final RegisterGuard guard;
-    private final TreeMap<String, Register> registers = new TreeMap<>();
-    private final Map<String, String> catchUp = new HashMap<>();
-    private final Map<String, Boolean> caughtFrom = new HashMap<>();
-    private final List<BiConsumer<String, Register>> watchers = new ArrayList<>();
-    private final Map<String, Register> before = new HashMap<>();
-    private final Map<String, Integer> onTheWay = new HashMap<>();
-    private final boolean openedBlank;
-    private String diskId;
+    private final AcceptorStorage storage;
+    private final AcceptorCatchUp catchUp;
+    private final AcceptorRequestHandler requestHandler;
     private VoterSet voterSet;
     private State state = State.BLANK;
-    private long tableEpochDown;
-    private long floor;
-    private long floorOfOthers;
-    private boolean diskTakes = true;
-
-    /** Example: {@code new Acceptor("d1-core", segmentedLog, post, guard, freshId)}; freshId is used only on a blank disk. */
+    /** Counts the voter sets taken in this incarnation, so that a write that was overtaken by a newer one has no effect. */
+    private long voterSetUpdates;
+
+    private boolean canWriteLogged = true;
+
+    /**
+     * Opens the stored state; the acceptor votes at once if its disk has caught up in its voter set's generation.
+     *
+     * @param name the name of this core, as in its voter slot
+     * @param segmentedLog what the state is stored in; used by this acceptor alone
+     * @param freshDiskId the identity for a disk that has none
+     */
     public Acceptor(
             final String name,
             final SegmentedLog segmentedLog,
-            final MessageSender post,
+            final MessageSender sender,
             final RegisterGuard guard,
-            final String freshId) {
+            final String freshDiskId) {
         this.name = name;
-        this.segmentedLog = segmentedLog;
-        this.post = post;
+        this.sender = sender;
         this.guard = guard;
-        final byte[] had = segmentedLog.table().get(DISK);
-        openedBlank = had == null;
-        diskId = had == null ? freshId : new String(had, StandardCharsets.UTF_8);
-        if (had == null) {
-            segmentedLog.put(DISK, diskId.getBytes(StandardCharsets.UTF_8), ok -> {});
-        }
-        final byte[] kept = segmentedLog.table().get(FLOOR);
-        floor = kept == null ? 0 : ByteBuffer.wrap(kept).getLong();
-        final byte[] table = segmentedLog.table().get(VOTER_SET);
-        voterSet = table == null ? null : MessageCodec.record(table, VoterSet.class);
-        segmentedLog.table().forEach((key, value) -> {
-            if (!key.startsWith("~")) {
-                registers.put(key, MessageCodec.record(value, Register.class));
-            }
-        });
-        final byte[] caught = segmentedLog.table().get(CAUGHT);
-        if (caught != null
-                && voterSet != null
-                && new String(caught, StandardCharsets.UTF_8).equals(caughtMark())
-                && seated()) {
-            change(State.VOTING, "opened");
-        } else if (seated()) {
-            change(State.CATCHING_UP, "opened");
+        this.storage = new AcceptorStorage(segmentedLog, freshDiskId);
+        this.catchUp = new AcceptorCatchUp(name, storage, sender);
+        this.requestHandler = new AcceptorRequestHandler(name, storage, sender, guard);
+        voterSet = storage.readVoterSet();
+        if (hasVoterSlot()) {
+            transitionTo(storage.isCaughtUp(voterSet.generation()) ? State.VOTING : State.CATCHING_UP, "opened");
         }
     }
 
-    /** Keeps a record of this node's own beside the registers. */
-    public void putLocalRecord(final String key, final byte[] value, final Consumer<Boolean> done) {
-        assert key.startsWith("~") : key;
-        segmentedLog.put(key, value, done);
+    /**
+     * Stores a record of this node's own beside the registers, or removes it if the value is null.
+     *
+     * @param key begins with a tilde, so that it can't be a register's
+     */
+    public void putLocalRecord(final String key, final byte[] value, final WriteCallback done) {
+        storage.putLocalRecord(key, value, done);
     }
 
-    /** A record of this node's own, or null. */
+    /** Returns a record of this node's own, or null. */
     public byte[] localRecord(final String key) {
-        return segmentedLog.table().get(key);
+        return storage.localRecord(key);
     }
 
-    /** Whether this voter has its state, be it voting at this moment or not. */
+    /** Returns whether this voter has the state that it votes with, also while it doesn't vote for a moment. */
     public boolean hasState() {
         return state != State.RESIGNED && hasStateOnDisk();
     }
 
-    /** Whether it has its seat and reads what it lacks from the others. */
+    /** Returns whether this voter has its slot and fetches the state that it lacks from the others. */
     public boolean isCatchingUp() {
-        return state() == State.CATCHING_UP && seated();
+        return state() == State.CATCHING_UP && hasVoterSlot();
     }
 
-    /** Whether its state is still on its disk, also after it resigned: a later round of a founding needs it as much as the
-     * first. */
+    /**
+     * Returns whether the state that it votes with is on its disk, also after it resigned: a later attempt at a new generation
+     * needs that state as much as the first.
+     */
     public boolean hasStateOnDisk() {
-        final byte[] caught = segmentedLog.table().get(CAUGHT);
-        return segmentedLog.state() != SegmentedLog.State.BROKEN
-                && seated()
-                && caught != null
-                && new String(caught, StandardCharsets.UTF_8).equals(caughtMark());
+        return storage.canRead() && hasVoterSlot() && storage.isCaughtUp(voterSet.generation());
     }
 
-    /** Whether this disk's identity has voted, or may have: it must never get a seat anew, since what it missed without
-     * one it would not know of. */
+    /**
+     * Returns whether this disk's identity has voted, or may have. Such an identity must never get a slot anew: it would not know
+     * what it missed while it had none.
+     */
     public boolean mayHaveVoted() {
-        final byte[] caught = segmentedLog.table().get(CAUGHT);
-        return caught != null && new String(caught, StandardCharsets.UTF_8).startsWith(diskId + "/");
+        return storage.hasEverCaughtUp();
     }
 
-    /** Whether the disk was blank when this life began. */
+    /** Returns whether the disk was blank when this incarnation opened it. */
     public boolean openedBlank() {
-        return openedBlank;
+        return storage.openedBlank();
     }
 
-    /** Whether this disk still takes writes. */
+    /** Returns whether the disk takes writes, as far as is known. */
     public boolean canWrite() {
-        return segmentedLog.canWrite();
+        return storage.canWrite();
     }
 
-    /** Called for each register change that is down. */
-    public void addListener(final BiConsumer<String, Register> watcher) {
-        watchers.add(watcher);
+    /** Adds a listener for synced changes of registers. */
+    public void addListener(final RegisterListener listener) {
+        storage.addListener(listener);
     }
 
-    /** Example: {@code if (acceptor.state() != Acceptor.State.VOTING) ...} */
+    /** Returns the state. */
     public State state() {
-        return segmentedLog.canWrite() ? state : State.STOPPED;
+        return storage.canWrite() ? state : State.STOPPED;
     }
 
-    /** The table this voter knows, or null. */
+    /** Returns the newest voter set known here, or null if there was none yet. */
     public VoterSet voterSet() {
         return voterSet;
     }
 
-    /** This disk's identity. */
+    /** Returns this disk's identity. */
     public String diskId() {
-        return diskId;
+        return storage.diskId();
     }
 
-    /** The number of the newest record that is synced. */
+    /** Returns the number of the newest synced record of this disk. */
     public long syncedSeq() {
-        return segmentedLog.syncedSeq();
+        return storage.syncedSeq();
     }
 
-    /** All registers by key. */
+    /** Returns the live view of all registers, in the order of their keys; some may not be synced yet. */
     public TreeMap<String, Register> registers() {
-        return registers;
+        return storage.registers();
     }
 
-    private String caughtMark() {
-        return diskId + "/" + voterSet.generation();
-    }
-
-    private boolean seated() {
+    private boolean hasVoterSlot() {
         final Voter voter = voterSet == null ? null : voterSet.voter(name);
-        return voter != null && voter.diskId().equals(diskId);
+        return voter != null && voter.diskId().equals(storage.diskId());
     }
 
-    private void change(final State to, final String why) {
-        if (state != to) {
-            LOG.atInfo().log(
-                    "event=voter node=%s from=%s to=%s why=%s epoch=%s",
-                    name, state, to, why, voterSet == null ? "none" : voterSet.generation() + "/" + voterSet.epoch());
-            state = to;
+    /** Makes every transition of {@link #state}. */
+    private void transitionTo(final State next, final String reason) {
+        if (state == next) {
+            return;
         }
+        assert next != State.STOPPED && !(state == State.RESIGNED && next == State.VOTING) : state + " to " + next;
+        LOG.atInfo().log(
+                "event=acceptor_state_changed node=%s from=%s to=%s reason=%s epoch=%s",
+                name, state, next, reason, voterSet == null ? "none" : voterSet.generation() + "/" + voterSet.epoch());
+        state = next;
     }
 
-    /** Takes a newer table. Votes of older tables are denied from here on. */
-    public void updateVoterSet(final VoterSet table) {
-        if (!table.newerThan(voterSet) || !segmentedLog.canWrite()) {
+    /** Takes a newer voter set; from here on, messages of older ones are rejected. An older or equal one is ignored. */
+    public void updateVoterSet(final VoterSet next) {
+        if (!next.newerThan(voterSet) || !storage.canWrite()) {
             return;
         }
-        final boolean newGeneration = voterSet == null || voterSet.generation() != table.generation();
-        final State was = state;
-        voterSet = table;
-        final long mark = ++tableEpochDown;
-        // Until the table is down no vote is given, so a power loss can't bring the old table back under a new vote.
-        final boolean stays = was == State.VOTING && !newGeneration && seated();
-        // Whoever resigned from a generation has done so for all its epochs, also while a table is on its way to the
-        // disk.
-        if (was != State.RESIGNED || newGeneration) {
-            change(State.CATCHING_UP, "table");
-        }
-        segmentedLog.put(VOTER_SET, MessageCodec.bytes(table), ok -> {
-            if (!ok || mark != tableEpochDown || state == State.RESIGNED) {
-                return;
-            }
-            if (stays || hasStateOnDisk()) {
-                // The second: it had caught up as the table came, and has all that a seat that votes has.
-                change(State.VOTING, "table-down");
-            } else if (!seated()) {
-                change(State.BLANK, "not-seated");
-            } else {
-                restartCatchUp();
+        final boolean newGeneration = voterSet == null || voterSet.generation() != next.generation();
+        final State previous = state;
+        voterSet = next;
+        final long update = ++voterSetUpdates;
+        // Until the voter set is synced no vote is cast, so a power loss can't bring the old one back under a new vote.
+        final boolean staysVoter = previous == State.VOTING && !newGeneration && hasVoterSlot();
+        // Who resigned from a generation did so for all its epochs, also while a voter set is being written.
+        if (previous != State.RESIGNED || newGeneration) {
+            transitionTo(State.CATCHING_UP, "voter_set_received");
+        }
+        storage.writeVoterSet(next, synced -> {
+            if (synced && update == voterSetUpdates && state != State.RESIGNED) {
+                onVoterSetSynced(staysVoter);
             }
         });
-        if (!stays && newGeneration) {
-            dropAll();
+        if (newGeneration) {
+            storage.clear();
         }
     }
 
-    private void dropAll() {
-        for (final String key : List.copyOf(registers.keySet())) {
-            removeRegister(key);
+    private void onVoterSetSynced(final boolean staysVoter) {
+        // Who had caught up by the time the voter set arrived has all that a voter needs, though it hadn't voted yet.
+        if (staysVoter || hasStateOnDisk()) {
+            transitionTo(State.VOTING, "voter_set_synced");
+        } else if (!hasVoterSlot()) {
+            transitionTo(State.BLANK, "no_voter_slot");
+        } else {
+            catchUp.restart();
+            transitionTo(State.CATCHING_UP, "voter_slot_assigned");
         }
-        segmentedLog.put(CAUGHT, null, ok -> {});
     }
 
-    /** Lets a register go for good. */
+    /** Removes a register for good. The caller makes sure that {@link RegisterGuard#isPruned} holds for its key from then on. */
     public void removeRegister(final String key) {
-        if (registers.remove(key) != null) {
-            segmentedLog.put(key, null, ok -> {});
-        }
+        storage.removeRegister(key);
     }
 
-    /** The version up to which the registers of versions were let go; none of them is ever made anew here. */
+    /** Returns the version up to which registers of versions were pruned; none of them is ever created anew here. */
     public long versionFloor() {
-        return floor;
+        return storage.versionFloor();
     }
 
-    /** Raises the floor; registers may be let go once it is down, so that none is missing here without it. */
-    public void raiseVersionFloor(final long to, final Runnable down) {
-        if (to <= floor) {
-            return;
-        }
-        segmentedLog.put(FLOOR, ByteBuffer.allocate(Long.BYTES).putLong(to).array(), ok -> {
-            if (ok && to > floor) {
-                floor = to;
-                down.run();
-            }
-        });
+    /**
+     * Raises the version floor. Registers below it may be removed only once {@code synced} runs, so that none is ever missing here
+     * without a floor that says so. A floor that isn't higher is ignored.
+     */
+    public void raiseVersionFloor(final long floor, final Runnable synced) {
+        storage.raiseVersionFloor(floor, synced);
     }
 
-    /** Stops voting for the sake of a new generation's proposal number. */
+    /**
+     * Ends this voter's part in its generation, because it promised its state to an attempt at a new one.
+     *
+     * @param generation the generation that the attempt starts from; a newer one than this goes on voting
+     */
     public void resign(final long generation) {
         if (voterSet == null || voterSet.generation() <= generation) {
-            change(State.RESIGNED, "new-generation");
+            transitionTo(State.RESIGNED, "resigned");
         }
     }
 
-    /** Starts over as a blank voter with a fresh identity, after a resignation that came to nothing or the
-     * loss of its seat. */
-    public void resetIdentity(final String freshId) {
-        diskId = freshId;
-        segmentedLog.put(DISK, diskId.getBytes(StandardCharsets.UTF_8), ok -> {});
-        dropAll();
-        change(State.BLANK, "restarted");
+    /** Starts over as a blank disk under a fresh identity, after a resignation that led to nothing or the loss of the slot. */
+    public void resetIdentity(final String freshDiskId) {
+        storage.writeDiskId(freshDiskId);
+        storage.clear();
+        transitionTo(State.BLANK, "identity_reset");
     }
 
-    /** Takes a new generation's first registers. */
-    public void startGeneration(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
-        if (voterSet != null && !table.newerThan(voterSet)) {
+    /** Starts a new generation with its first voter set and its first registers, which replace all that was here. */
+    public void startGeneration(final VoterSet first, final List<ConsensusMessage.Entry> entries) {
+        if (!first.newerThan(voterSet)) {
             return;
         }
-        dropAll();
-        voterSet = table;
-        final long mark = ++tableEpochDown;
-        change(State.CATCHING_UP, "founded");
-        segmentedLog.put(VOTER_SET, MessageCodec.bytes(table), ok -> {});
+        storage.clear();
+        voterSet = first;
+        final long update = ++voterSetUpdates;
+        transitionTo(State.CATCHING_UP, "generation_started");
+        storage.writeVoterSet(first, WriteCallback.IGNORED);
         for (final ConsensusMessage.Entry entry : entries) {
-            store(entry.key(), entry.register(), ok -> {});
+            storage.writeRegister(entry.key(), entry.register(), WriteCallback.IGNORED);
         }
-        finishCatchUp(mark);
+        completeCatchUp(update);
     }
 
-    /** A seat of the first table that missed the founding begins with it, late, as long as it has never voted. */
-    public void startGenerationLate(final VoterSet table, final List<ConsensusMessage.Entry> entries) {
-        final Voter first = table.voter(name);
+    /** Starts a generation that others started before, as long as this disk, which has a slot in its first voter set, never voted. */
+    public void startGenerationLate(final VoterSet first, final List<ConsensusMessage.Entry> entries) {
+        final Voter firstSlot = first.voter(name);
         if (state != State.CATCHING_UP
                 || voterSet == null
-                || voterSet.generation() != table.generation()
-                || !seated()
+                || voterSet.generation() != first.generation()
+                || !hasVoterSlot()
                 || hasState()
-                || first == null
-                || !first.diskId().equals(diskId)) {
+                || firstSlot == null
+                || !firstSlot.diskId().equals(storage.diskId())) {
             return;
         }
         for (final ConsensusMessage.Entry entry : entries) {
-            merge(entry.key(), entry.register());
+            storage.mergeRegister(entry.key(), entry.register());
         }
-        finishCatchUp(tableEpochDown);
+        completeCatchUp(voterSetUpdates);
     }
 
-    private void finishCatchUp(final long mark) {
-        segmentedLog.put(CAUGHT, caughtMark().getBytes(StandardCharsets.UTF_8), ok -> {
-            if (ok && mark == tableEpochDown && seated() && state == State.CATCHING_UP) {
-                change(State.VOTING, "caught-up");
+    /** The voter set and registers were written before, so once this record is synced, so are they. */
+    private void completeCatchUp(final long update) {
+        storage.writeCaughtUp(voterSet.generation(), synced -> {
+            if (synced && update == voterSetUpdates && hasVoterSlot() && state == State.CATCHING_UP) {
+                transitionTo(State.VOTING, "caught_up");
             }
         });
     }
 
-    private void restartCatchUp() {
-        catchUp.clear();
-        caughtFrom.clear();
-        floorOfOthers = 0;
-        change(State.CATCHING_UP, "seated");
-    }
-
-    /** Asks again for what is missing; called on every beat. */
+    /** Retries writes that the disk refused, and requests for pages of the catch-up. */
     public void onTick(final String address) {
-        segmentedLog.retry();
-        tellDisk();
-        if (state() != State.CATCHING_UP || !seated()) {
-            return;
+        storage.retryWrites();
+        logWriteState();
+        if (isCatchingUp()) {
+            catchUp.requestPages(voterSet, address);
+            completeCatchUpIfPossible();
         }
-        for (final Voter voter : voterSet.voters()) {
-            if (!voter.name().equals(name) && !caughtFrom.containsKey(voter.name())) {
-                requestPage(address, voter);
-            }
-        }
-        finishIfCaught();
     }
 
-    private void tellDisk() {
-        if (diskTakes != segmentedLog.canWrite()) {
-            diskTakes = segmentedLog.canWrite();
-            LOG.atWarning().log("event=disk node=%s takesWrites=%s ring=%s", name, diskTakes, segmentedLog.state());
+    private void logWriteState() {
+        if (canWriteLogged != storage.canWrite()) {
+            canWriteLogged = storage.canWrite();
+            LOG.atWarning().log(
+                    "event=disk_write_state_changed node=%s canWrite=%s logState=%s",
+                    name, canWriteLogged, storage.logState());
         }
     }
 
-    private void requestPage(final String address, final Voter voter) {
-        post.send(
-                voter.address(),
-                new ConsensusMessage.CatchUpRequest(
-                        address,
-                        name,
-                        voterSet.generation(),
-                        voterSet.epoch(),
-                        catchUp.getOrDefault(voter.name(), "")));
+    /** What the others pruned is not among their registers, so it must be here in the form that they keep it in. */
+    private void completeCatchUpIfPossible() {
+        if (catchUp.isComplete(voterSet) && guard.hasSnapshotUpTo(catchUp.highestVersionFloor())) {
+            raiseVersionFloor(catchUp.highestVersionFloor(), () -> {});
+            completeCatchUp(voterSetUpdates);
+        }
     }
 
-    /** Hears a proposer or another voter. */
+    /**
+     * Handles a message of a proposer or another voter. Messages that are for others than acceptors are ignored.
+     *
+     * @param address where this node receives messages
+     */
     public void onMessage(final ConsensusMessage message, final String address) {
         if (message instanceof ConsensusMessage.Prepare prepare) {
-            prepare(prepare);
+            requestHandler.onPrepare(prepare, checkEpoch(prepare.generation(), prepare.epoch(), prepare.from()));
         } else if (message instanceof ConsensusMessage.Accept accept) {
-            accept(accept);
+            requestHandler.onAccept(accept, checkEpoch(accept.generation(), accept.epoch(), accept.from()));
         } else if (message instanceof ConsensusMessage.Chosen chosen) {
-            chosen(chosen);
-        } else if (message instanceof ConsensusMessage.HandoverRequest ask) {
-            hold(ask);
-        } else if (message instanceof ConsensusMessage.CatchUpRequest ask) {
-            page(ask);
-        } else if (message instanceof ConsensusMessage.CatchUpResponse back) {
-            caught(back, address);
+            onChosen(chosen);
+        } else if (message instanceof ConsensusMessage.HandoverRequest request) {
+            onHandoverRequest(request);
+        } else if (message instanceof ConsensusMessage.CatchUpRequest request) {
+            onCatchUpRequest(request);
+        } else if (message instanceof ConsensusMessage.CatchUpResponse response) {
+            onCatchUpResponse(response, address);
         }
     }
 
-    private ConsensusMessage.Reply ready(final long generation, final long epoch, final String from) {
-        if (voterSet != null && new VoterSet(generation, epoch, List.of()).newerThan(voterSet) || voterSet == null) {
+    /** Returns OK if this acceptor votes in the sender's epoch. A sender with an older voter set receives the newer one. */
+    private ConsensusMessage.Reply checkEpoch(final long generation, final long epoch, final String from) {
+        if (new VoterSet(generation, epoch, List.of()).newerThan(voterSet)) {
             return ConsensusMessage.Reply.NOT_VOTING;
         }
         if (!voterSet.hasEpoch(generation, epoch)) {
-            post.send(from, new ConsensusMessage.VoterSetUpdate(voterSet));
+            sender.send(from, new ConsensusMessage.VoterSetUpdate(voterSet));
             return ConsensusMessage.Reply.STALE_VOTER_SET;
         }
         return state() == State.VOTING && guard.ready() ? ConsensusMessage.Reply.OK : ConsensusMessage.Reply.NOT_VOTING;
     }
 
-    private void prepare(final ConsensusMessage.Prepare ask) {
-        ConsensusMessage.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
-        if (reply == ConsensusMessage.Reply.OK && guard.isPruned(ask.key())) {
-            reply = ConsensusMessage.Reply.PRUNED;
-        }
-        if (reply == ConsensusMessage.Reply.OK
-                && !ask.peek()
-                && !registers.containsKey(ask.key())
-                && !guard.hasCapacityFor(ask.key())) {
-            reply = ConsensusMessage.Reply.REJECTED;
-        }
-        final Register had = registers.getOrDefault(ask.key(), Register.EMPTY);
-        if (reply != ConsensusMessage.Reply.OK || ask.peek()) {
-            // A look must not show what a power loss could still take away.
-            promise(ask, reply, before.getOrDefault(ask.key(), had));
-            return;
-        }
-        if (ask.proposalNumber().compareTo(had.promised()) < 0) {
-            promise(ask, ConsensusMessage.Reply.OUTRANKED, had);
-            return;
-        }
-        final Register now = new Register(ask.proposalNumber(), had.accepted(), had.value());
-        store(
-                ask.key(),
-                now,
-                ok -> promise(ask, ok ? ConsensusMessage.Reply.OK : ConsensusMessage.Reply.WRITE_FAILED, now));
-    }
-
-    private void promise(final ConsensusMessage.Prepare ask, final ConsensusMessage.Reply reply, final Register r) {
-        post.send(
-                ask.from(),
-                new ConsensusMessage.Promise(
-                        ask.attemptId(),
-                        name,
-                        diskId,
-                        reply,
-                        r.promised(),
-                        r.accepted(),
-                        reply == ConsensusMessage.Reply.OK ? r.value() : null));
-    }
-
-    private void accept(final ConsensusMessage.Accept ask) {
-        ConsensusMessage.Reply reply = ready(ask.generation(), ask.epoch(), ask.from());
-        if (reply == ConsensusMessage.Reply.OK && guard.isPruned(ask.key())) {
-            reply = ConsensusMessage.Reply.PRUNED;
-        } else if (reply == ConsensusMessage.Reply.OK && !guard.accepts(ask.key(), ask.value())) {
-            reply = ConsensusMessage.Reply.REJECTED;
-        }
-        final Register had = registers.getOrDefault(ask.key(), Register.EMPTY);
-        if (reply == ConsensusMessage.Reply.OK && ask.proposalNumber().compareTo(had.promised()) < 0) {
-            reply = ConsensusMessage.Reply.OUTRANKED;
-        }
-        if (reply != ConsensusMessage.Reply.OK) {
-            accepted(ask, reply, had.promised());
-            return;
-        }
-        // With the value goes a promise of the same proposer's next rank: its next change needs no first phase.
-        store(
-                ask.key(),
-                new Register(ask.proposalNumber().next(), ask.proposalNumber(), ask.value()),
-                ok -> accepted(
-                        ask,
-                        ok ? ConsensusMessage.Reply.OK : ConsensusMessage.Reply.WRITE_FAILED,
-                        ask.proposalNumber()));
-    }
-
-    private void accepted(
-            final ConsensusMessage.Accept ask, final ConsensusMessage.Reply reply, final ProposalNumber promised) {
-        post.send(ask.from(), new ConsensusMessage.Accepted(ask.attemptId(), name, diskId, reply, promised));
-    }
-
-    private void chosen(final ConsensusMessage.Chosen chosen) {
-        if (voterSet == null
-                || !voterSet.hasEpoch(chosen.generation(), chosen.epoch())
-                || state() != State.VOTING
-                || guard.isPruned(chosen.key())) {
-            return;
-        }
-        final Register had = registers.getOrDefault(chosen.key(), Register.EMPTY);
-        if (chosen.proposalNumber().compareTo(had.promised()) >= 0
-                && chosen.proposalNumber().compareTo(had.accepted()) > 0) {
-            store(
-                    chosen.key(),
-                    new Register(chosen.proposalNumber(), chosen.proposalNumber(), chosen.value()),
-                    ok -> {});
+    private void onChosen(final ConsensusMessage.Chosen chosen) {
+        if (voterSet != null && voterSet.hasEpoch(chosen.generation(), chosen.epoch()) && state() == State.VOTING) {
+            requestHandler.onChosen(chosen);
         }
     }
 
-    /** Stores first and tells after the sync; what isn't down is not in the answer. */
-    private void store(final String key, final Register now, final Consumer<Boolean> done) {
-        final Register had = registers.put(key, now);
-        assert had == null || had.promised().compareTo(now.promised()) <= 0 : "a promise fell on " + key;
-        assert had == null || had.accepted().compareTo(now.accepted()) <= 0 : "an accepted rank fell on " + key;
-        before.putIfAbsent(key, had == null ? Register.EMPTY : had);
-        onTheWay.merge(key, 1, Integer::sum);
-        segmentedLog.put(key, MessageCodec.bytes(now), ok -> {
-            if (onTheWay.merge(key, -1, Integer::sum) == 0) {
-                onTheWay.remove(key);
-                before.remove(key);
-            } else if (ok) {
-                before.put(key, now);
-            }
-            if (ok) {
-                for (final BiConsumer<String, Register> watcher : watchers) {
-                    watcher.accept(key, now);
-                }
-            } else if (registers.get(key) == now && had != null) {
-                registers.put(key, had);
-            } else if (registers.get(key) == now) {
-                registers.remove(key);
-            }
-            done.accept(ok);
-        });
-    }
-
-    /** Names what it lacks on its disk of what another voter holds. */
-    private void hold(final ConsensusMessage.HandoverRequest ask) {
-        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.OK) {
-            return;
-        }
-        final List<String> lacking = new ArrayList<>();
-        for (final ConsensusMessage.AcceptedEntry held : ask.accepted()) {
-            final Register had = registers.getOrDefault(held.key(), Register.EMPTY);
-            final Register synced = before.getOrDefault(held.key(), had);
-            if (synced.accepted().compareTo(held.accepted()) < 0 && !guard.isPruned(held.key())) {
-                lacking.add(held.key());
-            }
-        }
-        post.send(ask.from(), new ConsensusMessage.HandoverResponse(name, ask.generation(), ask.epoch(), lacking));
-    }
-
-    private void page(final ConsensusMessage.CatchUpRequest ask) {
-        if (ready(ask.generation(), ask.epoch(), ask.from()) != ConsensusMessage.Reply.OK) {
-            return;
-        }
-        final List<ConsensusMessage.Entry> entries = new ArrayList<>();
-        int bytes = 0;
-        boolean last = true;
-        for (final Map.Entry<String, Register> e :
-                registers.tailMap(ask.after(), false).entrySet()) {
-            if (bytes > PAGE_BYTES) {
-                last = false;
-                break;
-            }
-            entries.add(new ConsensusMessage.Entry(e.getKey(), e.getValue()));
-            bytes += e.getKey().length()
-                    + 64
-                    + (e.getValue().value() == null ? 0 : e.getValue().value().length);
-        }
-        post.send(
-                ask.from(),
-                new ConsensusMessage.CatchUpResponse(
-                        name, ask.generation(), ask.epoch(), ask.after(), entries, last, floor));
-    }
-
-    private void caught(final ConsensusMessage.CatchUpResponse back, final String address) {
-        if (state() != State.CATCHING_UP
-                || !seated()
-                || !voterSet.hasEpoch(back.generation(), back.epoch())
-                || caughtFrom.containsKey(back.name())
-                || !catchUp.getOrDefault(back.name(), "").equals(back.after())) {
-            return;
-        }
-        floorOfOthers = Math.max(floorOfOthers, back.floor());
-        for (final ConsensusMessage.Entry entry : back.entries()) {
-            merge(entry.key(), entry.register());
-            catchUp.put(back.name(), entry.key());
-        }
-        if (!back.last()) {
-            requestPage(address, voterSet.voter(back.name()));
-            return;
+    private void onHandoverRequest(final ConsensusMessage.HandoverRequest request) {
+        if (checkEpoch(request.generation(), request.epoch(), request.from()) == ConsensusMessage.Reply.OK) {
+            requestHandler.onHandoverRequest(request);
         }
-        caughtFrom.put(back.name(), true);
-        finishIfCaught();
     }
 
-    /** What the others let go is not among their registers, so it must be here in the form that they keep it in. */
-    private void finishIfCaught() {
-        if (caughtFrom.size() >= voterSet.intersectingQuorum() && guard.hasSnapshotUpTo(floorOfOthers)) {
-            raiseVersionFloor(floorOfOthers, () -> {});
-            finishCatchUp(tableEpochDown);
+    private void onCatchUpRequest(final ConsensusMessage.CatchUpRequest request) {
+        if (checkEpoch(request.generation(), request.epoch(), request.from()) == ConsensusMessage.Reply.OK) {
+            catchUp.sendPage(request);
         }
     }
 
-    private void merge(final String key, final Register other) {
-        final Register had = registers.getOrDefault(key, Register.EMPTY);
-        final boolean later = other.accepted().compareTo(had.accepted()) > 0;
-        final ProposalNumber promised =
-                other.promised().compareTo(had.promised()) > 0 ? other.promised() : had.promised();
-        final Register now =
-                new Register(promised, later ? other.accepted() : had.accepted(), later ? other.value() : had.value());
-        if (later || promised != had.promised()) {
-            store(key, now, ok -> {});
+    private void onCatchUpResponse(final ConsensusMessage.CatchUpResponse response, final String address) {
+        if (isCatchingUp()
+                && voterSet.hasEpoch(response.generation(), response.epoch())
+                && catchUp.onResponse(response, voterSet, address)) {
+            completeCatchUpIfPossible();
         }
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
@@ -0,0 +1,253 @@
+package spokestall.consensus;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import spokestall.message.MessageCodec;
+import spokestall.storage.SegmentedLog;
+
+/**
+ * An acceptor's stored state: the registers by key, and beside them records of its own under keys that start with a tilde (the
+ * identity of this disk, the voter set, the generation it caught up in, the version floor).
+ *
+ * <p>A register changes in memory at once, so that the next message is judged by it, and is rolled back if its write fails.
+ * {@link #syncedRegister} gives what a power loss can't take away; only that may leave this node. Writes reach the disk in the
+ * order of the calls.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
+final class AcceptorStorage {
+    // These keys are on the disks of running fleets.
+    static final String VOTER_SET_KEY = "~voters";
+    static final String CAUGHT_UP_KEY = "~caught";
+    static final String DISK_ID_KEY = "~disk";
+    static final String VERSION_FLOOR_KEY = "~floor";
+    private static final String LOCAL_PREFIX = "~";
+
+    private final SegmentedLog segmentedLog;
+    private final TreeMap<String, Register> registers = new TreeMap<>();
+    /** Of each register with writes in flight: its newest synced state. */
+    private final Map<String, Register> syncedStates = new HashMap<>();
+
+    private final Map<String, Integer> writesInFlight = new HashMap<>();
+    private final List<RegisterListener> listeners = new ArrayList<>();
+    private final boolean openedBlank;
+    private String diskId;
+    private long versionFloor;
+
+    /** Reads the stored state. A disk without an identity takes {@code freshDiskId} as its own. */
+    AcceptorStorage(final SegmentedLog segmentedLog, final String freshDiskId) {
+        this.segmentedLog = segmentedLog;
+        final byte[] storedDiskId = localRecord(DISK_ID_KEY);
+        openedBlank = storedDiskId == null;
+        if (openedBlank) {
+            writeDiskId(freshDiskId);
+        } else {
+            diskId = new String(storedDiskId, StandardCharsets.UTF_8);
+        }
+        final byte[] storedFloor = localRecord(VERSION_FLOOR_KEY);
+        versionFloor = storedFloor == null ? 0 : ByteBuffer.wrap(storedFloor).getLong();
+        segmentedLog.table().forEach((key, value) -> {
+            if (!key.startsWith(LOCAL_PREFIX)) {
+                registers.put(key, MessageCodec.record(value, Register.class));
+            }
+        });
+    }
+
+    /** Returns whether the disk had no identity when this incarnation opened it. */
+    boolean openedBlank() {
+        return openedBlank;
+    }
+
+    /** Returns the identity of this disk. */
+    String diskId() {
+        return diskId;
+    }
+
+    /** Gives this disk another identity. */
+    void writeDiskId(final String freshDiskId) {
+        diskId = freshDiskId;
+        put(DISK_ID_KEY, diskId.getBytes(StandardCharsets.UTF_8), WriteCallback.IGNORED);
+    }
+
+    /** Writes one of this node's own records, or removes it if the value is null. */
+    void putLocalRecord(final String key, final byte[] value, final WriteCallback done) {
+        assert key.startsWith(LOCAL_PREFIX) : key;
+        put(key, value, done);
+    }
+
+    /** Returns one of this node's own records, or null. */
+    byte[] localRecord(final String key) {
+        return segmentedLog.table().get(key);
+    }
+
+    /** Returns the stored voter set, or null if none was ever stored. */
+    VoterSet readVoterSet() {
+        final byte[] stored = localRecord(VOTER_SET_KEY);
+        return stored == null ? null : MessageCodec.record(stored, VoterSet.class);
+    }
+
+    /** Stores the voter set that the acceptor votes in from now on. */
+    void writeVoterSet(final VoterSet voterSet, final WriteCallback done) {
+        put(VOTER_SET_KEY, MessageCodec.bytes(voterSet), done);
+    }
+
+    /** Stores that this disk has everything that a voter of the generation needs. */
+    void writeCaughtUp(final long generation, final WriteCallback done) {
+        put(CAUGHT_UP_KEY, caughtUpMark(generation).getBytes(StandardCharsets.UTF_8), done);
+    }
+
+    /** Returns whether {@link #writeCaughtUp} was stored by this disk's present identity for the generation. */
+    boolean isCaughtUp(final long generation) {
+        return storedCaughtUpMark().equals(caughtUpMark(generation));
+    }
+
+    /** Returns whether this disk's present identity has caught up in any generation, and so may have voted. */
+    boolean hasEverCaughtUp() {
+        return storedCaughtUpMark().startsWith(diskId + "/");
+    }
+
+    private String caughtUpMark(final long generation) {
+        return diskId + "/" + generation;
+    }
+
+    private String storedCaughtUpMark() {
+        final byte[] stored = localRecord(CAUGHT_UP_KEY);
+        return stored == null ? "" : new String(stored, StandardCharsets.UTF_8);
+    }
+
+    /** Returns the version up to which registers of versions were pruned. */
+    long versionFloor() {
+        return versionFloor;
+    }
+
+    /** Raises the version floor and runs {@code synced} once it is on disk. A floor that isn't higher is ignored. */
+    void raiseVersionFloor(final long floor, final Runnable synced) {
+        if (floor <= versionFloor) {
+            return;
+        }
+        final byte[] value = ByteBuffer.allocate(Long.BYTES).putLong(floor).array();
+        put(VERSION_FLOOR_KEY, value, ok -> {
+            if (ok && floor > versionFloor) {
+                versionFloor = floor;
+                synced.run();
+            }
+        });
+    }
+
+    /** Returns the live view of all registers, in the order of their keys. */
+    TreeMap<String, Register> registers() {
+        return registers;
+    }
+
+    /** Returns a register as the next message is to be judged by it, synced or not; {@link Register#EMPTY} if it isn't there. */
+    Register register(final String key) {
+        return registers.getOrDefault(key, Register.EMPTY);
+    }
+
+    /** Returns a register as it is on disk; {@link Register#EMPTY} if it isn't there. */
+    Register syncedRegister(final String key) {
+        return syncedStates.getOrDefault(key, register(key));
+    }
+
+    /** Registers a listener for the life of this object. Listeners are called in the order of their registration. */
+    void addListener(final RegisterListener listener) {
+        listeners.add(listener);
+    }
+
+    /** Writes a register. Neither its promised nor its accepted number may fall. Listeners are called before {@code done}. */
+    void writeRegister(final String key, final Register next, final WriteCallback done) {
+        final Register previous = registers.put(key, next);
+        assert previous == null || previous.promised().compareTo(next.promised()) <= 0
+                : "the promised number fell on " + key;
+        assert previous == null || previous.accepted().compareTo(next.accepted()) <= 0
+                : "the accepted number fell on " + key;
+        syncedStates.putIfAbsent(key, previous == null ? Register.EMPTY : previous);
+        writesInFlight.merge(key, 1, Integer::sum);
+        put(key, MessageCodec.bytes(next), synced -> {
+            onRegisterWritten(key, previous, next, synced);
+            done.onWriteCompleted(synced);
+        });
+    }
+
+    private void onRegisterWritten(
+            final String key, final Register previous, final Register written, final boolean synced) {
+        if (writesInFlight.merge(key, -1, Integer::sum) == 0) {
+            writesInFlight.remove(key);
+            syncedStates.remove(key);
+        } else if (synced) {
+            syncedStates.put(key, written);
+        }
+        if (synced) {
+            for (final RegisterListener listener : listeners) {
+                listener.onRegisterSynced(key, written);
+            }
+        } else if (registers.get(key) == written && previous != null) {
+            registers.put(key, previous);
+        } else if (registers.get(key) == written) {
+            registers.remove(key);
+        }
+    }
+
+    /** Raises a register to what another voter has: the higher of the two promises, and the value accepted later. */
+    void mergeRegister(final String key, final Register other) {
+        final Register own = register(key);
+        final boolean acceptedLater = other.accepted().compareTo(own.accepted()) > 0;
+        final boolean promisedHigher = other.promised().compareTo(own.promised()) > 0;
+        if (acceptedLater || promisedHigher) {
+            final Register merged = new Register(
+                    promisedHigher ? other.promised() : own.promised(),
+                    acceptedLater ? other.accepted() : own.accepted(),
+                    acceptedLater ? other.value() : own.value());
+            writeRegister(key, merged, WriteCallback.IGNORED);
+        }
+    }
+
+    /** Removes a register, if it is there. */
+    void removeRegister(final String key) {
+        if (registers.remove(key) != null) {
+            put(key, null, WriteCallback.IGNORED);
+        }
+    }
+
+    /** Removes all registers and the record that this disk caught up; the voter set, identity and version floor stay. */
+    void clear() {
+        for (final String key : List.copyOf(registers.keySet())) {
+            removeRegister(key);
+        }
+        put(CAUGHT_UP_KEY, null, WriteCallback.IGNORED);
+    }
+
+    private void put(final String key, final byte[] value, final WriteCallback done) {
+        segmentedLog.put(key, value, done::onWriteCompleted);
+    }
+
+    /** Returns whether the disk takes writes, as far as is known. */
+    boolean canWrite() {
+        return segmentedLog.canWrite();
+    }
+
+    /** Returns whether what the disk holds could be read. */
+    boolean canRead() {
+        return segmentedLog.state() != SegmentedLog.State.BROKEN;
+    }
+
+    /** Returns the state of the log that this is stored in. */
+    SegmentedLog.State logState() {
+        return segmentedLog.state();
+    }
+
+    /** Writes again what the disk refused. */
+    void retryWrites() {
+        segmentedLog.retry();
+    }
+
+    /** Returns the number of the newest synced record. */
+    long syncedSeq() {
+        return segmentedLog.syncedSeq();
+    }
+}
--- a/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
+++ b/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
@@ -4,9 +4,15 @@
 import spokestall.message.Message;
 import spokestall.message.SinceVersion;
 
-/** What proposers and voters say to each other. */
+/**
+ * The messages between proposers and acceptors, and among acceptors. Each is written by the order of its fields, and
+ * {@link Reply} by its ordinal.
+ *
+ * <p>Any message may be lost, delayed, reordered or delivered twice. {@code from} is the address that replies go to; generation and
+ * epoch are those of the sender's voter set. Replies carry the {@code attemptId} of the request that they answer.
+ */
 public sealed interface ConsensusMessage extends Message {
-    /** Phase one, or with peek only a look at what is accepted. */
+    /** Requests the promise of a proposal number, or with {@code peek} only what is accepted; a peek changes nothing. */
     record Prepare(
             long attemptId,
             String from,
@@ -17,7 +23,7 @@
             boolean peek)
             implements ConsensusMessage {}
 
-    /** The reply to {@link Prepare}. */
+    /** The reply to {@link Prepare}: the register as it is on disk. The value is null unless the reply is OK. */
     record Promise(
             long attemptId,
             String acceptor,
@@ -28,7 +34,7 @@
             byte[] value)
             implements ConsensusMessage {}
 
-    /** Phase two. */
+    /** Requests that a value be accepted under a proposal number. */
     record Accept(
             long attemptId,
             String from,
@@ -39,22 +45,25 @@
             byte[] value)
             implements ConsensusMessage {}
 
-    /** The reply to {@link Accept}. */
+    /** The reply to {@link Accept}. If it isn't OK, {@code promised} is the number that the acceptor has promised. */
     record Accepted(long attemptId, String acceptor, String diskId, Reply reply, ProposalNumber promised)
             implements ConsensusMessage {}
 
-    /** News that a value has been chosen at a rank. */
+    /** Notifies a voter of a value that a majority has accepted under a proposal number. There is no reply. */
     record Chosen(long generation, long epoch, String key, ProposalNumber proposalNumber, byte[] value)
             implements ConsensusMessage {}
 
-    /** A table of voters, said by whoever sees that the other has an older one. */
+    /** Notifies a node of a voter set that is newer than the one it sent a message in. There is no reply. */
     record VoterSetUpdate(VoterSet voterSet) implements ConsensusMessage {}
 
-    /** A voter that lost its disk asks the others for all they have, page by page. */
+    /** Requests a page of a voter's registers: those after a key, in the order of keys. */
     record CatchUpRequest(String from, String name, long generation, long epoch, String after)
             implements ConsensusMessage {}
 
-    /** One page of a voter's registers, and the version up to which it has let registers of versions go. */
+    /**
+     * The reply to {@link CatchUpRequest}: a page, whether it is the last one, and the version up to which the voter has pruned
+     * registers of versions.
+     */
     record CatchUpResponse(
             String name,
             long generation,
@@ -62,31 +71,38 @@
             String after,
             List<Entry> entries,
             boolean last,
-            @SinceVersion(4) long floor)
+            @SinceVersion(4) long versionFloor)
             implements ConsensusMessage {}
 
-    /** A voter that leaves asks another whether it has accepted as much; the reply names what it lacks. */
+    /** Asks a voter, on behalf of one that shuts down, whether it has accepted as much; sent with what the other has accepted. */
     record HandoverRequest(String from, long generation, long epoch, List<AcceptedEntry> accepted)
             implements ConsensusMessage {}
 
-    /** The reply to {@link HandoverRequest}: the keys of which this voter has only older ranks, or none, on its disk. */
+    /** The reply to {@link HandoverRequest}: the keys for which this voter's disk has an older value or none. */
     record HandoverResponse(String name, long generation, long epoch, List<String> lacking)
             implements ConsensusMessage {}
 
-    /** A register's key, and the rank at which its value was accepted. */
+    /** A register's key, and the number under which its value was accepted. */
     record AcceptedEntry(String key, ProposalNumber accepted) {}
 
-    /** One register under its key. */
+    /** A register under its key. */
     record Entry(String key, Register register) {}
 
-    /** How a voter answered. */
+    /** How an acceptor replied. Written by ordinal: new constants go to the end. */
     enum Reply {
+        /** Promised or accepted, and synced to disk. */
         OK,
+        /** A higher proposal number is promised. */
         OUTRANKED,
+        /** The sender's voter set is older than the acceptor's. */
         STALE_VOTER_SET,
+        /** The acceptor doesn't vote in the sender's epoch, or not yet. */
         NOT_VOTING,
+        /** The key's register was pruned. */
         PRUNED,
+        /** The {@link RegisterGuard} has no capacity for the register, or doesn't accept the value. */
         REJECTED,
+        /** The disk didn't take the write. */
         WRITE_FAILED
     }
 }
--- a/spokestall/src/main/java/spokestall/consensus/Register.java
+++ b/spokestall/src/main/java/spokestall/consensus/Register.java
@@ -1,6 +1,12 @@
 package spokestall.consensus;
 
-/** What a voter keeps for one key: the rank it promised, and the rank and value it accepted (null: none yet). */
+/**
+ * What an acceptor stores for one key. Stored and sent in this order of fields.
+ *
+ * @param promised no proposal with a lower number is accepted from here on
+ * @param accepted the number under which the value was accepted; {@link ProposalNumber#NONE} if none was
+ * @param value the accepted value, or null if none was accepted
+ */
 public record Register(ProposalNumber promised, ProposalNumber accepted, byte[] value) {
     static final Register EMPTY = new Register(ProposalNumber.NONE, ProposalNumber.NONE, null);
 }
--- a/spokestall/src/main/java/spokestall/consensus/RegisterEdit.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterEdit.java
@@ -1,13 +1,13 @@
 package spokestall.consensus;
 
-/** What a proposer wants done with a register when it sees its present value. */
+/** What a {@link RegisterEditor} wants done with a register. */
 public sealed interface RegisterEdit {
-    /** Write this value. */
+    /** Proposes this value. */
     record Set(byte[] value) implements RegisterEdit {}
 
-    /** Leave it as it is. */
+    /** Proposes no value of its own; the register's present value is the outcome. */
     record Leave() implements RegisterEdit {}
 
-    /** Example: {@code now -> now == null ? new RegisterEdit.Set(mine) : RegisterEdit.LEAVE} */
+    /** The only {@link Leave} that is needed. */
     RegisterEdit LEAVE = new Leave();
 }
--- a/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
@@ -1,21 +1,29 @@
 package spokestall.consensus;
 
-/** Says which keys a voter still keeps, and which values it will never take. */
+/**
+ * What an acceptor must know of the meaning of its registers: which keys are pruned and which values it must not accept.
+ *
+ * <p>Called on the node's event loop, during a message or tick of the acceptor. The answers may depend on the fleet's time; an
+ * acceptor votes only while {@link #ready} holds.
+ */
 public interface RegisterGuard {
-    /** Whether what registers up to a version decided is on this disk in another form, so that they may be missing here. */
-    default boolean hasSnapshotUpTo(final long floor) {
+    /**
+     * Returns whether what the registers of versions up to this one decided is on this disk in another form (a snapshot), so that
+     * the registers may be missing here.
+     */
+    default boolean hasSnapshotUpTo(final long versionFloor) {
         return true;
     }
 
-    /** Whether the answers below can be relied on yet. */
+    /** Returns whether the other answers can be relied on yet. */
     boolean ready();
 
-    /** Whether the key was let go and must not be made anew. */
+    /** Returns whether the key's register was pruned, or may be, and must never be created anew. */
     boolean isPruned(String key);
 
-    /** Whether there is room to begin a register that is not there yet. Example: claims leave room for the rest. */
+    /** Returns whether the disk has capacity for a register that isn't there yet; keys that matter less get a no earlier. */
     boolean hasCapacityFor(String key);
 
-    /** Whether a value may still be accepted. Example: a claim with an old ticket may not. */
+    /** Returns whether the value may still be accepted; a claim whose ticket is too old may not. */
     boolean accepts(String key, byte[] value);
 }
--- a/spokestall/src/main/java/spokestall/consensus/Voter.java
+++ b/spokestall/src/main/java/spokestall/consensus/Voter.java
@@ -1,4 +1,10 @@
 package spokestall.consensus;
 
-/** One core's place among the voters: its name, address and the identity of the disk that has its state. */
+/**
+ * A voter slot of a voter set. Stored and sent in this order of fields.
+ *
+ * @param name the name of the core that has the slot
+ * @param address where the core receives messages
+ * @param diskId the identity of the disk that the core votes with; replies under another identity don't count
+ */
 public record Voter(String name, String address, String diskId) {}
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -90,7 +90,7 @@
     private Claimed claimed(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
         if (!(outcome instanceof ProposalOutcome.Committed done)) {
             final boolean full =
-                    outcome instanceof ProposalOutcome.NotCommitted n && n.why().equals(Proposer.DENIED);
+                    outcome instanceof ProposalOutcome.NotCommitted n && n.reason() == ProposalOutcome.Reason.REJECTED;
             return new Claimed.Not(
                     outcome instanceof ProposalOutcome.Pruned
                             ? ResultCode.TICKET_OLD
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -9,10 +9,10 @@
 class AcceptorKeyStabilityTest {
     @Test
     void keysOfAVoterSetOwnRecordsAreTheLiteralOnes() {
-        assertThat(Acceptor.VOTER_SET).isEqualTo("~voters");
-        assertThat(Acceptor.CAUGHT).isEqualTo("~caught");
-        assertThat(Acceptor.DISK).isEqualTo("~disk");
-        assertThat(Acceptor.FLOOR).isEqualTo("~floor");
+        assertThat(AcceptorStorage.VOTER_SET_KEY).isEqualTo("~voters");
+        assertThat(AcceptorStorage.CAUGHT_UP_KEY).isEqualTo("~caught");
+        assertThat(AcceptorStorage.DISK_ID_KEY).isEqualTo("~disk");
+        assertThat(AcceptorStorage.VERSION_FLOOR_KEY).isEqualTo("~floor");
         assertThat(MembershipCoordinator.FORM).isEqualTo("~form");
     }
 }
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -348,7 +348,7 @@
     private Message emptied(final Message message) {
         return emptyPages && message instanceof ConsensusMessage.CatchUpResponse b
                 ? new ConsensusMessage.CatchUpResponse(
-                        b.name(), b.generation(), b.epoch(), b.after(), List.of(), true, b.floor())
+                        b.name(), b.generation(), b.epoch(), b.after(), List.of(), true, b.versionFloor())
                 : message;
     }
 
