--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 import spokestall.membership.MembershipCoordinator;
 
-/** Keys of what a voter keeps beside its registers, against their literals. */
+/** Keys of the records that an acceptor stores beside its registers, against their literals. */
 class AcceptorKeyStabilityTest {
     @Test
-    void keysOfAVoterSetOwnRecordsAreTheLiteralOnes() {
+    void keysOfAnAcceptorsLocalRecordsAreTheLiteralOnes() {
         assertThat(AcceptorStorage.VOTER_SET_KEY).isEqualTo("~voters");
         assertThat(AcceptorStorage.CAUGHT_UP_KEY).isEqualTo("~caught");
         assertThat(AcceptorStorage.DISK_ID_KEY).isEqualTo("~disk");
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -5,62 +5,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import spokestall.configuration.feed.ConfigurationKeys;
 import spokestall.storage.InMemorySegmentStore;
 import spokestall.storage.SegmentStore;
 import spokestall.storage.SegmentedLog;
 
+/** Transitions of the acceptor, and what it needs before it votes. */
 class AcceptorTest {
-    private static final RegisterGuard OPEN = new RegisterGuard() {
-        @Override
-        public boolean ready() {
-            return true;
-        }
-
-        @Override
-        public boolean isPruned(final String key) {
-            return false;
-        }
-
-        @Override
-        public boolean hasCapacityFor(final String key) {
-            return true;
-        }
-
-        @Override
-        public boolean accepts(final String key, final byte[] value) {
-            return true;
-        }
-    };
-
     /** Keeps what versions decided in a snapshot of its own. */
-    private record Holding(AtomicLong snapshotDown) implements RegisterGuard {
-        @Override
-        public boolean hasSnapshotUpTo(final long floor) {
-            return snapshotDown.get() >= floor;
-        }
-
-        @Override
-        public boolean ready() {
-            return true;
-        }
-
-        @Override
-        public boolean isPruned(final String key) {
-            return false;
-        }
-
-        @Override
-        public boolean hasCapacityFor(final String key) {
-            return true;
-        }
+    private static final class SnapshotGuard extends PermissiveGuard {
+        private long syncedSnapshotVersion;
 
         @Override
-        public boolean accepts(final String key, final byte[] value) {
-            return true;
+        public boolean hasSnapshotUpTo(final long versionFloor) {
+            return syncedSnapshotVersion >= versionFloor;
         }
     }
 
@@ -68,7 +27,7 @@
         return new InMemorySegmentStore(8, 1 << 14);
     }
 
-    private static VoterSet table(final int voters) {
+    private static VoterSet voterSet(final int voters) {
         final List<Voter> all = new ArrayList<>();
         for (int i = 0; i < voters; i++) {
             all.add(new Voter("v" + i, "v" + i, "disk-" + i));
@@ -76,24 +35,28 @@
         return new VoterSet(3, 4, all);
     }
 
-    private static Acceptor joiner() {
-        return new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, OPEN, "disk-0");
+    private static Acceptor open(final SegmentStore disk) {
+        return new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, new PermissiveGuard(), "disk-0");
+    }
+
+    private static Acceptor newVoter() {
+        return open(disk());
     }
 
     @Test
-    void aJoinerVotesOnlyOnceItHasReadFromSoManyThatEveryMajorityIsMet() {
+    void aNewVoterVotesOnlyAfterItHasReadAnIntersectingQuorum() {
         for (int voters = 2; voters <= VoterSet.VOTERS_MAX; voters++) {
-            final VoterSet table = table(voters);
-            assertThat(table.intersectingQuorum() + table.majority()).isGreaterThan(voters);
-            assertThat(table(voters + 1).intersectingQuorum()).isGreaterThanOrEqualTo(table.intersectingQuorum());
-            final Acceptor acceptor = joiner();
-            acceptor.updateVoterSet(table);
-            for (int i = 1; i <= table.intersectingQuorum(); i++) {
+            final VoterSet voterSet = voterSet(voters);
+            assertThat(voterSet.intersectingQuorum() + voterSet.majority()).isGreaterThan(voters);
+            assertThat(voterSet(voters + 1).intersectingQuorum()).isGreaterThanOrEqualTo(voterSet.intersectingQuorum());
+            final Acceptor acceptor = newVoter();
+            acceptor.updateVoterSet(voterSet);
+            for (int i = 1; i <= voterSet.intersectingQuorum(); i++) {
                 assertThat(acceptor.state()).as("%s of %s", i, voters).isEqualTo(Acceptor.State.CATCHING_UP);
-                final ConsensusMessage.CatchUpResponse back =
+                final ConsensusMessage.CatchUpResponse response =
                         new ConsensusMessage.CatchUpResponse("v" + i, 3, 4, "", List.of(), true, 0);
-                acceptor.onMessage(back, "v0");
-                acceptor.onMessage(back, "v0");
+                acceptor.onMessage(response, "v0");
+                acceptor.onMessage(response, "v0");
                 acceptor.onMessage(
                         new ConsensusMessage.CatchUpResponse("v" + (i + 1), 3, 3, "", List.of(), true, 0), "v0");
             }
@@ -101,43 +64,44 @@
         }
     }
 
-    private static ConsensusMessage.CatchUpResponse allOf(final String name, final long floor) {
-        return new ConsensusMessage.CatchUpResponse(name, 3, 4, "", List.of(), true, floor);
+    private static ConsensusMessage.CatchUpResponse emptyLastPage(final String name, final long versionFloor) {
+        return new ConsensusMessage.CatchUpResponse(name, 3, 4, "", List.of(), true, versionFloor);
     }
 
     @Test
-    void aJoinerTakesTheHighestFloorOfThoseThatItReadFromAndKeepsItThroughARestart() {
+    void aNewVoterTakesTheHighestVersionFloorOfItsQuorumAndKeepsItThroughARestart() {
         final SegmentStore disk = disk();
-        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.updateVoterSet(table(5));
-        acceptor.onMessage(allOf("v1", 7), "v0");
-        acceptor.onMessage(allOf("v2", 40), "v0");
-        acceptor.onMessage(allOf("v3", 0), "v0");
+        final Acceptor acceptor = open(disk);
+        acceptor.updateVoterSet(voterSet(5));
+        acceptor.onMessage(emptyLastPage("v1", 7), "v0");
+        acceptor.onMessage(emptyLastPage("v2", 40), "v0");
+        acceptor.onMessage(emptyLastPage("v3", 0), "v0");
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
         assertThat(acceptor.versionFloor()).isEqualTo(40);
-        final Acceptor again = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "other");
-        assertThat(again.state()).isEqualTo(Acceptor.State.VOTING);
-        assertThat(again.versionFloor()).isEqualTo(40);
+        final Acceptor restarted =
+                new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, new PermissiveGuard(), "other");
+        assertThat(restarted.state()).isEqualTo(Acceptor.State.VOTING);
+        assertThat(restarted.versionFloor()).isEqualTo(40);
     }
 
     @Test
-    void aJoinerDoesNotVoteBeforeWhatTheOthersLetGoIsOnItsOwnDisk() {
-        final AtomicLong snapshotDown = new AtomicLong(39);
-        final Acceptor acceptor =
-                new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, new Holding(snapshotDown), "disk-0");
-        acceptor.updateVoterSet(table(5));
-        acceptor.onMessage(allOf("v1", 7), "v0");
-        acceptor.onMessage(allOf("v2", 40), "v0");
-        acceptor.onMessage(allOf("v3", 0), "v0");
+    void aNewVoterDoesNotVoteBeforeItsSnapshotCoversTheVersionsThatTheOthersPruned() {
+        final SnapshotGuard guard = new SnapshotGuard();
+        guard.syncedSnapshotVersion = 39;
+        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, guard, "disk-0");
+        acceptor.updateVoterSet(voterSet(5));
+        acceptor.onMessage(emptyLastPage("v1", 7), "v0");
+        acceptor.onMessage(emptyLastPage("v2", 40), "v0");
+        acceptor.onMessage(emptyLastPage("v3", 0), "v0");
         acceptor.onTick("v0");
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
-        snapshotDown.set(40);
+        guard.syncedSnapshotVersion = 40;
         acceptor.onTick("v0");
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
     @Test
-    void theFloorLeavesTheNewestVersionAndNoMoreThanSoManyBytes() {
+    void theVersionFloorKeepsTheNewestVersionAndAtMostSoManyVersionsAndBytes() {
         final TreeMap<String, Register> registers = new TreeMap<>();
         for (int version = 1; version <= 100; version++) {
             final byte[] value = new byte[version == 90 ? 5000 : 10];
@@ -152,86 +116,62 @@
     }
 
     @Test
-    void whoResignedFromAGenerationVotesInNoneOfItsEpochs() {
-        final Acceptor acceptor = joiner();
-        acceptor.startGeneration(table(3), List.of());
+    void aVoterThatResignedFromAGenerationVotesInNoneOfItsEpochs() {
+        final Acceptor acceptor = newVoter();
+        acceptor.startGeneration(voterSet(3), List.of());
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
         acceptor.resign(3);
-        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
+        acceptor.updateVoterSet(voterSet(3).withAddedVoter(new Voter("new", "new", "x")));
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
-        acceptor.startGenerationLate(table(3), List.of());
+        acceptor.startGenerationLate(voterSet(3), List.of());
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
-        acceptor.updateVoterSet(new VoterSet(9, 1, table(3).voters()));
+        acceptor.updateVoterSet(new VoterSet(9, 1, voterSet(3).voters()));
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
     }
 
-    /** A disk whose writes are down when the test says so. */
-    private static final class Held extends InMemorySegmentStore {
-        private final List<Runnable> held = new ArrayList<>();
-        private boolean holds;
-
-        Held() {
-            super(8, 1 << 14);
-        }
-
-        @Override
-        public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-            held.add(() -> super.commit(chunks, done));
-            if (!holds) {
-                letGo();
-            }
-        }
-
-        void letGo() {
-            while (!held.isEmpty()) {
-                held.remove(0).run();
-            }
-        }
-    }
-
     @Test
-    void whoResignsWhileATableIsOnItsWayToTheDiskStaysResigned() {
-        final Held disk = new Held();
-        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.startGeneration(table(3), List.of());
-        disk.holds = true;
-        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
+    void aVoterThatResignsWhileItsVoterSetIsBeingWrittenStaysResigned() {
+        final PausableSegmentStore disk = new PausableSegmentStore();
+        final Acceptor acceptor = open(disk);
+        acceptor.startGeneration(voterSet(3), List.of());
+        disk.pause();
+        acceptor.updateVoterSet(voterSet(3).withAddedVoter(new Voter("new", "new", "x")));
         acceptor.resign(3);
-        disk.letGo();
+        disk.completePending();
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
     }
 
     @Test
-    void whoResignedCatchesUpInNoLaterEpoch() {
-        final Held disk = new Held();
-        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.startGeneration(table(3), List.of());
+    void aVoterThatResignedDoesNotCatchUpInALaterEpoch() {
+        final PausableSegmentStore disk = new PausableSegmentStore();
+        final Acceptor acceptor = open(disk);
+        acceptor.startGeneration(voterSet(3), List.of());
         acceptor.resign(3);
-        disk.holds = true;
-        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
+        disk.pause();
+        acceptor.updateVoterSet(voterSet(3).withAddedVoter(new Voter("new", "new", "x")));
         for (int i = 1; i < 3; i++) {
             acceptor.onMessage(new ConsensusMessage.CatchUpResponse("v" + i, 3, 5, "", List.of(), true, 0), "v0");
         }
-        disk.letGo();
+        disk.completePending();
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.RESIGNED);
         assertThat(acceptor.hasStateOnDisk()).isTrue();
         assertThat(acceptor.hasState()).isFalse();
     }
 
-    /** Two joiners that each had caught up as the other's table came would wait for each other's votes for ever. */
+    /** Two new voters that had each caught up when the other's voter set arrived would otherwise wait for each other for ever. */
     @Test
-    void whoHasCaughtUpAsATableComesVotesOnceItIsDown() {
-        final Held disk = new Held();
-        final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk), (to, message) -> {}, OPEN, "disk-0");
-        acceptor.updateVoterSet(table(3));
+    void aVoterThatHasCaughtUpWhenAVoterSetArrivesVotesOnceThatIsSynced() {
+        final PausableSegmentStore disk = new PausableSegmentStore();
+        final Acceptor acceptor = open(disk);
+        acceptor.updateVoterSet(voterSet(3));
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.CATCHING_UP);
-        disk.holds = true;
+        disk.pause();
         for (int i = 1; i < 3; i++) {
             acceptor.onMessage(new ConsensusMessage.CatchUpResponse("v" + i, 3, 4, "", List.of(), true, 0), "v0");
         }
-        acceptor.updateVoterSet(table(3).withAddedVoter(new Voter("new", "new", "x")));
-        assertThat(acceptor.state()).as("before the table is down").isEqualTo(Acceptor.State.CATCHING_UP);
-        disk.letGo();
+        acceptor.updateVoterSet(voterSet(3).withAddedVoter(new Voter("new", "new", "x")));
+        assertThat(acceptor.state()).as("before the voter set is synced").isEqualTo(Acceptor.State.CATCHING_UP);
+        disk.completePending();
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 }
--- a/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
+++ b/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
@@ -11,54 +11,35 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.EventClock;
 
-/** Six voters and some proposers in virtual time, with messages late, lost and doubled, and voters that lose power. */
+/** Six acceptors and some proposers in virtual time; messages are delayed, lost and duplicated, and acceptors lose power. */
 public final class ConsensusTestContext {
-    /** Takes every value and never lets a key go. */
-    private static final class Open implements RegisterGuard {
-        @Override
-        public boolean ready() {
-            return true;
-        }
-
-        @Override
-        public boolean hasCapacityFor(final String key) {
-            return true;
-        }
-
-        @Override
-        public boolean isPruned(final String key) {
-            return false;
-        }
-
-        @Override
-        public boolean accepts(final String key, final byte[] value) {
-            return true;
-        }
-    }
-
-    /** The bench's clock. */
+    /** The virtual clock of all nodes. */
     public final EventClock clock = new EventClock(0);
-    /** The bench's chance. */
+    /** The source of all randomness, which makes a run repeatable by its seed. */
     public final Random random;
 
-    private final Map<String, Consumer<Message>> ears = new HashMap<>();
+    private final Map<String, Consumer<Message>> receivers = new HashMap<>();
     private final List<DelayedSegmentStore> disks = new ArrayList<>();
-    private final VoterSet table;
-    private final double loss;
+    private final VoterSet voterSet;
+    private final double lossRatio;
 
-    /** Example: {@code new ConsensusTestContext(seed, 0.1)} */
-    public ConsensusTestContext(final long seed, final double loss) {
+    /**
+     * Starts the six acceptors of the first voter set.
+     *
+     * @param lossRatio the share of messages that are lost or sent twice, half of them each
+     */
+    public ConsensusTestContext(final long seed, final double lossRatio) {
         this.random = new Random(seed);
-        this.loss = loss;
+        this.lossRatio = lossRatio;
         final List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             voters.add(new Voter("v" + i, "v" + i, "disk-" + i));
             disks.add(new DelayedSegmentStore(8, 1 << 16, clock, () -> 1 + random.nextInt(3)));
         }
-        table = new VoterSet(1, 1, voters);
+        voterSet = new VoterSet(1, 1, voters);
         for (int i = 0; i < 6; i++) {
             final Acceptor acceptor = acceptor(i);
-            clock.after(0, () -> acceptor.startGeneration(table, List.of()));
+            clock.after(0, () -> acceptor.startGeneration(voterSet, List.of()));
         }
         run(100);
     }
@@ -66,39 +47,39 @@
     private Acceptor acceptor(final int i) {
         final String name = "v" + i;
         final Acceptor acceptor =
-                new Acceptor(name, new SegmentedLog(disks.get(i)), this::send, new Open(), "disk-" + i);
-        ears.put(name, message -> acceptor.onMessage((ConsensusMessage) message, name));
+                new Acceptor(name, new SegmentedLog(disks.get(i)), this::send, new PermissiveGuard(), "disk-" + i);
+        receivers.put(name, message -> acceptor.onMessage((ConsensusMessage) message, name));
         return acceptor;
     }
 
-    /** Sends a note late, twice or not at all. */
+    /** Delivers a message after a random delay, twice, or not at all. */
     public void send(final String to, final Message message) {
-        final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
+        final int times = random.nextDouble() < lossRatio ? random.nextInt(2) * 2 : 1;
         for (int i = 0; i < times; i++) {
-            clock.after(1 + random.nextInt(40), () -> ears.get(to).accept(message));
+            clock.after(1 + random.nextInt(40), () -> receivers.get(to).accept(message));
         }
     }
 
-    /** A proposer of its own name. */
+    /** Creates a proposer under an address of its own. */
     public Proposer proposer(final String name) {
-        final Proposer made = new Proposer(
+        final Proposer proposer = new Proposer(
                 name + "#1", name, this::send, clock, random, new Proposer.Timing(150, 30, 1000), (voter, key) -> {});
-        made.updateVoterSet(table);
-        ears.put(name, message -> {
-            if (message instanceof ConsensusMessage b) {
-                made.onMessage(b);
+        proposer.updateVoterSet(voterSet);
+        receivers.put(name, message -> {
+            if (message instanceof ConsensusMessage consensusMessage) {
+                proposer.onMessage(consensusMessage);
             }
         });
-        return made;
+        return proposer;
     }
 
-    /** The power of one voter goes and comes back at once: what was not synced is lost. */
-    public void bounce(final int i) {
+    /** Cuts one acceptor's power and restarts it at once: what was not synced is lost. */
+    public void powerCycle(final int i) {
         disks.get(i).losePower();
         acceptor(i);
     }
 
-    /** Goes on until then. */
+    /** Runs all events up to this time. */
     public void run(final long untilMs) {
         clock.runUntil(untilMs, () -> {});
     }
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/consensus/PausableSegmentStore.java
@@ -0,0 +1,36 @@
+package spokestall.consensus;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import spokestall.storage.InMemorySegmentStore;
+
+/** A disk in memory whose commits complete at once, or while it is paused, only when the test resumes it. */
+final class PausableSegmentStore extends InMemorySegmentStore {
+    private final List<Runnable> pending = new ArrayList<>();
+    private boolean paused;
+
+    PausableSegmentStore() {
+        super(8, 1 << 14);
+    }
+
+    @Override
+    public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
+        pending.add(() -> super.commit(chunks, done));
+        if (!paused) {
+            completePending();
+        }
+    }
+
+    /** Keeps commits pending from here on. */
+    void pause() {
+        paused = true;
+    }
+
+    /** Completes the pending commits and those that they give rise to; later ones are pending again. */
+    void completePending() {
+        while (!pending.isEmpty()) {
+            pending.remove(0).run();
+        }
+    }
+}
--- a/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -5,79 +5,225 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Random;
 import org.junit.jupiter.api.Test;
+import spokestall.message.Message;
+import spokestall.time.EventClock;
 
+/** Outcomes of proposals and reads, as one order of changes whatever is lost on the way, and phase by phase. */
 class ProposerTest {
-    private static long number(final byte[] value) {
-        return value == null ? 0 : Long.parseLong(new String(value, StandardCharsets.UTF_8).split(" ")[0]);
-    }
+    private static final String KEY = "count";
+    private static final byte[] VALUE = {1};
+    private static final long TIMEOUT_MILLIS = 1000;
+    private static final Proposer.Timing TIMING = new Proposer.Timing(100, 10, 64);
+    private static final VoterSet VOTERS = new VoterSet(
+            1, 1, List.of(new Voter("v0", "v0", "d0"), new Voter("v1", "v1", "d1"), new Voter("v2", "v2", "d2")));
 
-    /** Every finished change is seen by all that begin after it, and none is done twice or lost. */
-    @Test
-    void changesOfOneRegisterStandInOneOrderWhateverTheNetworkAndPowerDo() {
-        long finished = 0;
-        long unclear = 0;
-        for (int seed = 0; seed < 40; seed++) {
-            final ConsensusTestContext bench = new ConsensusTestContext(seed, 0.15);
-            final List<String> done = new ArrayList<>();
-            final long[] newest = {0};
-            final int[] counts = new int[2];
-            for (int p = 0; p < 4; p++) {
-                final Proposer proposer = bench.proposer("p" + p);
-                final String name = "p" + p;
-                for (int i = 0; i < 8; i++) {
-                    final String mark = name + "." + i;
-                    bench.clock.after(bench.random.nextInt(6000), () -> {
-                        final long floor = newest[0];
-                        proposer.propose(
-                                "count",
-                                4000,
-                                now -> {
-                                    // Its own value seen again, under whatever others put on top of it, is not put on
-                                    // again.
-                                    final boolean own =
-                                            now != null && new String(now, StandardCharsets.UTF_8).endsWith(" " + mark);
-                                    return new RegisterEdit.Set(
-                                            own
-                                                    ? now
-                                                    : (number(now) + 1 + " " + mark).getBytes(StandardCharsets.UTF_8));
-                                },
-                                outcome -> {
-                                    if (outcome instanceof ProposalOutcome.Committed d && d.wrote()) {
-                                        counts[0]++;
-                                        assertThat(number(d.value())).isGreaterThan(floor);
-                                        done.add(new String(d.value(), StandardCharsets.UTF_8));
-                                        newest[0] = Math.max(newest[0], number(d.value()));
-                                    } else {
-                                        counts[1]++;
-                                    }
-                                });
-                    });
-                    bench.clock.after(bench.random.nextInt(9000), () -> {
-                        final long floor = newest[0];
-                        proposer.read("count", 3000, outcome -> {
-                            if (outcome instanceof ProposalOutcome.Committed d) {
-                                assertThat(number(d.value()))
-                                        .as("a read after it was done")
-                                        .isGreaterThanOrEqualTo(floor);
-                                newest[0] = Math.max(newest[0], number(d.value()));
-                            }
-                        });
-                    });
+    /** A register that counts the changes made to it, with what its proposers and readers were told in one run. */
+    private static final class Counter {
+        private static final int PROPOSERS = 4;
+        private static final int CHANGES_EACH = 8;
+        private final ConsensusTestContext context;
+        private final List<String> committed = new ArrayList<>();
+        private long newestNumber;
+        private long committedChanges;
+        private long otherOutcomes;
+
+        Counter(final long seed) {
+            context = new ConsensusTestContext(seed, 0.15);
+        }
+
+        private static long number(final byte[] value) {
+            return value == null ? 0 : Long.parseLong(text(value).split(" ")[0]);
+        }
+
+        private static String text(final byte[] value) {
+            return new String(value, StandardCharsets.UTF_8);
+        }
+
+        void run() {
+            for (int p = 0; p < PROPOSERS; p++) {
+                final Proposer proposer = context.proposer("p" + p);
+                for (int i = 0; i < CHANGES_EACH; i++) {
+                    final String changeId = "p" + p + "." + i;
+                    context.clock.after(context.random.nextInt(6000), () -> increment(proposer, changeId));
+                    context.clock.after(context.random.nextInt(9000), () -> read(proposer));
                 }
             }
             for (int i = 0; i < 20; i++) {
-                bench.clock.after(bench.random.nextInt(8000), () -> bench.bounce(bench.random.nextInt(6)));
+                context.clock.after(context.random.nextInt(8000), () -> context.powerCycle(context.random.nextInt(6)));
             }
-            bench.run(20_000);
-            assertThat(done)
+            context.run(20_000);
+        }
+
+        private void increment(final Proposer proposer, final String changeId) {
+            final long newestBefore = newestNumber;
+            proposer.propose(KEY, 4000, current -> next(current, changeId), outcome -> {
+                if (outcome instanceof ProposalOutcome.Committed c && c.wrote()) {
+                    committedChanges++;
+                    assertThat(number(c.value())).isGreaterThan(newestBefore);
+                    committed.add(text(c.value()));
+                    newestNumber = Math.max(newestNumber, number(c.value()));
+                } else {
+                    otherOutcomes++;
+                }
+            });
+        }
+
+        /** A change that finds its own value, proposed in an earlier attempt, does not count itself again. */
+        private static RegisterEdit next(final byte[] current, final String changeId) {
+            final boolean own = current != null && text(current).endsWith(" " + changeId);
+            return new RegisterEdit.Set(
+                    own ? current : (number(current) + 1 + " " + changeId).getBytes(StandardCharsets.UTF_8));
+        }
+
+        private void read(final Proposer proposer) {
+            final long newestBefore = newestNumber;
+            proposer.read(KEY, 3000, outcome -> {
+                if (outcome instanceof ProposalOutcome.Committed c) {
+                    assertThat(number(c.value()))
+                            .as("a read that began after the commit")
+                            .isGreaterThanOrEqualTo(newestBefore);
+                    newestNumber = Math.max(newestNumber, number(c.value()));
+                }
+            });
+        }
+    }
+
+    /** Every committed change is visible to all that begin after it, and none is made twice or lost. */
+    @Test
+    void changesOfOneRegisterStandInOneOrderWhateverTheNetworkAndPowerDo() {
+        long committedChanges = 0;
+        long otherOutcomes = 0;
+        for (int seed = 0; seed < 40; seed++) {
+            final Counter counter = new Counter(seed);
+            counter.run();
+            assertThat(counter.committed)
                     .as("no number stands for two changes")
-                    .extracting(d -> d.split(" ")[0])
+                    .extracting(value -> value.split(" ")[0])
                     .doesNotHaveDuplicates();
-            finished += counts[0];
-            unclear += counts[1];
+            committedChanges += counter.committedChanges;
+            otherOutcomes += counter.otherOutcomes;
+        }
+        assertThat(committedChanges).isGreaterThan(800);
+        assertThat(committedChanges + otherOutcomes).isEqualTo(40 * 32);
+    }
+
+    private final EventClock clock = new EventClock(0);
+    private final List<Message> sent = new ArrayList<>();
+    private final List<String> missedVoters = new ArrayList<>();
+    private final List<ProposalOutcome> outcomes = new ArrayList<>();
+    private final Proposer proposer = new Proposer(
+            "p#1",
+            "p",
+            (to, message) -> sent.add(message),
+            clock,
+            new Random(1),
+            TIMING,
+            (voter, key) -> missedVoters.add(voter));
+
+    private void set() {
+        proposer.propose(KEY, TIMEOUT_MILLIS, current -> new RegisterEdit.Set(VALUE), outcomes::add);
+    }
+
+    /** Replies to the newest request of this type on behalf of a voter that has accepted nothing before. */
+    private void reply(final int voter, final ConsensusMessage.Reply reply) {
+        final String name = "v" + voter;
+        final String diskId = "d" + voter;
+        final Message request = sent.get(sent.size() - 1);
+        if (request instanceof ConsensusMessage.Prepare prepare) {
+            proposer.onMessage(new ConsensusMessage.Promise(
+                    prepare.attemptId(), name, diskId, reply, prepare.proposalNumber(), ProposalNumber.NONE, null));
+        } else if (request instanceof ConsensusMessage.Accept accept) {
+            proposer.onMessage(
+                    new ConsensusMessage.Accepted(accept.attemptId(), name, diskId, reply, accept.proposalNumber()));
         }
-        assertThat(finished).isGreaterThan(800);
-        assertThat(finished + unclear).isEqualTo(40 * 32);
+    }
+
+    private void commit() {
+        set();
+        reply(0, ConsensusMessage.Reply.OK);
+        reply(1, ConsensusMessage.Reply.OK);
+        assertThat(sent).last().isInstanceOf(ConsensusMessage.Accept.class);
+        reply(0, ConsensusMessage.Reply.OK);
+        reply(1, ConsensusMessage.Reply.OK);
+    }
+
+    @Test
+    void theNextChangeOfACommittedRegisterNeedsNoPreparePhase() {
+        proposer.updateVoterSet(VOTERS);
+        commit();
+        assertThat(outcomes).singleElement().isEqualTo(new ProposalOutcome.Committed(VALUE, true));
+        sent.clear();
+        set();
+        assertThat(sent).hasSize(3).allMatch(message -> message instanceof ConsensusMessage.Accept);
+    }
+
+    @Test
+    void aVoterThatAcknowledgesNoChosenValueWithinOneAttemptTimeoutIsReportedAsMissed() {
+        proposer.updateVoterSet(VOTERS);
+        commit();
+        assertThat(sent).last().isInstanceOf(ConsensusMessage.Chosen.class);
+        clock.runUntil(TIMING.attemptTimeoutMillis() - 1, () -> {});
+        assertThat(missedVoters).isEmpty();
+        clock.runUntil(TIMING.attemptTimeoutMillis(), () -> {});
+        assertThat(missedVoters).containsExactly("v2");
+        assertThat(proposer.roundsInFlight()).isZero();
+    }
+
+    @Test
+    void aMajorityThatRejectsThePrepareMakesTheProposalNotCommitted() {
+        proposer.updateVoterSet(VOTERS);
+        set();
+        reply(0, ConsensusMessage.Reply.REJECTED);
+        assertThat(outcomes).isEmpty();
+        reply(1, ConsensusMessage.Reply.REJECTED);
+        assertThat(outcomes).containsExactly(new ProposalOutcome.NotCommitted(ProposalOutcome.Reason.REJECTED));
+    }
+
+    @Test
+    void aMajorityThatHasPrunedTheRegisterMakesTheProposalPruned() {
+        proposer.updateVoterSet(VOTERS);
+        set();
+        reply(0, ConsensusMessage.Reply.PRUNED);
+        reply(1, ConsensusMessage.Reply.PRUNED);
+        assertThat(outcomes).containsExactly(new ProposalOutcome.Pruned());
+    }
+
+    @Test
+    void aProposalWithoutAVoterSetIsNotCommittedAtItsDeadline() {
+        set();
+        clock.runAll();
+        assertThat(sent).isEmpty();
+        assertThat(outcomes)
+                .containsExactly(new ProposalOutcome.NotCommitted(ProposalOutcome.Reason.NO_MAJORITY_IN_TIME));
+    }
+
+    @Test
+    void aProposalWhoseValueWasSentAndNotAcceptedInTimeIsIndeterminate() {
+        proposer.updateVoterSet(VOTERS);
+        set();
+        reply(0, ConsensusMessage.Reply.OK);
+        reply(1, ConsensusMessage.Reply.OK);
+        assertThat(sent).last().isInstanceOf(ConsensusMessage.Accept.class);
+        clock.runAll();
+        assertThat(outcomes).containsExactly(new ProposalOutcome.Indeterminate());
+    }
+
+    @Test
+    void aReplyFromADiskWithoutTheVoterSlotIsNotCounted() {
+        proposer.updateVoterSet(VOTERS);
+        set();
+        final ConsensusMessage.Prepare prepare = (ConsensusMessage.Prepare) sent.get(0);
+        reply(0, ConsensusMessage.Reply.OK);
+        proposer.onMessage(new ConsensusMessage.Promise(
+                prepare.attemptId(),
+                "v1",
+                "another-disk",
+                ConsensusMessage.Reply.OK,
+                prepare.proposalNumber(),
+                ProposalNumber.NONE,
+                null));
+        assertThat(sent).allMatch(message -> message instanceof ConsensusMessage.Prepare);
     }
 }
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -15,7 +15,7 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.Clock;
 
-/** Versions that were decided and let go are decided for good, whoever is replaced or restarted after. */
+/** Versions that were decided and pruned are never decided anew, whichever voters are replaced or restarted after. */
 class VersionFloorTest {
     private static final int VOTERS = 6;
     private static final long DECIDED = 40;
@@ -23,8 +23,8 @@
     private static final byte[] FIRST = {1};
     private static final byte[] OTHER = {2};
 
-    /** A voter with its disk; versions up to the floor are gone for it. */
-    private final class Machine implements RegisterGuard {
+    /** A voter with its disk; versions up to its version floor are pruned. */
+    private final class Machine extends PermissiveGuard {
         private final String name;
         private InMemorySegmentStore disk = new InMemorySegmentStore(8, 1 << 14);
         private Acceptor acceptor;
@@ -34,12 +34,7 @@
         }
 
         void start(final String freshId) {
-            acceptor = new Acceptor(name, new SegmentedLog(disk), VersionFloorTest.this::post, this, freshId);
-        }
-
-        @Override
-        public boolean ready() {
-            return true;
+            acceptor = new Acceptor(name, new SegmentedLog(disk), VersionFloorTest.this::send, this, freshId);
         }
 
         @Override
@@ -47,16 +42,6 @@
             final long version = ConfigurationKeys.of(key);
             return version >= 0 && version <= acceptor.versionFloor();
         }
-
-        @Override
-        public boolean hasCapacityFor(final String key) {
-            return true;
-        }
-
-        @Override
-        public boolean accepts(final String key, final byte[] value) {
-            return true;
-        }
     }
 
     private record Sent(String to, Message message) {}
@@ -64,7 +49,7 @@
     private record Timer(long atMs, Runnable what) {}
 
     private final Map<String, Machine> machines = new TreeMap<>();
-    private final ArrayDeque<Sent> connection = new ArrayDeque<>();
+    private final ArrayDeque<Sent> inFlight = new ArrayDeque<>();
     private final List<Timer> timers = new ArrayList<>();
     private final Clock clock = new Clock() {
         @Override
@@ -83,12 +68,12 @@
         }
     };
     private final Proposer proposer = new Proposer(
-            "late#1", "late", this::post, clock, new Random(1), new Proposer.Timing(100, 10, 1000), (voter, key) -> {});
-    private VoterSet table;
+            "late#1", "late", this::send, clock, new Random(1), new Proposer.Timing(100, 10, 1000), (voter, key) -> {});
+    private VoterSet voterSet;
     private long nowMs;
 
-    private void post(final String to, final Message message) {
-        connection.add(new Sent(to, message));
+    private void send(final String to, final Message message) {
+        inFlight.add(new Sent(to, message));
     }
 
     private void run(final long spanMs) {
@@ -102,8 +87,8 @@
     }
 
     private void deliver() {
-        while (!connection.isEmpty()) {
-            final Sent sent = connection.poll();
+        while (!inFlight.isEmpty()) {
+            final Sent sent = inFlight.poll();
             if (sent.to.equals("late")) {
                 proposer.onMessage((ConsensusMessage) sent.message);
             } else {
@@ -112,8 +97,8 @@
         }
     }
 
-    /** Six voters that have decided some versions, all but the newest of which they have let go. */
-    private void found() {
+    /** Starts six voters that have decided some versions and pruned all but the newest of them. */
+    private void startVotersThatPrunedVersions() {
         final List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < VOTERS; i++) {
             final String name = "v" + i;
@@ -121,9 +106,9 @@
             machines.put(name, new Machine(name));
             machines.get(name).start("disk-" + i);
         }
-        table = new VoterSet(1, 1, voters);
-        machines.values().forEach(m -> m.acceptor.startGeneration(table, List.of()));
-        proposer.updateVoterSet(table);
+        voterSet = new VoterSet(1, 1, voters);
+        machines.values().forEach(m -> m.acceptor.startGeneration(voterSet, List.of()));
+        proposer.updateVoterSet(voterSet);
         for (long version = 1; version <= DECIDED; version++) {
             assertThat(propose(version, FIRST)).isInstanceOf(ProposalOutcome.Committed.class);
         }
@@ -135,22 +120,22 @@
     }
 
     private ProposalOutcome propose(final long version, final byte[] value) {
-        final List<ProposalOutcome> told = new ArrayList<>();
+        final List<ProposalOutcome> outcomes = new ArrayList<>();
         proposer.propose(
                 ConfigurationKeys.key(version),
                 500,
                 now -> now == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
-                told::add);
+                outcomes::add);
         run(700);
-        return told.get(0);
+        return outcomes.get(0);
     }
 
     private void replace(final int i) {
         final Machine machine = machines.get("v" + i);
         machine.disk = new InMemorySegmentStore(8, 1 << 14);
         machine.start("disk-" + i + "-new");
-        table = table.withReplacedDisk(new Voter(machine.name, machine.name, machine.acceptor.diskId()));
-        machines.values().forEach(m -> m.acceptor.updateVoterSet(table));
+        voterSet = voterSet.withReplacedDisk(new Voter(machine.name, machine.name, machine.acceptor.diskId()));
+        machines.values().forEach(m -> m.acceptor.updateVoterSet(voterSet));
         for (int tick = 0; tick < 10; tick++) {
             machine.acceptor.onTick(machine.name);
             run(1);
@@ -158,8 +143,8 @@
         assertThat(machine.acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
-    private void decidedForGood() {
-        proposer.updateVoterSet(table);
+    private void assertNoVersionIsDecidedAnew() {
+        proposer.updateVoterSet(voterSet);
         for (long version = 1; version <= FLOOR; version++) {
             assertThat(propose(version, OTHER)).as("version %s", version).isInstanceOf(ProposalOutcome.Pruned.class);
         }
@@ -173,18 +158,18 @@
     }
 
     @Test
-    void whenAllMachinesWereReplacedInTurnNoVersionIsDecidedAnew() {
-        found();
+    void noVersionIsDecidedAnewAfterAllVotersWereReplacedInTurn() {
+        startVotersThatPrunedVersions();
         for (int i = 0; i < VOTERS; i++) {
             replace(i);
         }
-        decidedForGood();
+        assertNoVersionIsDecidedAnew();
     }
 
     @Test
-    void whenAllMachinesWereRestartedNoVersionIsDecidedAnew() {
-        found();
+    void noVersionIsDecidedAnewAfterAllVotersWereRestarted() {
+        startVotersThatPrunedVersions();
         machines.values().forEach(m -> m.start("not used"));
-        decidedForGood();
+        assertNoVersionIsDecidedAnew();
     }
 }
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -97,7 +97,7 @@
                         bench.random.nextInt(50_000),
                         () -> frozenUntilMs[bench.random.nextInt(4)] =
                                 bench.clock.nowMs() + 1000 + bench.random.nextInt(5000));
-                bench.clock.after(bench.random.nextInt(50_000), () -> bench.bounce(bench.random.nextInt(6)));
+                bench.clock.after(bench.random.nextInt(50_000), () -> bench.powerCycle(bench.random.nextInt(6)));
             }
             for (long atMs = 200; atMs < 60_000; atMs += 20) {
                 bench.run(atMs);
