--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -76,7 +76,7 @@
 
         @Override
         public long versionFloor() {
-            return acceptor.floor();
+            return acceptor.versionFloor();
         }
 
         @Override
@@ -102,7 +102,7 @@
 
     /** Marks the disk as one that took part in a bootstrap; {@code then} runs once that is synced, and not if it fails. */
     void mark(final Runnable then) {
-        acceptor.keepOwn(BOOTSTRAP_ACCEPTOR, new byte[0], synced -> {
+        acceptor.putLocalRecord(BOOTSTRAP_ACCEPTOR, new byte[0], synced -> {
             if (synced) {
                 then.run();
             }
@@ -139,6 +139,6 @@
                 expired.add(key);
             }
         });
-        expired.forEach(acceptor::drop);
+        expired.forEach(acceptor::removeRegister);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/RecordCalls.java
+++ b/spokestall/src/main/java/spokestall/node/RecordCalls.java
@@ -49,7 +49,7 @@
     }
 
     private static Reply usageReply(final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Done chosen && chosen.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed chosen && chosen.value() != null) {
             final SealedWindow sealed = MessageCodec.record(chosen.value(), SealedWindow.class);
             final ObjectNode fields = ConfigurationStore.JSON
                     .createObjectNode()
@@ -60,7 +60,7 @@
             sealed.counts().forEach(counts::put);
             return Reply.of(ResultCode.OK, fields);
         }
-        final boolean absent = outcome instanceof ProposalOutcome.Done || outcome instanceof ProposalOutcome.Gone;
+        final boolean absent = outcome instanceof ProposalOutcome.Committed || outcome instanceof ProposalOutcome.Pruned;
         return Reply.of(absent ? ResultCode.NOT_FOUND : ResultCode.NOT_READY, null);
     }
 
