--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -28,12 +28,12 @@
     /** The version of messages since which what an asker has already can be left out. */
     private static final int TERSE = 3;
 
-    private final Node node;
+    private final NodeComponents node;
     private final Map<String, Present> edges = new TreeMap<>();
     /** The name that was last heard from an address. */
     private final Map<String, String> names = new HashMap<>();
 
-    FeedServer(final Node node) {
+    FeedServer(final NodeComponents node) {
         this.node = node;
     }
 
@@ -88,7 +88,7 @@
         final boolean update = ask.update() && ready;
         final VoterSet table = node.storage.acceptor.voterSet();
         final boolean terse = node.context.settings().ms("noteVersion") >= TERSE;
-        final boolean had = terse && table != null && table.same(ask.generation(), ask.epoch());
+        final boolean had = terse && table != null && table.hasEpoch(ask.generation(), ask.epoch());
         final Collection<NodeInfo> fresh = freshEdges();
         final long mark = terse ? mark(fresh) : 0;
         final boolean brief = terse && (ask.edgesMark() == mark || !ask.update());
--- a/spokestall/src/main/java/spokestall/node/MessageNumbers.java
+++ b/spokestall/src/main/java/spokestall/node/MessageNumbers.java
@@ -10,18 +10,22 @@
 import spokestall.message.MessageCodec;
 import spokestall.usage.UsageMessage;
 
-/** The numbers of all messages. A number is never given to another kind. */
+/**
+ * The numbers by which messages are written. They are part of the wire format and of stored state: a number never changes, and
+ * that of a removed message is never used again.
+ */
 final class MessageNumbers {
     private MessageNumbers() {}
 
-    static void number() {
+    /** Registers all numbers with the codec. May be called again; it then has no effect. */
+    static void register() {
         MessageCodec.number(1, GossipMessage.Shuffle.class);
         MessageCodec.number(10, ConsensusMessage.Prepare.class);
         MessageCodec.number(11, ConsensusMessage.Promise.class);
         MessageCodec.number(12, ConsensusMessage.Accept.class);
         MessageCodec.number(13, ConsensusMessage.Accepted.class);
         MessageCodec.number(14, ConsensusMessage.Chosen.class);
-        MessageCodec.number(15, ConsensusMessage.Table.class);
+        MessageCodec.number(15, ConsensusMessage.VoterSetUpdate.class);
         MessageCodec.number(16, ConsensusMessage.CatchUpRequest.class);
         MessageCodec.number(17, ConsensusMessage.CatchUpResponse.class);
         MessageCodec.number(18, ConsensusMessage.HandoverRequest.class);
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -16,6 +16,7 @@
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
 import spokestall.node.Node;
+import spokestall.node.NodeEnvironment;
 import spokestall.proxy.Attempt;
 import spokestall.proxy.AttemptResult;
 import spokestall.proxy.UpstreamClient;
@@ -142,7 +143,7 @@
         node = new Node(
                 settings,
                 core,
-                new Node.NodeEnvironment(
+                new NodeEnvironment(
                         clock,
                         run.random(name + "/" + mine),
                         (to, message) -> send(mine, to, message),
@@ -153,7 +154,7 @@
                         AuditSink.NONE));
         node.start();
         if (!core) {
-            counter = node.counter();
+            counter = node.usageCounter();
             later(mine, 1 + chance.nextInt((int) TICK_MS), ScaleTraffic.REQUESTS, () -> requests(mine));
         }
     }
@@ -228,7 +229,7 @@
         traffic.in(run.phase(), distance, kind, frame.length);
         timed(kind, () -> {
             try {
-                node.hear(MessageCodec.message(frame));
+                node.onMessage(MessageCodec.message(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -246,7 +247,7 @@
         }
         final int phase = run.phase().ordinal();
         requests[phase] += due;
-        if (!node.follower().fresh()) {
+        if (!node.feedClient().fresh()) {
             stale[phase] += due;
             return;
         }
