--- a/spokestall/src/main/java/spokestall/api/CallRegistry.java
+++ b/spokestall/src/main/java/spokestall/api/CallRegistry.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.networknt.schema.JsonSchema;
 import com.networknt.schema.JsonSchemaFactory;
@@ -16,71 +17,84 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The calls of the one schema file, each checked against it before it is carried out. */
+/**
+ * The calls of the schema file that a node answers. The parameters of each call are checked against the schema before the call
+ * is run.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
 public final class CallRegistry {
-    /** Carries one call out. */
-    public interface Call {
-        /** Example: {@code calls.on("status", (params, done) -> done.accept(reply));} */
-        void run(JsonNode params, Consumer<Reply> done);
+    /** Runs one method's calls. */
+    @FunctionalInterface
+    public interface CallHandler {
+        /** Runs a call whose parameters fit the schema; {@code done} receives its reply once, now or later. */
+        void onCall(JsonNode params, Consumer<Reply> done);
     }
 
-    private final JsonNode file;
-    /** Made when a call first comes: a program that takes its orders in another form never needs them. */
-    private final Map<String, JsonSchema> schemas = new HashMap<>();
+    private final JsonNode schema;
+    /** Created with a method's first call: a program that is called by another protocol needs none. */
+    private final Map<String, JsonSchema> paramsSchemas = new HashMap<>();
 
-    private final Map<String, Call> calls = new TreeMap<>();
+    private final Map<String, CallHandler> handlers = new TreeMap<>();
 
-    /** Reads the schema file in the program. */
+    /** Creates a registry without handlers; reads the schema file that is a resource of the program. */
     public CallRegistry() {
         try (InputStream in = CallRegistry.class.getResourceAsStream("/spokestall.schema.json")) {
-            file = new ObjectMapper().readTree(in);
+            schema = new ObjectMapper().readTree(in);
         } catch (final IOException e) {
             throw new IllegalStateException("the schema file can't be read", e);
         }
     }
 
-    /** The schema file. */
-    public JsonNode file() {
-        return file;
+    /** Returns the schema file. */
+    public JsonNode schema() {
+        return schema;
     }
 
-    /** Example: {@code calls.on("status", this::status);} */
-    public void on(final String method, final Call call) {
+    /** Registers the handler of a method; throws IllegalStateException if the schema file has no such method. */
+    public void register(final String method, final CallHandler handler) {
         if (!known(method)) {
             throw new IllegalStateException(method + " is not in the schema file");
         }
-        calls.put(method, call);
+        handlers.put(method, handler);
     }
 
-    /** Checks and runs a call. */
-    public void run(final String method, final JsonNode params, final Consumer<Reply> done) {
-        final Call call = calls.get(method);
-        if (call == null) {
-            final ResultCode why = known(method) ? ResultCode.NOT_READY : ResultCode.UNKNOWN_METHOD;
-            done.accept(Reply.of(why, null));
+    /**
+     * Checks and runs a call. The reply is {@link ResultCode#UNKNOWN_METHOD} if the schema file has no such method, {@link
+     * ResultCode#NOT_READY} if this node does not answer it, {@link ResultCode#BAD_PARAMS} if its parameters don't fit.
+     */
+    public void call(final String method, final JsonNode params, final Consumer<Reply> done) {
+        final CallHandler handler = handlers.get(method);
+        if (handler == null) {
+            final ResultCode result = known(method) ? ResultCode.NOT_READY : ResultCode.UNKNOWN_METHOD;
+            done.accept(Reply.of(result, null));
             return;
         }
-        final Set<ValidationMessage> errors = schema(method).validate(params);
+        final Set<ValidationMessage> errors = paramsSchema(method).validate(params);
         if (!errors.isEmpty()) {
-            final ObjectNode out = file.isObject() ? ((ObjectNode) file).objectNode() : null;
-            final ArrayNode list = out.putArray("troubles");
-            errors.forEach(t -> list.addObject()
-                    .put("pointer", t.getInstanceLocation().toString())
-                    .put("reason", t.getMessage()));
-            done.accept(Reply.of(ResultCode.BAD_PARAMS, out));
+            done.accept(Reply.of(ResultCode.BAD_PARAMS, describe(errors)));
             return;
         }
-        call.run(params, done);
+        handler.onCall(params, done);
+    }
+
+    private static ObjectNode describe(final Set<ValidationMessage> errors) {
+        final ObjectNode fields = JsonNodeFactory.instance.objectNode();
+        final ArrayNode list = fields.putArray("troubles");
+        errors.forEach(error -> list.addObject()
+                .put("pointer", error.getInstanceLocation().toString())
+                .put("reason", error.getMessage()));
+        return fields;
     }
 
     private boolean known(final String method) {
-        return file.path("methods").has(method);
+        return schema.path("methods").has(method);
     }
 
-    private JsonSchema schema(final String method) {
-        return schemas.computeIfAbsent(
+    private JsonSchema paramsSchema(final String method) {
+        return paramsSchemas.computeIfAbsent(
                 method,
                 m -> JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
-                        .getSchema(file.path("methods").path(m).path("params")));
+                        .getSchema(schema.path("methods").path(m).path("params")));
     }
 }
--- a/spokestall/src/main/java/spokestall/api/Reply.java
+++ b/spokestall/src/main/java/spokestall/api/Reply.java
@@ -4,19 +4,24 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The reply to a call: a numbered result and its fields. */
+/**
+ * The reply to a call. Immutable, as long as nobody changes its fields.
+ *
+ * @param result the numbered result
+ * @param fields the result's fields, or null if it has none
+ */
 public record Reply(ResultCode result, JsonNode fields) {
-    /** Example: {@code Reply.of(ResultCode.OK, fields)} */
+    /** Returns a reply with these fields, which may be null. */
     public static Reply of(final ResultCode result, final JsonNode fields) {
         return new Reply(result, fields);
     }
 
-    /** As sent outward. */
+    /** Returns the reply as it is sent to its caller. */
     public ObjectNode json() {
-        final ObjectNode out = JsonNodeFactory.instance.objectNode();
-        out.put("code", result.number());
-        out.put("text", result.text());
-        out.set("result", fields == null ? JsonNodeFactory.instance.objectNode() : fields);
-        return out;
+        final ObjectNode json = JsonNodeFactory.instance.objectNode();
+        json.put("code", result.number());
+        json.put("text", result.text());
+        json.set("result", fields == null ? JsonNodeFactory.instance.objectNode() : fields);
+        return json;
     }
 }
--- a/spokestall/src/main/java/spokestall/api/ResultCode.java
+++ b/spokestall/src/main/java/spokestall/api/ResultCode.java
@@ -1,6 +1,10 @@
 package spokestall.api;
 
-/** The numbered result codes; docs/result-codes.md has the same table, and a test compares the two. */
+/**
+ * The numbered results of requests and calls: 1xxx a request ran, 2xxx it has not run, 3xxx it is not known whether it ran, 4xxx
+ * and 5xxx are results of calls. Names, numbers and texts are an interface; docs/result-codes.md has the same table, which a
+ * test compares.
+ */
 public enum ResultCode {
     OK(1000, 200, "done"),
     REPEATED(1001, 200, "the recorded answer of an ask that ran before"),
@@ -43,17 +47,17 @@
         this.text = text;
     }
 
-    /** Example: {@code ResultCode.OK.number() == 1000} */
+    /** Returns the number, which never changes its meaning. */
     public int number() {
         return number;
     }
 
-    /** Example: {@code ResultCode.OK.httpStatus() == 200} */
+    /** Returns the status of an HTTP response with this result. */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** Example: {@code ResultCode.OK.text()} */
+    /** Returns the text that is sent with the number. */
     public String text() {
         return text;
     }
--- a/spokestall/src/main/java/spokestall/api/package-info.java
+++ b/spokestall/src/main/java/spokestall/api/package-info.java
@@ -3,9 +3,10 @@
  *
  * <p>Owns: the schema file of all calls, the check of parameters against it, and the numbered results.
  *
- * <p>Invariants: a call is carried out only after its parameters passed the schema. A result's number never changes its
- * meaning; docs/result-codes.md has the same table, which a test compares.
+ * <p>Invariants: a call is run only after its parameters passed the schema. A result's number never changes its meaning;
+ * docs/result-codes.md has the same table, which a test compares.
  *
- * <p>Callers: {@code Desk} registers the calls; the servers in {@code rim} and the platform module run them.
+ * <p>Callers: the {@code ...Calls} of {@code node} register the handlers; the servers in {@code io} and the platform module run
+ * calls.
  */
 package spokestall.api;
--- a/spokestall/src/main/java/spokestall/audit/AuditChain.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditChain.java
@@ -19,17 +19,23 @@
 import java.text.ParseException;
 import java.util.List;
 
-/** Signed entries (JWS, ES256), one a line, each with its number and the digest of the line before. */
+/**
+ * A chain of signed entries (JWS, ES256), one a line. Each has its number and the SHA-256 digest of the line before it, so that
+ * an entry that was removed, altered or moved is found.
+ *
+ * <p>Not thread-safe. The names of entries' fields, and of {@link Verdict}'s records and their components, are an interface: the
+ * first are stored, the others printed.
+ */
 public final class AuditChain {
-    /** What a check found. */
+    /** The result of a check. */
     public sealed interface Verdict {
-        /** Every line is whole, signed and follows the one before. */
+        /** Every line is complete, signed and follows the one before it. */
         record Good(long first, long last, int entries) implements Verdict {}
 
-        /** All is good up to a last line that was cut off, as by a loss of power. */
+        /** All lines are good but for a last one that was cut off, as by a loss of power. */
         record Torn(long first, long last, int entries) implements Verdict {}
 
-        /** A line was changed, dropped, added or put elsewhere; lines count from one. */
+        /** A line was altered, removed, added or moved; lines are counted from one. */
         record Bad(int line, String why) implements Verdict {}
     }
 
@@ -37,20 +43,20 @@
     private static final JOSEObjectType TYPE = new JOSEObjectType("spokestall-audit");
     private final ECKey key;
     private final ECDSASigner signer;
-    private String before;
-    private long next;
+    private String lastDigest;
+    private long nextNumber;
 
-    /** Goes on after a line, or from the start with null. */
+    /** Continues a chain after this line, or begins one if it is null; throws ParseException if the line is no entry. */
     public AuditChain(final ECKey key, final String lastLine) throws JOSEException, ParseException {
         this.key = key;
         this.signer = new ECDSASigner(key);
-        this.before = lastLine == null ? "" : digest(lastLine);
-        this.next = lastLine == null ? 1 : number(lastLine) + 1;
+        this.lastDigest = lastLine == null ? "" : digest(lastLine);
+        this.nextNumber = lastLine == null ? 1 : number(lastLine) + 1;
     }
 
     private static long number(final String line) throws ParseException {
-        final Object n = JWSObject.parse(line).getPayload().toJSONObject().get("n");
-        if (!(n instanceof Number number)) {
+        final Object value = JWSObject.parse(line).getPayload().toJSONObject().get("n");
+        if (!(value instanceof Number number)) {
             throw new ParseException("an entry without a number", 0);
         }
         return number.longValue();
@@ -62,15 +68,17 @@
                             MessageDigest.getInstance("SHA-256").digest(line.getBytes(StandardCharsets.US_ASCII)))
                     .toString();
         } catch (final NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 
-    /** The next line; it counts as the one before from now on. */
-    public String add(final String kind, final ObjectNode what) throws JOSEException {
-        final ObjectNode entry =
-                JSON.createObjectNode().put("n", next).put("before", before).put("kind", kind);
-        entry.setAll(what);
+    /** Signs an entry of this kind and returns its line, which the next one will follow. */
+    public String append(final String kind, final ObjectNode fields) throws JOSEException {
+        final ObjectNode entry = JSON.createObjectNode()
+                .put("n", nextNumber)
+                .put("before", lastDigest)
+                .put("kind", kind);
+        entry.setAll(fields);
         final JWSObject jws = new JWSObject(
                 new JWSHeader.Builder(JWSAlgorithm.ES256)
                         .type(TYPE)
@@ -79,24 +87,23 @@
                 new Payload(entry.toString()));
         jws.sign(signer);
         final String line = jws.serialize();
-        before = digest(line);
-        next++;
+        lastDigest = digest(line);
+        nextNumber++;
         return line;
     }
 
-    /** Checks lines in their order; wholeEnd says whether the last one ended with a line's end. */
-    public static Verdict check(final ECKey publicKey, final List<String> lines, final boolean wholeEnd) {
+    /** Checks lines in their order; {@code terminated} is whether the last one ended with a line feed. */
+    public static Verdict check(final ECKey publicKey, final List<String> lines, final boolean terminated) {
         long first = 0;
         long last = 0;
-        String before = null;
+        String lastDigest = null;
         for (int i = 0; i < lines.size(); i++) {
-            final boolean end = i == lines.size() - 1;
-            if (end && !wholeEnd) {
+            if (i == lines.size() - 1 && !terminated) {
                 return new Verdict.Torn(first, last, i);
             }
-            final String why = wrong(publicKey, lines.get(i), before, last);
-            if (why != null) {
-                return new Verdict.Bad(i + 1, why);
+            final String fault = faultOf(publicKey, lines.get(i), lastDigest, last);
+            if (fault != null) {
+                return new Verdict.Bad(i + 1, fault);
             }
             try {
                 last = number(lines.get(i));
@@ -104,25 +111,28 @@
                 return new Verdict.Bad(i + 1, e.getMessage());
             }
             first = i == 0 ? last : first;
-            before = digest(lines.get(i));
+            lastDigest = digest(lines.get(i));
         }
         return new Verdict.Good(first, last, lines.size());
     }
 
-    private static String wrong(final ECKey publicKey, final String line, final String before, final long last) {
+    /** Returns what is wrong with a line, or null. The digest is null for the first line, which may have any number. */
+    private static String faultOf(
+            final ECKey publicKey, final String line, final String lastDigest, final long lastNumber) {
         try {
             final JWSObject jws = JWSObject.parse(line);
             final JWSVerifier verifier = new ECDSAVerifier(publicKey);
             if (!JWSAlgorithm.ES256.equals(jws.getHeader().getAlgorithm()) || !jws.verify(verifier)) {
                 return "its signature is not the key's";
             }
-            if (before == null) {
+            if (lastDigest == null) {
                 return null;
             }
-            final Object said = jws.getPayload().toJSONObject().get("before");
-            return number(line) != last + 1
-                    ? "it is number " + number(line) + " after " + last
-                    : !before.equals(said) ? "it does not follow the line before" : null;
+            if (number(line) != lastNumber + 1) {
+                return "it is number " + number(line) + " after " + lastNumber;
+            }
+            final Object statedDigest = jws.getPayload().toJSONObject().get("before");
+            return lastDigest.equals(statedDigest) ? null : "it does not follow the line before";
         } catch (final ParseException | JOSEException e) {
             return "it is no signed entry: " + e.getMessage();
         }
--- a/spokestall/src/main/java/spokestall/audit/AuditSink.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditSink.java
@@ -2,24 +2,28 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Where a core's decisions are written down, at the rim; it never holds a decision up. */
+/**
+ * Receives the entries of a core's audit log. Implemented by what stores them; storing never delays a decision.
+ *
+ * <p>Called on the node's event loop; implementations must not block it.
+ */
 public interface AuditSink {
-    /** Writes nothing down. */
+    /** Discards all entries. */
     AuditSink NONE = new AuditSink() {
         @Override
-        public void message(final String kind, final ObjectNode what) {
-            // Nothing is kept.
+        public void append(final String kind, final ObjectNode fields) {
+            // Nothing is stored.
         }
 
         @Override
-        public ObjectNode newest(final int most) {
+        public ObjectNode newest(final int limit) {
             return null;
         }
     };
 
-    /** Takes one entry, to be signed and written by and by. */
-    void message(String kind, ObjectNode what);
+    /** Accepts one entry, which is signed and written later; it is lost if the process ends before. */
+    void append(String kind, ObjectNode fields);
 
-    /** The newest entries and the key to check them by, or null if none are kept. */
-    ObjectNode newest(int most);
+    /** Returns at most {@code limit} of the newest entries, and the key to verify them by; null if none are stored. */
+    ObjectNode newest(int limit);
 }
--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -14,23 +14,30 @@
 import spokestall.lease.Lease;
 import spokestall.usage.SealedWindow;
 
-/** Sees what was decided, as this core knows it, and has each of it written down once. */
+/**
+ * Writes an audit entry for each decision that this core knows of: configurations, evacuations, keys, leases, usage windows and
+ * voters. Each is written once in an incarnation of the process.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. The kinds and fields of entries are stored, so their names stay.
+ */
 public final class Auditor {
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** How many of the newest windows are remembered as written, so that a repeated one is not written again. */
     private static final int WINDOWS_KEPT = 64;
-    private final AuditSink audit;
+
+    private final AuditSink sink;
     private final ConfigurationStore configurationStore;
     private final LongSupplier fleetMs;
-    private final TreeSet<Long> windows = new TreeSet<>();
-    private Map<String, Set<String>> keys = new TreeMap<>();
-    private Set<String> holds = Set.of();
+    private final TreeSet<Long> writtenWindows = new TreeSet<>();
+    private Map<String, Set<String>> keysByTenant = new TreeMap<>();
+    private Set<String> evacuatedZones = Set.of();
     private long version;
-    private long token;
-    private VoterSet table;
+    private long fencingToken;
+    private VoterSet voterSet;
 
-    /** Example: {@code new Auditor(environment.audit(), configurationStore, fleet::nowMs)} */
-    public Auditor(final AuditSink audit, final ConfigurationStore configurationStore, final LongSupplier fleetMs) {
-        this.audit = audit;
+    /** Creates an auditor that has written nothing yet; {@code fleetMs} returns the fleet's time, which each entry has. */
+    public Auditor(final AuditSink sink, final ConfigurationStore configurationStore, final LongSupplier fleetMs) {
+        this.sink = sink;
         this.configurationStore = configurationStore;
         this.fleetMs = fleetMs;
     }
@@ -39,22 +46,22 @@
         return JSON.createObjectNode().put("fleetMs", fleetMs.getAsLong());
     }
 
-    /** The configuration may have moved. */
-    public void configuration() {
+    /** Writes the versions that are in force here since the last call, or a digest where the changes are no longer known. */
+    public void recordConfiguration() {
         final long now = configurationStore.configuration().version();
         if (now == version) {
             return;
         }
         final Map<Long, ConfigurationChange> changes = configurationStore.kept(version);
         if (changes.isEmpty()) {
-            audit.message(
+            sink.append(
                     "snapshot",
                     entry().put("version", now)
                             .put(
                                     "digest",
                                     KeyHash.hex(configurationStore.snapshot().json())));
         } else {
-            changes.forEach((v, change) -> audit.message(
+            changes.forEach((v, change) -> sink.append(
                     "policy",
                     entry().put("version", v)
                             .put("changeId", change.changeId())
@@ -62,69 +69,69 @@
                             .put("digest", KeyHash.hex(change.json()))));
         }
         version = now;
-        holds(now);
-        keys(now);
+        recordEvacuations(now);
+        recordKeys(now);
     }
 
-    private void holds(final long now) {
-        final Set<String> held =
+    private void recordEvacuations(final long now) {
+        final Set<String> evacuatedNow =
                 new TreeSet<>(configurationStore.configuration().holds());
-        if (!held.equals(holds)) {
+        if (!evacuatedNow.equals(evacuatedZones)) {
             final ObjectNode entry = entry().put("version", now);
-            held.forEach(entry.putArray("districts")::add);
-            audit.message("holds", entry);
-            holds = held;
+            evacuatedNow.forEach(entry.putArray("districts")::add);
+            sink.append("holds", entry);
+            evacuatedZones = evacuatedNow;
         }
     }
 
-    private void keys(final long now) {
+    private void recordKeys(final long now) {
         final Map<String, Set<String>> found = new TreeMap<>();
         configurationStore
                 .configuration()
                 .tenants()
                 .forEach((name, tenant) -> found.put(name, Set.copyOf(tenant.keys())));
         final Set<String> names = new TreeSet<>(found.keySet());
-        names.addAll(keys.keySet());
+        names.addAll(keysByTenant.keySet());
         for (final String name : names) {
-            final Set<String> had = keys.getOrDefault(name, Set.of());
+            final Set<String> had = keysByTenant.getOrDefault(name, Set.of());
             final Set<String> has = found.getOrDefault(name, Set.of());
             if (!had.equals(has)) {
                 final ObjectNode entry = entry().put("version", now).put("tenant", name);
                 new TreeSet<>(has).stream().filter(k -> !had.contains(k)).forEach(entry.putArray("added")::add);
                 new TreeSet<>(had).stream().filter(k -> !has.contains(k)).forEach(entry.putArray("withdrawn")::add);
-                audit.message("keys", entry);
+                sink.append("keys", entry);
             }
         }
-        keys = found;
+        keysByTenant = found;
     }
 
-    /** The lease as the store has it, or null. */
-    public void lease(final Lease seen) {
-        if (seen != null && seen.token() > token) {
-            token = seen.token();
-            audit.message("lease", entry().put("holder", seen.holder()).put("token", token));
+    /** Writes a lease with a newer fencing token; the lease is null while none is known. */
+    public void recordLease(final Lease seen) {
+        if (seen != null && seen.token() > fencingToken) {
+            fencingToken = seen.token();
+            sink.append("lease", entry().put("holder", seen.holder()).put("token", fencingToken));
         }
     }
 
-    /** A window whose report was marked as sent, so its counts were decided. */
-    public void window(final SealedWindow sealed) {
-        if (sealed.completed() && windows.add(sealed.window())) {
+    /** Writes a usage window once it is marked as reported, by which its counts are decided. */
+    public void recordWindow(final SealedWindow sealed) {
+        if (sealed.completed() && writtenWindows.add(sealed.window())) {
             final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.token());
             new TreeMap<>(sealed.counts()).forEach(entry.putObject("counts")::put);
-            audit.message("window", entry);
-            if (windows.size() > WINDOWS_KEPT) {
-                windows.pollFirst();
+            sink.append("window", entry);
+            if (writtenWindows.size() > WINDOWS_KEPT) {
+                writtenWindows.pollFirst();
             }
         }
     }
 
-    /** The table of voters in force. */
-    public void table(final VoterSet now) {
-        if (now != null && now.newerThan(table)) {
-            table = now;
+    /** Writes the voters if they are newer than the last ones; they are null while none are known. */
+    public void recordVoters(final VoterSet now) {
+        if (now != null && now.newerThan(voterSet)) {
+            voterSet = now;
             final ObjectNode entry = entry().put("generation", now.generation()).put("epoch", now.epoch());
-            now.voters().forEach(s -> entry.withObject("/seats").put(s.name(), s.diskId()));
-            audit.message("voters", entry);
+            now.voters().forEach(voter -> entry.withObject("/seats").put(voter.name(), voter.diskId()));
+            sink.append("voters", entry);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/audit/package-info.java
+++ b/spokestall/src/main/java/spokestall/audit/package-info.java
@@ -1,13 +1,13 @@
 /**
  * The signed record of decisions.
  *
- * <p>Owns: the entries that a core writes about configurations, memberships, leases and reports, their signature and the hash
- * chain from each to the one before.
+ * <p>Owns: the entries that a core writes about configurations, voters, leases and usage reports, their signature, and the hash
+ * chain from each entry to the one before it.
  *
- * <p>Invariants: an entry is written once for each decision in one life of the process. Each names the digest of the one
- * before it, so a removed or altered entry is found by {@code spokestall audit}. Writing never holds a decision up.
+ * <p>Invariants: an entry is written once for each decision in one incarnation of the process. Each has the digest of the one
+ * before it, so that a removed or altered entry is found by {@code spokestall audit}. Writing never delays a decision.
  *
- * <p>Callers: {@code Node} tells what was decided; {@code rim.AuditFiles} stores the lines; the command {@code audit} checks
- * them.
+ * <p>Callers: {@code node.AuditComponent} reports what was decided; {@code io.AuditFiles} stores the lines; the command {@code
+ * audit} verifies them.
  */
 package spokestall.audit;
--- a/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
+++ b/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
@@ -21,7 +21,7 @@
 
     /** Runs the command and returns its exit code. */
     static int run(final String[] args) throws IOException, InterruptedException {
-        final JsonNode methods = new CallRegistry().file().path("methods");
+        final JsonNode methods = new CallRegistry().schema().path("methods");
         if (args.length == 0 || args[0].equals("--help")) {
             System.out.println("spokestall operator <method> --to IP:PORT [flags]; a value of @FILE is read from it");
             methods.fields().forEachRemaining(method -> describe(method.getKey(), method.getValue()));
--- a/spokestall/src/main/java/spokestall/io/AuditFiles.java
+++ b/spokestall/src/main/java/spokestall/io/AuditFiles.java
@@ -143,7 +143,7 @@
                         files.get(files.size() - 1).getFileName().toString().substring(6, 14));
         chain = new AuditChain(key, lastLine);
         append();
-        message("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
+        append("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
     }
 
     private void append() throws IOException {
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void message(final String kind, final ObjectNode what) {
+    public void append(final String kind, final ObjectNode what) {
         if (waiting.get() >= WAITING_MAX) {
             dropped.incrementAndGet();
             return;
@@ -191,7 +191,7 @@
             }
         }
         final long at = file.size();
-        final String line = chain.add(kind, what);
+        final String line = chain.append(kind, what);
         try {
             put(line);
         } catch (final IOException e) {
--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -32,16 +32,16 @@
     /** Records a usage window once its report is stored here as sent. */
     void onRegisterStored(final String key, final Register register) {
         if (register.value() != null && SealedWindow.windowOf(key) >= 0) {
-            auditor.window(MessageCodec.record(register.value(), SealedWindow.class));
+            auditor.recordWindow(MessageCodec.record(register.value(), SealedWindow.class));
         }
     }
 
     /** Records what was decided since the last tick; entries carry the fleet's time, so it must be known. */
     void onTick() {
         if (context.fleet.settled()) {
-            auditor.table(proposer.voterSet());
-            auditor.configuration();
-            auditor.lease(leaseManager.seen());
+            auditor.recordVoters(proposer.voterSet());
+            auditor.recordConfiguration();
+            auditor.recordLease(leaseManager.seen());
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
+++ b/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
@@ -32,31 +32,32 @@
 
     /** Registers the calls that any node answers. */
     void registerReads(final CallRegistry calls) {
-        calls.on("policy.get", (params, done) -> getConfiguration(done));
+        calls.register("policy.get", (params, done) -> getConfiguration(done));
     }
 
     /** Registers the calls that only a core answers. */
     void registerWrites(final CallRegistry calls) {
-        calls.on(
+        calls.register(
                 "policy.put",
                 (params, done) -> change(params, write(ConfigurationChange.Kind.PUT, params.get("policy")), done));
-        calls.on(
+        calls.register(
                 "policy.patch",
                 (params, done) -> change(params, write(ConfigurationChange.Kind.PATCH, params.get("patch")), done));
-        calls.on("key.add", (params, done) -> {
+        calls.register("key.add", (params, done) -> {
             final ObjectNode key = ConfigurationStore.JSON
                     .createObjectNode()
                     .put("sha256", KeyHash.of(params.get("key").asText()));
             changeKey(params, key, done);
         });
-        calls.on("key.withdraw", (params, done) -> changeKey(params, ConfigurationStore.JSON.nullNode(), done));
-        calls.on("hold.set", (params, done) -> {
+        calls.register("key.withdraw", (params, done) -> changeKey(params, ConfigurationStore.JSON.nullNode(), done));
+        calls.register("hold.set", (params, done) -> {
             final ObjectNode evacuation = ConfigurationStore.JSON
                     .createObjectNode()
                     .put("reason", params.path("reason").asText(""));
             changeEvacuation(params, evacuation, done);
         });
-        calls.on("hold.clear", (params, done) -> changeEvacuation(params, ConfigurationStore.JSON.nullNode(), done));
+        calls.register(
+                "hold.clear", (params, done) -> changeEvacuation(params, ConfigurationStore.JSON.nullNode(), done));
     }
 
     /** Answers with a configuration that was proved newest after the call was received. */
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -55,7 +55,7 @@
 
     /** Registers the call, which any node answers. */
     void register(final CallRegistry calls) {
-        calls.on("where", this::locateEdges);
+        calls.register("where", this::locateEdges);
     }
 
     private void locateEdges(final JsonNode params, final Consumer<Reply> done) {
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -120,7 +120,7 @@
 
     /** Runs a call of the schema file; {@code done} receives the reply, perhaps before this method returns. */
     public void call(final String method, final JsonNode params, final Consumer<Reply> done) {
-        components.calls.run(method, params, done);
+        components.calls.call(method, params, done);
     }
 
     /**
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -89,7 +89,7 @@
 
     private ConfigurationFormat nativeFormat(final Settings settings) {
         return new NativeConfigurationFormat(new ConfigurationValidator(
-                calls.file().at("/$defs/policy"),
+                calls.schema().at("/$defs/policy"),
                 settings.regions(),
                 settings.zones().keySet()));
     }
--- a/spokestall/src/main/java/spokestall/node/RecordCalls.java
+++ b/spokestall/src/main/java/spokestall/node/RecordCalls.java
@@ -33,12 +33,12 @@
 
     /** Registers the call that any node answers. */
     void registerUsage(final CallRegistry calls) {
-        calls.on("usage.get", this::getUsage);
+        calls.register("usage.get", this::getUsage);
     }
 
     /** Registers the call that only a core answers. */
     void registerAudit(final CallRegistry calls) {
-        calls.on("audit.get", this::getAudit);
+        calls.register("audit.get", this::getAudit);
     }
 
     private void getUsage(final JsonNode params, final Consumer<Reply> done) {
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -63,8 +63,8 @@
 
     /** Registers both calls, which any node answers. */
     void register(final CallRegistry calls) {
-        calls.on("status", (params, done) -> done.accept(Reply.of(ResultCode.OK, status())));
-        calls.on("upstreams", (params, done) -> done.accept(Reply.of(ResultCode.OK, upstreams())));
+        calls.register("status", (params, done) -> done.accept(Reply.of(ResultCode.OK, status())));
+        calls.register("upstreams", (params, done) -> done.accept(Reply.of(ResultCode.OK, upstreams())));
     }
 
     /** Marks an answer as this node's own view: by which version, how old its proof is, and whether that still counts. */
--- a/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
+++ b/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
@@ -20,7 +20,7 @@
     private static String reply(final String method, final String params) {
         final List<String> replies = new ArrayList<>();
         new CallRegistry()
-                .run(
+                .call(
                         method,
                         GoldenFile.parsed(params),
                         reply -> replies.add(reply.json().toString()));
@@ -50,7 +50,7 @@
     void everyCallHasItsNameAndParameters() {
         final List<String> found = new ArrayList<>();
         new CallRegistry()
-                .file()
+                .schema()
                 .path("methods")
                 .fields()
                 .forEachRemaining(method ->
@@ -60,7 +60,7 @@
 
     @Test
     void theSchemaFileSaysWhichSchemaItIsOf() {
-        final JsonNode file = new CallRegistry().file();
+        final JsonNode file = new CallRegistry().schema();
         final List<String> parts = new ArrayList<>();
         file.fieldNames().forEachRemaining(parts::add);
         assertThat(parts).containsExactly("$schema", "title", "methods", "$defs");
@@ -81,8 +81,8 @@
     void parametersThatDoNotFitAreToldByTheirPlaces() {
         final List<String> replies = new ArrayList<>();
         final CallRegistry calls = new CallRegistry();
-        calls.on("usage.get", (params, done) -> done.accept(Reply.of(ResultCode.OK, null)));
-        calls.run(
+        calls.register("usage.get", (params, done) -> done.accept(Reply.of(ResultCode.OK, null)));
+        calls.call(
                 "usage.get",
                 GoldenFile.parsed("{\"window\":-1}"),
                 each -> replies.add(each.json().toString()));
--- a/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
+++ b/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
@@ -13,7 +13,7 @@
 class OperatorArgumentsTest {
     private static final String TO = "127.0.0.1:7200";
     private static final JsonNode METHOD =
-            new CallRegistry().file().path("methods").path("policy.patch");
+            new CallRegistry().schema().path("methods").path("policy.patch");
 
     private static OperatorArguments parse(final String... args) {
         final String[] all = new String[args.length + 1];
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
@@ -14,7 +14,7 @@
 /** The configuration as operators write it: each of its fields, what it means, and how troubles in it are told. */
 class ConfigurationFormatTest {
     private static final ConfigurationValidator RULES = new ConfigurationValidator(
-            new CallRegistry().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1", "d2"));
+            new CallRegistry().schema().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1", "d2"));
     private static final NativeConfigurationFormat FORM = new NativeConfigurationFormat(RULES);
     private static final String KEY_HASH = "8ae87d5cf3a5c7a0dc57ccb0d7ca2e4ee7ac7a24d6fdbc2b3f2ce0dfdfab5ed1";
 
--- a/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
+++ b/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
@@ -26,7 +26,7 @@
 
     private static void fill(final AuditFiles audit, final int from, final int until) {
         for (int i = from; i < until; i++) {
-            audit.message("policy", JSON.createObjectNode().put("version", i));
+            audit.append("policy", JSON.createObjectNode().put("version", i));
         }
     }
 
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -175,11 +175,11 @@
     static void tell(final AuditSink audit) {
         final LongSupplier fleetMs = () -> 5_000;
         final Auditor auditor = new Auditor(audit, configurationStore(), fleetMs);
-        auditor.table(TABLE);
-        auditor.configuration();
-        auditor.lease(LEASE);
-        auditor.window(WINDOW);
-        IntStream.range(0, 3).forEach(i -> audit.message("sample", numbered(i)));
+        auditor.recordVoters(TABLE);
+        auditor.recordConfiguration();
+        auditor.recordLease(LEASE);
+        auditor.recordWindow(WINDOW);
+        IntStream.range(0, 3).forEach(i -> audit.append("sample", numbered(i)));
     }
 
     private static ObjectNode numbered(final int number) {
--- a/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
+++ b/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
@@ -20,7 +20,7 @@
 
     static int run() {
         final ConfigurationValidator rules = new ConfigurationValidator(
-                new CallRegistry().file().at("/$defs/policy"),
+                new CallRegistry().schema().at("/$defs/policy"),
                 Set.of("r1", "r2", "r3"),
                 Set.of("d1", "d2", "d3", "d4", "d5", "d6"));
         double first = 0;
