--- a/spokestall/src/main/java/spokestall/node/EdgeStatus.java
+++ b/spokestall/src/main/java/spokestall/node/EdgeStatus.java
@@ -17,10 +17,10 @@
 
     @Override
     public void describe(final ObjectNode status) {
-        status.put("open", admissionController.open()).put("heldBytes", admissionController.heldBytes());
+        status.put("open", admissionController.requestsInFlight()).put("heldBytes", admissionController.heldBytes());
         final ObjectNode results = status.putObject("told");
         admissionController
-                .told()
+                .resultCounts()
                 .forEach((result, count) -> results.put(result.number() + " " + result.name(), count));
     }
 
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -100,7 +100,7 @@
     /** Applies the node's newer settings. */
     void applySettings() {
         loadBalancer.timing(context.timings().loadBalancer(peerDirectory::sharingEdges));
-        admissionController.timing(context.timings().proxy());
+        admissionController.limits(context.timings().proxy());
     }
 
     /** Sends counts that are due. */
@@ -143,7 +143,7 @@
 
     /** Returns the number of clients' requests in flight. */
     int openRequests() {
-        return admissionController.open();
+        return admissionController.requestsInFlight();
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -10,8 +10,8 @@
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
-import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
 import spokestall.usage.UsageCounter;
@@ -158,8 +158,8 @@
                 settings.number("regionCost"));
     }
 
-    AdmissionController.Timing proxy() {
-        return new AdmissionController.Timing(
+    ProxyLimits proxy() {
+        return new ProxyLimits(
                 (int) settings.ms("askOpenMax"),
                 settings.ms("heldMaxBytes"),
                 settings.ms("claimKeepMs"),
