--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -24,7 +24,7 @@
 
     /** The key of the mark that this disk took part in a bootstrap, among the acceptor's local records. */
     static final String BOOTSTRAP_ACCEPTOR = "~council";
-    /** The ratio of {@code claimKeepMs} for which a claim is kept beyond it, so that no two cores' clocks differ over it. */
+    /** The ratio of {@code claimKeepMs} for which a claim is kept beyond it, against clocks that differ. */
     private static final double CLAIM_MARGIN_RATIO = 0.2;
 
     private final NodeContext context;
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -29,6 +29,31 @@
     /** The version of messages since which a response may omit what the requester has. */
     private static final int OMISSIONS_SINCE = 3;
 
+    /** How many members a gossip message names at most. */
+    private static final int GOSSIP_SAMPLE = 6;
+    /** How many attempts a proposal has at most. */
+    private static final int PROPOSAL_ATTEMPTS = 64;
+    /** How many requests for a proof of freshness may be open at once. */
+    private static final int OPEN_FRESHNESS_REQUESTS = 32;
+    /** Every so many requests for updates one goes to a core that is not the nearest. */
+    private static final int CORE_ROVE_REQUESTS = 8;
+
+    private static final int EDGE_ROVE_REQUESTS = 64;
+    /** After how many failed health checks in a row an upstream is down. */
+    private static final int FAILED_CHECKS = 2;
+    /** How many cores check each upstream. */
+    private static final int CHECKING_CORES = 2;
+
+    private static final int USAGE_WINDOWS_KEPT = 3;
+    /** How many attempts a client's request has at most. */
+    private static final int REQUEST_ATTEMPTS = 3;
+    /** The ratio of the setting {@code retryShare} that is used. */
+    private static final double RETRY_SHARE_RATIO = 0.9;
+
+    private static final long SHUTDOWN_CHECK_MS = 20;
+    private static final long SHUTDOWN_WRITE_MS = 50;
+    private static final int MILLIS_PER_SECOND = 1000;
+
     private final Settings settings;
     private final boolean core;
 
@@ -51,7 +76,7 @@
 
     /** Returns the length of a usage window, whose counts are reported together. */
     long windowMs() {
-        return settings.ms("reportWindowS") * 1000;
+        return settings.ms("reportWindowS") * MILLIS_PER_SECOND;
     }
 
     /** Returns for how long a change to the configuration may take before it is answered. */
@@ -59,33 +84,38 @@
         return settings.part("policyBoundMs", 0.8);
     }
 
+    /** Returns the parameters of the partial view: sizes, and after which time a silent member is removed. */
     PartialView.Timing view() {
         return new PartialView.Timing(
                 2 * (countOrBound("cores") + countOrBound("edges")),
-                6,
+                GOSSIP_SAMPLE,
                 settings.part("leaveBoundMs", 4),
                 settings.part("leaveBoundMs", 1));
     }
 
+    /** Returns the parameters of proposals; a round waits for some round trips between the farthest nodes. */
     Proposer.Timing proposer() {
         final long farMs = settings.ms("farMs");
-        return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), 64);
+        return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), PROPOSAL_ATTEMPTS);
     }
 
+    /** Returns the parameters of the configuration feed. */
     FeedClient.Timing feedClient() {
         return new FeedClient.Timing(
                 settings.ms("freshMs"),
-                32,
+                OPEN_FRESHNESS_REQUESTS,
                 3 * settings.ms("proofMs"),
-                core ? 8 : 64,
+                core ? CORE_ROVE_REQUESTS : EDGE_ROVE_REQUESTS,
                 settings.ms("noteVersion") < OMISSIONS_SINCE);
     }
 
+    /** Returns the parameters of the fleet's first start. */
     BootstrapProposer.Timing bootstrapProposer() {
         return new BootstrapProposer.Timing(
                 settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
     }
 
+    /** Returns the parameters of changes of the voters. */
     MembershipCoordinator.Timing membershipCoordinator() {
         return new MembershipCoordinator.Timing(
                 (int) settings.ms("cores"),
@@ -99,31 +129,35 @@
                 settings.part("leaveBoundMs", 8));
     }
 
+    /** Returns the parameters of the handover of a core that shuts down. */
     GracefulHandover.Timing handover() {
         return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
+    /** Returns the parameters of health checks and the reading of the endpoint list. */
     HealthChecker.Timing prober() {
         return new HealthChecker.Timing(
                 settings.part("leaveBoundMs", 0.25),
                 settings.part("leaveBoundMs", 0.5),
-                2,
-                2,
+                FAILED_CHECKS,
+                CHECKING_CORES,
                 settings.ms("listMs"),
                 settings.part("leaveBoundMs", 0.25),
                 settings.ms("probes") == 1);
     }
 
+    /** Returns the parameters of the counting of requests. */
     UsageCounter.Timing usageCounter() {
         return new UsageCounter.Timing(
                 windowMs(),
                 settings.part("reportDueMs", 0.1),
-                3,
+                USAGE_WINDOWS_KEPT,
                 settings.ms("uncountedMs"),
                 (int) settings.ms("cores"),
                 settings.ms("farMs") / 2);
     }
 
+    /** Returns the parameters of the usage report, as ratios of the time by which it is due. */
     UsageReporter.Timing reporter() {
         return new UsageReporter.Timing(
                 windowMs(),
@@ -136,6 +170,7 @@
                 settings.number("dutiesPerS"));
     }
 
+    /** Returns the parameters of the usage report's lease. */
     LeaseManager.Timing lease() {
         return new LeaseManager.Timing(
                 settings.ms("leaseMs"),
@@ -147,6 +182,7 @@
                 settings.ms("restMs"));
     }
 
+    /** Returns the parameters of the load balancer; shared bounds are divided by the number of edges. */
     LoadBalancer.Timing loadBalancer(final IntSupplier sharingEdges) {
         return new LoadBalancer.Timing(
                 sharingEdges,
@@ -158,6 +194,7 @@
                 settings.number("regionCost"));
     }
 
+    /** Returns the parameters of the admission and execution of clients' requests. */
     ProxyLimits proxy() {
         return new ProxyLimits(
                 (int) settings.ms("askOpenMax"),
@@ -166,8 +203,8 @@
                 20 * settings.ms("farMs"),
                 4 * settings.ms("farMs"),
                 settings.ms("retryAfterMs"),
-                3,
-                settings.number("retryShare") * 0.9,
+                REQUEST_ATTEMPTS,
+                settings.number("retryShare") * RETRY_SHARE_RATIO,
                 settings.number("retryAllowance"),
                 settings.ms("askSpanMaxMs"),
                 settings.part("claimKeepMs", 0.01),
@@ -180,13 +217,14 @@
                         settings.ms("any500") == 1));
     }
 
+    /** Returns the parameters of the graceful shutdown, as ratios of the longest time that it may take. */
     GracefulShutdown.Timing gracefulShutdown() {
         return new GracefulShutdown.Timing(
                 settings.part("stopWaitMs", 0.2),
                 settings.part("stopWaitMs", 0.75),
                 settings.part("stopWaitMs", 0.9),
                 settings.ms("stopWaitMs"),
-                20,
-                50);
+                SHUTDOWN_CHECK_MS,
+                SHUTDOWN_WRITE_MS);
     }
 }
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -188,7 +188,7 @@
     @Test
     void theAuditIsWrittenNowWithTheSameEntries(@TempDir final Path fresh) throws Exception {
         final List<String> before = entries(auditLines());
-        SampleCore.tell(AuditFiles.open(fresh.resolve("audit"), "d1-core", 8, 1 << 20, Runnable::run));
+        SampleCore.recordAudit(AuditFiles.open(fresh.resolve("audit"), "d1-core", 8, 1 << 20, Runnable::run));
         final List<String> now =
                 Files.readAllLines(AuditFiles.files(fresh.resolve("audit")).get(0));
         assertThat(entries(now)).isEqualTo(before);
--- a/spokestall/src/test/java/spokestall/node/NumberedMessages.java
+++ b/spokestall/src/test/java/spokestall/node/NumberedMessages.java
@@ -1,10 +1,10 @@
 package spokestall.node;
 
-/** Lets tests of other packages give the messages their numbers without starting a node. */
+/** Registers the messages' numbers for tests of other packages, without a node. */
 public final class NumberedMessages {
     private NumberedMessages() {}
 
-    /** Example: {@code NumberedMessages.register(); Codec.message(frame);} */
+    /** Registers all numbers with the codec. */
     public static void register() {
         MessageNumbers.register();
     }
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -172,7 +172,7 @@
     }
 
     /** Has everything that was decided written down, and some entries more, so that it takes two files. */
-    static void tell(final AuditSink audit) {
+    static void recordAudit(final AuditSink audit) {
         final LongSupplier fleetMs = () -> 5_000;
         final Auditor auditor = new Auditor(audit, configurationStore(), fleetMs);
         auditor.recordVoters(TABLE);
