--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -100,8 +100,8 @@
 
     /** The lease as the store has it, or null. */
     public void lease(final Lease seen) {
-        if (seen != null && seen.token() > token) {
-            token = seen.token();
+        if (seen != null && seen.fencingToken() > token) {
+            token = seen.fencingToken();
             audit.message("lease", entry().put("holder", seen.holder()).put("token", token));
         }
     }
@@ -109,7 +109,7 @@
     /** A window whose report was marked as sent, so its counts were decided. */
     public void window(final SealedWindow sealed) {
         if (sealed.completed() && windows.add(sealed.window())) {
-            final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.token());
+            final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.fencingToken());
             new TreeMap<>(sealed.counts()).forEach(entry.putObject("counts")::put);
             audit.message("window", entry);
             if (windows.size() > WINDOWS_KEPT) {
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -1,417 +1,333 @@
 package spokestall.lease;
 
 import com.google.common.flogger.FluentLogger;
-import java.util.Random;
-import java.util.function.Supplier;
+import java.util.EnumSet;
+import java.util.Optional;
+import java.util.Set;
 import java.util.function.UnaryOperator;
 import spokestall.consensus.ProposalOutcome;
 import spokestall.consensus.Proposer;
 import spokestall.consensus.Register;
 import spokestall.consensus.RegisterEdit;
-import spokestall.consensus.Voter;
 import spokestall.message.MessageCodec;
 import spokestall.time.Clock;
 
 /**
- * Acquires, renews and releases the lease of one duty. With no clock in common, a rival takes an expired lease only
- * after it saw the same owner and renewal unchanged for the whole span and a margin on its own monotonic clock.
+ * Acquires, renews and releases the lease of one singleton role.
+ *
+ * <p>The lease is the value of a register, changed by consensus only: an acquisition, a renewal and a release each compare the
+ * owner that they know with the register's and set it in the same change.
+ *
+ * <ul>
+ *   <li><b>No common clock.</b> A register does not expire by itself. A rival acquires a lease only after it saw the same owner and
+ *       renewal unchanged for the lease's span and a margin on its own monotonic clock, and only if the store still names that
+ *       owner and renewal when it acquires. No lease at all is watched as long. The holder's deadline counts from before it
+ *       requested the change and ends a margin earlier, so it has passed by then.
+ *   <li><b>Stored before valid.</b> A session begins only once a majority has stored its owner value, and only if the answer came
+ *       within the store's wait. After a late or unknown outcome nothing is done under that owner value.
+ *   <li><b>Never revived.</b> A renewal that failed, came late or whose outcome is unknown ends the session for good.
+ *   <li><b>Fencing.</b> Each acquisition stores a token above the register's own and above the first number of the voter set's
+ *       generation, in the same change as the owner; so tokens rise with each acquisition, also when the register was lost.
+ *   <li><b>Release.</b> It is written only while no call made under the session may still arrive; otherwise the lease is left to
+ *       expire.
+ * </ul>
+ *
+ * <p>Not thread-safe; all calls on the node's event loop, and so are the calls to the {@link LeasedTask}.
  */
 public final class LeaseManager {
-    /** Explicit states. */
+    /** What the manager is doing. The names are part of the operators' status reply. */
     public enum State {
+        /** Observing the lease of a rival, or that there is none. */
         WATCHING,
+        /** The change that acquires the lease was requested and its outcome is not known. */
         ACQUIRING,
+        /** A session of this node is under way. */
         HOLDING,
+        /** The session was cancelled; the change that releases its lease may be under way. */
         RELEASING,
-        STOPPED
-    }
-
-    /** Spans, from the settings. A node does not acquire the lease from another holder until restMs after it ceased to hold it
-     * itself: where the order of holders is looked at within a span, a holder that comes back in between would seem to act
-     * beside the one that followed it. */
-    public record Timing(
-            long leaseMs, long renewMs, long storeWaitMs, long marginMs, long turnMs, long maxRunMs, long restMs) {}
-
-    /** Told when an execution begins; it ends by itself when it may no longer work. */
-    public interface Work {
-        /** Example: {@code work.begin(execution)} */
-        void begin(LeaseSession execution);
-
-        /** Whether no call made under an ended execution may still arrive. Only then may a new execution follow without waiting
-         * for the lease to expire. Work that makes no calls is always idle. */
-        default boolean idle() {
-            return true;
+        /** The role was given up for good. */
+        STOPPED;
+
+        private Set<State> next() {
+            return switch (this) {
+                case WATCHING -> EnumSet.of(ACQUIRING, STOPPED);
+                case ACQUIRING -> EnumSet.of(HOLDING, WATCHING, STOPPED);
+                case HOLDING -> EnumSet.of(RELEASING);
+                case RELEASING -> EnumSet.of(WATCHING, STOPPED);
+                // The outcome of an acquisition that was under way at the stop still arrives, and stop may be called
+                // again.
+                case STOPPED -> EnumSet.of(HOLDING, WATCHING, STOPPED);
+            };
         }
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private final String duty;
-    private final String name;
+    private final LeaseContext context;
+    private final String key;
     private final Proposer proposer;
     private final Clock clock;
-    private final Random random;
-    private final Timing timing;
-    private final Work work;
-    private final Supplier<Register> own;
+    private final LeaseTimeouts timeouts;
+    private final LeasedTask task;
+    private final LeaseReplica replica;
+    private final LeaseWatch watch;
+    private final AcquisitionRule rule;
     private State state = State.WATCHING;
-    private Lease seen;
-    private long seenMs;
-    private boolean looked;
-    private Lease copied;
-    private boolean glanced;
-    private boolean strange;
-    private boolean reading;
-    private boolean renewing;
-    private long renewAskedMs;
-    private LeaseSession execution;
-    /** When this node last may have acted as the holder: an earlier life of it until this one was made. */
-    private long ceasedMs;
-
-    /** The owner value of the last execution that ended in this life, or null. */
-    private String endedOwner;
+    private boolean readInFlight;
+    private boolean renewalInFlight;
+    private long renewalRequestedMs;
+    private LeaseSession session;
+    private Runnable onStopped;
 
-    /** Example: {@code new LeaseManager("usage_report", "d1-core", proposer, clock, random, timing, reporter)} */
-    public LeaseManager(
-            final String duty,
-            final String name,
-            final Proposer proposer,
-            final Clock clock,
-            final Random random,
-            final Timing timing,
-            final Work work) {
-        this(duty, name, proposer, clock, random, timing, work, () -> null);
-    }
-
-    /** One that votes looks at its own copy of the register first; without one it looks at the store on each beat.
-     * Example: see {@code Node}; {@code own} gives null when there is no copy to go by. */
+    /**
+     * Creates a manager that watches the lease.
+     *
+     * @param replica this node's copy of the register, or {@link LeaseReplica#NONE}
+     */
     public LeaseManager(
-            final String duty,
-            final String name,
-            final Proposer proposer,
-            final Clock clock,
-            final Random random,
-            final Timing timing,
-            final Work work,
-            final Supplier<Register> own) {
-        this.own = own;
-        this.duty = duty;
-        this.name = name;
-        this.proposer = proposer;
-        this.clock = clock;
-        this.random = random;
-        this.timing = timing;
-        this.work = work;
-        this.ceasedMs = clock.nowMs();
+            final LeaseContext context,
+            final LeaseTimeouts timeouts,
+            final LeasedTask task,
+            final LeaseReplica replica) {
+        this.context = context;
+        this.key = Lease.key(context.role());
+        this.proposer = context.proposer();
+        this.clock = context.clock();
+        this.timeouts = timeouts;
+        this.task = task;
+        this.replica = replica;
+        this.watch = new LeaseWatch(context.clock());
+        this.rule = new AcquisitionRule(context, timeouts, task);
     }
 
-    /** Example: {@code leaseManager.state() == LeaseManager.State.HOLDING} */
+    /** What the manager is doing now. */
     public State state() {
         return state;
     }
 
-    /** The lease as last seen in the store, or null. */
-    public Lease seen() {
-        return seen;
+    /** The lease as last observed in the store, or null. */
+    public Lease observedLease() {
+        return watch.observed();
     }
 
-    /** The execution under way, or null. */
-    public LeaseSession execution() {
-        return execution;
+    /** The session under way, or the one that is being released; else null. */
+    public LeaseSession session() {
+        return session;
     }
 
-    private void change(final State to, final String why) {
+    /** Observes the lease while watching; checks and renews the session while holding. */
+    public void onTick() {
+        switch (state) {
+            case WATCHING -> observe();
+            case HOLDING -> keep();
+            case ACQUIRING, RELEASING, STOPPED -> {}
+        }
+    }
+
+    /**
+     * Gives the role up for good. A session is cancelled at once and its lease released if that is possible.
+     *
+     * @param done runs once the release has ended, or at once if there is nothing to release
+     */
+    public void stop(final Runnable done) {
+        onStopped = done;
+        if (state == State.HOLDING) {
+            release("stop");
+        } else if (state != State.RELEASING) {
+            transition(State.STOPPED, "stop");
+            done.run();
+        }
+    }
+
+    private void transition(final State to, final String reason) {
+        assert state.next().contains(to) : "lease of " + context.role() + " from " + state + " to " + to;
         LOG.atInfo().log(
-                "event=lease node=%s duty=%s from=%s to=%s why=%s executionId=%s token=%s",
-                name,
-                duty,
+                "event=lease_state_changed node=%s role=%s from=%s to=%s reason=%s sessionId=%s fencingToken=%s",
+                context.node(),
+                context.role(),
                 state,
                 to,
-                why,
-                execution == null ? "none" : execution.executionId(),
-                execution == null ? 0 : execution.token());
+                reason,
+                session == null ? "none" : session.sessionId(),
+                session == null ? 0 : session.fencingToken());
         state = to;
     }
 
-    /** One beat. */
-    public void tick() {
-        switch (state) {
-            case WATCHING -> watch();
-            case HOLDING -> hold();
-            default -> {}
-        }
-    }
-
-    private void watch() {
-        if (reading || proposer.voterSet() == null) {
+    private void observe() {
+        if (readInFlight || proposer.voterSet() == null) {
             return;
         }
-        final Register copy = own.get();
+        final Register copy = replica.current();
         if (copy != null) {
-            glance(copy.value() == null ? null : MessageCodec.record(copy.value(), Lease.class));
+            watch.onReplica(lease(copy.value()));
         }
-        if (copy != null && looked && !strange && !due()) {
+        if (copy != null && !watch.needsStoreRead() && !rule.mayAcquire(watch)) {
             return;
         }
-        reading = true;
-        proposer.read(Lease.key(duty), timing.storeWaitMs(), outcome -> {
-            reading = false;
-            if (state == State.WATCHING && outcome instanceof ProposalOutcome.Done done) {
-                strange = false;
-                looked(done.value() == null ? null : MessageCodec.record(done.value(), Lease.class));
-            }
-        });
-    }
-
-    /** A copy may be behind the store or ahead of it. A later word of the owner that the store named begins the watch
-     * anew; any other change is for the store to tell. */
-    private void glance(final Lease now) {
-        if (glanced && same(now, copied)) {
-            return;
-        }
-        glanced = true;
-        copied = now;
-        if (!looked || now == null || seen == null || !now.owner().equals(seen.owner())) {
-            strange = !looked || !same(now, seen);
-        } else if (now.renewal() > seen.renewal() || now.released() && !seen.released()) {
-            seen = now;
-            seenMs = clock.nowMs();
-        }
-    }
-
-    private static boolean same(final Lease one, final Lease other) {
-        return one == null
-                ? other == null
-                : other != null
-                        && one.owner().equals(other.owner())
-                        && one.renewal() == other.renewal()
-                        && one.released() == other.released();
-    }
-
-    /** What the store says. Only what was unchanged there too is taken. */
-    private void looked(final Lease now) {
-        if (!looked || !same(now, seen)) {
-            seen = now;
-            seenMs = clock.nowMs();
-            looked = true;
-        }
-        if (due()) {
-            acquire();
-        }
+        readInFlight = true;
+        proposer.read(key, timeouts.storeWaitMs(), this::onRead);
     }
 
-    /** Whether the lease as seen may be acquired by this node now. */
-    private boolean due() {
-        if (ownEarlier(seen)) {
-            return true;
+    private void onRead(final ProposalOutcome outcome) {
+        readInFlight = false;
+        if (state == State.WATCHING && outcome instanceof ProposalOutcome.Done done) {
+            watch.onStoreRead(lease(done.value()));
+            if (rule.mayAcquire(watch)) {
+                acquire();
+            }
         }
-        final long nowMs = clock.nowMs();
-        return nowMs - ceasedMs >= timing.restMs() && nowMs - seenMs >= freeAfterMs(seen) + turnMs(seen);
     }
 
-    /**
-     * Whether the lease names this node as the holder by an acquisition whose outcome was unclear, or by an earlier life. Nothing
-     * is done under it and nobody else acquired it since, so its expiry need not be waited for. An execution that has ended in
-     * this life is left to others. Of a lease that an older generation allotted, a later change may have been lost.
-     */
-    private boolean ownEarlier(final Lease now) {
-        return now != null
-                && now.holder().equals(name)
-                && !now.owner().equals(endedOwner)
-                && now.token() >= proposer.voterSet().firstNumber()
-                && work.idle();
+    private void acquire() {
+        final long requestedMs = clock.nowMs();
+        final Lease expired = watch.observed();
+        final String owner =
+                context.node() + "/" + Long.toHexString(context.random().nextLong());
+        final String sessionId = Long.toHexString(context.random().nextLong());
+        session = null;
+        transition(State.ACQUIRING, whyFree(expired));
+        proposer.change(
+                key,
+                timeouts.storeWaitMs(),
+                value -> acquisition(value, owner, expired),
+                outcome -> onAcquired(outcome, owner, sessionId, requestedMs));
     }
 
-    /** How long a lease must be seen unchanged before it is free. A release is only written once nothing can be on its way. */
-    private long freeAfterMs(final Lease now) {
-        if (now != null && now.released()) {
-            return 0;
+    /** Sets this owner if the lease is free: absent, released, or still the one that was watched until it expired. */
+    private RegisterEdit acquisition(final byte[] value, final String owner, final Lease expired) {
+        final Lease now = lease(value);
+        if (now != null && now.owner().equals(owner)) {
+            return new RegisterEdit.Set(value);
         }
-        // No lease at all may mean that one was lost with its disks while its holder still works.
-        return (now == null ? timing.leaseMs() : Math.max(now.spanMs(), timing.leaseMs())) + timing.marginMs();
-    }
-
-    /**
-     * Rivals that saw the same lease run out come one after another, in an order drawn from the lease itself, so that
-     * the first is done before the next begins; all at once would spend the store's time on each other's proposal numbers.
-     */
-    private long turnMs(final Lease expired) {
-        final String salt = expired == null ? "" : expired.owner() + expired.renewal();
-        int before = 0;
-        for (final Voter voter : proposer.voterSet().voters()) {
-            before += (expired == null || !voter.name().equals(expired.holder()))
-                            && (voter.name() + salt).hashCode() < (name + salt).hashCode()
-                    ? 1
-                    : 0;
+        final boolean asWatched = now != null
+                && expired != null
+                && now.owner().equals(expired.owner())
+                && now.renewal() == expired.renewal();
+        if (now != null && !now.released() && !asWatched) {
+            return RegisterEdit.LEAVE;
         }
-        return before * timing.turnMs();
-    }
-
-    private void acquire() {
-        final long requestedMs = clock.nowMs();
-        final Lease expired = seen;
-        final String owner = name + "/" + Long.toHexString(random.nextLong());
-        final String executionId = Long.toHexString(random.nextLong());
-        execution = null;
-        change(State.ACQUIRING, whyFree(expired));
-        proposer.change(
-                Lease.key(duty),
-                timing.storeWaitMs(),
-                value -> {
-                    final Lease now = value == null ? null : MessageCodec.record(value, Lease.class);
-                    if (now != null && now.owner().equals(owner)) {
-                        return new RegisterEdit.Set(value);
-                    }
-                    final boolean free = now == null
-                            || now.released()
-                            || expired != null
-                                    && now.owner().equals(expired.owner())
-                                    && now.renewal() == expired.renewal();
-                    final long first = proposer.voterSet().firstNumber();
-                    final long token = Math.max(now == null ? 0 : now.token(), first) + 1;
-                    return free
-                            ? new RegisterEdit.Set(
-                                    MessageCodec.bytes(new Lease(owner, name, 0, token, timing.leaseMs(), false)))
-                            : RegisterEdit.LEAVE;
-                },
-                outcome -> acquired(outcome, owner, executionId, requestedMs));
+        final long first = proposer.voterSet().firstNumber();
+        final long fencingToken = Math.max(now == null ? 0 : now.fencingToken(), first) + 1;
+        return new RegisterEdit.Set(
+                MessageCodec.bytes(new Lease(owner, context.node(), 0, fencingToken, timeouts.leaseMs(), false)));
     }
 
     private String whyFree(final Lease expired) {
         if (expired == null) {
-            return "none";
+            return "no_lease";
         }
-        if (expired.holder().equals(name)) {
-            return "own";
+        if (expired.holder().equals(context.node())) {
+            return "own_lease";
         }
         return expired.released() ? "released" : "expired";
     }
 
-    private void acquired(
-            final ProposalOutcome outcome, final String owner, final String executionId, final long requestedMs) {
+    private void onAcquired(
+            final ProposalOutcome outcome, final String owner, final String sessionId, final long requestedMs) {
         final long nowMs = clock.nowMs();
-        seen = null;
-        looked = false;
+        watch.reset();
         if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
-            final Lease now = MessageCodec.record(done.value(), Lease.class);
-            seen = now;
-            seenMs = nowMs;
-            looked = true;
-            if (done.wrote() && now.owner().equals(owner) && nowMs - requestedMs <= timing.storeWaitMs()) {
-                execution = new LeaseSession(
-                        executionId,
+            final Lease now = lease(done.value());
+            watch.restart(now);
+            if (done.wrote() && now.owner().equals(owner) && nowMs - requestedMs <= timeouts.storeWaitMs()) {
+                session = new LeaseSession(
+                        sessionId,
                         owner,
-                        now.token(),
-                        requestedMs + timing.leaseMs() - timing.marginMs(),
-                        requestedMs + timing.maxRunMs());
-                renewAskedMs = nowMs;
-                change(State.HOLDING, "acquired");
-                work.begin(execution);
+                        now.fencingToken(),
+                        timeouts.deadlineMs(requestedMs),
+                        requestedMs + timeouts.maxRunMs());
+                renewalRequestedMs = nowMs;
+                transition(State.HOLDING, "acquired");
+                task.onSessionStarted(session);
                 return;
             }
         }
-        // Denied, late or unclear: nothing is begun. If it took hold all the same, the next look finds it and begins
-        // anew.
-        change(State.WATCHING, outcome instanceof ProposalOutcome.Done ? "denied" : "unclear");
+        // Rejected, late or unknown: no session begins. If it was stored all the same, the next read finds it and
+        // the watch begins again from there.
+        transition(State.WATCHING, outcome instanceof ProposalOutcome.Done ? "not_acquired" : "outcome_unknown");
     }
 
-    private void hold() {
+    /** Renews the session in time, or ends it once it is no longer valid. */
+    private void keep() {
         final long nowMs = clock.nowMs();
-        final String why = execution.why(nowMs);
-        if (why != null) {
-            release(why);
-        } else if (!renewing && nowMs - renewAskedMs >= timing.renewMs()) {
-            renew(execution);
+        final Optional<LeaseSession.EndReason> endReason = session.endReason(nowMs);
+        if (endReason.isPresent()) {
+            release(endReason.get().name());
+        } else if (!renewalInFlight && nowMs - renewalRequestedMs >= timeouts.renewMs()) {
+            renew(session);
         }
     }
 
-    /** Compares and sets: the lease is changed only while it is this execution's and not released. */
-    private static RegisterEdit ifOwned(final byte[] value, final LeaseSession mine, final UnaryOperator<Lease> next) {
-        final Lease now = value == null ? null : MessageCodec.record(value, Lease.class);
-        final boolean own = now != null && now.owner().equals(mine.owner()) && !now.released();
-        return own ? new RegisterEdit.Set(MessageCodec.bytes(next.apply(now))) : RegisterEdit.LEAVE;
-    }
-
-    private void renew(final LeaseSession mine) {
-        renewing = true;
+    private void renew(final LeaseSession renewed) {
+        renewalInFlight = true;
         final long requestedMs = clock.nowMs();
-        renewAskedMs = requestedMs;
+        renewalRequestedMs = requestedMs;
         proposer.change(
-                Lease.key(duty),
-                timing.storeWaitMs(),
-                value -> ifOwned(
-                        value,
-                        mine,
-                        now -> new Lease(now.owner(), name, now.renewal() + 1, now.token(), timing.leaseMs(), false)),
-                outcome -> {
-                    renewing = false;
-                    renewed(mine, remainingMs(mine, outcome, requestedMs), requestedMs);
-                });
+                key,
+                timeouts.storeWaitMs(),
+                value -> ifOwned(value, renewed, now -> now.renewed(timeouts.leaseMs())),
+                outcome -> onRenewed(renewed, outcome, requestedMs));
     }
 
-    /** The milliseconds a renewal gained; zero is not renewed. */
-    private long remainingMs(final LeaseSession mine, final ProposalOutcome outcome, final long requestedMs) {
-        final long nowMs = clock.nowMs();
-        final boolean good = outcome instanceof ProposalOutcome.Done done
-                && done.wrote()
-                && MessageCodec.record(done.value(), Lease.class).owner().equals(mine.owner());
-        final boolean timely = nowMs - requestedMs <= timing.storeWaitMs() && mine.mayWork(nowMs);
-        return good && timely ? Math.max(0, requestedMs + timing.leaseMs() - timing.marginMs() - nowMs) : 0;
-    }
-
-    private void renewed(final LeaseSession mine, final long remainingMs, final long requestedMs) {
-        if (mine != execution || state != State.HOLDING) {
+    private void onRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
+        renewalInFlight = false;
+        final boolean extended = isRenewed(renewed, outcome, requestedMs);
+        if (renewed != session || state != State.HOLDING) {
             return;
         }
-        if (remainingMs > 0) {
-            mine.renewed(requestedMs + timing.leaseMs() - timing.marginMs());
-            return;
+        if (extended) {
+            renewed.extend(timeouts.deadlineMs(requestedMs));
+        } else {
+            renewed.markUncertain();
+            release("renewal_failed");
         }
-        mine.doubt();
-        release("renewal");
     }
 
-    /** Ends the execution. The lease is released only if no call of it is under way; else it is left to expire. */
-    private void release(final String why) {
-        final LeaseSession mine = execution;
-        mine.cancel();
-        ceasedMs = clock.nowMs();
-        endedOwner = mine.owner();
-        change(State.RELEASING, why);
-        if (!work.idle()) {
-            ended("calls_open");
+    /** Whether the renewal is stored, its answer came in time, and some of the gained time is left. */
+    private boolean isRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
+        final long nowMs = clock.nowMs();
+        final boolean stored = outcome instanceof ProposalOutcome.Done done
+                && done.wrote()
+                && lease(done.value()).owner().equals(renewed.owner());
+        final boolean timely = nowMs - requestedMs <= timeouts.storeWaitMs() && renewed.isValid(nowMs);
+        return stored && timely && timeouts.deadlineMs(requestedMs) > nowMs;
+    }
+
+    /** Ends the session. Its lease is released only if no call of the task may still arrive, else left to expire. */
+    private void release(final String reason) {
+        final LeaseSession ended = session;
+        ended.cancel();
+        rule.onSessionEnded(ended);
+        transition(State.RELEASING, reason);
+        if (!task.isQuiescent()) {
+            onReleaseEnded("calls_in_flight");
             return;
         }
         proposer.change(
-                Lease.key(duty),
-                timing.storeWaitMs(),
-                value -> ifOwned(
-                        value,
-                        mine,
-                        now -> new Lease(now.owner(), now.holder(), now.renewal(), now.token(), now.spanMs(), true)),
-                outcome -> ended(outcome instanceof ProposalOutcome.Done ? "released" : "unclear"));
+                key,
+                timeouts.storeWaitMs(),
+                value -> ifOwned(value, ended, Lease::release),
+                outcome -> onReleaseEnded(outcome instanceof ProposalOutcome.Done ? "released" : "outcome_unknown"));
     }
 
-    private void ended(final String why) {
-        seen = null;
-        looked = false;
-        final boolean stopping = stopped != null;
-        change(stopping ? State.STOPPED : State.WATCHING, why);
-        execution = null;
+    private void onReleaseEnded(final String reason) {
+        watch.reset();
+        final boolean stopping = onStopped != null;
+        transition(stopping ? State.STOPPED : State.WATCHING, reason);
+        session = null;
         if (stopping) {
-            stopped.run();
+            onStopped.run();
         }
     }
 
-    private Runnable stopped;
+    /** Changes the lease only while it is this session's and not released. */
+    private static RegisterEdit ifOwned(
+            final byte[] value, final LeaseSession session, final UnaryOperator<Lease> change) {
+        final Lease now = lease(value);
+        final boolean owned = now != null && now.owner().equals(session.owner()) && !now.released();
+        return owned ? new RegisterEdit.Set(MessageCodec.bytes(change.apply(now))) : RegisterEdit.LEAVE;
+    }
 
-    /** Gives the duty up for good, and tells when that is done. */
-    public void stop(final Runnable done) {
-        stopped = done;
-        if (state == State.HOLDING) {
-            release("stop");
-        } else if (state != State.RELEASING) {
-            change(State.STOPPED, "stop");
-            done.run();
-        }
+    private static Lease lease(final byte[] value) {
+        return value == null ? null : MessageCodec.record(value, Lease.class);
     }
 }
--- a/spokestall/src/main/java/spokestall/lease/package-info.java
+++ b/spokestall/src/main/java/spokestall/lease/package-info.java
@@ -1,15 +1,14 @@
 /**
- * The lease on the usage report, and the report.
+ * The lease on a singleton role.
  *
- * <p>Owns: the lease's life cycle at one core ({@link spokestall.lease.LeaseManager}), the counts of requests that upstreams
- * began ({@link spokestall.usage.UsageCounter} at an edge, {@link spokestall.usage.UsageTable} at a core), and the report of
- * each closed window ({@link spokestall.usage.UsageReporter}).
+ * <p>Owns the lease's state machine at one core ({@link spokestall.lease.LeaseManager}), the session in which the holder may act
+ * ({@link spokestall.lease.LeaseSession}) and the stored record ({@link spokestall.lease.Lease}). docs/lease.md has the design.
  *
- * <p>Invariants: a rival takes a lease only after it saw it unchanged for the whole span and a margin on its own monotonic
- * clock; the holder acts only within its own, shorter view of it. A window's counts are sealed in a write-once register before
- * they are sent, so whoever sends a window sends the same counts. Counts merge by the larger one, so order and repeats of
- * messages don't matter.
+ * <p>Invariants: at most one session is valid at any time; a rival acquires a lease only after it saw it unchanged for the whole
+ * span and a margin on its own monotonic clock; an uncertain session never becomes valid again; fencing tokens rise with each
+ * acquisition.
  *
- * <p>Callers: {@code Node} ticks them and hands them messages; an edge counts through {@code UsageCounter}.
+ * <p>Callers: {@code node.UsageComponent} creates the manager and ticks it on the node's event loop; the work under the lease is a
+ * {@link spokestall.lease.LeasedTask}.
  */
 package spokestall.lease;
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -50,7 +50,7 @@
                 entries.add(entry(
                         key,
                         MessageCodec.bytes(
-                                new Lease(l.owner(), l.holder(), l.renewal(), l.token(), l.spanMs(), false))));
+                                new Lease(l.owner(), l.holder(), l.renewal(), l.fencingToken(), l.spanMs(), false))));
             }
         });
         entries.add(entry(FLOOR, Long.toString(fleet.nowMs()).getBytes(StandardCharsets.UTF_8)));
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -239,7 +239,7 @@
         if (context.fleet.settled()) {
             auditor.table(voterSet());
             auditor.configuration();
-            auditor.lease(duty.leaseManager.seen());
+            auditor.lease(duty.leaseManager.observedLease());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -173,7 +173,7 @@
                                 .createObjectNode()
                                 .put("window", sealed.window())
                                 .put("completed", sealed.completed())
-                                .put("token", sealed.token());
+                                .put("token", sealed.fencingToken());
                         final ObjectNode counts = out.putObject("counts");
                         sealed.counts().forEach(counts::put);
                         done.accept(Reply.of(ResultCode.OK, out));
@@ -274,9 +274,9 @@
                     .put("registers", node.storage.acceptor.registers().size());
             final ObjectNode duty = out.putObject("duty")
                     .put("state", node.duty.leaseManager.state().name());
-            if (node.duty.leaseManager.seen() != null) {
-                duty.put("holder", node.duty.leaseManager.seen().holder())
-                        .put("token", node.duty.leaseManager.seen().token());
+            if (node.duty.leaseManager.observedLease() != null) {
+                duty.put("holder", node.duty.leaseManager.observedLease().holder())
+                        .put("token", node.duty.leaseManager.observedLease().fencingToken());
             }
             final ObjectNode kept = out.putObject("hints");
             node.handoff.hints.sizes().forEach(kept::put);
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -6,7 +6,7 @@
 import spokestall.consensus.VoterSet;
 import spokestall.discovery.HealthChecker;
 import spokestall.gossip.PartialView;
-import spokestall.lease.LeaseManager;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
@@ -123,8 +123,8 @@
                 settings.number("dutiesPerS"));
     }
 
-    LeaseManager.Timing lease() {
-        return new LeaseManager.Timing(
+    LeaseTimeouts lease() {
+        return new LeaseTimeouts(
                 settings.ms("leaseMs"),
                 settings.part("leaseMs", 0.2),
                 settings.part("leaseMs", 0.4),
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -8,6 +8,7 @@
 import spokestall.consensus.Proposer;
 import spokestall.consensus.Register;
 import spokestall.lease.Lease;
+import spokestall.lease.LeaseContext;
 import spokestall.lease.LeaseManager;
 import spokestall.message.MessageCodec;
 import spokestall.usage.UsageMessage;
@@ -16,8 +17,8 @@
 
 /** A core's part in the usage report: the counts of all edges, the lease on reporting them, and the report. */
 final class UsageComponent {
-    private static final String DUTY = "usage_report";
-    static final String LEASE = "duty/" + DUTY;
+    private static final String ROLE = "usage_report";
+    static final String LEASE = Lease.key(ROLE);
     static final String KEPT = "~usage";
     private static final Register NO_LEASE = new Register(ProposalNumber.NONE, ProposalNumber.NONE, null);
     private static final int WINDOWS_KEPT = 16;
@@ -58,14 +59,10 @@
                 this::floorMs,
                 presentIncarnation);
         this.leaseManager = new LeaseManager(
-                DUTY,
-                context.name,
-                proposer,
-                context.clock,
-                context.random,
+                new LeaseContext(ROLE, context.name, proposer, context.clock, context.random),
                 timings.lease(),
                 reporter,
-                this::leaseHere);
+                this::leaseReplica);
     }
 
     /** Reads what this core's disk has from before. */
@@ -82,7 +79,7 @@
         if (key.equals(LEASE) && register.value() != null) {
             tokenSeen = Math.max(
                     tokenSeen,
-                    MessageCodec.record(register.value(), Lease.class).token());
+                    MessageCodec.record(register.value(), Lease.class).fencingToken());
         }
     }
 
@@ -98,7 +95,7 @@
     void tickLease(final boolean leaving) {
         final boolean mayAcquire = acceptor.state() == Acceptor.State.VOTING && !leaving;
         if (context.fleet.settled() && (leaseManager.state() == LeaseManager.State.HOLDING || mayAcquire)) {
-            leaseManager.tick();
+            leaseManager.onTick();
         }
     }
 
@@ -134,7 +131,7 @@
     }
 
     /** This voter's copy of the lease, or null while it doesn't vote. */
-    private Register leaseHere() {
+    private Register leaseReplica() {
         return acceptor.state() != Acceptor.State.VOTING
                 ? null
                 : acceptor.registers().getOrDefault(LEASE, NO_LEASE);
--- a/spokestall/src/main/java/spokestall/usage/SealedWindow.java
+++ b/spokestall/src/main/java/spokestall/usage/SealedWindow.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** A window's counts, written once; later only that they were reported is added. */
-public record SealedWindow(long window, Map<String, Long> counts, String by, long token, boolean completed) {
+public record SealedWindow(long window, Map<String, Long> counts, String by, long fencingToken, boolean completed) {
     /** The register's key. */
     public static String key(final long window) {
         return "usage/" + String.format("%019d", window);
@@ -15,6 +15,6 @@
     }
 
     SealedWindow complete() {
-        return new SealedWindow(window, counts, by, token, true);
+        return new SealedWindow(window, counts, by, fencingToken, true);
     }
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -4,6 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -13,8 +14,8 @@
 import spokestall.consensus.ProposalOutcome;
 import spokestall.consensus.Proposer;
 import spokestall.consensus.RegisterEdit;
-import spokestall.lease.LeaseManager;
 import spokestall.lease.LeaseSession;
+import spokestall.lease.LeasedTask;
 import spokestall.message.MessageCodec;
 import spokestall.message.MessageSender;
 import spokestall.time.Clock;
@@ -25,7 +26,7 @@
  * records that they were sent. Whoever sends a window sends the sealed counts. A window that can't be sent in time is
  * not sent; its sealed counts stay readable.
  */
-public final class UsageReporter implements LeaseManager.Work {
+public final class UsageReporter implements LeasedTask {
     /** Spans, from the settings. */
     public record Timing(
             long windowMs,
@@ -132,7 +133,7 @@
     }
 
     @Override
-    public void begin(final LeaseSession begun) {
+    public void onSessionStarted(final LeaseSession begun) {
         execution = begun;
         units.clear();
         unanswered = false;
@@ -140,12 +141,12 @@
         next = Math.floorDiv(fleet.nowMs() - timing.dueMs(), timing.windowMs());
         LOG.atInfo().log(
                 "event=duty_begin node=%s executionId=%s token=%s from=%s",
-                name, begun.executionId(), begun.token(), next);
+                name, begun.sessionId(), begun.fencingToken(), next);
     }
 
     /** A call that ended with no good answer may still be on its way. */
     @Override
-    public boolean idle() {
+    public boolean isQuiescent() {
         return callsOpen == 0 && !unanswered;
     }
 
@@ -154,11 +155,11 @@
         if (execution == null) {
             return;
         }
-        final String why = execution.why(clock.nowMs());
-        if (why != null) {
+        final Optional<LeaseSession.EndReason> endReason = execution.endReason(clock.nowMs());
+        if (endReason.isPresent()) {
             LOG.atInfo().log(
                     "event=duty_stop node=%s executionId=%s token=%s why=%s",
-                    name, execution.executionId(), execution.token(), why);
+                    name, execution.sessionId(), execution.fencingToken(), endReason.get());
             execution = null;
             units.clear();
             return;
@@ -193,7 +194,7 @@
                 missed++;
                 LOG.atWarning().log(
                         "event=window_missed node=%s window=%s executionId=%s lateMs=%s",
-                        name, unit.window, mine.executionId(), lateMs);
+                        name, unit.window, mine.sessionId(), lateMs);
                 unit.stage = Stage.OVER;
             } else if (clock.nowMs() - sentMs >= 1000 / timing.perS()) {
                 send(mine, unit, Math.min(timing.sendWaitMs(), timing.dueMs() - lateMs));
@@ -239,11 +240,11 @@
         unit.stage = Stage.SEALING;
         final Map<String, Long> counts = configurationStore.sum(unit.window);
         final byte[] value =
-                MessageCodec.bytes(new SealedWindow(unit.window, counts, mine.owner(), mine.token(), false));
+                MessageCodec.bytes(new SealedWindow(unit.window, counts, mine.owner(), mine.fencingToken(), false));
         proposer.change(
                 SealedWindow.key(unit.window),
                 timing.storeWaitMs(),
-                now -> now == null && mine.mayWork(clock.nowMs()) && reportable(unit.window)
+                now -> now == null && mine.isValid(clock.nowMs()) && reportable(unit.window)
                         ? new RegisterEdit.Set(value)
                         : RegisterEdit.LEAVE,
                 outcome -> {
@@ -259,7 +260,7 @@
     }
 
     private void send(final LeaseSession mine, final Unit unit, final long waitMs) {
-        if (!mine.mayWork(clock.nowMs())) {
+        if (!mine.isValid(clock.nowMs())) {
             return;
         }
         unit.stage = Stage.SENDING;
@@ -267,18 +268,18 @@
         callsOpen++;
         platform.report(
                 name,
-                mine.token(),
+                mine.fencingToken(),
                 unit.sealed,
                 waitMs,
-                () -> mine == execution && mine.mayWork(clock.nowMs()) ? mine.deadlineMs() : Long.MIN_VALUE,
+                () -> mine == execution && mine.isValid(clock.nowMs()) ? mine.deadlineMs() : Long.MIN_VALUE,
                 ok -> {
                     callsOpen--;
                     unanswered |= !ok;
                     LOG.atInfo().log(
                             "event=report node=%s executionId=%s token=%s window=%s ok=%s lateMs=%s",
                             name,
-                            mine.executionId(),
-                            mine.token(),
+                            mine.sessionId(),
+                            mine.fencingToken(),
                             unit.window,
                             ok,
                             fleet.nowMs() - endMs(unit.window));
@@ -306,7 +307,7 @@
                     if (!(outcome instanceof ProposalOutcome.Done)) {
                         LOG.atWarning().log(
                                 "event=completion_unclear node=%s window=%s executionId=%s",
-                                name, unit.window, mine.executionId());
+                                name, unit.window, mine.sessionId());
                     }
                 });
     }
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -5,7 +5,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 import spokestall.consensus.ConsensusTestContext;
 import spokestall.consensus.ProposalNumber;
@@ -16,30 +15,30 @@
 import spokestall.message.MessageCodec;
 
 class LeaseManagerTest {
-    private static final LeaseManager.Timing TIMING = new LeaseManager.Timing(2000, 400, 800, 200, 100, 20_000, 0);
-    private static final long LOOKED_AT_MS = 3000;
-    /** Rivals come one after another, by the six seats of the bench. */
-    private static final long TURNS_MAX_MS = 6 * TIMING.turnMs();
+    private static final LeaseTimeouts TIMEOUTS = new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 0);
+    private static final long CHECKED_SPAN_MS = 3000;
+    /** Rivals acquire one after another, in turns of the six voters. */
+    private static final long TURNS_MAX_MS = 6 * TIMEOUTS.turnMs();
 
-    /** Keepers in a lossy network, now and then stopped in the middle of things: never two may work, tokens rise. */
+    /** Managers on a lossy network, each frozen now and then while voters restart: one valid session at most, tokens rise. */
     @Test
-    void neverMayTwoWorkAndTheTokenRisesWithEachHolder() {
-        assertThat(held(false)).isGreaterThan(60);
+    void atMostOneSessionIsValidAndFencingTokensRise() {
+        assertThat(sessionsWith(false)).isGreaterThan(60);
     }
 
-    /** The same with copies of the register: one right, one late, one that never changes, and one now and then missing. */
+    /** The same with replicas of the register: one current, one late, one that never changes, one that is sometimes missing. */
     @Test
-    void copiesThatAreLateOrStandStillMakeNoTwoHolders() {
-        assertThat(held(true)).isGreaterThan(60);
+    void staleReplicasNeverLeadToTwoValidSessions() {
+        assertThat(sessionsWith(true)).isGreaterThan(60);
     }
 
-    private static Supplier<Register> copy(final ConsensusTestContext bench, final int number) {
-        final Proposer reader = bench.proposer("r" + number);
+    private static LeaseReplica replica(final ConsensusTestContext context, final int number) {
+        final Proposer reader = context.proposer("r" + number);
         final ArrayDeque<Register> late = new ArrayDeque<>(List.of(register(null)));
         final Runnable look = new Runnable() {
             @Override
             public void run() {
-                bench.clock.after(200, this);
+                context.clock.after(200, this);
                 reader.read(Lease.key("usage_report"), 300, outcome -> {
                     if (number != 2 && outcome instanceof ProposalOutcome.Done done) {
                         late.add(register(done.value()));
@@ -50,70 +49,67 @@
                 });
             }
         };
-        bench.clock.after(1, look);
-        return () -> number == 3 && bench.random.nextInt(10) == 0 ? null : late.peek();
+        context.clock.after(1, look);
+        return () -> number == 3 && context.random.nextInt(10) == 0 ? null : late.peek();
     }
 
     private static Register register(final byte[] value) {
         return new Register(ProposalNumber.NONE, ProposalNumber.NONE, value);
     }
 
-    private static int held(final boolean copies) {
+    private static int sessionsWith(final boolean replicas) {
         int held = 0;
         for (int seed = 0; seed < 20; seed++) {
-            final ConsensusTestContext bench = new ConsensusTestContext(seed, 0.1);
+            final ConsensusTestContext context = new ConsensusTestContext(seed, 0.1);
             final List<LeaseSession> all = new ArrayList<>();
             final long[] frozenUntilMs = new long[4];
             for (int k = 0; k < 4; k++) {
                 final int number = k;
                 final LeaseManager leaseManager = new LeaseManager(
-                        "usage_report",
-                        "k" + k,
-                        bench.proposer("k" + k),
-                        bench.clock,
-                        bench.random,
-                        TIMING,
-                        execution -> {
+                        new LeaseContext(
+                                "usage_report", "k" + k, context.proposer("k" + k), context.clock, context.random),
+                        TIMEOUTS,
+                        session -> {
                             assertThat(all).allSatisfy(e -> {
-                                assertThat(e.token()).isLessThan(execution.token());
-                                assertThat(e.owner()).isNotEqualTo(execution.owner());
+                                assertThat(e.fencingToken()).isLessThan(session.fencingToken());
+                                assertThat(e.owner()).isNotEqualTo(session.owner());
                             });
-                            all.add(execution);
+                            all.add(session);
                         },
-                        copies ? copy(bench, k) : () -> null);
+                        replicas ? replica(context, k) : LeaseReplica.NONE);
                 final Runnable tick = new Runnable() {
                     @Override
                     public void run() {
-                        bench.clock.after(100, this);
-                        if (bench.clock.nowMs() >= frozenUntilMs[number]) {
-                            leaseManager.tick();
+                        context.clock.after(100, this);
+                        if (context.clock.nowMs() >= frozenUntilMs[number]) {
+                            leaseManager.onTick();
                         }
                     }
                 };
-                bench.clock.after(bench.random.nextInt(100), tick);
+                context.clock.after(context.random.nextInt(100), tick);
             }
             for (int i = 0; i < 10; i++) {
-                bench.clock.after(
-                        bench.random.nextInt(50_000),
-                        () -> frozenUntilMs[bench.random.nextInt(4)] =
-                                bench.clock.nowMs() + 1000 + bench.random.nextInt(5000));
-                bench.clock.after(bench.random.nextInt(50_000), () -> bench.bounce(bench.random.nextInt(6)));
+                context.clock.after(
+                        context.random.nextInt(50_000),
+                        () -> frozenUntilMs[context.random.nextInt(4)] =
+                                context.clock.nowMs() + 1000 + context.random.nextInt(5000));
+                context.clock.after(context.random.nextInt(50_000), () -> context.bounce(context.random.nextInt(6)));
             }
             for (long atMs = 200; atMs < 60_000; atMs += 20) {
-                bench.run(atMs);
-                final long nowMs = bench.clock.nowMs();
-                assertThat(all.stream().filter(e -> e.mayWork(nowMs)).count()).isLessThanOrEqualTo(1);
+                context.run(atMs);
+                final long nowMs = context.clock.nowMs();
+                assertThat(all.stream().filter(e -> e.isValid(nowMs)).count()).isLessThanOrEqualTo(1);
             }
             held += all.size();
         }
         return held;
     }
 
-    /** A holder that renews is watched by the copy alone; once it stops, the store is asked before it is taken over. */
+    /** A holder that renews is watched by the replica alone; once it stops, the store is read before the lease is acquired. */
     @Test
-    void theStoreIsAskedOnlyOnceTheCopyStoodStillForTheWholeSpan() {
-        final ConsensusTestContext bench = new ConsensusTestContext(2, 0);
-        final Proposer writer = bench.proposer("w");
+    void theStoreIsReadOnlyOnceTheReplicaWasUnchangedForTheWholeSpan() {
+        final ConsensusTestContext context = new ConsensusTestContext(2, 0);
+        final Proposer writer = context.proposer("w");
         final byte[][] copy = {null};
         final long[] renewal = {0};
         final long[] renewedMs = {0};
@@ -123,223 +119,218 @@
                 value -> new RegisterEdit.Set(MessageCodec.bytes(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
                 outcome -> {
                     copy[0] = ((ProposalOutcome.Done) outcome).value();
-                    renewedMs[0] = bench.clock.nowMs();
+                    renewedMs[0] = context.clock.nowMs();
                 });
         renew.run();
-        bench.run(bench.clock.nowMs() + 300);
+        context.run(context.clock.nowMs() + 300);
         final long[] begunMs = {-1};
         final LeaseManager leaseManager = new LeaseManager(
-                "usage_report",
-                "k",
-                bench.proposer("k"),
-                bench.clock,
-                bench.random,
-                TIMING,
-                execution -> begunMs[0] = bench.clock.nowMs(),
+                new LeaseContext("usage_report", "k", context.proposer("k"), context.clock, context.random),
+                TIMEOUTS,
+                session -> begunMs[0] = context.clock.nowMs(),
                 () -> register(copy[0]));
         for (int i = 0; i < 100; i++) {
             if (i % 4 == 0) {
                 renew.run();
             }
-            leaseManager.tick();
-            bench.run(bench.clock.nowMs() + 100);
+            leaseManager.onTick();
+            context.run(context.clock.nowMs() + 100);
             assertThat(begunMs[0]).isNegative();
         }
         final long stoppedMs = renewedMs[0];
-        while (begunMs[0] < 0 && bench.clock.nowMs() < stoppedMs + 6000) {
-            leaseManager.tick();
-            bench.run(bench.clock.nowMs() + 50);
+        while (begunMs[0] < 0 && context.clock.nowMs() < stoppedMs + 6000) {
+            leaseManager.onTick();
+            context.run(context.clock.nowMs() + 50);
         }
-        assertThat(leaseManager.seen().token()).isGreaterThan(1);
-        assertThat(begunMs[0] - stoppedMs).isBetween(TIMING.leaseMs() + TIMING.marginMs(), 2 * TIMING.leaseMs());
+        assertThat(leaseManager.observedLease().fencingToken()).isGreaterThan(1);
+        assertThat(begunMs[0] - stoppedMs).isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
     /** A lease that is not there may have been lost with its disks while its holder still works. */
     @Test
-    void noLeaseAtAllIsWatchedForTheWholeSpanBeforeItIsTaken() {
-        final ConsensusTestContext bench = new ConsensusTestContext(1, 0);
+    void anAbsentLeaseIsWatchedForTheWholeSpanBeforeItIsAcquired() {
+        final ConsensusTestContext context = new ConsensusTestContext(1, 0);
         final long[] begunMs = {-1};
         final LeaseManager leaseManager = new LeaseManager(
-                "usage_report",
-                "k",
-                bench.proposer("k"),
-                bench.clock,
-                bench.random,
-                TIMING,
-                execution -> begunMs[0] = bench.clock.nowMs());
-        final long fromMs = bench.clock.nowMs();
+                new LeaseContext("usage_report", "k", context.proposer("k"), context.clock, context.random),
+                TIMEOUTS,
+                session -> begunMs[0] = context.clock.nowMs(),
+                LeaseReplica.NONE);
+        final long fromMs = context.clock.nowMs();
         for (long atMs = fromMs; atMs < fromMs + 6000; atMs += 50) {
-            bench.run(atMs);
-            leaseManager.tick();
+            context.run(atMs);
+            leaseManager.onTick();
         }
-        assertThat(begunMs[0] - fromMs).isBetween(TIMING.leaseMs() + TIMING.marginMs(), 2 * TIMING.leaseMs());
+        assertThat(begunMs[0] - fromMs).isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
-    private static final LeaseManager.Timing RESTING = new LeaseManager.Timing(2000, 400, 800, 200, 100, 20_000, 3600);
+    private static final LeaseTimeouts TIMEOUTS_WITH_REST = new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 3600);
 
-    /** One life of a node: its keeper, what it began, and until when it may have acted. */
-    private static final class Incarnation implements LeaseManager.Work {
-        private final ConsensusTestContext bench;
+    /** One incarnation of a node: its manager and the sessions that it began. */
+    private static final class Incarnation implements LeasedTask {
+        private final ConsensusTestContext context;
         private final String name;
         private final LeaseManager leaseManager;
-        private final List<LeaseSession> begun = new ArrayList<>();
-        private boolean callsOpen;
+        private final List<LeaseSession> sessions = new ArrayList<>();
+        private boolean callInFlight;
 
         Incarnation(
-                final ConsensusTestContext bench,
-                final String name,
-                final int number,
-                final LeaseManager.Timing timing) {
-            this.bench = bench;
+                final ConsensusTestContext context, final String name, final int number, final LeaseTimeouts timeouts) {
+            this.context = context;
             this.name = name;
             this.leaseManager = new LeaseManager(
-                    "usage_report", name, bench.proposer(name + "." + number), bench.clock, bench.random, timing, this);
+                    new LeaseContext(
+                            "usage_report", name, context.proposer(name + "." + number), context.clock, context.random),
+                    timeouts,
+                    this,
+                    LeaseReplica.NONE);
         }
 
         @Override
-        public void begin(final LeaseSession execution) {
-            begun.add(execution);
+        public void onSessionStarted(final LeaseSession session) {
+            sessions.add(session);
         }
 
         @Override
-        public boolean idle() {
-            return !callsOpen;
+        public boolean isQuiescent() {
+            return !callInFlight;
         }
 
-        boolean acts() {
-            return !begun.isEmpty() && begun.get(begun.size() - 1).mayWork(bench.clock.nowMs());
+        boolean mayAct() {
+            return !sessions.isEmpty() && sessions.get(sessions.size() - 1).isValid(context.clock.nowMs());
         }
     }
 
-    /** Ticks these until one of them begins an execution, and tells how long that took; the whole span if none did. */
-    private static long begins(
-            final ConsensusTestContext bench,
+    /** Ticks all of these until the awaited one begins a session; returns how long that took, the full span if it did not. */
+    private static long msUntilSessionOf(
+            final ConsensusTestContext context,
             final long spanMs,
             final Incarnation awaited,
             final Incarnation... others) {
-        final long fromMs = bench.clock.nowMs();
-        final int before = awaited.begun.size();
-        while (awaited.begun.size() == before && bench.clock.nowMs() < fromMs + spanMs) {
-            awaited.leaseManager.tick();
+        final long fromMs = context.clock.nowMs();
+        final int before = awaited.sessions.size();
+        while (awaited.sessions.size() == before && context.clock.nowMs() < fromMs + spanMs) {
+            awaited.leaseManager.onTick();
             for (final Incarnation other : others) {
-                other.leaseManager.tick();
+                other.leaseManager.onTick();
             }
-            bench.run(bench.clock.nowMs() + 20);
+            context.run(context.clock.nowMs() + 20);
         }
-        return bench.clock.nowMs() - fromMs;
+        return context.clock.nowMs() - fromMs;
     }
 
-    /** A holder's process ended and came back before anyone else acquired: nothing is done under its old lease. An acquisition
-     * whose outcome came too late is seen like this one. */
+    /** A holder restarted before anyone else acquired: nothing is done under its old lease. An acquisition whose outcome came too
+     * late looks the same. */
     @Test
     void aHolderThatRestartsAcquiresItsOwnLeaseWithoutWaitingForItsExpiry() {
-        final ConsensusTestContext bench = new ConsensusTestContext(3, 0);
-        final Incarnation before = new Incarnation(bench, "k", 1, RESTING);
-        begins(bench, 10_000, before);
-        final Incarnation after = new Incarnation(bench, "k", 2, RESTING);
-        assertThat(begins(bench, 10_000, after)).isLessThan(TIMING.leaseMs() / 2);
-        assertThat(after.begun.get(0).token()).isGreaterThan(before.begun.get(0).token());
+        final ConsensusTestContext context = new ConsensusTestContext(3, 0);
+        final Incarnation before = new Incarnation(context, "k", 1, TIMEOUTS_WITH_REST);
+        msUntilSessionOf(context, 10_000, before);
+        final Incarnation after = new Incarnation(context, "k", 2, TIMEOUTS_WITH_REST);
+        assertThat(msUntilSessionOf(context, 10_000, after)).isLessThan(TIMEOUTS.leaseMs() / 2);
+        assertThat(after.sessions.get(0).fencingToken())
+                .isGreaterThan(before.sessions.get(0).fencingToken());
     }
 
     /** A lease of an older generation may have been acquired by another since, which was lost with the disks. */
     @Test
-    void aLeaseThatAnOlderGenerationAllottedIsWatchedByItsOwnHolderToo() {
-        final ConsensusTestContext bench = new ConsensusTestContext(4, 0);
-        bench.proposer("w")
+    void aLeaseOfAnOlderGenerationIsWatchedByItsOwnHolderToo() {
+        final ConsensusTestContext context = new ConsensusTestContext(4, 0);
+        context.proposer("w")
                 .change(
                         Lease.key("usage_report"),
                         800,
                         value -> new RegisterEdit.Set(
-                                MessageCodec.bytes(new Lease("k/1", "k", 0, 7, TIMING.leaseMs(), false))),
+                                MessageCodec.bytes(new Lease("k/1", "k", 0, 7, TIMEOUTS.leaseMs(), false))),
                         outcome -> {});
-        bench.run(bench.clock.nowMs() + 500);
-        assertThat(begins(bench, 10_000, new Incarnation(bench, "k", 1, TIMING)))
-                .isGreaterThanOrEqualTo(TIMING.leaseMs() + TIMING.marginMs());
+        context.run(context.clock.nowMs() + 500);
+        assertThat(msUntilSessionOf(context, 10_000, new Incarnation(context, "k", 1, TIMEOUTS)))
+                .isGreaterThanOrEqualTo(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs());
     }
 
-    /** A node in order hands over: what it released is acquired at once, but not by one that held it a short while ago. */
+    /** A graceful shutdown hands the lease over: once released it is acquired at once, but not by a recent holder. */
     @Test
     void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsRest() {
-        final ConsensusTestContext bench = new ConsensusTestContext(6, 0);
-        final Incarnation one = new Incarnation(bench, "k1", 1, RESTING);
-        final Incarnation two = new Incarnation(bench, "k2", 1, RESTING);
-        begins(bench, 10_000, one);
-        begins(bench, RESTING.restMs(), two, one);
-        final long stoppedMs = bench.clock.nowMs();
+        final ConsensusTestContext context = new ConsensusTestContext(6, 0);
+        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_REST);
+        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_REST);
+        msUntilSessionOf(context, 10_000, one);
+        msUntilSessionOf(context, TIMEOUTS_WITH_REST.restMs(), two, one);
+        final long stoppedMs = context.clock.nowMs();
         one.leaseManager.stop(() -> {});
-        assertThat(begins(bench, 10_000, two)).isLessThan(TURNS_MAX_MS + TIMING.leaseMs() / 2);
-        final Incarnation oneAgain = new Incarnation(bench, "k1", 2, RESTING);
-        begins(bench, 500, oneAgain, two);
+        assertThat(msUntilSessionOf(context, 10_000, two)).isLessThan(TURNS_MAX_MS + TIMEOUTS.leaseMs() / 2);
+        final Incarnation oneAgain = new Incarnation(context, "k1", 2, TIMEOUTS_WITH_REST);
+        msUntilSessionOf(context, 500, oneAgain, two);
         two.leaseManager.stop(() -> {});
-        begins(bench, 10_000, oneAgain);
-        assertThat(oneAgain.begun).hasSize(1);
-        assertThat(bench.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(RESTING.restMs());
+        msUntilSessionOf(context, 10_000, oneAgain);
+        assertThat(oneAgain.sessions).hasSize(1);
+        assertThat(context.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(TIMEOUTS_WITH_REST.restMs());
     }
 
-    /** A call that may still arrive keeps the lease from being released: it runs out instead. */
+    /** A call that may still arrive keeps the lease from being released: it expires instead. */
     @Test
-    void aHolderWithACallUnderWayLeavesItsLeaseToExpire() {
-        final ConsensusTestContext bench = new ConsensusTestContext(7, 0);
-        final Incarnation one = new Incarnation(bench, "k1", 1, RESTING);
-        final Incarnation two = new Incarnation(bench, "k2", 1, RESTING);
-        begins(bench, 10_000, one);
-        begins(bench, RESTING.restMs(), two, one);
-        one.callsOpen = true;
+    void aHolderWithACallInFlightLeavesItsLeaseToExpire() {
+        final ConsensusTestContext context = new ConsensusTestContext(7, 0);
+        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_REST);
+        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_REST);
+        msUntilSessionOf(context, 10_000, one);
+        msUntilSessionOf(context, TIMEOUTS_WITH_REST.restMs(), two, one);
+        one.callInFlight = true;
         one.leaseManager.stop(() -> {});
-        assertThat(begins(bench, 10_000, two)).isGreaterThan(TIMING.leaseMs() - TIMING.renewMs());
+        assertThat(msUntilSessionOf(context, 10_000, two)).isGreaterThan(TIMEOUTS.leaseMs() - TIMEOUTS.renewMs());
     }
 
-    /** Holders that end, come back and hand over at any moment: one works at a time, and none follows its successor within the
-     * span in which the order of holders is looked at. */
+    /** Holders that restart and hand over at any moment: one acts at a time, and none acts again after its successor within the
+     * span in which the order of holders is checked. */
     @Test
-    void noHolderComesBackAfterItsSuccessorWithinTheSpanThatIsLookedAt() {
+    void noFormerHolderActsAgainWithinTheCheckedSpan() {
         int held = 0;
         for (int seed = 0; seed < 30; seed++) {
-            held += held(seed);
+            held += holdersIn(seed);
         }
         assertThat(held).isGreaterThan(100);
     }
 
-    private static int held(final long seed) {
-        final ConsensusTestContext bench = new ConsensusTestContext(seed, 0.05);
+    private static int holdersIn(final long seed) {
+        final ConsensusTestContext context = new ConsensusTestContext(seed, 0.05);
         final List<Incarnation> incarnations = new ArrayList<>();
         final List<String> actors = new ArrayList<>();
         final List<Long> lastActMs = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
-            incarnations.add(new Incarnation(bench, "k" + k, 0, RESTING));
+            incarnations.add(new Incarnation(context, "k" + k, 0, TIMEOUTS_WITH_REST));
         }
         int number = 1;
         for (int tick = 0; tick < 8000; tick++) {
-            final long nowMs = bench.clock.nowMs();
+            final long nowMs = context.clock.nowMs();
             final List<Incarnation> acting =
-                    incarnations.stream().filter(Incarnation::acts).toList();
+                    incarnations.stream().filter(Incarnation::mayAct).toList();
             assertThat(acting).hasSizeLessThanOrEqualTo(1);
             for (final Incarnation incarnation : acting) {
                 if (actors.isEmpty() || !actors.get(actors.size() - 1).equals(incarnation.name)) {
                     final int before = actors.lastIndexOf(incarnation.name);
                     assertThat(before < 0 ? Long.MAX_VALUE : nowMs - lastActMs.get(before))
-                            .isGreaterThanOrEqualTo(LOOKED_AT_MS);
+                            .isGreaterThanOrEqualTo(CHECKED_SPAN_MS);
                     actors.add(incarnation.name);
                     lastActMs.add(nowMs);
                 }
                 lastActMs.set(lastActMs.size() - 1, nowMs);
             }
-            if (bench.random.nextInt(200) == 0) {
-                final int of = acting.isEmpty() || bench.random.nextInt(3) == 0
-                        ? bench.random.nextInt(incarnations.size())
+            if (context.random.nextInt(200) == 0) {
+                final int of = acting.isEmpty() || context.random.nextInt(3) == 0
+                        ? context.random.nextInt(incarnations.size())
                         : incarnations.indexOf(acting.get(0));
                 final Incarnation old = incarnations.get(of);
-                if (bench.random.nextBoolean()) {
+                if (context.random.nextBoolean()) {
                     old.leaseManager.stop(() -> {});
                 }
-                incarnations.set(of, new Incarnation(bench, old.name, number++, RESTING));
+                incarnations.set(of, new Incarnation(context, old.name, number++, TIMEOUTS_WITH_REST));
             }
             for (int k = 0; k < incarnations.size(); k++) {
                 if ((tick + k) % 10 == 0) {
-                    incarnations.get(k).leaseManager.tick();
+                    incarnations.get(k).leaseManager.onTick();
                 }
             }
-            bench.run(nowMs + 20);
+            context.run(nowMs + 20);
         }
         return actors.size();
     }
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -46,7 +46,7 @@
 
     private void beginAt(final long ms) {
         bench.run(ms);
-        reporter.begin(new LeaseSession("e", "k/1", 7, ms + 20_000, ms + 600_000));
+        reporter.onSessionStarted(new LeaseSession("s1", "k/1", 7, ms + 20_000, ms + 600_000));
     }
 
     private void beatsUntil(final long ms) {
@@ -79,17 +79,19 @@
     @Test
     void itIsIdleOnlyOnceEachCallHasItsAnswer() {
         beginAt(41_000);
-        assertThat(reporter.idle()).isTrue();
+        assertThat(reporter.isQuiescent()).isTrue();
         beatsUntil(41_450);
         assertThat(calls).hasSize(1);
-        assertThat(reporter.idle()).isFalse();
+        assertThat(reporter.isQuiescent()).isFalse();
         calls.get(0).done.accept(false);
-        assertThat(reporter.idle()).isFalse();
+        assertThat(reporter.isQuiescent()).isFalse();
         beatsUntil(43_000);
         assertThat(calls).hasSizeGreaterThan(1);
         calls.stream().skip(1).forEach(c -> c.done.accept(true));
-        assertThat(reporter.idle()).as("the first may still be on its way").isFalse();
-        reporter.begin(new LeaseSession("e2", "k/2", 8, 60_000, 600_000));
-        assertThat(reporter.idle()).isTrue();
+        assertThat(reporter.isQuiescent())
+                .as("the first may still be on its way")
+                .isFalse();
+        reporter.onSessionStarted(new LeaseSession("e2", "k/2", 8, 60_000, 600_000));
+        assertThat(reporter.isQuiescent()).isTrue();
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -261,7 +261,7 @@
     /** The core that holds the duty now, or null. */
     SimulatedNode holder() {
         for (final SimulatedNode core : cores()) {
-            if (core.up() && core.node().leaseManager().execution() != null) {
+            if (core.up() && core.node().leaseManager().session() != null) {
                 return core;
             }
         }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -76,8 +76,8 @@
         final long nowMs = world.sim.nowMs();
         for (final SimulatedNode c : world.cores()) {
             if (c.running()
-                    && c.node().leaseManager().execution() != null
-                    && c.node().leaseManager().execution().mayWork(c.nowMs())) {
+                    && c.node().leaseManager().session() != null
+                    && c.node().leaseManager().session().isValid(c.nowMs())) {
                 gapMs = heldMs < 0 ? 0 : Math.max(gapMs, nowMs - heldMs);
                 heldMs = nowMs;
             }
