--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -34,7 +34,7 @@
 import spokestall.storage.FileSegmentStore;
 import spokestall.storage.SegmentStore;
 import spokestall.time.Clock;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.UsageReportClient;
 
 /** A node as a process: the rim around it, from its start to a clean stop. */
 public final class NodeProcess {
@@ -46,7 +46,7 @@
         }
 
         /** Example: {@code around.platform(outside)} */
-        default UsageReporter.Platform platform(final UsageReporter.Platform platform) {
+        default UsageReportClient platform(final UsageReportClient platform) {
             return platform;
         }
     }
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -16,11 +16,14 @@
 import spokestall.proxy.Attempt;
 import spokestall.proxy.AttemptResult;
 import spokestall.proxy.UpstreamClient;
+import spokestall.usage.ReportCallback;
+import spokestall.usage.ReportResult;
 import spokestall.usage.SealedWindow;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.SendDeadline;
+import spokestall.usage.UsageReportClient;
 
 /** Upstreams and the platform over HTTP, in whichever speech. */
-public final class HttpUpstreamClient implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+public final class HttpUpstreamClient implements UpstreamClient, HealthChecker.Reach, UsageReportClient {
     private static final int LIST_MAX = 4 << 20;
     private static final int PAGES_MAX = 1000;
     private final HttpClient client;
@@ -160,8 +163,8 @@
             final long token,
             final SealedWindow sealed,
             final long waitMs,
-            final LongSupplier until,
-            final Consumer<Boolean> done) {
+            final SendDeadline deadline,
+            final ReportCallback callback) {
         final PlatformProtocol.Report report = platform.report(holder, token, sealed);
         client.call(
                 new HttpCall(
@@ -177,11 +180,11 @@
                         true,
                         false,
                         stage,
-                        until,
+                        deadline::latestMs,
                         () -> {}),
                 result -> {
                     final boolean ok = result instanceof HttpResult.Whole whole && whole.status() / 100 == 2;
-                    stage.execute(() -> done.accept(ok));
+                    stage.execute(() -> callback.onResult(ok ? ReportResult.ACCEPTED : ReportResult.UNCONFIRMED));
                 });
     }
 }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -44,7 +44,7 @@
 import spokestall.usage.SealedWindow;
 import spokestall.usage.UsageCounter;
 import spokestall.usage.UsageMessage;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.UsageReportClient;
 
 /**
  * One node, whole: its state machines joined to each other and to the rim. Everything here runs on one stage; time,
@@ -59,7 +59,7 @@
             SegmentStore segments,
             HealthChecker.Reach reach,
             UpstreamClient upstreams,
-            UsageReporter.Platform platform,
+            UsageReportClient platform,
             AuditSink audit) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -147,7 +147,7 @@
                 configurationStore,
                 storage,
                 new ToleratedSeatLoss(settings, view),
-                core ? duty::tokenSeen : () -> 0);
+                core ? duty::highestFencingToken : () -> 0);
         this.follower = new FeedClient(
                 view::self,
                 configurationStore,
@@ -213,7 +213,7 @@
     }
 
     private void stored(final String key, final Register register) {
-        duty.seen(key, register);
+        duty.onRegisterStored(key, register);
         if (register.value() != null && SealedWindow.windowOf(key) >= 0) {
             auditor.window(MessageCodec.record(register.value(), SealedWindow.class));
         }
@@ -278,11 +278,11 @@
         every(settings.part("leaveBoundMs", 0.0625), membership::tick);
         every(settings.part("leaveBoundMs", 0.125), discovery::tick);
         every(settings.part("leaseMs", 0.1), () -> duty.tickLease(leaving()));
-        every(settings.part("reportDueMs", 0.01), duty.reporter::tick);
+        every(settings.part("reportDueMs", 0.01), duty.reporter::onTick);
         every(settings.part("keyBoundMs", 0.2), this::tidy);
-        every(settings.ms("countPushMs"), duty::tickKept);
+        every(settings.ms("countPushMs"), duty::tickPersistedCounts);
         every(settings.ms("listMs"), discovery::tickKept);
-        every(settings.part("keyBoundMs", 0.02), duty::recount);
+        every(settings.part("keyBoundMs", 0.02), duty::mergeCountsFromDisk);
         every(settings.part("keyBoundMs", 0.1), this::decided);
         every(settings.part("keyBoundMs", 0.02), () -> storage.learnFounded(follower));
     }
@@ -503,7 +503,7 @@
             serving.hear(had);
         }
         if (duty != null) {
-            duty.hear(message);
+            duty.onMessage(message);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -15,6 +15,7 @@
 import spokestall.proxy.LoadBalancer;
 import spokestall.proxy.ProxyContext;
 import spokestall.proxy.UpstreamClient;
+import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageCounter;
 import spokestall.usage.UsageMessage;
 
@@ -53,9 +54,7 @@
                 context.random,
                 context.timings().loadBalancer(neighbours::sharingEdges));
         this.counter = new UsageCounter(
-                context.name,
-                context.address,
-                context.incarnation,
+                new EdgeIdentity(context.name, context.address, context.incarnation),
                 context.timings().counter(),
                 context.clock,
                 context.fleet,
@@ -91,7 +90,7 @@
     }
 
     void tickCounts() {
-        counter.tick();
+        counter.onTick();
     }
 
     /** Forgets what was learnt of upstreams that are listed no more. */
@@ -101,7 +100,7 @@
     }
 
     void hear(final UsageMessage.CountsAcknowledged message) {
-        counter.hear(message, neighbours.voterAddress(message.name()));
+        counter.onMessage(message, neighbours.voterAddress(message.core()));
     }
 
     /** Upstreams of a zone that is given back may have turned cold while nothing was sent there. */
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -14,8 +14,8 @@
 import spokestall.proxy.LoadBalancer;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
-import spokestall.usage.UsageCounter;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.ReportSchedule;
 
 /** The time spans and bounds of each part of a node, taken from the settings. */
 final class Timings {
@@ -101,8 +101,8 @@
                 settings.ms("probes") == 1);
     }
 
-    UsageCounter.Timing counter() {
-        return new UsageCounter.Timing(
+    CounterLimits counter() {
+        return new CounterLimits(
                 windowMs(),
                 settings.part("reportDueMs", 0.1),
                 3,
@@ -111,8 +111,8 @@
                 settings.ms("farMs") / 2);
     }
 
-    UsageReporter.Timing reporter() {
-        return new UsageReporter.Timing(
+    ReportSchedule reporter() {
+        return new ReportSchedule(
                 windowMs(),
                 settings.part("reportDueMs", 0.15),
                 settings.part("reportDueMs", 0.5),
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -2,7 +2,6 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.function.Function;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.ProposalNumber;
 import spokestall.consensus.Proposer;
@@ -11,53 +10,58 @@
 import spokestall.lease.LeaseContext;
 import spokestall.lease.LeaseManager;
 import spokestall.message.MessageCodec;
+import spokestall.usage.PresentIncarnations;
+import spokestall.usage.ReportSources;
+import spokestall.usage.ReporterContext;
 import spokestall.usage.UsageMessage;
+import spokestall.usage.UsageReportClient;
 import spokestall.usage.UsageReporter;
 import spokestall.usage.UsageTable;
 
-/** A core's part in the usage report: the counts of all edges, the lease on reporting them, and the report. */
+/**
+ * A core's part in reporting usage: the table of all edges' counts, the lease on reporting them, and the reporter.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
 final class UsageComponent {
+    // The role and the keys are stored and part of replies: they must not change.
     private static final String ROLE = "usage_report";
-    static final String LEASE = Lease.key(ROLE);
-    static final String KEPT = "~usage";
+    static final String LEASE_KEY = Lease.key(ROLE);
+    static final String COUNTS_KEY = "~usage";
     private static final Register NO_LEASE = new Register(ProposalNumber.NONE, ProposalNumber.NONE, null);
     private static final int WINDOWS_KEPT = 16;
     private final NodeContext context;
     private final Acceptor acceptor;
-    private final UsageTable counts;
-    private final PersistedState kept;
-    private List<UsageMessage.Count> countsBefore = List.of();
-    private long tokenSeen;
+    private final UsageTable table;
+    private final PersistedState persistedCounts;
+    private List<UsageMessage.Count> countsFromDisk = List.of();
+    private long highestFencingToken;
     final UsageReporter reporter;
     final LeaseManager leaseManager;
 
     UsageComponent(
             final NodeContext context,
-            final PeerDirectory neighbours,
+            final PeerDirectory peers,
             final Acceptor acceptor,
             final Proposer proposer,
-            final UsageReporter.Platform platform,
-            final Function<String, Long> presentIncarnation) {
+            final UsageReportClient platform,
+            final PresentIncarnations edges) {
         this.context = context;
         this.acceptor = acceptor;
         final Timings timings = context.timings();
         final long windowMs = timings.windowMs();
-        this.counts = new UsageTable(() -> context.fleet.nowMs() / windowMs, WINDOWS_KEPT);
-        this.kept = new PersistedState(
-                acceptor, KEPT, counts::changes, () -> new UsageMessage.Counts(context.address, 0, counts.all()));
+        this.table = new UsageTable(() -> context.fleet.nowMs() / windowMs, WINDOWS_KEPT);
+        this.persistedCounts = new PersistedState(
+                acceptor,
+                COUNTS_KEY,
+                table::changeCount,
+                () -> new UsageMessage.Counts(context.address, 0, table.allCounts()));
         this.reporter = new UsageReporter(
-                context.name,
-                context.address,
-                counts,
-                proposer,
-                platform,
-                context.post,
-                context.clock,
-                context.fleet,
+                new ReporterContext(
+                        context.name, context.address, proposer, context.post, context.clock, context.fleet),
                 timings.reporter(),
-                neighbours::coreAddresses,
-                this::floorMs,
-                presentIncarnation);
+                platform,
+                new ReportSources(table, peers::coreAddresses, edges, this::reportFloorMs));
         this.leaseManager = new LeaseManager(
                 new LeaseContext(ROLE, context.name, proposer, context.clock, context.random),
                 timings.lease(),
@@ -65,79 +69,83 @@
                 this::leaseReplica);
     }
 
-    /** Reads what this core's disk has from before. */
+    /** Reads the counts and the fencing token that this core's disk has from an earlier incarnation. */
     void open() {
-        final UsageMessage.Counts before = kept.read(UsageMessage.Counts.class);
-        if (before != null) {
-            countsBefore = before.counts();
+        final UsageMessage.Counts stored = persistedCounts.read(UsageMessage.Counts.class);
+        if (stored != null) {
+            countsFromDisk = stored.counts();
         }
-        acceptor.registers().forEach(this::seen);
+        acceptor.registers().forEach(this::onRegisterStored);
     }
 
-    /** A register of this core's voter, as it is stored. */
-    void seen(final String key, final Register register) {
-        if (key.equals(LEASE) && register.value() != null) {
-            tokenSeen = Math.max(
-                    tokenSeen,
+    /** Notes the fencing token of the lease whenever this core's acceptor stores it. */
+    void onRegisterStored(final String key, final Register register) {
+        if (key.equals(LEASE_KEY) && register.value() != null) {
+            highestFencingToken = Math.max(
+                    highestFencingToken,
                     MessageCodec.record(register.value(), Lease.class).fencingToken());
         }
     }
 
-    /** The highest fencing token that was stored here. */
-    long tokenSeen() {
-        return tokenSeen;
+    /** The highest fencing token that was stored here; 0 if none was. */
+    long highestFencingToken() {
+        return highestFencingToken;
     }
 
     /**
-     * A node that leaves acquires no lease; one that it holds it keeps until its last request is answered. Neither does one that
-     * doesn't vote: without the registers it can't tell which windows it may report.
+     * Ticks the lease if this core holds it or may acquire it. A core that is draining acquires no lease, and keeps one that it holds
+     * until its last request is answered. Nor does a core acquire it that doesn't vote: without the registers it can't tell which
+     * windows it may report.
      */
-    void tickLease(final boolean leaving) {
-        final boolean mayAcquire = acceptor.state() == Acceptor.State.VOTING && !leaving;
+    void tickLease(final boolean draining) {
+        final boolean mayAcquire = acceptor.state() == Acceptor.State.VOTING && !draining;
         if (context.fleet.settled() && (leaseManager.state() == LeaseManager.State.HOLDING || mayAcquire)) {
             leaseManager.onTick();
         }
     }
 
-    void tickKept() {
-        kept.tick();
+    /** Stores the counts if they changed. */
+    void tickPersistedCounts() {
+        persistedCounts.tick();
     }
 
-    /** Counts of before the last loss count once the fleet's time is known, by which their windows are. */
-    void recount() {
-        if (!countsBefore.isEmpty() && context.fleet.settled()) {
-            countsBefore.forEach(counts::merge);
-            countsBefore = List.of();
+    /** Merges the counts from disk, once the fleet's time is known, by which their windows are numbered. */
+    void mergeCountsFromDisk() {
+        if (!countsFromDisk.isEmpty() && context.fleet.settled()) {
+            countsFromDisk.forEach(table::merge);
+            countsFromDisk = List.of();
         }
     }
 
-    void hear(final UsageMessage message) {
-        if (message instanceof UsageMessage.Counts told) {
-            told.counts().forEach(counts::merge);
+    /** Merges counts that are pushed, answers requests for counts, and passes answers to the reporter. */
+    void onMessage(final UsageMessage message) {
+        if (message instanceof UsageMessage.Counts push) {
+            push.counts().forEach(table::merge);
             context.post.send(
-                    told.from(), new UsageMessage.CountsAcknowledged(context.name, told.stamp(), context.incarnation));
-        } else if (message instanceof UsageMessage.CountsRequest ask) {
+                    push.sender(),
+                    new UsageMessage.CountsAcknowledged(context.name, push.pushId(), context.incarnation));
+        } else if (message instanceof UsageMessage.CountsRequest request) {
             context.post.send(
-                    ask.from(),
-                    new UsageMessage.CountsResponse(context.name, ask.window(), counts.counts(ask.window())));
-        } else if (message instanceof UsageMessage.CountsResponse back) {
-            reporter.hear(back);
+                    request.sender(),
+                    new UsageMessage.CountsResponse(context.name, request.window(), table.counts(request.window())));
+        } else if (message instanceof UsageMessage.CountsResponse response) {
+            reporter.onMessage(response);
         }
     }
 
-    /** Gives up the lease; done is run when that is known to have ended. */
+    /** Gives up the lease; {@code done} runs once its release has ended. */
     void stop(final Runnable done) {
         leaseManager.stop(done);
     }
 
-    /** This voter's copy of the lease, or null while it doesn't vote. */
+    /** This voter's copy of the lease's register, or null while it doesn't vote. */
     private Register leaseReplica() {
-        return acceptor.state() != Acceptor.State.VOTING
-                ? null
-                : acceptor.registers().getOrDefault(LEASE, NO_LEASE);
+        return acceptor.state() == Acceptor.State.VOTING
+                ? acceptor.registers().getOrDefault(LEASE_KEY, NO_LEASE)
+                : null;
     }
 
-    private long floorMs() {
+    private long reportFloorMs() {
         final Register floor = acceptor.registers().get(GenerationMerger.FLOOR);
         return floor == null || floor.value() == null
                 ? context.fleet.nowMs()
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -118,7 +118,7 @@
         if (!parts.follower().fresh() || !parts.fleet().settled()) {
             return rejected(ResultCode.NOT_FRESH, doubt);
         }
-        if (!parts.counter().mayBegin()) {
+        if (!parts.counter().mayStart()) {
             return rejected(ResultCode.UNCOUNTED, doubt);
         }
         final Configuration configuration = parts.configurationStore().configuration();
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -224,7 +224,7 @@
         if (!parts.follower().fresh()) {
             return ResultCode.NOT_FRESH;
         }
-        if (!parts.counter().mayBegin()) {
+        if (!parts.counter().mayStart()) {
             return ResultCode.UNCOUNTED;
         }
         final Configuration configuration = parts.configurationStore().configuration();
@@ -364,7 +364,7 @@
 
     private void counted() {
         if (ask.tenant() != null) {
-            parts.counter().begun(tenantName());
+            parts.counter().onStarted(tenantName());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/usage/UsageCounter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageCounter.java
@@ -2,124 +2,102 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.function.Supplier;
 import spokestall.message.MessageSender;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
 
 /**
- * An edge's own count of the asks that upstreams began. What changed is pushed to every core, again to those that don't say
- * they have it until a majority does; each window goes whole once it is well over, and whenever a core came back without
- * what it had. What a majority does not have yet may be lost with this edge, or come too late; so it is kept to what was
- * begun in a small part of a window: beyond that the edge begins nothing more.
+ * An edge's own count of the requests that upstreams began, by window and tenant.
+ *
+ * <p>Changed counts are pushed to every core, again to those that have not acknowledged them until a majority has. A window is
+ * pushed completely once it is well over, and when a core has restarted without what it had. Counts that a majority does not have
+ * may be lost with this edge or arrive too late; so these are bounded by time ({@link #mayStart}): beyond that the edge starts
+ * no more requests.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 public final class UsageCounter {
-    /** Spans and sizes, from the settings. Nothing is held back if {@code uncountedMs} is zero. */
-    public record Timing(long windowMs, long closeMs, int windowsKept, long uncountedMs, int cores, long againMs) {}
+    /** Beyond this many, pending pushes are joined into one. */
+    private static final int PENDING_MAX = 8;
 
-    /** Counts on their way: of which tenants in which windows, the oldest from when. */
-    private static final class Push {
-        private final Map<Long, Set<String>> what;
-        private final long sinceMs;
-        private final Set<String> had = new HashSet<>();
-        private long sentMs;
-
-        Push(final Map<Long, Set<String>> what, final long sinceMs) {
-            this.what = what;
-            this.sinceMs = sinceMs;
-        }
-    }
-
-    private static final int PUSHES_MAX = 8;
     private static final long NEVER = Long.MAX_VALUE;
-    private final String edge;
-    private final String address;
-    private final long incarnation;
-    private final Timing timing;
+    private final EdgeIdentity edge;
+    private final CounterLimits limits;
     private final Clock clock;
-    private final FleetClock fleet;
-    private final MessageSender post;
-    private final Supplier<List<String>> cores;
-    private final TreeMap<Long, Map<String, Long>> begun = new TreeMap<>();
+    private final FleetClock fleetClock;
+    private final MessageSender sender;
+    private final CoreAddresses cores;
+    private final TreeMap<Long, Map<String, Long>> startedByWindow = new TreeMap<>();
     private final Map<Long, Set<String>> changed = new TreeMap<>();
-    private final TreeMap<Long, Push> pushes = new TreeMap<>();
+    private final TreeMap<Long, PendingPush> pending = new TreeMap<>();
     private final Set<Long> closed = new TreeSet<>();
-    private final Map<String, Long> incarnations = new HashMap<>();
-    private long changedMs = NEVER;
-    private long nextStamp = 1;
+    private final Map<String, Long> coreIncarnations = new HashMap<>();
+    private long oldestChangeMs = NEVER;
+    private long nextPushId = 1;
     private boolean stopped;
 
-    /** Example: {@code new UsageCounter("d1-edge", address, incarnation, timing, clock, fleet, post, cores)} */
+    /** Creates a counter with no counts. */
     public UsageCounter(
-            final String edge,
-            final String address,
-            final long incarnation,
-            final Timing timing,
+            final EdgeIdentity edge,
+            final CounterLimits limits,
             final Clock clock,
-            final FleetClock fleet,
-            final MessageSender post,
-            final Supplier<List<String>> cores) {
+            final FleetClock fleetClock,
+            final MessageSender sender,
+            final CoreAddresses cores) {
         this.edge = edge;
-        this.address = address;
-        this.incarnation = incarnation;
-        this.timing = timing;
+        this.limits = limits;
         this.clock = clock;
-        this.fleet = fleet;
-        this.post = post;
+        this.fleetClock = fleetClock;
+        this.sender = sender;
         this.cores = cores;
     }
 
-    /** Counts one ask that an upstream began. */
-    public void begun(final String tenant) {
-        final long window = fleet.nowMs() / timing.windowMs();
-        begun.computeIfAbsent(window, w -> new HashMap<>()).merge(tenant, 1L, Long::sum);
+    /** Counts one request of a tenant that an upstream began. */
+    public void onStarted(final String tenant) {
+        final long window = fleetClock.nowMs() / limits.windowMs();
+        startedByWindow.computeIfAbsent(window, w -> new HashMap<>()).merge(tenant, 1L, Long::sum);
         changed.computeIfAbsent(window, w -> new TreeSet<>()).add(tenant);
-        changedMs = Math.min(changedMs, clock.nowMs());
+        oldestChangeMs = Math.min(oldestChangeMs, clock.nowMs());
     }
 
-    /** Whether one more may begin: what a majority does not have yet is not older than the span for that. */
-    public boolean mayBegin() {
-        long oldestMs = changedMs;
-        for (final Push push : pushes.values()) {
-            oldestMs = Math.min(oldestMs, push.sinceMs);
+    /** Whether one more request may start: no count has been without a majority for longer than the limit. */
+    public boolean mayStart() {
+        long oldestMs = oldestChangeMs;
+        for (final PendingPush push : pending.values()) {
+            oldestMs = Math.min(oldestMs, push.oldestMs());
         }
-        return timing.uncountedMs() == 0 || oldestMs == NEVER || clock.nowMs() - oldestMs <= timing.uncountedMs();
+        return limits.uncountedMaxMs() == 0 || oldestMs == NEVER || clock.nowMs() - oldestMs <= limits.uncountedMaxMs();
     }
 
-    /** Nothing more will be counted here. */
+    /** Closes every window and pushes it; nothing more will be counted here. */
     public void stop() {
         stopped = true;
-        begun.keySet().forEach(this::whole);
+        startedByWindow.keySet().forEach(this::pushCompletely);
         push();
     }
 
-    /** One beat: pushes what changed and each window that is well over, and again what was not taken. */
-    public void tick() {
-        if (!fleet.settled()) {
+    /** Closes windows that are over, and pushes what changed and what was not acknowledged in time. */
+    public void onTick() {
+        if (!fleetClock.settled()) {
             return;
         }
-        final long now = fleet.nowMs() / timing.windowMs();
-        begun.headMap(now - timing.windowsKept()).clear();
-        changed.keySet().removeIf(w -> w < now - timing.windowsKept());
-        closed.removeIf(w -> w < now - timing.windowsKept());
-        pushes.values()
-                .removeIf(p ->
-                        !p.what.isEmpty() && p.what.keySet().stream().allMatch(w -> w < now - timing.windowsKept()));
-        begun.computeIfAbsent(now, w -> new HashMap<>());
-        begun.computeIfAbsent(now - 1, w -> new HashMap<>());
-        for (final long window : begun.keySet()) {
-            if (over(window) && closed.add(window)) {
-                whole(window);
+        final long current = fleetClock.nowMs() / limits.windowMs();
+        discardBefore(current - limits.windowsKept());
+        // Windows without a request are closed too: a core waits for that of each edge that it knows.
+        startedByWindow.computeIfAbsent(current, w -> new HashMap<>());
+        startedByWindow.computeIfAbsent(current - 1, w -> new HashMap<>());
+        for (final long window : startedByWindow.keySet()) {
+            if (isOver(window) && closed.add(window)) {
+                pushCompletely(window);
             }
         }
-        for (final Map.Entry<Long, Push> push : pushes.entrySet()) {
-            if (clock.nowMs() - push.getValue().sentMs >= timing.againMs()) {
+        for (final Map.Entry<Long, PendingPush> push : pending.entrySet()) {
+            if (clock.nowMs() - push.getValue().sentMs() >= limits.resendMs()) {
                 send(push.getKey(), push.getValue());
             }
         }
@@ -128,59 +106,70 @@
         }
     }
 
-    private boolean over(final long window) {
-        return stopped || (window + 1) * timing.windowMs() + timing.closeMs() < fleet.nowMs();
+    /**
+     * Notes that a core has the counts of a push.
+     *
+     * @param coreAddress the core's address, as it is among the addresses that are pushed to
+     */
+    public void onMessage(final UsageMessage.CountsAcknowledged message, final String coreAddress) {
+        final Long before = coreIncarnations.put(message.core(), message.incarnation());
+        if (before != null && before != message.incarnation()) {
+            // It restarted, without what it had.
+            startedByWindow.keySet().forEach(this::pushCompletely);
+        }
+        final PendingPush push = pending.get(message.pushId());
+        final int coreCount = Math.max(limits.cores(), cores.current().size());
+        if (push != null && push.onAcknowledged(coreAddress) && push.acknowledgements() > coreCount / 2) {
+            pending.remove(message.pushId());
+        }
+    }
+
+    private void discardBefore(final long oldestKept) {
+        startedByWindow.headMap(oldestKept).clear();
+        changed.keySet().removeIf(window -> window < oldestKept);
+        closed.removeIf(window -> window < oldestKept);
+        pending.values().removeIf(push -> push.isOutdated(oldestKept));
+    }
+
+    private boolean isOver(final long window) {
+        return stopped || (window + 1) * limits.windowMs() + limits.closeMs() < fleetClock.nowMs();
     }
 
-    private void whole(final long window) {
+    private void pushCompletely(final long window) {
         changed.computeIfAbsent(window, w -> new TreeSet<>())
-                .addAll(begun.get(window).keySet());
+                .addAll(startedByWindow.get(window).keySet());
     }
 
     private void push() {
-        if (pushes.size() >= PUSHES_MAX) {
-            for (final Push old : pushes.values()) {
-                old.what.forEach((w, tenants) ->
-                        changed.computeIfAbsent(w, n -> new TreeSet<>()).addAll(tenants));
-                changedMs = Math.min(changedMs, old.sinceMs);
+        if (pending.size() >= PENDING_MAX) {
+            for (final PendingPush push : pending.values()) {
+                push.tenantsByWindow()
+                        .forEach((window, tenants) -> changed.computeIfAbsent(window, w -> new TreeSet<>())
+                                .addAll(tenants));
+                oldestChangeMs = Math.min(oldestChangeMs, push.oldestMs());
             }
-            pushes.clear();
+            pending.clear();
         }
-        final Push push = new Push(new TreeMap<>(changed), changedMs);
+        final PendingPush push = new PendingPush(new TreeMap<>(changed), oldestChangeMs);
         changed.clear();
-        changedMs = NEVER;
-        final long stamp = nextStamp++;
-        pushes.put(stamp, push);
-        send(stamp, push);
+        oldestChangeMs = NEVER;
+        final long pushId = nextPushId++;
+        pending.put(pushId, push);
+        send(pushId, push);
     }
 
-    private void send(final long stamp, final Push push) {
+    private void send(final long pushId, final PendingPush push) {
         final List<UsageMessage.Count> counts = new ArrayList<>();
-        push.what.forEach((window, tenants) -> {
-            final Map<String, Long> of = new TreeMap<>(begun.getOrDefault(window, Map.of()));
-            of.keySet().retainAll(tenants);
-            counts.add(new UsageMessage.Count(edge, incarnation, window, of, over(window)));
+        push.tenantsByWindow().forEach((window, tenants) -> {
+            final Map<String, Long> started = new TreeMap<>(startedByWindow.getOrDefault(window, Map.of()));
+            started.keySet().retainAll(tenants);
+            counts.add(new UsageMessage.Count(edge.name(), edge.incarnation(), window, started, isOver(window)));
         });
-        push.sentMs = clock.nowMs();
-        for (final String core : cores.get()) {
-            if (!push.had.contains(core)) {
-                post.send(core, new UsageMessage.Counts(address, stamp, counts));
+        push.onSent(clock.nowMs());
+        for (final String core : cores.current()) {
+            if (!push.isAcknowledgedBy(core)) {
+                sender.send(core, new UsageMessage.Counts(edge.address(), pushId, counts));
             }
         }
     }
-
-    /** Hears that a core has the counts of a push. */
-    public void hear(final UsageMessage.CountsAcknowledged message, final String core) {
-        final Long before = incarnations.put(message.name(), message.incarnation());
-        if (before != null && before != message.incarnation()) {
-            // It came back, without what it had.
-            begun.keySet().forEach(this::whole);
-        }
-        final Push push = pushes.get(message.stamp());
-        if (push != null
-                && push.had.add(core)
-                && push.had.size() > Math.max(timing.cores(), cores.get().size()) / 2) {
-            pushes.remove(message.stamp());
-        }
-    }
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -1,314 +1,265 @@
 package spokestall.usage;
 
 import com.google.common.flogger.FluentLogger;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Consumer;
-import java.util.function.Function;
-import java.util.function.LongSupplier;
-import java.util.function.Supplier;
 import spokestall.consensus.ProposalOutcome;
 import spokestall.consensus.Proposer;
 import spokestall.consensus.RegisterEdit;
 import spokestall.lease.LeaseSession;
 import spokestall.lease.LeasedTask;
 import spokestall.message.MessageCodec;
-import spokestall.message.MessageSender;
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
 
 /**
- * The holder's work: closes each window after a grace, seals its counts in a write-once register, sends them, and
- * records that they were sent. Whoever sends a window sends the sealed counts. A window that can't be sent in time is
- * not sent; its sealed counts stay readable.
+ * Reports each window's usage to the platform while this node holds the lease.
+ *
+ * <p>Each window passes these stages ({@link WindowReport.Stage}):
+ *
+ * <ol>
+ *   <li>closing: the counts of a majority of the cores are gathered, and every edge has closed the window or the wait for that
+ *       is over;
+ *   <li>sealing: the counts are written into the window's write-once register. If an earlier holder sealed the window, its counts
+ *       are used and this node's are dropped;
+ *   <li>sending: what the register holds is sent, never anything else;
+ *   <li>recording: that the platform confirmed them is added to the register.
+ * </ol>
+ *
+ * <p>The platform can't be read back, so sending and recording can't be atomic. What holds is: a window that is recorded is not sent
+ * again by a later holder; a window may be sent twice, if a holder fails between sending and recording or an answer is lost; all
+ * reports of a window carry the same counts. A window that can't arrive before it is due is not sent; its sealed counts stay readable.
+ *
+ * <p>Each step checks the session before it begins, and again right before bytes leave the machine. Not thread-safe; all calls on
+ * the node's event loop.
  */
 public final class UsageReporter implements LeasedTask {
-    /** Spans, from the settings. */
-    public record Timing(
-            long windowMs,
-            long graceMs,
-            long waitMaxMs,
-            long gatherMs,
-            long dueMs,
-            long storeWaitMs,
-            long sendWaitMs,
-            double perS) {}
-
-    /** Sends one report to the platform. */
-    public interface Platform {
-        /** {@code until} tells, on the monotonic clock, until when the bytes may leave. Example: see {@code Outside}. */
-        void report(
-                String holder,
-                long token,
-                SealedWindow sealed,
-                long waitMs,
-                LongSupplier until,
-                Consumer<Boolean> done);
-    }
-
-    private enum Stage {
-        GATHER,
-        SEALING,
-        SEND,
-        SENDING,
-        COMPLETING,
-        OVER
-    }
-
-    private static final class Unit {
-        private final long window;
-        private Stage stage = Stage.GATHER;
-        private final Set<String> answered = new HashSet<>();
-        private long requestedMs = -1;
-        private long firstMs = -1;
-        private SealedWindow sealed;
-
-        Unit(final long window) {
-            this.window = window;
-        }
-    }
-
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private final String name;
-    private final String address;
-    private final UsageTable configurationStore;
+    private final String node;
+    private final ReporterContext context;
     private final Proposer proposer;
-    private final Platform platform;
-    private final MessageSender post;
     private final Clock clock;
-    private final FleetClock fleet;
-    private final Timing timing;
-    private final Supplier<List<String>> cores;
-    private final LongSupplier floorMs;
-    private final Function<String, Long> presentIncarnation;
-    private final TreeMap<Long, Unit> units = new TreeMap<>();
-    private LeaseSession execution;
-    private long next;
-    private long sentMs;
+    private final FleetClock fleetClock;
+    private final ReportSchedule schedule;
+    private final UsageReportClient client;
+    private final ReportSources sources;
+    private final UsageTable table;
+    private final TreeMap<Long, WindowReport> reports = new TreeMap<>();
+    private LeaseSession session;
+    private long nextWindow;
+    private long lastSentMs;
     private long lastSealed;
     private long missed;
-    private int callsOpen;
-    private boolean unanswered;
+    private int callsInFlight;
+    private boolean unconfirmedCall;
 
-    /** Example: see {@code Node}. */
+    /** Creates a reporter, which does nothing until a session starts. */
     public UsageReporter(
-            final String name,
-            final String address,
-            final UsageTable configurationStore,
-            final Proposer proposer,
-            final Platform platform,
-            final MessageSender post,
-            final Clock clock,
-            final FleetClock fleet,
-            final Timing timing,
-            final Supplier<List<String>> cores,
-            final LongSupplier floorMs,
-            final Function<String, Long> presentIncarnation) {
-        this.name = name;
-        this.address = address;
-        this.configurationStore = configurationStore;
-        this.proposer = proposer;
-        this.platform = platform;
-        this.post = post;
-        this.clock = clock;
-        this.fleet = fleet;
-        this.timing = timing;
-        this.cores = cores;
-        this.floorMs = floorMs;
-        this.presentIncarnation = presentIncarnation;
+            final ReporterContext context,
+            final ReportSchedule schedule,
+            final UsageReportClient client,
+            final ReportSources sources) {
+        this.context = context;
+        this.node = context.node();
+        this.proposer = context.proposer();
+        this.clock = context.clock();
+        this.fleetClock = context.fleetClock();
+        this.schedule = schedule;
+        this.client = client;
+        this.sources = sources;
+        this.table = sources.table();
     }
 
-    /** The newest window this node sealed or saw sealed. */
+    /** The newest window that this node sealed or found sealed; 0 before the first. */
     public long lastSealed() {
         return lastSealed;
     }
 
-    /** Windows that could not be sent in time. */
+    /** How many windows this node did not send because they were too late. */
     public long missed() {
         return missed;
     }
 
     @Override
-    public void onSessionStarted(final LeaseSession begun) {
-        execution = begun;
-        units.clear();
-        unanswered = false;
-        sentMs = clock.nowMs();
-        next = Math.floorDiv(fleet.nowMs() - timing.dueMs(), timing.windowMs());
+    public void onSessionStarted(final LeaseSession started) {
+        session = started;
+        reports.clear();
+        unconfirmedCall = false;
+        lastSentMs = clock.nowMs();
+        nextWindow = Math.floorDiv(fleetClock.nowMs() - schedule.dueMs(), schedule.windowMs());
         LOG.atInfo().log(
-                "event=duty_begin node=%s executionId=%s token=%s from=%s",
-                name, begun.sessionId(), begun.fencingToken(), next);
+                "event=report_session_started node=%s sessionId=%s fencingToken=%s firstWindow=%s",
+                node, started.sessionId(), started.fencingToken(), nextWindow);
     }
 
-    /** A call that ended with no good answer may still be on its way. */
+    /** False while a call is in flight or one ended unconfirmed, since that may still be on its way. */
     @Override
     public boolean isQuiescent() {
-        return callsOpen == 0 && !unanswered;
+        return callsInFlight == 0 && !unconfirmedCall;
     }
 
-    /** One beat. */
-    public void tick() {
-        if (execution == null) {
+    /** Begins the reports of windows that have ended and takes each report a step further. */
+    public void onTick() {
+        if (session == null) {
             return;
         }
-        final Optional<LeaseSession.EndReason> endReason = execution.endReason(clock.nowMs());
+        final Optional<LeaseSession.EndReason> endReason = session.endReason(clock.nowMs());
         if (endReason.isPresent()) {
             LOG.atInfo().log(
-                    "event=duty_stop node=%s executionId=%s token=%s why=%s",
-                    name, execution.sessionId(), execution.fencingToken(), endReason.get());
-            execution = null;
-            units.clear();
+                    "event=report_session_ended node=%s sessionId=%s fencingToken=%s reason=%s",
+                    node, session.sessionId(), session.fencingToken(), endReason.get());
+            session = null;
+            reports.clear();
             return;
         }
-        while (endMs(next) <= fleet.nowMs()) {
-            if (reportable(next)) {
-                units.put(next, new Unit(next));
+        while (schedule.endMs(nextWindow) <= fleetClock.nowMs()) {
+            if (isReportable(nextWindow)) {
+                reports.put(nextWindow, new WindowReport(nextWindow));
             }
-            next++;
+            nextWindow++;
         }
-        for (final Unit unit : List.copyOf(units.values())) {
-            step(execution, unit);
+        for (final WindowReport report : List.copyOf(reports.values())) {
+            switch (report.stage()) {
+                case CLOSING -> close(session, report);
+                case SEALED -> sendInTime(session, report);
+                case SEALING, SENDING, RECORDING, DONE -> {}
+            }
         }
-        units.values().removeIf(u -> u.stage == Stage.OVER);
+        reports.values().removeIf(report -> report.stage() == WindowReport.Stage.DONE);
     }
 
-    /** A window that began before this generation may have been reported with counts that were lost since. */
-    private boolean reportable(final long window) {
-        return window * timing.windowMs() >= floorMs.getAsLong();
+    /** Merges what another core has of a window. */
+    public void onMessage(final UsageMessage.CountsResponse response) {
+        response.counts().forEach(table::merge);
+        final WindowReport report = reports.get(response.window());
+        if (report != null) {
+            report.onCoreAnswered(response.core());
+        }
     }
 
-    private long endMs(final long window) {
-        return (window + 1) * timing.windowMs();
+    /** A window that began before this generation may have been reported with counts that were lost since. */
+    private boolean isReportable(final long window) {
+        return window * schedule.windowMs() >= sources.floor().fleetMs();
     }
 
-    private void step(final LeaseSession mine, final Unit unit) {
-        final long lateMs = fleet.nowMs() - endMs(unit.window);
-        if (unit.stage == Stage.GATHER) {
-            gather(mine, unit, lateMs);
-        } else if (unit.stage == Stage.SEND) {
-            if (lateMs + timing.sendWaitMs() / 2 > timing.dueMs()) {
-                missed++;
-                LOG.atWarning().log(
-                        "event=window_missed node=%s window=%s executionId=%s lateMs=%s",
-                        name, unit.window, mine.sessionId(), lateMs);
-                unit.stage = Stage.OVER;
-            } else if (clock.nowMs() - sentMs >= 1000 / timing.perS()) {
-                send(mine, unit, Math.min(timing.sendWaitMs(), timing.dueMs() - lateMs));
-            }
-        }
+    private long lateMs(final WindowReport report) {
+        return fleetClock.nowMs() - schedule.endMs(report.window());
     }
 
-    /** Seals once the others were asked and could answer, and every edge has closed the window or the wait is over. */
-    private void gather(final LeaseSession mine, final Unit unit, final long lateMs) {
+    /** Requests the cores' counts, and seals the window once they have answered and it is closed or the wait is over. */
+    private void close(final LeaseSession under, final WindowReport report) {
+        final long lateMs = lateMs(report);
         // Whatever was begun in the window is with a majority by then, or never will be.
-        if (lateMs < timing.graceMs() - timing.gatherMs()) {
+        if (lateMs < schedule.graceMs() - schedule.gatherMs()) {
             return;
         }
         final long nowMs = clock.nowMs();
-        final int all = cores.get().size();
-        final boolean majority = unit.answered.size() > all / 2;
-        final boolean closed = configurationStore.closed(unit.window, presentIncarnation);
-        final boolean askAgain = (!closed || !majority) && nowMs - unit.requestedMs >= timing.gatherMs();
-        if (unit.requestedMs < 0 || askAgain) {
-            unit.requestedMs = nowMs;
-            unit.firstMs = unit.firstMs < 0 ? nowMs : unit.firstMs;
-            for (final String core : cores.get()) {
-                post.send(core, new UsageMessage.CountsRequest(address, unit.window));
-            }
+        final int coreCount = sources.cores().current().size();
+        final boolean majority = report.answeredCores() > coreCount / 2;
+        final boolean closed = table.isClosed(report.window(), sources.edges());
+        final boolean requestAgain = (!closed || !majority) && report.sinceLastRequestMs(nowMs) >= schedule.gatherMs();
+        if (!report.isRequested() || requestAgain) {
+            requestCounts(report, nowMs);
         }
-        final boolean heard = unit.answered.size() >= all || majority && nowMs - unit.firstMs >= timing.gatherMs();
-        final boolean whole = closed && lateMs >= timing.graceMs();
-        if (heard && (whole || lateMs >= timing.waitMaxMs())) {
-            seal(mine, unit);
+        final boolean gathered = report.answeredCores() >= coreCount
+                || majority && report.sinceFirstRequestMs(nowMs) >= schedule.gatherMs();
+        final boolean complete = closed && lateMs >= schedule.graceMs();
+        if (gathered && (complete || lateMs >= schedule.closeMaxMs())) {
+            seal(under, report);
         }
     }
 
-    /** Hears what another core has of a window. */
-    public void hear(final UsageMessage.CountsResponse back) {
-        back.counts().forEach(configurationStore::merge);
-        final Unit unit = units.get(back.window());
-        if (unit != null) {
-            unit.answered.add(back.name());
+    private void requestCounts(final WindowReport report, final long nowMs) {
+        report.onRequested(nowMs);
+        for (final String core : sources.cores().current()) {
+            context.sender().send(core, new UsageMessage.CountsRequest(context.address(), report.window()));
         }
     }
 
-    private void seal(final LeaseSession mine, final Unit unit) {
-        unit.stage = Stage.SEALING;
-        final Map<String, Long> counts = configurationStore.sum(unit.window);
-        final byte[] value =
-                MessageCodec.bytes(new SealedWindow(unit.window, counts, mine.owner(), mine.fencingToken(), false));
+    private void seal(final LeaseSession under, final WindowReport report) {
+        report.transition(WindowReport.Stage.SEALING);
+        final Map<String, Long> counts = table.totals(report.window());
+        final byte[] value = MessageCodec.bytes(
+                new SealedWindow(report.window(), counts, under.owner(), under.fencingToken(), false));
         proposer.change(
-                SealedWindow.key(unit.window),
-                timing.storeWaitMs(),
-                now -> now == null && mine.isValid(clock.nowMs()) && reportable(unit.window)
+                SealedWindow.key(report.window()),
+                schedule.storeWaitMs(),
+                now -> now == null && under.isValid(clock.nowMs()) && isReportable(report.window())
                         ? new RegisterEdit.Set(value)
                         : RegisterEdit.LEAVE,
-                outcome -> {
-                    if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
-                        unit.sealed = MessageCodec.record(done.value(), SealedWindow.class);
-                        lastSealed = Math.max(lastSealed, unit.window);
-                        unit.stage = unit.sealed.completed() ? Stage.OVER : Stage.SEND;
-                    } else {
-                        final boolean over = outcome instanceof ProposalOutcome.Gone || !reportable(unit.window);
-                        unit.stage = over ? Stage.OVER : Stage.GATHER;
-                    }
-                });
+                outcome -> onSealOutcome(report, outcome));
     }
 
-    private void send(final LeaseSession mine, final Unit unit, final long waitMs) {
-        if (!mine.isValid(clock.nowMs())) {
-            return;
+    private void onSealOutcome(final WindowReport report, final ProposalOutcome outcome) {
+        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+            lastSealed = Math.max(lastSealed, report.window());
+            report.onSealed(MessageCodec.record(done.value(), SealedWindow.class));
+        } else {
+            final boolean past = outcome instanceof ProposalOutcome.Gone || !isReportable(report.window());
+            report.transition(past ? WindowReport.Stage.DONE : WindowReport.Stage.CLOSING);
+        }
+    }
+
+    /** Sends a sealed window, unless half the usual time for the answer would be past its due time. */
+    private void sendInTime(final LeaseSession under, final WindowReport report) {
+        final long lateMs = lateMs(report);
+        if (lateMs + schedule.sendTimeoutMs() / 2 > schedule.dueMs()) {
+            missed++;
+            LOG.atWarning().log(
+                    "event=window_missed node=%s sessionId=%s window=%s lateMs=%s",
+                    node, under.sessionId(), report.window(), lateMs);
+            report.transition(WindowReport.Stage.DONE);
+        } else if (clock.nowMs() - lastSentMs >= schedule.sendGapMs() && under.isValid(clock.nowMs())) {
+            send(under, report, Math.min(schedule.sendTimeoutMs(), schedule.dueMs() - lateMs));
+        }
+    }
+
+    private void send(final LeaseSession under, final WindowReport report, final long timeoutMs) {
+        report.transition(WindowReport.Stage.SENDING);
+        lastSentMs = clock.nowMs();
+        callsInFlight++;
+        client.report(
+                node,
+                under.fencingToken(),
+                report.sealed(),
+                timeoutMs,
+                () -> under == session && under.isValid(clock.nowMs()) ? under.deadlineMs() : Long.MIN_VALUE,
+                result -> onReportResult(under, report, result));
+    }
+
+    private void onReportResult(final LeaseSession under, final WindowReport report, final ReportResult result) {
+        callsInFlight--;
+        LOG.atInfo().log(
+                "event=window_reported node=%s sessionId=%s fencingToken=%s window=%s result=%s lateMs=%s",
+                node, under.sessionId(), under.fencingToken(), report.window(), result, lateMs(report));
+        switch (result) {
+            case ACCEPTED -> recordCompleted(under, report);
+            case UNCONFIRMED -> {
+                unconfirmedCall = true;
+                report.transition(WindowReport.Stage.SEALED);
+            }
         }
-        unit.stage = Stage.SENDING;
-        sentMs = clock.nowMs();
-        callsOpen++;
-        platform.report(
-                name,
-                mine.fencingToken(),
-                unit.sealed,
-                waitMs,
-                () -> mine == execution && mine.isValid(clock.nowMs()) ? mine.deadlineMs() : Long.MIN_VALUE,
-                ok -> {
-                    callsOpen--;
-                    unanswered |= !ok;
-                    LOG.atInfo().log(
-                            "event=report node=%s executionId=%s token=%s window=%s ok=%s lateMs=%s",
-                            name,
-                            mine.sessionId(),
-                            mine.fencingToken(),
-                            unit.window,
-                            ok,
-                            fleet.nowMs() - endMs(unit.window));
-                    if (ok) {
-                        complete(mine, unit);
-                    } else {
-                        unit.stage = Stage.SEND;
-                    }
-                });
     }
 
-    private void complete(final LeaseSession mine, final Unit unit) {
-        unit.stage = Stage.COMPLETING;
+    private void recordCompleted(final LeaseSession under, final WindowReport report) {
+        report.transition(WindowReport.Stage.RECORDING);
         proposer.change(
-                SealedWindow.key(unit.window),
-                timing.storeWaitMs(),
-                value -> {
-                    final SealedWindow now = value == null ? null : MessageCodec.record(value, SealedWindow.class);
-                    return now == null || now.completed()
-                            ? RegisterEdit.LEAVE
-                            : new RegisterEdit.Set(MessageCodec.bytes(now.complete()));
-                },
-                outcome -> {
-                    unit.stage = Stage.OVER;
+                SealedWindow.key(report.window()), schedule.storeWaitMs(), UsageReporter::completed, outcome -> {
+                    report.transition(WindowReport.Stage.DONE);
                     if (!(outcome instanceof ProposalOutcome.Done)) {
                         LOG.atWarning().log(
-                                "event=completion_unclear node=%s window=%s executionId=%s",
-                                name, unit.window, mine.sessionId());
+                                "event=window_completion_unknown node=%s sessionId=%s window=%s",
+                                node, under.sessionId(), report.window());
                     }
                 });
     }
+
+    private static RegisterEdit completed(final byte[] value) {
+        final SealedWindow now = value == null ? null : MessageCodec.record(value, SealedWindow.class);
+        return now == null || now.completed()
+                ? RegisterEdit.LEAVE
+                : new RegisterEdit.Set(MessageCodec.bytes(now.complete()));
+    }
 }
--- a/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
@@ -20,7 +20,7 @@
         assertThat(ConfigurationKeys.key(Long.MAX_VALUE)).isEqualTo("policy/9223372036854775807");
         assertThat(SealedWindow.key(345)).isEqualTo("usage/0000000000000000345");
         assertThat(Lease.key("usage_report")).isEqualTo("duty/usage_report");
-        assertThat(UsageComponent.LEASE).isEqualTo("duty/usage_report");
+        assertThat(UsageComponent.LEASE_KEY).isEqualTo("duty/usage_report");
         assertThat(GenerationMerger.FLOOR).isEqualTo("duty/floor");
         assertThat(IdempotencyClaim.key("tenant-1", "pay-17")).isEqualTo("once/tenant-1/pay-17");
         assertThat(VoterSet.key(1_700_000_000L, 2)).isEqualTo("voters/1700000000/2");
@@ -42,7 +42,7 @@
         assertThat(CoreStorage.POLICY).isEqualTo("~policy");
         assertThat(CoreStorage.BOOTSTRAP_ACCEPTOR).isEqualTo("~council");
         assertThat(DiscoveryComponent.KEPT).isEqualTo("~listed");
-        assertThat(UsageComponent.KEPT).isEqualTo("~usage");
+        assertThat(UsageComponent.COUNTS_KEY).isEqualTo("~usage");
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
@@ -17,50 +18,48 @@
     private final ManualClock clock = new ManualClock(1_000_000);
     private final FleetClock fleet = new FleetClock(clock, 100);
 
-    private UsageCounter counter(final long uncountedMs) {
+    private UsageCounter counter(final long uncountedMaxMs) {
         fleet.heard("p", clock.nowMs(), true, clock.nowMs());
         fleet.heard("q", clock.nowMs(), true, clock.nowMs());
         return new UsageCounter(
-                "e",
-                "e",
-                7,
-                new UsageCounter.Timing(5000, 1000, 3, uncountedMs, 4, 100),
+                new EdgeIdentity("e", "e", 7),
+                new CounterLimits(5000, 1000, 3, uncountedMaxMs, 4, 100),
                 clock,
                 fleet,
                 (to, message) -> sent.add(new Sent(to, (UsageMessage.Counts) message)),
                 () -> CORES);
     }
 
-    private void had(final UsageCounter counter, final Sent one, final long incarnation) {
-        counter.hear(new UsageMessage.CountsAcknowledged(one.to, one.counts.stamp(), incarnation), one.to);
+    private void acknowledge(final UsageCounter counter, final Sent one, final long incarnation) {
+        counter.onMessage(new UsageMessage.CountsAcknowledged(one.to, one.counts.pushId(), incarnation), one.to);
     }
 
     private List<Sent> tick(final UsageCounter counter, final long ms) {
         clock.advance(ms);
         sent.clear();
-        counter.tick();
+        counter.onTick();
         return List.copyOf(sent);
     }
 
     @Test
-    void onlyWhatChangedIsPushedAndNothingAtRestButEachClosing() {
+    void onlyChangedCountsArePushedAndAtRestOnlyTheClosingOfEachWindow() {
         final UsageCounter counter = counter(200);
-        tick(counter, 10).forEach(s -> had(counter, s, 1));
-        counter.begun("t1");
+        tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
+        counter.onStarted("t1");
         final List<Sent> first = tick(counter, 10);
         assertThat(first).hasSize(4);
-        assertThat(first.get(0).counts.counts().get(0).begun()).isEqualTo(Map.of("t1", 1L));
-        first.forEach(s -> had(counter, s, 1));
-        counter.begun("t2");
+        assertThat(first.get(0).counts.counts().get(0).startedByTenant()).isEqualTo(Map.of("t1", 1L));
+        first.forEach(s -> acknowledge(counter, s, 1));
+        counter.onStarted("t2");
         final List<Sent> second = tick(counter, 10);
         assertThat(second.get(0).counts.counts()).hasSize(1);
-        assertThat(second.get(0).counts.counts().get(0).begun()).isEqualTo(Map.of("t2", 1L));
-        second.forEach(s -> had(counter, s, 1));
+        assertThat(second.get(0).counts.counts().get(0).startedByTenant()).isEqualTo(Map.of("t2", 1L));
+        second.forEach(s -> acknowledge(counter, s, 1));
         int pushes = 0;
         for (int i = 0; i < 2000; i++) {
             final List<Sent> more = tick(counter, 10);
             pushes += more.size();
-            more.forEach(s -> had(counter, s, 1));
+            more.forEach(s -> acknowledge(counter, s, 1));
         }
         assertThat(pushes)
                 .as("20 s are four windows, each closed once to each of four")
@@ -68,53 +67,53 @@
     }
 
     @Test
-    void whoDoesNotSayItHasThemIsToldAgainUntilAMajorityHas() {
+    void countsAreResentToCoresThatDidNotAcknowledgeThemUntilAMajorityHas() {
         final UsageCounter counter = counter(200);
-        tick(counter, 10).forEach(s -> had(counter, s, 1));
-        counter.begun("t1");
+        tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
+        counter.onStarted("t1");
         final List<Sent> first = tick(counter, 10);
-        had(counter, first.get(0), 1);
-        had(counter, first.get(0), 1);
-        had(counter, first.get(1), 1);
-        assertThat(counter.mayBegin()).isTrue();
+        acknowledge(counter, first.get(0), 1);
+        acknowledge(counter, first.get(0), 1);
+        acknowledge(counter, first.get(1), 1);
+        assertThat(counter.mayStart()).isTrue();
         assertThat(tick(counter, 50)).isEmpty();
         final List<Sent> again = tick(counter, 60);
         assertThat(again).extracting(Sent::to).containsExactly("c", "d");
         clock.advance(100);
-        assertThat(counter.mayBegin()).as("two of four are no majority").isFalse();
-        had(counter, again.get(0), 1);
-        assertThat(counter.mayBegin()).isTrue();
+        assertThat(counter.mayStart()).as("two of four are no majority").isFalse();
+        acknowledge(counter, again.get(0), 1);
+        assertThat(counter.mayStart()).isTrue();
         assertThat(tick(counter, 200)).isEmpty();
     }
 
     @Test
-    void aCoreThatCameBackGetsWholeWindowsAgain() {
+    void aRestartedCoreReceivesCompleteWindowsAgain() {
         final UsageCounter counter = counter(200);
-        counter.begun("t1");
-        tick(counter, 10).forEach(s -> had(counter, s, 1));
-        counter.begun("t2");
+        counter.onStarted("t1");
+        tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
+        counter.onStarted("t2");
         final List<Sent> second = tick(counter, 10);
-        had(counter, second.get(0), 2);
-        final List<Sent> whole = tick(counter, 10);
-        assertThat(whole)
+        acknowledge(counter, second.get(0), 2);
+        final List<Sent> complete = tick(counter, 10);
+        assertThat(complete)
                 .anySatisfy(s -> assertThat(s.counts.counts())
-                        .anySatisfy(c -> assertThat(c.begun()).isEqualTo(Map.of("t1", 1L, "t2", 1L))));
+                        .anySatisfy(c -> assertThat(c.startedByTenant()).isEqualTo(Map.of("t1", 1L, "t2", 1L))));
     }
 
     @Test
-    void withNoBoundItGoesOnWithoutAMajorityAndEveryCountStillArrives() {
+    void withoutABoundRequestsStartWithoutAMajorityAndEveryCountStillArrives() {
         final UsageCounter counter = counter(0);
         for (int i = 0; i < 60; i++) {
-            counter.begun("t" + i);
+            counter.onStarted("t" + i);
             tick(counter, 50);
-            assertThat(counter.mayBegin()).isTrue();
+            assertThat(counter.mayStart()).isTrue();
         }
-        final Map<String, Long> all = new java.util.TreeMap<>();
+        final Map<String, Long> all = new TreeMap<>();
         tick(counter, 200).stream()
                 .filter(s -> s.to.equals("a"))
                 .forEach(s -> s.counts
                         .counts()
-                        .forEach(c -> c.begun().forEach((tenant, n) -> all.merge(tenant, n, Math::max))));
+                        .forEach(c -> c.startedByTenant().forEach((tenant, n) -> all.merge(tenant, n, Math::max))));
         assertThat(all).hasSize(60);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
-import java.util.function.LongSupplier;
 import spokestall.io.LogLineFormatter;
 import spokestall.io.process.NodeProcess;
 import spokestall.io.protocol.ProtocolAdapter;
 import spokestall.settings.Settings;
 import spokestall.storage.SegmentStore;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.SendDeadline;
+import spokestall.usage.UsageReportClient;
 
 /**
  * The shipped node with a failing machine around it: while a file {@code stall}, {@code full} or {@code gap} stands in
@@ -43,18 +43,18 @@
                                     }
 
                                     @Override
-                                    public UsageReporter.Platform platform(final UsageReporter.Platform platform) {
-                                        return (holder, token, window, waitMs, until, done) ->
-                                                platform.report(holder, token, window, waitMs, gap(hooks, until), done);
+                                    public UsageReportClient platform(final UsageReportClient platform) {
+                                        return (holder, token, window, waitMs, deadline, callback) -> platform.report(
+                                                holder, token, window, waitMs, gap(hooks, deadline), callback);
                                     }
                                 },
                                 ProtocolAdapter.own())
                         .run());
     }
 
-    private static LongSupplier gap(final Path hooks, final LongSupplier until) {
+    private static SendDeadline gap(final Path hooks, final SendDeadline deadline) {
         return () -> {
-            final long untilMs = until.getAsLong();
+            final long untilMs = deadline.latestMs();
             if (Files.exists(hooks.resolve("gap"))) {
                 standIn(GAP_MS);
             }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -22,9 +22,12 @@
 import spokestall.settings.Settings;
 import spokestall.testbed.simulation.SimulatedWorld;
 import spokestall.time.Clock;
+import spokestall.usage.ReportCallback;
+import spokestall.usage.ReportResult;
 import spokestall.usage.SealedWindow;
+import spokestall.usage.SendDeadline;
 import spokestall.usage.UsageCounter;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.UsageReportClient;
 
 /** The product's own node on a lane of its own, with everything around it hollow; what it sends and computes is counted. */
 final class ScaleNode {
@@ -251,11 +254,11 @@
             return;
         }
         for (int i = 0; i < due; i++) {
-            if (!counter.mayBegin()) {
+            if (!counter.mayStart()) {
                 uncounted[phase] += due - i;
                 return;
             }
-            counter.begun(run.shape.asker(chance));
+            counter.onStarted(run.shape.asker(chance));
             counted.merge(node.fleetMs() / run.windowMs, 1L, Long::sum);
             acted++;
         }
@@ -265,7 +268,7 @@
     }
 
     /** What is around a node: the platform, and upstreams that answer at once and take nothing. */
-    private final class Hollow implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+    private final class Hollow implements UpstreamClient, HealthChecker.Reach, UsageReportClient {
         private static final long PLATFORM_MS = 10;
         private final long mine;
 
@@ -290,11 +293,11 @@
                 final long token,
                 final SealedWindow sealed,
                 final long waitMs,
-                final LongSupplier until,
-                final Consumer<Boolean> done) {
+                final SendDeadline deadline,
+                final ReportCallback callback) {
             final Map<String, Long> counts = Map.copyOf(sealed.counts());
             tell(() -> run.judge.reported(holder, token, sealed.window(), counts));
-            later(mine, PLATFORM_MS, ScaleTraffic.OUTSIDE, () -> done.accept(true));
+            later(mine, PLATFORM_MS, ScaleTraffic.OUTSIDE, () -> callback.onResult(ReportResult.ACCEPTED));
         }
 
         @Override
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -20,8 +20,11 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.standin.UpstreamStandIn;
 import spokestall.testbed.verdict.Ledger;
+import spokestall.usage.ReportCallback;
+import spokestall.usage.ReportResult;
 import spokestall.usage.SealedWindow;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.SendDeadline;
+import spokestall.usage.UsageReportClient;
 
 /** The upstreams and the platform of a simulated run. */
 final class SimulatedEnvironment {
@@ -131,7 +134,7 @@
     }
 
     /** The rim of one life. */
-    final class NodeEnvironment implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+    final class NodeEnvironment implements UpstreamClient, HealthChecker.Reach, UsageReportClient {
         private final SimulatedNode node;
         private final long incarnation;
 
@@ -173,11 +176,11 @@
                 final long token,
                 final SealedWindow sealed,
                 final long waitMs,
-                final LongSupplier until,
-                final Consumer<Boolean> done) {
+                final SendDeadline deadline,
+                final ReportCallback callback) {
             final long way = 5L + random.nextInt(20);
             // Connecting takes a round trip; the check is made when the bytes are about to leave.
-            leave(2 * way, until, () -> done.accept(false), () -> {
+            leave(2 * way, deadline::latestMs, () -> callback.onResult(ReportResult.UNCONFIRMED), () -> {
                 final TreeMap<String, Long> counts = new TreeMap<>(sealed.counts());
                 if (world.injectedFault == InjectedFault.SWAPPED_TENANTS) {
                     final Long first = counts.get(Deployment.tenant(0));
@@ -191,7 +194,9 @@
                                     new Ledger.Reported(holder, token, sealed.window(), counts, world.sim.nowMs())));
                 }
                 final boolean lost = random.nextInt(50) == 0;
-                back(lost ? waitMs : 2 * way, () -> done.accept(!lost));
+                back(
+                        lost ? waitMs : 2 * way,
+                        () -> callback.onResult(lost ? ReportResult.UNCONFIRMED : ReportResult.ACCEPTED));
             });
         }
 
