--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -107,8 +107,8 @@
 
     /** Writes a lease with a newer fencing token; the lease is null while none is known. */
     public void recordLease(final Lease seen) {
-        if (seen != null && seen.token() > fencingToken) {
-            fencingToken = seen.token();
+        if (seen != null && seen.fencingToken() > fencingToken) {
+            fencingToken = seen.fencingToken();
             sink.append("lease", entry().put("holder", seen.holder()).put("token", fencingToken));
         }
     }
@@ -116,7 +116,7 @@
     /** Writes a usage window once it is marked as reported, by which its counts are decided. */
     public void recordWindow(final SealedWindow sealed) {
         if (sealed.completed() && writtenWindows.add(sealed.window())) {
-            final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.token());
+            final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.fencingToken());
             new TreeMap<>(sealed.counts()).forEach(entry.putObject("counts")::put);
             sink.append("window", entry);
             if (writtenWindows.size() > WINDOWS_KEPT) {
--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -4,6 +4,8 @@
 import spokestall.consensus.Proposer;
 import spokestall.consensus.Register;
 import spokestall.lease.LeaseManager;
+import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.message.MessageCodec;
 import spokestall.usage.SealedWindow;
 
@@ -41,7 +43,7 @@
         if (context.fleet.settled()) {
             auditor.recordVoters(proposer.voterSet());
             auditor.recordConfiguration();
-            auditor.recordLease(leaseManager.seen());
+            auditor.recordLease(leaseManager.observedLease());
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/node/CoreStatus.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStatus.java
@@ -49,9 +49,9 @@
 
     private void addLease(final ObjectNode lease) {
         lease.put("state", usage.leaseManager.state().name());
-        if (usage.leaseManager.seen() != null) {
-            lease.put("holder", usage.leaseManager.seen().holder())
-                    .put("token", usage.leaseManager.seen().token());
+        if (usage.leaseManager.observedLease() != null) {
+            lease.put("holder", usage.leaseManager.observedLease().holder())
+                    .put("token", usage.leaseManager.observedLease().fencingToken());
         }
         lease.put("lastSealed", usage.reporter.lastSealed()).put("missed", usage.reporter.missed());
     }
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -138,7 +138,7 @@
                 configurationStore,
                 storage,
                 new ToleratedSeatLoss(context.settings(), view),
-                usage == null ? () -> 0 : usage::tokenSeen);
+                usage == null ? () -> 0 : usage::highestFencingToken);
     }
 
     private FeedClient feedClient() {
@@ -196,7 +196,7 @@
         discovery.open(peerDirectory, view, storage.acceptor, environment.reach());
         usage.open();
         storage.acceptor.addListener((key, register) -> {
-            usage.seen(key, register);
+            usage.onRegisterStored(key, register);
             audit.onRegisterStored(key, register);
         });
     }
--- a/spokestall/src/main/java/spokestall/node/RecordCalls.java
+++ b/spokestall/src/main/java/spokestall/node/RecordCalls.java
@@ -55,7 +55,7 @@
                     .createObjectNode()
                     .put("window", sealed.window())
                     .put("completed", sealed.completed())
-                    .put("token", sealed.token());
+                    .put("token", sealed.fencingToken());
             final ObjectNode counts = fields.putObject("counts");
             sealed.counts().forEach(counts::put);
             return Reply.of(ResultCode.OK, fields);
