--- a/spokestall/src/main/java/spokestall/node/PersistedState.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -39,7 +39,7 @@
 
     /** Returns the state on this disk, or null if there is none or it can't be read; the core then learns it from others. */
     <T extends Message> T read(final Class<T> type) {
-        final byte[] stored = acceptor.own(key);
+        final byte[] stored = acceptor.localRecord(key);
         try {
             return stored == null ? null : type.cast(MessageCodec.message(stored));
         } catch (final IOException | ClassCastException e) {
@@ -59,7 +59,7 @@
             return;
         }
         writing = true;
-        acceptor.keepOwn(key, bytes, synced -> {
+        acceptor.putLocalRecord(key, bytes, synced -> {
             writing = false;
             writtenChangeCount = synced ? changes : writtenChangeCount;
         });
--- a/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
+++ b/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
@@ -53,48 +53,48 @@
 
     @Test
     void versionsUpToTheFloorMustNotBeCreatedAnew() {
-        assertThat(retention.gone(ConfigurationKeys.key(VERSION_FLOOR))).isTrue();
-        assertThat(retention.gone(ConfigurationKeys.key(VERSION_FLOOR + 1))).isFalse();
+        assertThat(retention.isPruned(ConfigurationKeys.key(VERSION_FLOOR))).isTrue();
+        assertThat(retention.isPruned(ConfigurationKeys.key(VERSION_FLOOR + 1))).isFalse();
     }
 
     @Test
     void usageWindowsAreKeptAsLongAsClaimsBeyondTheirEnd() {
         final long newestExpired = (fleetClock.nowMs() - CLAIM_KEEP_MS - 1) / WINDOW_MS - 1;
-        assertThat(retention.gone(SealedWindow.key(newestExpired))).isTrue();
-        assertThat(retention.gone(SealedWindow.key(newestExpired + 1))).isFalse();
+        assertThat(retention.isPruned(SealedWindow.key(newestExpired))).isTrue();
+        assertThat(retention.isPruned(SealedWindow.key(newestExpired + 1))).isFalse();
     }
 
     @Test
     void onlyTheNextEpochsRegisterOfVotersIsKept() {
-        assertThat(retention.gone(VoterSet.key(0, 3))).isTrue();
-        assertThat(retention.gone(VoterSet.key(0, 4))).isFalse();
-        assertThat(retention.gone(VoterSet.key(0, 5))).isTrue();
+        assertThat(retention.isPruned(VoterSet.key(0, 3))).isTrue();
+        assertThat(retention.isPruned(VoterSet.key(0, 4))).isFalse();
+        assertThat(retention.isPruned(VoterSet.key(0, 5))).isTrue();
     }
 
     @Test
     void claimsAndVersionsLeaveCapacityForOtherRegisters() {
         final String claim = IdempotencyClaim.key("tenant-1", "pay-17");
         final String version = ConfigurationKeys.key(VERSION_FLOOR + 1);
-        assertThat(retention.room(claim)).isTrue();
-        assertThat(retention.room(version)).isTrue();
+        assertThat(retention.hasCapacityFor(claim)).isTrue();
+        assertThat(retention.hasCapacityFor(version)).isTrue();
         logFill = 0.7;
-        assertThat(retention.room(claim)).isFalse();
-        assertThat(retention.room(version)).isFalse();
-        assertThat(retention.room(SealedWindow.key(1))).isTrue();
-        assertThat(retention.room("duty/usage_report")).isTrue();
+        assertThat(retention.hasCapacityFor(claim)).isFalse();
+        assertThat(retention.hasCapacityFor(version)).isFalse();
+        assertThat(retention.hasCapacityFor(SealedWindow.key(1))).isTrue();
+        assertThat(retention.hasCapacityFor("duty/usage_report")).isTrue();
     }
 
     @Test
     void theSnapshotHoldsWhatIsNotNewerThanIt() {
-        assertThat(retention.holds(SNAPSHOT_VERSION)).isTrue();
-        assertThat(retention.holds(SNAPSHOT_VERSION + 1)).isFalse();
+        assertThat(retention.hasSnapshotUpTo(SNAPSHOT_VERSION)).isTrue();
+        assertThat(retention.hasSnapshotUpTo(SNAPSHOT_VERSION + 1)).isFalse();
     }
 
     @Test
     void aClaimWithoutAValueIsKept() {
         assertThat(retention.expired(IdempotencyClaim.key("tenant-1", "pay-17"), null))
                 .isFalse();
-        assertThat(retention.takes(IdempotencyClaim.key("tenant-1", "pay-17"), null))
+        assertThat(retention.accepts(IdempotencyClaim.key("tenant-1", "pay-17"), null))
                 .isTrue();
     }
 }
