--- a/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
@@ -154,7 +154,7 @@
         return syncedStates.getOrDefault(key, register(key));
     }
 
-    /** Registers a listener for the life of this object. Listeners are called in the order of their registration. */
+    /** Registers a listener for good. Listeners are called in the order of their registration. */
     void addListener(final RegisterListener listener) {
         listeners.add(listener);
     }
--- a/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
+++ b/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
@@ -74,7 +74,7 @@
             @SinceVersion(4) long versionFloor)
             implements ConsensusMessage {}
 
-    /** Asks a voter, on behalf of one that shuts down, whether it has accepted as much; sent with what the other has accepted. */
+    /** Sent by a voter that shuts down, with what it has accepted; requests the keys for which the receiver has less. */
     record HandoverRequest(String from, long generation, long epoch, List<AcceptedEntry> accepted)
             implements ConsensusMessage {}
 
--- a/spokestall/src/main/java/spokestall/consensus/Proposal.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposal.java
@@ -15,7 +15,7 @@
  *       complete; else to PREPARE, to finish what another proposer began.
  *   <li>{@link Phase#PREPARE}: a majority promises a number of this proposer's. Of the values that it has accepted, the one with the
  *       highest number may be chosen, so the editor gets that one. To ACCEPT, or to COMPLETED if the editor leaves a value that
- *       the whole majority has.
+ *       all of the majority have.
  *   <li>{@link Phase#ACCEPT}: a majority accepts the editor's value, or the one found in PREPARE. Then it is chosen: COMPLETED.
  *   <li>{@link Phase#COMPLETED}: the callback was called. Late acknowledgements are counted for one more time-out.
  * </ul>
@@ -46,7 +46,7 @@
     /** Voters whose reply to this phase was OK, and from the disk that has their slot. */
     private final Set<String> granted = new HashSet<>();
     /** Voters that gave any other reply to this phase. A voter can be in both, if its messages came twice. */
-    private final Set<String> denied = new HashSet<>();
+    private final Set<String> notGranted = new HashSet<>();
     /** The numbers under which the voters of this phase had accepted their values. */
     private final Set<ProposalNumber> acceptedNumbers = new HashSet<>();
 
@@ -153,7 +153,7 @@
 
     private void clearReplies() {
         granted.clear();
-        denied.clear();
+        notGranted.clear();
         acceptedNumbers.clear();
     }
 
@@ -213,7 +213,7 @@
         if (granted.size() >= voterSet.majority()) {
             onMajorityPromised();
         } else if (isMajorityOutOfReach()) {
-            onPromisesDenied();
+            onPromisesNotGranted();
         }
     }
 
@@ -241,7 +241,7 @@
         }
     }
 
-    private void onPromisesDenied() {
+    private void onPromisesNotGranted() {
         if (pruned) {
             complete(mayBeChosen ? new ProposalOutcome.Indeterminate() : new ProposalOutcome.Pruned());
         } else if (rejected) {
@@ -338,12 +338,12 @@
         pruned |= reply == ConsensusMessage.Reply.PRUNED;
         rejected |= reply == ConsensusMessage.Reply.REJECTED;
         outranked |= reply == ConsensusMessage.Reply.OUTRANKED;
-        (ok ? granted : denied).add(acceptor);
+        (ok ? granted : notGranted).add(acceptor);
         return true;
     }
 
     private boolean isMajorityOutOfReach() {
-        return denied.size() > voterSet.voters().size() - voterSet.majority();
+        return notGranted.size() > voterSet.voters().size() - voterSet.majority();
     }
 
     private ProposalOutcome failure(final ProposalOutcome.Reason reason) {
--- a/spokestall/src/main/java/spokestall/consensus/ProposerCache.java
+++ b/spokestall/src/main/java/spokestall/consensus/ProposerCache.java
@@ -36,17 +36,17 @@
         return counts.merge(key, 1L, Long::sum);
     }
 
-    /** Notes a count that is in use for the key. */
+    /** Records a count that is in use for the key. */
     void observeCount(final String key, final long count) {
         counts.merge(key, count, Math::max);
     }
 
-    /** Notes the value that was chosen for the key. */
+    /** Records the value that was chosen for the key. */
     void putCommitted(final String key, final Committed value) {
         committed.put(key, value);
     }
 
-    /** Returns the noted value and forgets it, since it may be used for one proposal only; null if there is none. */
+    /** Returns the recorded value and removes it, since it may be used for one proposal only; null if there is none. */
     Committed takeCommitted(final String key) {
         return committed.remove(key);
     }
--- a/spokestall/src/main/java/spokestall/gossip/PartialView.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -167,7 +167,7 @@
         final GossipMessage.Shuffle s = (GossipMessage.Shuffle) message;
         learn(s.self(), 0);
         if (s.reply()) {
-            fleet.heard(s.self().name(), s.fleetMs(), s.settled(), s.echoMs());
+            fleet.onPeerReading(s.self().name(), s.fleetMs(), s.settled(), s.echoMs());
         } else {
             offer(s.from(), true, s.sentMs());
         }
--- a/spokestall/src/main/java/spokestall/time/Clock.java
+++ b/spokestall/src/main/java/spokestall/time/Clock.java
@@ -1,13 +1,18 @@
 package spokestall.time;
 
-/** Where a state machine gets its time and its later events from. Spans are always taken from {@link #nowMs}. */
+/**
+ * The source of time and timers for a state machine, so that a simulator can run it in virtual time. Used on the node's event loop
+ * only.
+ */
 public interface Clock {
-    /** Monotonic time of this process. */
+    /**
+     * Returns this process's monotonic time in milliseconds. Its origin is arbitrary. All durations and deadlines are taken from it.
+     */
     long nowMs();
 
-    /** The machine's own calendar clock, which may jump. */
+    /** Returns this machine's calendar time in milliseconds since 1970, which may be wrong and may jump. */
     long wallMs();
 
-    /** Runs an event later on the client's stage. */
+    /** Runs an event on the caller's event loop after a wait of so many milliseconds; a negative wait is none. */
     void after(long waitMs, Runnable event);
 }
--- a/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -19,7 +19,7 @@
     private static final VoterSet VOTERS = new VoterSet(
             1, 1, List.of(new Voter("v0", "v0", "d0"), new Voter("v1", "v1", "d1"), new Voter("v2", "v2", "d2")));
 
-    /** A register that counts the changes made to it, with what its proposers and readers were told in one run. */
+    /** A register that counts the changes made to it, with the outcomes that its proposers and readers received in one run. */
     private static final class Counter {
         private static final int PROPOSERS = 4;
         private static final int CHANGES_EACH = 8;
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -25,8 +25,8 @@
     private final List<NodeInfo> members = new ArrayList<>();
 
     HealthCheckerTest() {
-        fleet.heard("p", clock.nowMs(), true, clock.nowMs());
-        fleet.heard("q", clock.nowMs(), true, clock.nowMs());
+        fleet.onPeerReading("p", clock.nowMs(), true, clock.nowMs());
+        fleet.onPeerReading("q", clock.nowMs(), true, clock.nowMs());
         for (final String name : List.of("a", "b", "c", "edge")) {
             members.add(new NodeInfo(
                     name, name, name, !name.equals("edge"), "d", "r", 1, clock.nowMs(), false, 3, 1, false));
--- a/spokestall/src/test/java/spokestall/time/FleetClockTest.java
+++ b/spokestall/src/test/java/spokestall/time/FleetClockTest.java
@@ -8,11 +8,11 @@
 
 class FleetClockTest {
     @Test
-    void settlesWhenOnlyOnePeerIsSettledYet() {
+    void settlesWithOneSettledPeerAndEnoughOthers() {
         final FleetClock fleet = new FleetClock(new ManualClock(0, 50_000), 100);
-        fleet.heard("s", 70_000, true, 0);
-        fleet.heard("b", 70_010, false, 0);
-        fleet.heard("c", 69_990, false, 0);
+        fleet.onPeerReading("s", 70_000, true, 0);
+        fleet.onPeerReading("b", 70_010, false, 0);
+        fleet.onPeerReading("c", 69_990, false, 0);
         assertThat(fleet.settled()).isTrue();
         assertThat(fleet.nowMs()).isBetween(69_990L, 70_010L);
     }
@@ -27,7 +27,7 @@
             final long calendarMs = trueMs + (jumped == 0 ? jumpMs : random.nextInt(20));
             final FleetClock fleet = new FleetClock(new ManualClock(0, calendarMs), 100);
             for (int peer = 1; peer < 6; peer++) {
-                fleet.heard("p" + peer, trueMs + (jumped == peer ? jumpMs : random.nextInt(20)), false, 0);
+                fleet.onPeerReading("p" + peer, trueMs + (jumped == peer ? jumpMs : random.nextInt(20)), false, 0);
             }
             assertThat(fleet.nowMs()).isBetween(trueMs, trueMs + 20);
         }
@@ -35,16 +35,16 @@
 
     /** Replies that waited for a machine that stood still are off by half of that time. */
     @Test
-    void readingsThatWereLongOnTheirWayMoveNothing() {
+    void aReadingThatTookLongDoesNotReplaceAnEarlierOne() {
         final ManualClock clock = new ManualClock(0, 50_000);
         final FleetClock fleet = new FleetClock(clock, 100);
         for (final String peer : List.of("a", "b", "c")) {
-            fleet.heard(peer, 50_000, true, 0);
+            fleet.onPeerReading(peer, 50_000, true, 0);
         }
         clock.advance(6500);
         for (final String peer : List.of("a", "b", "c")) {
-            fleet.heard(peer, 50_010, true, 0);
-            fleet.heard(peer, 50_010, false, 0);
+            fleet.onPeerReading(peer, 50_010, true, 0);
+            fleet.onPeerReading(peer, 50_010, false, 0);
         }
         assertThat(fleet.nowMs()).isBetween(56_400L, 56_600L);
     }
@@ -53,8 +53,8 @@
     @Test
     void aFirstReadingCountsHoweverLongItTook() {
         final FleetClock fleet = new FleetClock(new ManualClock(400, 10_000), 100);
-        fleet.heard("a", 50_000, true, 0);
-        fleet.heard("b", 50_000, true, 0);
+        fleet.onPeerReading("a", 50_000, true, 0);
+        fleet.onPeerReading("b", 50_000, true, 0);
         assertThat(fleet.settled()).isTrue();
         assertThat(fleet.nowMs()).isBetween(49_900L, 50_400L);
     }
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -18,8 +18,8 @@
     private final FleetClock fleet = new FleetClock(clock, 100);
 
     private UsageCounter counter(final long uncountedMs) {
-        fleet.heard("p", clock.nowMs(), true, clock.nowMs());
-        fleet.heard("q", clock.nowMs(), true, clock.nowMs());
+        fleet.onPeerReading("p", clock.nowMs(), true, clock.nowMs());
+        fleet.onPeerReading("q", clock.nowMs(), true, clock.nowMs());
         return new UsageCounter(
                 "e",
                 "e",
