--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -6,6 +6,7 @@
 import spokestall.lease.LeaseManager;
 import spokestall.lease.LeaseTimeouts;
 import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.message.MessageCodec;
 import spokestall.usage.SealedWindow;
 
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -14,6 +14,7 @@
 import spokestall.lease.LeaseManager;
 import spokestall.lease.LeaseTimeouts;
 import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.message.Message;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.EdgeDirectory;
@@ -24,6 +25,8 @@
 import spokestall.usage.EdgeIdentity;
 import spokestall.usage.CounterLimits;
 import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
 
 /**
  * One node of the fleet, a core or an edge: its lifecycle, and access to its components.
--- a/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
+++ b/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
@@ -12,6 +12,8 @@
 import spokestall.usage.UsageReportClient;
 import spokestall.usage.ReportSchedule;
 import spokestall.usage.UsageReportClient;
+import spokestall.usage.ReportSchedule;
+import spokestall.usage.UsageReportClient;
 
 /**
  * The services through which a {@link Node} reaches the world: time, randomness, network and disk. A process passes real
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -22,6 +22,8 @@
 import spokestall.usage.EdgeIdentity;
 import spokestall.usage.CounterLimits;
 import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageMessage;
 
 /**
