--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -188,7 +188,7 @@
                         new FeedMessage.FreshnessRequest(
                                 address,
                                 me.incarnation(),
-                                me.serves(),
+                                me.servesClients(),
                                 fresh(),
                                 me.leaving(),
                                 open.getAsInt(),
--- a/spokestall/src/main/java/spokestall/gossip/GossipMessage.java
+++ b/spokestall/src/main/java/spokestall/gossip/GossipMessage.java
@@ -3,9 +3,20 @@
 import java.util.List;
 import spokestall.message.Message;
 
-/** What neighbours say to each other. */
+/** Messages of the gossip protocol. Encoded by the order of their components, which must not change. */
 public sealed interface GossipMessage extends Message {
-    /** A sample of a view, offered for another, with the sender's time. */
+    /**
+     * A sample of the sender's view, sent as a request or as the reply to one.
+     *
+     * @param from the sender's address, where a reply goes
+     * @param self the sender's own entry
+     * @param sentMs when it was sent, on the sender's monotonic clock
+     * @param reply whether this answers a {@code Shuffle}; replies aren't answered
+     * @param echoMs in a reply the request's {@code sentMs}, from which the round trip is taken; zero in a request
+     * @param fleetMs the sender's reading of the fleet's clock
+     * @param settled whether the sender's fleet clock has settled
+     * @param sample entries of other nodes, at most as many as the sender's {@link ViewParameters#sampleSize()}
+     */
     record Shuffle(
             String from,
             NodeInfo self,
--- a/spokestall/src/main/java/spokestall/gossip/NodeInfo.java
+++ b/spokestall/src/main/java/spokestall/gossip/NodeInfo.java
@@ -2,8 +2,23 @@
 
 import spokestall.message.SinceVersion;
 
-/** A node as others speak of it: where it is, what it does, and when it was last heard, on the fleet's clock.
- * cores and edges are the counts it is configured with, zero when it did not say. */
+/**
+ * What nodes exchange about one node: its addresses, role and failure domain, and when it was last seen. Immutable; part of
+ * numbered messages, so the order of its components must not change.
+ *
+ * @param name the node's name, unique in the fleet
+ * @param address where it receives messages of other nodes
+ * @param httpAddress where it answers clients, if it does
+ * @param core whether it has a disk and may vote
+ * @param zone its zone
+ * @param region its region
+ * @param incarnation number of its process, larger after each restart
+ * @param lastSeenMs when it was last heard from, on the fleet's clock
+ * @param leaving whether it is shutting down
+ * @param cores how many cores it is configured with, zero if it did not say
+ * @param edges how many edges it is configured with, zero if it did not say
+ * @param alsoEdge whether a core answers clients too
+ */
 public record NodeInfo(
         String name,
         String address,
@@ -12,19 +27,19 @@
         String zone,
         String region,
         long incarnation,
-        long heardMs,
+        long lastSeenMs,
         boolean leaving,
         @SinceVersion(2) int cores,
         @SinceVersion(2) int edges,
         @SinceVersion(3) boolean alsoEdge) {
-    /** Whether it answers clients. */
-    public boolean serves() {
+    /** Returns whether the node answers clients. */
+    public boolean servesClients() {
         return !core || alsoEdge;
     }
 
-    /** The same node, heard at another time, leaving or not. */
-    public NodeInfo at(final long ms, final boolean attempts) {
+    /** Returns this entry as last seen at a time on the fleet's clock, with its state of leaving at that time. */
+    public NodeInfo seenAt(final long seenMs, final boolean isLeaving) {
         return new NodeInfo(
-                name, address, httpAddress, core, zone, region, incarnation, ms, attempts, cores, edges, alsoEdge);
+                name, address, httpAddress, core, zone, region, incarnation, seenMs, isLeaving, cores, edges, alsoEdge);
     }
 }
--- a/spokestall/src/main/java/spokestall/gossip/PartialView.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -16,189 +16,221 @@
 import spokestall.time.FleetClock;
 
 /**
- * A partial view of the fleet, shuffled with a neighbour on each beat. A neighbour that doesn't answer is dropped
- * for a while; the seeds are asked again now and then, so that a view that split joins again.
+ * A bounded, partial list of the other nodes, exchanged with one peer at a time (a shuffle). A member that was not heard from
+ * for {@link ViewParameters#memberTimeoutMs()} is dropped; the seeds are contacted again at intervals, so that parts of a
+ * split fleet find each other.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. Two nodes with the same random seed and the same calls send the same
+ * messages.
  */
 public final class PartialView {
-    /** Sizes and spans, from the settings. For a while after it learned of a node, or that one is gone, a view is eager:
-     * it shuffles on each beat, not on every other, and says more. */
-    public record Timing(int size, int sample, long goneMs, long eagerMs) {}
+    /** On which ticks a seed is contacted although enough members are known: once in so many. */
+    private static final int TICKS_PER_SEED = 16;
+    /** Far enough before any reading of the clock, and far enough from the least long to be subtracted from. */
+    private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private final NodeInfo self;
     private List<String> seeds;
-    private final MessageSender post;
+    private final MessageSender sender;
     private final Clock clock;
-    private final FleetClock fleet;
+    private final FleetClock fleetClock;
     private final Random random;
-    private final Timing timing;
-    private final Map<String, NodeInfo> known = new TreeMap<>();
-    private final Map<String, Long> learnedMs = new HashMap<>();
-    private final Map<String, Long> newMs = new HashMap<>();
-    private final Map<String, Long> offeredMs = new HashMap<>();
+    private final ViewParameters parameters;
+    /** Sorted, since the order of members decides what the random draws pick. */
+    private final Map<String, NodeInfo> membersByName = new TreeMap<>();
+    // These outlive a member that was evicted for want of room until members() next drops one that timed out.
+    private final Map<String, Long> lastSeenMs = new HashMap<>();
+    private final Map<String, Long> joinedMs = new HashMap<>();
+    private final Map<String, Long> contactedMs = new HashMap<>();
     private boolean leaving;
     private int tick;
     private long changedMs;
-    private long changes;
-    /** No member is unheard for too long before then. */
-    private long nextGoneMs;
-
-    /** Example: {@code new PartialView(self, settings.seeds(), post, clock, fleet, random, timing)} */
+    private long version;
+    /** No member times out before then: spares {@link #members()} looking through them. */
+    private long nextTimeoutMs;
+
+    /**
+     * Creates a view without members.
+     *
+     * @param self this node's entry
+     * @param seeds addresses that are contacted while few members are known, not empty
+     * @param sender sends shuffles
+     * @param clock the monotonic clock that time-outs are measured by
+     * @param fleetClock receives the readings of peers
+     * @param random picks samples and peers
+     * @param parameters sizes and time-outs
+     */
     public PartialView(
             final NodeInfo self,
             final List<String> seeds,
-            final MessageSender post,
+            final MessageSender sender,
             final Clock clock,
-            final FleetClock fleet,
+            final FleetClock fleetClock,
             final Random random,
-            final Timing timing) {
+            final ViewParameters parameters) {
         this.self = self;
         this.seeds = List.copyOf(seeds);
-        this.post = post;
+        this.sender = sender;
         this.clock = clock;
-        this.fleet = fleet;
+        this.fleetClock = fleetClock;
         this.random = random;
-        this.timing = timing;
+        this.parameters = parameters;
         this.changedMs = clock.nowMs();
     }
 
-    /** This node as others should know it. */
+    /** Returns this node's own entry, as of now. */
     public NodeInfo self() {
-        return self.at(fleet.nowMs(), leaving);
+        return self.seenAt(fleetClock.nowMs(), leaving);
     }
 
-    /** Asks these seeds from now on. */
-    public void seeds(final List<String> newer) {
-        seeds = List.copyOf(newer);
+    /** Replaces the seeds; at least one is required. */
+    public void updateSeeds(final List<String> newSeeds) {
+        seeds = List.copyOf(newSeeds);
     }
 
-    /** Tells the neighbours from now on that this node is going. */
-    public void leave() {
+    /** Marks this node as leaving in all that is sent from now on. */
+    public void markLeaving() {
         leaving = true;
     }
 
-    /** The members known now, this node not among them. */
+    /**
+     * Returns the members that have not timed out, in the order of their names, without this node. The collection is a live
+     * view: copy it before the next call that may change it.
+     */
     public Collection<NodeInfo> members() {
         final long nowMs = clock.nowMs();
-        if (nowMs <= nextGoneMs) {
-            return known.values();
-        }
-        if (known.values().removeIf(m -> nowMs > goneMs(m.name()))) {
-            changedMs = nowMs;
-            learnedMs.keySet().retainAll(known.keySet());
-            newMs.keySet().retainAll(known.keySet());
-            offeredMs.keySet().retainAll(known.keySet());
+        if (nowMs > nextTimeoutMs) {
+            dropTimedOut(nowMs);
         }
-        nextGoneMs = nowMs + timing.goneMs();
-        known.keySet().forEach(name -> nextGoneMs = Math.min(nextGoneMs, goneMs(name)));
-        return known.values();
+        return membersByName.values();
     }
 
-    /** Grows with every member that is new, or serves now and did not. */
-    public long changes() {
-        return changes;
+    private void dropTimedOut(final long nowMs) {
+        if (membersByName.values().removeIf(member -> nowMs > timeoutMs(member.name()))) {
+            changedMs = nowMs;
+            lastSeenMs.keySet().retainAll(membersByName.keySet());
+            joinedMs.keySet().retainAll(membersByName.keySet());
+            contactedMs.keySet().retainAll(membersByName.keySet());
+        }
+        nextTimeoutMs = nowMs + parameters.memberTimeoutMs();
+        membersByName.keySet().forEach(name -> nextTimeoutMs = Math.min(nextTimeoutMs, timeoutMs(name)));
     }
 
-    private long goneMs(final String name) {
-        return learnedMs.getOrDefault(name, 0L) + timing.goneMs();
+    /** Returns a number that grows with each member that is new or that starts or stops serving clients. */
+    public long version() {
+        return version;
     }
 
-    /** A member by its name, or null. */
-    public NodeInfo member(final String name) {
-        return name.equals(self.name()) ? self() : known.get(name);
+    private long timeoutMs(final String name) {
+        return lastSeenMs.getOrDefault(name, 0L) + parameters.memberTimeoutMs();
     }
 
-    /** One beat: offers a sample to the neighbour that was left alone longest, and now and then to a seed. */
-    public void tick() {
-        final List<NodeInfo> all = new ArrayList<>(members());
+    /** Sends a sample to the member that was neither heard from nor contacted for longest, and at intervals to a seed. */
+    public void onTick() {
+        final List<NodeInfo> candidates = new ArrayList<>(members());
         final int turn = tick++;
         if (!eager() && turn % 2 != 0) {
             return;
         }
-        if (!all.isEmpty()) {
-            Collections.shuffle(all, random);
-            all.sort(Comparator.comparingLong(
-                    m -> Math.max(learnedMs.get(m.name()), offeredMs.getOrDefault(m.name(), Long.MIN_VALUE))));
-            offeredMs.put(all.get(0).name(), clock.nowMs());
-            offer(all.get(0).address(), false, 0);
+        if (!candidates.isEmpty()) {
+            // Shuffled before the stable sort, so that equals are picked at random.
+            Collections.shuffle(candidates, random);
+            candidates.sort(Comparator.comparingLong(this::lastContactMs));
+            contactedMs.put(candidates.get(0).name(), clock.nowMs());
+            sendSample(candidates.get(0).address(), false, 0);
         }
-        if (all.size() < timing.sample() || turn % 16 == 0) {
-            offer(seeds.get(turn / (all.size() < timing.sample() ? 1 : 16) % seeds.size()), false, 0);
+        final boolean few = candidates.size() < parameters.sampleSize();
+        if (few || turn % TICKS_PER_SEED == 0) {
+            sendSample(seeds.get(turn / (few ? 1 : TICKS_PER_SEED) % seeds.size()), false, 0);
         }
     }
 
+    private long lastContactMs(final NodeInfo member) {
+        return Math.max(lastSeenMs.get(member.name()), contactedMs.getOrDefault(member.name(), Long.MIN_VALUE));
+    }
+
     private boolean eager() {
-        return clock.nowMs() - changedMs < timing.eagerMs();
+        return clock.nowMs() - changedMs < parameters.eagerMs();
     }
 
-    /** Offers a sample to every seed and to these too: a node that has just started waits for no beat. */
-    public void greet(final List<String> others) {
+    /** Sends a sample to every seed and to these addresses at once, so that a node that has just started is soon known. */
+    public void announce(final List<String> addresses) {
         final Set<String> all = new TreeSet<>(seeds);
-        all.addAll(others);
-        all.forEach(to -> offer(to, false, 0));
+        all.addAll(addresses);
+        all.forEach(to -> sendSample(to, false, 0));
     }
 
-    private void offer(final String to, final boolean reply, final long echoMs) {
+    private void sendSample(final String to, final boolean reply, final long echoMs) {
         if (to.equals(self.address())) {
             return;
         }
-        final long nowMs = clock.nowMs();
-        final List<NodeInfo> sample = new ArrayList<>(known.values());
-        Collections.shuffle(sample, random);
-        sample.removeIf(m -> m.address().equals(to));
-        sample.sort(Comparator.comparing(
-                m -> nowMs - newMs.getOrDefault(m.name(), Long.MIN_VALUE / 2) >= timing.eagerMs()));
-        final List<NodeInfo> part =
-                sample.subList(0, Math.min(sample.size(), eager() ? timing.sample() : timing.sample() / 2));
-        post.send(
+        sender.send(
                 to,
                 new GossipMessage.Shuffle(
                         self.address(),
                         self(),
-                        nowMs,
+                        clock.nowMs(),
                         reply,
                         echoMs,
-                        fleet.nowMs(),
-                        fleet.settled(),
-                        List.copyOf(part)));
+                        fleetClock.nowMs(),
+                        fleetClock.settled(),
+                        sampleFor(to)));
     }
 
-    /** Hears a neighbour's sample. */
-    public void hear(final GossipMessage message) {
-        final GossipMessage.Shuffle s = (GossipMessage.Shuffle) message;
-        learn(s.self(), 0);
-        if (s.reply()) {
-            fleet.heard(s.self().name(), s.fleetMs(), s.settled(), s.echoMs());
+    /** Random members without the receiver, those that joined of late first. */
+    private List<NodeInfo> sampleFor(final String to) {
+        final long nowMs = clock.nowMs();
+        final List<NodeInfo> sample = new ArrayList<>(membersByName.values());
+        Collections.shuffle(sample, random);
+        sample.removeIf(member -> member.address().equals(to));
+        sample.sort(Comparator.comparing(
+                member -> nowMs - joinedMs.getOrDefault(member.name(), NEVER_MS) >= parameters.eagerMs()));
+        final int size = eager() ? parameters.sampleSize() : parameters.sampleSize() / 2;
+        return List.copyOf(sample.subList(0, Math.min(sample.size(), size)));
+    }
+
+    /** Merges a peer's sample into the view and answers it, unless it is a reply itself. */
+    public void onMessage(final GossipMessage message) {
+        final GossipMessage.Shuffle shuffle = (GossipMessage.Shuffle) message;
+        merge(shuffle.self(), 0);
+        if (shuffle.reply()) {
+            fleetClock.heard(shuffle.self().name(), shuffle.fleetMs(), shuffle.settled(), shuffle.echoMs());
         } else {
-            offer(s.from(), true, s.sentMs());
+            sendSample(shuffle.from(), true, shuffle.sentMs());
         }
-        for (final NodeInfo m : s.sample()) {
-            learn(m, Math.max(0, s.fleetMs() - m.heardMs()));
+        for (final NodeInfo member : shuffle.sample()) {
+            merge(member, Math.max(0, shuffle.fleetMs() - member.lastSeenMs()));
         }
     }
 
-    private void learn(final NodeInfo m, final long ageMs) {
-        if (m.name().equals(self.name()) || ageMs > timing.goneMs()) {
+    /** Takes over an entry that is newer than what is known; ageMs is how long ago the node was seen by whoever saw it. */
+    private void merge(final NodeInfo entry, final long ageMs) {
+        if (entry.name().equals(self.name()) || ageMs > parameters.memberTimeoutMs()) {
             return;
         }
-        final NodeInfo had = known.get(m.name());
-        final boolean newer = had == null
-                || m.incarnation() > had.incarnation()
-                || m.incarnation() == had.incarnation() && m.heardMs() > had.heardMs();
-        if (!newer) {
+        final NodeInfo known = membersByName.get(entry.name());
+        final boolean joined = known == null || entry.incarnation() > known.incarnation();
+        if (!joined && !(entry.incarnation() == known.incarnation() && entry.lastSeenMs() > known.lastSeenMs())) {
             return;
         }
-        if (had == null || m.incarnation() > had.incarnation()) {
-            newMs.put(m.name(), clock.nowMs());
+        if (joined) {
+            joinedMs.put(entry.name(), clock.nowMs());
             changedMs = clock.nowMs();
         }
-        changes += had == null || had.serves() != m.serves() ? 1 : 0;
-        known.put(m.name(), m);
-        learnedMs.put(m.name(), clock.nowMs() - ageMs);
-        nextGoneMs = Math.min(nextGoneMs, goneMs(m.name()));
-        if (known.size() > timing.size()) {
-            known.values().stream()
-                    .min(Comparator.comparingLong(k -> learnedMs.get(k.name())))
-                    .ifPresent(oldest -> known.remove(oldest.name()));
+        if (known == null || known.servesClients() != entry.servesClients()) {
+            version++;
+        }
+        membersByName.put(entry.name(), entry);
+        lastSeenMs.put(entry.name(), clock.nowMs() - ageMs);
+        nextTimeoutMs = Math.min(nextTimeoutMs, timeoutMs(entry.name()));
+        if (membersByName.size() > parameters.viewSize()) {
+            evictOldest();
         }
     }
+
+    private void evictOldest() {
+        membersByName.values().stream()
+                .min(Comparator.comparingLong(member -> lastSeenMs.get(member.name())))
+                .ifPresent(oldest -> membersByName.remove(oldest.name()));
+    }
 }
--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -67,7 +67,7 @@
 
     /** Answers one who follows: what is newest here, and the news from its places on. */
     void answer(final FeedMessage.FeedRequest ask) {
-        if (ask.self().serves()) {
+        if (ask.self().servesClients()) {
             heard(new Present(ask.self(), ask.fresh(), ask.open(), node.context.clock.nowMs()));
         }
         final boolean voting = node.storage.acceptor.state() == Acceptor.State.VOTING;
@@ -186,7 +186,7 @@
             return false;
         }
         heard(new Present(
-                found.at(node.context.fleet.nowMs(), ask.leaving()),
+                found.seenAt(node.context.fleet.nowMs(), ask.leaving()),
                 ask.fresh(),
                 ask.open(),
                 node.context.clock.nowMs()));
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -116,7 +116,7 @@
                 context.clock,
                 context.fleet,
                 context.random,
-                context.timings().view());
+                context.timings().partialView());
         this.neighbours = new PeerDirectory(context, view, this::voterSet);
         this.discovery = new DiscoveryComponent(context);
         this.handoff = new HandoffComponent(context, this::voterSet, this::heardMs);
@@ -224,7 +224,7 @@
     public Settings renew(final Settings newer) {
         final SettingsUpdate renewal = SettingsUpdate.of(context.settings(), newer, context.core);
         context.renew(renewal.settings());
-        view.seeds(renewal.settings().seeds());
+        view.updateSeeds(renewal.settings().seeds());
         follower.timing(context.timings().follower());
         if (serving != null) {
             serving.renew();
@@ -256,7 +256,7 @@
                 context.incarnation);
         hurry(context.clock.nowMs() + settings.part("leaveBoundMs", 1.5), 0);
         every(settings.part("leaveBoundMs", 0.125), () -> {
-            view.tick();
+            view.onTick();
             knownEdges.publish();
         });
         every(settings.ms("proofMs"), () -> {
@@ -312,7 +312,7 @@
         if (stopped || able || context.clock.nowMs() >= untilMs) {
             return;
         }
-        view.greet(voterSet() == null ? List.of() : neighbours.coreAddresses());
+        view.announce(voterSet() == null ? List.of() : neighbours.coreAddresses());
         knownEdges.publish();
         if (voterSet() != null && !follower.fresh() || turn < HURRIED || turn % (2 * HURRIED) == 0) {
             // Before there are voters nothing can be proved; a founding takes seconds.
@@ -392,7 +392,7 @@
      * is given up. */
     public void leave(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=leaving node=%s", context.name);
-        view.leave();
+        view.markLeaving();
         follower.tick();
         knownEdges.publish();
         final GracefulShutdown.Requests requests = serving == null ? new GracefulShutdown.Idle() : serving;
@@ -458,7 +458,7 @@
             return;
         }
         if (received instanceof GossipMessage message) {
-            view.hear(message);
+            view.onMessage(message);
         } else if (received instanceof ConsensusMessage message) {
             membership.hear(message);
         } else if (received instanceof BootstrapMessage message) {
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -228,7 +228,7 @@
                     .put("http", m.httpAddress())
                     .put("district", m.zone())
                     .put("leaving", m.leaving())
-                    .put("heardMs", node.context.fleet.nowMs() - m.heardMs());
+                    .put("heardMs", node.context.fleet.nowMs() - m.lastSeenMs());
         }
         node.neighbours.differing().forEach(out.putArray("differing")::add);
         if (node.voterSet() != null) {
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -98,13 +98,13 @@
         if (context.settings().ms("edges") > 0) {
             return (int) context.settings().ms("edges");
         }
-        if (view.changes() == sharingEdgesSeen) {
+        if (view.version() == sharingEdgesSeen) {
             return sharingEdgesMax;
         }
-        sharingEdgesSeen = view.changes();
+        sharingEdgesSeen = view.version();
         int serving = context.serves ? 1 : 0;
         for (final NodeInfo member : view.members()) {
-            serving += member.serves() ? 1 : 0;
+            serving += member.servesClients() ? 1 : 0;
         }
         sharingEdgesMax = Math.max(sharingEdgesMax, serving);
         return sharingEdgesMax;
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -5,7 +5,7 @@
 import spokestall.consensus.Proposer;
 import spokestall.consensus.VoterSet;
 import spokestall.discovery.HealthChecker;
-import spokestall.gossip.PartialView;
+import spokestall.gossip.ViewParameters;
 import spokestall.lease.LeaseManager;
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
@@ -46,8 +46,8 @@
         return settings.ms("reportWindowS") * 1000;
     }
 
-    PartialView.Timing view() {
-        return new PartialView.Timing(
+    ViewParameters partialView() {
+        return new ViewParameters(
                 2 * (told("cores") + told("edges")),
                 6,
                 settings.part("leaveBoundMs", 4),
--- a/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
+++ b/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
@@ -9,7 +9,7 @@
 import spokestall.time.ManualClock;
 
 class PartialViewTest {
-    private static final long GONE_MS = 1000;
+    private static final long MEMBER_TIMEOUT_MS = 1000;
     private final ManualClock clock = new ManualClock(1_000_000);
     private final PartialView view = new PartialView(
             member("self", 0),
@@ -18,14 +18,14 @@
             clock,
             new FleetClock(clock, 250),
             new Random(1),
-            new PartialView.Timing(8, 6, GONE_MS, 500));
+            new ViewParameters(8, 6, MEMBER_TIMEOUT_MS, 500));
 
-    private static NodeInfo member(final String name, final long heardMs) {
-        return new NodeInfo(name, name + ":1", name + ":80", false, "d1", "r1", 1, heardMs, false, 0, 0, true);
+    private static NodeInfo member(final String name, final long lastSeenMs) {
+        return new NodeInfo(name, name + ":1", name + ":80", false, "d1", "r1", 1, lastSeenMs, false, 0, 0, true);
     }
 
-    private void hear(final String from, final NodeInfo... sample) {
-        view.hear(new GossipMessage.Shuffle(
+    private void receiveShuffle(final String from, final NodeInfo... sample) {
+        view.onMessage(new GossipMessage.Shuffle(
                 from + ":1",
                 member(from, clock.nowMs()),
                 clock.nowMs(),
@@ -36,32 +36,32 @@
                 List.of(sample)));
     }
 
-    private List<String> known() {
+    private List<String> memberNames() {
         return view.members().stream().map(NodeInfo::name).toList();
     }
 
     @Test
-    void eachMemberIsForgottenOnceItWasUnheardForTheSpan() {
-        hear("a");
+    void eachMemberIsDroppedOnceItWasNotHeardFromWithinTheTimeout() {
+        receiveShuffle("a");
         clock.advance(400);
-        hear("b");
-        assertThat(known()).containsExactly("a", "b");
+        receiveShuffle("b");
+        assertThat(memberNames()).containsExactly("a", "b");
         clock.advance(600);
-        assertThat(known()).as("a was heard the span ago, not longer").containsExactly("a", "b");
+        assertThat(memberNames()).as("a was seen the time-out ago, not longer").containsExactly("a", "b");
         clock.advance(1);
-        assertThat(known()).containsExactly("b");
+        assertThat(memberNames()).containsExactly("b");
         clock.advance(400);
-        assertThat(known()).isEmpty();
+        assertThat(memberNames()).isEmpty();
     }
 
     @Test
-    void whatIsToldOfAnotherCountsFromWhenItWasHeard() {
-        hear("a", member("c", clock.nowMs() - 900));
-        assertThat(known()).containsExactly("a", "c");
+    void timeoutOfAMemberLearnedFromASampleCountsFromWhenItWasSeen() {
+        receiveShuffle("a", member("c", clock.nowMs() - 900));
+        assertThat(memberNames()).containsExactly("a", "c");
         clock.advance(101);
-        assertThat(known()).containsExactly("a");
-        hear("a");
+        assertThat(memberNames()).containsExactly("a");
+        receiveShuffle("a");
         clock.advance(900);
-        assertThat(known()).as("heard again").containsExactly("a");
+        assertThat(memberNames()).as("seen again").containsExactly("a");
     }
 }
