--- a/spokestall/src/main/java/spokestall/handoff/HandoffMessage.java
+++ b/spokestall/src/main/java/spokestall/handoff/HandoffMessage.java
@@ -3,17 +3,30 @@
 import spokestall.message.Message;
 import spokestall.message.ResponseContent;
 
-/** What nodes keep for one another and hand over. */
+/** Messages by which nodes keep data for one another. Encoded by the order of their components, which must not change. */
 public sealed interface HandoffMessage extends Message {
-    /** A run-once ask's answer, for cores of the tenant's home regions only. */
+    /**
+     * The response of an idempotent request. It is sent to cores of the tenant's home regions only, since the content must
+     * not leave them.
+     *
+     * @param key the claim's key
+     * @param digest the content's digest, as the claim's register holds it
+     */
     record Store(String key, String digest, ResponseContent content) implements HandoffMessage {}
 
-    /** Asks for a kept answer. */
+    /**
+     * Requests a stored response; answered by a {@link FetchResult}.
+     *
+     * @param from the address to answer to
+     * @param requestId the requesting node's own number, returned in the answer
+     * @param key the claim's key
+     * @param digest the digest that the response must have
+     */
     record Fetch(String from, long requestId, String key, String digest) implements HandoffMessage {}
 
-    /** Asks a core to keep the name of a register for a voter that missed it. */
-    record Hint(String missing, String key) implements HandoffMessage {}
+    /** Has a core keep a register's key for a voter that missed a change of the register. */
+    record Hint(String voter, String key) implements HandoffMessage {}
 
-    /** The reply to {@link Fetch}; content is null when there is none. */
+    /** The answer to a {@link Fetch}; the content is null if the node has no such response. */
     record FetchResult(long requestId, String key, ResponseContent content) implements HandoffMessage {}
 }
--- a/spokestall/src/main/java/spokestall/handoff/HintStore.java
+++ b/spokestall/src/main/java/spokestall/handoff/HintStore.java
@@ -7,47 +7,52 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Names of registers that a missing voter should have heard of, kept by another until it is back; bounded for each. */
+/**
+ * Hinted handoff: keys of registers whose changes an unavailable voter missed, kept until the voter is back. Held in memory
+ * only; a hint that is lost costs time, since the voter catches up from a majority too.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
 public final class HintStore {
-    private final int most;
-    private final Map<String, LinkedHashSet<String>> kept = new TreeMap<>();
+    private final int maxKeysPerVoter;
+    private final Map<String, LinkedHashSet<String>> keysByVoter = new TreeMap<>();
 
-    /** Example: {@code new HintStore(4096)}; beyond it the oldest are let go, and found again by later rounds. */
-    public HintStore(final int most) {
-        this.most = most;
+    /** Creates an empty store that drops a voter's oldest key when it would hold more than these for it. */
+    public HintStore(final int maxKeysPerVoter) {
+        this.maxKeysPerVoter = maxKeysPerVoter;
     }
 
-    /** Example: {@code hints.keep("d2-core", "once/tenant-1/pay-7");} */
-    public void keep(final String missing, final String key) {
-        final LinkedHashSet<String> keys = kept.computeIfAbsent(missing, m -> new LinkedHashSet<>());
+    /** Adds a register's key for a voter; no effect if it is held already. */
+    public void add(final String voter, final String key) {
+        final LinkedHashSet<String> keys = keysByVoter.computeIfAbsent(voter, v -> new LinkedHashSet<>());
         keys.add(key);
-        if (keys.size() > most) {
+        if (keys.size() > maxKeysPerVoter) {
             keys.remove(keys.iterator().next());
         }
     }
 
-    /** Takes some of what is kept for one that is back. */
-    public List<String> take(final String back, final int atMost) {
-        final LinkedHashSet<String> keys = kept.get(back);
-        final List<String> taken = new ArrayList<>();
+    /** Removes and returns a voter's oldest keys, at most so many. */
+    public List<String> remove(final String voter, final int maxKeys) {
+        final LinkedHashSet<String> keys = keysByVoter.get(voter);
+        final List<String> removed = new ArrayList<>();
         if (keys == null) {
-            return taken;
+            return removed;
         }
-        final Iterator<String> it = keys.iterator();
-        while (it.hasNext() && taken.size() < atMost) {
-            taken.add(it.next());
-            it.remove();
+        final Iterator<String> oldestFirst = keys.iterator();
+        while (oldestFirst.hasNext() && removed.size() < maxKeys) {
+            removed.add(oldestFirst.next());
+            oldestFirst.remove();
         }
         if (keys.isEmpty()) {
-            kept.remove(back);
+            keysByVoter.remove(voter);
         }
-        return taken;
+        return removed;
     }
 
-    /** How many are kept for each missing one. */
+    /** Returns how many keys are held for each voter, in the order of their names. */
     public Map<String, Integer> sizes() {
         final Map<String, Integer> sizes = new TreeMap<>();
-        kept.forEach((missing, keys) -> sizes.put(missing, keys.size()));
+        keysByVoter.forEach((voter, keys) -> sizes.put(voter, keys.size()));
         return sizes;
     }
 }
--- a/spokestall/src/main/java/spokestall/handoff/ResponseCache.java
+++ b/spokestall/src/main/java/spokestall/handoff/ResponseCache.java
@@ -2,31 +2,45 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
+import java.util.Optional;
 
-/** Answers kept in memory, bounded by their bytes; the oldest used go first. */
+/**
+ * Responses of idempotent requests, by the claim's key, in memory. Bounded by bytes; what is little used is evicted first.
+ *
+ * <p>All calls on the node's event loop; evictions run on the caller's thread, so that a run can be repeated exactly.
+ */
 public final class ResponseCache {
-    private final Cache<String, HandoffMessage.Store> kept;
+    /** What an entry is taken to cost besides its key, body and headers. */
+    private static final int ENTRY_OVERHEAD_BYTES = 256;
+    /** What a header is taken to cost, name and value together. */
+    private static final int HEADER_BYTES = 64;
 
-    /** Example: {@code new ResponseCache(16 << 20)} */
-    public ResponseCache(final long bytesMax) {
-        kept = Caffeine.newBuilder()
-                .maximumWeight(bytesMax)
+    private final Cache<String, HandoffMessage.Store> responses;
+
+    /** Creates an empty cache that holds about so many bytes at most. */
+    public ResponseCache(final long maxBytes) {
+        responses = Caffeine.newBuilder()
+                .maximumWeight(maxBytes)
                 .executor(Runnable::run)
-                .weigher((String k, HandoffMessage.Store v) -> 256
-                        + k.length()
-                        + v.content().body().length
-                        + 64 * v.content().headers().size())
+                .weigher(ResponseCache::weightBytes)
                 .build();
     }
 
-    /** Example: {@code responseCache.keep(message);} */
-    public void keep(final HandoffMessage.Store answer) {
-        kept.put(answer.key(), answer);
+    private static int weightBytes(final String key, final HandoffMessage.Store response) {
+        return ENTRY_OVERHEAD_BYTES
+                + key.length()
+                + response.content().body().length
+                + HEADER_BYTES * response.content().headers().size();
+    }
+
+    /** Stores a response, in place of any other with its key. */
+    public void put(final HandoffMessage.Store response) {
+        responses.put(response.key(), response);
     }
 
-    /** The answer if it is the one with this digest, else null. */
-    public HandoffMessage.Store find(final String key, final String digest) {
-        final HandoffMessage.Store found = kept.getIfPresent(key);
-        return found != null && found.digest().equals(digest) ? found : null;
+    /** Returns the response with this key, if there is one and it has this digest. */
+    public Optional<HandoffMessage.Store> find(final String key, final String digest) {
+        return Optional.ofNullable(responses.getIfPresent(key))
+                .filter(response -> response.digest().equals(digest));
     }
 }
--- a/spokestall/src/main/java/spokestall/handoff/package-info.java
+++ b/spokestall/src/main/java/spokestall/handoff/package-info.java
@@ -1,12 +1,13 @@
 /**
- * What a node keeps for another for a while.
+ * Data that a node keeps for others for a while (hinted handoff).
  *
- * <p>Owns: names of registers that an absent voter missed ({@link spokestall.handoff.HintStore}) and answers of run-once requests
- * ({@link spokestall.handoff.ResponseCache}).
+ * <p>Owns: keys of registers that an unavailable voter missed ({@link spokestall.handoff.HintStore}), responses of idempotent
+ * requests ({@link spokestall.handoff.ResponseCache}), and the messages that carry both
+ * ({@link spokestall.handoff.HandoffMessage}).
  *
- * <p>Invariants: both are bounded and kept in memory only; losing them costs time, never correctness, since a voter catches
- * up from a majority and a register holds the answer's digest.
+ * <p>Invariants: both are bounded and in memory only. Losing them costs time, never correctness: a voter catches up from a
+ * majority, and a register holds the response's digest, so that no other response is taken for it.
  *
- * <p>Callers: {@code Node} and {@code edge}.
+ * <p>Callers: {@code node.HandoffComponent}, and {@code proxy} for responses; all on the node's event loop.
  */
 package spokestall.handoff;
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -1,7 +1,6 @@
 package spokestall.node;
 
 import java.util.function.Supplier;
-import java.util.function.ToLongFunction;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.ConsensusMessage;
 import spokestall.consensus.Register;
@@ -13,81 +12,100 @@
 import spokestall.membership.MembershipMessage;
 import spokestall.proxy.AdmissionController;
 
-/** What this node keeps for others: names of registers that a voter missed, and answers of run-once requests. */
+/**
+ * What this node keeps for others: keys of registers that a voter missed, and responses of idempotent requests.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
 final class HandoffComponent {
-    private static final int HINTS_KEPT = 16_384;
-    private static final int HANDED_AT_ONCE = 512;
-    /** How many cores an edge tells of a voter that missed a change. */
-    private static final int CORES_TOLD = 2;
+    /** How recently a core answered this node. */
+    interface CoreLiveness {
+        /** Returns the time since the core's last answer, {@link Long#MAX_VALUE} if there was none. */
+        long sinceLastAnswerMs(String core);
+    }
+
+    private static final int HINTS_PER_VOTER = 16_384;
+    private static final int VALUES_PER_HANDOVER = 512;
+    /** How many cores an edge has keep a hint. */
+    private static final int CORES_PER_HINT = 2;
 
     private static final int CORE_CACHE_BYTES = 16 << 20;
     private static final int EDGE_CACHE_BYTES = 8 << 20;
     private final NodeContext context;
     private final Supplier<VoterSet> voterSet;
-    private final ToLongFunction<String> heardMs;
-    final HintStore hints = new HintStore(HINTS_KEPT);
+    private final CoreLiveness liveness;
+    final HintStore hints = new HintStore(HINTS_PER_VOTER);
     final ResponseCache responseCache;
 
-    /** heardMs tells how long ago a core's answer was heard, by the core's name. */
-    HandoffComponent(
-            final NodeContext context, final Supplier<VoterSet> voterSet, final ToLongFunction<String> heardMs) {
+    /** Creates the component without hints or responses; voterSet is called whenever the current voters are needed. */
+    HandoffComponent(final NodeContext context, final Supplier<VoterSet> voterSet, final CoreLiveness liveness) {
         this.context = context;
         this.voterSet = voterSet;
-        this.heardMs = heardMs;
+        this.liveness = liveness;
         this.responseCache = new ResponseCache(context.core ? CORE_CACHE_BYTES : EDGE_CACHE_BYTES);
     }
 
-    /** A voter missed a change: this core keeps the name for it, or an edge has two cores keep it. */
-    void missed(final String voter, final String key) {
+    /** Notified when a voter missed a register's change: a core keeps the key itself, an edge has two live cores keep it. */
+    void onMissedChange(final String voter, final String key) {
         if (context.core) {
-            hints.keep(voter, key);
+            hints.add(voter, key);
             return;
         }
-        int told = 0;
+        int sent = 0;
         for (final Voter other : voterSet.get().voters()) {
-            final boolean apt = !other.name().equals(voter)
-                    && heardMs.applyAsLong(other.name()) < context.settings().heardMs();
-            if (told < CORES_TOLD && apt) {
+            if (sent < CORES_PER_HINT && !other.name().equals(voter) && live(other)) {
                 context.post.send(other.address(), new HandoffMessage.Hint(voter, key));
-                told++;
+                sent++;
             }
         }
     }
 
-    /** Hands over what a voter that is back should have had. It takes it like any late word of a chosen value. */
-    void handOver(final MembershipMessage.VoterStatus back, final Acceptor acceptor) {
+    private boolean live(final Voter voter) {
+        return liveness.sinceLastAnswerMs(voter.name()) < context.settings().heardMs();
+    }
+
+    /**
+     * Sends a voter that is back the values of registers that it missed, a bounded number for each of its status messages. The
+     * voter treats them like any chosen value that arrives late.
+     */
+    void onVoterBack(final MembershipMessage.VoterStatus back, final Acceptor acceptor) {
         if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().same(back.generation(), back.epoch())) {
             return;
         }
-        final VoterSet table = voterSet.get();
-        for (final String key : hints.take(back.name(), HANDED_AT_ONCE)) {
+        final VoterSet voters = voterSet.get();
+        for (final String key : hints.remove(back.name(), VALUES_PER_HANDOVER)) {
             final Register register = acceptor.registers().get(key);
             if (register != null && register.value() != null) {
                 context.post.send(
                         back.address(),
                         new ConsensusMessage.Chosen(
-                                table.generation(), table.epoch(), key, register.accepted(), register.value()));
+                                voters.generation(), voters.epoch(), key, register.accepted(), register.value()));
             }
         }
     }
 
-    /** The edge is null where this node answers no clients. */
-    void hear(final HandoffMessage message, final AdmissionController edge) {
+    /** Handles a message; the admission controller is null if this node doesn't answer clients. */
+    void onMessage(final HandoffMessage message, final AdmissionController admission) {
         if (message instanceof HandoffMessage.Hint hint) {
-            hints.keep(hint.missing(), hint.key());
-        } else if (message instanceof HandoffMessage.Store keep) {
-            responseCache.keep(keep);
-        } else if (message instanceof HandoffMessage.Fetch ask) {
-            answer(ask);
-        } else if (message instanceof HandoffMessage.FetchResult back && edge != null) {
-            edge.hear(back);
+            hints.add(hint.voter(), hint.key());
+        } else if (message instanceof HandoffMessage.Store response) {
+            responseCache.put(response);
+        } else if (message instanceof HandoffMessage.Fetch request) {
+            onFetch(request);
+        } else if (message instanceof HandoffMessage.FetchResult result && admission != null) {
+            admission.hear(result);
         }
     }
 
-    private void answer(final HandoffMessage.Fetch ask) {
-        final HandoffMessage.Store found = responseCache.find(ask.key(), ask.digest());
+    private void onFetch(final HandoffMessage.Fetch request) {
         context.post.send(
-                ask.from(),
-                new HandoffMessage.FetchResult(ask.requestId(), ask.key(), found == null ? null : found.content()));
+                request.from(),
+                new HandoffMessage.FetchResult(
+                        request.requestId(),
+                        request.key(),
+                        responseCache
+                                .find(request.key(), request.digest())
+                                .map(HandoffMessage.Store::content)
+                                .orElse(null)));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -11,72 +11,91 @@
 import spokestall.gossip.PartialView;
 import spokestall.proxy.EdgeDirectory;
 
-/** The edges that clients are told of. */
+/**
+ * Decides which edges are named to clients, and publishes them to the {@link EdgeDirectory}.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. The directory itself may be read by any thread.
+ */
 final class KnownEdges {
+    /** For how many leave bounds the edges last named are kept while no core answers. */
+    private static final int BOUNDS_WITHOUT_CORES = 2;
+
     private final NodeContext context;
     private final PartialView view;
-    private final FeedClient follower;
-    private final FeedServer feeds;
+    private final FeedClient feedClient;
+    private final FeedServer feedServer;
     private final BooleanSupplier ready;
     private final long startedMs;
     final EdgeDirectory directory = new EdgeDirectory();
 
-    /** ready tells whether this node serves now. */
+    /**
+     * Creates it with an empty directory.
+     *
+     * @param view gives this node's own entry
+     * @param feedClient gives the edges that a core last named
+     * @param feedServer gives the edges that requested updates of this node, if it is a core
+     * @param ready whether this node answers clients now
+     */
     KnownEdges(
             final NodeContext context,
             final PartialView view,
-            final FeedClient follower,
-            final FeedServer feeds,
+            final FeedClient feedClient,
+            final FeedServer feedServer,
             final BooleanSupplier ready) {
         this.context = context;
         this.view = view;
-        this.follower = follower;
-        this.feeds = feeds;
+        this.feedClient = feedClient;
+        this.feedServer = feedServer;
         this.ready = ready;
         this.startedMs = context.clock.nowMs();
     }
 
     /**
-     * The edges believed to serve: those whose own word is fresh, this one among them, or those last named while no core answers.
-     * One that is known but said nothing of itself is not named: a client would be refused there, and leave what it has.
+     * Returns the edges to name to clients, in the order of their names: those that reported of late that they are fresh, and
+     * this node if it is ready; those last named while no core answers. An edge that is known but didn't report isn't named: it
+     * would reject a client that left a working edge for it.
      */
     Collection<NodeInfo> forClients() {
-        final Map<String, NodeInfo> found = new TreeMap<>();
-        heard().forEach(e -> found.put(e.name(), e));
-        if (ready.getAsBoolean() && (!found.isEmpty() || !justStarted())) {
-            // Alone it is named only once the others have had time to be heard, or all clients would come to it.
-            found.put(context.name, view.self());
+        final Map<String, NodeInfo> edges = new TreeMap<>();
+        reported().forEach(edge -> edges.put(edge.name(), edge));
+        if (ready.getAsBoolean() && (!edges.isEmpty() || !justStarted())) {
+            // If this node is the only one, it is named only after others had time to report, else all clients would
+            // move here.
+            edges.put(context.name, view.self());
         }
-        if (found.isEmpty()) {
-            follower.edges(context.settings().part("leaveBoundMs", 2)).forEach(e -> found.put(e.name(), e));
+        if (edges.isEmpty()) {
+            feedClient
+                    .edges(context.settings().part("leaveBoundMs", BOUNDS_WITHOUT_CORES))
+                    .forEach(edge -> edges.put(edge.name(), edge));
         }
         if (view.self().leaving()) {
-            found.remove(context.name);
+            edges.remove(context.name);
         }
-        return found.values();
+        return edges.values();
     }
 
-    /** A core that has just started, or that nobody asks since it has no seat, goes by the word of another core. */
-    private Collection<NodeInfo> heard() {
-        final long spanMs = context.settings().heardMs();
+    /** A core that has just started, or that no edge contacts since it isn't a voter, uses what another core reports too. */
+    private Collection<NodeInfo> reported() {
+        final long freshMs = context.settings().heardMs();
         if (!context.core) {
-            return follower.edges(spanMs);
+            return feedClient.edges(freshMs);
         }
-        final Collection<NodeInfo> asking = feeds.freshEdges();
-        if (!asking.isEmpty() && !justStarted()) {
-            return asking;
+        final Collection<NodeInfo> reportedHere = feedServer.freshEdges();
+        if (!reportedHere.isEmpty() && !justStarted()) {
+            return reportedHere;
         }
-        final List<NodeInfo> both = new ArrayList<>(follower.edges(spanMs));
-        both.addAll(asking);
-        return both;
+        final List<NodeInfo> all = new ArrayList<>(feedClient.edges(freshMs));
+        // Later entries replace earlier ones of the same name: this node's own knowledge wins.
+        all.addAll(reportedHere);
+        return all;
     }
 
-    /** Whether others may not have been heard yet. */
+    /** Whether edges may not have had time to report yet. */
     private boolean justStarted() {
         return context.clock.nowMs() - startedMs < context.settings().heardMs();
     }
 
-    /** Clients are told of what was heard up to now. */
+    /** Publishes the edges that are named to clients from now on. */
     void publish() {
         directory.publish(forClients());
     }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -127,7 +127,7 @@
                 context.clock,
                 context.random,
                 context.timings().proposer(),
-                handoff::missed);
+                handoff::onMissedChange);
         this.storage = core
                 ? new CoreStorage(context, environment.segments(), configurationStore, this::voterSet, this::mayVote)
                 : null;
@@ -293,7 +293,7 @@
     }
 
     private void warnOfDiffering() {
-        final List<String> differing = neighbours.differing();
+        final List<String> differing = neighbours.peersWithOtherCounts();
         if (!differing.isEmpty()) {
             LOG.atWarning().log(
                     "event=counts_differ node=%s cores=%s edges=%s from=%s",
@@ -472,14 +472,14 @@
         } else if (received instanceof UsageMessage message) {
             hear(message);
         } else if (received instanceof HandoffMessage message) {
-            handoff.hear(message, edge());
+            handoff.onMessage(message, edge());
         }
     }
 
     private void hear(final MembershipMessage message) {
         membership.hear(message);
         if (context.core && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
-            handoff.handOver(voterStatus, storage.acceptor);
+            handoff.onVoterBack(voterStatus, storage.acceptor);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -230,7 +230,7 @@
                     .put("leaving", m.leaving())
                     .put("heardMs", node.context.fleet.nowMs() - m.lastSeenMs());
         }
-        node.neighbours.differing().forEach(out.putArray("differing")::add);
+        node.neighbours.peersWithOtherCounts().forEach(out.putArray("differing")::add);
         if (node.voterSet() != null) {
             final ObjectNode table = out.putObject("voters")
                     .put("generation", node.voterSet().generation())
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -10,114 +10,127 @@
 import spokestall.gossip.NodeInfo;
 import spokestall.gossip.PartialView;
 
-/** The other nodes as this one knows them, by its view and by the table of voters. */
+/**
+ * The other nodes as this one knows them: by its gossip view, which may be incomplete, and by the voter set once there is one.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. Lists are copies in a fixed order (by name or by address).
+ */
 final class PeerDirectory {
     private static final int SAME_ZONE = 0;
     private static final int SAME_REGION = 1;
-    private static final int ELSEWHERE = 2;
+    private static final int OTHER_REGION = 2;
     private final NodeContext context;
     private final PartialView view;
     private final Supplier<VoterSet> voterSet;
-    private int sharingEdgesMax = 1;
-    private long sharingEdgesSeen = -1;
+    private int maxEdgesSeen = 1;
+    /** The version of the view that {@link #maxEdgesSeen} was last counted from. */
+    private long countedVersion = -1;
 
+    /** Creates the directory; voterSet returns the current voters, null before there are any. */
     PeerDirectory(final NodeContext context, final PartialView view, final Supplier<VoterSet> voterSet) {
         this.context = context;
         this.view = view;
         this.voterSet = voterSet;
     }
 
-    /** How far the node at an address is: 0 is this node's zone, 1 its region, 2 any other place. */
-    int distance(final String of) {
+    /** Returns how far the node at an address is: 0 is this node's zone, 1 its region, 2 any other place or unknown. */
+    int distance(final String address) {
         for (final NodeInfo member : view.members()) {
-            if (member.address().equals(of)) {
+            if (member.address().equals(address)) {
                 return distance(member);
             }
         }
-        return ELSEWHERE;
+        return OTHER_REGION;
     }
 
     private int distance(final NodeInfo member) {
         if (member.zone().equals(context.settings().text("district"))) {
             return SAME_ZONE;
         }
-        return member.region().equals(context.settings().region()) ? SAME_REGION : ELSEWHERE;
+        return member.region().equals(context.settings().region()) ? SAME_REGION : OTHER_REGION;
     }
 
+    /** Returns the cores in the view, without this node. */
     List<NodeInfo> otherCores() {
         return view.members().stream().filter(NodeInfo::core).toList();
     }
 
-    /** The voters, or before there are any the cores that are known. */
+    /** Returns the voters' addresses; before there are voters, those of the known cores, this node included if it is one. */
     List<String> coreAddresses() {
         if (voterSet.get() != null) {
             return voterSet.get().voters().stream().map(Voter::address).toList();
         }
-        final List<String> found =
+        final List<String> addresses =
                 new ArrayList<>(otherCores().stream().map(NodeInfo::address).toList());
         if (context.core) {
-            found.add(context.address);
+            addresses.add(context.address);
         }
-        return found;
+        return addresses;
     }
 
-    /** All nodes that are known, voters too, but for this one. */
+    /** Returns the addresses of all nodes in the view and of all voters, without this node. */
     List<String> coreAndEdgeAddresses() {
-        final Set<String> found =
+        final Set<String> addresses =
                 new TreeSet<>(view.members().stream().map(NodeInfo::address).toList());
         if (voterSet.get() != null) {
-            voterSet.get().voters().forEach(s -> found.add(s.address()));
+            voterSet.get().voters().forEach(voter -> addresses.add(voter.address()));
         }
-        found.remove(context.address);
-        return List.copyOf(found);
+        addresses.remove(context.address);
+        return List.copyOf(addresses);
     }
 
+    /** Returns the addresses of all cores in the view and of all voters, without this node. */
     List<String> otherCoreAddresses() {
-        final Set<String> found =
+        final Set<String> addresses =
                 new TreeSet<>(otherCores().stream().map(NodeInfo::address).toList());
-        found.addAll(coreAddresses());
-        found.remove(context.address);
-        return List.copyOf(found);
+        addresses.addAll(coreAddresses());
+        addresses.remove(context.address);
+        return List.copyOf(addresses);
     }
 
-    List<String> homeCores(final Set<String> regions) {
+    /** Returns the addresses of the cores in the view that are in one of these regions. */
+    List<String> coreAddressesIn(final Set<String> regions) {
         return view.members().stream()
-                .filter(m -> m.core() && regions.contains(m.region()))
+                .filter(member -> member.core() && regions.contains(member.region()))
                 .map(NodeInfo::address)
                 .toList();
     }
 
-    /** The address of a core's seat, or its name where it has none. */
+    /** Returns the address of the voter with this name, or the name itself if there is no such voter. */
     String voterAddress(final String core) {
         final Voter voter = voterSet.get() == null ? null : voterSet.get().voter(core);
         return voter == null ? core : voter.address();
     }
 
-    /** The edges that shared bounds are divided among: as many as are configured, else as are known or ever were here. */
+    /**
+     * Returns among how many edges limits of the whole fleet are divided, at least 1: as many as are configured, else the most
+     * that this node has known at a time, so that an edge that is out of sight for a while doesn't raise the others' share.
+     */
     int sharingEdges() {
         if (context.settings().ms("edges") > 0) {
             return (int) context.settings().ms("edges");
         }
-        if (view.version() == sharingEdgesSeen) {
-            return sharingEdgesMax;
+        if (view.version() == countedVersion) {
+            return maxEdgesSeen;
         }
-        sharingEdgesSeen = view.version();
-        int serving = context.serves ? 1 : 0;
+        countedVersion = view.version();
+        int edges = context.serves ? 1 : 0;
         for (final NodeInfo member : view.members()) {
-            serving += member.servesClients() ? 1 : 0;
+            edges += member.servesClients() ? 1 : 0;
         }
-        sharingEdgesMax = Math.max(sharingEdgesMax, serving);
-        return sharingEdgesMax;
+        maxEdgesSeen = Math.max(maxEdgesSeen, edges);
+        return maxEdgesSeen;
     }
 
-    /** Nodes configured with other counts of nodes than this one: shared bounds are divided by them. */
-    List<String> differing() {
+    /** Returns the names of members configured with other counts of cores or edges than this node: limits are divided by them. */
+    List<String> peersWithOtherCounts() {
         final NodeInfo self = view.self();
         if (self.edges() == 0) {
             return List.of();
         }
         return view.members().stream()
-                .filter(m -> m.edges() != 0 && (m.edges() != self.edges() || m.cores() != self.cores()))
+                .filter(member ->
+                        member.edges() != 0 && (member.edges() != self.edges() || member.cores() != self.cores()))
                 .map(NodeInfo::name)
                 .toList();
     }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -80,7 +80,7 @@
                         context.fleet,
                         context.random,
                         neighbours::sharingEdges,
-                        neighbours::homeCores),
+                        neighbours::coreAddressesIn),
                 context.timings().edge());
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -6,6 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
@@ -262,9 +263,9 @@
 
     /** A kept answer, from here or from a core of the tenant's home regions; null if none has it in time. */
     void fetch(final Tenant tenant, final String key, final String digest, final Consumer<ResponseContent> done) {
-        final HandoffMessage.Store own = parts.responseCache().find(key, digest);
-        if (own != null) {
-            done.accept(own.content());
+        final Optional<HandoffMessage.Store> own = parts.responseCache().find(key, digest);
+        if (own.isPresent()) {
+            done.accept(own.get().content());
             return;
         }
         final long id = nextHandId++;
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -457,7 +457,7 @@
     private void record(final Upstream to, final AttemptResult.Whole whole) {
         final HandoffMessage.Store keep = new HandoffMessage.Store(
                 claimManager.key(), KeyHash.hex(MessageCodec.bytes(whole.content())), whole.content());
-        parts.responseCache().keep(keep);
+        parts.responseCache().put(keep);
         for (final String core : parts.homeCores().apply(ask.tenant().homeRegions())) {
             parts.post().send(core, keep);
         }
