--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -260,8 +260,8 @@
                 requestId,
                 update,
                 configurationStore.configuration().version(),
-                endpointRegistry.incarnationHeard(core),
-                endpointRegistry.placeHeard(core),
+                endpointRegistry.peerIncarnation(core),
+                endpointRegistry.peerOffset(core),
                 table == null ? 0 : table.generation(),
                 table == null ? 0 : table.epoch(),
                 edgesMark);
@@ -318,7 +318,7 @@
         final VoterSet table = proposer.voterSet();
         final Voter voter = table == null ? null : table.voter(back.name());
         if (voter != null) {
-            endpointRegistry.take(
+            endpointRegistry.mergeFrom(
                     voter.address(), back.registryIncarnation(), back.registryPlace(), back.listed(), back.reports());
         }
         if (back.registryIncarnation() != 0) {
--- a/spokestall/src/main/java/spokestall/discovery/DiscoveryMessage.java
+++ b/spokestall/src/main/java/spokestall/discovery/DiscoveryMessage.java
@@ -8,7 +8,7 @@
 public sealed interface DiscoveryMessage extends Message {
     /** Entries to merge, and when the platform's list was last read, zero when that isn't told. */
     record Push(
-            List<Endpoint> listed,
-            List<HealthObservation> reports,
-            @SinceVersion(3) long readMs) implements DiscoveryMessage {}
+            List<Endpoint> endpoints,
+            List<HealthObservation> observations,
+            @SinceVersion(3) long listReadMs) implements DiscoveryMessage {}
 }
--- a/spokestall/src/main/java/spokestall/discovery/Endpoint.java
+++ b/spokestall/src/main/java/spokestall/discovery/Endpoint.java
@@ -13,9 +13,9 @@
         String region,
         boolean present,
         boolean leaving,
-        long stampMs,
+        long timestampMs,
         @SinceVersion(3) long warmUpUntilMs,
-        @SinceVersion(3) long sinceMs,
+        @SinceVersion(3) long firstListedMs,
         @SinceVersion(3) int slots) {
     /** An entry as it was read. */
     public static Endpoint read(
@@ -37,6 +37,6 @@
 
     /** When it was first listed, as far as is known. */
     long firstMs() {
-        return sinceMs == 0 ? stampMs : sinceMs;
+        return firstListedMs == 0 ? timestampMs : firstListedMs;
     }
 }
--- a/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
@@ -45,41 +45,41 @@
     }
 
     /** The platform's list was read then, by any core. */
-    public void read(final long ms) {
+    public void recordListRead(final long ms) {
         readMs = Math.max(readMs, ms);
     }
 
     /** When the list was last read, as far as is known. */
-    public long readMs() {
+    public long lastListReadMs() {
         return readMs;
     }
 
     /** What a core last said of an instance, or null. */
-    HealthObservation said(final String instance, final String by) {
+    HealthObservation observation(final String instance, final String by) {
         final Numbered<HealthObservation> had =
                 reports.getOrDefault(instance, Map.of()).get(by);
         return had == null ? null : had.value;
     }
 
     /** The place of the newest entry. */
-    public long place() {
+    public long offset() {
         return place;
     }
 
     /** The numbering last heard from a core. */
-    public long incarnationHeard(final String core) {
+    public long peerIncarnation(final String core) {
         final Heard h = heard.get(core);
         return h == null ? 0 : h.incarnation;
     }
 
     /** How far that numbering was heard. */
-    public long placeHeard(final String core) {
+    public long peerOffset(final String core) {
         final Heard h = heard.get(core);
         return h == null ? 0 : h.place;
     }
 
     /** Merges what a core sent from a place on. */
-    public void take(
+    public void mergeFrom(
             final String core,
             final long coreIncarnation,
             final long corePlace,
@@ -99,7 +99,7 @@
 
     private void merge(final Endpoint entry) {
         final Numbered<Endpoint> had = listed.get(entry.instance());
-        if (had == null ? listed.size() < entriesMax : entry.stampMs() > had.value.stampMs()) {
+        if (had == null ? listed.size() < entriesMax : entry.timestampMs() > had.value.timestampMs()) {
             put(new Numbered<>(++place, had == null ? entry : kept(had.value, entry)));
         } else if (had != null && entry.firstMs() < had.value.firstMs()) {
             put(new Numbered<>(had.place, kept(entry, had.value)));
@@ -118,7 +118,7 @@
                         && later.present()
                         && earlier.address().equals(later.address())
                         && earlier.firstMs() < later.firstMs()
-                ? later.at(true, later.stampMs(), later.warmUpUntilMs(), earlier.firstMs())
+                ? later.at(true, later.timestampMs(), later.warmUpUntilMs(), earlier.firstMs())
                 : later;
     }
 
@@ -126,22 +126,22 @@
         final Map<String, Numbered<HealthObservation>> of =
                 reports.computeIfAbsent(word.instance(), i -> new TreeMap<>());
         final Numbered<HealthObservation> had = of.get(word.by());
-        if (had == null || word.stampMs() > had.value.stampMs()) {
+        if (had == null || word.timestampMs() > had.value.timestampMs()) {
             of.put(word.by(), new Numbered<>(++place, word));
         }
     }
 
     /** Lets go what has been absent for long. */
     public void prune(final long beforeMs) {
-        if (listed.values().removeIf(l -> !l.value.present() && l.value.stampMs() < beforeMs)) {
+        if (listed.values().removeIf(l -> !l.value.present() && l.value.timestampMs() < beforeMs)) {
             serving.clear();
         }
         reports.keySet().removeIf(i -> !listed.containsKey(i));
-        reports.values().forEach(of -> of.values().removeIf(r -> r.value.stampMs() < beforeMs));
+        reports.values().forEach(of -> of.values().removeIf(r -> r.value.timestampMs() < beforeMs));
     }
 
     /** Entries after a place. */
-    public List<Endpoint> listedAfter(final long after) {
+    public List<Endpoint> endpointsAfter(final long after) {
         final List<Endpoint> found = new ArrayList<>();
         listed.values().forEach(l -> {
             if (l.place > after) {
@@ -152,7 +152,7 @@
     }
 
     /** Reports after a place. */
-    public List<HealthObservation> reportsAfter(final long after) {
+    public List<HealthObservation> observationsAfter(final long after) {
         final List<HealthObservation> found = new ArrayList<>();
         reports.values()
                 .forEach(of -> of.values().forEach(r -> {
@@ -164,24 +164,24 @@
     }
 
     /** Grows with every entry that changes. */
-    public long changes() {
+    public long version() {
         return changes;
     }
 
     /** Everything the platform lists or listed of late. */
-    public List<Endpoint> listed() {
-        return listedAfter(0);
+    public List<Endpoint> endpoints() {
+        return endpointsAfter(0);
     }
 
     /** The upstreams of a service that may take asks now. */
-    public List<Upstream> ready(final String service, final long nowMs) {
+    public List<Upstream> readyUpstreams(final String service, final long nowMs) {
         final List<Upstream> all = serving.computeIfAbsent(service, this::serving);
         if (!probed) {
             return all;
         }
         final List<Upstream> found = new ArrayList<>();
         for (final Upstream u : all) {
-            final HealthObservation word = word(u.instance(), nowMs);
+            final HealthObservation word = health(u.instance(), nowMs);
             if (word != null && word.status() == HealthStatus.READY) {
                 found.add(u.readySince(word.readySinceMs()));
             }
@@ -209,7 +209,7 @@
     }
 
     /** What the cores together say now: leaving or foreign from any one holds; ready from any one beats down. */
-    public HealthObservation word(final String instance, final long nowMs) {
+    public HealthObservation health(final String instance, final long nowMs) {
         if (!probed) {
             final Numbered<Endpoint> n = listed.get(instance);
             return n == null || !n.value.present()
@@ -219,18 +219,18 @@
                             "",
                             n.value.leaving() ? HealthStatus.LEAVING : HealthStatus.READY,
                             n.value.firstMs(),
-                            n.value.stampMs());
+                            n.value.timestampMs());
         }
         HealthObservation best = null;
         for (final Numbered<HealthObservation> n :
                 reports.getOrDefault(instance, Map.of()).values()) {
             final HealthObservation r = n.value;
-            if (nowMs - r.stampMs() > freshMs) {
+            if (nowMs - r.timestampMs() > freshMs) {
                 continue;
             }
             if (best == null
                     || rank(r.status()) > rank(best.status())
-                    || r.status() == best.status() && r.stampMs() > best.stampMs()) {
+                    || r.status() == best.status() && r.timestampMs() > best.timestampMs()) {
                 best = r;
             }
         }
--- a/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
@@ -92,7 +92,7 @@
             read();
         }
         if (timing.probes()) {
-            for (final Endpoint l : endpointRegistry.listed()) {
+            for (final Endpoint l : endpointRegistry.endpoints()) {
                 if (l.present() && mine(l, others) && probing.add(l.instance())) {
                     probe(l);
                 }
@@ -104,16 +104,16 @@
     /** One core reads at a time: each later one in the order of names waits longer to hear that another did. */
     private boolean mayRead(final List<NodeInfo> others) {
         final long nowMs = fleet.nowMs();
-        if (endpointRegistry.readMs() == 0) {
+        if (endpointRegistry.lastListReadMs() == 0) {
             // What the others know comes first, so that what they listed long ago isn't taken for new.
-            endpointRegistry.read(nowMs - timing.listMs() + timing.listMs() / 4);
+            endpointRegistry.recordListRead(nowMs - timing.listMs() + timing.listMs() / 4);
         }
         final long rank =
                 others.stream().filter(m -> m.name().compareTo(self.name()) < 0).count();
         final long slackMs = timing.listMs() / 32;
         return !registryNow
                 && nowMs - triedMs >= timing.listMs() - slackMs
-                && nowMs - endpointRegistry.readMs() >= (long) (timing.listMs() * (1 + LATER * rank)) - slackMs;
+                && nowMs - endpointRegistry.lastListReadMs() >= (long) (timing.listMs() * (1 + LATER * rank)) - slackMs;
     }
 
     private void read() {
@@ -134,7 +134,7 @@
                 l.instance(),
                 l.at(true, requestedMs, l.warmUpUntilMs() < 0 ? 0 : requestedMs + l.warmUpUntilMs(), requestedMs)));
         final List<Endpoint> update = new ArrayList<>();
-        for (final Endpoint had : endpointRegistry.listed()) {
+        for (final Endpoint had : endpointRegistry.endpoints()) {
             final Endpoint l = now.remove(had.instance());
             if (l == null && had.present()) {
                 update.add(had.at(false, requestedMs, had.warmUpUntilMs(), had.firstMs()));
@@ -144,7 +144,7 @@
         }
         update.addAll(now.values());
         endpointRegistry.merge(update, List.of());
-        endpointRegistry.read(requestedMs);
+        endpointRegistry.recordListRead(requestedMs);
         final DiscoveryMessage.Push push = new DiscoveryMessage.Push(update, List.of(), requestedMs);
         for (final NodeInfo other : update.isEmpty() ? cores.get() : everyone.get()) {
             post.send(other.address(), push);
@@ -157,7 +157,7 @@
                 && had.address().equals(now.address())
                 && had.service().equals(now.service())
                 && (Math.abs(had.warmUpUntilMs() - now.warmUpUntilMs()) < WARM_UP_APART_MS
-                        || Math.max(had.warmUpUntilMs(), now.warmUpUntilMs()) <= now.stampMs() + WARM_UP_APART_MS);
+                        || Math.max(had.warmUpUntilMs(), now.warmUpUntilMs()) <= now.timestampMs() + WARM_UP_APART_MS);
     }
 
     /** Each upstream is probed by a few cores, near ones first, elected alike by all. */
@@ -200,10 +200,10 @@
 
     /** An unchanged word isn't said anew each time. */
     private void word(final Endpoint l, final HealthStatus status, final long readySinceMs, final long requestedMs) {
-        final HealthObservation had = endpointRegistry.said(l.instance(), self.name());
+        final HealthObservation had = endpointRegistry.observation(l.instance(), self.name());
         final boolean same =
                 had != null && had.status() == status && Math.abs(had.readySinceMs() - readySinceMs) < WARM_UP_APART_MS;
-        if (same && requestedMs - had.stampMs() < timing.sayMs()) {
+        if (same && requestedMs - had.timestampMs() < timing.sayMs()) {
             return;
         }
         final HealthObservation word =
@@ -219,10 +219,10 @@
             final DiscoveryMessage.Push update = new DiscoveryMessage.Push(List.of(), List.copyOf(changed), 0);
             everyone.get().forEach(m -> post.send(m.address(), update));
         }
-        final List<HealthObservation> words = endpointRegistry.reportsAfter(pushed).stream()
+        final List<HealthObservation> words = endpointRegistry.observationsAfter(pushed).stream()
                 .filter(r -> r.by().equals(self.name()) && !changed.contains(r))
                 .toList();
-        pushed = endpointRegistry.place();
+        pushed = endpointRegistry.offset();
         changed.clear();
         if (!words.isEmpty()) {
             final DiscoveryMessage.Push push = new DiscoveryMessage.Push(List.of(), words, 0);
@@ -230,7 +230,7 @@
         }
         if (tick % 10 == 0) {
             fails.keySet()
-                    .retainAll(endpointRegistry.listed().stream()
+                    .retainAll(endpointRegistry.endpoints().stream()
                             .map(Endpoint::instance)
                             .toList());
         }
--- a/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
+++ b/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
@@ -46,11 +46,11 @@
         kept = new PersistedState(
                 acceptor,
                 KEPT,
-                endpointRegistry::changes,
-                () -> new DiscoveryMessage.Push(endpointRegistry.listed(), List.of(), 0));
+                endpointRegistry::version,
+                () -> new DiscoveryMessage.Push(endpointRegistry.endpoints(), List.of(), 0));
         final DiscoveryMessage.Push before = kept.read(DiscoveryMessage.Push.class);
         if (before != null) {
-            endpointRegistry.merge(before.listed(), List.of());
+            endpointRegistry.merge(before.endpoints(), List.of());
         }
     }
 
@@ -67,8 +67,8 @@
         endpointRegistry.prune(context.fleet.nowMs() - context.settings().part("leaveBoundMs", ABSENT_BOUNDS));
     }
 
-    void hear(final DiscoveryMessage.Push push) {
-        endpointRegistry.merge(push.listed(), push.reports());
-        endpointRegistry.read(Math.min(push.readMs(), context.fleet.nowMs()));
+    void onMessage(final DiscoveryMessage.Push push) {
+        endpointRegistry.merge(push.endpoints(), push.observations());
+        endpointRegistry.recordListRead(Math.min(push.listReadMs(), context.fleet.nowMs()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -308,7 +308,7 @@
     private void hurry(final long untilMs, final int turn) {
         final boolean able = context.fleet.settled()
                 && follower.fresh()
-                && (serving == null || !discovery.endpointRegistry.listed().isEmpty());
+                && (serving == null || !discovery.endpointRegistry.endpoints().isEmpty());
         if (stopped || able || context.clock.nowMs() >= untilMs) {
             return;
         }
@@ -468,7 +468,7 @@
         } else if (received instanceof FeedMessage message) {
             hear(message);
         } else if (received instanceof DiscoveryMessage.Push message) {
-            discovery.hear(message);
+            discovery.onMessage(message);
         } else if (received instanceof UsageMessage message) {
             hear(message);
         } else if (received instanceof HandoffMessage message) {
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -199,9 +199,9 @@
         final ObjectNode out = ConfigurationStore.JSON.createObjectNode();
         local(out);
         final ArrayNode list = out.putArray("upstreams");
-        for (final Endpoint l : node.discovery.endpointRegistry.listed()) {
+        for (final Endpoint l : node.discovery.endpointRegistry.endpoints()) {
             final HealthObservation word =
-                    node.discovery.endpointRegistry.word(l.instance(), node.context.fleet.nowMs());
+                    node.discovery.endpointRegistry.health(l.instance(), node.context.fleet.nowMs());
             list.addObject()
                     .put("instance", l.instance())
                     .put("service", l.service())
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -47,7 +47,7 @@
         this.loadBalancer = new LoadBalancer(
                 context.settings().region(),
                 context.settings().text("district"),
-                service -> endpointRegistry.ready(service, context.fleet.nowMs()),
+                service -> endpointRegistry.readyUpstreams(service, context.fleet.nowMs()),
                 context.clock,
                 context.fleet,
                 context.random,
@@ -97,7 +97,7 @@
     /** Forgets what was learnt of upstreams that are listed no more. */
     void retain() {
         loadBalancer.retain(
-                endpointRegistry.listed().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
+                endpointRegistry.endpoints().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
     }
 
     void hear(final UsageMessage.CountsAcknowledged message) {
@@ -116,7 +116,7 @@
     }
 
     private void chill(final String zone) {
-        for (final Endpoint listed : endpointRegistry.listed()) {
+        for (final Endpoint listed : endpointRegistry.endpoints()) {
             final ServiceLimits rule = configurationStore.configuration().service(listed.service());
             if (listed.zone().equals(zone) && rule != null) {
                 loadBalancer.chill(
--- a/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
@@ -16,7 +16,9 @@
     }
 
     private static List<String> ready(final EndpointRegistry of, final String service) {
-        return of.ready(service, NOW_MS).stream().map(Upstream::instance).toList();
+        return of.readyUpstreams(service, NOW_MS).stream()
+                .map(Upstream::instance)
+                .toList();
     }
 
     @Test
@@ -40,9 +42,9 @@
     @Test
     void anEarlierFirstSightIsTakenOver() {
         unprobed.merge(List.of(entry("a", "s", true, false, 5)), List.of());
-        assertThat(unprobed.ready("s", NOW_MS).get(0).readySinceMs()).isEqualTo(5);
+        assertThat(unprobed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(5);
         unprobed.merge(List.of(entry("a", "s", true, false, 2)), List.of());
-        assertThat(unprobed.ready("s", NOW_MS).get(0).readySinceMs()).isEqualTo(2);
+        assertThat(unprobed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(2);
     }
 
     @Test
@@ -51,8 +53,10 @@
         assertThat(ready(probed, "s")).isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.READY, 7, NOW_MS)));
         assertThat(ready(probed, "s")).containsExactly("a");
-        assertThat(probed.ready("s", NOW_MS).get(0).readySinceMs()).isEqualTo(7);
-        assertThat(probed.ready("s", NOW_MS + 1001)).as("the word is too old").isEmpty();
+        assertThat(probed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(7);
+        assertThat(probed.readyUpstreams("s", NOW_MS + 1001))
+                .as("the word is too old")
+                .isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.LEAVING, 7, NOW_MS + 1)));
         assertThat(ready(probed, "s")).isEmpty();
     }
@@ -62,6 +66,8 @@
         for (int n = 0; n < 50; n++) {
             unprobed.merge(List.of(entry("i" + n, "s" + n % 5, true, false, 1)), List.of());
         }
-        assertThat(unprobed.ready("s1", NOW_MS)).hasSize(10).isSameAs(unprobed.ready("s1", NOW_MS + 5));
+        assertThat(unprobed.readyUpstreams("s1", NOW_MS))
+                .hasSize(10)
+                .isSameAs(unprobed.readyUpstreams("s1", NOW_MS + 5));
     }
 }
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -42,8 +42,8 @@
                             (to, message) -> {
                                 final DiscoveryMessage.Push push = (DiscoveryMessage.Push) message;
                                 heard.merge(to, 1, Integer::sum);
-                                listings.get(to).merge(push.listed(), push.reports());
-                                listings.get(to).read(push.readMs());
+                                listings.get(to).merge(push.endpoints(), push.observations());
+                                listings.get(to).recordListRead(push.listReadMs());
                             },
                             fleet,
                             new HealthChecker.Timing(500, 100, 2, 2, LIST_MS, 1000, false),
@@ -100,7 +100,7 @@
         list.add(one("i1", false, 3000));
         list.add(one("i2", false, -1));
         run(2000);
-        final List<Upstream> ready = listings.get("edge").ready("s", fleet.nowMs());
+        final List<Upstream> ready = listings.get("edge").readyUpstreams("s", fleet.nowMs());
         assertThat(ready).hasSize(2);
         assertThat(ready.get(0).warmUpUntilMs()).isBetween(fleet.nowMs(), fleet.nowMs() + 3000);
         assertThat(ready.get(1).warmUpUntilMs()).isZero();
@@ -109,27 +109,32 @@
                 .isBetween(fleet.nowMs() - 2000, fleet.nowMs());
         list.set(0, one("i1", true, 0));
         run(1100);
-        assertThat(listings.get("edge").ready("s", fleet.nowMs()))
+        assertThat(listings.get("edge").readyUpstreams("s", fleet.nowMs()))
                 .extracting(Upstream::instance)
                 .containsExactly("i2");
-        assertThat(listings.get("edge").word("i1", fleet.nowMs()).status()).isEqualTo(HealthStatus.LEAVING);
+        assertThat(listings.get("edge").health("i1", fleet.nowMs()).status()).isEqualTo(HealthStatus.LEAVING);
         list.clear();
         run(1100);
-        assertThat(listings.get("edge").ready("s", fleet.nowMs())).isEmpty();
+        assertThat(listings.get("edge").readyUpstreams("s", fleet.nowMs())).isEmpty();
     }
 
     @Test
     void whoListsAnewWhatOthersKnowDoesNotMakeItNew() {
         list.add(one("i1", false, -1));
         run(2000);
-        final long since = listings.get("edge").ready("s", fleet.nowMs()).get(0).readySinceMs();
+        final long since =
+                listings.get("edge").readyUpstreams("s", fleet.nowMs()).get(0).readySinceMs();
         final Endpoint again = one("i1", false, -1).at(true, fleet.nowMs(), 0, fleet.nowMs());
         listings.get("edge").merge(List.of(again), List.of());
-        assertThat(listings.get("edge").ready("s", fleet.nowMs()).get(0).readySinceMs())
+        assertThat(listings.get("edge")
+                        .readyUpstreams("s", fleet.nowMs())
+                        .get(0)
+                        .readySinceMs())
                 .isEqualTo(since);
         final EndpointRegistry fresh = new EndpointRegistry(2, 100, 4000, false);
         fresh.merge(List.of(again), List.of());
-        fresh.merge(listings.get("a").listed(), List.of());
-        assertThat(fresh.ready("s", fleet.nowMs()).get(0).readySinceMs()).isEqualTo(since);
+        fresh.merge(listings.get("a").endpoints(), List.of());
+        assertThat(fresh.readyUpstreams("s", fleet.nowMs()).get(0).readySinceMs())
+                .isEqualTo(since);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
@@ -176,7 +176,8 @@
                     role,
                     "listed",
                     of.stream()
-                            .mapToInt(n -> n.node().endpointRegistry().listed().size())
+                            .mapToInt(
+                                    n -> n.node().endpointRegistry().endpoints().size())
                             .average()
                             .orElse(0));
             add(
@@ -184,8 +185,10 @@
                     role,
                     "words",
                     of.stream()
-                            .mapToInt(n ->
-                                    n.node().endpointRegistry().reportsAfter(0).size())
+                            .mapToInt(n -> n.node()
+                                    .endpointRegistry()
+                                    .observationsAfter(0)
+                                    .size())
                             .average()
                             .orElse(0));
             add(
@@ -194,10 +197,10 @@
                     "listBytes",
                     of.stream()
                             .limit(3)
-                            .mapToLong(n -> n.node().endpointRegistry().listed().stream()
+                            .mapToLong(n -> n.node().endpointRegistry().endpoints().stream()
                                             .mapToLong(l -> MessageCodec.bytes(l).length)
                                             .sum()
-                                    + n.node().endpointRegistry().reportsAfter(0).stream()
+                                    + n.node().endpointRegistry().observationsAfter(0).stream()
                                             .mapToLong(r -> MessageCodec.bytes(r).length)
                                             .sum())
                             .average()
@@ -246,7 +249,7 @@
             long bestNs = Long.MAX_VALUE;
             for (int turn = 0; turn < TURNS; turn++) {
                 final long fromNs = System.nanoTime();
-                n.node().endpointRegistry().ready(service, n.node().fleetMs());
+                n.node().endpointRegistry().readyUpstreams(service, n.node().fleetMs());
                 bestNs = Math.min(bestNs, System.nanoTime() - fromNs);
             }
             add(end, "edge", "readyUs", bestNs / 1000.0);
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -263,7 +263,11 @@
                                         >= changes.get(0).version()
                                 && (n.core
                                         ? n.node().acceptor().state() == Acceptor.State.VOTING
-                                        : n.node().endpointRegistry().listed().size() == shape.flags.upstreams));
+                                        : n.node()
+                                                        .endpointRegistry()
+                                                        .endpoints()
+                                                        .size()
+                                                == shape.flags.upstreams));
     }
 
     /** How old the newest word on some upstreams is at each edge. */
@@ -274,12 +278,13 @@
                     final String instance = outside.list()
                             .get(chance.nextInt(outside.list().size()))
                             .instance();
-                    final HealthObservation word =
-                            n.node().endpointRegistry().word(instance, n.node().fleetMs());
+                    final HealthObservation word = n.node()
+                            .endpointRegistry()
+                            .health(instance, n.node().fleetMs());
                     if (word == null) {
                         wordless.merge(phase, 1L, Long::sum);
                     } else {
-                        words.get(phase).recordValue(Math.max(0, n.node().fleetMs() - word.stampMs()));
+                        words.get(phase).recordValue(Math.max(0, n.node().fleetMs() - word.timestampMs()));
                     }
                 }
             }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -199,7 +199,7 @@
             if (node.running()) {
                 most.merge(
                         "listed",
-                        (double) node.node().endpointRegistry().listed().size(),
+                        (double) node.node().endpointRegistry().endpoints().size(),
                         Math::max);
             }
         }
