--- /dev/null
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
@@ -0,0 +1,149 @@
+package spokestall.discovery;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import spokestall.gossip.NodeInfo;
+import spokestall.message.MessageSender;
+import spokestall.time.FleetClock;
+
+/**
+ * A core's part in reading the platform's list. One core reads for all: each later one in the order of names waits longer
+ * before it reads in its place. What changed is sent to every known node, and that the list was read to the other cores.
+ *
+ * <p>Not thread-safe; all calls and callbacks on the node's event loop. Requires that the fleet's clock has settled.
+ */
+public final class EndpointListReader {
+    /**
+     * When the list is read.
+     *
+     * @param intervalMs how often it is read by the whole fleet
+     * @param timeoutMs how long reading may take
+     */
+    public record Schedule(long intervalMs, long timeoutMs) {}
+
+    /** By which part of the interval each next core waits longer. */
+    private static final double DELAY_RATIO_PER_RANK = 0.7;
+    /** Ends of a warm-up that are nearer to each other than this are taken for the same. */
+    private static final long WARM_UP_TOLERANCE_MS = 1000;
+    /** The part of the interval, as a divisor, by which a read may be early: ticks don't fall on its end exactly. */
+    private static final int SLACK_DIVISOR = 32;
+    /** The part of the interval, as a divisor, that a core waits at first for what others know. */
+    private static final int FIRST_WAIT_DIVISOR = 4;
+
+    private final String self;
+    private final EndpointRegistry registry;
+    private final DiscoveryClient client;
+    private final DiscoveryPeers peers;
+    private final MessageSender sender;
+    private final FleetClock fleetClock;
+    private final Schedule schedule;
+    private boolean reading;
+    /** Far enough before any reading of the clock, and far enough from the least long to be subtracted. */
+    private long lastAttemptMs = Long.MIN_VALUE / 2;
+
+    /**
+     * Creates a reader that has read nothing.
+     *
+     * @param self this core's name
+     * @param registry what is read is merged into it
+     * @param client reads the list
+     * @param peers the nodes that are sent what was read
+     * @param sender sends it
+     * @param fleetClock gives entries their timestamps
+     * @param schedule when the list is read
+     */
+    public EndpointListReader(
+            final String self,
+            final EndpointRegistry registry,
+            final DiscoveryClient client,
+            final DiscoveryPeers peers,
+            final MessageSender sender,
+            final FleetClock fleetClock,
+            final Schedule schedule) {
+        this.self = self;
+        this.registry = registry;
+        this.client = client;
+        this.peers = peers;
+        this.sender = sender;
+        this.fleetClock = fleetClock;
+        this.schedule = schedule;
+    }
+
+    /** Starts reading the list if it is this core's turn. */
+    public void onTick() {
+        if (registry.lastListReadMs() == 0) {
+            // Entries of the other cores come first, so that what was listed long ago isn't taken for new.
+            registry.recordListRead(
+                    fleetClock.nowMs() - schedule.intervalMs() + schedule.intervalMs() / FIRST_WAIT_DIVISOR);
+        }
+        if (due(peers.otherCores())) {
+            read();
+        }
+    }
+
+    private boolean due(final List<NodeInfo> otherCores) {
+        final long nowMs = fleetClock.nowMs();
+        final long rank = otherCores.stream()
+                .filter(core -> core.name().compareTo(self) < 0)
+                .count();
+        final long slackMs = schedule.intervalMs() / SLACK_DIVISOR;
+        final long waitMs = (long) (schedule.intervalMs() * (1 + DELAY_RATIO_PER_RANK * rank));
+        return !reading
+                && nowMs - lastAttemptMs >= schedule.intervalMs() - slackMs
+                && nowMs - registry.lastListReadMs() >= waitMs - slackMs;
+    }
+
+    private void read() {
+        reading = true;
+        final long requestedMs = fleetClock.nowMs();
+        lastAttemptMs = requestedMs;
+        client.listEndpoints(schedule.timeoutMs(), list -> {
+            reading = false;
+            list.ifPresent(listed -> onList(listed, requestedMs));
+        });
+    }
+
+    private void onList(final List<ListedEndpoint> list, final long requestedMs) {
+        final List<Endpoint> changes = changes(list, requestedMs);
+        registry.merge(changes, List.of());
+        registry.recordListRead(requestedMs);
+        final DiscoveryMessage.Push push = new DiscoveryMessage.Push(changes, List.of(), requestedMs);
+        final Collection<NodeInfo> receivers = changes.isEmpty() ? peers.otherCores() : peers.otherNodes();
+        receivers.forEach(node -> sender.send(node.address(), push));
+    }
+
+    /** Entries for what differs from the registry: changed or absent ones by instance, then those that are new. */
+    private List<Endpoint> changes(final List<ListedEndpoint> list, final long requestedMs) {
+        // A HashMap, by whose order of ids new entries are sent.
+        final Map<String, Endpoint> listed = new HashMap<>();
+        list.forEach(endpoint -> listed.put(endpoint.instance(), endpoint.toEndpoint(requestedMs)));
+        final List<Endpoint> changes = new ArrayList<>();
+        for (final Endpoint known : registry.endpoints()) {
+            final Endpoint now = listed.remove(known.instance());
+            if (now == null && known.present()) {
+                changes.add(known.absentAt(requestedMs));
+            } else if (now != null && !unchanged(known, now)) {
+                changes.add(now);
+            }
+        }
+        changes.addAll(listed.values());
+        return changes;
+    }
+
+    private static boolean unchanged(final Endpoint known, final Endpoint now) {
+        return known.present()
+                && known.leaving() == now.leaving()
+                && known.address().equals(now.address())
+                && known.service().equals(now.service())
+                && sameWarmUp(known, now);
+    }
+
+    /** Whether both warm up until about the same time, or neither warms up any more. */
+    private static boolean sameWarmUp(final Endpoint known, final Endpoint now) {
+        return Math.abs(known.warmUpUntilMs() - now.warmUpUntilMs()) < WARM_UP_TOLERANCE_MS
+                || Math.max(known.warmUpUntilMs(), now.warmUpUntilMs()) <= now.timestampMs() + WARM_UP_TOLERANCE_MS;
+    }
+}
--- a/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
@@ -5,244 +5,270 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
- * Upstreams as mergeable state: for each instance the newest word of the platform, and of each core that probes it.
- * Merging is by newest stamp, so order and repeats don't matter.
+ * Upstreams as mergeable state: for each instance the newest entry of the platform's list, and the newest observation of each
+ * core that probes it. The entry with the newest timestamp wins, so the order and the repetition of merges don't matter.
+ *
+ * <p>Each change gets the next offset in this process's own numbering, which {@link #incarnation()} names, so that a peer can
+ * request what is new to it. Offsets are not comparable between nodes or incarnations.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. Bounded: no more than {@code maxEndpoints} entries. An entry that was
+ * listed no more is kept until {@link #prune}, so that older entries of peers don't bring it back.
  */
 public final class EndpointRegistry {
-    private record Heard(long incarnation, long place) {}
+    private record PeerOffset(long incarnation, long offset) {}
 
-    private record Numbered<T>(long place, T value) {}
+    private record Numbered<T>(long offset, T value) {}
 
     private final long incarnation;
-    private final int entriesMax;
-    private final long freshMs;
-    private final boolean probed;
-    private final Map<String, Numbered<Endpoint>> listed = new TreeMap<>();
-    private final Map<String, Map<String, Numbered<HealthObservation>>> reports = new TreeMap<>();
-    /** The upstreams of each service that are listed and not leaving, in the order of their names; made anew after the list
-     * changed. */
-    private final Map<String, List<Upstream>> serving = new HashMap<>();
-
-    private final Map<String, Heard> heard = new HashMap<>();
-    private long place;
-    private long readMs;
-    private long changes;
-
-    /** Where nothing is probed, what is listed and not leaving counts as ready. */
-    public EndpointRegistry(final long incarnation, final int entriesMax, final long freshMs, final boolean probed) {
-        this.probed = probed;
+    private final int maxEndpoints;
+    private final long observationTtlMs;
+    private final HealthSource healthSource;
+    // Sorted, since the order of entries decides which upstream a random draw picks.
+    private final Map<String, Numbered<Endpoint>> endpoints = new TreeMap<>();
+    private final Map<String, Map<String, Numbered<HealthObservation>>> observations = new TreeMap<>();
+    /** The upstreams of each service that are listed and not leaving, by instance; built on demand after a change. */
+    private final Map<String, List<Upstream>> servingByService = new HashMap<>();
+
+    private final Map<String, PeerOffset> peerOffsets = new HashMap<>();
+    private long offset;
+    private long lastListReadMs;
+    private long version;
+
+    /**
+     * Creates an empty registry.
+     *
+     * @param incarnation names this process's numbering of offsets, not zero
+     * @param maxEndpoints instances beyond these are ignored
+     * @param observationTtlMs how long an observation counts
+     * @param healthSource where it is taken from whether an instance is ready
+     */
+    public EndpointRegistry(
+            final long incarnation,
+            final int maxEndpoints,
+            final long observationTtlMs,
+            final HealthSource healthSource) {
         this.incarnation = incarnation;
-        this.entriesMax = entriesMax;
-        this.freshMs = freshMs;
+        this.maxEndpoints = maxEndpoints;
+        this.observationTtlMs = observationTtlMs;
+        this.healthSource = healthSource;
     }
 
-    /** Example: {@code endpointRegistry.incarnation()} names this process's own numbering. */
+    /** Returns the name of this process's numbering of offsets. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** The platform's list was read then, by any core. */
-    public void recordListRead(final long ms) {
-        readMs = Math.max(readMs, ms);
+    /** Records that some core read the platform's list then, on the fleet's clock; an earlier time has no effect. */
+    public void recordListRead(final long readMs) {
+        lastListReadMs = Math.max(lastListReadMs, readMs);
     }
 
-    /** When the list was last read, as far as is known. */
+    /** Returns when any core last read the platform's list, as far as is known here; zero if that isn't known. */
     public long lastListReadMs() {
-        return readMs;
+        return lastListReadMs;
     }
 
-    /** What a core last said of an instance, or null. */
-    HealthObservation observation(final String instance, final String by) {
-        final Numbered<HealthObservation> had =
-                reports.getOrDefault(instance, Map.of()).get(by);
-        return had == null ? null : had.value;
+    /** Returns the last observation of an instance by a core, however old. */
+    Optional<HealthObservation> observation(final String instance, final String core) {
+        return Optional.ofNullable(observations.getOrDefault(instance, Map.of()).get(core))
+                .map(Numbered::value);
     }
 
-    /** The place of the newest entry. */
+    /** Returns the offset of the newest change. */
     public long offset() {
-        return place;
+        return offset;
     }
 
-    /** The numbering last heard from a core. */
+    /** Returns the incarnation of a peer's registry that was last merged from, zero if there was none. */
     public long peerIncarnation(final String core) {
-        final Heard h = heard.get(core);
-        return h == null ? 0 : h.incarnation;
+        final PeerOffset seen = peerOffsets.get(core);
+        return seen == null ? 0 : seen.incarnation;
     }
 
-    /** How far that numbering was heard. */
+    /** Returns up to which offset a peer's registry was merged, zero if it wasn't. */
     public long peerOffset(final String core) {
-        final Heard h = heard.get(core);
-        return h == null ? 0 : h.place;
+        final PeerOffset seen = peerOffsets.get(core);
+        return seen == null ? 0 : seen.offset;
     }
 
-    /** Merges what a core sent from a place on. */
+    /** Merges a peer's changes up to an offset; an incarnation of zero says that the peer sent none. */
     public void mergeFrom(
             final String core,
             final long coreIncarnation,
-            final long corePlace,
-            final List<Endpoint> entries,
-            final List<HealthObservation> words) {
+            final long coreOffset,
+            final List<Endpoint> newEndpoints,
+            final List<HealthObservation> newObservations) {
         if (coreIncarnation != 0) {
-            heard.put(core, new Heard(coreIncarnation, corePlace));
-            merge(entries, words);
+            peerOffsets.put(core, new PeerOffset(coreIncarnation, coreOffset));
+            merge(newEndpoints, newObservations);
         }
     }
 
-    /** Merges entries from anywhere. */
-    public void merge(final Collection<Endpoint> entries, final Collection<HealthObservation> words) {
-        entries.forEach(this::merge);
-        words.forEach(this::merge);
+    /** Merges entries and observations from anywhere. */
+    public void merge(final Collection<Endpoint> newEndpoints, final Collection<HealthObservation> newObservations) {
+        newEndpoints.forEach(this::merge);
+        newObservations.forEach(this::merge);
     }
 
-    private void merge(final Endpoint entry) {
-        final Numbered<Endpoint> had = listed.get(entry.instance());
-        if (had == null ? listed.size() < entriesMax : entry.timestampMs() > had.value.timestampMs()) {
-            put(new Numbered<>(++place, had == null ? entry : kept(had.value, entry)));
-        } else if (had != null && entry.firstMs() < had.value.firstMs()) {
-            put(new Numbered<>(had.place, kept(entry, had.value)));
+    private void merge(final Endpoint endpoint) {
+        final Numbered<Endpoint> known = endpoints.get(endpoint.instance());
+        if (known == null) {
+            if (endpoints.size() < maxEndpoints) {
+                put(new Numbered<>(++offset, endpoint));
+            }
+        } else if (endpoint.timestampMs() > known.value.timestampMs()) {
+            put(new Numbered<>(++offset, withEarlierListing(endpoint, known.value)));
+        } else if (endpoint.earliestListedMs() < known.value.earliestListedMs()) {
+            // The offset stays: that it was listed earlier isn't a change that peers are sent.
+            put(new Numbered<>(known.offset, withEarlierListing(known.value, endpoint)));
         }
     }
 
-    private void put(final Numbered<Endpoint> entry) {
-        changes++;
-        serving.clear();
-        listed.put(entry.value.instance(), entry);
+    private void put(final Numbered<Endpoint> endpoint) {
+        version++;
+        servingByService.clear();
+        endpoints.put(endpoint.value.instance(), endpoint);
     }
 
-    /** The later entry, listed first when the earlier one was, if it was there all the time. */
-    private static Endpoint kept(final Endpoint earlier, final Endpoint later) {
+    /** The later entry, first listed when the earlier one was if the instance was at the same address all the time. */
+    private static Endpoint withEarlierListing(final Endpoint later, final Endpoint earlier) {
         return earlier.present()
                         && later.present()
                         && earlier.address().equals(later.address())
-                        && earlier.firstMs() < later.firstMs()
-                ? later.at(true, later.timestampMs(), later.warmUpUntilMs(), earlier.firstMs())
+                        && earlier.earliestListedMs() < later.earliestListedMs()
+                ? later.firstListedAt(earlier.earliestListedMs())
                 : later;
     }
 
-    private void merge(final HealthObservation word) {
-        final Map<String, Numbered<HealthObservation>> of =
-                reports.computeIfAbsent(word.instance(), i -> new TreeMap<>());
-        final Numbered<HealthObservation> had = of.get(word.by());
-        if (had == null || word.timestampMs() > had.value.timestampMs()) {
-            of.put(word.by(), new Numbered<>(++place, word));
+    private void merge(final HealthObservation observation) {
+        final Map<String, Numbered<HealthObservation>> byCore =
+                observations.computeIfAbsent(observation.instance(), i -> new TreeMap<>());
+        final Numbered<HealthObservation> known = byCore.get(observation.core());
+        if (known == null || observation.timestampMs() > known.value.timestampMs()) {
+            byCore.put(observation.core(), new Numbered<>(++offset, observation));
         }
     }
 
-    /** Lets go what has been absent for long. */
+    /** Removes entries that have been absent, and observations that were made, before a time on the fleet's clock. */
     public void prune(final long beforeMs) {
-        if (listed.values().removeIf(l -> !l.value.present() && l.value.timestampMs() < beforeMs)) {
-            serving.clear();
+        if (endpoints.values().removeIf(e -> !e.value.present() && e.value.timestampMs() < beforeMs)) {
+            servingByService.clear();
         }
-        reports.keySet().removeIf(i -> !listed.containsKey(i));
-        reports.values().forEach(of -> of.values().removeIf(r -> r.value.timestampMs() < beforeMs));
+        observations.keySet().removeIf(instance -> !endpoints.containsKey(instance));
+        observations.values().forEach(byCore -> byCore.values().removeIf(o -> o.value.timestampMs() < beforeMs));
     }
 
-    /** Entries after a place. */
-    public List<Endpoint> endpointsAfter(final long after) {
+    /** Returns the entries that changed after an offset of this numbering, by instance. */
+    public List<Endpoint> endpointsAfter(final long afterOffset) {
         final List<Endpoint> found = new ArrayList<>();
-        listed.values().forEach(l -> {
-            if (l.place > after) {
-                found.add(l.value);
-            }
-        });
+        addAfter(afterOffset, endpoints.values(), found);
         return found;
     }
 
-    /** Reports after a place. */
-    public List<HealthObservation> observationsAfter(final long after) {
+    /** Returns the observations that changed after an offset of this numbering, by instance and core. */
+    public List<HealthObservation> observationsAfter(final long afterOffset) {
         final List<HealthObservation> found = new ArrayList<>();
-        reports.values()
-                .forEach(of -> of.values().forEach(r -> {
-                    if (r.place > after) {
-                        found.add(r.value);
-                    }
-                }));
+        observations.values().forEach(byCore -> addAfter(afterOffset, byCore.values(), found));
         return found;
     }
 
-    /** Grows with every entry that changes. */
+    private static <T> void addAfter(
+            final long afterOffset, final Collection<Numbered<T>> entries, final List<T> found) {
+        for (final Numbered<T> entry : entries) {
+            if (entry.offset > afterOffset) {
+                found.add(entry.value);
+            }
+        }
+    }
+
+    /** Returns a number that grows with every entry of the list that changes; observations don't count. */
     public long version() {
-        return changes;
+        return version;
     }
 
-    /** Everything the platform lists or listed of late. */
+    /** Returns all entries by instance, those that are no more listed too. */
     public List<Endpoint> endpoints() {
         return endpointsAfter(0);
     }
 
-    /** The upstreams of a service that may take asks now. */
+    /** Returns the upstreams of a service that may take requests at a time on the fleet's clock, by instance. */
     public List<Upstream> readyUpstreams(final String service, final long nowMs) {
-        final List<Upstream> all = serving.computeIfAbsent(service, this::serving);
-        if (!probed) {
-            return all;
+        final List<Upstream> serving = servingByService.computeIfAbsent(service, this::serving);
+        if (healthSource == HealthSource.PLATFORM_LIST) {
+            return serving;
         }
-        final List<Upstream> found = new ArrayList<>();
-        for (final Upstream u : all) {
-            final HealthObservation word = health(u.instance(), nowMs);
-            if (word != null && word.status() == HealthStatus.READY) {
-                found.add(u.readySince(word.readySinceMs()));
+        final List<Upstream> ready = new ArrayList<>();
+        for (final Upstream upstream : serving) {
+            final HealthObservation health = overridingObservation(upstream.instance(), nowMs);
+            if (health != null && health.status() == HealthStatus.READY) {
+                ready.add(upstream.withReadySince(health.readySinceMs()));
             }
         }
-        return found;
+        return ready;
     }
 
     private List<Upstream> serving(final String service) {
-        final List<Upstream> found = new ArrayList<>();
-        for (final Numbered<Endpoint> n : listed.values()) {
-            final Endpoint l = n.value;
-            if (l.present() && !l.leaving() && l.service().equals(service)) {
-                found.add(new Upstream(
-                        l.instance(),
+        final List<Upstream> serving = new ArrayList<>();
+        for (final Numbered<Endpoint> entry : endpoints.values()) {
+            final Endpoint endpoint = entry.value;
+            if (endpoint.present() && !endpoint.leaving() && endpoint.service().equals(service)) {
+                serving.add(new Upstream(
+                        endpoint.instance(),
                         service,
-                        l.address(),
-                        l.zone(),
-                        l.region(),
-                        l.firstMs(),
-                        l.slots(),
-                        probed ? 0 : l.warmUpUntilMs()));
+                        endpoint.address(),
+                        endpoint.zone(),
+                        endpoint.region(),
+                        endpoint.earliestListedMs(),
+                        endpoint.slots(),
+                        // What a probe says of the warm-up is newer.
+                        healthSource == HealthSource.PROBES ? 0 : endpoint.warmUpUntilMs()));
             }
         }
-        return List.copyOf(found);
-    }
-
-    /** What the cores together say now: leaving or foreign from any one holds; ready from any one beats down. */
-    public HealthObservation health(final String instance, final long nowMs) {
-        if (!probed) {
-            final Numbered<Endpoint> n = listed.get(instance);
-            return n == null || !n.value.present()
-                    ? null
-                    : new HealthObservation(
-                            instance,
-                            "",
-                            n.value.leaving() ? HealthStatus.LEAVING : HealthStatus.READY,
-                            n.value.firstMs(),
-                            n.value.timestampMs());
+        return List.copyOf(serving);
+    }
+
+    /**
+     * Returns what counts of all cores' observations of an instance at a time on the fleet's clock: of those that are not too
+     * old the one whose status {@link HealthStatus#overrides} the others', of equals the newest. Empty if there is none.
+     */
+    public Optional<HealthObservation> health(final String instance, final long nowMs) {
+        if (healthSource == HealthSource.PLATFORM_LIST) {
+            return Optional.ofNullable(endpoints.get(instance))
+                    .map(Numbered::value)
+                    .filter(Endpoint::present)
+                    .map(EndpointRegistry::listedHealth);
         }
+        return Optional.ofNullable(overridingObservation(instance, nowMs));
+    }
+
+    /** Null if there is none: this runs for each upstream of a service whenever one is picked. */
+    private HealthObservation overridingObservation(final String instance, final long nowMs) {
         HealthObservation best = null;
-        for (final Numbered<HealthObservation> n :
-                reports.getOrDefault(instance, Map.of()).values()) {
-            final HealthObservation r = n.value;
-            if (nowMs - r.timestampMs() > freshMs) {
-                continue;
-            }
-            if (best == null
-                    || rank(r.status()) > rank(best.status())
-                    || r.status() == best.status() && r.timestampMs() > best.timestampMs()) {
-                best = r;
+        for (final Numbered<HealthObservation> entry :
+                observations.getOrDefault(instance, Map.of()).values()) {
+            final HealthObservation candidate = entry.value;
+            if (nowMs - candidate.timestampMs() <= observationTtlMs && (best == null || overrides(candidate, best))) {
+                best = candidate;
             }
         }
         return best;
     }
 
-    private static int rank(final HealthStatus status) {
-        return switch (status) {
-            case DOWN -> 0;
-            case READY -> 1;
-            case LEAVING -> 2;
-            case FOREIGN -> 3;
-        };
+    private static HealthObservation listedHealth(final Endpoint endpoint) {
+        return new HealthObservation(
+                endpoint.instance(),
+                "",
+                endpoint.leaving() ? HealthStatus.LEAVING : HealthStatus.READY,
+                endpoint.earliestListedMs(),
+                endpoint.timestampMs());
+    }
+
+    private static boolean overrides(final HealthObservation candidate, final HealthObservation best) {
+        return candidate.status().overrides(best.status())
+                || candidate.status() == best.status() && candidate.timestampMs() > best.timestampMs();
     }
 }
--- a/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
@@ -1,238 +1,185 @@
 package spokestall.discovery;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
 import spokestall.gossip.NodeInfo;
 import spokestall.message.MessageSender;
 import spokestall.time.FleetClock;
 
 /**
- * A core's part in knowing the upstreams: reads the platform's list when no other did of late, probes its share, and tells
- * what changed to every node, and that it read or probed to the other cores.
+ * A core's part in probing upstreams. Each instance is probed by a few cores, chosen alike by all of them without messages.
+ * A status that changed is sent to every known node at once, one that is repeated from time to time to the other cores.
+ *
+ * <p>Not thread-safe; all calls and callbacks on the node's event loop. Requires that the fleet's clock has settled.
  */
 public final class HealthChecker {
-    /** How the prober reaches the platform and the upstreams. */
-    public interface Reach {
-        /** The platform's list, or null when it could not be had. */
-        void list(long waitMs, Consumer<List<Endpoint>> done);
+    /**
+     * How instances are probed.
+     *
+     * @param timeoutMs how long an answer may take
+     * @param failureThreshold after how many failed probes in a row an instance is {@link HealthStatus#DOWN}
+     * @param coresPerEndpoint how many cores probe each instance
+     * @param repeatMs how often an observation is repeated that didn't change
+     */
+    public record ProbeParameters(long timeoutMs, int failureThreshold, int coresPerEndpoint, long repeatMs) {}
+
+    /** Beginnings of a warm-up that are nearer to each other than this are taken for the same. */
+    private static final long WARM_UP_TOLERANCE_MS = 1000;
+
+    private static final int TICKS_PER_CLEANUP = 10;
+    /** Spreads the instances over the cores: 2^32 over the golden ratio. */
+    private static final int HASH_MULTIPLIER = 0x9e3779b1;
 
-        /** An upstream's own word, or null. */
-        void probe(String address, long waitMs, Consumer<Probe> done);
-    }
-
-    /** What an upstream says of itself; its warm-up began so long ago. */
-    public record Probe(String instance, String service, boolean leaving, long readyForMs) {}
-
-    /** Spans, from the settings. The fleet reads the list every {@code listMs}; an unchanged word is said anew every
-     * {@code sayMs}. */
-    public record Timing(
-            long probeWaitMs,
-            long listWaitMs,
-            int failsMax,
-            int sharingEdges,
-            long listMs,
-            long sayMs,
-            boolean probes) {}
-
-    /** How much later each next core in turn reads, as a part of the span. */
-    private static final double LATER = 0.7;
-
-    private static final long WARM_UP_APART_MS = 1000;
     private final NodeInfo self;
-    private final EndpointRegistry endpointRegistry;
-    private final Reach reach;
-    private final MessageSender post;
-    private final FleetClock fleet;
-    private final Timing timing;
-    private final Supplier<List<NodeInfo>> cores;
-    private final Supplier<Collection<NodeInfo>> everyone;
+    private final EndpointRegistry registry;
+    private final DiscoveryClient client;
+    private final DiscoveryPeers peers;
+    private final MessageSender sender;
+    private final FleetClock fleetClock;
+    private final ProbeParameters parameters;
     private final List<HealthObservation> changed = new ArrayList<>();
-    private final Map<String, Integer> fails = new HashMap<>();
+    /** Failed probes in a row, by instance. */
+    private final Map<String, Integer> failures = new HashMap<>();
+    /** The instances whose answer is awaited: no second probe is sent. */
     private final Set<String> probing = new HashSet<>();
-    private boolean registryNow;
-    private long triedMs = Long.MIN_VALUE / 2;
-    private long pushed;
+
+    private long sentOffset;
     private int tick;
 
-    /** Example: see {@code Node}. */
+    /**
+     * Creates a checker that has probed nothing.
+     *
+     * @param self this core's entry
+     * @param registry gives the instances, and takes the observations
+     * @param client probes them
+     * @param peers the other cores, and the nodes that are sent observations
+     * @param sender sends them
+     * @param fleetClock gives observations their timestamps
+     * @param parameters how instances are probed
+     */
     public HealthChecker(
             final NodeInfo self,
-            final EndpointRegistry endpointRegistry,
-            final Reach reach,
-            final MessageSender post,
-            final FleetClock fleet,
-            final Timing timing,
-            final Supplier<List<NodeInfo>> cores,
-            final Supplier<Collection<NodeInfo>> everyone) {
+            final EndpointRegistry registry,
+            final DiscoveryClient client,
+            final DiscoveryPeers peers,
+            final MessageSender sender,
+            final FleetClock fleetClock,
+            final ProbeParameters parameters) {
         this.self = self;
-        this.endpointRegistry = endpointRegistry;
-        this.reach = reach;
-        this.post = post;
-        this.fleet = fleet;
-        this.timing = timing;
-        this.cores = cores;
-        this.everyone = everyone;
+        this.registry = registry;
+        this.client = client;
+        this.peers = peers;
+        this.sender = sender;
+        this.fleetClock = fleetClock;
+        this.parameters = parameters;
     }
 
-    /** One beat: list, probe, tell. */
-    public void tick() {
-        if (!fleet.settled()) {
-            return;
-        }
+    /** Probes this core's instances, and sends the observations made since the last tick. */
+    public void onTick() {
         tick++;
-        final List<NodeInfo> others = cores.get();
-        if (mayRead(others)) {
-            read();
-        }
-        if (timing.probes()) {
-            for (final Endpoint l : endpointRegistry.endpoints()) {
-                if (l.present() && mine(l, others) && probing.add(l.instance())) {
-                    probe(l);
-                }
+        final List<NodeInfo> otherCores = peers.otherCores();
+        for (final Endpoint endpoint : registry.endpoints()) {
+            if (endpoint.present() && probedHere(endpoint, otherCores) && probing.add(endpoint.instance())) {
+                probe(endpoint);
             }
-            tell(others);
+        }
+        sendChanged();
+        sendRepeated(otherCores);
+        if (tick % TICKS_PER_CLEANUP == 0) {
+            failures.keySet()
+                    .retainAll(registry.endpoints().stream()
+                            .map(Endpoint::instance)
+                            .toList());
         }
     }
 
-    /** One core reads at a time: each later one in the order of names waits longer to hear that another did. */
-    private boolean mayRead(final List<NodeInfo> others) {
-        final long nowMs = fleet.nowMs();
-        if (endpointRegistry.lastListReadMs() == 0) {
-            // What the others know comes first, so that what they listed long ago isn't taken for new.
-            endpointRegistry.recordListRead(nowMs - timing.listMs() + timing.listMs() / 4);
+    /** Rendezvous hashing: the cores with the lowest ranks probe an instance, those of its region before all others. */
+    private boolean probedHere(final Endpoint endpoint, final List<NodeInfo> otherCores) {
+        int coresBefore = 0;
+        final long ownRank = rank(self, endpoint);
+        for (final NodeInfo core : otherCores) {
+            coresBefore += rank(core, endpoint) < ownRank ? 1 : 0;
         }
-        final long rank =
-                others.stream().filter(m -> m.name().compareTo(self.name()) < 0).count();
-        final long slackMs = timing.listMs() / 32;
-        return !registryNow
-                && nowMs - triedMs >= timing.listMs() - slackMs
-                && nowMs - endpointRegistry.lastListReadMs() >= (long) (timing.listMs() * (1 + LATER * rank)) - slackMs;
+        return coresBefore < parameters.coresPerEndpoint();
     }
 
-    private void read() {
-        registryNow = true;
-        final long requestedMs = fleet.nowMs();
-        triedMs = requestedMs;
-        reach.list(timing.listWaitMs(), list -> {
-            registryNow = false;
-            if (list != null) {
-                taken(list, requestedMs);
-            }
-        });
+    private static long rank(final NodeInfo core, final Endpoint endpoint) {
+        final long otherRegion = core.region().equals(endpoint.region()) ? 0 : 1;
+        return (otherRegion << Integer.SIZE)
+                + Integer.toUnsignedLong((core.name() + endpoint.instance()).hashCode() * HASH_MULTIPLIER);
     }
 
-    private void taken(final List<Endpoint> list, final long requestedMs) {
-        final Map<String, Endpoint> now = new HashMap<>();
-        list.forEach(l -> now.put(
-                l.instance(),
-                l.at(true, requestedMs, l.warmUpUntilMs() < 0 ? 0 : requestedMs + l.warmUpUntilMs(), requestedMs)));
-        final List<Endpoint> update = new ArrayList<>();
-        for (final Endpoint had : endpointRegistry.endpoints()) {
-            final Endpoint l = now.remove(had.instance());
-            if (l == null && had.present()) {
-                update.add(had.at(false, requestedMs, had.warmUpUntilMs(), had.firstMs()));
-            } else if (l != null && !same(had, l)) {
-                update.add(l);
+    private void probe(final Endpoint endpoint) {
+        final long requestedMs = fleetClock.nowMs();
+        client.probe(endpoint.address(), parameters.timeoutMs(), result -> {
+            probing.remove(endpoint.instance());
+            if (result.isPresent()) {
+                onAnswer(endpoint, result.get(), requestedMs);
+            } else {
+                onFailure(endpoint, requestedMs);
             }
-        }
-        update.addAll(now.values());
-        endpointRegistry.merge(update, List.of());
-        endpointRegistry.recordListRead(requestedMs);
-        final DiscoveryMessage.Push push = new DiscoveryMessage.Push(update, List.of(), requestedMs);
-        for (final NodeInfo other : update.isEmpty() ? cores.get() : everyone.get()) {
-            post.send(other.address(), push);
-        }
-    }
-
-    private static boolean same(final Endpoint had, final Endpoint now) {
-        return had.present()
-                && had.leaving() == now.leaving()
-                && had.address().equals(now.address())
-                && had.service().equals(now.service())
-                && (Math.abs(had.warmUpUntilMs() - now.warmUpUntilMs()) < WARM_UP_APART_MS
-                        || Math.max(had.warmUpUntilMs(), now.warmUpUntilMs()) <= now.timestampMs() + WARM_UP_APART_MS);
+        });
     }
 
-    /** Each upstream is probed by a few cores, near ones first, elected alike by all. */
-    private boolean mine(final Endpoint l, final List<NodeInfo> others) {
-        int before = 0;
-        final long myRank = rank(self, l);
-        for (final NodeInfo other : others) {
-            before += rank(other, l) < myRank ? 1 : 0;
+    private void onFailure(final Endpoint endpoint, final long requestedMs) {
+        if (failures.merge(endpoint.instance(), 1, Integer::sum) >= parameters.failureThreshold()) {
+            observe(endpoint, HealthStatus.DOWN, 0, requestedMs);
         }
-        return before < timing.sharingEdges();
     }
 
-    private static long rank(final NodeInfo core, final Endpoint l) {
-        final int near = core.region().equals(l.region()) ? 0 : 1;
-        return ((long) near << 32) + Integer.toUnsignedLong((core.name() + l.instance()).hashCode() * 0x9e3779b1);
-    }
-
-    private void probe(final Endpoint l) {
-        final long requestedMs = fleet.nowMs();
-        reach.probe(l.address(), timing.probeWaitMs(), p -> {
-            probing.remove(l.instance());
-            if (p == null) {
-                if (fails.merge(l.instance(), 1, Integer::sum) >= timing.failsMax()) {
-                    word(l, HealthStatus.DOWN, 0, requestedMs);
-                }
-                return;
-            }
-            fails.remove(l.instance());
-            if (!p.instance().equals(l.instance()) || !p.service().equals(l.service())) {
-                word(l, HealthStatus.FOREIGN, 0, requestedMs);
-            } else {
-                word(
-                        l,
-                        p.leaving() ? HealthStatus.LEAVING : HealthStatus.READY,
-                        requestedMs - p.readyForMs(),
-                        requestedMs);
-            }
-        });
+    private void onAnswer(final Endpoint endpoint, final ProbeResult result, final long requestedMs) {
+        failures.remove(endpoint.instance());
+        if (!result.instance().equals(endpoint.instance()) || !result.service().equals(endpoint.service())) {
+            observe(endpoint, HealthStatus.FOREIGN, 0, requestedMs);
+        } else {
+            observe(
+                    endpoint,
+                    result.leaving() ? HealthStatus.LEAVING : HealthStatus.READY,
+                    requestedMs - result.readyForMs(),
+                    requestedMs);
+        }
     }
 
-    /** An unchanged word isn't said anew each time. */
-    private void word(final Endpoint l, final HealthStatus status, final long readySinceMs, final long requestedMs) {
-        final HealthObservation had = endpointRegistry.observation(l.instance(), self.name());
-        final boolean same =
-                had != null && had.status() == status && Math.abs(had.readySinceMs() - readySinceMs) < WARM_UP_APART_MS;
-        if (same && requestedMs - had.timestampMs() < timing.sayMs()) {
+    /** Merges an observation unless it is the last one again, too soon. */
+    private void observe(
+            final Endpoint endpoint, final HealthStatus status, final long readySinceMs, final long requestedMs) {
+        final HealthObservation last =
+                registry.observation(endpoint.instance(), self.name()).orElse(null);
+        final boolean unchanged = last != null
+                && last.status() == status
+                && Math.abs(last.readySinceMs() - readySinceMs) < WARM_UP_TOLERANCE_MS;
+        if (unchanged && requestedMs - last.timestampMs() < parameters.repeatMs()) {
             return;
         }
-        final HealthObservation word =
-                new HealthObservation(l.instance(), self.name(), status, readySinceMs, requestedMs);
-        endpointRegistry.merge(List.of(), List.of(word));
-        if (!same) {
-            changed.add(word);
+        final HealthObservation observation =
+                new HealthObservation(endpoint.instance(), self.name(), status, readySinceMs, requestedMs);
+        registry.merge(List.of(), List.of(observation));
+        if (!unchanged) {
+            changed.add(observation);
         }
     }
 
-    private void tell(final List<NodeInfo> others) {
+    private void sendChanged() {
         if (!changed.isEmpty()) {
-            final DiscoveryMessage.Push update = new DiscoveryMessage.Push(List.of(), List.copyOf(changed), 0);
-            everyone.get().forEach(m -> post.send(m.address(), update));
+            final DiscoveryMessage.Push push = new DiscoveryMessage.Push(List.of(), List.copyOf(changed), 0);
+            peers.otherNodes().forEach(node -> sender.send(node.address(), push));
         }
-        final List<HealthObservation> words = endpointRegistry.observationsAfter(pushed).stream()
-                .filter(r -> r.by().equals(self.name()) && !changed.contains(r))
+    }
+
+    /** Edges get repeated observations with the updates that they request. */
+    private void sendRepeated(final List<NodeInfo> otherCores) {
+        final List<HealthObservation> repeated = registry.observationsAfter(sentOffset).stream()
+                .filter(observation -> observation.core().equals(self.name()) && !changed.contains(observation))
                 .toList();
-        pushed = endpointRegistry.offset();
+        sentOffset = registry.offset();
         changed.clear();
-        if (!words.isEmpty()) {
-            final DiscoveryMessage.Push push = new DiscoveryMessage.Push(List.of(), words, 0);
-            others.forEach(m -> post.send(m.address(), push));
-        }
-        if (tick % 10 == 0) {
-            fails.keySet()
-                    .retainAll(endpointRegistry.endpoints().stream()
-                            .map(Endpoint::instance)
-                            .toList());
+        if (!repeated.isEmpty()) {
+            final DiscoveryMessage.Push push = new DiscoveryMessage.Push(List.of(), repeated, 0);
+            otherCores.forEach(core -> sender.send(core.address(), push));
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -4,12 +4,14 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import spokestall.configuration.ConfigurationStore;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.DiscoveryClient;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.io.http.HttpCall;
 import spokestall.io.http.HttpClient;
 import spokestall.io.http.HttpResult;
@@ -20,7 +22,7 @@
 import spokestall.usage.UsageReporter;
 
 /** Upstreams and the platform over HTTP, in whichever speech. */
-public final class HttpUpstreamClient implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+public final class HttpUpstreamClient implements UpstreamClient, DiscoveryClient, UsageReporter.Platform {
     private static final int LIST_MAX = 4 << 20;
     private static final int PAGES_MAX = 1000;
     private final HttpClient client;
@@ -119,25 +121,25 @@
     }
 
     @Override
-    public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
-        page(platform.listTarget(), waitMs, new ArrayList<>(), 1, done);
+    public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+        page(platform.listTarget(), timeoutMs, new ArrayList<>(), 1, done);
     }
 
     private void page(
             final String target,
             final long waitMs,
-            final List<Endpoint> before,
+            final List<ListedEndpoint> before,
             final int pages,
-            final Consumer<List<Endpoint>> done) {
+            final Consumer<Optional<List<ListedEndpoint>>> done) {
         get(address, target, waitMs, false, tree -> {
             final PlatformProtocol.Page page = tree == null ? null : platform.page(tree);
             if (page == null || pages > PAGES_MAX) {
-                done.accept(null);
+                done.accept(Optional.empty());
                 return;
             }
             before.addAll(page.listed());
             if (page.next() == null) {
-                done.accept(before);
+                done.accept(Optional.of(before));
             } else {
                 page(page.next(), waitMs, before, pages + 1, done);
             }
@@ -145,13 +147,13 @@
     }
 
     @Override
-    public void probe(final String at, final long waitMs, final Consumer<HealthChecker.Probe> done) {
+    public void probe(final String at, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
         get(
                 at,
                 platform.statusTarget(),
-                waitMs,
+                timeoutMs,
                 true,
-                tree -> done.accept(tree == null ? null : platform.status(tree)));
+                tree -> done.accept(Optional.ofNullable(tree).map(platform::status)));
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import spokestall.configuration.ConfigurationStore;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.message.Header;
 import spokestall.usage.SealedWindow;
 
@@ -23,12 +23,12 @@
         if (!tree.path("upstreams").isArray()) {
             return null;
         }
-        final List<Endpoint> found = new ArrayList<>();
+        final List<ListedEndpoint> found = new ArrayList<>();
         for (final JsonNode u : tree.path("upstreams")) {
             final String address = u.path("address").asText();
             if (address.matches("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}")
                     && !u.path("instance").asText().isEmpty()) {
-                found.add(Endpoint.read(
+                found.add(new ListedEndpoint(
                         u.path("instance").asText(),
                         u.path("service").asText(),
                         address,
@@ -62,10 +62,10 @@
     }
 
     @Override
-    public HealthChecker.Probe status(final JsonNode tree) {
+    public ProbeResult status(final JsonNode tree) {
         return !tree.has("instance")
                 ? null
-                : new HealthChecker.Probe(
+                : new ProbeResult(
                         tree.path("instance").asText(),
                         tree.path("service").asText(),
                         tree.path("leaving").asBoolean(false),
--- a/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.message.Header;
 import spokestall.usage.SealedWindow;
 
 /** How the platform that lists upstreams and takes reports is spoken to, and how an upstream tells its status. */
 public interface PlatformProtocol {
     /** One page of the list; next is the target of the one after it, or null. */
-    record Page(List<Endpoint> listed, String next) {}
+    record Page(List<ListedEndpoint> listed, String next) {}
 
     /** A report as it goes out. */
     record Report(String target, List<Header> headers, byte[] body) {}
@@ -28,5 +28,5 @@
     String statusTarget();
 
     /** Reads a status, or null where it is none. */
-    HealthChecker.Probe status(JsonNode tree);
+    ProbeResult status(JsonNode tree);
 }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -22,9 +22,9 @@
 import spokestall.consensus.Proposer;
 import spokestall.consensus.Register;
 import spokestall.consensus.VoterSet;
+import spokestall.discovery.DiscoveryClient;
 import spokestall.discovery.DiscoveryMessage;
 import spokestall.discovery.EndpointRegistry;
-import spokestall.discovery.HealthChecker;
 import spokestall.gossip.GossipMessage;
 import spokestall.gossip.PartialView;
 import spokestall.handoff.HandoffMessage;
@@ -57,7 +57,7 @@
             Random random,
             MessageSender post,
             SegmentStore segments,
-            HealthChecker.Reach reach,
+            DiscoveryClient discovery,
             UpstreamClient upstreams,
             UsageReporter.Platform platform,
             AuditSink audit) {}
@@ -207,7 +207,7 @@
     private void open(final NodeEnvironment environment) {
         storage.open();
         membership.open();
-        discovery.open(neighbours, view, storage.acceptor, environment.reach());
+        discovery.open(neighbours, storage.acceptor, environment.discovery());
         duty.open();
         storage.acceptor.watch(this::stored);
     }
@@ -276,12 +276,12 @@
 
     private void startCore(final Settings settings) {
         every(settings.part("leaveBoundMs", 0.0625), membership::tick);
-        every(settings.part("leaveBoundMs", 0.125), discovery::tick);
+        every(settings.part("leaveBoundMs", 0.125), discovery::onTick);
         every(settings.part("leaseMs", 0.1), () -> duty.tickLease(leaving()));
         every(settings.part("reportDueMs", 0.01), duty.reporter::tick);
         every(settings.part("keyBoundMs", 0.2), this::tidy);
         every(settings.ms("countPushMs"), duty::tickKept);
-        every(settings.ms("listMs"), discovery::tickKept);
+        every(settings.ms("listMs"), discovery::onStoreTick);
         every(settings.part("keyBoundMs", 0.02), duty::recount);
         every(settings.part("keyBoundMs", 0.1), this::decided);
         every(settings.part("keyBoundMs", 0.02), () -> storage.learnFounded(follower));
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import spokestall.api.Reply;
 import spokestall.api.ResultCode;
@@ -200,7 +201,7 @@
         local(out);
         final ArrayNode list = out.putArray("upstreams");
         for (final Endpoint l : node.discovery.endpointRegistry.endpoints()) {
-            final HealthObservation word =
+            final Optional<HealthObservation> health =
                     node.discovery.endpointRegistry.health(l.instance(), node.context.fleet.nowMs());
             list.addObject()
                     .put("instance", l.instance())
@@ -209,7 +210,10 @@
                     .put("district", l.zone())
                     .put("listed", l.present())
                     .put("leaving", l.leaving())
-                    .put("status", word == null ? "UNKNOWN" : word.status().name());
+                    .put(
+                            "status",
+                            health.map(observation -> observation.status().name())
+                                    .orElse("UNKNOWN"));
         }
         return out;
     }
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -1,12 +1,14 @@
 package spokestall.node;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Supplier;
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
+import spokestall.discovery.DiscoveryPeers;
 import spokestall.gossip.NodeInfo;
 import spokestall.gossip.PartialView;
 
@@ -15,7 +17,7 @@
  *
  * <p>Not thread-safe; all calls on the node's event loop. Lists are copies in a fixed order (by name or by address).
  */
-final class PeerDirectory {
+final class PeerDirectory implements DiscoveryPeers {
     private static final int SAME_ZONE = 0;
     private static final int SAME_REGION = 1;
     private static final int OTHER_REGION = 2;
@@ -50,11 +52,17 @@
         return member.region().equals(context.settings().region()) ? SAME_REGION : OTHER_REGION;
     }
 
-    /** Returns the cores in the view, without this node. */
-    List<NodeInfo> otherCores() {
+    @Override
+    public List<NodeInfo> otherCores() {
         return view.members().stream().filter(NodeInfo::core).toList();
     }
 
+    /** Returns all nodes in the view; unlike the other lists a live collection, see {@link PartialView#members}. */
+    @Override
+    public Collection<NodeInfo> otherNodes() {
+        return view.members();
+    }
+
     /** Returns the voters' addresses; before there are voters, those of the known cores, this node included if it is one. */
     List<String> coreAddresses() {
         if (voterSet.get() != null) {
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -4,6 +4,7 @@
 import spokestall.configuration.feed.FeedClient;
 import spokestall.consensus.Proposer;
 import spokestall.consensus.VoterSet;
+import spokestall.discovery.EndpointListReader;
 import spokestall.discovery.HealthChecker;
 import spokestall.gossip.ViewParameters;
 import spokestall.lease.LeaseManager;
@@ -90,15 +91,13 @@
         return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
-    HealthChecker.Timing prober() {
-        return new HealthChecker.Timing(
-                settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 0.5),
-                2,
-                2,
-                settings.ms("listMs"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.ms("probes") == 1);
+    EndpointListReader.Schedule endpointList() {
+        return new EndpointListReader.Schedule(settings.ms("listMs"), settings.part("leaveBoundMs", 0.5));
+    }
+
+    HealthChecker.ProbeParameters probes() {
+        return new HealthChecker.ProbeParameters(
+                settings.part("leaveBoundMs", 0.25), 2, 2, settings.part("leaveBoundMs", 0.25));
     }
 
     UsageCounter.Timing counter() {
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -13,6 +13,7 @@
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
 import spokestall.discovery.EndpointRegistry;
+import spokestall.discovery.HealthSource;
 import spokestall.gossip.NodeInfo;
 import spokestall.message.Fingerprints;
 import spokestall.message.Message;
@@ -46,7 +47,7 @@
         follower = new FeedClient(
                 () -> self,
                 configurationStore,
-                new EndpointRegistry(7, 64, 4000, true),
+                new EndpointRegistry(7, 64, 4000, HealthSource.PROBES),
                 proposer,
                 (to, message) -> sent.add(new Sent(to, message)),
                 clock,
--- a/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
@@ -7,64 +7,64 @@
 
 class EndpointRegistryTest {
     private static final long NOW_MS = 10_000;
-    private final EndpointRegistry unprobed = new EndpointRegistry(1, 64, 1000, false);
-    private final EndpointRegistry probed = new EndpointRegistry(1, 64, 1000, true);
+    private final EndpointRegistry unprobed = new EndpointRegistry(1, 64, 1000, HealthSource.PLATFORM_LIST);
+    private final EndpointRegistry probed = new EndpointRegistry(1, 64, 1000, HealthSource.PROBES);
 
-    private static Endpoint entry(
+    private static Endpoint endpoint(
             final String instance, final String service, final boolean present, final boolean leaving, final long ms) {
         return new Endpoint(instance, service, "10.0.0.1:80", "d1", "r1", present, leaving, ms, 0, 0, 2);
     }
 
-    private static List<String> ready(final EndpointRegistry of, final String service) {
-        return of.readyUpstreams(service, NOW_MS).stream()
+    private static List<String> ready(final EndpointRegistry registry, final String service) {
+        return registry.readyUpstreams(service, NOW_MS).stream()
                 .map(Upstream::instance)
                 .toList();
     }
 
     @Test
-    void readyOnesOfAServiceFollowEachChangeOfTheList() {
-        unprobed.merge(List.of(entry("b", "s", true, false, 1), entry("a", "s", true, false, 1)), List.of());
-        unprobed.merge(List.of(entry("c", "t", true, false, 1)), List.of());
+    void readyUpstreamsFollowEachChangeOfTheList() {
+        unprobed.merge(List.of(endpoint("b", "s", true, false, 1), endpoint("a", "s", true, false, 1)), List.of());
+        unprobed.merge(List.of(endpoint("c", "t", true, false, 1)), List.of());
         assertThat(ready(unprobed, "s")).containsExactly("a", "b");
-        unprobed.merge(List.of(entry("d", "s", true, false, 2)), List.of());
+        unprobed.merge(List.of(endpoint("d", "s", true, false, 2)), List.of());
         assertThat(ready(unprobed, "s")).containsExactly("a", "b", "d");
-        unprobed.merge(List.of(entry("a", "s", true, true, 3)), List.of());
+        unprobed.merge(List.of(endpoint("a", "s", true, true, 3)), List.of());
         assertThat(ready(unprobed, "s")).as("one is leaving").containsExactly("b", "d");
-        unprobed.merge(List.of(entry("b", "s", false, false, 3)), List.of());
-        assertThat(ready(unprobed, "s")).as("one is gone").containsExactly("d");
-        unprobed.merge(List.of(entry("d", "t", true, false, 4)), List.of());
-        assertThat(ready(unprobed, "s")).as("one serves another").isEmpty();
+        unprobed.merge(List.of(endpoint("b", "s", false, false, 3)), List.of());
+        assertThat(ready(unprobed, "s")).as("one is no more listed").containsExactly("d");
+        unprobed.merge(List.of(endpoint("d", "t", true, false, 4)), List.of());
+        assertThat(ready(unprobed, "s")).as("one serves another service").isEmpty();
         assertThat(ready(unprobed, "t")).containsExactly("c", "d");
         unprobed.prune(NOW_MS);
         assertThat(ready(unprobed, "t")).containsExactly("c", "d");
     }
 
     @Test
-    void anEarlierFirstSightIsTakenOver() {
-        unprobed.merge(List.of(entry("a", "s", true, false, 5)), List.of());
+    void theEarliestFirstListingIsKept() {
+        unprobed.merge(List.of(endpoint("a", "s", true, false, 5)), List.of());
         assertThat(unprobed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(5);
-        unprobed.merge(List.of(entry("a", "s", true, false, 2)), List.of());
+        unprobed.merge(List.of(endpoint("a", "s", true, false, 2)), List.of());
         assertThat(unprobed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(2);
     }
 
     @Test
-    void whereThereAreProbesTheirWordsCountAtEachLook() {
-        probed.merge(List.of(entry("a", "s", true, false, 1), entry("b", "s", true, false, 1)), List.of());
+    void withProbesOnlyFreshObservationsMakeAnUpstreamReady() {
+        probed.merge(List.of(endpoint("a", "s", true, false, 1), endpoint("b", "s", true, false, 1)), List.of());
         assertThat(ready(probed, "s")).isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.READY, 7, NOW_MS)));
         assertThat(ready(probed, "s")).containsExactly("a");
         assertThat(probed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(7);
         assertThat(probed.readyUpstreams("s", NOW_MS + 1001))
-                .as("the word is too old")
+                .as("the observation is too old")
                 .isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.LEAVING, 7, NOW_MS + 1)));
         assertThat(ready(probed, "s")).isEmpty();
     }
 
     @Test
-    void theListIsNotGoneThroughForEachAsk() {
+    void readyUpstreamsAreBuiltOnceForEachVersionOfTheList() {
         for (int n = 0; n < 50; n++) {
-            unprobed.merge(List.of(entry("i" + n, "s" + n % 5, true, false, 1)), List.of());
+            unprobed.merge(List.of(endpoint("i" + n, "s" + n % 5, true, false, 1)), List.of());
         }
         assertThat(unprobed.readyUpstreams("s1", NOW_MS))
                 .hasSize(10)
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -5,136 +5,170 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import spokestall.gossip.NodeInfo;
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
 
-/** Three cores and an edge that hear each other at once; the platform's list is what the test says. */
+/** Three cores, one in another region, and an edge; probes are answered at once as the test sets it. */
 class HealthCheckerTest {
-    private static final long LIST_MS = 1000;
+    private static final long REPEAT_MS = 1000;
+    private static final long TICK_MS = 500;
+    private static final int FAILURE_THRESHOLD = 2;
     private final ManualClock clock = new ManualClock(5_000_000);
-    private final FleetClock fleet = new FleetClock(clock, 100);
-    private final Map<String, EndpointRegistry> listings = new TreeMap<>();
-    private final Map<String, HealthChecker> probers = new TreeMap<>();
-    private final Map<String, Integer> reads = new TreeMap<>();
-    private final Map<String, Integer> heard = new TreeMap<>();
-    private final List<Endpoint> list = new ArrayList<>();
-    private final List<NodeInfo> members = new ArrayList<>();
-
-    HealthCheckerTest() {
-        fleet.heard("p", clock.nowMs(), true, clock.nowMs());
-        fleet.heard("q", clock.nowMs(), true, clock.nowMs());
-        for (final String name : List.of("a", "b", "c", "edge")) {
-            members.add(new NodeInfo(
-                    name, name, name, !name.equals("edge"), "d", "r", 1, clock.nowMs(), false, 3, 1, false));
-            listings.put(name, new EndpointRegistry(1, 100, 4000, false));
-        }
-        for (final NodeInfo m : members.subList(0, 3)) {
-            probers.put(
-                    m.name(),
-                    new HealthChecker(
-                            m,
-                            listings.get(m.name()),
-                            reach(m.name()),
-                            (to, message) -> {
-                                final DiscoveryMessage.Push push = (DiscoveryMessage.Push) message;
-                                heard.merge(to, 1, Integer::sum);
-                                listings.get(to).merge(push.endpoints(), push.observations());
-                                listings.get(to).recordListRead(push.listReadMs());
-                            },
-                            fleet,
-                            new HealthChecker.Timing(500, 100, 2, 2, LIST_MS, 1000, false),
-                            () -> members.stream()
-                                    .filter(o -> o.core() && o != m)
-                                    .toList(),
-                            () -> members.stream().filter(o -> o != m).toList()));
+    private final FleetClock fleetClock = new FleetClock(clock, 100);
+    private final List<NodeInfo> members = List.of(
+            member("a", true, "near"), member("b", true, "near"), member("c", true, "far"), member("e", false, "near"));
+    private final Map<String, EndpointRegistry> registries = new TreeMap<>();
+    private final Map<String, HealthChecker> checkers = new TreeMap<>();
+    /** Which core sent what to whom, as "a>e". */
+    private final Map<String, Integer> sent = new TreeMap<>();
+
+    private final Map<String, Integer> probes = new TreeMap<>();
+    private Optional<ProbeResult> answer = Optional.of(new ProbeResult("i1", "s", false, 700));
+    private boolean answering = true;
+
+    private static NodeInfo member(final String name, final boolean core, final String region) {
+        return new NodeInfo(name, name, name, core, "d", region, 1, 0, false, 3, 1, false);
+    }
+
+    @BeforeEach
+    void startCores() {
+        for (final NodeInfo member : members) {
+            final EndpointRegistry registry = new EndpointRegistry(1, 100, 4000, HealthSource.PROBES);
+            registry.merge(
+                    List.of(new Endpoint("i1", "s", "10.0.0.1:80", "d", "near", true, false, 1, 0, 1, 0)), List.of());
+            registries.put(member.name(), registry);
+            if (member.core()) {
+                checkers.put(member.name(), checker(member, registry));
+            }
         }
     }
 
-    private HealthChecker.Reach reach(final String name) {
-        return new HealthChecker.Reach() {
+    private HealthChecker checker(final NodeInfo self, final EndpointRegistry registry) {
+        return new HealthChecker(
+                self,
+                registry,
+                client(self.name()),
+                peersOf(self),
+                (to, message) -> {
+                    final DiscoveryMessage.Push push = (DiscoveryMessage.Push) message;
+                    sent.merge(self.name() + ">" + to, 1, Integer::sum);
+                    registries.get(to).merge(push.endpoints(), push.observations());
+                },
+                fleetClock,
+                new HealthChecker.ProbeParameters(100, FAILURE_THRESHOLD, 2, REPEAT_MS));
+    }
+
+    private DiscoveryClient client(final String name) {
+        return new DiscoveryClient() {
             @Override
-            public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
-                reads.merge(name, 1, Integer::sum);
-                done.accept(List.copyOf(list));
+            public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+                throw new AssertionError("the list is not read");
             }
 
             @Override
-            public void probe(final String address, final long waitMs, final Consumer<HealthChecker.Probe> done) {
-                throw new AssertionError("nothing is probed");
+            public void probe(final String address, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
+                assertThat(address).isEqualTo("10.0.0.1:80");
+                probes.merge(name, 1, Integer::sum);
+                if (answering) {
+                    done.accept(answer);
+                }
             }
         };
     }
 
-    private void run(final long spanMs, final String... dead) {
-        for (final long untilMs = clock.nowMs() + spanMs; clock.nowMs() < untilMs; clock.advance(100)) {
-            probers.forEach((name, p) -> {
-                if (!List.of(dead).contains(name)) {
-                    p.tick();
-                }
-            });
+    private DiscoveryPeers peersOf(final NodeInfo self) {
+        return new DiscoveryPeers() {
+            @Override
+            public List<NodeInfo> otherCores() {
+                return members.stream().filter(m -> m.core() && m != self).toList();
+            }
+
+            @Override
+            public List<NodeInfo> otherNodes() {
+                return members.stream().filter(m -> m != self).toList();
+            }
+        };
+    }
+
+    private void tick(final int times) {
+        for (int i = 0; i < times; i++) {
+            clock.advance(TICK_MS);
+            checkers.values().forEach(HealthChecker::onTick);
         }
     }
 
-    private static Endpoint one(final String instance, final boolean leaving, final long warmUpForMs) {
-        return Endpoint.read(instance, "s", "10.0.0.1:80", "d", "r", leaving, warmUpForMs, 0);
+    private Optional<HealthStatus> statusAtEdge() {
+        return registries.get("e").health("i1", fleetClock.nowMs()).map(HealthObservation::status);
+    }
+
+    @Test
+    void anInstanceIsProbedByTwoCoresThoseOfItsRegionFirst() {
+        tick(4);
+        assertThat(probes).containsOnly(Map.entry("a", 4), Map.entry("b", 4));
+    }
+
+    @Test
+    void noSecondProbeIsSentWhileAnAnswerIsAwaited() {
+        answering = false;
+        tick(4);
+        assertThat(probes).containsOnly(Map.entry("a", 1), Map.entry("b", 1));
     }
 
     @Test
-    void oneCoreReadsForAllAndTheNextTakesItsTurnWhenItIsGone() {
-        list.add(one("i1", false, 0));
-        run(20_000);
-        assertThat(reads).containsOnlyKeys("a");
-        assertThat(reads.get("a")).isBetween(18, 21);
-        assertThat(heard.get("edge")).as("edges hear changes alone").isEqualTo(1);
-        run(20_000, "a");
-        assertThat(reads).containsOnlyKeys("a", "b");
-        assertThat(reads.get("b")).isBetween(10, 13);
+    void aReadyInstanceIsReadySinceItSaysSo() {
+        tick(1);
+        final List<Upstream> ready = registries.get("e").readyUpstreams("s", fleetClock.nowMs());
+        assertThat(ready).hasSize(1);
+        assertThat(ready.get(0).readySinceMs()).isEqualTo(fleetClock.nowMs() - 700);
     }
 
     @Test
-    void withoutProbesWhatIsListedAndStaysIsReadyAndWarmsUpAsTheListSays() {
-        list.add(one("i1", false, 3000));
-        list.add(one("i2", false, -1));
-        run(2000);
-        final List<Upstream> ready = listings.get("edge").readyUpstreams("s", fleet.nowMs());
-        assertThat(ready).hasSize(2);
-        assertThat(ready.get(0).warmUpUntilMs()).isBetween(fleet.nowMs(), fleet.nowMs() + 3000);
-        assertThat(ready.get(1).warmUpUntilMs()).isZero();
-        assertThat(ready.get(1).readySinceMs())
-                .as("when it was first listed")
-                .isBetween(fleet.nowMs() - 2000, fleet.nowMs());
-        list.set(0, one("i1", true, 0));
-        run(1100);
-        assertThat(listings.get("edge").readyUpstreams("s", fleet.nowMs()))
-                .extracting(Upstream::instance)
-                .containsExactly("i2");
-        assertThat(listings.get("edge").health("i1", fleet.nowMs()).status()).isEqualTo(HealthStatus.LEAVING);
-        list.clear();
-        run(1100);
-        assertThat(listings.get("edge").readyUpstreams("s", fleet.nowMs())).isEmpty();
+    void onlyFailuresInARowMakeAnInstanceDown() {
+        tick(1);
+        answer = Optional.empty();
+        tick(FAILURE_THRESHOLD - 1);
+        assertThat(statusAtEdge()).contains(HealthStatus.READY);
+        answer = Optional.of(new ProbeResult("i1", "s", false, 700));
+        tick(1);
+        answer = Optional.empty();
+        tick(FAILURE_THRESHOLD - 1);
+        assertThat(statusAtEdge()).contains(HealthStatus.READY);
+        tick(1);
+        assertThat(statusAtEdge()).contains(HealthStatus.DOWN);
     }
 
     @Test
-    void whoListsAnewWhatOthersKnowDoesNotMakeItNew() {
-        list.add(one("i1", false, -1));
-        run(2000);
-        final long since =
-                listings.get("edge").readyUpstreams("s", fleet.nowMs()).get(0).readySinceMs();
-        final Endpoint again = one("i1", false, -1).at(true, fleet.nowMs(), 0, fleet.nowMs());
-        listings.get("edge").merge(List.of(again), List.of());
-        assertThat(listings.get("edge")
-                        .readyUpstreams("s", fleet.nowMs())
-                        .get(0)
-                        .readySinceMs())
-                .isEqualTo(since);
-        final EndpointRegistry fresh = new EndpointRegistry(2, 100, 4000, false);
-        fresh.merge(List.of(again), List.of());
-        fresh.merge(listings.get("a").endpoints(), List.of());
-        assertThat(fresh.readyUpstreams("s", fleet.nowMs()).get(0).readySinceMs())
-                .isEqualTo(since);
+    void anotherInstanceOrServiceAtTheAddressIsForeign() {
+        answer = Optional.of(new ProbeResult("i2", "s", false, 700));
+        tick(1);
+        assertThat(statusAtEdge()).contains(HealthStatus.FOREIGN);
+        answer = Optional.of(new ProbeResult("i1", "s", true, 700));
+        tick(1);
+        assertThat(statusAtEdge()).contains(HealthStatus.LEAVING);
+        answer = Optional.of(new ProbeResult("i1", "t", true, 700));
+        tick(1);
+        assertThat(statusAtEdge()).contains(HealthStatus.FOREIGN);
+    }
+
+    @Test
+    void changesAreSentToAllNodesAndRepetitionsToCoresOnly() {
+        tick(1);
+        assertThat(sent).containsOnlyKeys("a>b", "a>c", "a>e", "b>a", "b>c", "b>e");
+        sent.clear();
+        // Each probe finds a warm-up that began when it was before.
+        final List<Integer> received = new ArrayList<>();
+        for (long readyForMs = 700 + TICK_MS; received.size() < 4; readyForMs += TICK_MS) {
+            answer = Optional.of(new ProbeResult("i1", "s", false, readyForMs));
+            tick(1);
+            received.add(sent.getOrDefault("a>b", 0));
+        }
+        assertThat(sent).containsOnlyKeys("a>b", "a>c", "b>a", "b>c");
+        assertThat(received).as("repeated once in two ticks").containsExactly(0, 1, 1, 2);
     }
 }
--- a/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import spokestall.GoldenFile;
 import spokestall.api.ResultCode;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.io.http.HttpResult;
 import spokestall.message.Header;
 import spokestall.message.ResponseContent;
@@ -147,14 +147,14 @@
         assertThat(page.next()).isNull();
         assertThat(page.listed())
                 .containsExactly(
-                        Endpoint.read("i-1", "transfers", "10.3.0.1:80", "d1", "r1", true, 1500, 8),
-                        Endpoint.read("i-2", "records", "10.3.0.2:80", "d2", "r2", false, -1, 0));
+                        new ListedEndpoint("i-1", "transfers", "10.3.0.1:80", "d1", "r1", true, 1500, 8),
+                        new ListedEndpoint("i-2", "records", "10.3.0.2:80", "d2", "r2", false, -1, 0));
     }
 
     @Test
     void anUpstreamsStatusIsRead() {
         assertThat(PLATFORM.statusTarget()).isEqualTo("/spokestall/status");
         assertThat(PLATFORM.status(GoldenFile.json("upstream-status.json")))
-                .isEqualTo(new HealthChecker.Probe("i-1", "transfers", true, 1500));
+                .isEqualTo(new ProbeResult("i-1", "transfers", true, 1500));
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleEnvironment.java
@@ -4,18 +4,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import java.util.Optional;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.testbed.Deployment;
 
 /** The platform's list and what upstreams say of themselves. Changed by the world only, read by all lanes. */
 final class ScaleEnvironment {
     private static final long WARM_MS = 60_000;
     private final SteppedTime steps;
-    private final List<Endpoint> listed = new ArrayList<>();
-    private final Map<String, Endpoint> byAddress = new HashMap<>();
+    private final List<ListedEndpoint> listed = new ArrayList<>();
+    private final Map<String, ListedEndpoint> byAddress = new HashMap<>();
     private final Map<String, Long> readyMs = new HashMap<>();
-    private List<Endpoint> list;
+    private List<ListedEndpoint> list;
     private int made;
 
     ScaleEnvironment(final SteppedTime steps, final List<Deployment.Place> places) {
@@ -24,31 +25,29 @@
         list = List.copyOf(listed);
     }
 
-    private Endpoint add(
+    private ListedEndpoint add(
             final String instance, final String service, final String zone, final String region, final long readyAtMs) {
         final int i = made++;
-        final Endpoint up = Endpoint.read(
+        final ListedEndpoint up = new ListedEndpoint(
                 instance, service, "10.1." + i / 200 + "." + (i % 200 + 1) + ":80", zone, region, false, -1, 0);
         byAddress.put(up.address(), up);
         readyMs.put(up.instance(), readyAtMs);
         return up;
     }
 
-    List<Endpoint> list() {
+    List<ListedEndpoint> list() {
         return list;
     }
 
-    HealthChecker.Probe probe(final String address) {
-        final Endpoint up = byAddress.get(address);
-        return up == null
-                ? null
-                : new HealthChecker.Probe(
-                        up.instance(), up.service(), false, steps.nowMs() - readyMs.get(up.instance()));
+    Optional<ProbeResult> probe(final String address) {
+        final ListedEndpoint up = byAddress.get(address);
+        return Optional.ofNullable(up)
+                .map(u -> new ProbeResult(u.instance(), u.service(), false, steps.nowMs() - readyMs.get(u.instance())));
     }
 
     /** One upstream goes, and another comes in its place. */
     void replace(final int i) {
-        final Endpoint old = listed.get(i % listed.size());
+        final ListedEndpoint old = listed.get(i % listed.size());
         byAddress.remove(old.address());
         listed.set(
                 i % listed.size(),
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -5,14 +5,16 @@
 import java.lang.management.ThreadMXBean;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.zip.CRC32;
 import spokestall.audit.AuditSink;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.DiscoveryClient;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
 import spokestall.node.Node;
@@ -265,7 +267,7 @@
     }
 
     /** What is around a node: the platform, and upstreams that answer at once and take nothing. */
-    private final class Hollow implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+    private final class Hollow implements UpstreamClient, DiscoveryClient, UsageReporter.Platform {
         private static final long PLATFORM_MS = 10;
         private final long mine;
 
@@ -274,12 +276,12 @@
         }
 
         @Override
-        public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
-            later(mine, PLATFORM_MS, ScaleTraffic.OUTSIDE, () -> done.accept(run.outside.list()));
+        public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+            later(mine, PLATFORM_MS, ScaleTraffic.OUTSIDE, () -> done.accept(Optional.of(run.outside.list())));
         }
 
         @Override
-        public void probe(final String to, final long waitMs, final Consumer<HealthChecker.Probe> done) {
+        public void probe(final String to, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
             probes++;
             later(mine, 2, ScaleTraffic.OUTSIDE, () -> done.accept(run.outside.probe(to)));
         }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
@@ -278,13 +279,15 @@
                     final String instance = outside.list()
                             .get(chance.nextInt(outside.list().size()))
                             .instance();
-                    final HealthObservation word = n.node()
+                    final Optional<HealthObservation> health = n.node()
                             .endpointRegistry()
                             .health(instance, n.node().fleetMs());
-                    if (word == null) {
+                    if (health.isEmpty()) {
                         wordless.merge(phase, 1L, Long::sum);
                     } else {
-                        words.get(phase).recordValue(Math.max(0, n.node().fleetMs() - word.timestampMs()));
+                        words.get(phase)
+                                .recordValue(Math.max(
+                                        0, n.node().fleetMs() - health.get().timestampMs()));
                     }
                 }
             }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -5,12 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.DiscoveryClient;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.message.Header;
 import spokestall.message.ResponseContent;
 import spokestall.proxy.Attempt;
@@ -63,7 +65,7 @@
     private final Map<String, Up> byAddress = new TreeMap<>();
     private final Map<String, Up> byInstance = new LinkedHashMap<>();
     private final Map<String, Integer> turns = new TreeMap<>();
-    private List<Endpoint> list = new ArrayList<>();
+    private List<ListedEndpoint> list = new ArrayList<>();
     private int made;
     private long lastGapMs = -20_000;
 
@@ -107,10 +109,10 @@
 
     /** The platform's list is made anew now and then, so it lags. */
     private void refresh() {
-        final List<Endpoint> now = new ArrayList<>();
+        final List<ListedEndpoint> now = new ArrayList<>();
         byInstance.values().forEach(u -> {
             if (u.listed) {
-                now.add(Endpoint.read(
+                now.add(new ListedEndpoint(
                         u.instance,
                         u.service,
                         u.address,
@@ -131,7 +133,7 @@
     }
 
     /** The rim of one life. */
-    final class NodeEnvironment implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+    final class NodeEnvironment implements UpstreamClient, DiscoveryClient, UsageReporter.Platform {
         private final SimulatedNode node;
         private final long incarnation;
 
@@ -145,26 +147,26 @@
         }
 
         @Override
-        public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
-            final List<Endpoint> now = list;
-            back(10 + random.nextInt(40), () -> done.accept(now));
+        public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+            final List<ListedEndpoint> now = list;
+            back(10 + random.nextInt(40), () -> done.accept(Optional.of(now)));
         }
 
         @Override
-        public void probe(final String address, final long waitMs, final Consumer<HealthChecker.Probe> done) {
+        public void probe(final String address, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
             final Up up = byAddress.get(address);
             final long way = world.net.wayMs(node.address, address);
             if (up == null || way < 0 || !up.running) {
-                back(way < 0 ? waitMs : 2 * way, () -> done.accept(null));
+                back(way < 0 ? timeoutMs : 2 * way, () -> done.accept(Optional.empty()));
                 return;
             }
             back(
                     2 * way + 1,
                     () -> done.accept(
                             !up.running
-                                    ? null
-                                    : new HealthChecker.Probe(
-                                            up.instance, up.service, up.leaving, world.sim.nowMs() - up.readyAtMs)));
+                                    ? Optional.empty()
+                                    : Optional.of(new ProbeResult(
+                                            up.instance, up.service, up.leaving, world.sim.nowMs() - up.readyAtMs))));
         }
 
         @Override
