--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -13,6 +13,7 @@
 import spokestall.handoff.ResponseCache;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.Locality;
 import spokestall.proxy.ProxyContext;
 import spokestall.proxy.UpstreamClient;
 import spokestall.usage.UsageCounter;
@@ -45,8 +46,7 @@
         this.configurationStore = sources.configurationStore();
         this.endpointRegistry = sources.endpointRegistry();
         this.loadBalancer = new LoadBalancer(
-                context.settings().region(),
-                context.settings().text("district"),
+                new Locality(context.settings().region(), context.settings().text("district")),
                 service -> endpointRegistry.readyUpstreams(service, context.fleet.nowMs()),
                 context.clock,
                 context.fleet,
@@ -86,7 +86,7 @@
 
     /** Goes by newer settings. */
     void renew() {
-        loadBalancer.timing(context.timings().loadBalancer(neighbours::sharingEdges));
+        loadBalancer.updateParameters(context.timings().loadBalancer(neighbours::sharingEdges));
         edge.timing(context.timings().edge());
     }
 
@@ -119,7 +119,7 @@
         for (final Endpoint listed : endpointRegistry.endpoints()) {
             final ServiceLimits rule = configurationStore.configuration().service(listed.service());
             if (listed.zone().equals(zone) && rule != null) {
-                loadBalancer.chill(
+                loadBalancer.restartSlowStart(
                         List.of(listed.instance()),
                         rule.warmupMs() + context.settings().part("leaveBoundMs", 0.5));
             }
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -12,7 +12,7 @@
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
 import spokestall.proxy.AdmissionController;
-import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.LoadBalancerParameters;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
 import spokestall.usage.UsageCounter;
@@ -133,15 +133,14 @@
                 settings.ms("restMs"));
     }
 
-    LoadBalancer.Timing loadBalancer(final IntSupplier sharingEdges) {
-        return new LoadBalancer.Timing(
-                sharingEdges,
-                settings.number("warmRatio"),
-                settings.number("warmSlack"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 2),
-                settings.number("districtCost"),
-                settings.number("regionCost"));
+    LoadBalancerParameters loadBalancer(final IntSupplier sharingEdges) {
+        return new LoadBalancerParameters(
+                new LoadBalancerParameters.SlowStartLimits(
+                        sharingEdges, settings.number("warmRatio"), settings.number("warmSlack")),
+                new LoadBalancerParameters.EjectionTimes(
+                        settings.part("leaveBoundMs", 0.25), settings.part("leaveBoundMs", 2)),
+                new LoadBalancerParameters.DistanceCosts(
+                        settings.number("districtCost"), settings.number("regionCost")));
     }
 
     AdmissionController.Timing edge() {
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -152,7 +152,7 @@
             return rejected(ResultCode.TOO_LARGE, unproven);
         }
         if (!parts.loadBalancer()
-                .mayReserve(
+                .hasCapacity(
                         rule,
                         nameOf(tenant),
                         u -> route.home(tenant, u.region())
--- a/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
@@ -4,10 +4,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
-import java.util.function.Function;
-import java.util.function.IntSupplier;
 import java.util.function.Predicate;
 import spokestall.configuration.ServiceLimits;
 import spokestall.discovery.Upstream;
@@ -15,231 +14,223 @@
 import spokestall.time.FleetClock;
 
 /**
- * Elects the upstream of each go: the one that would be done soonest, by the goes that are open there over what it works on
- * at a time, by how quick it was, and by how far it is. Where nothing is known of slots, two random ones are compared.
+ * Picks the upstream of each attempt: the one with the least cost, which is its open attempts over its slots, times its relative
+ * latency, plus the distance to it. Costs are varied a little at random, so that equal upstreams share the load. Ejected
+ * upstreams are picked only if there is no other, and upstreams that are warming up no faster than their ramp.
+ *
+ * <p>Also keeps account of the capacity that admitted requests will need, so that a request is admitted only if an upstream is
+ * likely to take it.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. Knows of this edge's attempts only.
  */
 public final class LoadBalancer {
-    /** Bounds, from the settings: the edges that a cold upstream's ramp is divided among, the ramp's share that is
-     * used and what may come over it each second in the whole fleet, and how long one in trouble is put aside. What it
-     * costs to leave the zone, and the region, is a part of a slot's work. */
-    public record Timing(
-            IntSupplier edges,
-            double warmRatio,
-            double warmSlack,
-            long ejectMs,
-            long ejectMaxMs,
-            double zoneCost,
-            double regionCost) {}
-
-    /** How a go ended, as far as its upstream is concerned. */
-    public enum End {
-        WELL,
-        DENIED,
-        UNREACHED,
-        LOST
-    }
-
-    private record Ejected(long untilMs, int times) {}
-
-    private static final double QUICK_LEAST = 0.4;
-    private static final double QUICK_MOST = 3;
-    private final String region;
-    private final String zone;
-    private final Function<String, List<Upstream>> ready;
+    private record Candidate(Upstream upstream, boolean ejected, double cost) {
+        boolean betterThan(final Candidate other) {
+            return other == null || other.ejected && !ejected || cost < other.cost;
+        }
+    }
+
+    // How much of a difference latency may make at most, so that one slow or quick answer doesn't decide.
+    private static final double MIN_LATENCY_FACTOR = 0.4;
+    private static final double MAX_LATENCY_FACTOR = 3;
+    private static final double MIN_RANDOM_FACTOR = 0.95;
+    private static final double RANDOM_FACTOR_RANGE = 0.1;
+
+    private final Locality locality;
+    private final UpstreamSource upstreams;
     private final Clock clock;
-    private final FleetClock fleet;
     private final Random random;
-    private Timing timing;
-    private final Map<String, AdaptiveLimit> limits = new HashMap<>();
-    private final Map<String, Integer> reserved = new HashMap<>();
-    private final Map<String, Integer> held = new HashMap<>();
-    private final Map<String, Ejected> ejected = new HashMap<>();
-    private final Map<String, Integer> losses = new HashMap<>();
-    private final Map<String, SlowStart> slowStart = new HashMap<>();
-    private final Map<String, Long> warmUpUntilMs = new HashMap<>();
+    private LoadBalancerParameters.DistanceCosts distanceCosts;
+    private final OutlierEjector ejector;
+    private final SlowStartLimiter slowStart;
+    private final CapacityReservations reservations = new CapacityReservations();
     private final LatencyTracker latencyTracker = new LatencyTracker();
-
-    /** Example: see {@code Node}. */
+    /** How many attempts may be open, and are, by instance; none where no attempt was ever begun. */
+    private final Map<String, AdaptiveLimit> concurrencyLimits = new HashMap<>();
+
+    /**
+     * Creates a load balancer that knows nothing of its upstreams yet.
+     *
+     * @param locality where this edge is
+     * @param upstreams the upstreams to pick from
+     * @param clock measures ejections and rates
+     * @param fleetClock the clock that an upstream's warm-up is given by
+     * @param random varies costs
+     * @param parameters see there
+     */
     public LoadBalancer(
-            final String region,
-            final String zone,
-            final Function<String, List<Upstream>> ready,
+            final Locality locality,
+            final UpstreamSource upstreams,
             final Clock clock,
-            final FleetClock fleet,
+            final FleetClock fleetClock,
             final Random random,
-            final Timing timing) {
-        this.region = region;
-        this.zone = zone;
-        this.ready = ready;
+            final LoadBalancerParameters parameters) {
+        this.locality = locality;
+        this.upstreams = upstreams;
         this.clock = clock;
-        this.fleet = fleet;
         this.random = random;
-        this.timing = timing;
-    }
-
-    /** Keeps to other bounds from now on. */
-    public void timing(final Timing newer) {
-        timing = newer;
-    }
-
-    /** The upstream for a go, or null when none may take it. */
-    public Upstream elect(final ServiceLimits rule, final Predicate<Upstream> fits, final Set<String> tried) {
-        final Set<String> passed = new HashSet<>(tried);
-        Upstream best = cheapest(rule, fits, passed);
-        while (best != null && !warmEnough(rule, best)) {
-            passed.add(best.instance());
-            best = cheapest(rule, fits, passed);
+        this.distanceCosts = parameters.distance();
+        this.ejector = new OutlierEjector(parameters.ejection());
+        this.slowStart = new SlowStartLimiter(clock, fleetClock, parameters.slowStart());
+    }
+
+    /** Applies other parameters from now on. */
+    public void updateParameters(final LoadBalancerParameters parameters) {
+        distanceCosts = parameters.distance();
+        ejector.updateTimes(parameters.ejection());
+        slowStart.updateLimits(parameters.slowStart());
+    }
+
+    /**
+     * Picks the upstream for an attempt. One that is warming up is charged for the attempt, which therefore must be made.
+     *
+     * @param service the service's limits
+     * @param eligible which upstreams the request may go to
+     * @param tried instances that are not picked
+     * @return the upstream, or empty if none may take the attempt now
+     */
+    public Optional<Upstream> pick(
+            final ServiceLimits service, final Predicate<Upstream> eligible, final Set<String> tried) {
+        final Set<String> excluded = new HashSet<>(tried);
+        Optional<Upstream> cheapest = cheapest(service, eligible, excluded);
+        while (cheapest.isPresent() && !slowStart.tryAcquire(service, cheapest.get())) {
+            excluded.add(cheapest.get().instance());
+            cheapest = cheapest(service, eligible, excluded);
         }
-        return best;
+        return cheapest;
     }
 
-    /** The one of the least cost that has room; one that was put aside only if there is no other. */
-    private Upstream cheapest(final ServiceLimits rule, final Predicate<Upstream> fits, final Set<String> passed) {
+    private Optional<Upstream> cheapest(
+            final ServiceLimits service, final Predicate<Upstream> eligible, final Set<String> excluded) {
         final long nowMs = clock.nowMs();
-        Upstream best = null;
-        boolean bestAside = true;
-        double least = Double.MAX_VALUE;
-        for (final Upstream u : ready.apply(rule.name())) {
-            if (!fits.test(u) || passed.contains(u.instance())) {
+        Candidate best = null;
+        for (final Upstream upstream : upstreams.readyUpstreams(service.name())) {
+            if (!eligible.test(upstream) || excluded.contains(upstream.instance()) || freeSlots(upstream) <= 0) {
                 continue;
             }
-            final AdaptiveLimit limit = limits.get(u.instance());
-            final boolean aside = ejected(u.instance(), nowMs);
-            if (aside && !bestAside || limit != null && limit.room() <= 0) {
+            final boolean ejected = ejector.ejected(upstream.instance(), nowMs);
+            if (ejected && best != null && !best.ejected()) {
                 continue;
             }
-            final double cost = cost(rule, u, limit == null ? 0 : limit.open()) * (0.95 + 0.1 * random.nextDouble());
-            if (cost < least || bestAside && !aside) {
-                least = cost;
-                best = u;
-                bestAside = aside;
-            }
+            final Candidate candidate = new Candidate(upstream, ejected, randomised(cost(service, upstream)));
+            best = candidate.betterThan(best) ? candidate : best;
         }
-        return best;
+        return Optional.ofNullable(best).map(Candidate::upstream);
     }
 
-    private double cost(final ServiceLimits rule, final Upstream u, final int open) {
-        final double quick = Math.max(QUICK_LEAST, Math.min(QUICK_MOST, latencyTracker.of(rule.name(), u.instance())));
-        final double queue = (open + 1.0) / Math.max(1, u.slots()) * quick;
-        return queue
-                + (u.region().equals(region) ? u.zone().equals(zone) ? 0 : timing.zoneCost() : timing.regionCost());
+    private double randomised(final double cost) {
+        return cost * (MIN_RANDOM_FACTOR + RANDOM_FACTOR_RANGE * random.nextDouble());
     }
 
-    private int room(final Upstream u) {
-        final AdaptiveLimit limit = limits.get(u.instance());
-        return limit == null ? AdaptiveLimit.FIRST : limit.room();
+    /** In units of one slot's work: about how long the attempt would wait, and what the way there costs. */
+    private double cost(final ServiceLimits service, final Upstream upstream) {
+        return utilisation(upstream) * latencyFactor(service, upstream) + locality.costTo(upstream, distanceCosts);
     }
 
-    /** Whether upstreams have room for one more go of the tenant: more than is kept for others already, and than the
-     * tenant has. */
-    public boolean mayReserve(final ServiceLimits rule, final String tenant, final Predicate<Upstream> fits) {
-        final int taken = reserved.getOrDefault(rule.name(), 0) + held.getOrDefault(tenant + " " + rule.name(), 0);
-        int room = 0;
-        for (final Upstream u : ready.apply(rule.name())) {
-            room += fits.test(u) ? room(u) : 0;
-            if (room > taken) {
-                return true;
-            }
-        }
-        return false;
+    /** The attempts open there with this one, over its slots; where slots are unknown it is taken to have one. */
+    private double utilisation(final Upstream upstream) {
+        final AdaptiveLimit limit = concurrencyLimits.get(upstream.instance());
+        final int open = limit == null ? 0 : limit.open();
+        return (open + 1.0) / Math.max(1, upstream.slots());
     }
 
-    /** Keeps the room that {@link #mayReserve} found in the same event, so that the ask finds it once it is claimed. It is
-     * given back by {@link #release}, and the ask itself by {@link #over}. */
-    public void keep(final ServiceLimits rule, final String tenant) {
-        reserved.merge(rule.name(), 1, Integer::sum);
-        held.merge(tenant + " " + rule.name(), 1, Integer::sum);
+    private double latencyFactor(final ServiceLimits service, final Upstream upstream) {
+        final double relative = latencyTracker.of(service.name(), upstream.instance());
+        return Math.max(MIN_LATENCY_FACTOR, Math.min(MAX_LATENCY_FACTOR, relative));
     }
 
-    /** One of the tenant's asks is over. */
-    public void over(final ServiceLimits rule, final String tenant) {
-        less(held, tenant + " " + rule.name());
-    }
-
-    private static void less(final Map<String, Integer> counts, final String of) {
-        counts.merge(of, -1, (had, one) -> had + one <= 0 ? null : had + one);
-    }
-
-    /** The ask goes now, or never. */
-    public void release(final ServiceLimits rule) {
-        less(reserved, rule.name());
-    }
-
-    private boolean ejected(final String instance, final long nowMs) {
-        final Ejected e = ejected.get(instance);
-        return e != null && nowMs < e.untilMs;
+    private int freeSlots(final Upstream upstream) {
+        final AdaptiveLimit limit = concurrencyLimits.get(upstream.instance());
+        return limit == null ? AdaptiveLimit.FIRST : limit.room();
     }
 
-    /** From now on these may be cold for so long, whatever is known of them otherwise: their zone is given back, say. */
-    public void chill(final Iterable<String> instances, final long spanMs) {
-        instances.forEach(i -> warmUpUntilMs.merge(i, clock.nowMs() + spanMs, Math::max));
+    /**
+     * Returns whether upstreams have capacity for one more request of a tenant: more than is reserved for others and than the
+     * tenant's open requests take.
+     */
+    public boolean hasCapacity(final ServiceLimits service, final String tenant, final Predicate<Upstream> eligible) {
+        final int taken = reservations.taken(service.name(), tenant);
+        int free = 0;
+        for (final Upstream upstream : upstreams.readyUpstreams(service.name())) {
+            free += eligible.test(upstream) ? freeSlots(upstream) : 0;
+            if (free > taken) {
+                return true;
+            }
+        }
+        return false;
     }
 
-    private boolean warmEnough(final ServiceLimits rule, final Upstream u) {
-        final long nowMs = fleet.nowMs();
-        final long ageMs = Math.max(
-                0, u.warmUpUntilMs() > 0 ? rule.warmupMs() - (u.warmUpUntilMs() - nowMs) : nowMs - u.readySinceMs());
-        final Long chilled = warmUpUntilMs.get(u.instance());
-        final boolean warmingUp = chilled != null && clock.nowMs() < chilled;
-        if (ageMs >= rule.warmupMs() && !warmingUp) {
-            slowStart.remove(u.instance());
-            warmUpUntilMs.remove(u.instance());
-            return true;
+    /**
+     * Reserves the capacity that {@link #hasCapacity} found in the same event, until {@link #releaseReservation}; the request
+     * itself counts until {@link #onRequestEnded}.
+     */
+    public void reserve(final ServiceLimits service, final String tenant) {
+        reservations.reserve(service.name(), tenant);
+    }
+
+    /** Releases what was reserved for a request: its first attempt begins now, or there will be none. */
+    public void releaseReservation(final ServiceLimits service) {
+        reservations.release(service.name());
+    }
+
+    /** Notified when a request ends for which capacity was reserved. */
+    public void onRequestEnded(final ServiceLimits service, final String tenant) {
+        reservations.end(service.name(), tenant);
+    }
+
+    /**
+     * Has instances count as warming up for so long, whatever their age: nothing was sent to their zone for a while, say.
+     *
+     * @param instances their ids
+     * @param durationMs for how long from now; a time that ends later stays
+     */
+    public void restartSlowStart(final List<String> instances, final long durationMs) {
+        instances.forEach(instance -> slowStart.restart(instance, durationMs));
+    }
+
+    /** Notified when an attempt begins. */
+    public void onAttemptStarted(final String instance) {
+        concurrencyLimits.computeIfAbsent(instance, i -> new AdaptiveLimit()).begun();
+    }
+
+    /**
+     * Notified when an attempt ends, once for each that began.
+     *
+     * @param service the upstream's service
+     * @param instance the upstream's id
+     * @param outcome how it ended
+     * @param durationMs how long it took
+     * @param targetMs how long it should have taken at most
+     */
+    public void onAttemptEnded(
+            final String service,
+            final String instance,
+            final AttemptOutcome outcome,
+            final long durationMs,
+            final long targetMs) {
+        final boolean responded = outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.REJECTED;
+        concurrencyLimits.get(instance).ended(responded, durationMs, targetMs, clock.nowMs());
+        if (outcome == AttemptOutcome.ANSWERED) {
+            latencyTracker.took(service, instance, durationMs);
+            ejector.onAnswer(instance);
+        } else {
+            ejector.onFailure(instance, outcome, clock.nowMs());
         }
-        final double ramp = timing.warmSlack() > 0 ? 1 : warmingUp ? 0.5 : (double) ageMs / rule.warmupMs();
-        final double perS = (timing.warmRatio() * rule.warmPerS() * ramp + timing.warmSlack())
-                / timing.edges().getAsInt();
-        return slowStart
-                .computeIfAbsent(u.instance(), i -> new SlowStart(clock.nowMs()))
-                .spend(clock.nowMs(), perS, 1);
-    }
-
-    /** A go to it has begun. */
-    public void begun(final String instance) {
-        limits.computeIfAbsent(instance, i -> new AdaptiveLimit()).begun();
-    }
-
-    /** A go to it has ended after so long; slow is what should be the most. */
-    public void ended(
-            final String service, final String instance, final End how, final long spentMs, final long slowMs) {
-        limits.get(instance).ended(how == End.WELL || how == End.DENIED, spentMs, slowMs, clock.nowMs());
-        if (how == End.WELL) {
-            latencyTracker.took(service, instance, spentMs);
-            ejected.remove(instance);
-            losses.remove(instance);
-            return;
-        }
-        // One answer that was lost may be chance; two in a row, or a wire that can't be had, are not.
-        if (how == End.LOST && losses.merge(instance, 1, Integer::sum) < 2) {
-            return;
-        }
-        aside(instance, how);
     }
 
-    /** One is silent for longer than it should be; two such in a row, or one and a lost answer, and it is put aside. */
-    public void late(final String instance) {
-        if (losses.merge(instance, 1, Integer::sum) >= 2) {
-            aside(instance, End.LOST);
-        }
+    /** Notified when an open attempt takes longer than it should. */
+    public void onAttemptLate(final String instance) {
+        ejector.onLate(instance, clock.nowMs());
     }
 
-    private void aside(final String instance, final End how) {
-        final Ejected had = ejected.get(instance);
-        final int times = had == null ? 1 : Math.min(had.times + 1, 8);
-        final long spanMs = how == End.DENIED
-                ? timing.ejectMs() / 4
-                : Math.min(timing.ejectMaxMs(), timing.ejectMs() << (times - 1));
-        ejected.put(instance, new Ejected(clock.nowMs() + spanMs, times));
-    }
-
-    /** Forgets upstreams that are gone. */
-    public void retain(final Set<String> known) {
-        ejected.keySet().retainAll(known);
-        losses.keySet().retainAll(known);
-        slowStart.keySet().retainAll(known);
-        warmUpUntilMs.keySet().retainAll(known);
-        latencyTracker.retain(known);
-        limits.entrySet()
-                .removeIf(e -> !known.contains(e.getKey()) && e.getValue().idle());
+    /** Removes what is known of all instances but these, and of those that still have open attempts. */
+    public void retain(final Set<String> instances) {
+        ejector.retain(instances);
+        slowStart.retain(instances);
+        latencyTracker.retain(instances);
+        concurrencyLimits
+                .entrySet()
+                .removeIf(entry ->
+                        !instances.contains(entry.getKey()) && entry.getValue().idle());
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancerParameters.java
@@ -0,0 +1,26 @@
+package spokestall.proxy;
+
+import java.util.function.IntSupplier;
+
+/** How a {@link LoadBalancer} picks; renewed as a whole with the settings. */
+public record LoadBalancerParameters(SlowStartLimits slowStart, EjectionTimes ejection, DistanceCosts distance) {
+    /**
+     * How fast all edges together send to an upstream that is warming up.
+     *
+     * @param sharingEdges among how many edges the rate is divided, at least 1
+     * @param rampRatio the part of the service's ramp that is used
+     * @param slackPerS what is allowed besides, in attempts a second
+     */
+    public record SlowStartLimits(IntSupplier sharingEdges, double rampRatio, double slackPerS) {}
+
+    /**
+     * For how long an upstream is ejected.
+     *
+     * @param baseMs the first time; doubled each time that it fails again without an answer in between
+     * @param maxMs at most
+     */
+    public record EjectionTimes(long baseMs, long maxMs) {}
+
+    /** What it costs to leave the zone and to leave the region, as a part of a slot's work. */
+    public record DistanceCosts(double otherZone, double otherRegion) {}
+}
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -156,13 +156,13 @@
     /** Keeps the room that admission found, where no body is to come; else it is kept once the body is there, or slow
      * bodies would hold it. */
     void keep() {
-        parts.loadBalancer().keep(ask.rule(), tenantName());
+        parts.loadBalancer().reserve(ask.rule(), tenantName());
         holding = true;
         reserved = true;
     }
 
     private boolean reserve() {
-        if (!holding && parts.loadBalancer().mayReserve(ask.rule(), tenantName(), this::fits)) {
+        if (!holding && parts.loadBalancer().hasCapacity(ask.rule(), tenantName(), this::fits)) {
             keep();
         }
         return holding;
@@ -171,7 +171,7 @@
     private void release() {
         if (reserved) {
             reserved = false;
-            parts.loadBalancer().release(ask.rule());
+            parts.loadBalancer().releaseReservation(ask.rule());
         }
     }
 
@@ -190,7 +190,7 @@
         change(Stage.ENDED);
         release();
         if (holding) {
-            parts.loadBalancer().over(ask.rule(), tenantName());
+            parts.loadBalancer().onRequestEnded(ask.rule(), tenantName());
         }
         hold(out || answer.content() == null ? 0 : answer.content().body().length);
         edge.ended(this, tenantName(), answer.result());
@@ -306,7 +306,9 @@
 
     private void attempt() {
         final ResultCode blocked = blocked();
-        final Upstream to = blocked != null ? null : parts.loadBalancer().elect(rule, this::fits, tried);
+        final Upstream to = blocked != null
+                ? null
+                : parts.loadBalancer().pick(rule, this::fits, tried).orElse(null);
         if (to == null) {
             if (attempts.open() == 0 && held != null) {
                 end(held);
@@ -324,7 +326,7 @@
         final long waitMs =
                 Math.min(rule.attemptMs(), ask.deadlineMs() - parts.clock().nowMs());
         final long begunMs = parts.clock().nowMs();
-        parts.loadBalancer().begun(to.instance());
+        parts.loadBalancer().onAttemptStarted(to.instance());
         release();
         if (route.aimMs() > 0 && !ask.route().runOnce()) {
             final int number = attempts.begun();
@@ -357,7 +359,7 @@
      * and the first whole answer counts. */
     private void late(final Upstream silent, final int number) {
         if (stage == Stage.GOING && attempts.open() == 1 && attempts.begun() == number) {
-            parts.loadBalancer().late(silent.instance());
+            parts.loadBalancer().onAttemptLate(silent.instance());
             again();
         }
     }
@@ -375,16 +377,16 @@
                 result instanceof AttemptResult.NotSent n && n.why().equals("barred");
         final long slowMs = route.aimMs() > 0 ? route.aimMs() : rule.attemptMs() / 4;
         parts.loadBalancer()
-                .ended(
+                .onAttemptEnded(
                         to.service(),
                         to.instance(),
                         blockedHere || result instanceof AttemptResult.Whole
-                                ? LoadBalancer.End.WELL
+                                ? AttemptOutcome.ANSWERED
                                 : result instanceof AttemptResult.NotRun
-                                        ? LoadBalancer.End.DENIED
+                                        ? AttemptOutcome.REJECTED
                                         : result instanceof AttemptResult.NotSent
-                                                ? LoadBalancer.End.UNREACHED
-                                                : LoadBalancer.End.LOST,
+                                                ? AttemptOutcome.UNREACHABLE
+                                                : AttemptOutcome.LOST,
                         parts.clock().nowMs() - begunMs,
                         slowMs);
         if (result instanceof AttemptResult.Whole whole) {
--- a/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
@@ -15,79 +15,83 @@
 import spokestall.time.ManualClock;
 
 class LoadBalancerTest {
-    private static final ServiceLimits RULE = new ServiceLimits("s", 1000, 1000, 2000, 3000, 5.8);
-    private final List<Upstream> listed = new ArrayList<>();
+    private static final ServiceLimits SERVICE = new ServiceLimits("s", 1000, 1000, 2000, 3000, 5.8);
+    private final List<Upstream> upstreams = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
 
     private LoadBalancer loadBalancer(final int edges, final long seed) {
         return new LoadBalancer(
-                "r1",
-                "d1",
-                s -> listed,
+                new Locality("r1", "d1"),
+                service -> upstreams,
                 clock,
                 new FleetClock(clock, 250),
                 new Random(seed),
-                new LoadBalancer.Timing(() -> edges, 1.2, 4, 750, 6000, 0.15, 1));
+                new LoadBalancerParameters(
+                        new LoadBalancerParameters.SlowStartLimits(() -> edges, 1.2, 4),
+                        new LoadBalancerParameters.EjectionTimes(750, 6000),
+                        new LoadBalancerParameters.DistanceCosts(0.15, 1)));
     }
 
-    private void list(final String instance, final String zone, final String region, final int slots) {
-        listed.add(new Upstream(instance, "s", "10.0.0.1:80", zone, region, 0, slots, 0));
+    private void addUpstream(final String instance, final String zone, final String region, final int slots) {
+        upstreams.add(new Upstream(instance, "s", "10.0.0.1:80", zone, region, 0, slots, 0));
     }
 
     @Test
-    void nearOnesAreTakenUntilTheyAreFullAndFarOnesOnlyThen() {
-        list("near", "d1", "r1", 3);
-        list("around", "d2", "r1", 3);
-        list("far", "d5", "r3", 3);
+    void nearUpstreamsArePickedUntilTheyAreFullAndFarOnesOnlyThen() {
+        addUpstream("same-zone", "d1", "r1", 3);
+        addUpstream("same-region", "d2", "r1", 3);
+        addUpstream("other-region", "d5", "r3", 3);
         final LoadBalancer loadBalancer = loadBalancer(1, 1);
         final Map<String, Integer> open = new HashMap<>();
         for (int n = 0; n < 8; n++) {
-            final Upstream to = loadBalancer.elect(RULE, u -> true, Set.of());
-            loadBalancer.begun(to.instance());
+            final Upstream to = loadBalancer.pick(SERVICE, u -> true, Set.of()).orElseThrow();
+            loadBalancer.onAttemptStarted(to.instance());
             open.merge(to.instance(), 1, Integer::sum);
-            assertThat(open.getOrDefault("far", 0))
-                    .as("while others have room: " + open)
+            assertThat(open.getOrDefault("other-region", 0))
+                    .as("while others have free slots: " + open)
                     .isLessThanOrEqualTo(Math.max(0, n - 3));
         }
-        assertThat(open.get("near")).isGreaterThanOrEqualTo(open.getOrDefault("around", 0));
-        assertThat(open).containsKey("around");
+        assertThat(open.get("same-zone")).isGreaterThanOrEqualTo(open.getOrDefault("same-region", 0));
+        assertThat(open).containsKey("same-region");
     }
 
     @Test
-    void oneLossIsChanceTwoInARowPutAsideAndAnAnswerBringsBack() {
-        list("one", "d1", "r1", 3);
-        list("two", "d2", "r1", 3);
+    void twoLossesInARowEjectAnUpstreamAndAnAnswerEndsTheEjection() {
+        addUpstream("one", "d1", "r1", 3);
+        addUpstream("two", "d2", "r1", 3);
         final LoadBalancer loadBalancer = loadBalancer(1, 2);
-        loadBalancer.begun("one");
-        loadBalancer.ended("s", "one", LoadBalancer.End.LOST, 10, 500);
-        assertThat(loadBalancer.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
-        loadBalancer.late("one");
+        loadBalancer.onAttemptStarted("one");
+        loadBalancer.onAttemptEnded("s", "one", AttemptOutcome.LOST, 10, 500);
+        assertThat(loadBalancer.pick(SERVICE, u -> true, Set.of()).map(Upstream::instance))
+                .contains("one");
+        loadBalancer.onAttemptLate("one");
         for (int n = 0; n < 20; n++) {
-            assertThat(loadBalancer.elect(RULE, u -> true, Set.of()).instance())
-                    .as("put aside")
-                    .isEqualTo("two");
+            assertThat(loadBalancer.pick(SERVICE, u -> true, Set.of()).map(Upstream::instance))
+                    .as("ejected")
+                    .contains("two");
         }
-        assertThat(loadBalancer.elect(RULE, u -> u.instance().equals("one"), Set.of()))
+        assertThat(loadBalancer.pick(SERVICE, u -> u.instance().equals("one"), Set.of()))
                 .as("better than none")
-                .isNotNull();
-        loadBalancer.begun("one");
-        loadBalancer.ended("s", "one", LoadBalancer.End.WELL, 10, 500);
-        assertThat(loadBalancer.elect(RULE, u -> true, Set.of()).instance()).isEqualTo("one");
+                .isPresent();
+        loadBalancer.onAttemptStarted("one");
+        loadBalancer.onAttemptEnded("s", "one", AttemptOutcome.ANSWERED, 10, 500);
+        assertThat(loadBalancer.pick(SERVICE, u -> true, Set.of()).map(Upstream::instance))
+                .contains("one");
     }
 
     @Test
-    void acrossAllEdgesAChilledUpstreamGetsNoMoreThanItsRamp() {
-        list("cold", "d1", "r1", 3);
+    void allEdgesTogetherSendNoMoreThanTheRampAfterARestartedSlowStart() {
+        addUpstream("warming", "d1", "r1", 3);
         final int edges = 12;
         final List<LoadBalancer> all = new ArrayList<>();
         for (int i = 0; i < edges; i++) {
             all.add(loadBalancer(edges, i));
-            all.get(i).chill(List.of("cold"), 3000);
+            all.get(i).restartSlowStart(List.of("warming"), 3000);
         }
         final List<Long> sentMs = new ArrayList<>();
         for (final long untilMs = clock.nowMs() + 2900; clock.nowMs() < untilMs; clock.advance(10)) {
             for (final LoadBalancer loadBalancer : all) {
-                if (loadBalancer.elect(RULE, u -> true, Set.of()) != null) {
+                if (loadBalancer.pick(SERVICE, u -> true, Set.of()).isPresent()) {
                     sentMs.add(clock.nowMs());
                 }
             }
@@ -102,6 +106,8 @@
         }
         assertThat(sentMs).isNotEmpty();
         clock.advance(200);
-        assertThat(all.get(0).elect(RULE, u -> true, Set.of())).as("warm again").isNotNull();
+        assertThat(all.get(0).pick(SERVICE, u -> true, Set.of()))
+                .as("warmed up")
+                .isPresent();
     }
 }
