--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -93,7 +93,7 @@
         } else if (message instanceof HandoffMessage.Fetch request) {
             onFetch(request);
         } else if (message instanceof HandoffMessage.FetchResult result && admission != null) {
-            admission.hear(result);
+            admission.onFetchResult(result);
         }
     }
 
