--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -69,7 +69,7 @@
      * voter treats them like any chosen value that arrives late.
      */
     void onVoterBack(final MembershipMessage.VoterStatus back, final Acceptor acceptor) {
-        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().same(back.generation(), back.epoch())) {
+        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().hasEpoch(back.generation(), back.epoch())) {
             return;
         }
         final VoterSet voters = voterSet.get();
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -195,7 +195,7 @@
         membership.open();
         discovery.open(peerDirectory, storage.acceptor, environment.discovery());
         usage.open();
-        storage.acceptor.watch((key, register) -> {
+        storage.acceptor.addListener((key, register) -> {
             usage.seen(key, register);
             audit.onRegisterStored(key, register);
         });
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public boolean gone(final String key) {
+    public boolean isPruned(final String key) {
         final long version = ConfigurationKeys.of(key);
         if (version >= 0) {
             return version <= core.versionFloor() || version < core.voterSet().firstNumber();
@@ -71,24 +71,25 @@
             return (window + 1) * periods.windowMs + periods.claimKeepMs < fleetClock.nowMs();
         }
         final VoterSet voterSet = core.voterSet();
-        return key.startsWith(VoterSet.KEYS) && !key.equals(VoterSet.key(voterSet.generation(), voterSet.epoch() + 1));
+        return key.startsWith(VoterSet.KEY_PREFIX)
+                && !key.equals(VoterSet.key(voterSet.generation(), voterSet.epoch() + 1));
     }
 
     /** Claims come in large numbers and versions may be large, so they must leave capacity for what keeps the fleet going. */
     @Override
-    public boolean room(final String key) {
+    public boolean hasCapacityFor(final String key) {
         final boolean bulk = IdempotencyClaim.isKey(key) || ConfigurationKeys.of(key) >= 0;
         return !bulk || core.logFill() < BULK_FILL_RATIO;
     }
 
     @Override
-    public boolean holds(final long floor) {
+    public boolean hasSnapshotUpTo(final long floor) {
         return core.snapshotVersion() >= floor;
     }
 
     /** A claim whose ticket is too old is not accepted: the claim that it repeats may be dropped already. */
     @Override
-    public boolean takes(final String key, final byte[] value) {
+    public boolean accepts(final String key, final byte[] value) {
         if (!IdempotencyClaim.isKey(key) || value == null) {
             return true;
         }
@@ -99,7 +100,7 @@
     /** Returns whether a register may be dropped now: nothing that is still accepted can refer to it. */
     boolean expired(final String key, final byte[] value) {
         if (!IdempotencyClaim.isKey(key)) {
-            return gone(key);
+            return isPruned(key);
         }
         if (value == null) {
             return false;
