--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -7,6 +7,7 @@
 import spokestall.lease.LeaseTimeouts;
 import spokestall.lease.LeaseTimeouts;
 import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.message.MessageCodec;
 import spokestall.usage.SealedWindow;
 
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -15,6 +15,7 @@
 import spokestall.lease.LeaseTimeouts;
 import spokestall.lease.LeaseTimeouts;
 import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.message.Message;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.EdgeDirectory;
@@ -27,6 +28,8 @@
 import spokestall.usage.EdgeIdentity;
 import spokestall.usage.CounterLimits;
 import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
 
 /**
  * One node of the fleet, a core or an edge: its lifecycle, and access to its components.
@@ -111,7 +114,7 @@
     public Settings applySettings(final Settings newer) {
         final SettingsUpdate update = SettingsUpdate.of(context.settings(), newer, context.core);
         context.applySettings(update.settings());
-        components.view.seeds(update.settings().seeds());
+        components.view.updateSeeds(update.settings().seeds());
         components.feedClient.timing(context.timings().feedClient());
         if (components.proxy != null) {
             components.proxy.applySettings();
@@ -138,7 +141,7 @@
      */
     public void shutDown(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=shutdown_started node=%s", context.name);
-        components.view.leave();
+        components.view.markLeaving();
         components.feedClient.tick();
         components.knownEdges.publish();
         final GracefulShutdown.Requests requests =
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Optional;
 import spokestall.api.CallRegistry;
 import spokestall.api.Reply;
 import spokestall.api.ResultCode;
@@ -79,8 +80,9 @@
         final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
         addOwnView(fields);
         final ArrayNode upstreams = fields.putArray("upstreams");
-        for (final Endpoint endpoint : endpointRegistry.listed()) {
-            final HealthObservation health = endpointRegistry.word(endpoint.instance(), context.fleet.nowMs());
+        for (final Endpoint endpoint : endpointRegistry.endpoints()) {
+            final Optional<HealthObservation> health =
+                    endpointRegistry.health(endpoint.instance(), context.fleet.nowMs());
             upstreams
                     .addObject()
                     .put("instance", endpoint.instance())
@@ -89,7 +91,10 @@
                     .put("district", endpoint.zone())
                     .put("listed", endpoint.present())
                     .put("leaving", endpoint.leaving())
-                    .put("status", health == null ? "UNKNOWN" : health.status().name());
+                    .put(
+                            "status",
+                            health.map(observation -> observation.status().name())
+                                    .orElse("UNKNOWN"));
         }
         return fields;
     }
@@ -101,7 +106,7 @@
                 .put("fleetMs", context.fleet.nowMs());
         addOwnView(fields);
         addNodes(fields.putObject("nodes"));
-        peerDirectory.differing().forEach(fields.putArray("differing")::add);
+        peerDirectory.peersWithOtherCounts().forEach(fields.putArray("differing")::add);
         if (proposer.voterSet() != null) {
             addVoters(proposer.voterSet(), fields.putObject("voters"));
         }
@@ -118,7 +123,7 @@
                     .put("http", member.httpAddress())
                     .put("district", member.zone())
                     .put("leaving", member.leaving())
-                    .put("heardMs", context.fleet.nowMs() - member.heardMs());
+                    .put("heardMs", context.fleet.nowMs() - member.lastSeenMs());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -4,13 +4,14 @@
 import spokestall.configuration.feed.FeedClient;
 import spokestall.consensus.Proposer;
 import spokestall.consensus.VoterSet;
+import spokestall.discovery.EndpointListReader;
 import spokestall.discovery.HealthChecker;
-import spokestall.gossip.PartialView;
+import spokestall.gossip.ViewParameters;
 import spokestall.lease.LeaseTimeouts;
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
-import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.LoadBalancerParameters;
 import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
@@ -85,8 +86,8 @@
     }
 
     /** Returns the parameters of the partial view: sizes, and after which time a silent member is removed. */
-    PartialView.Timing view() {
-        return new PartialView.Timing(
+    ViewParameters partialView() {
+        return new ViewParameters(
                 2 * (countOrBound("cores") + countOrBound("edges")),
                 GOSSIP_SAMPLE,
                 settings.part("leaveBoundMs", 4),
@@ -134,16 +135,18 @@
         return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
-    /** Returns the parameters of health checks and the reading of the endpoint list. */
-    HealthChecker.Timing prober() {
-        return new HealthChecker.Timing(
+    /** Returns how often the platform's endpoint list is read. */
+    EndpointListReader.Schedule endpointList() {
+        return new EndpointListReader.Schedule(settings.ms("listMs"), settings.part("leaveBoundMs", 0.5));
+    }
+
+    /** Returns the parameters of health checks. */
+    HealthChecker.ProbeParameters probes() {
+        return new HealthChecker.ProbeParameters(
                 settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 0.5),
                 FAILED_CHECKS,
                 CHECKING_CORES,
-                settings.ms("listMs"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.ms("probes") == 1);
+                settings.part("leaveBoundMs", 0.25));
     }
 
     /** Returns the parameters of the counting of requests. */
@@ -183,15 +186,14 @@
     }
 
     /** Returns the parameters of the load balancer; shared bounds are divided by the number of edges. */
-    LoadBalancer.Timing loadBalancer(final IntSupplier sharingEdges) {
-        return new LoadBalancer.Timing(
-                sharingEdges,
-                settings.number("warmRatio"),
-                settings.number("warmSlack"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 2),
-                settings.number("districtCost"),
-                settings.number("regionCost"));
+    LoadBalancerParameters loadBalancer(final IntSupplier sharingEdges) {
+        return new LoadBalancerParameters(
+                new LoadBalancerParameters.SlowStartLimits(
+                        sharingEdges, settings.number("warmRatio"), settings.number("warmSlack")),
+                new LoadBalancerParameters.EjectionTimes(
+                        settings.part("leaveBoundMs", 0.25), settings.part("leaveBoundMs", 2)),
+                new LoadBalancerParameters.DistanceCosts(
+                        settings.number("districtCost"), settings.number("regionCost")));
     }
 
     /** Returns the parameters of the admission and execution of clients' requests. */
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -6,6 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
@@ -169,7 +170,7 @@
             return rejected(ResultCode.TOO_LARGE, unproven);
         }
         if (!context.loadBalancer()
-                .mayReserve(service, grant.tenantName(), u -> allows(grant.route(), grant.tenant(), u))) {
+                .hasCapacity(service, grant.tenantName(), u -> allows(grant.route(), grant.tenant(), u))) {
             logRejected(ResultCode.NO_UPSTREAM, grant.tenant(), grant.route());
             return rejected(ResultCode.NO_UPSTREAM, unproven);
         }
@@ -281,9 +282,9 @@
      */
     void fetchStoredResponse(
             final Tenant tenant, final String key, final String digest, final Consumer<ResponseContent> done) {
-        final HandoffMessage.Store own = context.responseCache().find(key, digest);
-        if (own != null) {
-            done.accept(own.content());
+        final Optional<HandoffMessage.Store> own = context.responseCache().find(key, digest);
+        if (own.isPresent()) {
+            done.accept(own.get().content());
             return;
         }
         final long id = nextFetchId++;
--- a/spokestall/src/main/java/spokestall/proxy/RequestReservation.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestReservation.java
@@ -41,7 +41,7 @@
 
     /** Reserves upstream capacity that was found available; it counts until {@link #end}. */
     void reserve() {
-        loadBalancer.keep(service, tenant);
+        loadBalancer.reserve(service, tenant);
         counted = true;
         reserved = true;
     }
@@ -55,7 +55,7 @@
     void release() {
         if (reserved) {
             reserved = false;
-            loadBalancer.release(service);
+            loadBalancer.releaseReservation(service);
         }
     }
 
@@ -63,7 +63,7 @@
     void end() {
         release();
         if (counted) {
-            loadBalancer.over(service, tenant);
+            loadBalancer.onRequestEnded(service, tenant);
         }
     }
 }
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -18,7 +18,7 @@
     private final ManualClock clock = new ManualClock(1_000_000);
     private final FleetClock fleet = new FleetClock(clock, 100);
 
-    private UsageCounter counter(final long uncountedMs) {
+    private UsageCounter counter(final long uncountedMaxMs) {
         fleet.onPeerReading("p", clock.nowMs(), true, clock.nowMs());
         fleet.onPeerReading("q", clock.nowMs(), true, clock.nowMs());
         return new UsageCounter(
