--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -6,7 +6,7 @@
 import spokestall.consensus.VoterSet;
 import spokestall.discovery.HealthChecker;
 import spokestall.gossip.PartialView;
-import spokestall.lease.LeaseManager;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
@@ -14,8 +14,8 @@
 import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
-import spokestall.usage.UsageCounter;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.ReportSchedule;
 
 /**
  * Derives each component's periods, time-outs and bounds from the settings. The settings give a few bounds that operators care
@@ -147,8 +147,8 @@
     }
 
     /** Returns the parameters of the counting of requests. */
-    UsageCounter.Timing usageCounter() {
-        return new UsageCounter.Timing(
+    CounterLimits usageCounter() {
+        return new CounterLimits(
                 windowMs(),
                 settings.part("reportDueMs", 0.1),
                 USAGE_WINDOWS_KEPT,
@@ -158,8 +158,8 @@
     }
 
     /** Returns the parameters of the usage report, as ratios of the time by which it is due. */
-    UsageReporter.Timing reporter() {
-        return new UsageReporter.Timing(
+    ReportSchedule reporter() {
+        return new ReportSchedule(
                 windowMs(),
                 settings.part("reportDueMs", 0.15),
                 settings.part("reportDueMs", 0.5),
@@ -171,8 +171,8 @@
     }
 
     /** Returns the parameters of the usage report's lease. */
-    LeaseManager.Timing lease() {
-        return new LeaseManager.Timing(
+    LeaseTimeouts lease() {
+        return new LeaseTimeouts(
                 settings.ms("leaseMs"),
                 settings.part("leaseMs", 0.2),
                 settings.part("leaseMs", 0.4),
