--- a/spokestall/src/main/java/spokestall/lease/package-info.java
+++ b/spokestall/src/main/java/spokestall/lease/package-info.java
@@ -4,7 +4,7 @@
  * <p>Owns the lease's state machine at one core ({@link spokestall.lease.LeaseManager}), the session in which the holder may act
  * ({@link spokestall.lease.LeaseSession}) and the stored record ({@link spokestall.lease.Lease}). docs/lease.md has the design.
  *
- * <p>Invariants: at most one session is valid at any time; a rival acquires a lease only after it saw it unchanged for the whole
+ * <p>Invariants: at most one session is valid at any time; a rival acquires a lease only after it saw it unchanged for the full
  * span and a margin on its own monotonic clock; an uncertain session never becomes valid again; fencing tokens rise with each
  * acquisition.
  *
--- a/spokestall/src/main/java/spokestall/usage/WindowReport.java
+++ b/spokestall/src/main/java/spokestall/usage/WindowReport.java
@@ -12,7 +12,7 @@
 final class WindowReport {
     /** How far the report is. */
     enum Stage {
-        /** Cores are asked for their counts; edges may still push some. */
+        /** The cores' counts are being requested; edges may still push some. */
         CLOSING,
         /** The change that writes the counts into the window's register is under way. */
         SEALING,
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -4,10 +4,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import spokestall.consensus.ConsensusTestContext;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.RegisterEdit;
 import spokestall.lease.LeaseSession;
 import spokestall.message.Message;
+import spokestall.message.MessageCodec;
 import spokestall.time.FleetClock;
 
 class UsageReporterTest {
@@ -16,7 +20,11 @@
     private static final ReportSchedule SCHEDULE = new ReportSchedule(WINDOW_MS, 1500, 5000, 300, DUE_MS, 800, 800, 10);
     private static final List<String> CORES = List.of("v0", "v1", "v2", "v3", "v4", "v5");
 
-    private record Call(long window, long atMs, long timeoutMs, ReportCallback callback) {}
+    private record Call(SealedWindow contents, long atMs, long timeoutMs, ReportCallback callback) {
+        long window() {
+            return contents.window();
+        }
+    }
 
     private final ConsensusTestContext context = new ConsensusTestContext(1, 0);
     private final FleetClock fleetClock = new FleetClock(context.clock, 100);
@@ -25,8 +33,8 @@
     private final UsageReporter reporter = new UsageReporter(
             new ReporterContext("k", "k", context.proposer("k"), this::answer, context.clock, fleetClock),
             SCHEDULE,
-            (holder, fencingToken, window, timeoutMs, deadline, callback) ->
-                    calls.add(new Call(window.window(), context.clock.nowMs(), timeoutMs, callback)),
+            (holder, fencingToken, contents, timeoutMs, deadline, callback) ->
+                    calls.add(new Call(contents, context.clock.nowMs(), timeoutMs, callback)),
             new ReportSources(table, () -> CORES, edge -> null, () -> 0));
 
     private void answer(final String core, final Message message) {
@@ -40,6 +48,21 @@
         reporter.onSessionStarted(new LeaseSession("s1", "k/1", 7, ms + 20_000, ms + 600_000));
     }
 
+    /** Writes what an earlier holder left in a window's register. */
+    private void store(final SealedWindow contents) {
+        context.proposer("w")
+                .change(
+                        SealedWindow.key(contents.window()),
+                        800,
+                        value -> new RegisterEdit.Set(MessageCodec.bytes(contents)),
+                        outcome -> assertThat(outcome).isInstanceOf(ProposalOutcome.Done.class));
+        context.run(context.clock.nowMs() + 400);
+    }
+
+    private List<Call> callsOf(final long window) {
+        return calls.stream().filter(call -> call.window() == window).toList();
+    }
+
     private void tickUntil(final long ms) {
         while (context.clock.nowMs() < ms) {
             reporter.onTick();
@@ -54,8 +77,8 @@
         tickUntil(50_000);
         assertThat(calls).extracting(Call::window).containsExactlyInAnyOrder(7L, 8L);
         assertThat(calls)
-                .allSatisfy(
-                        c -> assertThat(c.atMs + c.timeoutMs).isLessThanOrEqualTo((c.window + 1) * WINDOW_MS + DUE_MS));
+                .allSatisfy(c ->
+                        assertThat(c.atMs + c.timeoutMs).isLessThanOrEqualTo((c.window() + 1) * WINDOW_MS + DUE_MS));
     }
 
     @Test
@@ -85,4 +108,47 @@
         reporter.onSessionStarted(new LeaseSession("e2", "k/2", 8, 60_000, 600_000));
         assertThat(reporter.isQuiescent()).isTrue();
     }
+
+    /** Whoever sends a window sends what its register holds, whatever this core's own table has. */
+    @Test
+    void aWindowThatAnEarlierHolderSealedIsSentWithTheCountsItWasSealedWith() {
+        context.run(40_500);
+        store(new SealedWindow(7, Map.of("t", 3L), "k0/1", 5, false));
+        table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 9L), true));
+        beginAt(41_000);
+        tickUntil(43_000);
+        assertThat(callsOf(7)).hasSize(1);
+        assertThat(callsOf(7).get(0).contents().counts()).isEqualTo(Map.of("t", 3L));
+        assertThat(callsOf(7).get(0).contents().owner()).isEqualTo("k0/1");
+    }
+
+    @Test
+    void aWindowThatIsRecordedAsReportedIsNotSentAgain() {
+        context.run(40_500);
+        store(new SealedWindow(7, Map.of("t", 3L), "k0/1", 5, true));
+        beginAt(41_000);
+        tickUntil(43_000);
+        assertThat(callsOf(6)).hasSize(1);
+        assertThat(callsOf(7)).isEmpty();
+        assertThat(reporter.lastSealed()).isEqualTo(7);
+    }
+
+    @Test
+    void anUnconfirmedWindowIsSentAgainWithTheSameCountsAndAConfirmedOneIsRecorded() {
+        context.run(40_900);
+        table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 9L), true));
+        beginAt(41_000);
+        tickUntil(42_000);
+        callsOf(7).get(0).callback().onResult(ReportResult.UNCONFIRMED);
+        table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 10L), true));
+        tickUntil(42_400);
+        assertThat(callsOf(7)).hasSize(2);
+        assertThat(callsOf(7))
+                .allSatisfy(call -> assertThat(call.contents().counts()).isEqualTo(Map.of("t", 9L)));
+        callsOf(7).get(1).callback().onResult(ReportResult.ACCEPTED);
+        tickUntil(42_800);
+        reporter.onSessionStarted(new LeaseSession("s2", "k/2", 8, 60_000, 600_000));
+        tickUntil(44_000);
+        assertThat(callsOf(7)).as("a later session finds it recorded").hasSize(2);
+    }
 }
