--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -169,7 +169,7 @@
 
     private void onRead(final ProposalOutcome outcome) {
         readInFlight = false;
-        if (state == State.WATCHING && outcome instanceof ProposalOutcome.Done done) {
+        if (state == State.WATCHING && outcome instanceof ProposalOutcome.Committed done) {
             watch.onStoreRead(lease(done.value()));
             if (rule.mayAcquire(watch)) {
                 acquire();
@@ -185,7 +185,7 @@
         final String sessionId = Long.toHexString(context.random().nextLong());
         session = null;
         transition(State.ACQUIRING, whyFree(expired));
-        proposer.change(
+        proposer.propose(
                 key,
                 timeouts.storeWaitMs(),
                 value -> acquisition(value, owner, expired),
@@ -225,7 +225,7 @@
             final ProposalOutcome outcome, final String owner, final String sessionId, final long requestedMs) {
         final long nowMs = clock.nowMs();
         watch.reset();
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             final Lease now = lease(done.value());
             watch.restart(now);
             if (done.wrote() && now.owner().equals(owner) && nowMs - requestedMs <= timeouts.storeWaitMs()) {
@@ -243,7 +243,7 @@
         }
         // Rejected, late or unknown: no session begins. If it was stored all the same, the next read finds it and
         // the watch begins again from there.
-        transition(State.WATCHING, outcome instanceof ProposalOutcome.Done ? "not_acquired" : "outcome_unknown");
+        transition(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "not_acquired" : "outcome_unknown");
     }
 
     /** Renews the session in time, or ends it once it is no longer valid. */
@@ -261,7 +261,7 @@
         renewalInFlight = true;
         final long requestedMs = clock.nowMs();
         renewalRequestedMs = requestedMs;
-        proposer.change(
+        proposer.propose(
                 key,
                 timeouts.storeWaitMs(),
                 value -> ifOwned(value, renewed, now -> now.renewed(timeouts.leaseMs())),
@@ -285,7 +285,7 @@
     /** Whether the renewal is stored, its answer came in time, and some of the gained time is left. */
     private boolean isRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
         final long nowMs = clock.nowMs();
-        final boolean stored = outcome instanceof ProposalOutcome.Done done
+        final boolean stored = outcome instanceof ProposalOutcome.Committed done
                 && done.wrote()
                 && lease(done.value()).owner().equals(renewed.owner());
         final boolean timely = nowMs - requestedMs <= timeouts.storeWaitMs() && renewed.isValid(nowMs);
@@ -302,11 +302,11 @@
             onReleaseEnded("calls_in_flight");
             return;
         }
-        proposer.change(
+        proposer.propose(
                 key,
                 timeouts.storeWaitMs(),
                 value -> ifOwned(value, ended, Lease::release),
-                outcome -> onReleaseEnded(outcome instanceof ProposalOutcome.Done ? "released" : "outcome_unknown"));
+                outcome -> onReleaseEnded(outcome instanceof ProposalOutcome.Committed ? "released" : "outcome_unknown"));
     }
 
     private void onReleaseEnded(final String reason) {
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -56,7 +56,7 @@
 
     /** Hands over what a voter that is back should have had. It takes it like any late word of a chosen value. */
     void handOver(final MembershipMessage.VoterStatus back, final Acceptor acceptor) {
-        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().same(back.generation(), back.epoch())) {
+        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().hasEpoch(back.generation(), back.epoch())) {
             return;
         }
         final VoterSet table = voterSet.get();
@@ -80,7 +80,7 @@
         } else if (message instanceof HandoffMessage.Fetch ask) {
             answer(ask);
         } else if (message instanceof HandoffMessage.FetchResult back && edge != null) {
-            edge.hear(back);
+            edge.onFetchResult(back);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -183,7 +183,7 @@
         final Map<String, Long> counts = table.totals(report.window());
         final byte[] value = MessageCodec.bytes(
                 new SealedWindow(report.window(), counts, under.owner(), under.fencingToken(), false));
-        proposer.change(
+        proposer.propose(
                 SealedWindow.key(report.window()),
                 schedule.storeWaitMs(),
                 now -> now == null && under.isValid(clock.nowMs()) && isReportable(report.window())
@@ -193,11 +193,11 @@
     }
 
     private void onSealOutcome(final WindowReport report, final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             lastSealed = Math.max(lastSealed, report.window());
             report.onSealed(MessageCodec.record(done.value(), SealedWindow.class));
         } else {
-            final boolean past = outcome instanceof ProposalOutcome.Gone || !isReportable(report.window());
+            final boolean past = outcome instanceof ProposalOutcome.Pruned || !isReportable(report.window());
             report.transition(past ? WindowReport.Stage.DONE : WindowReport.Stage.CLOSING);
         }
     }
@@ -245,10 +245,10 @@
 
     private void recordCompleted(final LeaseSession under, final WindowReport report) {
         report.transition(WindowReport.Stage.RECORDING);
-        proposer.change(
+        proposer.propose(
                 SealedWindow.key(report.window()), schedule.storeWaitMs(), UsageReporter::completed, outcome -> {
                     report.transition(WindowReport.Stage.DONE);
-                    if (!(outcome instanceof ProposalOutcome.Done)) {
+                    if (!(outcome instanceof ProposalOutcome.Committed)) {
                         LOG.atWarning().log(
                                 "event=window_completion_unknown node=%s sessionId=%s window=%s",
                                 node, under.sessionId(), report.window());
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -40,7 +40,7 @@
             public void run() {
                 context.clock.after(200, this);
                 reader.read(Lease.key("usage_report"), 300, outcome -> {
-                    if (number != 2 && outcome instanceof ProposalOutcome.Done done) {
+                    if (number != 2 && outcome instanceof ProposalOutcome.Committed done) {
                         late.add(register(done.value()));
                         if (late.size() > (number == 1 ? 5 : 1)) {
                             late.poll();
@@ -93,7 +93,7 @@
                         context.random.nextInt(50_000),
                         () -> frozenUntilMs[context.random.nextInt(4)] =
                                 context.clock.nowMs() + 1000 + context.random.nextInt(5000));
-                context.clock.after(context.random.nextInt(50_000), () -> context.bounce(context.random.nextInt(6)));
+                context.clock.after(context.random.nextInt(50_000), () -> context.powerCycle(context.random.nextInt(6)));
             }
             for (long atMs = 200; atMs < 60_000; atMs += 20) {
                 context.run(atMs);
@@ -113,12 +113,12 @@
         final byte[][] copy = {null};
         final long[] renewal = {0};
         final long[] renewedMs = {0};
-        final Runnable renew = () -> writer.change(
+        final Runnable renew = () -> writer.propose(
                 Lease.key("usage_report"),
                 800,
                 value -> new RegisterEdit.Set(MessageCodec.bytes(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
                 outcome -> {
-                    copy[0] = ((ProposalOutcome.Done) outcome).value();
+                    copy[0] = ((ProposalOutcome.Committed) outcome).value();
                     renewedMs[0] = context.clock.nowMs();
                 });
         renew.run();
@@ -237,7 +237,7 @@
     void aLeaseOfAnOlderGenerationIsWatchedByItsOwnHolderToo() {
         final ConsensusTestContext context = new ConsensusTestContext(4, 0);
         context.proposer("w")
-                .change(
+                .propose(
                         Lease.key("usage_report"),
                         800,
                         value -> new RegisterEdit.Set(
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -42,7 +42,7 @@
                     final boolean without = node.running()
                             && node.node().directory().edges().isEmpty()
                             && !node.node().leaving()
-                            && node.node().follower().fresh();
+                            && node.node().feedClient().fresh();
                     if (!without) {
                         sinceMs.remove(node.name);
                     } else {
@@ -65,7 +65,7 @@
     void aNodeInContactHasEdgesToName() {
         for (final Scenario scenario : List.of(
                 Scenario.RESTART_ALL,
-                Scenario.ZONE_POWER,
+                Scenario.DISTRICT_POWER,
                 Scenario.NODE_KILLS,
                 Scenario.CUTS,
                 Scenario.SPLIT,
