--- a/spokestall/src/main/java/spokestall/node/SnapshotStore.java
+++ b/spokestall/src/main/java/spokestall/node/SnapshotStore.java
@@ -73,7 +73,8 @@
     private void write() {
         transitionTo(State.WRITING);
         final long version = configurationStore.configuration().version();
-        acceptor.putLocalRecord(KEY, MessageCodec.bytes(configurationStore.snapshot()), synced -> onWritten(version, synced));
+        acceptor.putLocalRecord(
+                KEY, MessageCodec.bytes(configurationStore.snapshot()), synced -> onWritten(version, synced));
     }
 
     private void onWritten(final long version, final boolean synced) {
