--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -4,6 +4,8 @@
 import spokestall.consensus.Proposer;
 import spokestall.consensus.Register;
 import spokestall.lease.LeaseManager;
+import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.message.MessageCodec;
 import spokestall.usage.SealedWindow;
 
@@ -32,16 +34,16 @@
     /** Records a usage window once its report is stored here as sent. */
     void onRegisterStored(final String key, final Register register) {
         if (register.value() != null && SealedWindow.windowOf(key) >= 0) {
-            auditor.window(MessageCodec.record(register.value(), SealedWindow.class));
+            auditor.recordWindow(MessageCodec.record(register.value(), SealedWindow.class));
         }
     }
 
     /** Records what was decided since the last tick; entries carry the fleet's time, so it must be known. */
     void onTick() {
         if (context.fleet.settled()) {
-            auditor.table(proposer.voterSet());
-            auditor.configuration();
-            auditor.lease(leaseManager.seen());
+            auditor.recordVoters(proposer.voterSet());
+            auditor.recordConfiguration();
+            auditor.recordLease(leaseManager.observedLease());
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -63,11 +63,11 @@
         ticker.every(
                 settings.part("leaseMs", 0.1),
                 () -> usage.tickLease(components.view.self().leaving()));
-        ticker.every(settings.part("reportDueMs", 0.01), usage.reporter::tick);
+        ticker.every(settings.part("reportDueMs", 0.01), usage.reporter::onTick);
         ticker.every(settings.part("keyBoundMs", 0.2), this::pruneCore);
-        ticker.every(settings.ms("countPushMs"), usage::tickKept);
+        ticker.every(settings.ms("countPushMs"), usage::tickPersistedCounts);
         ticker.every(settings.ms("listMs"), components.discovery::tickKept);
-        ticker.every(settings.part("keyBoundMs", 0.02), usage::recount);
+        ticker.every(settings.part("keyBoundMs", 0.02), usage::mergeCountsFromDisk);
         ticker.every(settings.part("keyBoundMs", 0.1), components.audit::onTick);
         ticker.every(settings.part("keyBoundMs", 0.02), () -> storage.applyFirstVersion(components.feedClient));
     }
