--- a/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -17,12 +17,12 @@
     private final String address;
     private final List<String> seeds;
     private final boolean first;
-    private final MessageSender post;
-    private final Supplier<VoterSet> table;
+    private final MessageSender sender;
+    private final Supplier<VoterSet> voterSet;
     private final Consumer<Runnable> marked;
     private ProposalNumber promised = ProposalNumber.NONE;
     private ProposalNumber accepted = ProposalNumber.NONE;
-    private InitialState founding;
+    private InitialState initialState;
 
     /** {@code first}: this life may vote; {@code marked} runs what it is given once the disk, if there is one, can't be
      * taken for blank any more. */
@@ -30,42 +30,42 @@
             final String address,
             final List<String> seeds,
             final boolean first,
-            final MessageSender post,
-            final Supplier<VoterSet> table,
+            final MessageSender sender,
+            final Supplier<VoterSet> voterSet,
             final Consumer<Runnable> marked) {
         this.address = address;
         this.seeds = seeds.stream().sorted().distinct().toList();
         this.first = first && seeds.contains(address);
-        this.post = post;
-        this.table = table;
+        this.sender = sender;
+        this.voterSet = voterSet;
         this.marked = marked;
     }
 
     /** Hears a founder. */
     public void hear(final BootstrapMessage message) {
         if (message instanceof BootstrapMessage.Prepare ask && mayVote(ask.from(), ask.seeds())) {
-            final boolean yes = ask.proposalNumber().compareTo(promised) >= 0;
-            promised = yes ? ask.proposalNumber() : promised;
+            final boolean granted = ask.proposalNumber().compareTo(promised) >= 0;
+            promised = granted ? ask.proposalNumber() : promised;
             final BootstrapMessage.Promise reply = new BootstrapMessage.Promise(
-                    address, ask.proposalNumber(), yes, promised, accepted, yes ? founding : null);
-            marked.accept(() -> post.send(ask.from(), reply));
+                    address, ask.proposalNumber(), granted, promised, accepted, granted ? initialState : null);
+            marked.accept(() -> sender.send(ask.from(), reply));
         } else if (message instanceof BootstrapMessage.Accept offer && mayVote(offer.from(), offer.seeds())) {
-            final boolean yes = offer.proposalNumber().compareTo(promised) >= 0;
-            if (yes) {
+            final boolean granted = offer.proposalNumber().compareTo(promised) >= 0;
+            if (granted) {
                 promised = offer.proposalNumber();
                 accepted = offer.proposalNumber();
-                founding = offer.founding();
+                initialState = offer.initialState();
             }
             final BootstrapMessage.Accepted reply =
-                    new BootstrapMessage.Accepted(address, offer.proposalNumber(), yes, promised);
-            marked.accept(() -> post.send(offer.from(), reply));
+                    new BootstrapMessage.Accepted(address, offer.proposalNumber(), granted, promised);
+            marked.accept(() -> sender.send(offer.from(), reply));
         }
     }
 
     /** Whoever asks after the founding is told of it; whoever goes by other seeds gets nothing. */
     private boolean mayVote(final String from, final List<String> asked) {
-        if (table.get() != null) {
-            post.send(from, new ConsensusMessage.Table(table.get()));
+        if (voterSet.get() != null) {
+            sender.send(from, new ConsensusMessage.Table(voterSet.get()));
             return false;
         }
         return first && asked.equals(seeds);
--- a/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
@@ -13,17 +13,17 @@
     record Promise(
             String seed,
             ProposalNumber proposalNumber,
-            boolean yes,
+            boolean granted,
             ProposalNumber promised,
             ProposalNumber accepted,
-            InitialState founding)
+            InitialState initialState)
             implements BootstrapMessage {}
 
     /** Phase two. */
-    record Accept(String from, List<String> seeds, ProposalNumber proposalNumber, InitialState founding)
+    record Accept(String from, List<String> seeds, ProposalNumber proposalNumber, InitialState initialState)
             implements BootstrapMessage {}
 
     /** The reply to {@link Accept}. */
-    record Accepted(String seed, ProposalNumber proposalNumber, boolean yes, ProposalNumber promised)
+    record Accepted(String seed, ProposalNumber proposalNumber, boolean granted, ProposalNumber promised)
             implements BootstrapMessage {}
 }
--- a/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
@@ -33,9 +33,9 @@
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final String name;
     private final String address;
-    private final String by;
+    private final String proposerId;
     private final List<String> seeds;
-    private final MessageSender post;
+    private final MessageSender sender;
     private final Clock clock;
     private final Timing timing;
     private final Function<List<Voter>, InitialState> make;
@@ -54,17 +54,17 @@
     public BootstrapProposer(
             final String name,
             final String address,
-            final String by,
+            final String proposerId,
             final List<String> seeds,
-            final MessageSender post,
+            final MessageSender sender,
             final Clock clock,
             final Timing timing,
             final Function<List<Voter>, InitialState> make) {
         this.name = name;
         this.address = address;
-        this.by = by;
+        this.proposerId = proposerId;
         this.seeds = seeds.stream().sorted().distinct().toList();
-        this.post = post;
+        this.sender = sender;
         this.clock = clock;
         this.timing = timing;
         this.make = make;
@@ -105,12 +105,12 @@
     }
 
     private void ask() {
-        proposalNumber = new ProposalNumber(++count, by);
+        proposalNumber = new ProposalNumber(++count, proposerId);
         promises.clear();
         taken.clear();
         change(Phase.ASK, "cores-" + known.size());
         for (final String seed : seeds) {
-            post.send(seed, new BootstrapMessage.Prepare(address, seeds, proposalNumber));
+            sender.send(seed, new BootstrapMessage.Prepare(address, seeds, proposalNumber));
         }
     }
 
@@ -121,7 +121,7 @@
     /** Hears a seed. */
     public void hear(final BootstrapMessage message) {
         if (message instanceof BootstrapMessage.Promise p && seeds.contains(p.seed())) {
-            if (phase == Phase.ASK && p.proposalNumber().equals(proposalNumber) && p.yes()) {
+            if (phase == Phase.ASK && p.proposalNumber().equals(proposalNumber) && p.granted()) {
                 promises.put(p.seed(), p);
                 if (promises.size() >= majority()) {
                     offer();
@@ -129,15 +129,15 @@
             }
             count = Math.max(count, p.promised().count());
         } else if (message instanceof BootstrapMessage.Accepted t && seeds.contains(t.seed())) {
-            if (phase == Phase.OFFER && t.proposalNumber().equals(proposalNumber) && t.yes()) {
+            if (phase == Phase.OFFER && t.proposalNumber().equals(proposalNumber) && t.granted()) {
                 taken.add(t.seed());
                 if (taken.size() >= majority()) {
                     change(Phase.FOUNDED, "taken");
-                    for (final Voter voter : proposed.table().voters()) {
-                        post.send(voter.address(), new MembershipMessage.GenerationStarted(proposed));
+                    for (final Voter voter : proposed.voterSet().voters()) {
+                        sender.send(voter.address(), new MembershipMessage.GenerationStarted(proposed));
                     }
-                    if (proposed.table().voter(name) == null) {
-                        post.send(address, new MembershipMessage.GenerationStarted(proposed));
+                    if (proposed.voterSet().voter(name) == null) {
+                        sender.send(address, new MembershipMessage.GenerationStarted(proposed));
                     }
                 }
             }
@@ -148,14 +148,14 @@
     private void offer() {
         BootstrapMessage.Promise highest = null;
         for (final BootstrapMessage.Promise p : promises.values()) {
-            if (p.founding() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
+            if (p.initialState() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
                 highest = p;
             }
         }
-        proposed = highest != null ? highest.founding() : make.apply(List.copyOf(known.values()));
+        proposed = highest != null ? highest.initialState() : make.apply(List.copyOf(known.values()));
         change(Phase.OFFER, highest != null ? "finishing" : "promised");
         for (final String seed : seeds) {
-            post.send(seed, new BootstrapMessage.Accept(address, seeds, proposalNumber, proposed));
+            sender.send(seed, new BootstrapMessage.Accept(address, seeds, proposalNumber, proposed));
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -26,26 +26,26 @@
     private final String name;
     private final String address;
     private final Acceptor acceptor;
-    private final MessageSender post;
+    private final MessageSender sender;
     private final Clock clock;
     private final Timing timing;
     private final Set<String> holders = new HashSet<>();
     private long untilMs;
-    private VoterSet table;
+    private VoterSet voterSet;
     private Runnable done;
 
-    /** Example: {@code new GracefulHandover("d1-core", address, acceptor, post, clock, new Timing(110, 880))} */
+    /** Example: {@code new GracefulHandover("d1-core", address, acceptor, sender, clock, new Timing(110, 880))} */
     public GracefulHandover(
             final String name,
             final String address,
             final Acceptor acceptor,
-            final MessageSender post,
+            final MessageSender sender,
             final Clock clock,
             final Timing timing) {
         this.name = name;
         this.address = address;
         this.acceptor = acceptor;
-        this.post = post;
+        this.sender = sender;
         this.clock = clock;
         this.timing = timing;
     }
@@ -67,16 +67,16 @@
             end();
             return;
         }
-        if (acceptor.voterSet() != table) {
-            table = acceptor.voterSet();
+        if (acceptor.voterSet() != voterSet) {
+            voterSet = acceptor.voterSet();
             holders.clear();
         }
         final List<ConsensusMessage.Held> held = held();
-        for (final Voter voter : table.voters()) {
+        for (final Voter voter : voterSet.voters()) {
             if (!voter.name().equals(name) && !holders.contains(voter.name())) {
-                post.send(
+                sender.send(
                         voter.address(),
-                        new ConsensusMessage.HandoverRequest(address, table.generation(), table.epoch(), held));
+                        new ConsensusMessage.HandoverRequest(address, voterSet.generation(), voterSet.epoch(), held));
             }
         }
         clock.after(timing.askMs(), this::ask);
@@ -94,10 +94,10 @@
 
     /** Hears what another voter lacks. */
     public void hear(final ConsensusMessage.HandoverResponse back) {
-        if (done == null || table == null || !table.same(back.generation(), back.epoch())) {
+        if (done == null || voterSet == null || !voterSet.same(back.generation(), back.epoch())) {
             return;
         }
-        final Voter voter = table.voter(back.name());
+        final Voter voter = voterSet.voter(back.name());
         if (voter == null) {
             return;
         }
@@ -107,13 +107,13 @@
         for (final String key : back.lacking()) {
             final Register register = acceptor.registers().get(key);
             if (register != null && register.value() != null) {
-                post.send(
+                sender.send(
                         voter.address(),
                         new ConsensusMessage.Chosen(
-                                table.generation(), table.epoch(), key, register.accepted(), register.value()));
+                                voterSet.generation(), voterSet.epoch(), key, register.accepted(), register.value()));
             }
         }
-        if (holders.size() >= Math.min(table.majority(), table.voters().size() - 1)) {
+        if (holders.size() >= Math.min(voterSet.majority(), voterSet.voters().size() - 1)) {
             end();
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -39,8 +39,8 @@
 
     /** Makes a founding out of what is left. */
     public interface Merger {
-        /** Example: {@code merger.merge(base, survivingState, voters)} */
-        InitialState merge(long base, List<SurvivingState> survivingState, List<Voter> voters);
+        /** Example: {@code merger.merge(baseGeneration, survivingState, voters)} */
+        InitialState merge(long baseGeneration, List<SurvivingState> survivingState, List<Voter> voters);
     }
 
     /** Spans and sizes, from the settings; cores is 0 if nobody said how many. A settled core says its standing each
@@ -58,7 +58,7 @@
             long goneMs) {}
 
     /** What an acceptor keeps on disk about a new generation's proposal number. */
-    record Kept(long base, ProposalNumber promised, ProposalNumber accepted, InitialState founding) {}
+    record Kept(long baseGeneration, ProposalNumber promised, ProposalNumber accepted, InitialState initialState) {}
 
     /** What a core said last, and how far its disk was written at the most. */
     private record Heard(MembershipMessage.VoterStatus voterStatus, long heardMs, long written) {}
@@ -70,10 +70,10 @@
 
     private final String name;
     private final String address;
-    private final String by;
+    private final String proposerId;
     private final Acceptor acceptor;
     private final Proposer proposer;
-    private final MessageSender post;
+    private final MessageSender sender;
     private final Clock clock;
     private final Timing timing;
     private final Merger merger;
@@ -95,7 +95,7 @@
     private Kept kept;
     private Phase phase = Phase.IDLE;
     private ProposalNumber proposalNumber = ProposalNumber.NONE;
-    private long base;
+    private long baseGeneration;
     private long phaseMs;
     private long count;
     private long wantedSinceMs = -1;
@@ -114,10 +114,10 @@
     public MembershipCoordinator(
             final String name,
             final String address,
-            final String by,
+            final String proposerId,
             final Acceptor acceptor,
             final Proposer proposer,
-            final MessageSender post,
+            final MessageSender sender,
             final Clock clock,
             final Timing timing,
             final Merger merger,
@@ -130,10 +130,10 @@
             final ToIntFunction<List<Voter>> mostLost) {
         this.name = name;
         this.address = address;
-        this.by = by;
+        this.proposerId = proposerId;
         this.acceptor = acceptor;
         this.proposer = proposer;
-        this.post = post;
+        this.sender = sender;
         this.clock = clock;
         this.timing = timing;
         this.merger = merger;
@@ -147,8 +147,8 @@
         this.silence = new PeerLiveness(timing.sayMs());
         final byte[] had = acceptor.own(FORM);
         kept = had == null ? null : MessageCodec.record(had, Kept.class);
-        if (kept != null && kept.base == generation()) {
-            acceptor.resign(kept.base);
+        if (kept != null && kept.baseGeneration == generation()) {
+            acceptor.resign(kept.baseGeneration);
         }
     }
 
@@ -178,8 +178,8 @@
     }
 
     private long unheard(final long boundMs) {
-        final VoterSet table = acceptor.voterSet();
-        return table == null ? 0 : silence.silentVoters(table, name, boundMs, clock.nowMs());
+        final VoterSet voterSet = acceptor.voterSet();
+        return voterSet == null ? 0 : silence.silentVoters(voterSet, name, boundMs, clock.nowMs());
     }
 
     private void say(final String to, final MembershipMessage.VoterStatus what) {
@@ -189,28 +189,28 @@
                 with = what.written(acceptor.written(), Fingerprints.of(h.voterStatus.diskId()), h.written);
             }
         }
-        post.send(to, with);
+        sender.send(to, with);
     }
 
     /** Whether so many others have spoken in this life that one of any majority has: had this disk been written further
      * than it is, one of them would have said so before the first vote. */
     public boolean checked() {
-        final VoterSet table = acceptor.voterSet();
-        if (table == null) {
+        final VoterSet voterSet = acceptor.voterSet();
+        if (voterSet == null) {
             return false;
         }
         int told = 0;
-        for (final Voter voter : table.voters()) {
+        for (final Voter voter : voterSet.voters()) {
             told += !voter.name().equals(name) && heard.containsKey(voter.name()) ? 1 : 0;
         }
-        return told >= table.majority() - 1;
+        return told >= voterSet.majority() - 1;
     }
 
     /** What this core once promised may not be on a disk that was put back to an older state: it starts over. */
     private void older(final MembershipMessage.VoterStatus s) {
         LOG.atSevere().log(
                 "event=disk_older node=%s written=%s heard=%s from=%s",
-                name, acceptor.written(), s.yourWritten(), s.name());
+                name, acceptor.written(), s.recipientWritten(), s.name());
         kept = null;
         acceptor.restart(freshId.get());
         acceptor.keepOwn(FORM, null, ok -> {});
@@ -229,10 +229,10 @@
     }
 
     /** Takes a newer table from anywhere. */
-    public void adopt(final VoterSet table) {
-        final boolean newer = table.newerThan(acceptor.voterSet());
-        acceptor.adopt(table);
-        proposer.adopt(table);
+    public void adopt(final VoterSet voterSet) {
+        final boolean newer = voterSet.newerThan(acceptor.voterSet());
+        acceptor.adopt(voterSet);
+        proposer.adopt(voterSet);
         if (newer) {
             for (final String key :
                     List.copyOf(acceptor.registers().tailMap(VoterSet.KEYS).keySet())) {
@@ -246,7 +246,8 @@
 
     private void change(final Phase to, final String why) {
         if (phase != to || to != Phase.IDLE) {
-            LOG.atInfo().log("event=formation node=%s from=%s to=%s why=%s base=%s", name, phase, to, why, base);
+            LOG.atInfo().log(
+                    "event=formation node=%s from=%s to=%s why=%s base=%s", name, phase, to, why, baseGeneration);
         }
         phase = to;
         phaseMs = clock.nowMs();
@@ -267,11 +268,11 @@
         if (settled && nowMs - saidMs < timing.sayMs()) {
             return;
         }
-        final boolean edgesToo = mine.table() == null && nowMs / timing.sayMs() != saidMs / timing.sayMs();
+        final boolean edgesToo = mine.voterSet() == null && nowMs / timing.sayMs() != saidMs / timing.sayMs();
         saidMs = nowMs;
         final Set<String> have = new HashSet<>();
         heard.values().forEach(h -> {
-            if (!h.voterStatus.lacks(mine.table())) {
+            if (!h.voterStatus.lacks(mine.voterSet())) {
                 have.add(h.voterStatus.address());
             }
         });
@@ -287,10 +288,10 @@
                         mine.canWrite(),
                         mine.generation(),
                         mine.epoch(),
-                        mine.founding(),
+                        mine.bootstrapCandidate(),
                         mine.catchingUp(),
                         mine.silentVoters(),
-                        mine.goneVoters(),
+                        mine.removableVoters(),
                         0,
                         0,
                         0);
@@ -308,7 +309,7 @@
         acceptor.tick(address);
         final Map<String, MembershipMessage.VoterStatus> fresh = fresh();
         if (founded != null
-                && founded.table().voters().stream()
+                && founded.voterSet().voters().stream()
                         .allMatch(voter -> fresh.containsKey(voter.name())
                                 && fresh.get(voter.name()).hasState())) {
             founded = null;
@@ -330,7 +331,7 @@
     private static Map<String, Voter> blanks(final Map<String, MembershipMessage.VoterStatus> fresh) {
         final Map<String, Voter> blanks = new TreeMap<>();
         fresh.forEach((peer, s) -> {
-            if (s.founding() && s.canWrite()) {
+            if (s.bootstrapCandidate() && s.canWrite()) {
                 blanks.put(peer, new Voter(peer, s.address(), s.diskId()));
             }
         });
@@ -389,10 +390,10 @@
         final int rank = new ArrayList<>(fresh.keySet()).indexOf(name);
         final long waitMs = (fresh.size() >= size() ? timing.settleMs() : timing.waitAllMs()) + rank * timing.roundMs();
         if (nowMs - wantedSinceMs >= waitMs) {
-            base = generation();
+            baseGeneration = generation();
             survivingState.clear();
             for (final String other : others.get()) {
-                post.send(other, new MembershipMessage.SurvivingStateRequest(address));
+                sender.send(other, new MembershipMessage.SurvivingStateRequest(address));
             }
             change(Phase.GATHER, "no-majority-with-state");
         }
@@ -420,7 +421,7 @@
         return roundsWaited < ROUNDS_WAITED
                 && survivingState.values().stream()
                         .anyMatch(r -> r.hasState()
-                                && r.generation() == base
+                                && r.generation() == baseGeneration
                                 && elects(r.name())
                                 && fresh.containsKey(r.name())
                                 && !promises.containsKey(r.name()));
@@ -428,14 +429,16 @@
 
     private void prepare(final Map<String, MembershipMessage.VoterStatus> fresh) {
         count = Math.max(count, kept == null ? 0 : kept.promised.count()) + 1;
-        proposalNumber = new ProposalNumber(count, by);
+        proposalNumber = new ProposalNumber(count, proposerId);
         promises.clear();
         accepted.clear();
         change(Phase.PREPARE, "gathered");
         final long epoch = acceptor.voterSet() == null ? 0 : acceptor.voterSet().epoch();
         for (final MembershipMessage.VoterStatus s : fresh.values()) {
             if (elects(s.name())) {
-                post.send(s.address(), new MembershipMessage.GenerationPrepare(address, base, proposalNumber, epoch));
+                sender.send(
+                        s.address(),
+                        new MembershipMessage.GenerationPrepare(address, baseGeneration, proposalNumber, epoch));
             }
         }
     }
@@ -445,7 +448,7 @@
         final List<Voter> voters = new ArrayList<>();
         final List<SurvivingState> left = new ArrayList<>(survivingState.values());
         for (final MembershipMessage.GenerationPromise p : promises.values()) {
-            if (p.founding() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
+            if (p.initialState() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
                 highest = p;
             }
             voters.add(new Voter(p.name(), p.address(), p.diskId()));
@@ -458,10 +461,12 @@
                 }
             }
         }
-        proposed = highest != null ? highest.founding() : merger.merge(base, left, voters);
+        proposed = highest != null ? highest.initialState() : merger.merge(baseGeneration, left, voters);
         change(Phase.ACCEPT, "promised-by-" + promises.size());
         for (final Voter voter : voters) {
-            post.send(voter.address(), new MembershipMessage.GenerationAccept(address, base, proposalNumber, proposed));
+            sender.send(
+                    voter.address(),
+                    new MembershipMessage.GenerationAccept(address, baseGeneration, proposalNumber, proposed));
         }
     }
 
@@ -478,7 +483,7 @@
         } else if (message instanceof MembershipMessage.GenerationAccepted a) {
             accepted(a);
         } else if (message instanceof MembershipMessage.GenerationStarted f) {
-            found(f.founding());
+            found(f.initialState());
         } else if (message instanceof MembershipMessage.SurvivingStateResponse back && phase == Phase.GATHER) {
             survivingState.put(back.survivingState().name(), back.survivingState());
         }
@@ -489,26 +494,26 @@
             return;
         }
         silence.heard(s.name(), clock.nowMs());
-        if (s.heardFurther(acceptor.diskId(), acceptor.written()) && acceptor.canWrite()) {
+        if (s.provesOlderDisk(acceptor.diskId(), acceptor.written()) && acceptor.canWrite()) {
             older(s);
         }
         final Heard had = heard.get(s.name());
         final boolean sameDisk = had != null && had.voterStatus.diskId().equals(s.diskId());
         heard.put(s.name(), new Heard(s, clock.nowMs(), sameDisk ? Math.max(had.written, s.written()) : s.written()));
         if (s.newerThan(acceptor.voterSet())) {
-            if (s.table() != null) {
-                adopt(s.table());
+            if (s.voterSet() != null) {
+                adopt(s.voterSet());
             } else {
                 say(s.address(), voterStatus());
             }
         } else if (s.lacks(acceptor.voterSet())) {
-            post.send(
+            sender.send(
                     s.address(),
                     missedFounding(s)
                             ? new MembershipMessage.GenerationStarted(founded)
                             : new ConsensusMessage.Table(acceptor.voterSet()));
         } else if (missedFounding(s)) {
-            post.send(s.address(), new MembershipMessage.GenerationStarted(founded));
+            sender.send(s.address(), new MembershipMessage.GenerationStarted(founded));
         }
         if (had == null || clock.nowMs() - had.heardMs > timing.freshMs()) {
             // Whoever has just come should not have to wait for the next beat.
@@ -518,9 +523,9 @@
 
     /** A seat of the first table that has not voted yet must have missed what it starts from. */
     private boolean missedFounding(final MembershipMessage.VoterStatus s) {
-        final Voter voter = founded == null || founded.table().generation() != generation()
+        final Voter voter = founded == null || founded.voterSet().generation() != generation()
                 ? null
-                : founded.table().voter(s.name());
+                : founded.voterSet().voter(s.name());
         return voter != null
                 && voter.diskId().equals(s.diskId())
                 && !s.hasState()
@@ -530,17 +535,17 @@
     private void prepare(final MembershipMessage.GenerationPrepare p) {
         // A proposal number by an older table would have other voters: none is given once a newer one is known.
         final boolean older = acceptor.voterSet() != null
-                && (p.base() < generation()
-                        || p.base() == generation()
+                && (p.baseGeneration() < generation()
+                        || p.baseGeneration() == generation()
                                 && p.epoch() > 0
                                 && p.epoch() < acceptor.voterSet().epoch());
-        if (older || p.base() != generation() || !acceptor.canWrite() || !elects(name)) {
+        if (older || p.baseGeneration() != generation() || !acceptor.canWrite() || !elects(name)) {
             if (older) {
-                post.send(p.from(), new ConsensusMessage.Table(acceptor.voterSet()));
+                sender.send(p.from(), new ConsensusMessage.Table(acceptor.voterSet()));
             }
             return;
         }
-        final boolean same = kept != null && kept.base == p.base();
+        final boolean same = kept != null && kept.baseGeneration == p.baseGeneration();
         if (same && p.proposalNumber().compareTo(kept.promised) < 0) {
             reply(p, false);
             return;
@@ -548,15 +553,18 @@
         // What is still here must be read before the resignation changes how it is told.
         final SurvivingState left = own.get();
         kept = new Kept(
-                p.base(), p.proposalNumber(), same ? kept.accepted : ProposalNumber.NONE, same ? kept.founding : null);
-        acceptor.resign(p.base());
+                p.baseGeneration(),
+                p.proposalNumber(),
+                same ? kept.accepted : ProposalNumber.NONE,
+                same ? kept.initialState : null);
+        acceptor.resign(p.baseGeneration());
         final Kept now = kept;
         acceptor.keepOwn(FORM, MessageCodec.bytes(now), ok -> {
             if (ok) {
-                post.send(
+                sender.send(
                         p.from(),
                         new MembershipMessage.GenerationPromise(
-                                p.base(),
+                                p.baseGeneration(),
                                 p.proposalNumber(),
                                 name,
                                 address,
@@ -564,22 +572,22 @@
                                 true,
                                 now.promised,
                                 now.accepted,
-                                now.founding,
+                                now.initialState,
                                 left));
             }
         });
     }
 
-    private void reply(final MembershipMessage.GenerationPrepare p, final boolean yes) {
-        post.send(
+    private void reply(final MembershipMessage.GenerationPrepare p, final boolean granted) {
+        sender.send(
                 p.from(),
                 new MembershipMessage.GenerationPromise(
-                        p.base(),
+                        p.baseGeneration(),
                         p.proposalNumber(),
                         name,
                         address,
                         acceptor.diskId(),
-                        yes,
+                        granted,
                         kept.promised,
                         kept.accepted,
                         null,
@@ -588,12 +596,12 @@
 
     private void promise(final MembershipMessage.GenerationPromise p) {
         if (phase != Phase.PREPARE
-                || p.base() != base
+                || p.baseGeneration() != baseGeneration
                 || !p.proposalNumber().equals(proposalNumber)
                 || !elects(p.name())) {
             return;
         }
-        if (p.yes()) {
+        if (p.granted()) {
             promises.put(p.name(), p);
         } else {
             count = Math.max(count, p.promised().count());
@@ -601,71 +609,76 @@
     }
 
     private void accept(final MembershipMessage.GenerationAccept a) {
-        if (a.base() != generation() || !acceptor.canWrite() || !elects(name)) {
+        if (a.baseGeneration() != generation() || !acceptor.canWrite() || !elects(name)) {
             return;
         }
-        if (kept != null && kept.base == a.base() && a.proposalNumber().compareTo(kept.promised) < 0) {
-            post.send(
+        if (kept != null
+                && kept.baseGeneration == a.baseGeneration()
+                && a.proposalNumber().compareTo(kept.promised) < 0) {
+            sender.send(
                     a.from(),
-                    new MembershipMessage.GenerationAccepted(a.base(), a.proposalNumber(), name, false, kept.promised));
+                    new MembershipMessage.GenerationAccepted(
+                            a.baseGeneration(), a.proposalNumber(), name, false, kept.promised));
             return;
         }
-        kept = new Kept(a.base(), a.proposalNumber(), a.proposalNumber(), a.founding());
-        acceptor.resign(a.base());
+        kept = new Kept(a.baseGeneration(), a.proposalNumber(), a.proposalNumber(), a.initialState());
+        acceptor.resign(a.baseGeneration());
         acceptor.keepOwn(FORM, MessageCodec.bytes(kept), ok -> {
             if (ok) {
-                post.send(
+                sender.send(
                         a.from(),
                         new MembershipMessage.GenerationAccepted(
-                                a.base(), a.proposalNumber(), name, true, a.proposalNumber()));
+                                a.baseGeneration(), a.proposalNumber(), name, true, a.proposalNumber()));
             }
         });
     }
 
     private void accepted(final MembershipMessage.GenerationAccepted a) {
         if (phase != Phase.ACCEPT
-                || a.base() != base
+                || a.baseGeneration() != baseGeneration
                 || !a.proposalNumber().equals(proposalNumber)
                 || !elects(a.name())) {
             return;
         }
-        if (!a.yes()) {
+        if (!a.granted()) {
             count = Math.max(count, a.promised().count());
             return;
         }
         accepted.add(a.name());
         if (accepted.size() >= majority()) {
-            final InitialState founding = proposed;
+            final InitialState initialState = proposed;
             change(Phase.IDLE, "founded");
-            for (final Voter voter : founding.table().voters()) {
+            for (final Voter voter : initialState.voterSet().voters()) {
                 if (!voter.name().equals(name)) {
-                    post.send(voter.address(), new MembershipMessage.GenerationStarted(founding));
+                    sender.send(voter.address(), new MembershipMessage.GenerationStarted(initialState));
                 }
             }
-            found(founding);
+            found(initialState);
         }
     }
 
-    private void found(final InitialState founding) {
-        if (acceptor.voterSet() != null && founding.table().generation() == generation()) {
-            acceptor.foundLate(founding.table(), founding.entries());
-            founded = founding;
+    private void found(final InitialState initialState) {
+        if (acceptor.voterSet() != null && initialState.voterSet().generation() == generation()) {
+            acceptor.foundLate(initialState.voterSet(), initialState.entries());
+            founded = initialState;
             return;
         }
-        if (!founding.table().newerThan(acceptor.voterSet())) {
+        if (!initialState.voterSet().newerThan(acceptor.voterSet())) {
             return;
         }
-        founded = founding;
-        final Voter voter = founding.table().voter(name);
+        founded = initialState;
+        final Voter voter = initialState.voterSet().voter(name);
         if (voter == null || !voter.diskId().equals(acceptor.diskId())) {
-            adopt(founding.table());
+            adopt(initialState.voterSet());
             return;
         }
         LOG.atInfo().log(
                 "event=founded node=%s generation=%s registers=%s",
-                name, founding.table().generation(), founding.entries().size());
-        acceptor.found(founding.table(), founding.entries());
-        proposer.adopt(founding.table());
+                name,
+                initialState.voterSet().generation(),
+                initialState.entries().size());
+        acceptor.found(initialState.voterSet(), initialState.entries());
+        proposer.adopt(initialState.voterSet());
         wantedSinceMs = -1;
         roundsWaited = 0;
         change(Phase.IDLE, "founded");
@@ -673,24 +686,24 @@
 
     /** Asks for one change of the table, once a majority is there to agree. One seat is changed by each epoch. */
     private void changeVoters(final Map<String, MembershipMessage.VoterStatus> fresh) {
-        final VoterSet table = acceptor.voterSet();
-        if (table == null || changing || !acceptor.canWrite() || !majorityVotes(table, fresh)) {
+        final VoterSet voterSet = acceptor.voterSet();
+        if (voterSet == null || changing || !acceptor.canWrite() || !majorityVotes(voterSet, fresh)) {
             return;
         }
         switch (acceptor.state()) {
             case RESIGNED -> startOverIfStuck();
-            case BLANK -> join(table, fresh);
+            case BLANK -> join(voterSet, fresh);
             case VOTING -> {
                 unseatedSinceMs = -1;
-                if (moved(table)) {
-                    propose(table.swap(voter()));
+                if (moved(voterSet)) {
+                    propose(voterSet.swap(voter()));
                 } else {
-                    membership.thinned(table, fresh).ifPresent(this::propose);
+                    membership.thinned(voterSet, fresh).ifPresent(this::propose);
                 }
             }
             default -> {
-                if (moved(table)) {
-                    propose(table.swap(voter()));
+                if (moved(voterSet)) {
+                    propose(voterSet.swap(voter()));
                 }
             }
         }
@@ -701,12 +714,12 @@
     }
 
     /** Whether a majority of the seats vote, this core's own not among them unless it votes. */
-    private boolean majorityVotes(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
+    private boolean majorityVotes(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
         int voting = 0;
         for (final MembershipMessage.VoterStatus s : fresh.values()) {
-            voting += s.voting() && table.voter(s.name()) != null ? 1 : 0;
+            voting += s.voting() && voterSet.voter(s.name()) != null ? 1 : 0;
         }
-        if (voting >= table.majority()) {
+        if (voting >= voterSet.majority()) {
             return true;
         }
         stuckSinceMs = -1;
@@ -724,8 +737,8 @@
     }
 
     /** This core's disk has its seat under another address. */
-    private boolean moved(final VoterSet table) {
-        final Voter voter = table.voter(name);
+    private boolean moved(final VoterSet voterSet) {
+        final Voter voter = voterSet.voter(name);
         return voter != null
                 && voter.diskId().equals(acceptor.diskId())
                 && !voter.address().equals(address);
@@ -733,14 +746,14 @@
 
     /** A core without a seat of its own asks for one. A disk that has voted and lost its seat meanwhile gets a fresh
      * identity first. */
-    private void join(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
+    private void join(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
         if (acceptor.hasVoted()) {
             acceptor.restart(freshId.get());
             return;
         }
         unseatedSinceMs = unseatedSinceMs < 0 ? clock.nowMs() : unseatedSinceMs;
         final boolean waited = clock.nowMs() - unseatedSinceMs > 2 * timing.silentMs();
-        membership.joined(table, voter(), fresh, waited).ifPresent(this::propose);
+        membership.joined(voterSet, voter(), fresh, waited).ifPresent(this::propose);
     }
 
     private void propose(final VoterSet next) {
@@ -756,10 +769,10 @@
     private void changed(final ProposalOutcome outcome) {
         changing = false;
         if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
-            final VoterSet table = MessageCodec.record(done.value(), VoterSet.class);
-            adopt(table);
+            final VoterSet voterSet = MessageCodec.record(done.value(), VoterSet.class);
+            adopt(voterSet);
             for (final String other : others.get()) {
-                post.send(other, new ConsensusMessage.Table(table));
+                sender.send(other, new ConsensusMessage.Table(voterSet));
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
@@ -17,24 +17,24 @@
             String name,
             String address,
             String diskId,
-            VoterSet table,
+            VoterSet voterSet,
             boolean hasState,
             boolean voting,
             boolean canWrite,
             @SinceVersion(3) long generation,
             @SinceVersion(3) long epoch,
-            @SinceVersion(3) boolean founding,
+            @SinceVersion(3) boolean bootstrapCandidate,
             @SinceVersion(4) boolean catchingUp,
             @SinceVersion(4) long silentVoters,
-            @SinceVersion(4) long goneVoters,
+            @SinceVersion(4) long removableVoters,
             @SinceVersion(4) long written,
-            @SinceVersion(4) long yourDisk,
-            @SinceVersion(4) long yourWritten)
+            @SinceVersion(4) long recipientDiskFingerprint,
+            @SinceVersion(4) long recipientWritten)
             implements MembershipMessage {
         /** The older form has the table always, and its numbers nowhere else. */
         public VoterStatus {
-            generation = table == null ? generation : table.generation();
-            epoch = table == null ? epoch : table.epoch();
+            generation = voterSet == null ? generation : voterSet.generation();
+            epoch = voterSet == null ? epoch : voterSet.epoch();
         }
 
         /** With how far disks are written. */
@@ -43,24 +43,24 @@
                     name,
                     address,
                     diskId,
-                    table,
+                    voterSet,
                     hasState,
                     voting,
                     canWrite,
                     generation,
                     epoch,
-                    founding,
+                    bootstrapCandidate,
                     catchingUp,
                     silentVoters,
-                    goneVoters,
+                    removableVoters,
                     own,
                     disk,
                     others);
         }
 
         /** Whether whoever says so has heard that this disk was written further than it is. */
-        public boolean heardFurther(final String ownDisk, final long ownWritten) {
-            return yourWritten > ownWritten && yourDisk == Fingerprints.of(ownDisk);
+        public boolean provesOlderDisk(final String ownDisk, final long ownWritten) {
+            return recipientWritten > ownWritten && recipientDiskFingerprint == Fingerprints.of(ownDisk);
         }
 
         /** Whether whoever says so has a newer table. */
@@ -77,35 +77,35 @@
     /** Phase one of the proposal number that ends a generation. */
     record GenerationPrepare(
             String from,
-            long base,
+            long baseGeneration,
             ProposalNumber proposalNumber,
             @SinceVersion(3) long epoch) implements MembershipMessage {}
 
     /** The reply to {@link GenerationPrepare}, with what this core still has. */
     record GenerationPromise(
-            long base,
+            long baseGeneration,
             ProposalNumber proposalNumber,
             String name,
             String address,
             String diskId,
-            boolean yes,
+            boolean granted,
             ProposalNumber promised,
             ProposalNumber accepted,
-            InitialState founding,
+            InitialState initialState,
             SurvivingState survivingState)
             implements MembershipMessage {}
 
     /** Phase two. */
-    record GenerationAccept(String from, long base, ProposalNumber proposalNumber, InitialState founding)
+    record GenerationAccept(String from, long baseGeneration, ProposalNumber proposalNumber, InitialState initialState)
             implements MembershipMessage {}
 
     /** The reply to {@link GenerationAccept}. */
     record GenerationAccepted(
-            long base, ProposalNumber proposalNumber, String name, boolean yes, ProposalNumber promised)
+            long baseGeneration, ProposalNumber proposalNumber, String name, boolean granted, ProposalNumber promised)
             implements MembershipMessage {}
 
     /** A new generation has been agreed. */
-    record GenerationStarted(InitialState founding) implements MembershipMessage {}
+    record GenerationStarted(InitialState initialState) implements MembershipMessage {}
 
     /** Asks any node for what it still has. */
     record SurvivingStateRequest(String from) implements MembershipMessage {}
--- a/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
+++ b/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
@@ -9,7 +9,7 @@
 final class PeerLiveness {
     private final long pauseMs;
     private final Map<String, Long> heardMs = new HashMap<>();
-    private VoterSet table;
+    private VoterSet voterSet;
     private long tickMs = -1;
 
     /** {@code pauseMs}: a core whose beats were further apart stood still itself and begins to listen anew. */
@@ -25,12 +25,12 @@
         tickMs = nowMs;
         heardMs.keySet().removeIf(voter -> now.voter(voter) == null);
         for (final Voter voter : now.voters()) {
-            final boolean changed = table == null || !voter.equals(table.voter(voter.name()));
+            final boolean changed = voterSet == null || !voter.equals(voterSet.voter(voter.name()));
             if (changed || !heardMs.containsKey(voter.name())) {
                 heardMs.put(voter.name(), nowMs);
             }
         }
-        table = now;
+        voterSet = now;
     }
 
     /** A core of this name said something. */
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -26,55 +26,57 @@
      * core that is gone, else one more. A seat is added while others are unheard only once it has waited long enough
      * that they would have been called silent. */
     Optional<VoterSet> joined(
-            final VoterSet table,
+            final VoterSet voterSet,
             final Voter own,
             final Map<String, MembershipMessage.VoterStatus> fresh,
             final boolean waited) {
-        if (table.voter(name) != null) {
-            return Optional.of(table.swap(own));
+        if (voterSet.voter(name) != null) {
+            return Optional.of(voterSet.swap(own));
         }
-        for (final Voter voter : table.voters()) {
+        for (final Voter voter : voterSet.voters()) {
             if (voter.address().equals(own.address())) {
-                return Optional.of(table.replace(voter.name(), own));
+                return Optional.of(voterSet.replace(voter.name(), own));
             }
         }
-        for (int place = 0; place < table.voters().size(); place++) {
-            final String voter = table.voters().get(place).name();
-            if (!fresh.containsKey(voter) && agreed(table, fresh, place, MembershipMessage.VoterStatus::silentVoters)) {
-                return Optional.of(table.replace(voter, own));
+        for (int place = 0; place < voterSet.voters().size(); place++) {
+            final String voter = voterSet.voters().get(place).name();
+            if (!fresh.containsKey(voter)
+                    && agreed(voterSet, fresh, place, MembershipMessage.VoterStatus::silentVoters)) {
+                return Optional.of(voterSet.replace(voter, own));
             }
         }
-        final boolean allHeard = table.voters().stream().allMatch(voter -> fresh.containsKey(voter.name()));
-        return (allHeard || waited) && helps(table, own, fresh) ? Optional.of(table.add(own)) : Optional.empty();
+        final boolean allHeard = voterSet.voters().stream().allMatch(voter -> fresh.containsKey(voter.name()));
+        return (allHeard || waited) && helps(voterSet, own, fresh) ? Optional.of(voterSet.add(own)) : Optional.empty();
     }
 
     /** Whether one seat more is no harm: the table bears the largest loss with all seats that are waited for, or doesn't
      * bear it now. A third seat of four in one region would be a majority's end with that region. */
     private boolean helps(
-            final VoterSet table, final Voter own, final Map<String, MembershipMessage.VoterStatus> fresh) {
-        if (table.voters().size() >= VoterSet.VOTERS_MAX) {
+            final VoterSet voterSet, final Voter own, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        if (voterSet.voters().size() >= VoterSet.VOTERS_MAX) {
             return false;
         }
-        VoterSet all = table.add(own);
+        VoterSet all = voterSet.add(own);
         for (final MembershipMessage.VoterStatus s : fresh.values()) {
             final boolean waits = s.canWrite() && all.voter(s.name()) == null;
             if (waits && all.voters().size() < VoterSet.VOTERS_MAX) {
                 all = all.add(new Voter(s.name(), s.address(), s.diskId()));
             }
         }
-        return bears(all) || bears(table.add(own)) || !bears(table);
+        return bears(all) || bears(voterSet.add(own)) || !bears(voterSet);
     }
 
     /** The table without a seat that is gone, or none. An odd table keeps it: with one seat silent it needs as many votes
      * as the even one below it. */
-    Optional<VoterSet> thinned(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
-        if (table.voters().size() % 2 != 0 || !proposes(table, fresh) || joinerWaits(table, fresh)) {
+    Optional<VoterSet> thinned(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        if (voterSet.voters().size() % 2 != 0 || !proposes(voterSet, fresh) || joinerWaits(voterSet, fresh)) {
             return Optional.empty();
         }
-        for (int place = 0; place < table.voters().size(); place++) {
-            final String voter = table.voters().get(place).name();
-            if (!fresh.containsKey(voter) && agreed(table, fresh, place, MembershipMessage.VoterStatus::goneVoters)) {
-                final VoterSet next = table.remove(voter);
+        for (int place = 0; place < voterSet.voters().size(); place++) {
+            final String voter = voterSet.voters().get(place).name();
+            if (!fresh.containsKey(voter)
+                    && agreed(voterSet, fresh, place, MembershipMessage.VoterStatus::removableVoters)) {
+                final VoterSet next = voterSet.remove(voter);
                 return bears(next) ? Optional.of(next) : Optional.empty();
             }
         }
@@ -82,14 +84,14 @@
     }
 
     /** Whether a majority is left after the largest loss that must be borne. */
-    private boolean bears(final VoterSet table) {
-        return table.voters().size() - mostLost.applyAsInt(table.voters()) >= table.majority();
+    private boolean bears(final VoterSet voterSet) {
+        return voterSet.voters().size() - mostLost.applyAsInt(voterSet.voters()) >= voterSet.majority();
     }
 
     /** The first by name of those that vote, so that they don't all propose the same at once. */
-    private boolean proposes(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
+    private boolean proposes(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
         for (final MembershipMessage.VoterStatus s : fresh.values()) {
-            if (votes(table, s)) {
+            if (votes(voterSet, s)) {
                 return s.name().equals(name);
             }
         }
@@ -97,27 +99,28 @@
     }
 
     /** A core without a seat takes the one that is gone. */
-    private static boolean joinerWaits(final VoterSet table, final Map<String, MembershipMessage.VoterStatus> fresh) {
-        return fresh.values().stream().anyMatch(s -> table.voter(s.name()) == null && s.canWrite());
+    private static boolean joinerWaits(
+            final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
+        return fresh.values().stream().anyMatch(s -> voterSet.voter(s.name()) == null && s.canWrite());
     }
 
     private static boolean agreed(
-            final VoterSet table,
+            final VoterSet voterSet,
             final Map<String, MembershipMessage.VoterStatus> fresh,
             final int place,
             final ToLongFunction<MembershipMessage.VoterStatus> places) {
         int say = 0;
         for (final MembershipMessage.VoterStatus s : fresh.values()) {
-            say += votes(table, s) && (places.applyAsLong(s) >> place & 1) == 1 ? 1 : 0;
+            say += votes(voterSet, s) && (places.applyAsLong(s) >> place & 1) == 1 ? 1 : 0;
         }
-        return say >= table.majority();
+        return say >= voterSet.majority();
     }
 
-    private static boolean votes(final VoterSet table, final MembershipMessage.VoterStatus s) {
-        final Voter voter = table.voter(s.name());
+    private static boolean votes(final VoterSet voterSet, final MembershipMessage.VoterStatus s) {
+        final Voter voter = voterSet.voter(s.name());
         return s.voting()
                 && voter != null
                 && voter.diskId().equals(s.diskId())
-                && table.same(s.generation(), s.epoch());
+                && voterSet.same(s.generation(), s.epoch());
     }
 }
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -32,15 +32,16 @@
     }
 
     @Override
-    public InitialState merge(final long base, final List<SurvivingState> survivingState, final List<Voter> voters) {
-        long generation = Math.max(base + 1, fleet.nowMs() / 1000);
+    public InitialState merge(
+            final long baseGeneration, final List<SurvivingState> survivingState, final List<Voter> voters) {
+        long generation = Math.max(baseGeneration + 1, fleet.nowMs() / 1000);
         for (final SurvivingState r : survivingState) {
             generation = Math.max(generation, r.generation() + 1);
             generation = Math.max(generation, (r.token() >> VoterSet.GENERATION_SHIFT) + 1);
             generation = Math.max(generation, (r.configurationVersion() >> VoterSet.GENERATION_SHIFT) + 1);
         }
-        final VoterSet table = new VoterSet(generation, 1, voters);
-        final TreeMap<String, Register> newest = newest(base, survivingState);
+        final VoterSet voterSet = new VoterSet(generation, 1, voters);
+        final TreeMap<String, Register> newest = newest(baseGeneration, survivingState);
         final List<ConsensusMessage.Entry> entries = new ArrayList<>();
         newest.forEach((key, r) -> {
             if (IdempotencyClaim.isKey(key) || key.startsWith("usage/")) {
@@ -54,19 +55,20 @@
             }
         });
         entries.add(entry(FLOOR, Long.toString(fleet.nowMs()).getBytes(StandardCharsets.UTF_8)));
-        entries.add(
-                entry(ConfigurationKeys.key(table.firstNumber()), configuration(survivingState, newest, generation)));
-        return new InitialState(table, entries);
+        entries.add(entry(
+                ConfigurationKeys.key(voterSet.firstNumber()), configuration(survivingState, newest, generation)));
+        return new InitialState(voterSet, entries);
     }
 
     private static ConsensusMessage.Entry entry(final String key, final byte[] value) {
         return new ConsensusMessage.Entry(key, new Register(FOUND, FOUND, value));
     }
 
-    private static TreeMap<String, Register> newest(final long base, final List<SurvivingState> survivingState) {
+    private static TreeMap<String, Register> newest(
+            final long baseGeneration, final List<SurvivingState> survivingState) {
         final TreeMap<String, Register> newest = new TreeMap<>();
         for (final SurvivingState r : survivingState) {
-            if (r.hasState() && r.generation() == base) {
+            if (r.hasState() && r.generation() == baseGeneration) {
                 for (final ConsensusMessage.Entry e : r.registers()) {
                     if (e.register().value() != null) {
                         newest.merge(
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -126,17 +126,17 @@
     }
 
     /** Goes by a table, if it is newer than the one here. */
-    void adopt(final VoterSet table) {
+    void adopt(final VoterSet voterSet) {
         if (membershipCoordinator == null) {
-            proposer.adopt(table);
+            proposer.adopt(voterSet);
         } else {
-            membershipCoordinator.adopt(table);
+            membershipCoordinator.adopt(voterSet);
         }
     }
 
     void hear(final ConsensusMessage message) {
-        if (message instanceof ConsensusMessage.Table table) {
-            adopt(table.voterSet());
+        if (message instanceof ConsensusMessage.Table voterSet) {
+            adopt(voterSet.voterSet());
         } else if (message instanceof ConsensusMessage.HandoverResponse back) {
             if (handover != null) {
                 handover.hear(back);
@@ -172,8 +172,8 @@
 
     /** An edge and a core tell each other of the newer table. */
     private void hear(final MembershipMessage.VoterStatus voterStatus) {
-        if (voterStatus.table() != null && voterStatus.table().newerThan(proposer.voterSet())) {
-            proposer.adopt(voterStatus.table());
+        if (voterStatus.voterSet() != null && voterStatus.voterSet().newerThan(proposer.voterSet())) {
+            proposer.adopt(voterStatus.voterSet());
         } else if (voterStatus.lacks(proposer.voterSet())) {
             context.post.send(voterStatus.address(), new ConsensusMessage.Table(proposer.voterSet()));
         }
@@ -186,11 +186,11 @@
         if (hasState) {
             acceptor.registers().forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
         }
-        final VoterSet table = proposer.voterSet();
+        final VoterSet voterSet = proposer.voterSet();
         final long version = configurationStore.configuration().version();
         return new SurvivingState(
                 context.name,
-                table == null ? 0 : table.generation(),
+                voterSet == null ? 0 : voterSet.generation(),
                 version,
                 version == 0 ? null : MessageCodec.bytes(configurationStore.snapshot()),
                 tokenSeen.getAsLong(),
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
@@ -31,12 +31,12 @@
     private static final int ERRORS = 9;
 
     /** The faults planted, all off by default. */
-    private static void none(final MembershipTestContext bench) {}
+    private static void none(final MembershipTestContext context) {}
 
     /** One seed's run. */
     private static final class Run {
         private final long seed;
-        private final MembershipTestContext bench;
+        private final MembershipTestContext context;
         private final Map<String, String> confirmed = new TreeMap<>();
         private final int[] made = new int[REGIONS];
         private int writes;
@@ -45,37 +45,37 @@
 
         Run(final long seed, final Consumer<MembershipTestContext> injectedFault) {
             this.seed = seed;
-            bench = new MembershipTestContext(seed);
-            bench.regions = true;
+            context = new MembershipTestContext(seed);
+            context.wholeRegionMayFail = true;
             for (int i = 0; i < CORES; i++) {
                 fresh(i % REGIONS).bootstrap = true;
             }
             for (int i = 0; i < 3; i++) {
-                bench.machine("e" + i, false, true);
-                bench.seeds.add("e" + i);
+                context.addNode("e" + i, false, true);
+                context.seeds.add("e" + i);
             }
-            bench.machines.values().forEach(MembershipTestContext.Machine::start);
-            bench.run(12_000);
-            injectedFault.accept(bench);
-            bench.loss = 0.04 * (seed % 3);
+            context.nodes.values().forEach(MembershipTestContext.TestNode::start);
+            context.run(12_000);
+            injectedFault.accept(context);
+            context.loss = 0.04 * (seed % 3);
         }
 
-        private MembershipTestContext.Machine fresh(final int region) {
-            return bench.machine("c" + (region + REGIONS * made[region]++), true, false);
+        private MembershipTestContext.TestNode fresh(final int region) {
+            return context.addNode("c" + (region + REGIONS * made[region]++), true, false);
         }
 
         private int random(final int bound) {
-            return bench.random.nextInt(bound);
+            return context.random.nextInt(bound);
         }
 
-        private String shown() {
-            return "seed " + seed + " " + bench.shown() + "\n" + bench.newest();
+        private String describe() {
+            return "seed " + seed + " " + context.describe() + "\n" + context.newest();
         }
 
         private void write() {
             final String key = "once/" + writes++;
             for (int i = 0; i < 2; i++) {
-                final MembershipTestContext.Machine by = bench.machines.get("e" + i);
+                final MembershipTestContext.TestNode by = context.nodes.get("e" + i);
                 final String value = key + " by " + by.name;
                 by.proposer.change(
                         key,
@@ -90,23 +90,25 @@
         private void confirm(final String key, final ProposalOutcome outcome) {
             if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
                 final String value = new String(done.value(), StandardCharsets.UTF_8);
-                assertThat(confirmed.getOrDefault(key, value)).as(shown()).isEqualTo(value);
+                assertThat(confirmed.getOrDefault(key, value)).as(describe()).isEqualTo(value);
                 confirmed.put(key, value);
             }
         }
 
         private void look() {
-            final MembershipTestContext.Copies copies = bench.copies(confirmed);
-            assertThat(copies.fewest()).as("%s %s", copies, shown()).isGreaterThanOrEqualTo(Math.max(1, copies.owed()));
-            leastCopies = Math.min(leastCopies, copies.fewest());
+            final MembershipTestContext.Copies countCopies = context.countCopies(confirmed);
+            assertThat(countCopies.fewest())
+                    .as("%s %s", countCopies, describe())
+                    .isGreaterThanOrEqualTo(Math.max(1, countCopies.owed()));
+            leastCopies = Math.min(leastCopies, countCopies.fewest());
         }
 
         /** Goes on, with a write now and then and a look at the copies here and there and at its end. */
         private void pass(final long spanMs) {
-            final long untilMs = bench.nowMs() + spanMs;
-            while (bench.nowMs() < untilMs) {
+            final long untilMs = context.nowMs() + spanMs;
+            while (context.nowMs() < untilMs) {
                 write();
-                bench.run(Math.min(untilMs, bench.nowMs() + 50 + random(300)));
+                context.run(Math.min(untilMs, context.nowMs() + 50 + random(300)));
                 if (random(4) == 0) {
                     look();
                 }
@@ -116,59 +118,59 @@
 
         /** The span after which whoever came back or is new no longer counts as lost. */
         private void calm() {
-            pass(bench.loss == 0 ? CATCH_UP_MS : CATCH_UP_LOSSY_MS);
-            assertThat(bearsTheNextLoss()).as(shown()).isTrue();
-            assertThat(bench.newest().voters().size())
-                    .as(shown())
-                    .isLessThanOrEqualTo(bench.cores().size() + 1);
-            calmCopies = Math.min(calmCopies, bench.copies(confirmed).fewest());
+            pass(context.loss == 0 ? CATCH_UP_MS : CATCH_UP_LOSSY_MS);
+            assertThat(bearsTheNextLoss()).as(describe()).isTrue();
+            assertThat(context.newest().voters().size())
+                    .as(describe())
+                    .isLessThanOrEqualTo(context.cores().size() + 1);
+            calmCopies = Math.min(calmCopies, context.countCopies(confirmed).fewest());
         }
 
         /** Whether every seat's core that runs votes, and whichever region goes next, a majority of the seats still does. */
         private boolean bearsTheNextLoss() {
-            final VoterSet table = bench.newest();
-            final List<MembershipTestContext.Machine> seated = bench.cores().stream()
-                    .filter(m -> table.voter(m.name) != null)
+            final VoterSet voterSet = context.newest();
+            final List<MembershipTestContext.TestNode> seated = context.cores().stream()
+                    .filter(m -> voterSet.voter(m.name) != null)
                     .toList();
             boolean bears = seated.stream()
                     .allMatch(m -> m.acceptor.state() == Acceptor.State.VOTING
-                            && m.acceptor.voterSet().same(table.generation(), table.epoch()));
+                            && m.acceptor.voterSet().same(voterSet.generation(), voterSet.epoch()));
             for (int region = 0; region < REGIONS; region++) {
                 final int lost = region;
-                bears &= seated.stream().filter(m -> m.region() != lost).count() >= table.majority();
+                bears &= seated.stream().filter(m -> m.region() != lost).count() >= voterSet.majority();
             }
             return bears;
         }
 
         /** Cores of one region, one or all of them. */
-        private List<MembershipTestContext.Machine> some(final int region) {
-            final List<MembershipTestContext.Machine> all = new ArrayList<>(
-                    bench.cores().stream().filter(m -> m.region() == region).toList());
-            java.util.Collections.shuffle(all, bench.random);
+        private List<MembershipTestContext.TestNode> some(final int region) {
+            final List<MembershipTestContext.TestNode> all = new ArrayList<>(
+                    context.cores().stream().filter(m -> m.region() == region).toList());
+            java.util.Collections.shuffle(all, context.random);
             return all.subList(0, 1 + random(all.size()));
         }
 
         private void wipe(final int region) {
-            final List<MembershipTestContext.Machine> some = some(region);
-            some.forEach(MembershipTestContext.Machine::wipe);
+            final List<MembershipTestContext.TestNode> some = some(region);
+            some.forEach(MembershipTestContext.TestNode::wipe);
             comeBack(some);
         }
 
         private void kill(final int region) {
-            final List<MembershipTestContext.Machine> some = some(region);
-            some.forEach(MembershipTestContext.Machine::stop);
+            final List<MembershipTestContext.TestNode> some = some(region);
+            some.forEach(MembershipTestContext.TestNode::stop);
             comeBack(some);
         }
 
         private void killAll() {
-            final List<MembershipTestContext.Machine> all = bench.cores();
-            all.forEach(MembershipTestContext.Machine::stop);
+            final List<MembershipTestContext.TestNode> all = context.cores();
+            all.forEach(MembershipTestContext.TestNode::stop);
             pass(random(900));
-            all.forEach(MembershipTestContext.Machine::start);
+            all.forEach(MembershipTestContext.TestNode::start);
         }
 
-        private void comeBack(final List<MembershipTestContext.Machine> some) {
-            for (final MembershipTestContext.Machine m : some) {
+        private void comeBack(final List<MembershipTestContext.TestNode> some) {
+            for (final MembershipTestContext.TestNode m : some) {
                 pass(random(6000));
                 m.start();
             }
@@ -176,49 +178,49 @@
 
         /** Each goes for good; an empty one comes, itself perhaps lost again in mid-repair, with all others of the region. */
         private void replace(final int region) {
-            final List<MembershipTestContext.Machine> some = some(region);
-            some.forEach(MembershipTestContext.Machine::goForGood);
+            final List<MembershipTestContext.TestNode> some = some(region);
+            some.forEach(MembershipTestContext.TestNode::removeForGood);
             pass(random(3000));
-            final List<MembershipTestContext.Machine> come = new ArrayList<>();
+            final List<MembershipTestContext.TestNode> come = new ArrayList<>();
             some.forEach(m -> come.add(fresh(region)));
-            come.forEach(MembershipTestContext.Machine::start);
+            come.forEach(MembershipTestContext.TestNode::start);
             if (random(2) == 0) {
                 pass(random(4500));
-                come.get(0).goForGood();
-                final MembershipTestContext.Machine again = fresh(region);
+                come.get(0).removeForGood();
+                final MembershipTestContext.TestNode again = fresh(region);
                 pass(random(2000));
                 again.start();
             }
             if (random(3) == 0) {
-                untilItVotes(bench.machines.get("c" + (region + REGIONS * (made[region] - 1))));
+                untilItVotes(context.nodes.get("c" + (region + REGIONS * (made[region] - 1))));
                 wipe(region);
             }
         }
 
-        private void untilItVotes(final MembershipTestContext.Machine m) {
+        private void untilItVotes(final MembershipTestContext.TestNode m) {
             for (int i = 0; i < 100 && m.acceptor.state() != Acceptor.State.VOTING; i++) {
-                bench.run(bench.nowMs() + 20);
+                context.run(context.nowMs() + 20);
             }
             look();
         }
 
         /** The new one first, then the old one goes. */
         private void replaceInOrder(final int region) {
-            for (final MembershipTestContext.Machine old : some(region)) {
+            for (final MembershipTestContext.TestNode old : some(region)) {
                 fresh(region).start();
                 pass(500 + random(4000));
-                old.leaveForGood();
+                old.leaveGracefullyForGood();
                 pass(1000);
             }
         }
 
         /** Cut off one way or both, from everyone or from cores only, perhaps restarted meanwhile. */
         private void cut(final int region) {
-            final List<MembershipTestContext.Machine> some = some(region);
+            final List<MembershipTestContext.TestNode> some = some(region);
             final int way = 1 + random(3);
             final boolean coresOnly = random(2) == 0;
-            for (final MembershipTestContext.Machine m : some) {
-                for (final MembershipTestContext.Machine other : bench.machines.values()) {
+            for (final MembershipTestContext.TestNode m : some) {
+                for (final MembershipTestContext.TestNode other : context.nodes.values()) {
                     if (!some.contains(other) && (other.core || !coresOnly)) {
                         addCut(way, m, other);
                     }
@@ -226,41 +228,41 @@
             }
             pass(2000 + random(18_000));
             if (random(3) == 0) {
-                some.forEach(MembershipTestContext.Machine::stop);
+                some.forEach(MembershipTestContext.TestNode::stop);
                 pass(random(1000));
-                some.forEach(MembershipTestContext.Machine::start);
+                some.forEach(MembershipTestContext.TestNode::start);
             }
             if (random(3) == 0) {
                 // A machine comes while the others are silent, and may take a seat of theirs.
                 fresh(region).start();
                 pass(random(9000));
-                some.get(0).goForGood();
+                some.get(0).removeForGood();
             }
-            bench.cut.clear();
+            context.cut.clear();
             if (random(2) == 0) {
                 restartWhileRejoining(some);
             }
         }
 
         /** A core that was away long enough to lose its seat, perhaps, restarts again and again as it gets one anew. */
-        private void restartWhileRejoining(final List<MembershipTestContext.Machine> some) {
-            final List<MembershipTestContext.Machine> up =
+        private void restartWhileRejoining(final List<MembershipTestContext.TestNode> some) {
+            final List<MembershipTestContext.TestNode> up =
                     some.stream().filter(m -> !m.gone).toList();
             for (int i = 0; i < 5; i++) {
-                bench.run(bench.nowMs() + random(400));
-                up.forEach(MembershipTestContext.Machine::stop);
-                bench.run(bench.nowMs() + random(60));
-                up.forEach(MembershipTestContext.Machine::start);
+                context.run(context.nowMs() + random(400));
+                up.forEach(MembershipTestContext.TestNode::stop);
+                context.run(context.nowMs() + random(60));
+                up.forEach(MembershipTestContext.TestNode::start);
             }
         }
 
         private void addCut(
-                final int way, final MembershipTestContext.Machine m, final MembershipTestContext.Machine other) {
+                final int way, final MembershipTestContext.TestNode m, final MembershipTestContext.TestNode other) {
             if ((way & 1) > 0) {
-                bench.cut.add(m.name + ">" + other.name);
+                context.cut.add(m.name + ">" + other.name);
             }
             if ((way & 2) > 0) {
-                bench.cut.add(other.name + ">" + m.name);
+                context.cut.add(other.name + ">" + m.name);
             }
         }
 
@@ -282,25 +284,25 @@
                 error();
                 calm();
             }
-            bench.loss = 0;
+            context.loss = 0;
             calm();
             readBack();
-            assertThat(bench.founded).as(shown()).hasSize(1);
+            assertThat(context.startedGenerations).as(describe()).hasSize(1);
             return this;
         }
 
         private void readBack() {
-            bench.run(bench.nowMs() + 3000);
+            context.run(context.nowMs() + 3000);
             final Map<String, String> read = new TreeMap<>();
             confirmed
                     .keySet()
-                    .forEach(key -> bench.machines.get("e2").proposer.read(key, 3000, outcome -> {
+                    .forEach(key -> context.nodes.get("e2").proposer.read(key, 3000, outcome -> {
                         if (outcome instanceof ProposalOutcome.Done done) {
                             read.put(key, new String(done.value(), StandardCharsets.UTF_8));
                         }
                     }));
-            bench.run(bench.nowMs() + 4000);
-            assertThat(read).as(shown()).isEqualTo(confirmed);
+            context.run(context.nowMs() + 4000);
+            assertThat(read).as(describe()).isEqualTo(confirmed);
         }
     }
 
@@ -333,6 +335,6 @@
 
     @Test
     void aJoinerThatVotesBeforeItCaughtUpWouldBeFound() {
-        assertThat(found(4, bench -> bench.emptyPages = true)).isPositive();
+        assertThat(found(4, context -> context.injectEmptyCatchUp = true)).isPositive();
     }
 }
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -34,7 +34,7 @@
     }
 
     /** One machine, over all its lives. */
-    final class Machine {
+    final class TestNode {
         final String name;
         final boolean core;
         boolean up;
@@ -52,7 +52,7 @@
         private BootstrapProposer bootstrapProposer;
         private long startedMs;
 
-        Machine(final String name, final boolean core, final boolean bootstrap) {
+        TestNode(final String name, final boolean core, final boolean bootstrap) {
             this.name = name;
             this.core = core;
             this.bootstrap = bootstrap;
@@ -64,7 +64,7 @@
             up = true;
             startedMs = clock.nowMs();
             final int mine = incarnations;
-            final boolean told = bootstrap && (incarnations == 1 || alwaysFirst);
+            final boolean told = bootstrap && (incarnations == 1 || everyIncarnationIsFirst);
             final Clock own = new Clock() {
                 @Override
                 public long nowMs() {
@@ -111,7 +111,7 @@
                             this::send,
                             own,
                             new BootstrapProposer.Timing(2000, 1000, 880),
-                            voters -> founding(0, voters))
+                            voters -> initialState(0, voters))
                     : null;
             membershipCoordinator = core
                     ? new MembershipCoordinator(
@@ -123,10 +123,11 @@
                             this::send,
                             own,
                             new MembershipCoordinator.Timing(0, 2400, 600, 3000, 880, 1000, false, 2000, 32_000),
-                            (base, left, voters) -> {
-                                final InitialState founding = founding(base, voters);
-                                mergedFrom.put(founding.table().generation(), withState(base, left));
-                                return founding;
+                            (baseGeneration, left, voters) -> {
+                                final InitialState initialState = initialState(baseGeneration, voters);
+                                mergedStateOf.put(
+                                        initialState.voterSet().generation(), withState(baseGeneration, left));
+                                return initialState;
                             },
                             this::survivingState,
                             () -> others(true),
@@ -171,8 +172,12 @@
         /** An edge hears of tables by the feed that it asks all cores for. */
         private void feed(final Clock own) {
             own.after(400, () -> feed(own));
-            for (final Machine m : machines.values()) {
-                if (!deafEdges && m.core && m.up && m.proposer.voterSet() != null && random.nextDouble() >= loss) {
+            for (final TestNode m : nodes.values()) {
+                if (!edgesWithoutFeed
+                        && m.core
+                        && m.up
+                        && m.proposer.voterSet() != null
+                        && random.nextDouble() >= loss) {
                     proposer.adopt(m.proposer.voterSet());
                 }
             }
@@ -185,7 +190,7 @@
         /** Names spread in a second or two, as by the views. */
         private List<String> others(final boolean edgesToo) {
             final List<String> known = new ArrayList<>();
-            machines.forEach((other, m) -> {
+            nodes.forEach((other, m) -> {
                 if (m != this
                         && m.incarnations > 0
                         && (m.core || edgesToo)
@@ -207,12 +212,12 @@
         }
 
         /** Leaves in order, and never comes back. */
-        void leaveForGood() {
-            handover.begin(this::goForGood);
+        void leaveGracefullyForGood() {
+            handover.begin(this::removeForGood);
         }
 
         /** The machine never comes back. */
-        void goForGood() {
+        void removeForGood() {
             stop();
             gone = true;
         }
@@ -262,15 +267,15 @@
             } else if (message instanceof MembershipMessage.VoterStatus s) {
                 if (s.lacks(proposer.voterSet())) {
                     send(s.address(), new ConsensusMessage.Table(proposer.voterSet()));
-                } else if (s.table() != null) {
-                    proposer.adopt(s.table());
+                } else if (s.voterSet() != null) {
+                    proposer.adopt(s.voterSet());
                 }
             }
         }
     }
 
     /** Lets go of no key but those of tables that were agreed. */
-    private record Open(Machine of) implements RegisterGuard {
+    private record Open(TestNode of) implements RegisterGuard {
         @Override
         public boolean ready() {
             return true;
@@ -295,24 +300,24 @@
 
     final EventClock clock = new EventClock(0);
     final Random random;
-    final Map<String, Machine> machines = new TreeMap<>();
+    final Map<String, TestNode> nodes = new TreeMap<>();
     final List<String> seeds = new ArrayList<>();
     /** Foundings seen in any table, by the generation they ended. */
-    final Map<Long, Set<Long>> founded = new TreeMap<>();
+    final Map<Long, Set<Long>> startedGenerations = new TreeMap<>();
 
     double loss;
-    boolean alwaysFirst;
+    boolean everyIncarnationIsFirst;
     /** Whoever asks to catch up is told there is nothing (a planted fault). */
-    boolean emptyPages;
+    boolean injectEmptyCatchUp;
     /** A whole region may be lost at once, else one machine. */
-    boolean regions;
+    boolean wholeRegionMayFail;
     /** Pairs of machines, as "from>to", between which nothing passes. */
     final Set<String> cut = new HashSet<>();
     /** Edges hear no feed. */
-    boolean deafEdges;
+    boolean edgesWithoutFeed;
 
     /** Whose state each founding that was proposed was made from, by the generation that it would begin. */
-    final Map<Long, Set<String>> mergedFrom = new HashMap<>();
+    final Map<Long, Set<String>> mergedStateOf = new HashMap<>();
 
     long messages;
     long tables;
@@ -325,39 +330,41 @@
         random = new Random(seed);
     }
 
-    Machine machine(final String name, final boolean core, final boolean bootstrap) {
-        final Machine m = new Machine(name, core, bootstrap);
-        machines.put(name, m);
+    TestNode addNode(final String name, final boolean core, final boolean bootstrap) {
+        final TestNode m = new TestNode(name, core, bootstrap);
+        nodes.put(name, m);
         return m;
     }
 
     /** Every founding has a generation of its own, so that two are told apart. */
-    private InitialState founding(final long base, final List<Voter> voters) {
-        final long generation = Math.max(base, generations) + 1;
+    private InitialState initialState(final long baseGeneration, final List<Voter> voters) {
+        final long generation = Math.max(baseGeneration, generations) + 1;
         generations = generation;
-        baseOf.put(generation, base);
+        baseOf.put(generation, baseGeneration);
         return new InitialState(new VoterSet(generation, 1, voters), List.of());
     }
 
-    private static Set<String> withState(final long base, final List<SurvivingState> left) {
+    private static Set<String> withState(final long baseGeneration, final List<SurvivingState> left) {
         final Set<String> names = new HashSet<>();
-        left.stream().filter(r -> r.hasState() && r.generation() == base).forEach(r -> names.add(r.name()));
+        left.stream()
+                .filter(r -> r.hasState() && r.generation() == baseGeneration)
+                .forEach(r -> names.add(r.name()));
         return names;
     }
 
     private Message emptied(final Message message) {
-        return emptyPages && message instanceof ConsensusMessage.CatchUpResponse b
+        return injectEmptyCatchUp && message instanceof ConsensusMessage.CatchUpResponse b
                 ? new ConsensusMessage.CatchUpResponse(
                         b.name(), b.generation(), b.epoch(), b.after(), List.of(), true, b.floor())
                 : message;
     }
 
     int mostLost(final List<Voter> voters) {
-        if (!regions) {
+        if (!wholeRegionMayFail) {
             return 1;
         }
         final int[] inRegion = new int[3];
-        voters.forEach(voter -> inRegion[machines.get(voter.name()).region()]++);
+        voters.forEach(voter -> inRegion[nodes.get(voter.name()).region()]++);
         return Math.max(inRegion[0], Math.max(inRegion[1], inRegion[2]));
     }
 
@@ -371,12 +378,12 @@
             return;
         }
         messages++;
-        tables += message instanceof MembershipMessage.VoterStatus s && s.table() != null
+        tables += message instanceof MembershipMessage.VoterStatus s && s.voterSet() != null
                         || message instanceof ConsensusMessage.Table
                 ? 1
                 : 0;
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
-        final Machine target = machines.get(to);
+        final TestNode target = nodes.get(to);
         for (int i = 0; target != null && i < times; i++) {
             final int incarnation = target.incarnations;
             clock.after(1 + random.nextInt(60), () -> {
@@ -387,28 +394,30 @@
         }
     }
 
-    private void look(final Machine m) {
-        final VoterSet table = m.up ? m.proposer.voterSet() : null;
-        if (table != null) {
-            newest = table.newerThan(newest) ? table : newest;
-            final List<Voter> had = votersOf.putIfAbsent(table.generation() + "/" + table.epoch(), table.voters());
-            assertThat(had == null || had.equals(table.voters()))
-                    .as("one table for %s, at %s: %s, %s", m.name, clock.nowMs(), had, table)
+    private void look(final TestNode m) {
+        final VoterSet voterSet = m.up ? m.proposer.voterSet() : null;
+        if (voterSet != null) {
+            newest = voterSet.newerThan(newest) ? voterSet : newest;
+            final List<Voter> had =
+                    votersOf.putIfAbsent(voterSet.generation() + "/" + voterSet.epoch(), voterSet.voters());
+            assertThat(had == null || had.equals(voterSet.voters()))
+                    .as("one table for %s, at %s: %s, %s", m.name, clock.nowMs(), had, voterSet)
                     .isTrue();
-            assertThat(table.voters().stream().map(Voter::name).distinct().count())
-                    .isEqualTo(table.voters().size());
-            founded.computeIfAbsent(baseOf.get(table.generation()), b -> new HashSet<>())
-                    .add(table.generation());
+            assertThat(voterSet.voters().stream().map(Voter::name).distinct().count())
+                    .isEqualTo(voterSet.voters().size());
+            startedGenerations
+                    .computeIfAbsent(baseOf.get(voterSet.generation()), b -> new HashSet<>())
+                    .add(voterSet.generation());
         }
     }
 
     /** What a seat of the newest table has on its disk, synced; empty if its disk is gone or has not caught up. */
     private Optional<Map<String, byte[]>> state(final Voter voter) {
-        final Machine m = machines.get(voter.name());
-        final Map<String, byte[]> table = m.gone ? Map.of() : m.synced();
-        final boolean same = voter.diskId().equals(text(table.get("~disk")));
+        final TestNode m = nodes.get(voter.name());
+        final Map<String, byte[]> voterSet = m.gone ? Map.of() : m.synced();
+        final boolean same = voter.diskId().equals(text(voterSet.get("~disk")));
         final String mark = voter.diskId() + "/" + newest.generation();
-        return same && mark.equals(text(table.get("~caught"))) ? Optional.of(table) : Optional.empty();
+        return same && mark.equals(text(voterSet.get("~caught"))) ? Optional.of(voterSet) : Optional.empty();
     }
 
     private static String text(final byte[] value) {
@@ -424,7 +433,7 @@
     }
 
     /** Counts the copies of written-once values on disks, synced. */
-    Copies copies(final Map<String, String> confirmed) {
+    Copies countCopies(final Map<String, String> confirmed) {
         final List<Map<String, byte[]>> states = newest.voters().stream()
                 .map(this::state)
                 .flatMap(Optional::stream)
@@ -450,24 +459,24 @@
         return new Copies(newest.voters().size(), states.size(), fewest, fewestKey);
     }
 
-    List<Machine> cores() {
-        return machines.values().stream().filter(m -> m.core && m.up).toList();
+    List<TestNode> cores() {
+        return nodes.values().stream().filter(m -> m.core && m.up).toList();
     }
 
     /** Whether every core that runs votes, all by one table that has a seat for each. */
-    boolean whole() {
-        final List<Machine> cores = cores();
-        final VoterSet table = cores.get(0).proposer.voterSet();
-        return table != null
+    boolean allCoresVote() {
+        final List<TestNode> cores = cores();
+        final VoterSet voterSet = cores.get(0).proposer.voterSet();
+        return voterSet != null
                 && cores.stream()
                         .allMatch(m -> m.acceptor.state() == Acceptor.State.VOTING
-                                && m.proposer.voterSet().same(table.generation(), table.epoch())
-                                && table.voter(m.name) != null);
+                                && m.proposer.voterSet().same(voterSet.generation(), voterSet.epoch())
+                                && voterSet.voter(m.name) != null);
     }
 
-    String shown() {
+    String describe() {
         final StringBuilder out = new StringBuilder("at " + clock.nowMs() + " seeds " + seeds);
-        machines.forEach((name, m) -> out.append("\n")
+        nodes.forEach((name, m) -> out.append("\n")
                 .append(name)
                 .append(m.up ? " up" : " down")
                 .append(" lives ")
@@ -479,7 +488,7 @@
     }
 
     void run(final long untilMs) {
-        clock.runUntil(untilMs, () -> machines.values().forEach(this::look));
+        clock.runUntil(untilMs, () -> nodes.values().forEach(this::look));
     }
 
     long nowMs() {
--- a/spokestall/src/test/java/spokestall/membership/StoredRecords.java
+++ b/spokestall/src/test/java/spokestall/membership/StoredRecords.java
@@ -12,7 +12,7 @@
     }
 
     /** A proposal number in which nothing was accepted yet. */
-    public static Record coordinatorProposal(final long base, final ProposalNumber promised) {
-        return new MembershipCoordinator.Kept(base, promised, ProposalNumber.NONE, null);
+    public static Record coordinatorProposal(final long baseGeneration, final ProposalNumber promised) {
+        return new MembershipCoordinator.Kept(baseGeneration, promised, ProposalNumber.NONE, null);
     }
 }
