--- a/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
@@ -4,12 +4,15 @@
 import spokestall.consensus.ProposalNumber;
 import spokestall.message.Message;
 
-/** What founders and seeds say to each other about the first generation. */
+/**
+ * Messages of the vote on a fleet's first generation, between {@link BootstrapProposer} and {@link BootstrapAcceptor}. Written by
+ * the order of their fields.
+ */
 public sealed interface BootstrapMessage extends Message {
-    /** Phase one: a founder asks a seed, and says whom it takes for the seeds. */
+    /** Phase one. A seed answers only if its own list of seeds is the same. */
     record Prepare(String from, List<String> seeds, ProposalNumber proposalNumber) implements BootstrapMessage {}
 
-    /** The reply to {@link Prepare}; yes with what this seed accepted, if anything. */
+    /** The reply to {@link Prepare}; if granted, with the initial state that this seed accepted before, or null. */
     record Promise(
             String seed,
             ProposalNumber proposalNumber,
--- a/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Function;
 import spokestall.consensus.ProposalNumber;
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
@@ -15,102 +14,136 @@
 import spokestall.time.Clock;
 
 /**
- * Founds the first generation of a fleet whose size nobody was told: proposes the cores it has heard, once no new one has
- * come for a while, to the seeds. A majority of the seeds' {@link BootstrapAcceptor}s decides; whoever is not in the table joins it.
+ * Proposes the first generation of a fleet whose number of cores is not configured.
+ *
+ * <p>Once no new core was heard for a while it proposes the cores it knows as voters, and the {@link BootstrapAcceptor}s of a
+ * majority of the seeds decide. A core that is not among those voters joins later by a reconfiguration. Transitions:
+ *
+ * <pre>
+ * IDLE -> PREPARING        enough cores are known and their number has settled
+ * PREPARING -> ACCEPTING   a majority of the seeds promised
+ * ACCEPTING -> CHOSEN      a majority of the seeds accepted
+ * PREPARING, ACCEPTING -> IDLE   the round timed out
+ * </pre>
+ *
+ * <p>It stores nothing: a proposer id is used by one incarnation only. Not thread-safe; all calls on the node's event loop.
  */
 public final class BootstrapProposer {
-    /** Explicit states. */
     private enum Phase {
         IDLE,
-        ASK,
-        OFFER,
-        FOUNDED
+        PREPARING,
+        ACCEPTING,
+        CHOSEN
     }
 
-    /** Spans, from the settings. */
-    public record Timing(long sinceStartMs, long settleMs, long roundMs) {}
+    /**
+     * Time-outs, in milliseconds.
+     *
+     * @param startDelayMillis least time from the start of this incarnation to its first proposal
+     * @param settleMillis how long no further core must have been heard
+     * @param roundMillis time-out of each phase; also staggers proposers by their rank among the cores
+     */
+    public record Timeouts(long startDelayMillis, long settleMillis, long roundMillis) {}
+
+    /** Builds the initial state of the first generation. */
+    @FunctionalInterface
+    public interface InitialStateFactory {
+        /** Returns an initial state with exactly these voters. */
+        InitialState create(List<Voter> voters);
+    }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private final String name;
-    private final String address;
-    private final String proposerId;
+    /** With fewer cores a single core could bootstrap alone before it has heard the others, unless there is only one seed. */
+    private static final int MIN_CORES = 2;
+
+    private final LocalNode local;
     private final List<String> seeds;
     private final MessageSender sender;
     private final Clock clock;
-    private final Timing timing;
-    private final Function<List<Voter>, InitialState> make;
-    private final long startedMs;
-    private final Map<String, Voter> known = new TreeMap<>();
+    private final Timeouts timeouts;
+    private final InitialStateFactory initialStates;
+    private final long startedMillis;
+    private final Map<String, Voter> candidates = new TreeMap<>();
     private final Map<String, BootstrapMessage.Promise> promises = new TreeMap<>();
-    private final Set<String> taken = new HashSet<>();
+    private final Set<String> acceptedBy = new HashSet<>();
     private Phase phase = Phase.IDLE;
     private ProposalNumber proposalNumber = ProposalNumber.NONE;
-    private long count;
-    private long changedMs;
-    private long phaseMs;
+    private long highestCount;
+    private long candidatesChangedMillis;
+    private long phaseSinceMillis;
     private InitialState proposed;
 
-    /** Example: see {@code Node}; {@code make} makes a founding of the seats. */
+    /** Creates a proposer in phase IDLE. Only the fleet's first incarnation of a core with a blank disk may have one. */
     public BootstrapProposer(
-            final String name,
-            final String address,
-            final String proposerId,
+            final LocalNode local,
             final List<String> seeds,
             final MessageSender sender,
             final Clock clock,
-            final Timing timing,
-            final Function<List<Voter>, InitialState> make) {
-        this.name = name;
-        this.address = address;
-        this.proposerId = proposerId;
+            final Timeouts timeouts,
+            final InitialStateFactory initialStates) {
+        this.local = local;
         this.seeds = seeds.stream().sorted().distinct().toList();
         this.sender = sender;
         this.clock = clock;
-        this.timing = timing;
-        this.make = make;
-        this.startedMs = clock.nowMs();
-        this.changedMs = startedMs;
+        this.timeouts = timeouts;
+        this.initialStates = initialStates;
+        this.startedMillis = clock.nowMs();
+        this.candidatesChangedMillis = startedMillis;
     }
 
-    private void change(final Phase to, final String why) {
-        LOG.atInfo().log("event=founder node=%s from=%s to=%s why=%s", name, phase, to, why);
-        phase = to;
-        phaseMs = clock.nowMs();
+    private void transitionTo(final Phase next, final String reason) {
+        assert next == Phase.IDLE && phase != Phase.CHOSEN || next.ordinal() == phase.ordinal() + 1
+                : phase + " -> " + next;
+        LOG.atInfo().log(
+                "event=bootstrap node=%s from=%s to=%s reason=%s proposal=%s",
+                local.name(), phase, next, reason, proposalNumber);
+        phase = next;
+        phaseSinceMillis = clock.nowMs();
     }
 
-    /** One beat while no table is known, with the cores that may be in the first one. */
-    public void tick(final Map<String, Voter> blanks) {
-        final long nowMs = clock.nowMs();
-        if (!known.keySet().containsAll(blanks.keySet())) {
-            changedMs = nowMs;
+    /** Advances while no voter set is known; {@code current} are the cores, by name, that may be voters of the first one. */
+    public void onTick(final Map<String, Voter> current) {
+        final long nowMillis = clock.nowMs();
+        if (!candidates.keySet().containsAll(current.keySet())) {
+            candidatesChangedMillis = nowMillis;
         }
-        known.clear();
-        known.putAll(blanks);
-        if (phase == Phase.ASK || phase == Phase.OFFER) {
-            if (nowMs - phaseMs >= timing.roundMs()) {
-                change(Phase.IDLE, "round-over");
+        candidates.clear();
+        candidates.putAll(current);
+        switch (phase) {
+            case IDLE -> {
+                if (mayPropose(nowMillis)) {
+                    prepare();
+                }
+            }
+            case PREPARING, ACCEPTING -> {
+                if (nowMillis - phaseSinceMillis >= timeouts.roundMillis()) {
+                    transitionTo(Phase.IDLE, "round_timed_out");
+                }
+            }
+            case CHOSEN -> {
+                // The voters receive the initial state from each other; nothing is left to propose.
             }
-            return;
-        }
-        final long waitMs = new ArrayList<>(known.keySet()).indexOf(name) * timing.roundMs();
-        if (phase == Phase.IDLE
-                && known.containsKey(name)
-                && known.size() >= Math.min(2, seeds.size())
-                && known.size() <= VoterSet.VOTERS_MAX
-                && nowMs - startedMs >= timing.sinceStartMs()
-                && nowMs - changedMs >= timing.settleMs() + waitMs
-                && nowMs - phaseMs >= waitMs) {
-            ask();
         }
     }
 
-    private void ask() {
-        proposalNumber = new ProposalNumber(++count, proposerId);
+    private boolean mayPropose(final long nowMillis) {
+        final int rank = new ArrayList<>(candidates.keySet()).indexOf(local.name());
+        final long staggerMillis = rank * timeouts.roundMillis();
+        return rank >= 0
+                && candidates.size() >= Math.min(MIN_CORES, seeds.size())
+                && candidates.size() <= VoterSet.VOTERS_MAX
+                && nowMillis - startedMillis >= timeouts.startDelayMillis()
+                && nowMillis - candidatesChangedMillis >= timeouts.settleMillis() + staggerMillis
+                && nowMillis - phaseSinceMillis >= staggerMillis;
+    }
+
+    private void prepare() {
+        proposalNumber = new ProposalNumber(++highestCount, local.proposerId());
         promises.clear();
-        taken.clear();
-        change(Phase.ASK, "cores-" + known.size());
+        acceptedBy.clear();
+        transitionTo(Phase.PREPARING, "candidates-" + candidates.size());
         for (final String seed : seeds) {
-            sender.send(seed, new BootstrapMessage.Prepare(address, seeds, proposalNumber));
+            sender.send(seed, new BootstrapMessage.Prepare(local.address(), seeds, proposalNumber));
         }
     }
 
@@ -118,44 +151,59 @@
         return seeds.size() / 2 + 1;
     }
 
-    /** Hears a seed. */
-    public void hear(final BootstrapMessage message) {
-        if (message instanceof BootstrapMessage.Promise p && seeds.contains(p.seed())) {
-            if (phase == Phase.ASK && p.proposalNumber().equals(proposalNumber) && p.granted()) {
-                promises.put(p.seed(), p);
-                if (promises.size() >= majority()) {
-                    offer();
-                }
-            }
-            count = Math.max(count, p.promised().count());
-        } else if (message instanceof BootstrapMessage.Accepted t && seeds.contains(t.seed())) {
-            if (phase == Phase.OFFER && t.proposalNumber().equals(proposalNumber) && t.granted()) {
-                taken.add(t.seed());
-                if (taken.size() >= majority()) {
-                    change(Phase.FOUNDED, "taken");
-                    for (final Voter voter : proposed.voterSet().voters()) {
-                        sender.send(voter.address(), new MembershipMessage.GenerationStarted(proposed));
-                    }
-                    if (proposed.voterSet().voter(name) == null) {
-                        sender.send(address, new MembershipMessage.GenerationStarted(proposed));
-                    }
-                }
+    /** Handles a seed's reply; messages of other proposers and of nodes that are not seeds are ignored. */
+    public void onMessage(final BootstrapMessage message) {
+        if (message instanceof BootstrapMessage.Promise promise && seeds.contains(promise.seed())) {
+            onPromise(promise);
+        } else if (message instanceof BootstrapMessage.Accepted reply && seeds.contains(reply.seed())) {
+            onAccepted(reply);
+        }
+    }
+
+    private void onPromise(final BootstrapMessage.Promise promise) {
+        if (phase == Phase.PREPARING && promise.proposalNumber().equals(proposalNumber) && promise.granted()) {
+            promises.put(promise.seed(), promise);
+            if (promises.size() >= majority()) {
+                accept();
             }
-            count = Math.max(count, t.promised().count());
         }
+        highestCount = Math.max(highestCount, promise.promised().count());
     }
 
-    private void offer() {
+    /** Proposes what a seed accepted under the highest number, if any did: a majority may have accepted it already. */
+    private void accept() {
         BootstrapMessage.Promise highest = null;
-        for (final BootstrapMessage.Promise p : promises.values()) {
-            if (p.initialState() != null && (highest == null || p.accepted().compareTo(highest.accepted()) > 0)) {
-                highest = p;
+        for (final BootstrapMessage.Promise promise : promises.values()) {
+            if (promise.initialState() != null
+                    && (highest == null || promise.accepted().compareTo(highest.accepted()) > 0)) {
+                highest = promise;
             }
         }
-        proposed = highest != null ? highest.initialState() : make.apply(List.copyOf(known.values()));
-        change(Phase.OFFER, highest != null ? "finishing" : "promised");
+        proposed = highest != null ? highest.initialState() : initialStates.create(List.copyOf(candidates.values()));
+        transitionTo(Phase.ACCEPTING, highest != null ? "promised_with_accepted_state" : "promised");
         for (final String seed : seeds) {
-            sender.send(seed, new BootstrapMessage.Accept(address, seeds, proposalNumber, proposed));
+            sender.send(seed, new BootstrapMessage.Accept(local.address(), seeds, proposalNumber, proposed));
+        }
+    }
+
+    private void onAccepted(final BootstrapMessage.Accepted reply) {
+        if (phase == Phase.ACCEPTING && reply.proposalNumber().equals(proposalNumber) && reply.granted()) {
+            acceptedBy.add(reply.seed());
+            if (acceptedBy.size() >= majority()) {
+                transitionTo(Phase.CHOSEN, "accepted");
+                announce();
+            }
+        }
+        highestCount = Math.max(highestCount, reply.promised().count());
+    }
+
+    private void announce() {
+        final MembershipMessage.GenerationStarted started = new MembershipMessage.GenerationStarted(proposed);
+        for (final Voter voter : proposed.voterSet().voters()) {
+            sender.send(voter.address(), started);
+        }
+        if (proposed.voterSet().voter(local.name()) == null) {
+            sender.send(local.address(), started);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -14,75 +14,81 @@
 import spokestall.time.Clock;
 
 /**
- * What a voter does last before it leaves: it sees to it that a majority of the seats without its own hold whatever it has
- * accepted. What another lacks is sent to it as any late word of an accepted value. It ends after a bounded time, done or
- * not: its seat stays, and it may be back in a moment.
+ * Last step of a voter that shuts down: ensures that a majority of the voters without itself hold everything that it has accepted.
+ *
+ * <p>It asks each other voter which of its registers that voter lacks, and sends those as chosen values. It ends after a bounded
+ * time whether complete or not. The voter set does not change: the voter may be back in a moment. Nothing is stored here; a
+ * peer counts as a holder once it replies that it lacks nothing. Not thread-safe; all calls on the node's event loop.
  */
 public final class GracefulHandover {
-    /** How often it asks anew, and how long it may take. */
-    public record Timing(long askMs, long mostMs) {}
+    /**
+     * Time-outs, in milliseconds.
+     *
+     * @param retryMillis interval between requests to the voters that still lack something
+     * @param deadlineMillis upper bound of the whole handover
+     */
+    public record Timeouts(long retryMillis, long deadlineMillis) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private final String name;
-    private final String address;
+    private final LocalNode local;
     private final Acceptor acceptor;
     private final MessageSender sender;
     private final Clock clock;
-    private final Timing timing;
+    private final Timeouts timeouts;
     private final Set<String> holders = new HashSet<>();
-    private long untilMs;
+    private long deadlineMillis;
     private VoterSet voterSet;
-    private Runnable done;
+    /** Null unless a handover is in progress. */
+    private Runnable onComplete;
 
-    /** Example: {@code new GracefulHandover("d1-core", address, acceptor, sender, clock, new Timing(110, 880))} */
+    /** Creates a handover that has not begun. */
     public GracefulHandover(
-            final String name,
-            final String address,
+            final LocalNode local,
             final Acceptor acceptor,
             final MessageSender sender,
             final Clock clock,
-            final Timing timing) {
-        this.name = name;
-        this.address = address;
+            final Timeouts timeouts) {
+        this.local = local;
         this.acceptor = acceptor;
         this.sender = sender;
         this.clock = clock;
-        this.timing = timing;
+        this.timeouts = timeouts;
     }
 
-    /** Hands over, then runs what is given; at once if there is nothing that others could lack. */
-    public void begin(final Runnable then) {
-        untilMs = clock.nowMs() + timing.mostMs();
-        done = then;
-        ask();
+    /** Begins the handover; {@code whenComplete} runs once, at its end, and immediately if no peer could lack anything. */
+    public void begin(final Runnable whenComplete) {
+        deadlineMillis = clock.nowMs() + timeouts.deadlineMillis();
+        onComplete = whenComplete;
+        requestMissing();
     }
 
-    private void ask() {
-        if (done == null) {
+    private void requestMissing() {
+        if (onComplete == null) {
             return;
         }
         final boolean alone =
                 acceptor.voterSet() == null || acceptor.voterSet().voters().size() < 2;
-        if (alone || !acceptor.hasState() || clock.nowMs() >= untilMs) {
-            end();
+        if (alone || !acceptor.hasState() || clock.nowMs() >= deadlineMillis) {
+            complete();
             return;
         }
         if (acceptor.voterSet() != voterSet) {
             voterSet = acceptor.voterSet();
             holders.clear();
         }
-        final List<ConsensusMessage.Held> held = held();
+        final List<ConsensusMessage.Held> held = heldRegisters();
         for (final Voter voter : voterSet.voters()) {
-            if (!voter.name().equals(name) && !holders.contains(voter.name())) {
+            if (!voter.name().equals(local.name()) && !holders.contains(voter.name())) {
                 sender.send(
                         voter.address(),
-                        new ConsensusMessage.HandoverRequest(address, voterSet.generation(), voterSet.epoch(), held));
+                        new ConsensusMessage.HandoverRequest(
+                                local.address(), voterSet.generation(), voterSet.epoch(), held));
             }
         }
-        clock.after(timing.askMs(), this::ask);
+        clock.after(timeouts.retryMillis(), this::requestMissing);
     }
 
-    private List<ConsensusMessage.Held> held() {
+    private List<ConsensusMessage.Held> heldRegisters() {
         final List<ConsensusMessage.Held> held = new ArrayList<>();
         acceptor.registers().forEach((key, register) -> {
             if (register.value() != null) {
@@ -92,36 +98,41 @@
         return held;
     }
 
-    /** Hears what another voter lacks. */
-    public void hear(final ConsensusMessage.HandoverResponse back) {
-        if (done == null || voterSet == null || !voterSet.same(back.generation(), back.epoch())) {
+    /** Handles a voter's reply; one for another voter set, or after the end, is ignored. */
+    public void onResponse(final ConsensusMessage.HandoverResponse response) {
+        if (onComplete == null || voterSet == null || !voterSet.same(response.generation(), response.epoch())) {
             return;
         }
-        final Voter voter = voterSet.voter(back.name());
+        final Voter voter = voterSet.voter(response.name());
         if (voter == null) {
             return;
         }
-        if (back.lacking().isEmpty()) {
-            holders.add(back.name());
+        if (response.lacking().isEmpty()) {
+            holders.add(response.name());
         }
-        for (final String key : back.lacking()) {
-            final Register register = acceptor.registers().get(key);
-            if (register != null && register.value() != null) {
-                sender.send(
-                        voter.address(),
-                        new ConsensusMessage.Chosen(
-                                voterSet.generation(), voterSet.epoch(), key, register.accepted(), register.value()));
-            }
+        for (final String key : response.lacking()) {
+            sendRegister(voter, key);
         }
+        // With two voters the other one alone is all there is.
         if (holders.size() >= Math.min(voterSet.majority(), voterSet.voters().size() - 1)) {
-            end();
+            complete();
+        }
+    }
+
+    private void sendRegister(final Voter voter, final String key) {
+        final Register register = acceptor.registers().get(key);
+        if (register != null && register.value() != null) {
+            sender.send(
+                    voter.address(),
+                    new ConsensusMessage.Chosen(
+                            voterSet.generation(), voterSet.epoch(), key, register.accepted(), register.value()));
         }
     }
 
-    private void end() {
-        LOG.atInfo().log("event=handover node=%s holders=%s", name, holders);
-        final Runnable then = done;
-        done = null;
-        then.run();
+    private void complete() {
+        LOG.atInfo().log("event=graceful_handover_ended node=%s holders=%s", local.name(), holders);
+        final Runnable action = onComplete;
+        onComplete = null;
+        action.run();
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
@@ -7,12 +7,21 @@
 import spokestall.message.Message;
 import spokestall.message.SinceVersion;
 
-/** What cores say to each other about who can vote, and the proposal number for a new generation. */
+/** Messages between cores about who can vote, and of the vote on a new generation. Written by the order of their fields. */
 public sealed interface MembershipMessage extends Message {
-    /** A core's own word on its state, told to every core it knows; with its table only where the other may lack it. It has
-     * a bit for each place in the table: seats it has not heard for long, and for so long that they may be given up. It says
-     * how far its disk is written, and how far it has heard that the other's is, so that a disk that was put back to an
-     * older state is told from the one that it was. */
+    /**
+     * A core's report on itself, sent to every core it knows.
+     *
+     * <p>{@code silentVoters} and {@code removableVoters} have one bit for each position in the voter set that {@code generation}
+     * and {@code epoch} name. {@code written} is the sequence number up to which the sender's disk is written;
+     * {@code recipientDiskFingerprint} and {@code recipientWritten} are what it knows of the recipient's disk, so that a core
+     * whose disk was restored to an older state finds out.
+     *
+     * @param voterSet the sender's voter set, or null if the recipient has it already or the sender knows none
+     * @param hasState whether its disk has complete state of its generation
+     * @param bootstrapCandidate whether it may be a voter of the first generation
+     * @param catchingUp whether it is a voter that still reads state from the others
+     */
     record VoterStatus(
             String name,
             String address,
@@ -31,14 +40,15 @@
             @SinceVersion(4) long recipientDiskFingerprint,
             @SinceVersion(4) long recipientWritten)
             implements MembershipMessage {
-        /** The older form has the table always, and its numbers nowhere else. */
+        /** Before version 3 the voter set is always there, and its numbers are nowhere else. */
         public VoterStatus {
             generation = voterSet == null ? generation : voterSet.generation();
             epoch = voterSet == null ? epoch : voterSet.epoch();
         }
 
-        /** With how far disks are written. */
-        VoterStatus written(final long own, final long disk, final long others) {
+        /** The same status with how far the sender's and the recipient's disks are written. */
+        VoterStatus withWriteProgress(
+                final long ownWritten, final long recipientFingerprint, final long recipientProgress) {
             return new VoterStatus(
                     name,
                     address,
@@ -53,35 +63,59 @@
                     catchingUp,
                     silentVoters,
                     removableVoters,
-                    own,
-                    disk,
-                    others);
+                    ownWritten,
+                    recipientFingerprint,
+                    recipientProgress);
         }
 
-        /** Whether whoever says so has heard that this disk was written further than it is. */
-        public boolean provesOlderDisk(final String ownDisk, final long ownWritten) {
-            return recipientWritten > ownWritten && recipientDiskFingerprint == Fingerprints.of(ownDisk);
+        /** The same status with only the numbers of the voter set. */
+        VoterStatus withoutVoterSet() {
+            return new VoterStatus(
+                    name,
+                    address,
+                    diskId,
+                    null,
+                    hasState,
+                    voting,
+                    canWrite,
+                    generation,
+                    epoch,
+                    bootstrapCandidate,
+                    catchingUp,
+                    silentVoters,
+                    removableVoters,
+                    written,
+                    recipientDiskFingerprint,
+                    recipientWritten);
+        }
+
+        /** Whether the sender knows that this disk was once written further than it is now. */
+        public boolean provesOlderDisk(final String localDiskId, final long localWritten) {
+            return recipientWritten > localWritten && recipientDiskFingerprint == Fingerprints.of(localDiskId);
         }
 
-        /** Whether whoever says so has a newer table. */
-        public boolean newerThan(final VoterSet mine) {
-            return generation > 0 && new VoterSet(generation, epoch, List.of()).newerThan(mine);
+        /** Whether the sender has a newer voter set than this one, which may be null. */
+        public boolean newerThan(final VoterSet local) {
+            return generation > 0 && new VoterSet(generation, epoch, List.of()).newerThan(local);
         }
 
-        /** Whether whoever says so lacks this table. */
-        public boolean lacks(final VoterSet mine) {
-            return mine != null && (generation == 0 || mine.newerThan(new VoterSet(generation, epoch, List.of())));
+        /** Whether the sender lacks this voter set, which may be null. */
+        public boolean lacks(final VoterSet local) {
+            return local != null && (generation == 0 || local.newerThan(new VoterSet(generation, epoch, List.of())));
         }
     }
 
-    /** Phase one of the proposal number that ends a generation. */
+    /** Phase one of the vote that ends generation {@code baseGeneration}; {@code epoch} is that of the sender's voter set. */
     record GenerationPrepare(
             String from,
             long baseGeneration,
             ProposalNumber proposalNumber,
             @SinceVersion(3) long epoch) implements MembershipMessage {}
 
-    /** The reply to {@link GenerationPrepare}, with what this core still has. */
+    /**
+     * The reply to {@link GenerationPrepare}. If granted, it has what this core accepted before, if anything, and what it still
+     * has; otherwise both are null.
+     */
     record GenerationPromise(
             long baseGeneration,
             ProposalNumber proposalNumber,
@@ -95,7 +129,7 @@
             SurvivingState survivingState)
             implements MembershipMessage {}
 
-    /** Phase two. */
+    /** Phase two of the vote that ends generation {@code baseGeneration}. */
     record GenerationAccept(String from, long baseGeneration, ProposalNumber proposalNumber, InitialState initialState)
             implements MembershipMessage {}
 
@@ -104,10 +138,10 @@
             long baseGeneration, ProposalNumber proposalNumber, String name, boolean granted, ProposalNumber promised)
             implements MembershipMessage {}
 
-    /** A new generation has been agreed. */
+    /** A new generation was chosen and starts from this state. */
     record GenerationStarted(InitialState initialState) implements MembershipMessage {}
 
-    /** Asks any node for what it still has. */
+    /** Requests what a node of any role still has. */
     record SurvivingStateRequest(String from) implements MembershipMessage {}
 
     /** The reply to {@link SurvivingStateRequest}. */
--- a/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
+++ b/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
@@ -5,47 +5,54 @@
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
 
-/** Since when this core has not heard the others that have a seat. A pause of its own is nobody's silence. */
+/**
+ * Records since when this core has not received anything from each other voter. A pause of this core itself resets the record, so
+ * that it does not count as silence of the others. Not thread-safe; all calls on the node's event loop.
+ */
 final class PeerLiveness {
-    private final long pauseMs;
-    private final Map<String, Long> heardMs = new HashMap<>();
+    private final long pauseMillis;
+    private final Map<String, Long> receivedMillis = new HashMap<>();
     private VoterSet voterSet;
-    private long tickMs = -1;
+    private long lastTickMillis = -1;
 
-    /** {@code pauseMs}: a core whose beats were further apart stood still itself and begins to listen anew. */
-    PeerLiveness(final long pauseMs) {
-        this.pauseMs = pauseMs;
+    /** Creates a record; ticks further apart than {@code pauseMillis} mean that this core was paused. */
+    PeerLiveness(final long pauseMillis) {
+        this.pauseMillis = pauseMillis;
     }
 
-    /** One beat under this table. A seat that is new or has another disk is listened to from now on. */
-    void tick(final VoterSet now, final long nowMs) {
-        if (tickMs >= 0 && nowMs - tickMs > pauseMs) {
-            heardMs.clear();
+    /** Follows the voter set in force. The silence of a voter that is new or has another disk begins now. */
+    void onTick(final VoterSet current, final long nowMillis) {
+        if (lastTickMillis >= 0 && nowMillis - lastTickMillis > pauseMillis) {
+            receivedMillis.clear();
         }
-        tickMs = nowMs;
-        heardMs.keySet().removeIf(voter -> now.voter(voter) == null);
-        for (final Voter voter : now.voters()) {
+        lastTickMillis = nowMillis;
+        receivedMillis.keySet().removeIf(voter -> current.voter(voter) == null);
+        for (final Voter voter : current.voters()) {
             final boolean changed = voterSet == null || !voter.equals(voterSet.voter(voter.name()));
-            if (changed || !heardMs.containsKey(voter.name())) {
-                heardMs.put(voter.name(), nowMs);
+            if (changed || !receivedMillis.containsKey(voter.name())) {
+                receivedMillis.put(voter.name(), nowMillis);
             }
         }
-        voterSet = now;
+        voterSet = current;
     }
 
-    /** A core of this name said something. */
-    void heard(final String core, final long nowMs) {
-        heardMs.replace(core, nowMs);
+    /** Records that the core of this name sent something. */
+    void onMessage(final String core, final long nowMillis) {
+        receivedMillis.replace(core, nowMillis);
     }
 
-    /** The places in the table, a bit each, of the seats that were silent for longer; its own is never one. */
-    long silentVoters(final VoterSet of, final String own, final long boundMs, final long nowMs) {
-        long places = 0;
-        for (int place = 0; place < of.voters().size(); place++) {
-            final String voter = of.voters().get(place).name();
-            final boolean silent = !voter.equals(own) && nowMs - heardMs.getOrDefault(voter, nowMs) > boundMs;
-            places |= silent ? 1L << place : 0;
+    /**
+     * Returns the voters that were silent for longer than the bound, one bit for each position in the voter set. The bit of
+     * {@code localName} is never set.
+     */
+    long silentVoters(final VoterSet voters, final String localName, final long boundMillis, final long nowMillis) {
+        long bits = 0;
+        for (int position = 0; position < voters.voters().size(); position++) {
+            final String voter = voters.voters().get(position).name();
+            final boolean silent =
+                    !voter.equals(localName) && nowMillis - receivedMillis.getOrDefault(voter, nowMillis) > boundMillis;
+            bits |= silent ? 1L << position : 0;
         }
-        return places;
+        return bits;
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
@@ -0,0 +1,175 @@
+package spokestall.membership;
+
+import com.google.common.flogger.FluentLogger;
+import java.util.Map;
+import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.RegisterEdit;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.message.MessageCodec;
+
+/**
+ * Changes the voter set by one voter at a time while a majority votes: joins, gets a new address or disk, or removes a voter that
+ * is gone for good.
+ *
+ * <p>The voter set of the next epoch is agreed in a register of its own, by a majority of the present one; whoever proposes second
+ * finds the first proposal there and adopts it. Only an agreed voter set is adopted, and the acceptor votes under it only once it
+ * is stored. Transitions: IDLE -> PROPOSING when a change is due, PROPOSING -> IDLE when the proposal ends, whatever its outcome.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
+ */
+final class Reconfiguration {
+    private enum Phase {
+        IDLE,
+        PROPOSING
+    }
+
+    /** Is notified of the voter set that was agreed. */
+    @FunctionalInterface
+    interface VoterSetListener {
+        /** Called with each voter set read from its register, which may be known already. */
+        void onVoterSetAgreed(VoterSet voterSet);
+    }
+
+    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+    /** After so many rounds of resignation with a voting majority elsewhere this core starts over. */
+    private static final int ROUNDS_RESIGNED_MAX = 4;
+    /** A proposal to a voting majority has this many rounds. */
+    private static final int ROUNDS_TO_PROPOSE = 2;
+    /** So many times the bound of silence until others must have reported a silent voter. */
+    private static final int SILENCE_BOUNDS_TO_WAIT = 2;
+
+    private static final long UNSET = -1;
+
+    private final MembershipContext context;
+    private final MembershipEnvironment environment;
+    private final ReconfigurationPlanner planner;
+    private final GenerationAcceptor generationAcceptor;
+    private final VoterSetListener listener;
+    private Phase phase = Phase.IDLE;
+    private long resignedSinceMillis = UNSET;
+    private long joiningSinceMillis = UNSET;
+
+    Reconfiguration(
+            final MembershipContext context,
+            final MembershipEnvironment environment,
+            final ReconfigurationPlanner planner,
+            final GenerationAcceptor generationAcceptor,
+            final VoterSetListener listener) {
+        this.context = context;
+        this.environment = environment;
+        this.planner = planner;
+        this.generationAcceptor = generationAcceptor;
+        this.listener = listener;
+    }
+
+    private void transitionTo(final Phase next, final String reason) {
+        assert next != phase : phase + " -> " + next;
+        LOG.atInfo().log(
+                "event=reconfiguration node=%s from=%s to=%s reason=%s",
+                context.local().name(), phase, next, reason);
+        phase = next;
+    }
+
+    /** Proposes the change that is due, if any and if a majority is there to agree on it. */
+    void onTick(final Map<String, MembershipMessage.VoterStatus> statuses) {
+        final VoterSet voterSet = context.voterSet();
+        if (voterSet == null || phase == Phase.PROPOSING || !context.acceptor().canWrite()) {
+            return;
+        }
+        if (!doesMajorityVote(voterSet, statuses)) {
+            resignedSinceMillis = UNSET;
+            return;
+        }
+        switch (context.acceptor().state()) {
+            case RESIGNED -> startOverIfResignedTooLong();
+            case BLANK -> join(voterSet, statuses);
+            case VOTING -> {
+                joiningSinceMillis = UNSET;
+                if (hasMoved(voterSet)) {
+                    propose(voterSet.swap(context.localVoter()));
+                } else {
+                    planner.withoutRemovableVoter(voterSet, statuses).ifPresent(this::propose);
+                }
+            }
+            case CATCHING_UP, STOPPED -> {
+                if (hasMoved(voterSet)) {
+                    propose(voterSet.swap(context.localVoter()));
+                }
+            }
+        }
+    }
+
+    private static boolean doesMajorityVote(
+            final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
+        int voting = 0;
+        for (final MembershipMessage.VoterStatus status : statuses.values()) {
+            voting += status.voting() && voterSet.voter(status.name()) != null ? 1 : 0;
+        }
+        return voting >= voterSet.majority();
+    }
+
+    /** The vote on a new generation that this core resigned for came to nothing, since the old one still has a majority. */
+    private void startOverIfResignedTooLong() {
+        resignedSinceMillis = resignedSinceMillis == UNSET ? context.nowMillis() : resignedSinceMillis;
+        if (context.nowMillis() - resignedSinceMillis
+                > ROUNDS_RESIGNED_MAX * context.timeouts().roundMillis()) {
+            generationAcceptor.restartAsBlankVoter();
+        }
+    }
+
+    /** Whether this core's disk is a voter under an address that this core no longer has. */
+    private boolean hasMoved(final VoterSet voterSet) {
+        final Voter voter = voterSet.voter(context.local().name());
+        return voter != null
+                && voter.diskId().equals(context.acceptor().diskId())
+                && !voter.address().equals(context.local().address());
+    }
+
+    /**
+     * Proposes this core as a voter. A disk identity that has voted and is no voter any more must never become one again, since it
+     * does not know what it missed: it is replaced first.
+     */
+    private void join(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
+        if (context.acceptor().hasVoted()) {
+            context.acceptor().restart(environment.freshDiskId());
+            return;
+        }
+        joiningSinceMillis = joiningSinceMillis == UNSET ? context.nowMillis() : joiningSinceMillis;
+        final boolean waitedLongEnough = context.nowMillis() - joiningSinceMillis
+                > SILENCE_BOUNDS_TO_WAIT * context.timeouts().silentAfterMillis();
+        planner.withLocalVoter(
+                        voterSet,
+                        context.localVoter(),
+                        statuses,
+                        waitedLongEnough
+                                ? ReconfigurationPlanner.JoinPatience.WAITED_LONG_ENOUGH
+                                : ReconfigurationPlanner.JoinPatience.WAIT_FOR_UNHEARD_VOTERS)
+                .ifPresent(this::propose);
+    }
+
+    private void propose(final VoterSet next) {
+        transitionTo(Phase.PROPOSING, "epoch-" + next.generation() + "/" + next.epoch());
+        final byte[] value = MessageCodec.bytes(next);
+        context.proposer()
+                .change(
+                        VoterSet.key(next.generation(), next.epoch()),
+                        ROUNDS_TO_PROPOSE * context.timeouts().roundMillis(),
+                        current -> current == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
+                        this::onOutcome);
+    }
+
+    private void onOutcome(final ProposalOutcome outcome) {
+        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+            final VoterSet agreed = MessageCodec.record(done.value(), VoterSet.class);
+            transitionTo(Phase.IDLE, "agreed");
+            listener.onVoterSetAgreed(agreed);
+            for (final String node : environment.otherNodeAddresses()) {
+                context.send(node, new ConsensusMessage.Table(agreed));
+            }
+        } else {
+            transitionTo(Phase.IDLE, "not_agreed");
+        }
+    }
+}
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -3,124 +3,154 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.function.ToIntFunction;
 import java.util.function.ToLongFunction;
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
 
 /**
- * Decides which one seat the next epoch's table changes. A seat counts as silent, or as gone, only when a majority of the
- * seats say so under the very same table. It decides only: a table is agreed in its register.
+ * Chooses the one voter that the next epoch changes. It only plans: {@link Reconfiguration} has the voter set agreed.
+ *
+ * <p>A voter counts as silent or as removable only when a majority of the voters report it so under the very same voter set.
+ * Statuses are passed by the name of the core, those received of late and this core's own. Stateless but for its constructor's
+ * values.
  */
 final class ReconfigurationPlanner {
-    private final String name;
-    private final ToIntFunction<List<Voter>> mostLost;
+    /** How a joining core treats voters that it has not heard. */
+    enum JoinPatience {
+        /** It waits for them, since one of them may turn out silent and leave its slot. */
+        WAIT_FOR_UNHEARD_VOTERS,
+        /** It has waited so long that the others would have reported them silent. */
+        WAITED_LONG_ENOUGH
+    }
+
+    private final String localName;
+    private final ToleratedLoss toleratedLoss;
 
-    /** {@code mostLost}: how many of these seats the largest loss that must be borne can take. */
-    ReconfigurationPlanner(final String name, final ToIntFunction<List<Voter>> mostLost) {
-        this.name = name;
-        this.mostLost = mostLost;
+    ReconfigurationPlanner(final String localName, final ToleratedLoss toleratedLoss) {
+        this.localName = localName;
+        this.toleratedLoss = toleratedLoss;
     }
 
-    /** The table with this core's seat in it, or none while it should wait: the seat of its own name, else the seat of a
-     * core that is gone, else one more. A seat is added while others are unheard only once it has waited long enough
-     * that they would have been called silent. */
-    Optional<VoterSet> joined(
+    /**
+     * Returns the voter set with this core in it, or empty while it should wait. In this order it takes the slot of its own name,
+     * that of its own address, that of a silent voter, or else a new one.
+     */
+    Optional<VoterSet> withLocalVoter(
             final VoterSet voterSet,
-            final Voter own,
-            final Map<String, MembershipMessage.VoterStatus> fresh,
-            final boolean waited) {
-        if (voterSet.voter(name) != null) {
-            return Optional.of(voterSet.swap(own));
+            final Voter localVoter,
+            final Map<String, MembershipMessage.VoterStatus> statuses,
+            final JoinPatience patience) {
+        if (voterSet.voter(localName) != null) {
+            return Optional.of(voterSet.swap(localVoter));
         }
         for (final Voter voter : voterSet.voters()) {
-            if (voter.address().equals(own.address())) {
-                return Optional.of(voterSet.replace(voter.name(), own));
+            if (voter.address().equals(localVoter.address())) {
+                return Optional.of(voterSet.replace(voter.name(), localVoter));
             }
         }
-        for (int place = 0; place < voterSet.voters().size(); place++) {
-            final String voter = voterSet.voters().get(place).name();
-            if (!fresh.containsKey(voter)
-                    && agreed(voterSet, fresh, place, MembershipMessage.VoterStatus::silentVoters)) {
-                return Optional.of(voterSet.replace(voter, own));
+        for (int position = 0; position < voterSet.voters().size(); position++) {
+            final String voter = voterSet.voters().get(position).name();
+            if (!statuses.containsKey(voter)
+                    && isReportedByMajority(
+                            voterSet, statuses, position, MembershipMessage.VoterStatus::silentVoters)) {
+                return Optional.of(voterSet.replace(voter, localVoter));
             }
         }
-        final boolean allHeard = voterSet.voters().stream().allMatch(voter -> fresh.containsKey(voter.name()));
-        return (allHeard || waited) && helps(voterSet, own, fresh) ? Optional.of(voterSet.add(own)) : Optional.empty();
+        final boolean mayAdd = patience == JoinPatience.WAITED_LONG_ENOUGH
+                || voterSet.voters().stream().allMatch(voter -> statuses.containsKey(voter.name()));
+        return mayAdd && isAdditionHarmless(voterSet, localVoter, statuses)
+                ? Optional.of(voterSet.add(localVoter))
+                : Optional.empty();
     }
 
-    /** Whether one seat more is no harm: the table bears the largest loss with all seats that are waited for, or doesn't
-     * bear it now. A third seat of four in one region would be a majority's end with that region. */
-    private boolean helps(
-            final VoterSet voterSet, final Voter own, final Map<String, MembershipMessage.VoterStatus> fresh) {
+    /**
+     * Whether the voter set survives the tolerated loss with this voter, or with it and all cores that wait to join, or does not
+     * survive it now anyway. Adding a third of four voters in one region, for example, would make that region's loss the loss
+     * of the majority.
+     */
+    private boolean isAdditionHarmless(
+            final VoterSet voterSet,
+            final Voter localVoter,
+            final Map<String, MembershipMessage.VoterStatus> statuses) {
         if (voterSet.voters().size() >= VoterSet.VOTERS_MAX) {
             return false;
         }
-        VoterSet all = voterSet.add(own);
-        for (final MembershipMessage.VoterStatus s : fresh.values()) {
-            final boolean waits = s.canWrite() && all.voter(s.name()) == null;
-            if (waits && all.voters().size() < VoterSet.VOTERS_MAX) {
-                all = all.add(new Voter(s.name(), s.address(), s.diskId()));
+        VoterSet withAllJoiners = voterSet.add(localVoter);
+        for (final MembershipMessage.VoterStatus status : statuses.values()) {
+            final boolean waits = status.canWrite() && withAllJoiners.voter(status.name()) == null;
+            if (waits && withAllJoiners.voters().size() < VoterSet.VOTERS_MAX) {
+                withAllJoiners = withAllJoiners.add(new Voter(status.name(), status.address(), status.diskId()));
             }
         }
-        return bears(all) || bears(voterSet.add(own)) || !bears(voterSet);
+        return survivesToleratedLoss(withAllJoiners)
+                || survivesToleratedLoss(voterSet.add(localVoter))
+                || !survivesToleratedLoss(voterSet);
     }
 
-    /** The table without a seat that is gone, or none. An odd table keeps it: with one seat silent it needs as many votes
-     * as the even one below it. */
-    Optional<VoterSet> thinned(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
-        if (voterSet.voters().size() % 2 != 0 || !proposes(voterSet, fresh) || joinerWaits(voterSet, fresh)) {
+    /**
+     * Returns the voter set without its first removable voter, or empty if this core should not propose that. A set of odd size
+     * keeps it: with one voter silent it needs as many votes as the set of even size below it.
+     */
+    Optional<VoterSet> withoutRemovableVoter(
+            final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
+        if (voterSet.voters().size() % 2 != 0
+                || !isFirstVotingCore(voterSet, statuses)
+                || isJoinerWaiting(voterSet, statuses)) {
             return Optional.empty();
         }
-        for (int place = 0; place < voterSet.voters().size(); place++) {
-            final String voter = voterSet.voters().get(place).name();
-            if (!fresh.containsKey(voter)
-                    && agreed(voterSet, fresh, place, MembershipMessage.VoterStatus::removableVoters)) {
+        for (int position = 0; position < voterSet.voters().size(); position++) {
+            final String voter = voterSet.voters().get(position).name();
+            if (!statuses.containsKey(voter)
+                    && isReportedByMajority(
+                            voterSet, statuses, position, MembershipMessage.VoterStatus::removableVoters)) {
                 final VoterSet next = voterSet.remove(voter);
-                return bears(next) ? Optional.of(next) : Optional.empty();
+                return survivesToleratedLoss(next) ? Optional.of(next) : Optional.empty();
             }
         }
         return Optional.empty();
     }
 
-    /** Whether a majority is left after the largest loss that must be borne. */
-    private boolean bears(final VoterSet voterSet) {
-        return voterSet.voters().size() - mostLost.applyAsInt(voterSet.voters()) >= voterSet.majority();
+    private boolean survivesToleratedLoss(final VoterSet voterSet) {
+        final List<Voter> voters = voterSet.voters();
+        return voters.size() - toleratedLoss.votersLost(voters) >= voterSet.majority();
     }
 
-    /** The first by name of those that vote, so that they don't all propose the same at once. */
-    private boolean proposes(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
-        for (final MembershipMessage.VoterStatus s : fresh.values()) {
-            if (votes(voterSet, s)) {
-                return s.name().equals(name);
+    /** Only the first voting core by name proposes a removal, so that they do not all propose the same at once. */
+    private boolean isFirstVotingCore(
+            final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
+        for (final MembershipMessage.VoterStatus status : statuses.values()) {
+            if (isVotingIn(voterSet, status)) {
+                return status.name().equals(localName);
             }
         }
         return false;
     }
 
-    /** A core without a seat takes the one that is gone. */
-    private static boolean joinerWaits(
-            final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> fresh) {
-        return fresh.values().stream().anyMatch(s -> voterSet.voter(s.name()) == null && s.canWrite());
+    /** A core that waits to join takes the slot of the removable voter. */
+    private static boolean isJoinerWaiting(
+            final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
+        return statuses.values().stream()
+                .anyMatch(status -> voterSet.voter(status.name()) == null && status.canWrite());
     }
 
-    private static boolean agreed(
+    private static boolean isReportedByMajority(
             final VoterSet voterSet,
-            final Map<String, MembershipMessage.VoterStatus> fresh,
-            final int place,
-            final ToLongFunction<MembershipMessage.VoterStatus> places) {
-        int say = 0;
-        for (final MembershipMessage.VoterStatus s : fresh.values()) {
-            say += votes(voterSet, s) && (places.applyAsLong(s) >> place & 1) == 1 ? 1 : 0;
+            final Map<String, MembershipMessage.VoterStatus> statuses,
+            final int position,
+            final ToLongFunction<MembershipMessage.VoterStatus> reportedVoters) {
+        int reports = 0;
+        for (final MembershipMessage.VoterStatus status : statuses.values()) {
+            final boolean reported = (reportedVoters.applyAsLong(status) >> position & 1) == 1;
+            reports += isVotingIn(voterSet, status) && reported ? 1 : 0;
         }
-        return say >= voterSet.majority();
+        return reports >= voterSet.majority();
     }
 
-    private static boolean votes(final VoterSet voterSet, final MembershipMessage.VoterStatus s) {
-        final Voter voter = voterSet.voter(s.name());
-        return s.voting()
+    private static boolean isVotingIn(final VoterSet voterSet, final MembershipMessage.VoterStatus status) {
+        final Voter voter = voterSet.voter(status.name());
+        return status.voting()
                 && voter != null
-                && voter.diskId().equals(s.diskId())
-                && voterSet.same(s.generation(), s.epoch());
+                && voter.diskId().equals(status.diskId())
+                && voterSet.same(status.generation(), status.epoch());
     }
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
@@ -0,0 +1,214 @@
+package spokestall.membership;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.Voter;
+import spokestall.consensus.VoterSet;
+import spokestall.message.Fingerprints;
+
+/**
+ * Sends this core's status to the others and keeps the last status received from each of them.
+ *
+ * <p>Each status says how far the sender's disk is written and how far it knows the recipient's disk to be. A core whose disk was
+ * restored to an older state therefore finds out from the first peer that remembers more ({@link #provesOlderDisk}); until enough
+ * peers have spoken to exclude that, {@link #isDiskVerified} is false and the node gives no vote. All of it is kept in memory.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. At most {@link #PEERS_MAX} peers are kept.
+ */
+final class VoterStatusExchange {
+    /** What a received status was to this core. */
+    enum Contact {
+        /** There is no room for another peer; the status was not recorded. */
+        REJECTED,
+        /** The first status of this peer, or the first after a pause. */
+        NEW,
+        /** The peer was heard of late. */
+        CURRENT
+    }
+
+    /** Last status of a peer, and the highest sequence number it reported of its present disk. */
+    private record PeerStatus(MembershipMessage.VoterStatus status, long receivedMillis, long writtenMax) {
+        private PeerStatus next(final MembershipMessage.VoterStatus newer, final long nowMillis) {
+            final boolean sameDisk = status.diskId().equals(newer.diskId());
+            return new PeerStatus(newer, nowMillis, sameDisk ? Math.max(writtenMax, newer.written()) : newer.written());
+        }
+    }
+
+    private static final int PEERS_MAX = 4 * VoterSet.VOTERS_MAX;
+    /** After so many unchanged status intervals a core sends its status once an interval instead of on every tick. */
+    private static final int SETTLED_INTERVALS = 3;
+
+    private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
+
+    private final MembershipContext context;
+    private final MembershipEnvironment environment;
+    private final boolean bootstrapCandidate;
+    private final PeerLiveness liveness;
+    private final Map<String, PeerStatus> peers = new TreeMap<>();
+    private MembershipMessage.VoterStatus lastAnnounced;
+    private long lastAnnouncedMillis = NEVER_MILLIS;
+    private long statusChangedMillis;
+
+    /** Creates an exchange that has heard nobody; {@code bootstrapCandidate}: this core may be a voter of the first generation. */
+    VoterStatusExchange(
+            final MembershipContext context,
+            final MembershipEnvironment environment,
+            final boolean bootstrapCandidate) {
+        this.context = context;
+        this.environment = environment;
+        this.bootstrapCandidate = bootstrapCandidate;
+        this.liveness = new PeerLiveness(context.timeouts().statusIntervalMillis());
+    }
+
+    /** This core's status, with its voter set and without progress of disks. */
+    MembershipMessage.VoterStatus localStatus() {
+        final Acceptor acceptor = context.acceptor();
+        return new MembershipMessage.VoterStatus(
+                context.local().name(),
+                context.local().address(),
+                acceptor.diskId(),
+                acceptor.voterSet(),
+                acceptor.hasState(),
+                acceptor.state() == Acceptor.State.VOTING,
+                acceptor.canWrite(),
+                0,
+                0,
+                bootstrapCandidate && acceptor.voterSet() == null,
+                acceptor.catchesUp(),
+                silentVoters(context.timeouts().silentAfterMillis()),
+                silentVoters(context.timeouts().removableAfterMillis()),
+                0,
+                0,
+                0);
+    }
+
+    private long silentVoters(final long boundMillis) {
+        final VoterSet voterSet = context.voterSet();
+        return voterSet == null
+                ? 0
+                : liveness.silentVoters(voterSet, context.local().name(), boundMillis, context.nowMillis());
+    }
+
+    /** Records a peer's status. */
+    Contact onVoterStatus(final MembershipMessage.VoterStatus status) {
+        final PeerStatus previous = peers.get(status.name());
+        if (previous == null && peers.size() >= PEERS_MAX) {
+            return Contact.REJECTED;
+        }
+        final long nowMillis = context.nowMillis();
+        liveness.onMessage(status.name(), nowMillis);
+        peers.put(
+                status.name(),
+                previous == null
+                        ? new PeerStatus(status, nowMillis, status.written())
+                        : previous.next(status, nowMillis));
+        return previous == null || !isFresh(previous) ? Contact.NEW : Contact.CURRENT;
+    }
+
+    /** Whether the sender knows that this core's disk was once written further than it is now. */
+    boolean provesOlderDisk(final MembershipMessage.VoterStatus status) {
+        return status.provesOlderDisk(
+                        context.acceptor().diskId(), context.acceptor().written())
+                && context.acceptor().canWrite();
+    }
+
+    /**
+     * Whether so many other voters were heard in this incarnation that any majority includes one of them: had this disk been
+     * written further than it is, one of them would have reported it.
+     */
+    boolean isDiskVerified() {
+        final VoterSet voterSet = context.voterSet();
+        if (voterSet == null) {
+            return false;
+        }
+        int heard = 0;
+        for (final Voter voter : voterSet.voters()) {
+            heard += !voter.name().equals(context.local().name()) && peers.containsKey(voter.name()) ? 1 : 0;
+        }
+        return heard >= voterSet.majority() - 1;
+    }
+
+    private boolean isFresh(final PeerStatus peer) {
+        return context.nowMillis() - peer.receivedMillis <= context.timeouts().statusFreshMillis();
+    }
+
+    /** The statuses received of late, and this core's own, by name in ascending order. */
+    Map<String, MembershipMessage.VoterStatus> freshStatuses() {
+        final Map<String, MembershipMessage.VoterStatus> fresh = new TreeMap<>();
+        peers.forEach((name, peer) -> {
+            if (isFresh(peer)) {
+                fresh.put(name, peer.status);
+            }
+        });
+        fresh.put(context.local().name(), localStatus());
+        return fresh;
+    }
+
+    /**
+     * Sends the status to the cores, less often while nothing changes; to edges too while this core knows no voter set, since
+     * theirs may be the last there is.
+     */
+    void onTick(final GenerationRecovery.Phase recoveryPhase) {
+        if (context.voterSet() != null) {
+            liveness.onTick(context.voterSet(), context.nowMillis());
+        }
+        final long nowMillis = context.nowMillis();
+        final long intervalMillis = context.timeouts().statusIntervalMillis();
+        final MembershipMessage.VoterStatus status = localStatus();
+        if (!status.equals(lastAnnounced)) {
+            lastAnnounced = status;
+            statusChangedMillis = nowMillis;
+        }
+        if (isSettled(recoveryPhase, nowMillis) && nowMillis - lastAnnouncedMillis < intervalMillis) {
+            return;
+        }
+        final boolean toEdgesToo =
+                status.voterSet() == null && nowMillis / intervalMillis != lastAnnouncedMillis / intervalMillis;
+        lastAnnouncedMillis = nowMillis;
+        announce(status, toEdgesToo ? environment.otherNodeAddresses() : environment.otherCoreAddresses());
+    }
+
+    private boolean isSettled(final GenerationRecovery.Phase recoveryPhase, final long nowMillis) {
+        final Acceptor.State state = context.acceptor().state();
+        return recoveryPhase == GenerationRecovery.Phase.IDLE
+                && nowMillis - statusChangedMillis
+                        > SETTLED_INTERVALS * context.timeouts().statusIntervalMillis()
+                && (state == Acceptor.State.VOTING || state == Acceptor.State.STOPPED);
+    }
+
+    private void announce(final MembershipMessage.VoterStatus status, final List<String> recipients) {
+        final Set<String> haveVoterSet = new HashSet<>();
+        peers.values().forEach(peer -> {
+            if (!peer.status.lacks(status.voterSet())) {
+                haveVoterSet.add(peer.status.address());
+            }
+        });
+        final MembershipMessage.VoterStatus shortStatus =
+                context.settings().voterSetInStatus() == MembershipSettings.VoterSetInStatus.ALWAYS
+                        ? status
+                        : status.withoutVoterSet();
+        for (final String recipient : recipients) {
+            send(recipient, haveVoterSet.contains(recipient) ? shortStatus : status);
+        }
+    }
+
+    /** Sends the status, with the voter set, to one peer outside the regular interval. */
+    void sendLocalStatus(final String to) {
+        send(to, localStatus());
+    }
+
+    private void send(final String to, final MembershipMessage.VoterStatus status) {
+        final long written = context.acceptor().written();
+        MembershipMessage.VoterStatus complete = status.withWriteProgress(written, 0, 0);
+        for (final PeerStatus peer : peers.values()) {
+            if (peer.status.address().equals(to)) {
+                complete = status.withWriteProgress(written, Fingerprints.of(peer.status.diskId()), peer.writtenMax);
+            }
+        }
+        context.send(to, complete);
+    }
+}
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -15,64 +15,88 @@
 import spokestall.consensus.VoterSet;
 import spokestall.lease.Lease;
 import spokestall.membership.InitialState;
-import spokestall.membership.MembershipCoordinator;
+import spokestall.membership.InitialStateMerger;
 import spokestall.membership.SurvivingState;
 import spokestall.message.MessageCodec;
 import spokestall.proxy.IdempotencyClaim;
 import spokestall.time.FleetClock;
 
-/** Makes a new generation out of what is left of the old one, above every number that anyone has seen. */
-final class GenerationMerger implements MembershipCoordinator.Merger {
+/**
+ * Merges the initial state of a new generation from what survived of the old one.
+ *
+ * <p>The generation is numbered above every generation, fencing token and configuration version that anyone has seen, so that
+ * none of them occurs twice. It keeps idempotency claims, usage, leases (not held any more) and the newest configuration. Every
+ * entry is written under the same proposal number, below that of any later proposal. Not thread-safe; all calls on the node's
+ * event loop.
+ */
+final class GenerationMerger implements InitialStateMerger {
+    /** Register of the fleet time at which the generation began, in milliseconds as decimal text. Part of the stored format. */
     static final String FLOOR = "duty/floor";
-    private static final ProposalNumber FOUND = new ProposalNumber(1, "found");
-    private final FleetClock fleet;
 
-    GenerationMerger(final FleetClock fleet) {
-        this.fleet = fleet;
+    private static final String LEASE_KEYS = "duty/";
+    private static final String USAGE_KEYS = "usage/";
+    private static final String CHANGE_ID_PREFIX = "founding-";
+    private static final ProposalNumber INITIAL = new ProposalNumber(1, "found");
+    private static final int MILLIS_PER_SECOND = 1000;
+
+    private final FleetClock fleetClock;
+
+    GenerationMerger(final FleetClock fleetClock) {
+        this.fleetClock = fleetClock;
     }
 
     @Override
     public InitialState merge(
-            final long baseGeneration, final List<SurvivingState> survivingState, final List<Voter> voters) {
-        long generation = Math.max(baseGeneration + 1, fleet.nowMs() / 1000);
-        for (final SurvivingState r : survivingState) {
-            generation = Math.max(generation, r.generation() + 1);
-            generation = Math.max(generation, (r.token() >> VoterSet.GENERATION_SHIFT) + 1);
-            generation = Math.max(generation, (r.configurationVersion() >> VoterSet.GENERATION_SHIFT) + 1);
-        }
+            final long baseGeneration, final List<SurvivingState> survivors, final List<Voter> voters) {
+        final long generation = nextGeneration(baseGeneration, survivors);
         final VoterSet voterSet = new VoterSet(generation, 1, voters);
-        final TreeMap<String, Register> newest = newest(baseGeneration, survivingState);
+        final TreeMap<String, Register> newest = newestRegisters(baseGeneration, survivors);
         final List<ConsensusMessage.Entry> entries = new ArrayList<>();
-        newest.forEach((key, r) -> {
-            if (IdempotencyClaim.isKey(key) || key.startsWith("usage/")) {
-                entries.add(entry(key, r.value()));
-            } else if (key.startsWith("duty/") && !key.equals(FLOOR)) {
-                final Lease l = MessageCodec.record(r.value(), Lease.class);
-                entries.add(entry(
-                        key,
-                        MessageCodec.bytes(
-                                new Lease(l.owner(), l.holder(), l.renewal(), l.token(), l.spanMs(), false))));
+        newest.forEach((key, register) -> {
+            if (IdempotencyClaim.isKey(key) || key.startsWith(USAGE_KEYS)) {
+                entries.add(entry(key, register.value()));
+            } else if (key.startsWith(LEASE_KEYS) && !key.equals(FLOOR)) {
+                entries.add(entry(key, MessageCodec.bytes(withoutHold(register.value()))));
             }
         });
-        entries.add(entry(FLOOR, Long.toString(fleet.nowMs()).getBytes(StandardCharsets.UTF_8)));
+        entries.add(entry(FLOOR, Long.toString(fleetClock.nowMs()).getBytes(StandardCharsets.UTF_8)));
         entries.add(entry(
-                ConfigurationKeys.key(voterSet.firstNumber()), configuration(survivingState, newest, generation)));
+                ConfigurationKeys.key(voterSet.firstNumber()), configurationChange(survivors, newest, generation)));
         return new InitialState(voterSet, entries);
     }
 
+    /** Above all numbers that survived, and not below the fleet's time in seconds, in case higher ones were lost. */
+    private long nextGeneration(final long baseGeneration, final List<SurvivingState> survivors) {
+        long generation = Math.max(baseGeneration + 1, fleetClock.nowMs() / MILLIS_PER_SECOND);
+        for (final SurvivingState survivor : survivors) {
+            generation = Math.max(generation, survivor.generation() + 1);
+            generation = Math.max(generation, (survivor.fencingToken() >> VoterSet.GENERATION_SHIFT) + 1);
+            generation = Math.max(generation, (survivor.configurationVersion() >> VoterSet.GENERATION_SHIFT) + 1);
+        }
+        return generation;
+    }
+
+    private static Lease withoutHold(final byte[] value) {
+        final Lease lease = MessageCodec.record(value, Lease.class);
+        return new Lease(lease.owner(), lease.holder(), lease.renewal(), lease.token(), lease.spanMs(), false);
+    }
+
     private static ConsensusMessage.Entry entry(final String key, final byte[] value) {
-        return new ConsensusMessage.Entry(key, new Register(FOUND, FOUND, value));
+        return new ConsensusMessage.Entry(key, new Register(INITIAL, INITIAL, value));
     }
 
-    private static TreeMap<String, Register> newest(
-            final long baseGeneration, final List<SurvivingState> survivingState) {
+    /** Each register as accepted under the highest proposal number, from all voters with state of the base generation. */
+    private static TreeMap<String, Register> newestRegisters(
+            final long baseGeneration, final List<SurvivingState> survivors) {
         final TreeMap<String, Register> newest = new TreeMap<>();
-        for (final SurvivingState r : survivingState) {
-            if (r.hasState() && r.generation() == baseGeneration) {
-                for (final ConsensusMessage.Entry e : r.registers()) {
-                    if (e.register().value() != null) {
+        for (final SurvivingState survivor : survivors) {
+            if (survivor.hasState() && survivor.generation() == baseGeneration) {
+                for (final ConsensusMessage.Entry entry : survivor.registers()) {
+                    if (entry.register().value() != null) {
                         newest.merge(
-                                e.key(), e.register(), (a, b) -> b.accepted().compareTo(a.accepted()) > 0 ? b : a);
+                                entry.key(),
+                                entry.register(),
+                                (a, b) -> b.accepted().compareTo(a.accepted()) > 0 ? b : a);
                     }
                 }
             }
@@ -80,29 +104,32 @@
         return newest;
     }
 
-    /** The newest configuration anyone has, and on top of it what was accepted after it and may have been acknowledged; with the
-     * orders that made it, which may be sent again. */
-    private byte[] configuration(
-            final List<SurvivingState> survivingState, final TreeMap<String, Register> newest, final long generation) {
-        final ConfigurationStore configurationStore = new ConfigurationStore(1);
-        for (final SurvivingState r : survivingState) {
-            if (r.configuration() != null) {
-                configurationStore.load(MessageCodec.record(r.configuration(), ConfigurationSnapshot.class));
+    /**
+     * The newest configuration that anyone has, with the changes on top of it that were accepted and may have been acknowledged,
+     * and with the ids of the changes that made it, since clients may send those again.
+     */
+    private byte[] configurationChange(
+            final List<SurvivingState> survivors, final TreeMap<String, Register> newest, final long generation) {
+        final ConfigurationStore merged = new ConfigurationStore(1);
+        for (final SurvivingState survivor : survivors) {
+            if (survivor.configuration() != null) {
+                merged.load(MessageCodec.record(survivor.configuration(), ConfigurationSnapshot.class));
             }
         }
-        newest.forEach((key, r) -> {
+        newest.forEach((key, register) -> {
             final long version = ConfigurationKeys.of(key);
-            final boolean first = version == (version >> VoterSet.GENERATION_SHIFT) << VoterSet.GENERATION_SHIFT;
-            if (version > configurationStore.configuration().version()
-                    && (first || version == configurationStore.configuration().version() + 1)) {
-                configurationStore.apply(version, MessageCodec.record(r.value(), ConfigurationChange.class));
+            final boolean firstOfGeneration =
+                    version == (version >> VoterSet.GENERATION_SHIFT) << VoterSet.GENERATION_SHIFT;
+            if (version > merged.configuration().version()
+                    && (firstOfGeneration || version == merged.configuration().version() + 1)) {
+                merged.apply(version, MessageCodec.record(register.value(), ConfigurationChange.class));
             }
         });
         return MessageCodec.bytes(new ConfigurationChange(
-                "founding-" + generation,
+                CHANGE_ID_PREFIX + generation,
                 ConfigurationChange.Kind.PUT,
-                configurationStore.snapshot().json(),
-                fleet.nowMs(),
-                configurationStore.orders()));
+                merged.snapshot().json(),
+                fleetClock.nowMs(),
+                merged.orders()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.LongSupplier;
+import java.util.Optional;
 import spokestall.configuration.ConfigurationStore;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.ConsensusMessage;
@@ -12,179 +12,232 @@
 import spokestall.membership.BootstrapMessage;
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
+import spokestall.membership.InitialStateMerger;
+import spokestall.membership.LocalNode;
+import spokestall.membership.MembershipContext;
 import spokestall.membership.MembershipCoordinator;
+import spokestall.membership.MembershipEnvironment;
 import spokestall.membership.MembershipMessage;
 import spokestall.membership.SurvivingState;
+import spokestall.membership.ToleratedLoss;
 import spokestall.message.MessageCodec;
 
 /**
- * Who votes: the first table of voters, its changes, and what this node gives to a new generation. An edge has no voter and
- * no formation; it follows the table, and as a seed it votes on the first one.
+ * Consensus and membership on one node: passes their messages on, and provides what this node contributes to a new generation.
+ *
+ * <p>A core has an acceptor, a {@link MembershipCoordinator} and a {@link GracefulHandover}. An edge has none of them: it follows
+ * the voter set, and if it is a seed it votes on the first generation. Not thread-safe; all calls on the node's event loop.
  */
 final class MembershipComponent {
+    /** Where the highest fencing token that this node has stored is read. */
+    @FunctionalInterface
+    interface FencingTokenSource {
+        /** Returns the highest token stored, or 0 on a node that stores none. */
+        long highestStored();
+    }
+
+    /** What only a core has. */
+    private record CoreRole(Acceptor acceptor, MembershipCoordinator coordinator, GracefulHandover handover) {}
+
     private final NodeContext context;
     private final Proposer proposer;
     private final ConfigurationStore configurationStore;
-    private final Acceptor acceptor;
-    private final LongSupplier tokenSeen;
+    private final FencingTokenSource fencingTokens;
     private final BootstrapAcceptor bootstrapAcceptor;
-    private final BootstrapProposer bootstrapProposer;
-    private final MembershipCoordinator membershipCoordinator;
-    private final GracefulHandover handover;
+    private final Optional<BootstrapProposer> bootstrapProposer;
+    private final Optional<CoreRole> coreRole;
 
-    /** The storage is null on an edge; tokenSeen is the highest fencing token that was stored here. */
+    /** Creates the component; {@code storage} is null on an edge. */
     MembershipComponent(
             final NodeContext context,
-            final PeerDirectory neighbours,
+            final PeerDirectory peers,
             final Proposer proposer,
             final ConfigurationStore configurationStore,
             final CoreStorage storage,
-            final ToleratedSeatLoss losses,
-            final LongSupplier tokenSeen) {
+            final ToleratedLoss toleratedLoss,
+            final FencingTokenSource fencingTokens) {
         this.context = context;
         this.proposer = proposer;
         this.configurationStore = configurationStore;
-        this.acceptor = storage == null ? null : storage.acceptor;
-        this.tokenSeen = tokenSeen;
-        final boolean first = isFirstIncarnation();
+        this.fencingTokens = fencingTokens;
+        final BootstrapAcceptor.Eligibility eligibility = bootstrapEligibility(storage);
         this.bootstrapAcceptor = new BootstrapAcceptor(
-                context.address,
-                context.settings().seeds(),
-                first,
-                context.post,
-                proposer::voterSet,
-                storage == null ? Runnable::run : storage::mark);
-        this.bootstrapProposer = storage != null && first ? bootstrapProposer() : null;
-        this.membershipCoordinator = storage == null ? null : membershipCoordinator(neighbours, losses);
-        this.handover = storage == null ? null : handover();
+                context.address, context.settings().seeds(), eligibility, context.post, bootstrapEnvironment(storage));
+        this.bootstrapProposer = storage != null && eligibility == BootstrapAcceptor.Eligibility.FIRST_INCARNATION
+                ? Optional.of(bootstrapProposer())
+                : Optional.empty();
+        this.coreRole =
+                storage == null ? Optional.empty() : Optional.of(coreRole(storage.acceptor, peers, toleratedLoss));
     }
 
-    /** Whether this life was told that it is the fleet's first, and its disk doesn't say otherwise. */
-    private boolean isFirstIncarnation() {
-        return context.settings().ms("cores") == 0
+    private LocalNode localNode() {
+        return new LocalNode(context.name, context.address, context.proposerId());
+    }
+
+    /** The first incarnation is the one that is configured as such and whose disk, if it has one, does not contradict it. */
+    private BootstrapAcceptor.Eligibility bootstrapEligibility(final CoreStorage storage) {
+        final boolean first = context.settings().ms("cores") == 0
                 && context.settings().ms("bootstrap") == 1
-                && (acceptor == null || acceptor.openedBlank());
+                && (storage == null || storage.acceptor.openedBlank());
+        return first
+                ? BootstrapAcceptor.Eligibility.FIRST_INCARNATION
+                : BootstrapAcceptor.Eligibility.LATER_INCARNATION;
+    }
+
+    private BootstrapAcceptor.Environment bootstrapEnvironment(final CoreStorage storage) {
+        return new BootstrapAcceptor.Environment() {
+            @Override
+            public VoterSet voterSet() {
+                return proposer.voterSet();
+            }
+
+            @Override
+            public void afterDiskMarked(final Runnable action) {
+                if (storage == null) {
+                    action.run();
+                } else {
+                    storage.mark(action);
+                }
+            }
+        };
     }
 
     private BootstrapProposer bootstrapProposer() {
+        final InitialStateMerger merger = new GenerationMerger(context.fleet);
         return new BootstrapProposer(
-                context.name,
-                context.address,
-                context.proposerId(),
+                localNode(),
                 context.settings().seeds(),
                 context.post,
                 context.clock,
                 context.timings().bootstrapProposer(),
-                voters -> new GenerationMerger(context.fleet).merge(0, List.of(survivingState()), voters));
+                voters -> merger.merge(0, List.of(survivingState()), voters));
     }
 
-    private MembershipCoordinator membershipCoordinator(
-            final PeerDirectory neighbours, final ToleratedSeatLoss losses) {
-        return new MembershipCoordinator(
-                context.name,
-                context.address,
-                context.proposerId(),
-                acceptor,
-                proposer,
-                context.post,
-                context.clock,
-                context.timings().membershipCoordinator(),
+    private CoreRole coreRole(final Acceptor acceptor, final PeerDirectory peers, final ToleratedLoss toleratedLoss) {
+        final MembershipCoordinator coordinator = new MembershipCoordinator(
+                new MembershipContext(
+                        localNode(),
+                        acceptor,
+                        proposer,
+                        context.post,
+                        context.clock,
+                        context.timings().membership()),
+                environment(peers),
                 new GenerationMerger(context.fleet),
-                this::survivingState,
-                neighbours::coreAndEdgeAddresses,
-                neighbours::otherCoreAddresses,
-                bootstrapProposer,
-                context::freshDiskId,
-                context.fleet::settled,
-                losses);
-    }
-
-    private GracefulHandover handover() {
-        return new GracefulHandover(
-                context.name,
-                context.address,
+                toleratedLoss,
+                bootstrapProposer);
+        final GracefulHandover handover = new GracefulHandover(
+                localNode(),
                 acceptor,
                 context.post,
                 context.clock,
                 context.timings().handover());
+        return new CoreRole(acceptor, coordinator, handover);
+    }
+
+    private MembershipEnvironment environment(final PeerDirectory peers) {
+        return new MembershipEnvironment() {
+            @Override
+            public SurvivingState survivingState() {
+                return MembershipComponent.this.survivingState();
+            }
+
+            @Override
+            public List<String> otherNodeAddresses() {
+                return peers.coreAndEdgeAddresses();
+            }
+
+            @Override
+            public List<String> otherCoreAddresses() {
+                return peers.otherCoreAddresses();
+            }
+
+            @Override
+            public String freshDiskId() {
+                return context.freshDiskId();
+            }
+
+            @Override
+            public boolean isFleetClockSettled() {
+                return context.fleet.settled();
+            }
+        };
     }
 
-    /** Goes by the table that this core's disk has. */
+    /** Brings the voter set on this core's disk, if there is one, into force. */
     void open() {
-        if (acceptor.voterSet() != null) {
-            proposer.adopt(acceptor.voterSet());
-        }
+        coreRole.map(role -> role.acceptor().voterSet()).ifPresent(proposer::adopt);
     }
 
-    void tick() {
-        membershipCoordinator.tick();
+    /** Advances membership on a core. */
+    void onTick() {
+        coreRole.ifPresent(role -> role.coordinator().onTick());
     }
 
-    /** Whether enough others were heard to know that this disk is not an older state of itself. */
-    boolean checked() {
-        return membershipCoordinator.checked();
+    /** Whether enough other voters were heard to exclude that this core's disk is an older state of itself. */
+    boolean isDiskVerified() {
+        return coreRole.isPresent() && coreRole.get().coordinator().isDiskVerified();
     }
 
-    /** Goes by a table, if it is newer than the one here. */
+    /** Brings a voter set into force if it is newer than the present one. */
     void adopt(final VoterSet voterSet) {
-        if (membershipCoordinator == null) {
-            proposer.adopt(voterSet);
-        } else {
-            membershipCoordinator.adopt(voterSet);
-        }
+        coreRole.ifPresentOrElse(role -> role.coordinator().adopt(voterSet), () -> proposer.adopt(voterSet));
     }
 
-    void hear(final ConsensusMessage message) {
-        if (message instanceof ConsensusMessage.Table voterSet) {
-            adopt(voterSet.voterSet());
-        } else if (message instanceof ConsensusMessage.HandoverResponse back) {
-            if (handover != null) {
-                handover.hear(back);
-            }
+    /** Handles a message of a proposer or of a voter. */
+    void onMessage(final ConsensusMessage message) {
+        if (message instanceof ConsensusMessage.Table newer) {
+            adopt(newer.voterSet());
+        } else if (message instanceof ConsensusMessage.HandoverResponse response) {
+            coreRole.ifPresent(role -> role.handover().onResponse(response));
         } else if (message instanceof ConsensusMessage.Promise || message instanceof ConsensusMessage.Accepted) {
             proposer.hear(message);
-        } else if (acceptor != null) {
-            acceptor.hear(message, context.address);
+        } else {
+            coreRole.ifPresent(role -> role.acceptor().hear(message, context.address));
         }
     }
 
-    /** Sees that a majority without this core holds what it accepted; done is run when it does, or the wait is over. */
-    void handOver(final Runnable done) {
-        handover.begin(done);
+    /** Begins the handover of a core that shuts down; {@code whenComplete} runs once, within a bounded time. */
+    void handOver(final Runnable whenComplete) {
+        coreRole.orElseThrow().handover().begin(whenComplete);
     }
 
-    void hear(final BootstrapMessage message) {
-        bootstrapAcceptor.hear(message);
-        if (bootstrapProposer != null) {
-            bootstrapProposer.hear(message);
-        }
+    /** Handles a message of the vote on the first generation. */
+    void onMessage(final BootstrapMessage message) {
+        bootstrapAcceptor.onMessage(message);
+        bootstrapProposer.ifPresent(proposing -> proposing.onMessage(message));
     }
 
-    void hear(final MembershipMessage message) {
-        if (message instanceof MembershipMessage.SurvivingStateRequest ask) {
-            context.post.send(ask.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
-        } else if (membershipCoordinator != null) {
-            membershipCoordinator.hear(message);
-        } else if (message instanceof MembershipMessage.VoterStatus voterStatus) {
-            hear(voterStatus);
+    /** Handles a core's message about membership. */
+    void onMessage(final MembershipMessage message) {
+        if (message instanceof MembershipMessage.SurvivingStateRequest request) {
+            context.post.send(request.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
+        } else if (coreRole.isPresent()) {
+            coreRole.get().coordinator().onMessage(message);
+        } else if (message instanceof MembershipMessage.VoterStatus status) {
+            onVoterStatusAtEdge(status);
         }
     }
 
-    /** An edge and a core tell each other of the newer table. */
-    private void hear(final MembershipMessage.VoterStatus voterStatus) {
-        if (voterStatus.voterSet() != null && voterStatus.voterSet().newerThan(proposer.voterSet())) {
-            proposer.adopt(voterStatus.voterSet());
-        } else if (voterStatus.lacks(proposer.voterSet())) {
-            context.post.send(voterStatus.address(), new ConsensusMessage.Table(proposer.voterSet()));
+    /** An edge and a core send each other the newer voter set. */
+    private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
+        if (status.voterSet() != null && status.voterSet().newerThan(proposer.voterSet())) {
+            proposer.adopt(status.voterSet());
+        } else if (status.lacks(proposer.voterSet())) {
+            context.post.send(status.address(), new ConsensusMessage.Table(proposer.voterSet()));
         }
     }
 
-    /** What this node has for a new generation. */
+    /** Reads what this node could contribute to a new generation at this moment. */
     private SurvivingState survivingState() {
         final List<ConsensusMessage.Entry> registers = new ArrayList<>();
-        final boolean hasState = acceptor != null && acceptor.keepsState();
+        final boolean hasState =
+                coreRole.isPresent() && coreRole.get().acceptor().keepsState();
         if (hasState) {
-            acceptor.registers().forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
+            coreRole.get()
+                    .acceptor()
+                    .registers()
+                    .forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
         }
         final VoterSet voterSet = proposer.voterSet();
         final long version = configurationStore.configuration().version();
@@ -193,7 +246,7 @@
                 voterSet == null ? 0 : voterSet.generation(),
                 version,
                 version == 0 ? null : MessageCodec.bytes(configurationStore.snapshot()),
-                tokenSeen.getAsLong(),
+                fencingTokens.highestStored(),
                 hasState,
                 registers);
     }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -146,7 +146,7 @@
                 proposer,
                 configurationStore,
                 storage,
-                new ToleratedSeatLoss(settings, view),
+                new ToleratedVoterLoss(settings, view),
                 core ? duty::tokenSeen : () -> 0);
         this.follower = new FeedClient(
                 view::self,
@@ -275,7 +275,7 @@
     }
 
     private void startCore(final Settings settings) {
-        every(settings.part("leaveBoundMs", 0.0625), membership::tick);
+        every(settings.part("leaveBoundMs", 0.0625), membership::onTick);
         every(settings.part("leaveBoundMs", 0.125), discovery::tick);
         every(settings.part("leaseMs", 0.1), () -> duty.tickLease(leaving()));
         every(settings.part("reportDueMs", 0.01), duty.reporter::tick);
@@ -424,7 +424,7 @@
     }
 
     private boolean mayVote() {
-        return context.fleet.settled() && membership.checked();
+        return context.fleet.settled() && membership.isDiskVerified();
     }
 
     private long heardMs(final String core) {
@@ -460,9 +460,9 @@
         if (received instanceof GossipMessage message) {
             view.hear(message);
         } else if (received instanceof ConsensusMessage message) {
-            membership.hear(message);
+            membership.onMessage(message);
         } else if (received instanceof BootstrapMessage message) {
-            membership.hear(message);
+            membership.onMessage(message);
         } else if (received instanceof MembershipMessage message) {
             hear(message);
         } else if (received instanceof FeedMessage message) {
@@ -477,7 +477,7 @@
     }
 
     private void hear(final MembershipMessage message) {
-        membership.hear(message);
+        membership.onMessage(message);
         if (context.core && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
             handoff.handOver(voterStatus, storage.acceptor);
         }
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -9,7 +9,8 @@
 import spokestall.lease.LeaseManager;
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
-import spokestall.membership.MembershipCoordinator;
+import spokestall.membership.MembershipSettings;
+import spokestall.membership.MembershipTimeouts;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
 import spokestall.proxy.RequestConventions;
@@ -68,26 +69,29 @@
                 settings.ms("noteVersion") < TERSE);
     }
 
-    BootstrapProposer.Timing bootstrapProposer() {
-        return new BootstrapProposer.Timing(
+    BootstrapProposer.Timeouts bootstrapProposer() {
+        return new BootstrapProposer.Timeouts(
                 settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
     }
 
-    MembershipCoordinator.Timing membershipCoordinator() {
-        return new MembershipCoordinator.Timing(
+    MembershipSettings membership() {
+        return new MembershipSettings(
                 (int) settings.ms("cores"),
-                settings.part("leaveBoundMs", 0.6),
-                settings.part("leaveBoundMs", 0.15),
-                settings.part("leaveBoundMs", 0.75),
-                8 * settings.ms("farMs"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.ms("noteVersion") < TERSE,
-                settings.part("leaveBoundMs", 0.5),
-                settings.part("leaveBoundMs", 8));
-    }
-
-    GracefulHandover.Timing handover() {
-        return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
+                settings.ms("noteVersion") < TERSE
+                        ? MembershipSettings.VoterSetInStatus.ALWAYS
+                        : MembershipSettings.VoterSetInStatus.WHEN_RECIPIENT_MAY_LACK_IT,
+                new MembershipTimeouts(
+                        settings.part("leaveBoundMs", 0.6),
+                        settings.part("leaveBoundMs", 0.15),
+                        settings.part("leaveBoundMs", 0.75),
+                        8 * settings.ms("farMs"),
+                        settings.part("leaveBoundMs", 0.25),
+                        settings.part("leaveBoundMs", 0.5),
+                        settings.part("leaveBoundMs", 8)));
+    }
+
+    GracefulHandover.Timeouts handover() {
+        return new GracefulHandover.Timeouts(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
     HealthChecker.Timing prober() {
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import spokestall.membership.MembershipCoordinator;
+import spokestall.membership.GenerationAcceptor;
 
 /** Keys of what a voter keeps beside its registers, against their literals. */
 class AcceptorKeyStabilityTest {
@@ -13,6 +13,6 @@
         assertThat(Acceptor.CAUGHT).isEqualTo("~caught");
         assertThat(Acceptor.DISK).isEqualTo("~disk");
         assertThat(Acceptor.FLOOR).isEqualTo("~floor");
-        assertThat(MembershipCoordinator.FORM).isEqualTo("~form");
+        assertThat(GenerationAcceptor.VOTE_KEY).isEqualTo("~form");
     }
 }
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -29,6 +29,11 @@
 /** A fleet of unknown size in virtual time: cores and edges that come late, restart, and lose disks, with messages late, lost
  * and doubled. After every event it is looked at whether two tables contradict each other. */
 final class MembershipTestContext {
+    private static final MembershipSettings SETTINGS = new MembershipSettings(
+            0,
+            MembershipSettings.VoterSetInStatus.WHEN_RECIPIENT_MAY_LACK_IT,
+            new MembershipTimeouts(2400, 600, 3000, 880, 1000, 2000, 32_000));
+
     private DelayedSegmentStore disk() {
         return new DelayedSegmentStore(8, 1 << 15, clock, () -> 1 + random.nextInt(8));
     }
@@ -95,50 +100,34 @@
                     (voter, key) -> {});
             acceptor = core ? new Acceptor(name, new SegmentedLog(disk), this::send, new Open(this), freshId()) : null;
             final boolean first = told && (!core || acceptor.openedBlank());
+            final LocalNode local = new LocalNode(name, name, name + "#" + incarnations);
             bootstrapAcceptor = new BootstrapAcceptor(
                     name,
                     seeds,
-                    first,
+                    first
+                            ? BootstrapAcceptor.Eligibility.FIRST_INCARNATION
+                            : BootstrapAcceptor.Eligibility.LATER_INCARNATION,
                     this::send,
-                    () -> proposer.voterSet(),
-                    core ? then -> acceptor.keepOwn("~council", new byte[0], ok -> then.run()) : Runnable::run);
+                    bootstrapEnvironment());
             bootstrapProposer = core && first
                     ? new BootstrapProposer(
-                            name,
-                            name,
-                            name + "#" + incarnations,
+                            local,
                             seeds,
                             this::send,
                             own,
-                            new BootstrapProposer.Timing(2000, 1000, 880),
+                            new BootstrapProposer.Timeouts(2000, 1000, 880),
                             voters -> initialState(0, voters))
                     : null;
             membershipCoordinator = core
                     ? new MembershipCoordinator(
-                            name,
-                            name,
-                            name + "#" + incarnations,
-                            acceptor,
-                            proposer,
-                            this::send,
-                            own,
-                            new MembershipCoordinator.Timing(0, 2400, 600, 3000, 880, 1000, false, 2000, 32_000),
-                            (baseGeneration, left, voters) -> {
-                                final InitialState initialState = initialState(baseGeneration, voters);
-                                mergedStateOf.put(
-                                        initialState.voterSet().generation(), withState(baseGeneration, left));
-                                return initialState;
-                            },
-                            this::survivingState,
-                            () -> others(true),
-                            () -> others(false),
-                            bootstrapProposer,
-                            this::freshId,
-                            () -> true,
-                            MembershipTestContext.this::mostLost)
+                            new MembershipContext(local, acceptor, proposer, this::send, own, SETTINGS),
+                            environment(),
+                            this::merge,
+                            MembershipTestContext.this::mostLost,
+                            Optional.ofNullable(bootstrapProposer))
                     : null;
             handover = core
-                    ? new GracefulHandover(name, name, acceptor, this::send, own, new GracefulHandover.Timing(220, 900))
+                    ? new GracefulHandover(local, acceptor, this::send, own, new GracefulHandover.Timeouts(220, 900))
                     : null;
             if (core && acceptor.voterSet() != null) {
                 proposer.adopt(acceptor.voterSet());
@@ -150,6 +139,60 @@
             }
         }
 
+        private BootstrapAcceptor.Environment bootstrapEnvironment() {
+            return new BootstrapAcceptor.Environment() {
+                @Override
+                public VoterSet voterSet() {
+                    return proposer.voterSet();
+                }
+
+                @Override
+                public void afterDiskMarked(final Runnable action) {
+                    if (core) {
+                        acceptor.keepOwn("~council", new byte[0], ok -> action.run());
+                    } else {
+                        action.run();
+                    }
+                }
+            };
+        }
+
+        private MembershipEnvironment environment() {
+            return new MembershipEnvironment() {
+                @Override
+                public SurvivingState survivingState() {
+                    return TestNode.this.survivingState();
+                }
+
+                @Override
+                public List<String> otherNodeAddresses() {
+                    return others(true);
+                }
+
+                @Override
+                public List<String> otherCoreAddresses() {
+                    return others(false);
+                }
+
+                @Override
+                public String freshDiskId() {
+                    return freshId();
+                }
+
+                @Override
+                public boolean isFleetClockSettled() {
+                    return true;
+                }
+            };
+        }
+
+        private InitialState merge(
+                final long baseGeneration, final List<SurvivingState> survivors, final List<Voter> voters) {
+            final InitialState initialState = initialState(baseGeneration, voters);
+            mergedStateOf.put(initialState.voterSet().generation(), withState(baseGeneration, survivors));
+            return initialState;
+        }
+
         private SurvivingState survivingState() {
             return new SurvivingState(name, generation(), 0, null, 0, acceptor.keepsState(), registers());
         }
@@ -166,7 +209,7 @@
 
         private void tick(final Clock own) {
             own.after(250, () -> tick(own));
-            membershipCoordinator.tick();
+            membershipCoordinator.onTick();
         }
 
         /** An edge hears of tables by the feed that it asks all cores for. */
@@ -243,9 +286,9 @@
 
         void hear(final Message message) {
             if (message instanceof BootstrapMessage c) {
-                bootstrapAcceptor.hear(c);
+                bootstrapAcceptor.onMessage(c);
                 if (bootstrapProposer != null) {
-                    bootstrapProposer.hear(c);
+                    bootstrapProposer.onMessage(c);
                 }
             } else if (message instanceof ConsensusMessage.Table t) {
                 if (core) {
@@ -254,7 +297,7 @@
                     proposer.adopt(t.voterSet());
                 }
             } else if (message instanceof ConsensusMessage.HandoverResponse back) {
-                handover.hear(back);
+                handover.onResponse(back);
             } else if (message instanceof ConsensusMessage b) {
                 proposer.hear(b);
                 if (core) {
@@ -263,7 +306,7 @@
             } else if (message instanceof MembershipMessage.SurvivingStateRequest ask && core) {
                 send(ask.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
             } else if (message instanceof MembershipMessage f && core) {
-                membershipCoordinator.hear(f);
+                membershipCoordinator.onMessage(f);
             } else if (message instanceof MembershipMessage.VoterStatus s) {
                 if (s.lacks(proposer.voterSet())) {
                     send(s.address(), new ConsensusMessage.Table(proposer.voterSet()));
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -15,6 +15,19 @@
 import spokestall.consensus.VoterSet;
 
 class ReconfigurationTest {
+    /** An edge that knows no voter set and has no disk to mark. */
+    private static final class EdgeEnvironment implements BootstrapAcceptor.Environment {
+        @Override
+        public VoterSet voterSet() {
+            return null;
+        }
+
+        @Override
+        public void afterDiskMarked(final Runnable action) {
+            action.run();
+        }
+    }
+
     private static long number(final byte[] value) {
         return value == null ? 0 : Long.parseLong(new String(value, StandardCharsets.UTF_8));
     }
@@ -109,19 +122,18 @@
             councils.add(new BootstrapAcceptor(
                     seed,
                     seeds,
-                    true,
+                    BootstrapAcceptor.Eligibility.FIRST_INCARNATION,
                     (to, message) -> sent.add((BootstrapMessage) message),
-                    () -> null,
-                    Runnable::run));
+                    new EdgeEnvironment()));
         }
         final ProposalNumber one = new ProposalNumber(1, "a");
         final ProposalNumber two = new ProposalNumber(2, "b");
         final InitialState first = new InitialState(new VoterSet(7, 1, List.of(new Voter("a", "a", "x"))), List.of());
         final InitialState second = new InitialState(new VoterSet(8, 1, List.of(new Voter("b", "b", "y"))), List.of());
-        councils.get(0).hear(new BootstrapMessage.Prepare("a", seeds, one));
-        councils.get(1).hear(new BootstrapMessage.Prepare("a", seeds, one));
-        councils.get(0).hear(new BootstrapMessage.Accept("a", seeds, one, first));
-        councils.get(1).hear(new BootstrapMessage.Accept("a", seeds, one, first));
+        councils.get(0).onMessage(new BootstrapMessage.Prepare("a", seeds, one));
+        councils.get(1).onMessage(new BootstrapMessage.Prepare("a", seeds, one));
+        councils.get(0).onMessage(new BootstrapMessage.Accept("a", seeds, one, first));
+        councils.get(1).onMessage(new BootstrapMessage.Accept("a", seeds, one, first));
         assertThat(sent)
                 .filteredOn(n -> n instanceof BootstrapMessage.Accepted t && t.granted())
                 .hasSize(2);
@@ -131,28 +143,28 @@
                 new BootstrapAcceptor(
                         "s1",
                         seeds,
-                        false,
+                        BootstrapAcceptor.Eligibility.LATER_INCARNATION,
                         (to, message) -> sent.add((BootstrapMessage) message),
-                        () -> null,
-                        Runnable::run));
-        councils.get(1).hear(new BootstrapMessage.Prepare("b", seeds, two));
-        councils.get(2).hear(new BootstrapMessage.Prepare("b", seeds, two));
-        councils.get(1).hear(new BootstrapMessage.Accept("b", seeds, two, second));
-        councils.get(2).hear(new BootstrapMessage.Accept("b", seeds, two, second));
+                        new EdgeEnvironment()));
+        councils.get(1).onMessage(new BootstrapMessage.Prepare("b", seeds, two));
+        councils.get(2).onMessage(new BootstrapMessage.Prepare("b", seeds, two));
+        councils.get(1).onMessage(new BootstrapMessage.Accept("b", seeds, two, second));
+        councils.get(2).onMessage(new BootstrapMessage.Accept("b", seeds, two, second));
         assertThat(sent)
                 .as("one seed of three")
                 .filteredOn(n -> n instanceof BootstrapMessage.Promise)
                 .hasSize(1);
         assertThat(sent).filteredOn(n -> n instanceof BootstrapMessage.Accepted).hasSize(1);
         sent.clear();
-        councils.get(0).hear(new BootstrapMessage.Prepare("b", seeds, two));
+        councils.get(0).onMessage(new BootstrapMessage.Prepare("b", seeds, two));
         assertThat(sent)
                 .first()
                 .isInstanceOfSatisfying(
                         BootstrapMessage.Promise.class,
                         p -> assertThat(p.initialState()).isEqualTo(first));
         sent.clear();
-        councils.get(0).hear(new BootstrapMessage.Prepare("b", List.of("s0", "s1", "s9"), new ProposalNumber(3, "b")));
+        councils.get(0)
+                .onMessage(new BootstrapMessage.Prepare("b", List.of("s0", "s1", "s9"), new ProposalNumber(3, "b")));
         assertThat(sent).as("whoever goes by other seeds gets no vote").isEmpty();
     }
 
--- a/spokestall/src/test/java/spokestall/membership/StoredRecords.java
+++ b/spokestall/src/test/java/spokestall/membership/StoredRecords.java
@@ -8,11 +8,11 @@
 
     /** What a core keeps about the proposal number for a new generation. */
     public static Class<? extends Record> coordinatorProposal() {
-        return MembershipCoordinator.Kept.class;
+        return GenerationAcceptor.Vote.class;
     }
 
     /** A proposal number in which nothing was accepted yet. */
     public static Record coordinatorProposal(final long baseGeneration, final ProposalNumber promised) {
-        return new MembershipCoordinator.Kept(baseGeneration, promised, ProposalNumber.NONE, null);
+        return new GenerationAcceptor.Vote(baseGeneration, promised, ProposalNumber.NONE, null);
     }
 }
