--- a/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
@@ -9,7 +9,6 @@
 import java.util.TreeMap;
 import spokestall.consensus.ProposalNumber;
 import spokestall.consensus.Voter;
-import spokestall.consensus.VoterSet;
 
 /**
  * Proposes a new generation after so many disks were lost that no majority of the voters has state.
@@ -61,6 +60,7 @@
     private final MembershipContext context;
     private final MembershipEnvironment environment;
     private final RecoveryElectorate electorate;
+    private final MajorityLossDetector detector;
     private final GenerationAcceptor localAcceptor;
     private final InitialStateMerger merger;
     private final GenerationListener listener;
@@ -86,6 +86,7 @@
         this.context = context;
         this.environment = environment;
         this.electorate = electorate;
+        this.detector = new MajorityLossDetector(context, environment, electorate);
         this.localAcceptor = localAcceptor;
         this.merger = merger;
         this.listener = listener;
@@ -124,7 +125,7 @@
             advance(statuses);
             return TickResult.IN_PROGRESS;
         }
-        if (isRequired(statuses)) {
+        if (detector.isMajorityLost(statuses)) {
             beginIfSettled(statuses);
             return TickResult.IN_PROGRESS;
         }
@@ -132,35 +133,7 @@
         return TickResult.NOT_REQUIRED;
     }
 
-    /** Whether no majority with state can come together from the cores that are heard. */
-    private boolean isRequired(final Map<String, MembershipMessage.VoterStatus> statuses) {
-        final VoterSet voterSet = context.voterSet();
-        if (!context.acceptor().canWrite()
-                || !environment.isFleetClockSettled()
-                || !electorate.containsLocal()
-                || statuses.values().stream().anyMatch(status -> status.newerThan(voterSet))) {
-            return false;
-        }
-        int writable = 0;
-        int withState = 0;
-        int catchingUp = 0;
-        for (final MembershipMessage.VoterStatus status : statuses.values()) {
-            if (electorate.contains(status.name())) {
-                final boolean sameGeneration = status.generation() > 0 && status.generation() == context.generation();
-                writable += status.canWrite() ? 1 : 0;
-                withState += status.hasState() && sameGeneration ? 1 : 0;
-                catchingUp += status.catchingUp() && !status.hasState() && sameGeneration ? 1 : 0;
-            }
-        }
-        if (voterSet == null) {
-            return writable == context.settings().configuredCores();
-        }
-        // A voter that still catches up will have its state, as long as enough others are there to read from.
-        final int expected = withState >= voterSet.meeting() ? withState + catchingUp : withState;
-        return writable >= electorate.majority() && writable - expected > electorate.size() - electorate.majority();
-    }
-
-    /** Waits longer while voters are unheard, and one round longer for each core that comes first by name. */
+    /** Waits longer while voters are unheard, and one round longer for each core whose name is lower. */
     private void beginIfSettled(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final long nowMillis = context.nowMillis();
         if (requiredSinceMillis == NOT_REQUIRED) {
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -12,7 +12,7 @@
  *
  * <p>A voter counts as silent or as removable only when a majority of the voters report it so under the very same voter set.
  * Statuses are passed by the name of the core, those received of late and this core's own. Stateless but for its constructor's
- * values.
+ * values; all calls on the node's event loop.
  */
 final class ReconfigurationPlanner {
     /** How a joining core treats voters that it has not heard. */
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
@@ -0,0 +1,134 @@
+package spokestall.membership;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import spokestall.consensus.Acceptor;
+
+/** New generations in simulated fleets that lost the disks of a majority. */
+class GenerationRecoveryTest {
+    private static final int RANDOM_FLEETS = 60;
+    private static final int SLOW_FLEETS = 10;
+    private static final int INTERRUPTED_FLEETS = 20;
+
+    /** Cores c0 to c5 vote; the first three are lost below. */
+    private static MembershipTestContext sixCores(final long seed) {
+        final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 6, 2, 1);
+        fleet.startAll();
+        fleet.run(15_000);
+        return fleet;
+    }
+
+    private static void forFirstThree(final MembershipTestContext fleet, final Consumer<MembershipTestNode> action) {
+        for (int i = 0; i < 3; i++) {
+            action.accept(fleet.node("c" + i));
+        }
+    }
+
+    /** Most disks are lost, perhaps all, while cores under new names start. */
+    @Test
+    void aGenerationIsFollowedByOnlyOneWhileVotersAreAdded() {
+        int recovered = 0;
+        for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
+            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 2 + seed % 4, 2, 1);
+            fleet.startAll();
+            fleet.run(8000);
+            fleet.loss = 0.1 * (seed % 4);
+            for (int i = 0; i < 4; i++) {
+                final MembershipTestNode joining = fleet.addNode("n" + i, true, false);
+                fleet.clock.after(fleet.random.nextInt(8000), joining::start);
+            }
+            for (int times = 0; times < 2; times++) {
+                fleet.clock.after(times * 5000 + fleet.random.nextInt(5000), () -> loseSomeCores(fleet));
+            }
+            fleet.runFor(14_000);
+            fleet.loss = 0;
+            fleet.runFor(25_000);
+            final String description = seed + " " + fleet.describe() + " " + fleet.startedGenerations;
+            assertThat(fleet.startedGenerations.values())
+                    .as(description)
+                    .allSatisfy(following -> assertThat(following).hasSize(1));
+            assertThat(fleet.allCoresVote()).as(description).isTrue();
+            recovered += fleet.startedGenerations.size() > 1 ? 1 : 0;
+        }
+        assertThat(recovered).isGreaterThan(20);
+    }
+
+    private static void loseSomeCores(final MembershipTestContext fleet) {
+        final List<MembershipTestNode> cores = new ArrayList<>(fleet.cores());
+        Collections.shuffle(cores, fleet.random);
+        for (final MembershipTestNode core : cores.subList(0, 1 + fleet.random.nextInt(cores.size()))) {
+            if (fleet.random.nextInt(4) > 0) {
+                core.wipe();
+            } else {
+                core.stop();
+            }
+            fleet.clock.after(fleet.random.nextInt(4000), () -> {
+                if (!core.up) {
+                    core.start();
+                }
+            });
+        }
+    }
+
+    private static void assertMergedFromAllWithState(final MembershipTestContext fleet, final int seed) {
+        final long first = fleet.startedGenerations.get(0L).iterator().next();
+        assertThat(fleet.startedGenerations.get(first)).as(fleet.describe()).hasSize(1);
+        final long second = fleet.startedGenerations.get(first).iterator().next();
+        assertThat(fleet.mergedStateOf.get(second)).as("seed " + seed).containsExactlyInAnyOrder("c3", "c4", "c5");
+        assertThat(fleet.allCoresVote()).as(fleet.describe()).isTrue();
+    }
+
+    /** Half of the disks are lost; the other half's are slow, but no state is left out. */
+    @Test
+    void recoveryWaitsForACoreWithStateWhoseDiskIsSlow() {
+        for (int seed = 0; seed < SLOW_FLEETS; seed++) {
+            final MembershipTestContext fleet = sixCores(seed);
+            for (int i = 0; i < 3; i++) {
+                fleet.node("c" + i).wipe();
+                fleet.node("c" + (i + 3)).slowDisk(700 + 150 * i);
+            }
+            fleet.runFor(1000);
+            forFirstThree(fleet, MembershipTestNode::start);
+            fleet.runFor(30_000);
+            assertMergedFromAllWithState(fleet, seed);
+        }
+    }
+
+    /** The proposer is lost after the others promised: they have resigned, and the next proposer needs their state. */
+    @Test
+    void anInterruptedRecoveryLeavesNoStateOut() {
+        for (int seed = 0; seed < INTERRUPTED_FLEETS; seed++) {
+            final MembershipTestContext fleet = sixCores(seed);
+            forFirstThree(fleet, core -> {
+                core.wipe();
+                core.start();
+            });
+            final MembershipTestNode withState = fleet.node("c4");
+            while (withState.acceptor.state() != Acceptor.State.RESIGNED && fleet.nowMs() < 40_000) {
+                fleet.runFor(5);
+            }
+            fleet.runFor(fleet.random.nextInt(150));
+            forFirstThree(fleet, MembershipTestNode::stop);
+            fleet.runFor(fleet.random.nextInt(4000));
+            forFirstThree(fleet, MembershipTestNode::start);
+            fleet.runFor(20_000);
+            assertMergedFromAllWithState(fleet, seed);
+        }
+    }
+
+    @Test
+    void recoveryDoesNotWaitForeverForACoreWithStateWhoseDiskHasStopped() {
+        final MembershipTestContext fleet = sixCores(1);
+        forFirstThree(fleet, MembershipTestNode::wipe);
+        fleet.node("c3").slowDisk(1_000_000);
+        fleet.runFor(1000);
+        forFirstThree(fleet, MembershipTestNode::start);
+        fleet.runFor(30_000);
+        assertThat(fleet.startedGenerations).as(fleet.describe()).hasSizeGreaterThan(1);
+    }
+}
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
@@ -0,0 +1,318 @@
+package spokestall.membership;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import spokestall.consensus.Acceptor;
+import spokestall.consensus.ProposalOutcome;
+import spokestall.consensus.RegisterEdit;
+import spokestall.consensus.VoterSet;
+
+/**
+ * One run of a fleet in three regions through losses drawn from a seed, never more of them at once than must be tolerated (a
+ * region): disks wiped, nodes replaced with and without a handover, twice over, killed, cut off, all killed. Two proposers at a time
+ * write each value once.
+ *
+ * <p>Checks that no value is confirmed twice differently, that each is on enough disks after every step, that no second generation
+ * is ever started, and that all cores vote by the time the next loss may come.
+ */
+final class MembershipModelRun {
+    /** What a run without a violation found. */
+    record Summary(int confirmed, int fewestCopies, int fewestCopiesInCalm) {}
+
+    private enum Loss {
+        WIPE,
+        KILL,
+        KILL_ALL,
+        REPLACE,
+        REPLACE_GRACEFULLY,
+        CUT
+    }
+
+    private static final int CATCH_UP_MILLIS = 4000;
+    /** As long with one message in twelve lost, which transports would have sent again. */
+    private static final int CATCH_UP_LOSSY_MILLIS = 6000;
+
+    private static final int CORES = 6;
+    private static final int SEED_EDGES = 3;
+    private static final int REGIONS = 3;
+    private static final int LOSSES = 9;
+    private static final int CUT_OUTGOING = 1;
+    private static final int CUT_INCOMING = 2;
+
+    private final long seed;
+    private final MembershipTestContext fleet;
+    private final Map<String, String> confirmed = new TreeMap<>();
+    private final int[] coresMade = new int[REGIONS];
+    private int writes;
+    private int fewestCopiesInCalm = Integer.MAX_VALUE;
+    private int fewestCopies = Integer.MAX_VALUE;
+
+    /** Starts the fleet; the fault is injected once it has settled. */
+    MembershipModelRun(final long seed, final Consumer<MembershipTestContext> injectedFault) {
+        this.seed = seed;
+        fleet = new MembershipTestContext(seed);
+        fleet.wholeRegionMayFail = true;
+        for (int i = 0; i < CORES; i++) {
+            addCore(i % REGIONS).configuredAsFirst = true;
+        }
+        for (int i = 0; i < SEED_EDGES; i++) {
+            fleet.addNode("e" + i, false, true);
+            fleet.seeds.add("e" + i);
+        }
+        fleet.startAll();
+        fleet.run(12_000);
+        injectedFault.accept(fleet);
+        fleet.loss = 0.04 * (seed % 3);
+    }
+
+    private MembershipTestNode addCore(final int region) {
+        return fleet.addNode("c" + (region + REGIONS * coresMade[region]++), true, false);
+    }
+
+    private int random(final int bound) {
+        return fleet.random.nextInt(bound);
+    }
+
+    private String describe() {
+        return "seed " + seed + " " + fleet.describe() + "\n" + fleet.newest();
+    }
+
+    private void write() {
+        final String key = "once/" + writes++;
+        for (int i = 0; i < 2; i++) {
+            final MembershipTestNode proposing = fleet.node("e" + i);
+            final String value = key + " by " + proposing.name;
+            proposing.proposer.change(
+                    key,
+                    2500,
+                    current -> current == null ? new RegisterEdit.Set(value.getBytes(UTF_8)) : RegisterEdit.LEAVE,
+                    outcome -> confirm(key, outcome));
+        }
+    }
+
+    private void confirm(final String key, final ProposalOutcome outcome) {
+        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+            final String value = new String(done.value(), UTF_8);
+            assertThat(confirmed.getOrDefault(key, value)).as(describe()).isEqualTo(value);
+            confirmed.put(key, value);
+        }
+    }
+
+    private void checkCopies() {
+        final MembershipTestContext.Copies copies = fleet.countCopies(confirmed);
+        assertThat(copies.fewest())
+                .as("%s %s", copies, describe())
+                .isGreaterThanOrEqualTo(Math.max(1, copies.required()));
+        fewestCopies = Math.min(fewestCopies, copies.fewest());
+    }
+
+    /** Runs on, with writes, and with checks of the copies now and then and at the end. */
+    private void pass(final long spanMillis) {
+        final long untilMillis = fleet.nowMs() + spanMillis;
+        while (fleet.nowMs() < untilMillis) {
+            write();
+            fleet.run(Math.min(untilMillis, fleet.nowMs() + 50 + random(300)));
+            if (random(4) == 0) {
+                checkCopies();
+            }
+        }
+        checkCopies();
+    }
+
+    /** The span after which whoever came back or is new no longer counts as lost. */
+    private void calm() {
+        pass(fleet.loss == 0 ? CATCH_UP_MILLIS : CATCH_UP_LOSSY_MILLIS);
+        assertThat(survivesNextLoss()).as(describe()).isTrue();
+        assertThat(fleet.newest().voters().size())
+                .as(describe())
+                .isLessThanOrEqualTo(fleet.cores().size() + 1);
+        fewestCopiesInCalm =
+                Math.min(fewestCopiesInCalm, fleet.countCopies(confirmed).fewest());
+    }
+
+    /** Whether every voter that is up votes, and whichever region is lost next, a majority of the voters still does. */
+    private boolean survivesNextLoss() {
+        final VoterSet voterSet = fleet.newest();
+        final List<MembershipTestNode> voters = fleet.cores().stream()
+                .filter(core -> voterSet.voter(core.name) != null)
+                .toList();
+        boolean survives = voters.stream()
+                .allMatch(core -> core.acceptor.state() == Acceptor.State.VOTING
+                        && core.acceptor.voterSet().same(voterSet.generation(), voterSet.epoch()));
+        for (int region = 0; region < REGIONS; region++) {
+            final int lost = region;
+            survives &= voters.stream().filter(core -> core.region() != lost).count() >= voterSet.majority();
+        }
+        return survives;
+    }
+
+    /** Cores of one region, one or several or all of them. */
+    private List<MembershipTestNode> someCores(final int region) {
+        final List<MembershipTestNode> all = new ArrayList<>(
+                fleet.cores().stream().filter(core -> core.region() == region).toList());
+        Collections.shuffle(all, fleet.random);
+        return all.subList(0, 1 + random(all.size()));
+    }
+
+    private void wipe(final int region) {
+        final List<MembershipTestNode> cores = someCores(region);
+        cores.forEach(MembershipTestNode::wipe);
+        startOneByOne(cores);
+    }
+
+    private void kill(final int region) {
+        final List<MembershipTestNode> cores = someCores(region);
+        cores.forEach(MembershipTestNode::stop);
+        startOneByOne(cores);
+    }
+
+    private void killAll() {
+        final List<MembershipTestNode> all = fleet.cores();
+        all.forEach(MembershipTestNode::stop);
+        pass(random(900));
+        all.forEach(MembershipTestNode::start);
+    }
+
+    private void startOneByOne(final List<MembershipTestNode> cores) {
+        for (final MembershipTestNode core : cores) {
+            pass(random(6000));
+            core.start();
+        }
+    }
+
+    /** Each is removed for good and a blank one starts, itself perhaps lost again during catch-up, with the rest of the region. */
+    private void replace(final int region) {
+        final List<MembershipTestNode> cores = someCores(region);
+        cores.forEach(MembershipTestNode::removeForGood);
+        pass(random(3000));
+        final List<MembershipTestNode> successors = new ArrayList<>();
+        cores.forEach(core -> successors.add(addCore(region)));
+        successors.forEach(MembershipTestNode::start);
+        if (random(2) == 0) {
+            pass(random(4500));
+            successors.get(0).removeForGood();
+            final MembershipTestNode second = addCore(region);
+            pass(random(2000));
+            second.start();
+        }
+        if (random(3) == 0) {
+            runUntilItVotes(fleet.node("c" + (region + REGIONS * (coresMade[region] - 1))));
+            wipe(region);
+        }
+    }
+
+    private void runUntilItVotes(final MembershipTestNode core) {
+        for (int i = 0; i < 100 && core.acceptor.state() != Acceptor.State.VOTING; i++) {
+            fleet.runFor(20);
+        }
+        checkCopies();
+    }
+
+    /** The new core starts first, then the old one hands over and leaves. */
+    private void replaceGracefully(final int region) {
+        for (final MembershipTestNode old : someCores(region)) {
+            addCore(region).start();
+            pass(500 + random(4000));
+            old.leaveGracefullyForGood();
+            pass(1000);
+        }
+    }
+
+    /** Cut off in one direction or both, from all nodes or from cores only, perhaps restarted meanwhile. */
+    private void cut(final int region) {
+        final List<MembershipTestNode> cores = someCores(region);
+        final int directions = 1 + random(3);
+        final boolean fromCoresOnly = random(2) == 0;
+        for (final MembershipTestNode core : cores) {
+            for (final MembershipTestNode other : fleet.nodes.values()) {
+                if (!cores.contains(other) && (other.core || !fromCoresOnly)) {
+                    addCut(directions, core, other);
+                }
+            }
+        }
+        pass(2000 + random(18_000));
+        if (random(3) == 0) {
+            cores.forEach(MembershipTestNode::stop);
+            pass(random(1000));
+            cores.forEach(MembershipTestNode::start);
+        }
+        if (random(3) == 0) {
+            // A core starts while the others are silent, and may take the slot of one of them.
+            addCore(region).start();
+            pass(random(9000));
+            cores.get(0).removeForGood();
+        }
+        fleet.cut.clear();
+        if (random(2) == 0) {
+            restartWhileRejoining(cores);
+        }
+    }
+
+    /** Cores that were away long enough to lose their slots, perhaps, restart again and again as they join anew. */
+    private void restartWhileRejoining(final List<MembershipTestNode> cores) {
+        final List<MembershipTestNode> remaining =
+                cores.stream().filter(core -> !core.removed).toList();
+        for (int i = 0; i < 5; i++) {
+            fleet.runFor(random(400));
+            remaining.forEach(MembershipTestNode::stop);
+            fleet.runFor(random(60));
+            remaining.forEach(MembershipTestNode::start);
+        }
+    }
+
+    private void addCut(final int directions, final MembershipTestNode core, final MembershipTestNode other) {
+        if ((directions & CUT_OUTGOING) > 0) {
+            fleet.cut.add(core.name + ">" + other.name);
+        }
+        if ((directions & CUT_INCOMING) > 0) {
+            fleet.cut.add(other.name + ">" + core.name);
+        }
+    }
+
+    private void inflictLoss() {
+        final int region = random(REGIONS);
+        switch (Loss.values()[random(Loss.values().length)]) {
+            case WIPE -> wipe(region);
+            case KILL -> kill(region);
+            case KILL_ALL -> killAll();
+            case REPLACE -> replace(region);
+            case REPLACE_GRACEFULLY -> replaceGracefully(region);
+            case CUT -> cut(region);
+        }
+    }
+
+    /** Runs through all losses; throws an AssertionError at the first violation. */
+    Summary run() {
+        calm();
+        for (int i = 0; i < LOSSES; i++) {
+            inflictLoss();
+            calm();
+        }
+        fleet.loss = 0;
+        calm();
+        readBack();
+        assertThat(fleet.startedGenerations).as(describe()).hasSize(1);
+        return new Summary(confirmed.size(), fewestCopies, fewestCopiesInCalm);
+    }
+
+    private void readBack() {
+        fleet.runFor(3000);
+        final Map<String, String> read = new TreeMap<>();
+        confirmed
+                .keySet()
+                .forEach(key -> fleet.node("e2").proposer.read(key, 3000, outcome -> {
+                    if (outcome instanceof ProposalOutcome.Done done) {
+                        read.put(key, new String(done.value(), UTF_8));
+                    }
+                }));
+        fleet.runFor(4000);
+        assertThat(read).as(describe()).isEqualTo(confirmed);
+    }
+}
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -4,6 +4,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -14,358 +15,46 @@
 import java.util.TreeMap;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.ConsensusMessage;
-import spokestall.consensus.Proposer;
 import spokestall.consensus.Register;
-import spokestall.consensus.RegisterGuard;
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
-import spokestall.storage.DelayedSegmentStore;
-import spokestall.storage.SegmentedLog;
-import spokestall.time.Clock;
 import spokestall.time.EventClock;
 
-/** A fleet of unknown size in virtual time: cores and edges that come late, restart, and lose disks, with messages late, lost
- * and doubled. After every event it is looked at whether two tables contradict each other. */
+/**
+ * A fleet of unknown size in virtual time: cores and edges that start late, restart and lose disks, with messages delayed, lost and
+ * duplicated. After every event it checks that no two nodes have different voter sets for one epoch.
+ */
 final class MembershipTestContext {
-    private static final MembershipSettings SETTINGS = new MembershipSettings(
-            0,
-            MembershipSettings.VoterSetInStatus.WHEN_RECIPIENT_MAY_LACK_IT,
-            new MembershipTimeouts(2400, 600, 3000, 880, 1000, 2000, 32_000));
-
-    private DelayedSegmentStore disk() {
-        return new DelayedSegmentStore(8, 1 << 15, clock, () -> 1 + random.nextInt(8));
-    }
-
-    /** One machine, over all its lives. */
-    final class TestNode {
-        final String name;
-        final boolean core;
-        boolean up;
-        boolean bootstrap;
-        int incarnations;
-        /** Gone for good, and its disk with it. */
-        boolean gone;
-
-        Acceptor acceptor;
-        MembershipCoordinator membershipCoordinator;
-        Proposer proposer;
-        private DelayedSegmentStore disk = disk();
-        private BootstrapAcceptor bootstrapAcceptor;
-        private GracefulHandover handover;
-        private BootstrapProposer bootstrapProposer;
-        private long startedMs;
-
-        TestNode(final String name, final boolean core, final boolean bootstrap) {
-            this.name = name;
-            this.core = core;
-            this.bootstrap = bootstrap;
-        }
-
-        /** Only the first life is told that the fleet has never run, unless the bench plants just that. */
-        void start() {
-            incarnations++;
-            up = true;
-            startedMs = clock.nowMs();
-            final int mine = incarnations;
-            final boolean told = bootstrap && (incarnations == 1 || everyIncarnationIsFirst);
-            final Clock own = new Clock() {
-                @Override
-                public long nowMs() {
-                    return clock.nowMs();
-                }
-
-                @Override
-                public long wallMs() {
-                    return clock.wallMs();
-                }
-
-                @Override
-                public void after(final long waitMs, final Runnable event) {
-                    clock.after(waitMs, () -> {
-                        if (up && incarnations == mine) {
-                            event.run();
-                        }
-                    });
-                }
-            };
-            proposer = new Proposer(
-                    name + "#" + incarnations,
-                    name,
-                    this::send,
-                    own,
-                    random,
-                    new Proposer.Timing(150, 30, 1000),
-                    (voter, key) -> {});
-            acceptor = core ? new Acceptor(name, new SegmentedLog(disk), this::send, new Open(this), freshId()) : null;
-            final boolean first = told && (!core || acceptor.openedBlank());
-            final LocalNode local = new LocalNode(name, name, name + "#" + incarnations);
-            bootstrapAcceptor = new BootstrapAcceptor(
-                    name,
-                    seeds,
-                    first
-                            ? BootstrapAcceptor.Eligibility.FIRST_INCARNATION
-                            : BootstrapAcceptor.Eligibility.LATER_INCARNATION,
-                    this::send,
-                    bootstrapEnvironment());
-            bootstrapProposer = core && first
-                    ? new BootstrapProposer(
-                            local,
-                            seeds,
-                            this::send,
-                            own,
-                            new BootstrapProposer.Timeouts(2000, 1000, 880),
-                            voters -> initialState(0, voters))
-                    : null;
-            membershipCoordinator = core
-                    ? new MembershipCoordinator(
-                            new MembershipContext(local, acceptor, proposer, this::send, own, SETTINGS),
-                            environment(),
-                            this::merge,
-                            MembershipTestContext.this::mostLost,
-                            Optional.ofNullable(bootstrapProposer))
-                    : null;
-            handover = core
-                    ? new GracefulHandover(local, acceptor, this::send, own, new GracefulHandover.Timeouts(220, 900))
-                    : null;
-            if (core && acceptor.voterSet() != null) {
-                proposer.adopt(acceptor.voterSet());
-            }
-            if (core) {
-                tick(own);
-            } else {
-                feed(own);
-            }
-        }
-
-        private BootstrapAcceptor.Environment bootstrapEnvironment() {
-            return new BootstrapAcceptor.Environment() {
-                @Override
-                public VoterSet voterSet() {
-                    return proposer.voterSet();
-                }
-
-                @Override
-                public void afterDiskMarked(final Runnable action) {
-                    if (core) {
-                        acceptor.keepOwn("~council", new byte[0], ok -> action.run());
-                    } else {
-                        action.run();
-                    }
-                }
-            };
-        }
-
-        private MembershipEnvironment environment() {
-            return new MembershipEnvironment() {
-                @Override
-                public SurvivingState survivingState() {
-                    return TestNode.this.survivingState();
-                }
-
-                @Override
-                public List<String> otherNodeAddresses() {
-                    return others(true);
-                }
-
-                @Override
-                public List<String> otherCoreAddresses() {
-                    return others(false);
-                }
-
-                @Override
-                public String freshDiskId() {
-                    return freshId();
-                }
-
-                @Override
-                public boolean isFleetClockSettled() {
-                    return true;
-                }
-            };
-        }
-
-        private InitialState merge(
-                final long baseGeneration, final List<SurvivingState> survivors, final List<Voter> voters) {
-            final InitialState initialState = initialState(baseGeneration, voters);
-            mergedStateOf.put(initialState.voterSet().generation(), withState(baseGeneration, survivors));
-            return initialState;
-        }
-
-        private SurvivingState survivingState() {
-            return new SurvivingState(name, generation(), 0, null, 0, acceptor.keepsState(), registers());
-        }
-
-        private long generation() {
-            return acceptor.voterSet() == null ? 0 : acceptor.voterSet().generation();
-        }
-
-        private List<ConsensusMessage.Entry> registers() {
-            final List<ConsensusMessage.Entry> all = new ArrayList<>();
-            acceptor.registers().forEach((key, r) -> all.add(new ConsensusMessage.Entry(key, r)));
-            return all;
-        }
-
-        private void tick(final Clock own) {
-            own.after(250, () -> tick(own));
-            membershipCoordinator.onTick();
-        }
-
-        /** An edge hears of tables by the feed that it asks all cores for. */
-        private void feed(final Clock own) {
-            own.after(400, () -> feed(own));
-            for (final TestNode m : nodes.values()) {
-                if (!edgesWithoutFeed
-                        && m.core
-                        && m.up
-                        && m.proposer.voterSet() != null
-                        && random.nextDouble() >= loss) {
-                    proposer.adopt(m.proposer.voterSet());
-                }
-            }
-        }
-
-        private String freshId() {
-            return name + "/" + random.nextInt(1 << 30);
-        }
-
-        /** Names spread in a second or two, as by the views. */
-        private List<String> others(final boolean edgesToo) {
-            final List<String> known = new ArrayList<>();
-            nodes.forEach((other, m) -> {
-                if (m != this
-                        && m.incarnations > 0
-                        && (m.core || edgesToo)
-                        && clock.nowMs() - Math.max(startedMs, m.startedMs) > (name + other).hashCode() % 1500) {
-                    known.add(other);
-                }
-            });
-            return known;
-        }
-
-        void stop() {
-            up = false;
-            disk.losePower();
-        }
-
-        void wipe() {
-            stop();
-            disk = disk();
-        }
-
-        /** Leaves in order, and never comes back. */
-        void leaveGracefullyForGood() {
-            handover.begin(this::removeForGood);
-        }
-
-        /** The machine never comes back. */
-        void removeForGood() {
-            stop();
-            gone = true;
-        }
-
-        /** Each write takes so much longer. */
-        void slowDisk(final long byMs) {
-            disk.slowBy(byMs);
-        }
-
-        /** What its disk has, synced. */
-        Map<String, byte[]> synced() {
-            return new SegmentedLog(disk).table();
-        }
-
-        /** Three regions, by the number in its name. */
-        int region() {
-            return Integer.parseInt(name.replaceAll("[^0-9]", "")) % 3;
-        }
-
-        void send(final String to, final Message message) {
-            MembershipTestContext.this.send(name, to, emptied(message));
-        }
-
-        void hear(final Message message) {
-            if (message instanceof BootstrapMessage c) {
-                bootstrapAcceptor.onMessage(c);
-                if (bootstrapProposer != null) {
-                    bootstrapProposer.onMessage(c);
-                }
-            } else if (message instanceof ConsensusMessage.Table t) {
-                if (core) {
-                    membershipCoordinator.adopt(t.voterSet());
-                } else {
-                    proposer.adopt(t.voterSet());
-                }
-            } else if (message instanceof ConsensusMessage.HandoverResponse back) {
-                handover.onResponse(back);
-            } else if (message instanceof ConsensusMessage b) {
-                proposer.hear(b);
-                if (core) {
-                    acceptor.hear(b, name);
-                }
-            } else if (message instanceof MembershipMessage.SurvivingStateRequest ask && core) {
-                send(ask.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
-            } else if (message instanceof MembershipMessage f && core) {
-                membershipCoordinator.onMessage(f);
-            } else if (message instanceof MembershipMessage.VoterStatus s) {
-                if (s.lacks(proposer.voterSet())) {
-                    send(s.address(), new ConsensusMessage.Table(proposer.voterSet()));
-                } else if (s.voterSet() != null) {
-                    proposer.adopt(s.voterSet());
-                }
-            }
-        }
-    }
-
-    /** Lets go of no key but those of tables that were agreed. */
-    private record Open(TestNode of) implements RegisterGuard {
-        @Override
-        public boolean ready() {
-            return true;
-        }
-
-        @Override
-        public boolean room(final String key) {
-            return true;
-        }
-
-        @Override
-        public boolean gone(final String key) {
-            final VoterSet v = of.acceptor.voterSet();
-            return key.startsWith("voters/") && !key.equals("voters/" + v.generation() + "/" + (v.epoch() + 1));
-        }
-
-        @Override
-        public boolean takes(final String key, final byte[] value) {
-            return true;
-        }
-    }
+    private static final int DELAY_MAX_MILLIS = 60;
 
     final EventClock clock = new EventClock(0);
     final Random random;
-    final Map<String, TestNode> nodes = new TreeMap<>();
+    final Map<String, MembershipTestNode> nodes = new TreeMap<>();
     final List<String> seeds = new ArrayList<>();
-    /** Foundings seen in any table, by the generation they ended. */
+    /** Generations seen in any voter set, by the generation that they ended; the first generations by 0. */
     final Map<Long, Set<Long>> startedGenerations = new TreeMap<>();
+    /** Pairs of nodes, as "from>to", between which no message passes. */
+    final Set<String> cut = new HashSet<>();
+    /** Whose state each generation that was proposed was merged from, by the generation. */
+    final Map<Long, Set<String>> mergedStateOf = new HashMap<>();
 
+    /** Probability that a message is lost or duplicated. */
     double loss;
+
     boolean everyIncarnationIsFirst;
-    /** Whoever asks to catch up is told there is nothing (a planted fault). */
+    /** Injected fault: whoever catches up is told that there is nothing to read. */
     boolean injectEmptyCatchUp;
-    /** A whole region may be lost at once, else one machine. */
+    /** The tolerated loss is a whole region, else one node. */
     boolean wholeRegionMayFail;
-    /** Pairs of machines, as "from>to", between which nothing passes. */
-    final Set<String> cut = new HashSet<>();
-    /** Edges hear no feed. */
+    /** Edges receive no feed. */
     boolean edgesWithoutFeed;
 
-    /** Whose state each founding that was proposed was made from, by the generation that it would begin. */
-    final Map<Long, Set<String>> mergedStateOf = new HashMap<>();
-
     long messages;
-    long tables;
-    private final Map<Long, Long> baseOf = new HashMap<>();
-    private final Map<String, List<Voter>> votersOf = new HashMap<>();
+    long voterSetsSent;
+    private final Map<Long, Long> baseGenerationOf = new HashMap<>();
+    private final Map<String, List<Voter>> votersByEpoch = new HashMap<>();
     private long generations = 1;
     private VoterSet newest;
 
@@ -373,165 +62,198 @@
         random = new Random(seed);
     }
 
-    TestNode addNode(final String name, final boolean core, final boolean bootstrap) {
-        final TestNode m = new TestNode(name, core, bootstrap);
-        nodes.put(name, m);
-        return m;
+    /** A fleet of cores c0.. and edges e0.., some of which are seeds; each is configured as first with the given probability. */
+    static MembershipTestContext fleet(
+            final long seed, final int cores, final int edges, final double configuredAsFirst) {
+        final MembershipTestContext fleet = new MembershipTestContext(seed);
+        final List<String> names = new ArrayList<>();
+        for (int i = 0; i < cores; i++) {
+            names.add(fleet.addNode("c" + i, true, fleet.random.nextDouble() < configuredAsFirst).name);
+        }
+        for (int i = 0; i < edges; i++) {
+            names.add(fleet.addNode("e" + i, false, fleet.random.nextDouble() < configuredAsFirst).name);
+        }
+        Collections.shuffle(names, fleet.random);
+        fleet.seeds.addAll(names.subList(0, Math.min(names.size(), 1 + fleet.random.nextInt(3))));
+        return fleet;
+    }
+
+    MembershipTestNode addNode(final String name, final boolean core, final boolean configuredAsFirst) {
+        final MembershipTestNode node = new MembershipTestNode(this, name, core, configuredAsFirst);
+        nodes.put(name, node);
+        return node;
+    }
+
+    MembershipTestNode node(final String name) {
+        return nodes.get(name);
+    }
+
+    void startAll() {
+        nodes.values().forEach(MembershipTestNode::start);
     }
 
-    /** Every founding has a generation of its own, so that two are told apart. */
-    private InitialState initialState(final long baseGeneration, final List<Voter> voters) {
+    /** Every proposed generation has a number of its own, so that two of them can be told apart. */
+    InitialState initialState(final long baseGeneration, final List<Voter> voters) {
         final long generation = Math.max(baseGeneration, generations) + 1;
         generations = generation;
-        baseOf.put(generation, baseGeneration);
+        baseGenerationOf.put(generation, baseGeneration);
         return new InitialState(new VoterSet(generation, 1, voters), List.of());
     }
 
-    private static Set<String> withState(final long baseGeneration, final List<SurvivingState> left) {
-        final Set<String> names = new HashSet<>();
-        left.stream()
-                .filter(r -> r.hasState() && r.generation() == baseGeneration)
-                .forEach(r -> names.add(r.name()));
-        return names;
+    /** Merges nothing, but records whose state would have been merged. */
+    InitialState merge(final long baseGeneration, final List<SurvivingState> survivors, final List<Voter> voters) {
+        final InitialState initialState = initialState(baseGeneration, voters);
+        final Set<String> withState = new HashSet<>();
+        survivors.stream()
+                .filter(survivor -> survivor.hasState() && survivor.generation() == baseGeneration)
+                .forEach(survivor -> withState.add(survivor.name()));
+        mergedStateOf.put(initialState.voterSet().generation(), withState);
+        return initialState;
     }
 
-    private Message emptied(final Message message) {
-        return injectEmptyCatchUp && message instanceof ConsensusMessage.CatchUpResponse b
-                ? new ConsensusMessage.CatchUpResponse(
-                        b.name(), b.generation(), b.epoch(), b.after(), List.of(), true, b.floor())
-                : message;
-    }
-
-    int mostLost(final List<Voter> voters) {
+    int votersLost(final List<Voter> voters) {
         if (!wholeRegionMayFail) {
             return 1;
         }
         final int[] inRegion = new int[3];
-        voters.forEach(voter -> inRegion[nodes.get(voter.name()).region()]++);
+        voters.forEach(voter -> inRegion[node(voter.name()).region()]++);
         return Math.max(inRegion[0], Math.max(inRegion[1], inRegion[2]));
     }
 
-    /** The newest table that any machine took. */
+    /** The newest voter set that any node took. */
     VoterSet newest() {
         return newest;
     }
 
-    private void send(final String from, final String to, final Message message) {
+    private Message withInjectedFault(final Message message) {
+        return injectEmptyCatchUp && message instanceof ConsensusMessage.CatchUpResponse page
+                ? new ConsensusMessage.CatchUpResponse(
+                        page.name(), page.generation(), page.epoch(), page.after(), List.of(), true, page.floor())
+                : message;
+    }
+
+    void send(final String from, final String to, final Message original) {
+        final Message message = withInjectedFault(original);
         if (cut.contains(from + ">" + to)) {
             return;
         }
         messages++;
-        tables += message instanceof MembershipMessage.VoterStatus s && s.voterSet() != null
-                        || message instanceof ConsensusMessage.Table
-                ? 1
-                : 0;
+        final boolean withVoterSet =
+                message instanceof MembershipMessage.VoterStatus status && status.voterSet() != null
+                        || message instanceof ConsensusMessage.Table;
+        voterSetsSent += withVoterSet ? 1 : 0;
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
-        final TestNode target = nodes.get(to);
+        final MembershipTestNode target = node(to);
         for (int i = 0; target != null && i < times; i++) {
             final int incarnation = target.incarnations;
-            clock.after(1 + random.nextInt(60), () -> {
+            clock.after(1 + random.nextInt(DELAY_MAX_MILLIS), () -> {
                 if (target.up && target.incarnations == incarnation) {
-                    target.hear(message);
+                    target.onMessage(message);
                 }
             });
         }
     }
 
-    private void look(final TestNode m) {
-        final VoterSet voterSet = m.up ? m.proposer.voterSet() : null;
+    private void checkVoterSet(final MembershipTestNode node) {
+        final VoterSet voterSet = node.up ? node.proposer.voterSet() : null;
         if (voterSet != null) {
             newest = voterSet.newerThan(newest) ? voterSet : newest;
-            final List<Voter> had =
-                    votersOf.putIfAbsent(voterSet.generation() + "/" + voterSet.epoch(), voterSet.voters());
-            assertThat(had == null || had.equals(voterSet.voters()))
-                    .as("one table for %s, at %s: %s, %s", m.name, clock.nowMs(), had, voterSet)
+            final List<Voter> known =
+                    votersByEpoch.putIfAbsent(voterSet.generation() + "/" + voterSet.epoch(), voterSet.voters());
+            assertThat(known == null || known.equals(voterSet.voters()))
+                    .as("one voter set of an epoch, at %s, %s: %s, %s", node.name, nowMs(), known, voterSet)
                     .isTrue();
             assertThat(voterSet.voters().stream().map(Voter::name).distinct().count())
                     .isEqualTo(voterSet.voters().size());
             startedGenerations
-                    .computeIfAbsent(baseOf.get(voterSet.generation()), b -> new HashSet<>())
+                    .computeIfAbsent(baseGenerationOf.get(voterSet.generation()), base -> new HashSet<>())
                     .add(voterSet.generation());
         }
     }
 
-    /** What a seat of the newest table has on its disk, synced; empty if its disk is gone or has not caught up. */
-    private Optional<Map<String, byte[]>> state(final Voter voter) {
-        final TestNode m = nodes.get(voter.name());
-        final Map<String, byte[]> voterSet = m.gone ? Map.of() : m.synced();
-        final boolean same = voter.diskId().equals(text(voterSet.get("~disk")));
-        final String mark = voter.diskId() + "/" + newest.generation();
-        return same && mark.equals(text(voterSet.get("~caught"))) ? Optional.of(voterSet) : Optional.empty();
+    /** What a voter of the newest set has on its disk, synced; empty if its disk is lost or has not caught up. */
+    private Optional<Map<String, byte[]>> storedState(final Voter voter) {
+        final MembershipTestNode node = node(voter.name());
+        final Map<String, byte[]> stored = node.removed ? Map.of() : node.synced();
+        final boolean sameDisk = voter.diskId().equals(text(stored.get("~disk")));
+        final String caughtUp = voter.diskId() + "/" + newest.generation();
+        return sameDisk && caughtUp.equals(text(stored.get("~caught"))) ? Optional.of(stored) : Optional.empty();
     }
 
     private static String text(final byte[] value) {
         return value == null ? "" : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** How many disks have what, of those with a seat in the newest table. */
+    /** On how many disks of voters of the newest set the values are. */
     record Copies(int voters, int withState, int fewest, String fewestKey) {
-        /** The copies that there have to be: a majority, less the seats whose disks are lost or still catch up. */
-        int owed() {
+        /** The copies that there have to be: a majority, less the voters whose disks are lost or still catch up. */
+        int required() {
             return voters / 2 + 1 - (voters - withState);
         }
     }
 
-    /** Counts the copies of written-once values on disks, synced. */
-    Copies countCopies(final Map<String, String> confirmed) {
+    /** Counts the copies of values, by key, that are synced on disks of voters. */
+    Copies countCopies(final Map<String, String> values) {
         final List<Map<String, byte[]>> states = newest.voters().stream()
-                .map(this::state)
+                .map(this::storedState)
                 .flatMap(Optional::stream)
                 .toList();
         int fewest = Integer.MAX_VALUE;
         String fewestKey = "";
-        for (final Map.Entry<String, String> e : confirmed.entrySet()) {
-            int have = 0;
-            for (final Map<String, byte[]> state : states) {
-                final byte[] register = state.get(e.getKey());
-                have += register != null
-                                && e.getValue()
-                                        .equals(text(MessageCodec.record(register, Register.class)
-                                                .value()))
-                        ? 1
-                        : 0;
-            }
-            if (have < fewest) {
-                fewest = have;
-                fewestKey = e.getKey();
+        for (final Map.Entry<String, String> value : values.entrySet()) {
+            final int copies = (int) states.stream()
+                    .filter(state -> holds(state.get(value.getKey()), value.getValue()))
+                    .count();
+            if (copies < fewest) {
+                fewest = copies;
+                fewestKey = value.getKey();
             }
         }
         return new Copies(newest.voters().size(), states.size(), fewest, fewestKey);
     }
 
-    List<TestNode> cores() {
-        return nodes.values().stream().filter(m -> m.core && m.up).toList();
+    private static boolean holds(final byte[] register, final String value) {
+        return register != null
+                && value.equals(
+                        text(MessageCodec.record(register, Register.class).value()));
+    }
+
+    /** The cores that are up. */
+    List<MembershipTestNode> cores() {
+        return nodes.values().stream().filter(node -> node.core && node.up).toList();
     }
 
-    /** Whether every core that runs votes, all by one table that has a seat for each. */
+    /** Whether every core that is up votes, all by one voter set that each is in. */
     boolean allCoresVote() {
-        final List<TestNode> cores = cores();
+        final List<MembershipTestNode> cores = cores();
         final VoterSet voterSet = cores.get(0).proposer.voterSet();
         return voterSet != null
                 && cores.stream()
-                        .allMatch(m -> m.acceptor.state() == Acceptor.State.VOTING
-                                && m.proposer.voterSet().same(voterSet.generation(), voterSet.epoch())
-                                && voterSet.voter(m.name) != null);
+                        .allMatch(core -> core.acceptor.state() == Acceptor.State.VOTING
+                                && core.proposer.voterSet().same(voterSet.generation(), voterSet.epoch())
+                                && voterSet.voter(core.name) != null);
     }
 
+    /** The fleet in text, for messages of assertions. */
     String describe() {
-        final StringBuilder out = new StringBuilder("at " + clock.nowMs() + " seeds " + seeds);
-        nodes.forEach((name, m) -> out.append("\n")
+        final StringBuilder out = new StringBuilder("at " + nowMs() + " seeds " + seeds);
+        nodes.forEach((name, node) -> out.append("\n")
                 .append(name)
-                .append(m.up ? " up" : " down")
-                .append(" lives ")
-                .append(m.incarnations)
-                .append(m.bootstrap ? " first " : " ")
-                .append(m.core && m.acceptor != null ? m.acceptor.state() : "")
-                .append(m.proposer == null ? "" : " " + m.proposer.voterSet()));
+                .append(node.up ? " up" : " down")
+                .append(" incarnations ")
+                .append(node.incarnations)
+                .append(node.configuredAsFirst ? " first " : " ")
+                .append(node.core && node.acceptor != null ? node.acceptor.state() : "")
+                .append(node.proposer == null ? "" : " " + node.proposer.voterSet()));
         return out.toString();
     }
 
-    void run(final long untilMs) {
-        clock.runUntil(untilMs, () -> nodes.values().forEach(this::look));
+    void run(final long untilMillis) {
+        clock.runUntil(untilMillis, () -> nodes.values().forEach(this::checkVoterSet));
+    }
+
+    void runFor(final long spanMillis) {
+        run(nowMs() + spanMillis);
     }
 
     long nowMs() {
