--- a/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -10,7 +10,7 @@
  * A seed's vote on the first generation, on a core or on an edge.
  *
  * <p>What it promised and accepted is kept in memory only. That is sufficient because only an incarnation that was configured as
- * the fleet's first, with a blank disk if it has one, ever votes: no later incarnation is asked about what this one forgot. For the
+ * the fleet's first, with a blank disk if it has one, ever votes: a later incarnation gives no vote that could contradict what this one forgot. For the
  * same reason a reply leaves only after the disk, if there is one, is durably marked as used.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
--- a/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
@@ -16,7 +16,7 @@
 /**
  * Proposes the first generation of a fleet whose number of cores is not configured.
  *
- * <p>Once no new core was heard for a while it proposes the cores it knows as voters, and the {@link BootstrapAcceptor}s of a
+ * <p>Once no new core has reported for a while it proposes the cores it knows as voters, and the {@link BootstrapAcceptor}s of a
  * majority of the seeds decide. A core that is not among those voters joins later by a reconfiguration. Transitions:
  *
  * <pre>
@@ -40,7 +40,7 @@
      * Time-outs, in milliseconds.
      *
      * @param startDelayMillis least time from the start of this incarnation to its first proposal
-     * @param settleMillis how long no further core must have been heard
+     * @param settleMillis how long no further core must have reported
      * @param roundMillis time-out of each phase; also staggers proposers by their rank among the cores
      */
     public record Timeouts(long startDelayMillis, long settleMillis, long roundMillis) {}
@@ -53,7 +53,7 @@
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** With fewer cores a single core could bootstrap alone before it has heard the others, unless there is only one seed. */
+    /** With fewer cores a single core could bootstrap alone before it has received a status of the others, unless there is only one seed. */
     private static final int MIN_CORES = 2;
 
     private final LocalNode local;
--- a/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
@@ -68,7 +68,7 @@
         }
         final boolean sameGeneration = vote != null && vote.baseGeneration == prepare.baseGeneration();
         if (sameGeneration && prepare.proposalNumber().compareTo(vote.promised) < 0) {
-            context.send(prepare.from(), reply(prepare, false, vote, null));
+            context.send(prepare.from(), rejection(prepare));
             return;
         }
         // Read before the resignation, which changes what is reported as surviving.
@@ -78,7 +78,7 @@
                 prepare.proposalNumber(),
                 sameGeneration ? vote.accepted : ProposalNumber.NONE,
                 sameGeneration ? vote.initialState : null);
-        store(next, () -> context.send(prepare.from(), reply(prepare, true, next, survivingState)));
+        store(next, () -> context.send(prepare.from(), promise(prepare, next, survivingState)));
     }
 
     private boolean isOutdated(final MembershipMessage.GenerationPrepare prepare) {
@@ -95,24 +95,35 @@
         return baseGeneration == context.generation() && acceptor.canWrite() && electorate.containsLocal();
     }
 
-    private MembershipMessage.GenerationPromise reply(
-            final MembershipMessage.GenerationPrepare prepare,
-            final boolean granted,
-            final Vote current,
-            final SurvivingState survivingState) {
+    private MembershipMessage.GenerationPromise promise(
+            final MembershipMessage.GenerationPrepare prepare, final Vote stored, final SurvivingState survivingState) {
         return new MembershipMessage.GenerationPromise(
                 prepare.baseGeneration(),
                 prepare.proposalNumber(),
                 context.local().name(),
                 context.local().address(),
                 acceptor.diskId(),
-                granted,
-                current.promised,
-                current.accepted,
-                granted ? current.initialState : null,
+                true,
+                stored.promised,
+                stored.accepted,
+                stored.initialState,
                 survivingState);
     }
 
+    private MembershipMessage.GenerationPromise rejection(final MembershipMessage.GenerationPrepare prepare) {
+        return new MembershipMessage.GenerationPromise(
+                prepare.baseGeneration(),
+                prepare.proposalNumber(),
+                context.local().name(),
+                context.local().address(),
+                acceptor.diskId(),
+                false,
+                vote.promised,
+                vote.accepted,
+                null,
+                null);
+    }
+
     /** Handles phase two. */
     void onAccept(final MembershipMessage.GenerationAccept accept) {
         if (!mayVoteOn(accept.baseGeneration())) {
@@ -120,22 +131,26 @@
         }
         final ProposalNumber number = accept.proposalNumber();
         if (vote != null && vote.baseGeneration == accept.baseGeneration() && number.compareTo(vote.promised) < 0) {
-            context.send(accept.from(), reply(accept, false, vote.promised));
+            context.send(accept.from(), rejection(accept));
             return;
         }
         store(
                 new Vote(accept.baseGeneration(), number, number, accept.initialState()),
-                () -> context.send(accept.from(), reply(accept, true, number)));
+                () -> context.send(accept.from(), acceptance(accept)));
     }
 
-    private MembershipMessage.GenerationAccepted reply(
-            final MembershipMessage.GenerationAccept accept, final boolean granted, final ProposalNumber promised) {
+    private MembershipMessage.GenerationAccepted acceptance(final MembershipMessage.GenerationAccept accept) {
         return new MembershipMessage.GenerationAccepted(
                 accept.baseGeneration(),
                 accept.proposalNumber(),
                 context.local().name(),
-                granted,
-                promised);
+                true,
+                accept.proposalNumber());
+    }
+
+    private MembershipMessage.GenerationAccepted rejection(final MembershipMessage.GenerationAccept accept) {
+        return new MembershipMessage.GenerationAccepted(
+                accept.baseGeneration(), accept.proposalNumber(), context.local().name(), false, vote.promised);
     }
 
     /** Resigns, stores the vote, and runs the action once it is durable; never if the disk failed. */
@@ -153,7 +168,7 @@
     void restartAsBlankVoter() {
         vote = null;
         acceptor.restart(environment.freshDiskId());
-        // The identity that voted is gone, so nothing waits for the vote's removal.
+        // The identity that voted was replaced, so nothing waits for the vote's removal.
         acceptor.keepOwn(VOTE_KEY, null, ok -> {});
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
@@ -52,7 +52,7 @@
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** For so many timed-out rounds a proposal waits for a core that is heard and has state but does not promise. */
+    /** For so many timed-out rounds a proposal waits for a reachable core that has state but does not promise. */
     private static final int ROUNDS_TO_WAIT_FOR_STATE = 4;
 
     private static final long NOT_REQUIRED = -1;
@@ -178,7 +178,7 @@
     }
 
     /**
-     * Whether a core that reported state and is still heard has not promised yet: it is slow, and until it promises it may vote in
+     * Whether a core that reported state and is still reachable has not promised yet: it is slow, and until it promises it may vote in
      * the old generation for a value that no other core has.
      */
     private boolean isStateOutstanding(final Map<String, MembershipMessage.VoterStatus> statuses) {
--- a/spokestall/src/main/java/spokestall/membership/GenerationStart.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationStart.java
@@ -58,7 +58,7 @@
         return Result.STARTED;
     }
 
-    /** Releases the initial state once every voter of its voter set is heard and has state. */
+    /** Releases the initial state once every voter of its voter set has reported that it has state. */
     void onTick(final Map<String, MembershipMessage.VoterStatus> statuses) {
         if (retained != null
                 && retained.voterSet().voters().stream()
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -16,7 +16,7 @@
 /**
  * Last step of a voter that shuts down: ensures that a majority of the voters without itself hold everything that it has accepted.
  *
- * <p>It asks each other voter which of its registers that voter lacks, and sends those as chosen values. It ends after a bounded
+ * <p>It requests from each other voter which of its registers that voter lacks, and sends those as chosen values. It ends after a bounded
  * time whether complete or not. The voter set does not change: the voter may be back in a moment. Nothing is stored here; a
  * peer counts as a holder once it replies that it lacks nothing. Not thread-safe; all calls on the node's event loop.
  */
@@ -25,7 +25,7 @@
      * Time-outs, in milliseconds.
      *
      * @param retryMillis interval between requests to the voters that still lack something
-     * @param deadlineMillis upper bound of the whole handover
+     * @param deadlineMillis upper bound of the handover, from its beginning
      */
     public record Timeouts(long retryMillis, long deadlineMillis) {}
 
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -62,7 +62,7 @@
                 this::adopt);
     }
 
-    /** Whether enough other voters were heard to exclude that this disk is an older state of itself. */
+    /** Whether enough other voters have reported to exclude that this disk is an older state of itself. */
     public boolean isDiskVerified() {
         return statusExchange.isDiskVerified();
     }
@@ -138,7 +138,7 @@
             return;
         }
         if (statusExchange.provesOlderDisk(status)) {
-            // What this core once promised may not be on its disk, so it must not go on as the same voter.
+            // What this core once promised may not be on its disk, so it must not remain the same voter.
             LOG.atSevere().log(
                     "event=disk_older node=%s written=%s knownWritten=%s reportedBy=%s",
                     context.local().name(), context.acceptor().written(), status.recipientWritten(), status.name());
--- a/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
+++ b/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
@@ -7,7 +7,7 @@
 
 /**
  * Records since when this core has not received anything from each other voter. A pause of this core itself resets the record, so
- * that it does not count as silence of the others. Not thread-safe; all calls on the node's event loop.
+ * that it does not make the others look silent. Not thread-safe; all calls on the node's event loop.
  */
 final class PeerLiveness {
     private final long pauseMillis;
--- a/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
+++ b/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
@@ -11,7 +11,7 @@
 
 /**
  * Changes the voter set by one voter at a time while a majority votes: joins, gets a new address or disk, or removes a voter that
- * is gone for good.
+ * does not come back.
  *
  * <p>The voter set of the next epoch is agreed in a register of its own, by a majority of the present one; whoever proposes second
  * finds the first proposal there and adopts it. Only an agreed voter set is adopted, and the acceptor votes under it only once it
@@ -145,7 +145,7 @@
                         statuses,
                         waitedLongEnough
                                 ? ReconfigurationPlanner.JoinPatience.WAITED_LONG_ENOUGH
-                                : ReconfigurationPlanner.JoinPatience.WAIT_FOR_UNHEARD_VOTERS)
+                                : ReconfigurationPlanner.JoinPatience.WAIT_FOR_UNREPORTED_VOTERS)
                 .ifPresent(this::propose);
     }
 
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -15,10 +15,10 @@
  * values; all calls on the node's event loop.
  */
 final class ReconfigurationPlanner {
-    /** How a joining core treats voters that it has not heard. */
+    /** How a joining core treats voters without a current status. */
     enum JoinPatience {
         /** It waits for them, since one of them may turn out silent and leave its slot. */
-        WAIT_FOR_UNHEARD_VOTERS,
+        WAIT_FOR_UNREPORTED_VOTERS,
         /** It has waited so long that the others would have reported them silent. */
         WAITED_LONG_ENOUGH
     }
--- a/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
+++ b/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
@@ -22,11 +22,11 @@
 final class VoterStatusExchange {
     /** What a received status was to this core. */
     enum Contact {
-        /** There is no room for another peer; the status was not recorded. */
+        /** The maximum number of peers is kept already; the status was not recorded. */
         REJECTED,
         /** The first status of this peer, or the first after a pause. */
         NEW,
-        /** The peer was heard of late. */
+        /** The peer's last status is still fresh. */
         CURRENT
     }
 
@@ -53,7 +53,7 @@
     private long lastAnnouncedMillis = NEVER_MILLIS;
     private long statusChangedMillis;
 
-    /** Creates an exchange that has heard nobody; {@code bootstrapCandidate}: this core may be a voter of the first generation. */
+    /** Creates an exchange without any peer; {@code bootstrapCandidate}: this core may be a voter of the first generation. */
     VoterStatusExchange(
             final MembershipContext context,
             final MembershipEnvironment environment,
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Whether so many other voters were heard in this incarnation that any majority includes one of them: had this disk been
+     * Whether so many other voters have reported in this incarnation that any majority includes one of them: had this disk been
      * written further than it is, one of them would have reported it.
      */
     boolean isDiskVerified() {
@@ -125,11 +125,11 @@
         if (voterSet == null) {
             return false;
         }
-        int heard = 0;
+        int reported = 0;
         for (final Voter voter : voterSet.voters()) {
-            heard += !voter.name().equals(context.local().name()) && peers.containsKey(voter.name()) ? 1 : 0;
+            reported += !voter.name().equals(context.local().name()) && peers.containsKey(voter.name()) ? 1 : 0;
         }
-        return heard >= voterSet.majority() - 1;
+        return reported >= voterSet.majority() - 1;
     }
 
     private boolean isFresh(final PeerStatus peer) {
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -174,7 +174,7 @@
         coreRole.ifPresent(role -> role.coordinator().onTick());
     }
 
-    /** Whether enough other voters were heard to exclude that this core's disk is an older state of itself. */
+    /** Whether enough other voters have reported to exclude that this core's disk is an older state of itself. */
     boolean isDiskVerified() {
         return coreRole.isPresent() && coreRole.get().coordinator().isDiskVerified();
     }
--- a/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
@@ -39,7 +39,7 @@
             fleet.run(8000);
             fleet.loss = 0.1 * (seed % 4);
             for (int i = 0; i < 4; i++) {
-                final MembershipTestNode joining = fleet.addNode("n" + i, true, false);
+                final MembershipTestNode joining = fleet.addCore("n" + i);
                 fleet.clock.after(fleet.random.nextInt(8000), joining::start);
             }
             for (int times = 0; times < 2; times++) {
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
@@ -63,7 +63,7 @@
             addCore(i % REGIONS).configuredAsFirst = true;
         }
         for (int i = 0; i < SEED_EDGES; i++) {
-            fleet.addNode("e" + i, false, true);
+            fleet.addEdge("e" + i).configuredAsFirst = true;
             fleet.seeds.add("e" + i);
         }
         fleet.startAll();
@@ -73,7 +73,7 @@
     }
 
     private MembershipTestNode addCore(final int region) {
-        return fleet.addNode("c" + (region + REGIONS * coresMade[region]++), true, false);
+        return fleet.addCore("c" + (region + REGIONS * coresMade[region]++));
     }
 
     private int random(final int bound) {
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -66,21 +66,28 @@
     static MembershipTestContext fleet(
             final long seed, final int cores, final int edges, final double configuredAsFirst) {
         final MembershipTestContext fleet = new MembershipTestContext(seed);
-        final List<String> names = new ArrayList<>();
         for (int i = 0; i < cores; i++) {
-            names.add(fleet.addNode("c" + i, true, fleet.random.nextDouble() < configuredAsFirst).name);
+            fleet.addCore("c" + i).configuredAsFirst = fleet.random.nextDouble() < configuredAsFirst;
         }
         for (int i = 0; i < edges; i++) {
-            names.add(fleet.addNode("e" + i, false, fleet.random.nextDouble() < configuredAsFirst).name);
+            fleet.addEdge("e" + i).configuredAsFirst = fleet.random.nextDouble() < configuredAsFirst;
         }
+        final List<String> names = new ArrayList<>(fleet.nodes.keySet());
         Collections.shuffle(names, fleet.random);
         fleet.seeds.addAll(names.subList(0, Math.min(names.size(), 1 + fleet.random.nextInt(3))));
         return fleet;
     }
 
-    MembershipTestNode addNode(final String name, final boolean core, final boolean configuredAsFirst) {
-        final MembershipTestNode node = new MembershipTestNode(this, name, core, configuredAsFirst);
-        nodes.put(name, node);
+    MembershipTestNode addCore(final String name) {
+        return add(new MembershipTestNode(this, name, MembershipTestNode.Role.CORE));
+    }
+
+    MembershipTestNode addEdge(final String name) {
+        return add(new MembershipTestNode(this, name, MembershipTestNode.Role.EDGE));
+    }
+
+    private MembershipTestNode add(final MembershipTestNode node) {
+        nodes.put(node.name, node);
         return node;
     }
 
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.function.Predicate;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.ConsensusMessage;
 import spokestall.consensus.Proposer;
@@ -16,6 +17,12 @@
 
 /** One node of a {@link MembershipTestContext}, a core or an edge, over all its incarnations. */
 final class MembershipTestNode {
+    /** Whether a node may be a voter. */
+    enum Role {
+        CORE,
+        EDGE
+    }
+
     private static final MembershipSettings SETTINGS = new MembershipSettings(
             0,
             MembershipSettings.VoterSetInStatus.WHEN_RECIPIENT_MAY_LACK_IT,
@@ -47,11 +54,10 @@
     private long startedMillis;
 
     MembershipTestNode(
-            final MembershipTestContext fleet, final String name, final boolean core, final boolean configuredAsFirst) {
+            final MembershipTestContext fleet, final String name, final Role role) {
         this.fleet = fleet;
         this.name = name;
-        this.core = core;
-        this.configuredAsFirst = configuredAsFirst;
+        this.core = role == Role.CORE;
         this.disk = blankDisk();
     }
 
@@ -168,12 +174,12 @@
     }
 
     /** The nodes that this one knows; names spread in a second or two, as by gossip. */
-    private List<String> knownNodes(final boolean edgesToo) {
+    private List<String> knownNodes(final Predicate<MembershipTestNode> wanted) {
         final List<String> known = new ArrayList<>();
         fleet.nodes.forEach((otherName, other) -> {
             if (other != this
                     && other.incarnations > 0
-                    && (other.core || edgesToo)
+                    && wanted.test(other)
                     && fleet.nowMs() - Math.max(startedMillis, other.startedMillis)
                             > (name + otherName).hashCode() % VIEW_SPREAD_MILLIS) {
                 known.add(otherName);
@@ -290,12 +296,12 @@
 
         @Override
         public List<String> otherNodeAddresses() {
-            return knownNodes(true);
+            return knownNodes(other -> true);
         }
 
         @Override
         public List<String> otherCoreAddresses() {
-            return knownNodes(false);
+            return knownNodes(other -> other.core);
         }
 
         @Override
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -38,7 +38,7 @@
             final List<Long> confirmed = new ArrayList<>();
             scheduleIncrements(fleet, confirmed);
             for (int i = 0; i < 5; i++) {
-                final MembershipTestNode joining = fleet.addNode("n" + i, true, false);
+                final MembershipTestNode joining = fleet.addCore("n" + i);
                 fleet.clock.after(fleet.random.nextInt(12_000), joining::start);
             }
             for (int i = 0; i < 3; i++) {
@@ -92,7 +92,7 @@
     @Test
     void aCoreUnderANewNameVotesWithinASecondOfReceivingTheVoterSet() {
         final MembershipTestContext fleet = startedFleet(3, 1);
-        final MembershipTestNode joining = fleet.addNode("n0", true, false);
+        final MembershipTestNode joining = fleet.addCore("n0");
         joining.start();
         long receivedMillis = -1;
         while (joining.acceptor.state() != Acceptor.State.VOTING && fleet.nowMs() < 25_000) {
@@ -110,7 +110,7 @@
         for (int i = 0; i < 6; i++) {
             fleet.node("c" + i).removeForGood();
             fleet.runFor(1000);
-            fleet.addNode("n" + i, true, false).start();
+            fleet.addCore("n" + i).start();
             fleet.runFor(4000);
             assertThat(fleet.allCoresVote()).as(i + " " + fleet.describe()).isTrue();
             assertThat(fleet.newest().voters()).hasSize(6);
@@ -123,7 +123,7 @@
     void coresReplacedAfterTheirSuccessorsStartedLeaveOneVoterBehind() {
         final MembershipTestContext fleet = startedFleet(6, 2);
         for (int i = 0; i < 6; i++) {
-            fleet.addNode("n" + i, true, false).start();
+            fleet.addCore("n" + i).start();
             fleet.runFor(4000);
             assertThat(fleet.allCoresVote()).as(i + " " + fleet.describe()).isTrue();
             fleet.node("c" + i).removeForGood();
