--- a/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
@@ -150,7 +150,11 @@
 
     private MembershipMessage.GenerationAccepted rejection(final MembershipMessage.GenerationAccept accept) {
         return new MembershipMessage.GenerationAccepted(
-                accept.baseGeneration(), accept.proposalNumber(), context.local().name(), false, vote.promised);
+                accept.baseGeneration(),
+                accept.proposalNumber(),
+                context.local().name(),
+                false,
+                vote.promised);
     }
 
     /** Resigns, stores the vote, and runs the action once it is durable; never if the disk failed. */
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -11,8 +11,8 @@
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipSettings;
 import spokestall.membership.MembershipTimeouts;
-import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
 import spokestall.usage.UsageCounter;
@@ -149,8 +149,8 @@
                 settings.number("regionCost"));
     }
 
-    AdmissionController.Timing edge() {
-        return new AdmissionController.Timing(
+    ProxyLimits edge() {
+        return new ProxyLimits(
                 (int) settings.ms("askOpenMax"),
                 settings.ms("heldMaxBytes"),
                 settings.ms("claimKeepMs"),
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -53,8 +53,7 @@
     private Optional<BootstrapProposer> bootstrapProposer = Optional.empty();
     private long startedMillis;
 
-    MembershipTestNode(
-            final MembershipTestContext fleet, final String name, final Role role) {
+    MembershipTestNode(final MembershipTestContext fleet, final String name, final Role role) {
         this.fleet = fleet;
         this.name = name;
         this.core = role == Role.CORE;
