--- a/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -97,7 +97,7 @@
     private boolean votesFor(final String proposerAddress, final List<String> proposerSeeds) {
         final VoterSet voterSet = environment.voterSet();
         if (voterSet != null) {
-            sender.send(proposerAddress, new ConsensusMessage.Table(voterSet));
+            sender.send(proposerAddress, new ConsensusMessage.VoterSetUpdate(voterSet));
             return false;
         }
         return mayVote && proposerSeeds.equals(seeds);
--- a/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
@@ -44,7 +44,7 @@
         this.environment = environment;
         this.electorate = electorate;
         this.acceptor = context.acceptor();
-        final byte[] stored = acceptor.own(VOTE_KEY);
+        final byte[] stored = acceptor.localRecord(VOTE_KEY);
         vote = stored == null ? null : MessageCodec.record(stored, Vote.class);
         if (vote != null && vote.baseGeneration == context.generation()) {
             acceptor.resign(vote.baseGeneration);
@@ -60,7 +60,7 @@
     void onPrepare(final MembershipMessage.GenerationPrepare prepare) {
         if (isOutdated(prepare)) {
             // Its voters would be others than ours.
-            context.send(prepare.from(), new ConsensusMessage.Table(context.voterSet()));
+            context.send(prepare.from(), new ConsensusMessage.VoterSetUpdate(context.voterSet()));
             return;
         }
         if (!mayVoteOn(prepare.baseGeneration())) {
@@ -161,7 +161,7 @@
     private void store(final Vote next, final Runnable whenDurable) {
         vote = next;
         acceptor.resign(next.baseGeneration);
-        acceptor.keepOwn(VOTE_KEY, MessageCodec.bytes(next), ok -> {
+        acceptor.putLocalRecord(VOTE_KEY, MessageCodec.bytes(next), ok -> {
             if (ok) {
                 whenDurable.run();
             }
@@ -171,8 +171,8 @@
     /** Discards the vote with the disk identity that gave it: this core starts over as a blank voter. */
     void restartAsBlankVoter() {
         vote = null;
-        acceptor.restart(environment.freshDiskId());
+        acceptor.resetIdentity(environment.freshDiskId());
         // The identity that voted was replaced, so nothing waits for the vote's removal.
-        acceptor.keepOwn(VOTE_KEY, null, ok -> {});
+        acceptor.putLocalRecord(VOTE_KEY, null, ok -> {});
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GenerationStart.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationStart.java
@@ -36,7 +36,7 @@
     /** Begins the generation, unless this core knows it or a newer one already. */
     Result onGenerationStarted(final InitialState initialState) {
         if (context.voterSet() != null && initialState.voterSet().generation() == context.generation()) {
-            context.acceptor().foundLate(initialState.voterSet(), initialState.entries());
+            context.acceptor().startGenerationLate(initialState.voterSet(), initialState.entries());
             retained = initialState;
             return Result.KNOWN_GENERATION;
         }
@@ -53,8 +53,8 @@
                 context.local().name(),
                 initialState.voterSet().generation(),
                 initialState.entries().size());
-        context.acceptor().found(initialState.voterSet(), initialState.entries());
-        context.proposer().adopt(initialState.voterSet());
+        context.acceptor().startGeneration(initialState.voterSet(), initialState.entries());
+        context.proposer().updateVoterSet(initialState.voterSet());
         return Result.STARTED;
     }
 
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -76,7 +76,7 @@
             voterSet = acceptor.voterSet();
             holders.clear();
         }
-        final List<ConsensusMessage.Held> held = heldRegisters();
+        final List<ConsensusMessage.AcceptedEntry> held = heldRegisters();
         for (final Voter voter : voterSet.voters()) {
             if (!voter.name().equals(local.name()) && !holders.contains(voter.name())) {
                 sender.send(
@@ -88,11 +88,11 @@
         clock.after(timeouts.retryMillis(), this::requestMissing);
     }
 
-    private List<ConsensusMessage.Held> heldRegisters() {
-        final List<ConsensusMessage.Held> held = new ArrayList<>();
+    private List<ConsensusMessage.AcceptedEntry> heldRegisters() {
+        final List<ConsensusMessage.AcceptedEntry> held = new ArrayList<>();
         acceptor.registers().forEach((key, register) -> {
             if (register.value() != null) {
-                held.add(new ConsensusMessage.Held(key, register.accepted()));
+                held.add(new ConsensusMessage.AcceptedEntry(key, register.accepted()));
             }
         });
         return held;
@@ -100,7 +100,7 @@
 
     /** Handles a voter's reply; one for another voter set, or after the end, is ignored. */
     public void onResponse(final ConsensusMessage.HandoverResponse response) {
-        if (onComplete == null || voterSet == null || !voterSet.same(response.generation(), response.epoch())) {
+        if (onComplete == null || voterSet == null || !voterSet.hasEpoch(response.generation(), response.epoch())) {
             return;
         }
         final Voter voter = voterSet.voter(response.name());
--- a/spokestall/src/main/java/spokestall/membership/MajorityLossDetector.java
+++ b/spokestall/src/main/java/spokestall/membership/MajorityLossDetector.java
@@ -47,7 +47,7 @@
             return writable == context.settings().configuredCores();
         }
         // A voter that still catches up will have its state, as long as enough others are there to read from.
-        final int expected = withState >= voterSet.meeting() ? withState + catchingUp : withState;
+        final int expected = withState >= voterSet.intersectingQuorum() ? withState + catchingUp : withState;
         return writable >= electorate.majority() && writable - expected > electorate.size() - electorate.majority();
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -70,8 +70,8 @@
     /** Brings a voter set into force if it is newer than the present one, and drops the registers of older ones. */
     public void adopt(final VoterSet voterSet) {
         final boolean newer = voterSet.newerThan(context.voterSet());
-        context.acceptor().adopt(voterSet);
-        context.proposer().adopt(voterSet);
+        context.acceptor().updateVoterSet(voterSet);
+        context.proposer().updateVoterSet(voterSet);
         if (newer) {
             dropVoterSetRegisters();
             recovery.onNewVoterSet();
@@ -80,9 +80,9 @@
 
     private void dropVoterSetRegisters() {
         for (final String key : List.copyOf(
-                context.acceptor().registers().tailMap(VoterSet.KEYS).keySet())) {
-            if (key.startsWith(VoterSet.KEYS)) {
-                context.acceptor().drop(key);
+                context.acceptor().registers().tailMap(VoterSet.KEY_PREFIX).keySet())) {
+            if (key.startsWith(VoterSet.KEY_PREFIX)) {
+                context.acceptor().removeRegister(key);
             }
         }
     }
@@ -90,7 +90,7 @@
     /** Sends the status, then advances bootstrap, recovery or reconfiguration, whichever is due. */
     public void onTick() {
         statusExchange.onTick(recovery.phase());
-        context.acceptor().tick(context.local().address());
+        context.acceptor().onTick(context.local().address());
         final Map<String, MembershipMessage.VoterStatus> statuses = statusExchange.freshStatuses();
         generationStart.onTick(statuses);
         if (context.voterSet() == null && context.settings().configuredCores() == 0) {
@@ -141,7 +141,7 @@
             // What this core once promised may not be on its disk, so it must not remain the same voter.
             LOG.atSevere().log(
                     "event=disk_older node=%s written=%s knownWritten=%s reportedBy=%s",
-                    context.local().name(), context.acceptor().written(), status.recipientWritten(), status.name());
+                    context.local().name(), context.acceptor().syncedSeq(), status.recipientWritten(), status.name());
             generationAcceptor.restartAsBlankVoter();
         }
         exchangeVoterSets(status);
@@ -165,7 +165,7 @@
         if (missed.isPresent()) {
             context.send(status.address(), new MembershipMessage.GenerationStarted(missed.get()));
         } else if (status.lacks(context.voterSet())) {
-            context.send(status.address(), new ConsensusMessage.Table(context.voterSet()));
+            context.send(status.address(), new ConsensusMessage.VoterSetUpdate(context.voterSet()));
         }
     }
 
--- a/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
+++ b/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
@@ -88,14 +88,14 @@
             case VOTING -> {
                 joiningSinceMillis = UNSET;
                 if (hasMoved(voterSet)) {
-                    propose(voterSet.swap(context.localVoter()));
+                    propose(voterSet.withReplacedDisk(context.localVoter()));
                 } else {
                     planner.withoutRemovableVoter(voterSet, statuses).ifPresent(this::propose);
                 }
             }
             case CATCHING_UP, STOPPED -> {
                 if (hasMoved(voterSet)) {
-                    propose(voterSet.swap(context.localVoter()));
+                    propose(voterSet.withReplacedDisk(context.localVoter()));
                 }
             }
         }
@@ -132,8 +132,8 @@
      * does not know what it missed: it is replaced first.
      */
     private void join(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
-        if (context.acceptor().hasVoted()) {
-            context.acceptor().restart(environment.freshDiskId());
+        if (context.acceptor().mayHaveVoted()) {
+            context.acceptor().resetIdentity(environment.freshDiskId());
             return;
         }
         joiningSinceMillis = joiningSinceMillis == UNSET ? context.nowMillis() : joiningSinceMillis;
@@ -153,7 +153,7 @@
         transitionTo(Phase.PROPOSING, "epoch-" + next.generation() + "/" + next.epoch());
         final byte[] value = MessageCodec.bytes(next);
         context.proposer()
-                .change(
+                .propose(
                         VoterSet.key(next.generation(), next.epoch()),
                         ROUNDS_TO_PROPOSE * context.timeouts().roundMillis(),
                         current -> current == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
@@ -161,12 +161,12 @@
     }
 
     private void onOutcome(final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             final VoterSet agreed = MessageCodec.record(done.value(), VoterSet.class);
             transitionTo(Phase.IDLE, "agreed");
             listener.onVoterSetAgreed(agreed);
             for (final String node : environment.otherNodeAddresses()) {
-                context.send(node, new ConsensusMessage.Table(agreed));
+                context.send(node, new ConsensusMessage.VoterSetUpdate(agreed));
             }
         } else {
             transitionTo(Phase.IDLE, "not_agreed");
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -41,11 +41,11 @@
             final Map<String, MembershipMessage.VoterStatus> statuses,
             final JoinPatience patience) {
         if (voterSet.voter(localName) != null) {
-            return Optional.of(voterSet.swap(localVoter));
+            return Optional.of(voterSet.withReplacedDisk(localVoter));
         }
         for (final Voter voter : voterSet.voters()) {
             if (voter.address().equals(localVoter.address())) {
-                return Optional.of(voterSet.replace(voter.name(), localVoter));
+                return Optional.of(voterSet.withReplacedVoter(voter.name(), localVoter));
             }
         }
         for (int position = 0; position < voterSet.voters().size(); position++) {
@@ -53,13 +53,13 @@
             if (!statuses.containsKey(voter)
                     && isReportedByMajority(
                             voterSet, statuses, position, MembershipMessage.VoterStatus::silentVoters)) {
-                return Optional.of(voterSet.replace(voter, localVoter));
+                return Optional.of(voterSet.withReplacedVoter(voter, localVoter));
             }
         }
         final boolean mayAdd = patience == JoinPatience.WAITED_LONG_ENOUGH
                 || voterSet.voters().stream().allMatch(voter -> statuses.containsKey(voter.name()));
         return mayAdd && isAdditionHarmless(voterSet, localVoter, statuses)
-                ? Optional.of(voterSet.add(localVoter))
+                ? Optional.of(voterSet.withAddedVoter(localVoter))
                 : Optional.empty();
     }
 
@@ -75,15 +75,16 @@
         if (voterSet.voters().size() >= VoterSet.VOTERS_MAX) {
             return false;
         }
-        VoterSet withAllJoiners = voterSet.add(localVoter);
+        VoterSet withAllJoiners = voterSet.withAddedVoter(localVoter);
         for (final MembershipMessage.VoterStatus status : statuses.values()) {
             final boolean waits = status.canWrite() && withAllJoiners.voter(status.name()) == null;
             if (waits && withAllJoiners.voters().size() < VoterSet.VOTERS_MAX) {
-                withAllJoiners = withAllJoiners.add(new Voter(status.name(), status.address(), status.diskId()));
+                withAllJoiners =
+                        withAllJoiners.withAddedVoter(new Voter(status.name(), status.address(), status.diskId()));
             }
         }
         return survivesToleratedLoss(withAllJoiners)
-                || survivesToleratedLoss(voterSet.add(localVoter))
+                || survivesToleratedLoss(voterSet.withAddedVoter(localVoter))
                 || !survivesToleratedLoss(voterSet);
     }
 
@@ -103,7 +104,7 @@
             if (!statuses.containsKey(voter)
                     && isReportedByMajority(
                             voterSet, statuses, position, MembershipMessage.VoterStatus::removableVoters)) {
-                final VoterSet next = voterSet.remove(voter);
+                final VoterSet next = voterSet.withRemovedVoter(voter);
                 return survivesToleratedLoss(next) ? Optional.of(next) : Optional.empty();
             }
         }
@@ -151,6 +152,6 @@
         return status.voting()
                 && voter != null
                 && voter.diskId().equals(status.diskId())
-                && voterSet.same(status.generation(), status.epoch());
+                && voterSet.hasEpoch(status.generation(), status.epoch());
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
+++ b/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
@@ -78,7 +78,7 @@
                 0,
                 0,
                 bootstrapCandidate && acceptor.voterSet() == null,
-                acceptor.catchesUp(),
+                acceptor.isCatchingUp(),
                 silentVoters(context.timeouts().silentAfterMillis()),
                 silentVoters(context.timeouts().removableAfterMillis()),
                 0,
@@ -112,7 +112,7 @@
     /** Whether the sender knows that this core's disk was once written further than it is now. */
     boolean provesOlderDisk(final MembershipMessage.VoterStatus status) {
         return status.provesOlderDisk(
-                        context.acceptor().diskId(), context.acceptor().written())
+                        context.acceptor().diskId(), context.acceptor().syncedSeq())
                 && context.acceptor().canWrite();
     }
 
@@ -202,7 +202,7 @@
     }
 
     private void send(final String to, final MembershipMessage.VoterStatus status) {
-        final long written = context.acceptor().written();
+        final long written = context.acceptor().syncedSeq();
         MembershipMessage.VoterStatus complete = status.withWriteProgress(written, 0, 0);
         for (final PeerStatus peer : peers.values()) {
             if (peer.status.address().equals(to)) {
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -166,7 +166,7 @@
 
     /** Brings the voter set on this core's disk, if there is one, into force. */
     void open() {
-        coreRole.map(role -> role.acceptor().voterSet()).ifPresent(proposer::adopt);
+        coreRole.map(role -> role.acceptor().voterSet()).ifPresent(proposer::updateVoterSet);
     }
 
     /** Advances membership on a core. */
@@ -181,19 +181,19 @@
 
     /** Brings a voter set into force if it is newer than the present one. */
     void adopt(final VoterSet voterSet) {
-        coreRole.ifPresentOrElse(role -> role.coordinator().adopt(voterSet), () -> proposer.adopt(voterSet));
+        coreRole.ifPresentOrElse(role -> role.coordinator().adopt(voterSet), () -> proposer.updateVoterSet(voterSet));
     }
 
     /** Handles a message of a proposer or of a voter. */
     void onMessage(final ConsensusMessage message) {
-        if (message instanceof ConsensusMessage.Table newer) {
+        if (message instanceof ConsensusMessage.VoterSetUpdate newer) {
             adopt(newer.voterSet());
         } else if (message instanceof ConsensusMessage.HandoverResponse response) {
             coreRole.ifPresent(role -> role.handover().onResponse(response));
         } else if (message instanceof ConsensusMessage.Promise || message instanceof ConsensusMessage.Accepted) {
-            proposer.hear(message);
+            proposer.onMessage(message);
         } else {
-            coreRole.ifPresent(role -> role.acceptor().hear(message, context.address));
+            coreRole.ifPresent(role -> role.acceptor().onMessage(message, context.address));
         }
     }
 
@@ -222,9 +222,9 @@
     /** An edge and a core send each other the newer voter set. */
     private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
         if (status.voterSet() != null && status.voterSet().newerThan(proposer.voterSet())) {
-            proposer.adopt(status.voterSet());
+            proposer.updateVoterSet(status.voterSet());
         } else if (status.lacks(proposer.voterSet())) {
-            context.post.send(status.address(), new ConsensusMessage.Table(proposer.voterSet()));
+            context.post.send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         }
     }
 
@@ -232,7 +232,7 @@
     private SurvivingState survivingState() {
         final List<ConsensusMessage.Entry> registers = new ArrayList<>();
         final boolean hasState =
-                coreRole.isPresent() && coreRole.get().acceptor().keepsState();
+                coreRole.isPresent() && coreRole.get().acceptor().hasStateOnDisk();
         if (hasState) {
             coreRole.get()
                     .acceptor()
--- a/spokestall/src/test/java/spokestall/membership/GracefulHandoverTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GracefulHandoverTest.java
@@ -45,12 +45,12 @@
             final String key = "once/" + i;
             fleet.node("e0")
                     .proposer
-                    .change(
+                    .propose(
                             key,
                             3000,
                             current -> current == null ? new RegisterEdit.Set(key.getBytes(UTF_8)) : RegisterEdit.LEAVE,
                             outcome -> {
-                                if (outcome instanceof ProposalOutcome.Done) {
+                                if (outcome instanceof ProposalOutcome.Committed) {
                                     confirmed.put(key, key);
                                 }
                             });
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
@@ -89,7 +89,7 @@
         for (int i = 0; i < 2; i++) {
             final MembershipTestNode proposing = fleet.node("e" + i);
             final String value = key + " by " + proposing.name;
-            proposing.proposer.change(
+            proposing.proposer.propose(
                     key,
                     2500,
                     current -> current == null ? new RegisterEdit.Set(value.getBytes(UTF_8)) : RegisterEdit.LEAVE,
@@ -98,7 +98,7 @@
     }
 
     private void confirm(final String key, final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             final String value = new String(done.value(), UTF_8);
             assertThat(confirmed.getOrDefault(key, value)).as(describe()).isEqualTo(value);
             confirmed.put(key, value);
@@ -145,7 +145,7 @@
                 .toList();
         boolean survives = voters.stream()
                 .allMatch(core -> core.acceptor.state() == Acceptor.State.VOTING
-                        && core.acceptor.voterSet().same(voterSet.generation(), voterSet.epoch()));
+                        && core.acceptor.voterSet().hasEpoch(voterSet.generation(), voterSet.epoch()));
         for (int region = 0; region < REGIONS; region++) {
             final int lost = region;
             survives &= voters.stream().filter(core -> core.region() != lost).count() >= voterSet.majority();
@@ -308,7 +308,7 @@
         confirmed
                 .keySet()
                 .forEach(key -> fleet.node("e2").proposer.read(key, 3000, outcome -> {
-                    if (outcome instanceof ProposalOutcome.Done done) {
+                    if (outcome instanceof ProposalOutcome.Committed done) {
                         read.put(key, new String(done.value(), UTF_8));
                     }
                 }));
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -135,7 +135,13 @@
     private Message withInjectedFault(final Message message) {
         return injectEmptyCatchUp && message instanceof ConsensusMessage.CatchUpResponse page
                 ? new ConsensusMessage.CatchUpResponse(
-                        page.name(), page.generation(), page.epoch(), page.after(), List.of(), true, page.floor())
+                        page.name(),
+                        page.generation(),
+                        page.epoch(),
+                        page.after(),
+                        List.of(),
+                        true,
+                        page.versionFloor())
                 : message;
     }
 
@@ -147,7 +153,7 @@
         messages++;
         final boolean withVoterSet =
                 message instanceof MembershipMessage.VoterStatus status && status.voterSet() != null
-                        || message instanceof ConsensusMessage.Table;
+                        || message instanceof ConsensusMessage.VoterSetUpdate;
         voterSetsSent += withVoterSet ? 1 : 0;
         final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
         final MembershipTestNode target = node(to);
@@ -237,7 +243,7 @@
         return voterSet != null
                 && cores.stream()
                         .allMatch(core -> core.acceptor.state() == Acceptor.State.VOTING
-                                && core.proposer.voterSet().same(voterSet.generation(), voterSet.epoch())
+                                && core.proposer.voterSet().hasEpoch(voterSet.generation(), voterSet.epoch())
                                 && voterSet.voter(core.name) != null);
     }
 
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -120,7 +120,7 @@
                 bootstrapProposer);
         handover = new GracefulHandover(local, acceptor, this::send, clock, new GracefulHandover.Timeouts(220, 900));
         if (acceptor.voterSet() != null) {
-            proposer.adopt(acceptor.voterSet());
+            proposer.updateVoterSet(acceptor.voterSet());
         }
         tick(clock);
     }
@@ -163,7 +163,7 @@
                     && other.up
                     && other.proposer.voterSet() != null
                     && fleet.random.nextDouble() >= fleet.loss) {
-                proposer.adopt(other.proposer.voterSet());
+                proposer.updateVoterSet(other.proposer.voterSet());
             }
         }
     }
@@ -192,7 +192,7 @@
         acceptor.registers().forEach((key, register) -> registers.add(new ConsensusMessage.Entry(key, register)));
         final long generation =
                 acceptor.voterSet() == null ? 0 : acceptor.voterSet().generation();
-        return new SurvivingState(name, generation, 0, null, 0, acceptor.keepsState(), registers);
+        return new SurvivingState(name, generation, 0, null, 0, acceptor.hasStateOnDisk(), registers);
     }
 
     /** Ends the incarnation as by a loss of power. */
@@ -241,18 +241,18 @@
         if (message instanceof BootstrapMessage bootstrap) {
             bootstrapAcceptor.onMessage(bootstrap);
             bootstrapProposer.ifPresent(proposing -> proposing.onMessage(bootstrap));
-        } else if (message instanceof ConsensusMessage.Table newer) {
+        } else if (message instanceof ConsensusMessage.VoterSetUpdate newer) {
             if (core) {
                 coordinator.adopt(newer.voterSet());
             } else {
-                proposer.adopt(newer.voterSet());
+                proposer.updateVoterSet(newer.voterSet());
             }
         } else if (message instanceof ConsensusMessage.HandoverResponse response) {
             handover.onResponse(response);
         } else if (message instanceof ConsensusMessage consensus) {
-            proposer.hear(consensus);
+            proposer.onMessage(consensus);
             if (core) {
-                acceptor.hear(consensus, name);
+                acceptor.onMessage(consensus, name);
             }
         } else if (message instanceof MembershipMessage.SurvivingStateRequest request && core) {
             send(request.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
@@ -265,9 +265,9 @@
 
     private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
         if (status.lacks(proposer.voterSet())) {
-            send(status.address(), new ConsensusMessage.Table(proposer.voterSet()));
+            send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         } else if (status.voterSet() != null) {
-            proposer.adopt(status.voterSet());
+            proposer.updateVoterSet(status.voterSet());
         }
     }
 
@@ -280,7 +280,7 @@
         @Override
         public void afterDiskMarked(final Runnable action) {
             if (core) {
-                acceptor.keepOwn("~council", new byte[0], ok -> action.run());
+                acceptor.putLocalRecord("~council", new byte[0], ok -> action.run());
             } else {
                 action.run();
             }
@@ -322,19 +322,19 @@
         }
 
         @Override
-        public boolean room(final String key) {
+        public boolean hasCapacityFor(final String key) {
             return true;
         }
 
         @Override
-        public boolean gone(final String key) {
+        public boolean isPruned(final String key) {
             final VoterSet voterSet = acceptor.voterSet();
             return key.startsWith("voters/")
                     && !key.equals("voters/" + voterSet.generation() + "/" + (voterSet.epoch() + 1));
         }
 
         @Override
-        public boolean takes(final String key, final byte[] value) {
+        public boolean accepts(final String key, final byte[] value) {
             return true;
         }
     }
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -66,13 +66,13 @@
 
     private static void increment(final MembershipTestNode proposing, final List<Long> confirmed) {
         final long highest = confirmed.stream().mapToLong(Long::longValue).max().orElse(0);
-        proposing.proposer.change(
+        proposing.proposer.propose(
                 "count",
                 2500,
                 current ->
                         new RegisterEdit.Set(Long.toString(number(current) + 1).getBytes(UTF_8)),
                 outcome -> {
-                    if (outcome instanceof ProposalOutcome.Done done && done.wrote()) {
+                    if (outcome instanceof ProposalOutcome.Committed done && done.wrote()) {
                         assertThat(number(done.value())).isGreaterThan(highest);
                         confirmed.add(number(done.value()));
                     }
