--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -78,7 +78,7 @@
 
     private static Lease withoutHold(final byte[] value) {
         final Lease lease = MessageCodec.record(value, Lease.class);
-        return new Lease(lease.owner(), lease.holder(), lease.renewal(), lease.token(), lease.spanMs(), false);
+        return new Lease(lease.owner(), lease.holder(), lease.renewal(), lease.fencingToken(), lease.spanMs(), false);
     }
 
     private static ConsensusMessage.Entry entry(final String key, final byte[] value) {
--- a/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
+++ b/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
@@ -7,7 +7,7 @@
 import spokestall.proxy.UpstreamClient;
 import spokestall.storage.SegmentStore;
 import spokestall.time.Clock;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.UsageReportClient;
 
 /**
  * The services through which a {@link Node} reaches the world: time, randomness, network and disk. A process passes real
@@ -31,5 +31,5 @@
         SegmentStore segments,
         HealthChecker.Reach reach,
         UpstreamClient upstreams,
-        UsageReporter.Platform platform,
+        UsageReportClient platform,
         AuditSink audit) {}
