--- a/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
+++ b/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
@@ -46,9 +46,9 @@
         if (received instanceof GossipMessage message) {
             components.view.onMessage(message);
         } else if (received instanceof ConsensusMessage message) {
-            components.membership.hear(message);
+            components.membership.onMessage(message);
         } else if (received instanceof BootstrapMessage message) {
-            components.membership.hear(message);
+            components.membership.onMessage(message);
         } else if (received instanceof MembershipMessage message) {
             onMembershipMessage(message);
         } else if (received instanceof FeedMessage message) {
@@ -64,7 +64,7 @@
 
     /** A voter that votes again is sent the hints that were stored for it, after its status was taken in. */
     private void onMembershipMessage(final MembershipMessage message) {
-        components.membership.hear(message);
+        components.membership.onMessage(message);
         if (core != null && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
             components.handoff.onVoterBack(voterStatus, core.storage.acceptor);
         }
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -137,7 +137,7 @@
                 proposer,
                 configurationStore,
                 storage,
-                new ToleratedSeatLoss(context.settings(), view),
+                new ToleratedVoterLoss(context.settings(), view),
                 usage == null ? () -> 0 : usage::highestFencingToken);
     }
 
@@ -247,7 +247,7 @@
 
     /** A core's voter waits for the fleet's time, and until it knows that its disk is not an older state of itself. */
     private boolean mayVote() {
-        return context.fleet.settled() && membership.checked();
+        return context.fleet.settled() && membership.isDiskVerified();
     }
 
     private long sinceHeardMs(final String core) {
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -58,7 +58,7 @@
     private void startCore(final Settings settings) {
         final UsageComponent usage = components.usage;
         final CoreStorage storage = components.storage;
-        ticker.every(settings.part("leaveBoundMs", 0.0625), components.membership::tick);
+        ticker.every(settings.part("leaveBoundMs", 0.0625), components.membership::onTick);
         ticker.every(settings.part("leaveBoundMs", 0.125), components.discovery::onTick);
         ticker.every(
                 settings.part("leaseMs", 0.1),
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -8,9 +8,10 @@
 import spokestall.discovery.HealthChecker;
 import spokestall.gossip.ViewParameters;
 import spokestall.lease.LeaseTimeouts;
-import spokestall.membership.BootstrapProposer;
+import spokestall.membership.MembershipSettings;
+import spokestall.membership.MembershipTimeouts;
 import spokestall.membership.GracefulHandover;
-import spokestall.membership.MembershipCoordinator;
+import spokestall.membership.BootstrapProposer;
 import spokestall.proxy.LoadBalancerParameters;
 import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
@@ -111,28 +112,31 @@
     }
 
     /** Returns the parameters of the fleet's first start. */
-    BootstrapProposer.Timing bootstrapProposer() {
-        return new BootstrapProposer.Timing(
+    BootstrapProposer.Timeouts bootstrapProposer() {
+        return new BootstrapProposer.Timeouts(
                 settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
     }
 
     /** Returns the parameters of changes of the voters. */
-    MembershipCoordinator.Timing membershipCoordinator() {
-        return new MembershipCoordinator.Timing(
+    MembershipSettings membership() {
+        return new MembershipSettings(
                 (int) settings.ms("cores"),
-                settings.part("leaveBoundMs", 0.6),
-                settings.part("leaveBoundMs", 0.15),
-                settings.part("leaveBoundMs", 0.75),
-                8 * settings.ms("farMs"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.ms("noteVersion") < OMISSIONS_SINCE,
-                settings.part("leaveBoundMs", 0.5),
-                settings.part("leaveBoundMs", 8));
+                settings.ms("noteVersion") < OMISSIONS_SINCE
+                        ? MembershipSettings.VoterSetInStatus.ALWAYS
+                        : MembershipSettings.VoterSetInStatus.WHEN_RECIPIENT_MAY_LACK_IT,
+                new MembershipTimeouts(
+                        settings.part("leaveBoundMs", 0.6),
+                        settings.part("leaveBoundMs", 0.15),
+                        settings.part("leaveBoundMs", 0.75),
+                        8 * settings.ms("farMs"),
+                        settings.part("leaveBoundMs", 0.25),
+                        settings.part("leaveBoundMs", 0.5),
+                        settings.part("leaveBoundMs", 8)));
     }
 
     /** Returns the parameters of the handover of a core that shuts down. */
-    GracefulHandover.Timing handover() {
-        return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
+    GracefulHandover.Timeouts handover() {
+        return new GracefulHandover.Timeouts(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
     /** Returns how often the platform's endpoint list is read. */
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import spokestall.membership.MembershipCoordinator;
+import spokestall.membership.GenerationAcceptor;
 
 /** Keys of the records that an acceptor stores beside its registers, against their literals. */
 class AcceptorKeyStabilityTest {
@@ -13,6 +13,6 @@
         assertThat(AcceptorStorage.CAUGHT_UP_KEY).isEqualTo("~caught");
         assertThat(AcceptorStorage.DISK_ID_KEY).isEqualTo("~disk");
         assertThat(AcceptorStorage.VERSION_FLOOR_KEY).isEqualTo("~floor");
-        assertThat(MembershipCoordinator.FORM).isEqualTo("~form");
+        assertThat(GenerationAcceptor.VOTE_KEY).isEqualTo("~form");
     }
 }
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -50,12 +50,11 @@
 
     /** Writes what an earlier holder left in a window's register. */
     private void store(final SealedWindow contents) {
-        context.proposer("w")
-                .change(
+        context.proposer("w").propose(
                         SealedWindow.key(contents.window()),
                         800,
                         value -> new RegisterEdit.Set(MessageCodec.bytes(contents)),
-                        outcome -> assertThat(outcome).isInstanceOf(ProposalOutcome.Done.class));
+                        outcome -> assertThat(outcome).isInstanceOf(ProposalOutcome.Committed.class));
         context.run(context.clock.nowMs() + 400);
     }
 
