--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -101,7 +101,7 @@
     public void agree(
             final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
         final long deadlineMs = clock.nowMs() + waitLeftMs;
-        follower.current(waitLeftMs, current -> {
+        follower.lease().awaitConfirmation(waitLeftMs, current -> {
             if (!current || !governed()) {
                 done.accept(notReady(changeId));
             } else {
@@ -117,7 +117,7 @@
      */
     public void takeUnnamed(
             final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
-        if (follower.fresh()) {
+        if (follower.isFresh()) {
             agree(changeId, draft, waitLeftMs, done);
         } else {
             done.accept(notReady(changeId));
@@ -202,8 +202,10 @@
 
     /** The newest configuration, proved newest after the call came; null when that can't be had in time. */
     public void newest(final long waitLeftMs, final Consumer<Configuration> done) {
-        follower.current(
-                waitLeftMs, current -> done.accept(current && governed() ? configurationStore.configuration() : null));
+        follower.lease()
+                .awaitConfirmation(
+                        waitLeftMs,
+                        current -> done.accept(current && governed() ? configurationStore.configuration() : null));
     }
 
     /** A part can't make the whole larger than the two are together, so the whole is written out only near the bound. */
@@ -231,7 +233,7 @@
         final byte[] value = MessageCodec.bytes(attempt.change);
         attempts.add(attempt);
         proposer.change(
-                ConfigurationKeys.key(attempt.next),
+                ConfigurationKeys.keyOf(attempt.next),
                 leftMs,
                 now -> edit(attempt.next, attempt.change, value, now),
                 outcome -> ended(attempt, outcome));
@@ -289,7 +291,7 @@
     }
 
     private void chosen(final Attempt attempt, final byte[] value) {
-        follower.learn(attempt.next, value);
+        follower.applyChosen(attempt.next, value);
         update.accept(attempt.next);
         LOG.atInfo().log(
                 "event=policy_change node=%s version=%s changeId=%s accepted=%s",
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
@@ -0,0 +1,111 @@
+package spokestall.configuration.feed;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import spokestall.gossip.NodeInfo;
+import spokestall.gossip.PartialView;
+import spokestall.message.Fingerprints;
+import spokestall.time.Clock;
+import spokestall.time.FleetClock;
+
+/** The edges that ask this core, by name, from their requests. Not thread-safe; all calls on the node's event loop. */
+final class EdgeTracker {
+    private final PartialView view;
+    private final Clock clock;
+    private final FleetClock fleetClock;
+    private final Map<String, EdgeStatus> edges = new TreeMap<>();
+    /** The name that last used an address. */
+    private final Map<String, String> nameByAddress = new HashMap<>();
+
+    EdgeTracker(final PartialView view, final Clock clock, final FleetClock fleetClock) {
+        this.view = view;
+        this.clock = clock;
+        this.fleetClock = fleetClock;
+    }
+
+    /** Returns all edges by name; a live view. */
+    Map<String, EdgeStatus> edges() {
+        return Collections.unmodifiableMap(edges);
+    }
+
+    /** Takes what an edge says of itself in full. */
+    void onRequest(final FeedMessage.FeedRequest request) {
+        put(new EdgeStatus(request.node(), request.fresh(), request.openRequests(), clock.nowMs()));
+    }
+
+    /** Takes a brief request; returns whether its sender is known, here or by gossip, in the same incarnation. */
+    boolean onRequest(final FeedMessage.FreshnessRequest request) {
+        final NodeInfo known = find(request);
+        if (known == null) {
+            return false;
+        }
+        put(new EdgeStatus(
+                known.at(fleetClock.nowMs(), request.draining()),
+                request.fresh(),
+                request.openRequests(),
+                clock.nowMs()));
+        return true;
+    }
+
+    private NodeInfo find(final FeedMessage.FreshnessRequest request) {
+        final EdgeStatus tracked = edges.get(nameByAddress.getOrDefault(request.from(), ""));
+        if (tracked != null && isSender(tracked.info(), request)) {
+            return tracked.info();
+        }
+        NodeInfo found = null;
+        for (final NodeInfo member : view.members()) {
+            found = isSender(member, request) ? member : found;
+        }
+        return found;
+    }
+
+    private static boolean isSender(final NodeInfo info, final FeedMessage.FreshnessRequest request) {
+        return info.incarnation() == request.incarnation() && info.address().equals(request.from());
+    }
+
+    private void put(final EdgeStatus edge) {
+        edges.put(edge.info().name(), edge);
+        nameByAddress.put(edge.info().address(), edge.info().name());
+    }
+
+    /** Forgets edges that sent no request for this time. */
+    void prune(final long maxAgeMs) {
+        edges.values().removeIf(edge -> clock.nowMs() - edge.lastRequestMs() > maxAgeMs);
+        nameByAddress.values().retainAll(edges.keySet());
+    }
+
+    /** Returns the edges that asked within this time, had a valid freshness lease and weren't draining. */
+    Collection<NodeInfo> serving(final long maxAgeMs) {
+        final List<NodeInfo> found = new ArrayList<>();
+        for (final EdgeStatus edge : edges.values()) {
+            if (edge.fresh() && !edge.info().leaving() && clock.nowMs() - edge.lastRequestMs() <= maxAgeMs) {
+                found.add(edge.info());
+            }
+        }
+        return found;
+    }
+
+    /** Returns a digest of all that clients use of these edges, in their order. */
+    static long digest(final Collection<NodeInfo> edges) {
+        final StringBuilder all = new StringBuilder();
+        for (final NodeInfo edge : edges) {
+            all.append(edge.name())
+                    .append(' ')
+                    .append(edge.httpAddress())
+                    .append(' ')
+                    .append(edge.address())
+                    .append(' ')
+                    .append(edge.zone())
+                    .append(' ')
+                    .append(edge.incarnation())
+                    .append(edge.leaving())
+                    .append('\n');
+        }
+        return Fingerprints.of(all.toString());
+    }
+}
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
@@ -10,79 +10,106 @@
 import spokestall.message.Message;
 import spokestall.message.SinceVersion;
 
-/** What followers and cores say to each other. */
+/**
+ * The messages between feed clients (all nodes) and feed servers (cores). They are encoded by the order of their
+ * components, so a new component goes last and carries the message version that introduced it.
+ */
 public sealed interface FeedMessage extends Message {
-    /** Asks what is newest, and, of one core, for the news from two places on. It says what the asker has already: the table
-     * of voters and the list of edges (by its mark), which are then left out of the reply; zero when it has none. */
+    /**
+     * Asks a core for the newest version that it knows and, if {@code wantsUpdates}, for the changes after
+     * {@code appliedVersion} and the registry entries after {@code registryOffset}. It names what the client has already, the
+     * voter set and the list of edges (by its digest), which the response then omits; zero stands for none.
+     */
     record FeedRequest(
             String from,
-            NodeInfo self,
+            NodeInfo node,
             boolean fresh,
-            int open,
+            int openRequests,
             long requestId,
-            boolean update,
-            long place,
+            boolean wantsUpdates,
+            long appliedVersion,
             long registryIncarnation,
-            long registryPlace,
+            long registryOffset,
             @SinceVersion(3) long generation,
             @SinceVersion(3) long epoch,
-            @SinceVersion(3) long edgesMark)
+            @SinceVersion(3) long edgesDigest)
             implements FeedMessage {}
 
-    /** One numbered change. */
+    /** One change and the version that it made. */
     record Numbered(long version, ConfigurationChange change) {}
 
-    /** The reply: what this voter knows to be newest, and news if it was asked for some. The table is null if the asker has
-     * it; edges are left out if brief. */
+    /**
+     * Answers a {@link FeedRequest}: the newest version that this voter knows, and updates if they were requested. The voter
+     * set is null if the client has it, the snapshot if the changes suffice; {@code registryIncarnation} is zero without
+     * updates.
+     */
     record FeedResponse(
-            String name,
+            String voterName,
             String diskId,
             long requestId,
-            VoterSet table,
+            VoterSet voterSet,
             boolean voting,
-            long applied,
-            long newest,
+            long appliedVersion,
+            long newestVersion,
             List<Numbered> changes,
             ConfigurationSnapshot snapshot,
             List<NodeInfo> edges,
             long registryIncarnation,
-            long registryPlace,
-            List<Endpoint> listed,
-            List<HealthObservation> reports,
+            long registryOffset,
+            List<Endpoint> endpoints,
+            List<HealthObservation> healthObservations,
             @SinceVersion(3) long generation,
             @SinceVersion(3) long epoch,
-            @SinceVersion(3) boolean brief,
-            @SinceVersion(3) long edgesMark)
-            implements FeedMessage {}
+            @SinceVersion(3) boolean edgesOmitted,
+            @SinceVersion(3) long edgesDigest)
+            implements FeedMessage {
+        /** Whether the voter answered out of this voter set, be it included or omitted. */
+        boolean answersFor(final VoterSet expected) {
+            return expected != null
+                    && (voterSet != null
+                            ? expected.same(voterSet.generation(), voterSet.epoch())
+                            : expected.same(generation, epoch));
+        }
+
+        /** Whether the response carries the updates that were requested, even if there were none. */
+        boolean hasUpdates() {
+            return registryIncarnation != 0;
+        }
+    }
 
-    /** Says that a version was accepted, and how it changes the one before unless that is large, so that followers need
-     * not wait for their beat. */
-    record FeedUpdate(long version, @SinceVersion(3) byte[] change) implements FeedMessage {}
+    /**
+     * Notifies clients of a committed version, so that they need not wait for their next tick. The encoded change is null if
+     * it is large; clients then fetch it.
+     */
+    record FeedUpdate(long version, @SinceVersion(3) byte[] encodedChange) implements FeedMessage {}
 
-    /** Asks for a proof alone. Nodes that serve clients are known by their address and life. */
+    /** Asks for the newest version alone. A node that serves clients is identified by its address and incarnation. */
     record FreshnessRequest(
             String from,
             long incarnation,
             boolean serves,
             boolean fresh,
-            boolean leaving,
-            int open,
+            boolean draining,
+            int openRequests,
             long requestId,
             long generation,
             long epoch)
             implements FeedMessage {}
 
-    /** The reply to {@link FreshnessRequest}: what is newest here, by which disk (its mark) and in which table, and by how many
-     * versions this node's own is behind. A stranger is asked to say who it is. */
+    /**
+     * Answers a {@link FreshnessRequest}: the newest version known to this voter, its disk (by fingerprint), its voter set,
+     * and by how many versions the voter's own configuration lags. A client that the core doesn't know is asked to introduce
+     * itself with a {@link FeedRequest}.
+     */
     record FreshnessResponse(
-            String name,
+            String voterName,
             long requestId,
             long generation,
             long epoch,
-            long diskMark,
+            long diskFingerprint,
             boolean voting,
-            boolean stranger,
-            long newest,
-            long behind)
+            boolean clientUnknown,
+            long newestVersion,
+            long versionsBehind)
             implements FeedMessage {}
 }
--- a/spokestall/src/main/java/spokestall/configuration/feed/package-info.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/package-info.java
@@ -1,14 +1,18 @@
 /**
- * How every node follows the configuration and knows that it is the newest.
+ * How every node follows the configuration and knows that it has the newest version.
  *
- * <p>Owns: the follower of a core's feed and its freshness confirmation ({@link spokestall.configuration.feed.FeedClient}), the messages of
- * the feed, and the register keys of configuration versions ({@link spokestall.configuration.feed.ConfigurationKeys}).
+ * <p>Owns: the client that follows a core's feed ({@link spokestall.configuration.feed.FeedClient}), its freshness lease
+ * ({@link spokestall.configuration.feed.FreshnessLease}), the server on a core
+ * ({@link spokestall.configuration.feed.FeedServer}), the messages between them
+ * ({@link spokestall.configuration.feed.FeedMessage}), and the register keys of configuration versions
+ * ({@link spokestall.configuration.feed.ConfigurationKeys}).
  *
- * <p>Invariants: a confirmation is as old as the request that asked for it, never as the answer. It holds only if a majority of
- * the voters of one table answered that same request and the newest version that any of them accepted is in force here.
- * Versions are applied in order and only rise.
+ * <p>Invariants: the freshness lease runs from when a round of requests was sent, never from its answers. A round renews it
+ * only if a majority of the voters of one voter set answered that same round and the newest version that any of them accepted
+ * is applied here. Versions are applied in order and only rise.
  *
- * <p>Callers: {@code Node} ticks it and hands it messages; {@code edge} asks whether it is fresh; {@code policy.Acceptance}
- * asks it for the newest version before it proposes the next.
+ * <p>Callers: {@code spokestall.node} ticks client and server and hands them messages; {@code spokestall.proxy} serves only
+ * while the lease is valid; {@code spokestall.configuration.change} waits for a confirmation before it judges a change.
+ * Everything runs on the node's event loop.
  */
 package spokestall.configuration.feed;
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -112,13 +112,13 @@
     private void raiseFloor() {
         final long bytesMost = (long) (segmentedLog.capacityBytes() * CONFIGURATION_KEPT_SHARE);
         acceptor.raiseFloor(
-                ConfigurationKeys.floor(acceptor.registers(), snapshotDown, CONFIGURATION_KEPT, bytesMost),
+                ConfigurationKeys.retentionFloor(acceptor.registers(), snapshotDown, CONFIGURATION_KEPT, bytesMost),
                 this::letVersionsGo);
     }
 
     /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
     private void letVersionsGo() {
-        ConfigurationKeys.upTo(acceptor.registers(), acceptor.floor()).forEach(acceptor::drop);
+        ConfigurationKeys.keysUpTo(acceptor.registers(), acceptor.floor()).forEach(acceptor::drop);
     }
 
     /** A new generation's first version is chosen by being in the founding. */
@@ -129,9 +129,9 @@
                 || configurationStore.configuration().version() >= table.firstNumber()) {
             return;
         }
-        final Register first = acceptor.registers().get(ConfigurationKeys.key(table.firstNumber()));
+        final Register first = acceptor.registers().get(ConfigurationKeys.keyOf(table.firstNumber()));
         if (first != null && first.value() != null) {
-            follower.learn(table.firstNumber(), first.value());
+            follower.applyChosen(table.firstNumber(), first.value());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -55,7 +55,7 @@
         });
         entries.add(entry(FLOOR, Long.toString(fleet.nowMs()).getBytes(StandardCharsets.UTF_8)));
         entries.add(
-                entry(ConfigurationKeys.key(table.firstNumber()), configuration(survivingState, newest, generation)));
+                entry(ConfigurationKeys.keyOf(table.firstNumber()), configuration(survivingState, newest, generation)));
         return new InitialState(table, entries);
     }
 
@@ -89,7 +89,7 @@
             }
         }
         newest.forEach((key, r) -> {
-            final long version = ConfigurationKeys.of(key);
+            final long version = ConfigurationKeys.versionOf(key);
             final boolean first = version == (version >> VoterSet.GENERATION_SHIFT) << VoterSet.GENERATION_SHIFT;
             if (version > configurationStore.configuration().version()
                     && (first || version == configurationStore.configuration().version() + 1)) {
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -7,6 +7,7 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import spokestall.configuration.feed.FeedClient;
+import spokestall.configuration.feed.FeedServer;
 import spokestall.gossip.NodeInfo;
 import spokestall.gossip.PartialView;
 import spokestall.proxy.EdgeDirectory;
@@ -48,7 +49,8 @@
             found.put(context.name, view.self());
         }
         if (found.isEmpty()) {
-            follower.edges(context.settings().part("leaveBoundMs", 2)).forEach(e -> found.put(e.name(), e));
+            follower.edgesReportedWithin(context.settings().part("leaveBoundMs", 2))
+                    .forEach(e -> found.put(e.name(), e));
         }
         if (view.self().leaving()) {
             found.remove(context.name);
@@ -60,13 +62,13 @@
     private Collection<NodeInfo> heard() {
         final long spanMs = context.settings().heardMs();
         if (!context.core) {
-            return follower.edges(spanMs);
+            return follower.edgesReportedWithin(spanMs);
         }
-        final Collection<NodeInfo> asking = feeds.freshEdges();
+        final Collection<NodeInfo> asking = feeds.servingEdges();
         if (!asking.isEmpty() && !justStarted()) {
             return asking;
         }
-        final List<NodeInfo> both = new ArrayList<>(follower.edges(spanMs));
+        final List<NodeInfo> both = new ArrayList<>(follower.edgesReportedWithin(spanMs));
         both.addAll(asking);
         return both;
     }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -16,7 +16,11 @@
 import spokestall.configuration.NativeConfigurationFormat;
 import spokestall.configuration.change.ChangeCoordinator;
 import spokestall.configuration.feed.FeedClient;
+import spokestall.configuration.feed.FeedListener;
 import spokestall.configuration.feed.FeedMessage;
+import spokestall.configuration.feed.FeedNode;
+import spokestall.configuration.feed.FeedReplica;
+import spokestall.configuration.feed.FeedServer;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.ConsensusMessage;
 import spokestall.consensus.Proposer;
@@ -26,6 +30,7 @@
 import spokestall.discovery.EndpointRegistry;
 import spokestall.discovery.HealthChecker;
 import spokestall.gossip.GossipMessage;
+import spokestall.gossip.NodeInfo;
 import spokestall.gossip.PartialView;
 import spokestall.handoff.HandoffMessage;
 import spokestall.lease.LeaseManager;
@@ -79,7 +84,7 @@
     final ChangeCoordinator acceptance;
     final AuditSink audit;
     final CallRegistry calls = new CallRegistry();
-    final FeedServer feeds = new FeedServer(this);
+    final FeedServer feeds;
     final PeerDirectory neighbours;
     private final MembershipComponent membership;
     final KnownEdges knownEdges;
@@ -131,14 +136,17 @@
         this.storage = core
                 ? new CoreStorage(context, environment.segments(), configurationStore, this::voterSet, this::mayVote)
                 : null;
+        this.feeds = new FeedServer(
+                context.name,
+                new FeedServer.Sources(
+                        configurationStore, discovery.endpointRegistry, view, core ? storage.acceptor : null),
+                context.post,
+                context.clock,
+                context.fleet,
+                new FeedServerOptions());
         this.duty = core
                 ? new UsageComponent(
-                        context,
-                        neighbours,
-                        storage.acceptor,
-                        proposer,
-                        environment.platform(),
-                        feeds::presentIncarnation)
+                        context, neighbours, storage.acceptor, proposer, environment.platform(), feeds::incarnationOf)
                 : null;
         this.membership = new MembershipComponent(
                 context,
@@ -148,19 +156,14 @@
                 storage,
                 new ToleratedSeatLoss(settings, view),
                 core ? duty::tokenSeen : () -> 0);
+        final FeedBinding feedBinding = new FeedBinding();
         this.follower = new FeedClient(
-                view::self,
-                configurationStore,
-                discovery.endpointRegistry,
-                proposer,
+                feedBinding,
+                new FeedReplica(configurationStore, discovery.endpointRegistry, proposer),
                 context.post,
                 context.clock,
                 context.timings().follower(),
-                neighbours::coreAddresses,
-                membership::adopt,
-                this::configurationMoved,
-                this::openRequests,
-                neighbours::distance);
+                feedBinding);
         this.knownEdges = new KnownEdges(context, view, follower, feeds, this::ready);
         this.serving = context.serves ? serving(environment) : null;
         this.acceptance = new ChangeCoordinator(
@@ -173,7 +176,7 @@
                 () -> context.fleet.settled() ? context.fleet.nowMs() : 0,
                 settings.part("policyBoundMs", 0.8),
                 context.timings().configurationBytesMost(),
-                feeds::tell);
+                feeds::announce);
         this.audit = environment.audit();
         this.auditor = core ? new Auditor(audit, configurationStore, context.fleet::nowMs) : null;
         if (core) {
@@ -225,7 +228,7 @@
         final SettingsUpdate renewal = SettingsUpdate.of(context.settings(), newer, context.core);
         context.renew(renewal.settings());
         view.seeds(renewal.settings().seeds());
-        follower.timing(context.timings().follower());
+        follower.updateTimings(context.timings().follower());
         if (serving != null) {
             serving.renew();
         }
@@ -260,7 +263,7 @@
             knownEdges.publish();
         });
         every(settings.ms("proofMs"), () -> {
-            follower.tick();
+            follower.onTick();
             knownEdges.publish();
         });
         if (context.core) {
@@ -288,7 +291,7 @@
     }
 
     private void tidy() {
-        feeds.tidy(context.settings().part("leaveBoundMs", 2));
+        feeds.pruneEdges(context.settings().part("leaveBoundMs", 2));
         storage.tidy();
     }
 
@@ -307,16 +310,16 @@
     /** A node that has just started asks without waiting for its beats, until it has what it needs to serve. */
     private void hurry(final long untilMs, final int turn) {
         final boolean able = context.fleet.settled()
-                && follower.fresh()
+                && follower.isFresh()
                 && (serving == null || !discovery.endpointRegistry.listed().isEmpty());
         if (stopped || able || context.clock.nowMs() >= untilMs) {
             return;
         }
         view.greet(voterSet() == null ? List.of() : neighbours.coreAddresses());
         knownEdges.publish();
-        if (voterSet() != null && !follower.fresh() || turn < HURRIED || turn % (2 * HURRIED) == 0) {
+        if (voterSet() != null && !follower.isFresh() || turn < HURRIED || turn % (2 * HURRIED) == 0) {
             // Before there are voters nothing can be proved; a founding takes seconds.
-            follower.tick();
+            follower.onTick();
         }
         context.clock.after(context.settings().part("leaveBoundMs", 0.03), () -> hurry(untilMs, turn + 1));
     }
@@ -393,7 +396,7 @@
     public void leave(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=leaving node=%s", context.name);
         view.leave();
-        follower.tick();
+        follower.onTick();
         knownEdges.publish();
         final GracefulShutdown.Requests requests = serving == null ? new GracefulShutdown.Idle() : serving;
         new GracefulShutdown(
@@ -428,7 +431,7 @@
     }
 
     private long heardMs(final String core) {
-        return follower.heardMs(core);
+        return follower.sinceResponseMs(core);
     }
 
     private int openRequests() {
@@ -485,17 +488,10 @@
 
     /** Questions are for cores, answers for all. */
     private void hear(final FeedMessage message) {
-        if (message instanceof FeedMessage.FeedRequest ask) {
-            if (context.core) {
-                feeds.answer(ask);
-            }
-        } else if (message instanceof FeedMessage.FreshnessRequest ask) {
-            if (context.core) {
-                feeds.answer(ask);
-            }
-        } else {
-            follower.hear(message);
+        if (context.core) {
+            feeds.onMessage(message);
         }
+        follower.onMessage(message);
     }
 
     private void hear(final UsageMessage message) {
@@ -514,7 +510,7 @@
 
     /** Whether this node takes asks now. */
     public boolean ready() {
-        return serving != null && !view.self().leaving() && follower.fresh() && context.fleet.settled();
+        return serving != null && !view.self().leaving() && follower.isFresh() && context.fleet.settled();
     }
 
     /** Whether this node is on its way out. */
@@ -526,4 +522,50 @@
     public ChangeCoordinator acceptance() {
         return acceptance;
     }
+
+    /** Binds the feed client to this node: what it says of the node, and what the node does with what it learned. */
+    private final class FeedBinding implements FeedNode, FeedListener {
+        @Override
+        public NodeInfo info() {
+            return view.self();
+        }
+
+        @Override
+        public int openRequests() {
+            return Node.this.openRequests();
+        }
+
+        @Override
+        public List<String> coreAddresses() {
+            return neighbours.coreAddresses();
+        }
+
+        @Override
+        public int distanceTo(final String address) {
+            return neighbours.distance(address);
+        }
+
+        @Override
+        public void onNewerVoterSet(final VoterSet voterSet) {
+            membership.adopt(voterSet);
+        }
+
+        @Override
+        public void onConfigurationApplied() {
+            configurationMoved();
+        }
+    }
+
+    /** Reads the feed server's settings as they are in force. */
+    private final class FeedServerOptions implements FeedServer.Options {
+        @Override
+        public long messageVersion() {
+            return context.settings().ms("noteVersion");
+        }
+
+        @Override
+        public long edgeTimeoutMs() {
+            return context.settings().heardMs();
+        }
+    }
 }
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -12,6 +12,7 @@
 import spokestall.configuration.KeyHash;
 import spokestall.configuration.Tenant;
 import spokestall.configuration.change.ChangeDraft;
+import spokestall.configuration.feed.EdgeStatus;
 import spokestall.configuration.feed.FeedClient;
 import spokestall.consensus.ProposalOutcome;
 import spokestall.consensus.Voter;
@@ -76,7 +77,7 @@
                 return;
             }
             final ObjectNode out = ConfigurationStore.JSON.createObjectNode().put("version", configuration.version());
-            out.put("ageMs", node.follower.ageMs()).set("policy", configuration.tree());
+            out.put("ageMs", node.follower.lease().ageMs()).set("policy", configuration.tree());
             done.accept(Reply.of(ResultCode.OK, out));
         });
     }
@@ -119,7 +120,7 @@
 
     /** A fresh proof is enough to name edges; a key is called bad only by what is proved newest after the call came. */
     private void where(final JsonNode p, final Consumer<Reply> done) {
-        if (!node.follower.fresh() || node.voterSet() == null) {
+        if (!node.follower.isFresh() || node.voterSet() == null) {
             done.accept(Reply.of(ResultCode.NOT_FRESH, null));
             return;
         }
@@ -191,8 +192,8 @@
     private void local(final ObjectNode out) {
         out.put("local", true)
                 .put("version", node.configurationStore.configuration().version())
-                .put("proofAgeMs", node.follower.ageMs())
-                .put("fresh", node.follower.fresh());
+                .put("proofAgeMs", node.follower.lease().ageMs())
+                .put("fresh", node.follower.isFresh());
     }
 
     private ObjectNode upstreams() {
@@ -236,15 +237,15 @@
                     .put("generation", node.voterSet().generation())
                     .put("epoch", node.voterSet().epoch());
             for (final Voter s : node.voterSet().voters()) {
-                final FeedClient.Observation back = node.follower.last().get(s.name());
+                final FeedClient.CoreStatus back = node.follower.coreStatuses().get(s.name());
                 final boolean heard = back != null
-                        && node.follower.heardMs(s.name())
+                        && node.follower.sinceResponseMs(s.name())
                                 < Math.max(
                                         node.context.settings().ms("leaveBoundMs"),
                                         node.context.settings().heardMs());
                 table.putObject(s.name())
                         .put("state", !heard ? "unheard" : back.voting() ? "voting" : "blank")
-                        .put("applied", heard ? back.applied() : 0);
+                        .put("applied", heard ? back.appliedVersion() : 0);
             }
         }
         final ObjectNode holds = out.putObject("holds");
@@ -261,8 +262,8 @@
                                     .asText());
             if (node.context.core) {
                 int open = 0;
-                for (final FeedServer.Present p : node.feeds.edges().values()) {
-                    open += p.member().zone().equals(zone) ? p.open() : 0;
+                for (final EdgeStatus edge : node.feeds.edges().values()) {
+                    open += edge.info().zone().equals(zone) ? edge.openRequests() : 0;
                 }
                 hold.put("open", open).put("empty", open == 0);
             }
@@ -284,11 +285,11 @@
             final ObjectNode present = out.putObject("edges");
             node.feeds
                     .edges()
-                    .forEach((n, p) -> present.putObject(n)
-                            .put("fresh", p.fresh())
-                            .put("open", p.open())
-                            .put("leaving", p.member().leaving())
-                            .put("heardMs", node.context.clock.nowMs() - p.heardMs()));
+                    .forEach((n, edge) -> present.putObject(n)
+                            .put("fresh", edge.fresh())
+                            .put("open", edge.openRequests())
+                            .put("leaving", edge.info().leaving())
+                            .put("heardMs", node.context.clock.nowMs() - edge.lastRequestMs()));
         } else {
             out.put("open", node.edge().open()).put("heldBytes", node.edge().heldBytes());
             final ObjectNode told = out.putObject("told");
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -53,7 +53,7 @@
 
     @Override
     public boolean gone(final String key) {
-        final long version = ConfigurationKeys.of(key);
+        final long version = ConfigurationKeys.versionOf(key);
         if (version >= 0) {
             return version <= configurationFloor.getAsLong()
                     || version < voterSet.get().firstNumber();
@@ -70,7 +70,8 @@
     /** Claims come by the thousand, versions may be large; what keeps the fleet itself going must still fit when they don't. */
     @Override
     public boolean room(final String key) {
-        return !IdempotencyClaim.isKey(key) && ConfigurationKeys.of(key) < 0 || fill.getAsDouble() < FILLED_SHARE;
+        return !IdempotencyClaim.isKey(key) && ConfigurationKeys.versionOf(key) < 0
+                || fill.getAsDouble() < FILLED_SHARE;
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -59,8 +59,8 @@
         return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), 64);
     }
 
-    FeedClient.Timing follower() {
-        return new FeedClient.Timing(
+    FeedClient.Timings follower() {
+        return new FeedClient.Timings(
                 settings.ms("freshMs"),
                 32,
                 3 * settings.ms("proofMs"),
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -115,7 +115,7 @@
         if (!(RequestTarget.of(head.target()) instanceof RequestTarget.Good target)) {
             return rejected(ResultCode.BAD_TARGET, doubt);
         }
-        if (!parts.follower().fresh() || !parts.fleet().settled()) {
+        if (!parts.follower().isFresh() || !parts.fleet().settled()) {
             return rejected(ResultCode.NOT_FRESH, doubt);
         }
         if (!parts.counter().mayBegin()) {
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -221,7 +221,7 @@
         if (stage == Stage.ENDED || clientGone || parts.clock().nowMs() >= ask.deadlineMs()) {
             return ResultCode.DEADLINE;
         }
-        if (!parts.follower().fresh()) {
+        if (!parts.follower().isFresh()) {
             return ResultCode.NOT_FRESH;
         }
         if (!parts.counter().mayBegin()) {
@@ -332,7 +332,7 @@
         }
         final LongSupplier until = () -> blocked() != null
                 ? Long.MIN_VALUE
-                : Math.min(ask.deadlineMs(), parts.follower().freshUntilMs());
+                : Math.min(ask.deadlineMs(), parts.follower().lease().expiresMs());
         parts.upstreams()
                 .attempt(
                         new Attempt(
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -18,19 +18,19 @@
 import spokestall.message.Message;
 import spokestall.time.ManualClock;
 
-/** Whom a follower asks for news, seen from the cores. */
+/** Which core a feed client fetches updates from, and which answers confirm its lease, as seen by the cores. */
 class FeedClientTest {
     private record Sent(String to, Message message) {}
 
     private static final long TICK_MS = 400;
-    private static final VoterSet TABLE =
+    private static final VoterSet VOTER_SET =
             new VoterSet(1, 1, List.of(voter("a"), voter("b"), voter("c"), voter("d"), voter("e")));
-    private static final long BASE = TABLE.firstNumber();
+    private static final long BASE = VOTER_SET.firstNumber();
     private final List<Sent> sent = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
     private final ConfigurationStore configurationStore = new ConfigurationStore(8);
     private final NodeInfo self = new NodeInfo("edge", "x", "x", false, "d1", "r1", 7, 0, false, 5, 1, false);
-    private final FeedClient follower;
+    private final FeedClient client;
 
     FeedClientTest() {
         final Proposer proposer = new Proposer(
@@ -41,21 +41,46 @@
                 new Random(1),
                 new Proposer.Timing(400, 50, 64),
                 (voter, key) -> {});
-        proposer.adopt(TABLE);
+        proposer.adopt(VOTER_SET);
         configurationStore.load(snapshot(BASE + 1));
-        follower = new FeedClient(
-                () -> self,
-                configurationStore,
-                new EndpointRegistry(7, 64, 4000, true),
-                proposer,
+        client = new FeedClient(
+                new Edge(),
+                new FeedReplica(configurationStore, new EndpointRegistry(7, 64, 4000, true), proposer),
                 (to, message) -> sent.add(new Sent(to, message)),
                 clock,
-                new FeedClient.Timing(1000, 32, 3 * TICK_MS, 64, false),
-                List::of,
-                table -> {},
-                () -> {},
-                () -> 0,
-                address -> address.charAt(0));
+                new FeedClient.Timings(1000, 32, 3 * TICK_MS, 64, false),
+                new IgnoringListener());
+    }
+
+    /** An edge to which core a is the nearest and core e the farthest. */
+    private final class Edge implements FeedNode {
+        @Override
+        public NodeInfo info() {
+            return self;
+        }
+
+        @Override
+        public int openRequests() {
+            return 0;
+        }
+
+        @Override
+        public List<String> coreAddresses() {
+            return List.of();
+        }
+
+        @Override
+        public int distanceTo(final String address) {
+            return address.charAt(0);
+        }
+    }
+
+    private static final class IgnoringListener implements FeedListener {
+        @Override
+        public void onNewerVoterSet(final VoterSet voterSet) {}
+
+        @Override
+        public void onConfigurationApplied() {}
     }
 
     private static Voter voter(final String name) {
@@ -66,16 +91,16 @@
         return new ConfigurationSnapshot(version, "{}".getBytes(StandardCharsets.UTF_8), List.of());
     }
 
-    /** Beats and gives what was sent. */
+    /** Ticks once and returns what was sent. */
     private List<Sent> tick() {
         sent.clear();
-        follower.tick();
+        client.onTick();
         return List.copyOf(sent);
     }
 
-    private static List<String> askedForNews(final List<Sent> of) {
+    private static List<String> updateRequestsTo(final List<Sent> of) {
         return of.stream()
-                .filter(s -> s.message instanceof FeedMessage.FeedRequest a && a.update())
+                .filter(s -> s.message instanceof FeedMessage.FeedRequest request && request.wantsUpdates())
                 .map(Sent::to)
                 .toList();
     }
@@ -89,13 +114,14 @@
                 .requestId();
     }
 
-    private void proof(final String core, final long requestId, final long applied) {
-        follower.hear(new FeedMessage.FreshnessResponse(
+    private void answer(final String core, final long requestId, final long applied) {
+        client.onMessage(new FeedMessage.FreshnessResponse(
                 core, requestId, 1, 1, Fingerprints.of("disk-" + core), true, false, applied, 0));
     }
 
-    private void back(final String core, final long requestId, final long applied, final ConfigurationSnapshot with) {
-        follower.hear(new FeedMessage.FeedResponse(
+    private void answerWithUpdates(
+            final String core, final long requestId, final long applied, final ConfigurationSnapshot snapshot) {
+        client.onMessage(new FeedMessage.FeedResponse(
                 core,
                 "disk-" + core,
                 requestId,
@@ -104,7 +130,7 @@
                 applied,
                 applied,
                 List.of(),
-                with,
+                snapshot,
                 List.of(),
                 9,
                 1,
@@ -116,78 +142,80 @@
                 0));
     }
 
-    /** A node that stood still hears the replies of before its standstill first, and its timers only then. */
+    /** After a pause of the process, answers from before the pause are delivered first and timers only then. */
     @Test
-    void whoAsksForWhatIsNewestHearsNothingOfAProofThatCameAfterItsTime() {
+    void confirmationPastTheDeadlineCountsAsNone() {
         clock.ignoreTimers();
-        final List<Boolean> told = new ArrayList<>();
+        final List<Boolean> results = new ArrayList<>();
         sent.clear();
-        follower.current(500, told::add);
+        client.lease().awaitConfirmation(500, results::add);
         final long inTime = requestId(sent);
         clock.advance(200);
-        List.of("b", "c", "d").forEach(core -> proof(core, inTime, BASE + 1));
-        assertThat(told).containsExactly(true);
+        List.of("b", "c", "d").forEach(core -> answer(core, inTime, BASE + 1));
+        assertThat(results).containsExactly(true);
         sent.clear();
-        follower.current(500, told::add);
+        client.lease().awaitConfirmation(500, results::add);
         final long late = requestId(sent);
         clock.advance(20_000);
-        List.of("b", "c", "d").forEach(core -> proof(core, late, BASE + 1));
-        assertThat(told).containsExactly(true, false);
+        List.of("b", "c", "d").forEach(core -> answer(core, late, BASE + 1));
+        assertThat(results).containsExactly(true, false);
     }
 
     @Test
-    void whenAllAreAheadOneIsAskedForNewsOnce() {
+    void whenAllCoresAreAheadOneIsAskedForUpdatesOnce() {
         final List<Sent> first = tick();
-        assertThat(askedForNews(first)).containsExactly("a");
+        assertThat(updateRequestsTo(first)).containsExactly("a");
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("b", "c", "d", "e")) {
-            proof(core, requestId(first), BASE + 2);
+            answer(core, requestId(first), BASE + 2);
         }
-        assertThat(askedForNews(sent))
-                .as("the nearest was asked already, its reply is on its way")
+        assertThat(updateRequestsTo(sent))
+                .as("the nearest was asked already, its response is in flight")
                 .isEmpty();
-        back("a", requestId(first), BASE + 2, snapshot(BASE + 2));
+        answerWithUpdates("a", requestId(first), BASE + 2, snapshot(BASE + 2));
         assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
-        assertThat(askedForNews(sent)).isEmpty();
-        assertThat(follower.ageMs()).as("proved by the ask of the beat").isEqualTo(20);
+        assertThat(updateRequestsTo(sent)).isEmpty();
+        assertThat(client.lease().ageMs())
+                .as("confirmed by the round of the tick")
+                .isEqualTo(20);
     }
 
     @Test
-    void whenWhoWasAskedIsBehindItselfOneThatIsAheadIsAskedAtOnce() {
+    void whenTheSourceIsBehindItselfACoreThatIsAheadIsAskedAtOnce() {
         final List<Sent> first = tick();
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("e", "d", "c", "b")) {
-            proof(core, requestId(first), BASE + 2);
+            answer(core, requestId(first), BASE + 2);
         }
-        back("a", requestId(first), BASE + 1, null);
-        assertThat(askedForNews(sent)).containsExactly("b");
+        answerWithUpdates("a", requestId(first), BASE + 1, null);
+        assertThat(updateRequestsTo(sent)).containsExactly("b");
     }
 
     @Test
-    void whenWhoWasAskedIsSilentABeatLaterAnotherIsAsked() {
+    void whenTheSourceIsSilentUntilTheNextTickAnotherIsAsked() {
         tick();
         clock.advance(TICK_MS);
         final List<Sent> second = tick();
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("b", "c", "d", "e")) {
-            proof(core, requestId(second), BASE + 2);
+            answer(core, requestId(second), BASE + 2);
         }
-        assertThat(askedForNews(sent)).containsExactly("b");
-        back("b", 0, BASE + 2, snapshot(BASE + 2));
+        assertThat(updateRequestsTo(sent)).containsExactly("b");
+        answerWithUpdates("b", 0, BASE + 2, snapshot(BASE + 2));
         assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
     }
 
     @Test
-    void aCoreThatSaysItIsAheadAndSendsNothingIsNotAskedWithoutEnd() {
+    void aCoreThatClaimsToBeAheadButSendsNothingIsNotAskedEndlessly() {
         final List<Sent> first = tick();
         sent.clear();
-        back("a", requestId(first), BASE + 2, null);
+        answerWithUpdates("a", requestId(first), BASE + 2, null);
         for (int i = 0; i < 10; i++) {
-            back("a", 0, BASE + 2, null);
+            answerWithUpdates("a", 0, BASE + 2, null);
         }
-        assertThat(askedForNews(sent)).hasSizeLessThanOrEqualTo(1);
+        assertThat(updateRequestsTo(sent)).hasSizeLessThanOrEqualTo(1);
     }
 }
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -141,13 +141,15 @@
         for (int version = 1; version <= 100; version++) {
             final byte[] value = new byte[version == 90 ? 5000 : 10];
             registers.put(
-                    ConfigurationKeys.key(version), new Register(ProposalNumber.NONE, ProposalNumber.NONE, value));
-        }
-        assertThat(ConfigurationKeys.floor(registers, 100, 1024, 1 << 20)).isZero();
-        assertThat(ConfigurationKeys.floor(registers, 100, 30, 1 << 20)).isEqualTo(70);
-        assertThat(ConfigurationKeys.floor(registers, 100, 1024, 1000)).isEqualTo(90);
-        assertThat(ConfigurationKeys.floor(registers, 90, 1024, 1000)).isEqualTo(89);
-        assertThat(ConfigurationKeys.upTo(registers, 89)).hasSize(89).doesNotContain(ConfigurationKeys.key(90));
+                    ConfigurationKeys.keyOf(version), new Register(ProposalNumber.NONE, ProposalNumber.NONE, value));
+        }
+        assertThat(ConfigurationKeys.retentionFloor(registers, 100, 1024, 1 << 20))
+                .isZero();
+        assertThat(ConfigurationKeys.retentionFloor(registers, 100, 30, 1 << 20))
+                .isEqualTo(70);
+        assertThat(ConfigurationKeys.retentionFloor(registers, 100, 1024, 1000)).isEqualTo(90);
+        assertThat(ConfigurationKeys.retentionFloor(registers, 90, 1024, 1000)).isEqualTo(89);
+        assertThat(ConfigurationKeys.keysUpTo(registers, 89)).hasSize(89).doesNotContain(ConfigurationKeys.keyOf(90));
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -44,7 +44,7 @@
 
         @Override
         public boolean gone(final String key) {
-            final long version = ConfigurationKeys.of(key);
+            final long version = ConfigurationKeys.versionOf(key);
             return version >= 0 && version <= acceptor.floor();
         }
 
@@ -130,14 +130,14 @@
         machines.values()
                 .forEach(m -> m.acceptor.raiseFloor(
                         FLOOR,
-                        () -> ConfigurationKeys.upTo(m.acceptor.registers(), FLOOR)
+                        () -> ConfigurationKeys.keysUpTo(m.acceptor.registers(), FLOOR)
                                 .forEach(m.acceptor::drop)));
     }
 
     private ProposalOutcome propose(final long version, final byte[] value) {
         final List<ProposalOutcome> told = new ArrayList<>();
         proposer.change(
-                ConfigurationKeys.key(version),
+                ConfigurationKeys.keyOf(version),
                 500,
                 now -> now == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
                 told::add);
--- a/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
@@ -16,8 +16,8 @@
 class KeyStabilityTest {
     @Test
     void keysOfRegistersAreTheLiteralOnes() {
-        assertThat(ConfigurationKeys.key(17)).isEqualTo("policy/0000000000000000017");
-        assertThat(ConfigurationKeys.key(Long.MAX_VALUE)).isEqualTo("policy/9223372036854775807");
+        assertThat(ConfigurationKeys.keyOf(17)).isEqualTo("policy/0000000000000000017");
+        assertThat(ConfigurationKeys.keyOf(Long.MAX_VALUE)).isEqualTo("policy/9223372036854775807");
         assertThat(SealedWindow.key(345)).isEqualTo("usage/0000000000000000345");
         assertThat(Lease.key("usage_report")).isEqualTo("duty/usage_report");
         assertThat(UsageComponent.LEASE).isEqualTo("duty/usage_report");
@@ -29,8 +29,8 @@
 
     @Test
     void literalKeysOfRegistersAreRead() {
-        assertThat(ConfigurationKeys.of("policy/0000000000000000017")).isEqualTo(17);
-        assertThat(ConfigurationKeys.of("usage/0000000000000000017")).isEqualTo(-1);
+        assertThat(ConfigurationKeys.versionOf("policy/0000000000000000017")).isEqualTo(17);
+        assertThat(ConfigurationKeys.versionOf("usage/0000000000000000017")).isEqualTo(-1);
         assertThat(SealedWindow.windowOf("usage/0000000000000000345")).isEqualTo(345);
         assertThat(SealedWindow.windowOf("policy/0000000000000000345")).isEqualTo(-1);
         assertThat(IdempotencyClaim.isKey("once/tenant-1/pay-17")).isTrue();
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -104,8 +104,8 @@
                 List.of(
                         founded("duty/floor", "12345".getBytes(StandardCharsets.UTF_8)),
                         founded("duty/usage_report", MessageCodec.bytes(FIRST_LEASE)),
-                        founded(ConfigurationKeys.key(FIRST_VERSION), MessageCodec.bytes(firstChange()))));
-        accept(acceptor, ConfigurationKeys.key(FIRST_VERSION + 1), CAST, MessageCodec.bytes(secondChange()));
+                        founded(ConfigurationKeys.keyOf(FIRST_VERSION), MessageCodec.bytes(firstChange()))));
+        accept(acceptor, ConfigurationKeys.keyOf(FIRST_VERSION + 1), CAST, MessageCodec.bytes(secondChange()));
         accept(acceptor, SealedWindow.key(344), CAST, MessageCodec.bytes(WINDOW));
         accept(acceptor, SealedWindow.key(345), CAST, MessageCodec.bytes(WINDOW));
         accept(acceptor, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.bytes(CLAIM));
@@ -113,7 +113,7 @@
                 new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", CAST, false),
                 "10.0.0.1:7000");
         keepOwnRecords(acceptor);
-        acceptor.raiseFloor(FIRST_VERSION, () -> acceptor.drop(ConfigurationKeys.key(FIRST_VERSION)));
+        acceptor.raiseFloor(FIRST_VERSION, () -> acceptor.drop(ConfigurationKeys.keyOf(FIRST_VERSION)));
         acceptor.drop(SealedWindow.key(344));
     }
 
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -282,7 +282,7 @@
     private void back(final SimulatedNode core, final Return from, final long startUs, final Runnable then) {
         final long fromMs = world.sim.nowMs();
         final long fromBytes = world.traffic.sentTo(core.name);
-        final long provedBefore = core.node().follower().freshUntilMs();
+        final long provedBefore = core.node().follower().lease().expiresMs();
         whenBack(core, provedBefore, () -> {
             backs.add(new Back(from, world.sim.nowMs() - fromMs, world.traffic.sentTo(core.name) - fromBytes, startUs));
             look();
@@ -294,8 +294,8 @@
     private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
         final boolean voting = core.running() && core.node().acceptor().state() == Acceptor.State.VOTING;
         if (voting
-                && core.node().follower().fresh()
-                && core.node().follower().freshUntilMs() > provedBefore
+                && core.node().follower().isFresh()
+                && core.node().follower().lease().expiresMs() > provedBefore
                 && core.node().configurationStore().configuration().version() + 1 >= acknowledged) {
             then.run();
         } else {
@@ -309,7 +309,7 @@
         for (final SimulatedNode core : world.cores()) {
             final Acceptor acceptor = core.running() ? core.node().acceptor() : null;
             if (acceptor != null && acceptor.state() == Acceptor.State.VOTING) {
-                final Register r = acceptor.registers().get(ConfigurationKeys.key(acknowledged));
+                final Register r = acceptor.registers().get(ConfigurationKeys.keyOf(acknowledged));
                 having += acceptor.floor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
             }
         }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -246,7 +246,7 @@
         }
         final int phase = run.phase().ordinal();
         requests[phase] += due;
-        if (!node.follower().fresh()) {
+        if (!node.follower().isFresh()) {
             stale[phase] += due;
             return;
         }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -156,7 +156,7 @@
                     steps.nowMs() / 1000.0,
                     phase,
                     up.size(),
-                    up.stream().filter(n -> n.node().follower().fresh()).count(),
+                    up.stream().filter(n -> n.node().follower().isFresh()).count(),
                     up.stream()
                                     .mapToLong(n -> n.node()
                                             .configurationStore()
@@ -228,7 +228,8 @@
                 proofs.get(phase)
                         .get(n.core)
                         .recordValue(Math.min(
-                                3_600_000, Math.max(0, n.node().follower().ageMs())));
+                                3_600_000,
+                                Math.max(0, n.node().follower().lease().ageMs())));
             }
         }
         for (final AcknowledgedChange a : changes) {
@@ -258,7 +259,7 @@
         return !changes.isEmpty()
                 && nodes.stream()
                         .allMatch(n -> n.up()
-                                && n.node().follower().fresh()
+                                && n.node().follower().isFresh()
                                 && n.node().configurationStore().configuration().version()
                                         >= changes.get(0).version()
                                 && (n.core
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
@@ -21,7 +21,7 @@
         if (injectedFault != InjectedFault.LEAPING_CHANGES) {
             return message;
         }
-        if (message instanceof ConsensusMessage.Accept a && ConfigurationKeys.of(a.key()) >= 0) {
+        if (message instanceof ConsensusMessage.Accept a && ConfigurationKeys.versionOf(a.key()) >= 0) {
             return new ConsensusMessage.Accept(
                     a.attemptId(),
                     a.from(),
@@ -29,10 +29,10 @@
                     a.epoch(),
                     a.key(),
                     a.proposalNumber(),
-                    leapt(ConfigurationKeys.of(a.key()), a.value()));
+                    leapt(ConfigurationKeys.versionOf(a.key()), a.value()));
         }
-        if (message instanceof FeedMessage.FeedUpdate n && n.change() != null) {
-            return new FeedMessage.FeedUpdate(n.version(), leapt(n.version(), n.change()));
+        if (message instanceof FeedMessage.FeedUpdate n && n.encodedChange() != null) {
+            return new FeedMessage.FeedUpdate(n.version(), leapt(n.version(), n.encodedChange()));
         }
         return message;
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -289,7 +289,7 @@
                     if (edge.running()) {
                         final boolean has =
                                 edge.node().configurationStore().configuration().version() >= version;
-                        final boolean serves = edge.node().follower().fresh();
+                        final boolean serves = edge.node().follower().isFresh();
                         final boolean alone = world.undisturbed(edge, atMs);
                         world.judge.check(
                                 Rule.POLICY,
@@ -305,7 +305,7 @@
     /** At the end: each accepted route is in force on every fresh node, and no denied one on any. */
     void end(final boolean wiped) {
         for (final SimulatedNode node : world.nodes.values()) {
-            if (!node.running() || !node.node().follower().fresh()) {
+            if (!node.running() || !node.node().follower().isFresh()) {
                 continue;
             }
             final var routes = node.node()
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -42,7 +42,7 @@
                     final boolean without = node.running()
                             && node.node().directory().edges().isEmpty()
                             && !node.node().leaving()
-                            && node.node().follower().fresh();
+                            && node.node().follower().isFresh();
                     if (!without) {
                         sinceMs.remove(node.name);
                     } else {
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -75,7 +75,7 @@
 
     private static boolean able(final SimulatedNode node) {
         return node.running()
-                && node.node().follower().fresh()
+                && node.node().follower().isFresh()
                 && (!node.core || node.node().acceptor().state() == Acceptor.State.VOTING);
     }
 
--- a/testbed/src/test/java/spokestall/testbed/simulation/OlderDiskTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OlderDiskTest.java
@@ -58,7 +58,7 @@
         assertThat(core.node().acceptor().state()).as("seed %s", seed).isEqualTo(Acceptor.State.VOTING);
         final Voter voter = core.node().acceptor().voterSet().voter(core.name);
         assertThat(voter.diskId()).isEqualTo(core.node().acceptor().diskId()).isNotEqualTo(before);
-        assertThat(core.node().follower().fresh()).isTrue();
+        assertThat(core.node().follower().isFresh()).isTrue();
     }
 
     @Test
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -137,7 +137,7 @@
                 CONTACT_MS,
                 () -> lone.running()
                         && lone.node().acceptor().state() == Acceptor.State.VOTING
-                        && lone.node().follower().fresh()
+                        && lone.node().follower().isFresh()
                         && OperatorFleet.version(lone) == fleet.newestVersion());
         expect(how + " back", fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode()), ResultCode.OK);
         expect(
@@ -156,8 +156,8 @@
         fleet.until(
                 "nodes are back by the other seeds",
                 CONTACT_MS,
-                () -> again.stream().allMatch(n -> n.node().follower().fresh()));
-        if (lone.node().follower().fresh()) {
+                () -> again.stream().allMatch(n -> n.node().follower().isFresh()));
+        if (lone.node().follower().isFresh()) {
             wrong.add(lone.name + " is fresh by nodes that it can't reach");
         }
     }
