--- /dev/null
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeAttempt.java
@@ -0,0 +1,97 @@
+package spokestall.configuration.change;
+
+import com.google.common.flogger.FluentLogger;
+import java.util.function.Consumer;
+import spokestall.configuration.ConfigurationChange;
+
+/**
+ * One request to change the configuration, from its arrival until its result.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop. The result is delivered exactly once.
+ */
+final class ChangeAttempt {
+    /** What an attempt waits for. */
+    enum State {
+        /** For nothing yet; the request has just arrived. */
+        RECEIVED,
+        /** For a confirmation, sent after the request arrived, that the configuration applied here is the newest. */
+        CONFIRMING,
+        /** For the end of the proposal of the next version. */
+        PROPOSING,
+        /** For nothing any more; the result is delivered. */
+        COMPLETED;
+
+        /** Returns whether a state may follow; a superseded proposal is followed by another or by a confirmation. */
+        private boolean mayBecome(final State next) {
+            return switch (this) {
+                case RECEIVED -> next == CONFIRMING;
+                case CONFIRMING -> next == PROPOSING || next == COMPLETED;
+                case PROPOSING -> next != RECEIVED;
+                case COMPLETED -> false;
+            };
+        }
+    }
+
+    /** One proposal of an attempt; the attempt makes another one after a different change committed as this version. */
+    record Proposal(ChangeAttempt attempt, long version, ConfigurationChange change) {}
+
+    private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+    private final String changeId;
+    private final ChangeDraft draft;
+    private final long deadlineMs;
+    private final Consumer<ChangeResult> callback;
+    private State state = State.RECEIVED;
+
+    /** Creates an attempt whose deadline is on this node's monotonic clock. */
+    ChangeAttempt(
+            final String changeId,
+            final ChangeDraft draft,
+            final long deadlineMs,
+            final Consumer<ChangeResult> callback) {
+        this.changeId = changeId;
+        this.draft = draft;
+        this.deadlineMs = deadlineMs;
+        this.callback = callback;
+    }
+
+    String changeId() {
+        return changeId;
+    }
+
+    ChangeDraft draft() {
+        return draft;
+    }
+
+    long remainingMs(final long nowMs) {
+        return deadlineMs - nowMs;
+    }
+
+    State state() {
+        return state;
+    }
+
+    /** Waits for a confirmation, on arrival or after a proposal was superseded. */
+    void confirm() {
+        transitionTo(State.CONFIRMING);
+    }
+
+    /** Begins a proposal. */
+    Proposal propose(final long version, final ConfigurationChange change) {
+        transitionTo(State.PROPOSING);
+        return new Proposal(this, version, change);
+    }
+
+    /** Delivers the result. */
+    void complete(final ChangeResult result) {
+        transitionTo(State.COMPLETED);
+        callback.accept(result);
+    }
+
+    private void transitionTo(final State next) {
+        if (!state.mayBecome(next)) {
+            throw new IllegalStateException("change " + changeId + " went from " + state + " to " + next);
+        }
+        LOG.atFine().log("event=change_attempt changeId=%s from=%s to=%s", changeId, state, next);
+        state = next;
+    }
+}
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -2,21 +2,17 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
-import java.util.function.LongConsumer;
-import java.util.function.LongSupplier;
 import spokestall.api.Reply;
-import spokestall.api.ResultCode;
 import spokestall.configuration.Configuration;
 import spokestall.configuration.ConfigurationChange;
 import spokestall.configuration.ConfigurationFormat;
 import spokestall.configuration.ConfigurationStore;
-import spokestall.configuration.ConfigurationValidator;
+import spokestall.configuration.ConfigurationValidator.ValidationError;
 import spokestall.configuration.feed.ConfigurationKeys;
 import spokestall.configuration.feed.FeedClient;
 import spokestall.consensus.ProposalOutcome;
@@ -25,302 +21,293 @@
 import spokestall.message.MessageCodec;
 import spokestall.time.Clock;
 
-/** Takes changes to the configuration: each is checked whole, then agreed as the one next version, or denied. */
+/**
+ * Makes operators' requests into committed changes: each is drafted on the newest version, validated as a whole, and proposed
+ * as the one next version.
+ *
+ * <p>A request is judged only by a configuration that was confirmed to be the newest after the request arrived: it is never
+ * called stale, invalid, missing or done because this node lags behind. When another change commits first, the request is
+ * drafted anew on top of it until it commits, no longer applies, or its time is over. A request whose change id committed
+ * lately is acknowledged with that version, not applied again.
+ *
+ * <p>Not thread-safe; all calls and callbacks on the node's event loop. Each callback receives one reply.
+ */
 public final class ChangeCoordinator {
+    /** The bounds of a change. */
+    public record Limits(long proposalTimeoutMs, int configurationBytesMax) {}
+
+    /**
+     * What the coordinator proposes with.
+     *
+     * @param feedClient confirms which version is the newest, and applies those that commit here
+     */
+    public record Replication(ConfigurationStore configurationStore, Proposer proposer, FeedClient feedClient) {}
+
+    /** What the coordinator needs of its node, and tells it. */
+    public interface Host {
+        /** Returns the node's name, for logs. */
+        String name();
+
+        /** Returns the fleet's time that the next change is stamped with, or 0 while it isn't known. */
+        long fleetMs();
+
+        /** A version was chosen by a proposal of this node, and is applied here if it was the next. */
+        void onCommitted(long version);
+    }
+
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private final String name;
+    private final Host host;
     private final ConfigurationStore configurationStore;
-    private final ConfigurationFormat form;
     private final Proposer proposer;
-    private final FeedClient follower;
+    private final FeedClient feedClient;
+    private final ConfigurationFormat format;
     private final Clock clock;
-    private final LongSupplier fleetMs;
-    private final long waitMs;
-    private final int bytesMax;
-    private final LongConsumer update;
-    private final List<Attempt> attempts = new ArrayList<>();
+    private final Limits limits;
+    /** The proposals whose end still matters, in the order in which they began. */
+    private final List<ChangeAttempt.Proposal> proposals = new ArrayList<>();
 
-    /** The fleet's time is zero while it isn't known. Example: see {@code Node}. */
+    /** Creates a coordinator without attempts. */
     public ChangeCoordinator(
-            final String name,
-            final ConfigurationStore configurationStore,
-            final ConfigurationFormat form,
-            final Proposer proposer,
-            final FeedClient follower,
+            final Host host,
+            final Replication replication,
+            final ConfigurationFormat format,
             final Clock clock,
-            final LongSupplier fleetMs,
-            final long waitMs,
-            final int bytesMax,
-            final LongConsumer update) {
-        this.name = name;
-        this.configurationStore = configurationStore;
-        this.form = form;
-        this.proposer = proposer;
-        this.follower = follower;
+            final Limits limits) {
+        this.host = host;
+        this.configurationStore = replication.configurationStore();
+        this.proposer = replication.proposer();
+        this.feedClient = replication.feedClient();
+        this.format = format;
         this.clock = clock;
-        this.fleetMs = fleetMs;
-        this.waitMs = waitMs;
-        this.bytesMax = bytesMax;
-        this.update = update;
+        this.limits = limits;
     }
 
-    /** Takes a change made against one version; it is judged as {@link #agree} judges every order. */
-    public void take(final long base, final String changeId, final ChangeDraft draft, final Consumer<Reply> done) {
-        agree(
+    /** Submits a change that was made against one version and is stale on top of any other. */
+    public void submitAgainst(
+            final long baseVersion, final String changeId, final ChangeDraft draft, final Consumer<Reply> callback) {
+        submit(
                 changeId,
-                tree -> configurationStore.configuration().version() == base
-                        ? draft.on(tree)
-                        : new ChangeDraft.Drafted.Stale(),
-                waitMs,
-                done);
+                tree -> appliedVersion() == baseVersion ? draft.draftOn(tree) : new ChangeDraft.Drafted.StaleBase(),
+                limits.proposalTimeoutMs(),
+                callback);
     }
 
-    /** Why a change can't be made on top of the configuration here, or null. */
-    private Reply check(final ConfigurationChange change) {
-        final JsonNode after = configurationStore.preview(change);
-        final List<ConfigurationValidator.ValidationError> errors =
-                form.check(after, configurationStore.configuration().tree());
-        if (tooLarge(change, after)) {
-            errors.add(new ConfigurationValidator.ValidationError("", "larger than policyMaxBytes"));
-        }
-        return errors.isEmpty() ? null : invalid(change.changeId(), errors);
-    }
-
-    private Reply invalid(final String changeId, final List<ConfigurationValidator.ValidationError> errors) {
-        final ObjectNode out = fields(configurationStore.configuration().version(), changeId);
-        final ArrayNode list = out.putArray("troubles");
-        errors.forEach(t -> list.addObject().put("pointer", t.pointer()).put("reason", t.reason()));
-        return Reply.of(ResultCode.INVALID, out);
+    /**
+     * Submits a change under the id that the operator gave it; submitted again, it is acknowledged again.
+     *
+     * @param timeoutMs how long it may take until it is proposed for the last time
+     */
+    public void submit(
+            final String changeId, final ChangeDraft draft, final long timeoutMs, final Consumer<Reply> callback) {
+        confirm(
+                new ChangeAttempt(
+                        changeId,
+                        draft,
+                        clock.nowMs() + timeoutMs,
+                        result -> callback.accept(result.toReply(changeId, appliedVersion()))),
+                timeoutMs);
     }
 
     /**
-     * Makes an order into a change on top of the newest configuration, and anew when another change was first, until it holds,
-     * no longer fits or the wait is over. What it is judged by is proved newest after it came, whatever the judgement: an
-     * order is never called stale, invalid, missing or taken because this node is behind or was left behind.
+     * Submits a change that came without an id, so that its repetition can't be told from a new request. While a request
+     * waited at a node that was paused or partitioned, it may have been repeated elsewhere and undone since; so only a node
+     * whose freshness lease is valid on arrival takes it.
+     *
+     * @param changeId a new id that no other request has
      */
-    public void agree(
-            final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
-        final long deadlineMs = clock.nowMs() + waitLeftMs;
-        follower.lease().awaitConfirmation(waitLeftMs, current -> {
-            if (!current || !governed()) {
-                done.accept(notReady(changeId));
-            } else {
-                judge(changeId, draft, deadlineMs, done);
-            }
-        });
+    public void submitWithoutId(
+            final String changeId, final ChangeDraft draft, final long timeoutMs, final Consumer<Reply> callback) {
+        if (feedClient.isFresh()) {
+            submit(changeId, draft, timeoutMs, callback);
+        } else {
+            callback.accept(new ChangeResult.NotReady().toReply(changeId, appliedVersion()));
+        }
+    }
+
+    /** Reads the newest configuration, confirmed after the call; empty if it can't be confirmed in time. */
+    public void readNewest(final long timeoutMs, final Consumer<Optional<Configuration>> callback) {
+        feedClient
+                .lease()
+                .awaitConfirmation(
+                        timeoutMs,
+                        confirmed -> callback.accept(
+                                confirmed && isOfPresentGeneration()
+                                        ? Optional.of(configurationStore.configuration())
+                                        : Optional.empty()));
     }
 
     /**
-     * Takes an order that has no id of its own and can't be told from a new one when it comes again. What waited at a node
-     * that stood still or was cut off may have been sent again and undone elsewhere since, so only a node that was in touch
-     * when the order came takes it. {@code changeId} must be a fresh one.
+     * The configuration store moved: a proposal for a version that is applied here need not wait for its own end. Called
+     * as an event of its own, after the change that moved it was dealt with.
      */
-    public void takeUnnamed(
-            final String changeId, final ChangeDraft draft, final long waitLeftMs, final Consumer<Reply> done) {
-        if (follower.isFresh()) {
-            agree(changeId, draft, waitLeftMs, done);
-        } else {
-            done.accept(notReady(changeId));
+    public void onConfigurationApplied() {
+        final long applied = appliedVersion();
+        for (final ChangeAttempt.Proposal proposal : List.copyOf(proposals)) {
+            if (proposal.version() <= applied && proposals.remove(proposal)) {
+                final ChangeAttempt attempt = proposal.attempt();
+                final Long committed = configurationStore.versionOf(attempt.changeId());
+                if (committed != null) {
+                    attempt.complete(new ChangeResult.Committed(committed));
+                } else {
+                    onSuperseded(attempt);
+                }
+            }
         }
     }
 
-    /** Whether the configuration here is one of the generation that voters hold now. */
-    private boolean governed() {
-        return proposer.voterSet() != null
-                && configurationStore.configuration().version()
-                        >= proposer.voterSet().firstNumber();
+    private void confirm(final ChangeAttempt attempt, final long timeoutMs) {
+        attempt.confirm();
+        feedClient.lease().awaitConfirmation(timeoutMs, confirmed -> onConfirmation(attempt, confirmed));
     }
 
-    private void judge(
-            final String changeId, final ChangeDraft draft, final long deadlineMs, final Consumer<Reply> done) {
-        final Long known = configurationStore.versionOf(changeId);
-        if (known != null) {
-            done.accept(accepted(known, changeId));
+    private void onConfirmation(final ChangeAttempt attempt, final boolean confirmed) {
+        if (!confirmed || !isOfPresentGeneration()) {
+            attempt.complete(new ChangeResult.NotReady());
             return;
         }
-        final long version = configurationStore.configuration().version();
-        final ChangeDraft.Drafted drafted =
-                draft.on(configurationStore.configuration().tree());
-        if (drafted instanceof ChangeDraft.Drafted.Already) {
-            done.accept(accepted(version, changeId));
-        } else if (drafted instanceof ChangeDraft.Drafted.Stale) {
-            done.accept(Reply.of(ResultCode.STALE_BASE, fields(version, changeId)));
-        } else if (drafted instanceof ChangeDraft.Drafted.Missing) {
-            done.accept(Reply.of(ResultCode.NOT_FOUND, fields(version, changeId)));
-        } else if (drafted instanceof ChangeDraft.Drafted.Bad bad) {
-            done.accept(invalid(
-                    changeId, List.of(new ConfigurationValidator.ValidationError(bad.pointer(), bad.reason()))));
+        final Long committed = configurationStore.versionOf(attempt.changeId());
+        if (committed != null) {
+            attempt.complete(new ChangeResult.Committed(committed));
+            return;
+        }
+        final ChangeDraft.Drafted drafted = draft(attempt);
+        if (drafted instanceof ChangeDraft.Drafted.Unchanged) {
+            attempt.complete(new ChangeResult.Committed(appliedVersion()));
+        } else if (drafted instanceof ChangeDraft.Drafted.StaleBase) {
+            attempt.complete(new ChangeResult.StaleBase());
+        } else if (drafted instanceof ChangeDraft.Drafted.NotFound) {
+            attempt.complete(new ChangeResult.NotFound());
+        } else if (drafted instanceof ChangeDraft.Drafted.Rejected rejected) {
+            attempt.complete(
+                    new ChangeResult.Invalid(List.of(new ValidationError(rejected.pointer(), rejected.reason()))));
         } else if (drafted instanceof ChangeDraft.Drafted.Write write) {
-            write(changeId, draft, write, deadlineMs, done);
+            final ConfigurationChange change = change(attempt, write);
+            final List<ValidationError> errors = validate(change);
+            if (errors.isEmpty()) {
+                propose(attempt, change);
+            } else {
+                attempt.complete(new ChangeResult.Invalid(errors));
+            }
         }
     }
 
-    private void write(
-            final String changeId,
-            final ChangeDraft draft,
-            final ChangeDraft.Drafted.Write write,
-            final long deadlineMs,
-            final Consumer<Reply> done) {
-        final ConfigurationChange change = change(changeId, write);
-        final Reply rejected = check(change);
-        if (rejected != null) {
-            done.accept(rejected);
+    /**
+     * Another change committed first. What still applies on top of it is proposed at once, since that commits only if
+     * nothing newer exists; any other end is judged by a confirmed version, never by the one that the attempt lost against.
+     */
+    private void onSuperseded(final ChangeAttempt attempt) {
+        final long remainingMs = attempt.remainingMs(clock.nowMs());
+        if (remainingMs <= 0) {
+            attempt.complete(new ChangeResult.NotReady());
             return;
         }
-        final long leftMs = Math.min(waitMs, deadlineMs - clock.nowMs());
-        propose(
-                new Attempt(
-                        configurationStore.configuration().version() + 1,
-                        change,
-                        done,
-                        () -> again(changeId, draft, deadlineMs, done)),
-                leftMs);
+        if (isOfPresentGeneration()
+                && configurationStore.versionOf(attempt.changeId()) == null
+                && draft(attempt) instanceof ChangeDraft.Drafted.Write write) {
+            final ConfigurationChange change = change(attempt, write);
+            if (validate(change).isEmpty()) {
+                propose(attempt, change);
+                return;
+            }
+        }
+        confirm(attempt, remainingMs);
     }
 
-    /**
-     * Another change was first. What still fits on top of it is proposed at once, for that is taken only where nothing newer
-     * is; any other end is judged by what is proved newest, never by what the order lost against.
-     */
-    private void again(
-            final String changeId, final ChangeDraft draft, final long deadlineMs, final Consumer<Reply> done) {
-        final long leftMs = deadlineMs - clock.nowMs();
-        if (leftMs <= 0) {
-            done.accept(notReady(changeId));
-        } else if (governed()
-                && configurationStore.versionOf(changeId) == null
-                && draft.on(configurationStore.configuration().tree()) instanceof ChangeDraft.Drafted.Write write
-                && check(change(changeId, write)) == null) {
-            write(changeId, draft, write, deadlineMs, done);
-        } else {
-            agree(changeId, draft, leftMs, done);
-        }
+    private ChangeDraft.Drafted draft(final ChangeAttempt attempt) {
+        return attempt.draft().draftOn(configurationStore.configuration().tree());
     }
 
-    private ConfigurationChange change(final String changeId, final ChangeDraft.Drafted.Write write) {
-        return new ConfigurationChange(changeId, write.kind(), bytes(write.json()), fleetMs.getAsLong());
+    private ConfigurationChange change(final ChangeAttempt attempt, final ChangeDraft.Drafted.Write write) {
+        return new ConfigurationChange(attempt.changeId(), write.kind(), encode(write.json()), host.fleetMs());
     }
 
-    /** The newest configuration, proved newest after the call came; null when that can't be had in time. */
-    public void newest(final long waitLeftMs, final Consumer<Configuration> done) {
-        follower.lease()
-                .awaitConfirmation(
-                        waitLeftMs,
-                        current -> done.accept(current && governed() ? configurationStore.configuration() : null));
+    private List<ValidationError> validate(final ConfigurationChange change) {
+        final JsonNode after = configurationStore.preview(change);
+        final List<ValidationError> errors =
+                format.check(after, configurationStore.configuration().tree());
+        if (isTooLarge(change, after)) {
+            errors.add(new ValidationError("", "larger than policyMaxBytes"));
+        }
+        return errors;
     }
 
-    /** A part can't make the whole larger than the two are together, so the whole is written out only near the bound. */
-    private boolean tooLarge(final ConfigurationChange change, final JsonNode after) {
+    /** A merge patch enlarges the configuration by no more than its own size, so all is encoded only near the bound. */
+    private boolean isTooLarge(final ConfigurationChange change, final JsonNode after) {
         final long before = change.kind() == ConfigurationChange.Kind.PUT ? 0 : configurationStore.bytesMost();
-        return before + change.json().length > bytesMax && bytes(after).length > bytesMax;
+        return before + change.json().length > limits.configurationBytesMax()
+                && encode(after).length > limits.configurationBytesMax();
     }
 
-    /** A proposal under way: what follows where its own end is known, and where another change was first. */
-    private static final class Attempt {
-        private final long next;
-        private final ConfigurationChange change;
-        private final Consumer<Reply> known;
-        private final Runnable beaten;
-
-        Attempt(final long next, final ConfigurationChange change, final Consumer<Reply> known, final Runnable beaten) {
-            this.next = next;
-            this.change = change;
-            this.known = known;
-            this.beaten = beaten;
-        }
+    private void propose(final ChangeAttempt attempt, final ConfigurationChange change) {
+        final long timeoutMs = Math.min(limits.proposalTimeoutMs(), attempt.remainingMs(clock.nowMs()));
+        final ChangeAttempt.Proposal proposal = attempt.propose(appliedVersion() + 1, change);
+        final byte[] encoded = MessageCodec.bytes(change);
+        proposals.add(proposal);
+        proposer.change(
+                ConfigurationKeys.keyOf(proposal.version()),
+                timeoutMs,
+                present -> edit(proposal, encoded, present),
+                outcome -> onOutcome(proposal, outcome));
     }
 
-    private void propose(final Attempt attempt, final long leftMs) {
-        final byte[] value = MessageCodec.bytes(attempt.change);
-        attempts.add(attempt);
-        proposer.change(
-                ConfigurationKeys.keyOf(attempt.next),
-                leftMs,
-                now -> edit(attempt.next, attempt.change, value, now),
-                outcome -> ended(attempt, outcome));
+    /** Writes the next version if its register is empty, and completes the write of this same change. */
+    private RegisterEdit edit(final ChangeAttempt.Proposal proposal, final byte[] encoded, final byte[] present) {
+        if (present == null) {
+            return proposal.version() == appliedVersion() + 1 ? new RegisterEdit.Set(encoded) : RegisterEdit.LEAVE;
+        }
+        return isSameChange(present, proposal) ? new RegisterEdit.Set(present) : RegisterEdit.LEAVE;
     }
 
-    private void ended(final Attempt attempt, final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
-            chosen(attempt, done.value());
+    /** A chosen value is applied and announced even if the attempt learned its result another way before. */
+    private void onOutcome(final ChangeAttempt.Proposal proposal, final ProposalOutcome outcome) {
+        final byte[] chosen = outcome instanceof ProposalOutcome.Done done ? done.value() : null;
+        if (chosen != null) {
+            onChosen(proposal, chosen);
         }
-        if (!attempts.remove(attempt)) {
+        if (!proposals.remove(proposal)) {
             return;
         }
-        final String changeId = attempt.change.changeId();
-        if (outcome instanceof ProposalOutcome.Done done
-                && done.value() != null
-                && same(done.value(), attempt.change)) {
-            attempt.known.accept(accepted(attempt.next, changeId));
+        final ChangeAttempt attempt = proposal.attempt();
+        if (chosen != null && isSameChange(chosen, proposal)) {
+            attempt.complete(new ChangeResult.Committed(proposal.version()));
         } else if (outcome instanceof ProposalOutcome.Undecided) {
-            attempt.known.accept(Reply.of(
-                    ResultCode.UNDECIDED,
-                    fields(configurationStore.configuration().version(), changeId)));
+            attempt.complete(new ChangeResult.Undecided());
         } else if (outcome instanceof ProposalOutcome.NotDone) {
-            attempt.known.accept(notReady(changeId));
+            attempt.complete(new ChangeResult.NotReady());
         } else {
-            attempt.beaten.run();
-        }
-    }
-
-    /** The configuration here moved: a proposal for a version that it has reached need not find out by itself how it ended. */
-    public void moved() {
-        final long version = configurationStore.configuration().version();
-        for (final Attempt attempt : List.copyOf(attempts)) {
-            if (attempt.next <= version && attempts.remove(attempt)) {
-                final Long known = configurationStore.versionOf(attempt.change.changeId());
-                if (known != null) {
-                    attempt.known.accept(accepted(known, attempt.change.changeId()));
-                } else {
-                    attempt.beaten.run();
-                }
-            }
-        }
-    }
-
-    private RegisterEdit edit(final long next, final ConfigurationChange change, final byte[] value, final byte[] now) {
-        if (now == null) {
-            return next == configurationStore.configuration().version() + 1
-                    ? new RegisterEdit.Set(value)
-                    : RegisterEdit.LEAVE;
+            onSuperseded(attempt);
         }
-        return same(now, change) ? new RegisterEdit.Set(now) : RegisterEdit.LEAVE;
     }
 
-    private static boolean same(final byte[] value, final ConfigurationChange change) {
-        return MessageCodec.record(value, ConfigurationChange.class).changeId().equals(change.changeId());
-    }
-
-    private void chosen(final Attempt attempt, final byte[] value) {
-        follower.applyChosen(attempt.next, value);
-        update.accept(attempt.next);
+    private void onChosen(final ChangeAttempt.Proposal proposal, final byte[] chosen) {
+        feedClient.applyChosen(proposal.version(), chosen);
+        host.onCommitted(proposal.version());
         LOG.atInfo().log(
-                "event=policy_change node=%s version=%s changeId=%s accepted=%s",
-                name, attempt.next, attempt.change.changeId(), same(value, attempt.change));
+                "event=change_decided node=%s version=%s changeId=%s committed=%s",
+                host.name(), proposal.version(), proposal.change().changeId(), isSameChange(chosen, proposal));
     }
 
-    private Reply notReady(final String changeId) {
-        return Reply.of(
-                ResultCode.NOT_READY, fields(configurationStore.configuration().version(), changeId));
+    private static boolean isSameChange(final byte[] encoded, final ChangeAttempt.Proposal proposal) {
+        return MessageCodec.record(encoded, ConfigurationChange.class)
+                .changeId()
+                .equals(proposal.change().changeId());
     }
 
-    private Reply accepted(final long version, final String changeId) {
-        final ObjectNode out = ConfigurationStore.JSON.createObjectNode();
-        out.put("version", version).put("changeId", changeId);
-        return Reply.of(ResultCode.OK, out);
+    /** Whether this node knows the voters and has applied their generation's first version. */
+    private boolean isOfPresentGeneration() {
+        return proposer.voterSet() != null
+                && appliedVersion() >= proposer.voterSet().firstNumber();
     }
 
-    private static ObjectNode fields(final long current, final String changeId) {
-        return ConfigurationStore.JSON
-                .createObjectNode()
-                .put("current", current)
-                .put("changeId", changeId);
+    private long appliedVersion() {
+        return configurationStore.configuration().version();
     }
 
-    private static byte[] bytes(final JsonNode json) {
+    private static byte[] encode(final JsonNode json) {
         try {
             return ConfigurationStore.JSON.writeValueAsBytes(json);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("a JSON tree can't be encoded", e);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeDraft.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeDraft.java
@@ -3,26 +3,39 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import spokestall.configuration.ConfigurationChange;
 
-/** An order that is made into a change on top of whatever configuration is newest, for as long as it still fits there. */
+/**
+ * An operator's request to change the configuration, before it is a change to a particular version: it is drafted anew on
+ * top of each version that committed first, for as long as it still applies there.
+ */
+@FunctionalInterface
 public interface ChangeDraft {
-    /** What the order comes to. */
+    /** What a draft comes to on top of one version. */
     sealed interface Drafted {
-        /** This change is to be made. */
+        /** This change is to be proposed. */
         record Write(ConfigurationChange.Kind kind, JsonNode json) implements Drafted {}
 
-        /** What it asks for is so already. */
-        record Already() implements Drafted {}
+        /** The version is as requested already; nothing is proposed. */
+        record Unchanged() implements Drafted {}
 
-        /** It was made against something else than what is there. */
-        record Stale() implements Drafted {}
+        /** The request was made against a version other than this one. */
+        record StaleBase() implements Drafted {}
 
-        /** It names something that is not there. */
-        record Missing() implements Drafted {}
+        /** The request names something that the version doesn't have. */
+        record NotFound() implements Drafted {}
 
-        /** It can't be read as an order. */
-        record Bad(String pointer, String reason) implements Drafted {}
+        /**
+         * The request itself is wrong, or doesn't go together with this version.
+         *
+         * @param pointer the JSON pointer of what is wrong
+         * @param reason why it is wrong
+         */
+        record Rejected(String pointer, String reason) implements Drafted {}
     }
 
-    /** Example: {@code tree -> tree.path("holds").has("d1") ? new Drafted.Already() : new Drafted.Write(PATCH, patch)} */
-    Drafted on(JsonNode tree);
+    /**
+     * Drafts the change on top of a version. It may be called many times and must have no effect.
+     *
+     * @param tree the version's configuration, which must not be modified
+     */
+    Drafted draftOn(JsonNode tree);
 }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -167,16 +167,12 @@
         this.knownEdges = new KnownEdges(context, view, follower, feeds, this::ready);
         this.serving = context.serves ? serving(environment) : null;
         this.acceptance = new ChangeCoordinator(
-                context.name,
-                configurationStore,
+                new ChangeHost(),
+                new ChangeCoordinator.Replication(configurationStore, proposer, follower),
                 form,
-                proposer,
-                follower,
                 context.clock,
-                () -> context.fleet.settled() ? context.fleet.nowMs() : 0,
-                settings.part("policyBoundMs", 0.8),
-                context.timings().configurationBytesMost(),
-                feeds::announce);
+                new ChangeCoordinator.Limits(
+                        settings.part("policyBoundMs", 0.8), context.timings().configurationBytesMost()));
         this.audit = environment.audit();
         this.auditor = core ? new Auditor(audit, configurationStore, context.fleet::nowMs) : null;
         if (core) {
@@ -446,7 +442,7 @@
 
     private void configurationMoved() {
         watcher.accept(configurationStore.configuration());
-        context.clock.after(0, acceptance::moved);
+        context.clock.after(0, acceptance::onConfigurationApplied);
         if (serving != null) {
             serving.configurationMoved();
         }
@@ -556,6 +552,24 @@
         }
     }
 
+    /** Binds the change coordinator to this node. */
+    private final class ChangeHost implements ChangeCoordinator.Host {
+        @Override
+        public String name() {
+            return context.name;
+        }
+
+        @Override
+        public long fleetMs() {
+            return context.fleet.settled() ? context.fleet.nowMs() : 0;
+        }
+
+        @Override
+        public void onCommitted(final long version) {
+            feeds.announce(version);
+        }
+    }
+
     /** Reads the feed server's settings as they are in force. */
     private final class FeedServerOptions implements FeedServer.Options {
         @Override
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -7,6 +7,7 @@
 import java.util.function.Consumer;
 import spokestall.api.Reply;
 import spokestall.api.ResultCode;
+import spokestall.configuration.Configuration;
 import spokestall.configuration.ConfigurationChange;
 import spokestall.configuration.ConfigurationStore;
 import spokestall.configuration.KeyHash;
@@ -71,11 +72,12 @@
 
     /** The configuration, proved newest after the call came. */
     private void configurationGet(final Consumer<Reply> done) {
-        node.acceptance.newest(node.context.settings().ms("policyBoundMs"), configuration -> {
-            if (configuration == null) {
+        node.acceptance.readNewest(node.context.settings().ms("policyBoundMs"), newest -> {
+            if (newest.isEmpty()) {
                 done.accept(Reply.of(ResultCode.NOT_READY, null));
                 return;
             }
+            final Configuration configuration = newest.get();
             final ObjectNode out = ConfigurationStore.JSON.createObjectNode().put("version", configuration.version());
             out.put("ageMs", node.follower.lease().ageMs()).set("policy", configuration.tree());
             done.accept(Reply.of(ResultCode.OK, out));
@@ -83,7 +85,7 @@
     }
 
     private void take(final JsonNode p, final ChangeDraft draft, final Consumer<Reply> done) {
-        node.acceptance.take(p.get("base").asLong(), p.get("changeId").asText(), draft, done);
+        node.acceptance.submitAgainst(p.get("base").asLong(), p.get("changeId").asText(), draft, done);
     }
 
     private static ChangeDraft write(final ConfigurationChange.Kind kind, final JsonNode json) {
@@ -106,7 +108,7 @@
             final boolean missing =
                     of.isMissingNode() || value.isNull() && !of.path("keys").has(keyId);
             return missing
-                    ? new ChangeDraft.Drafted.Missing()
+                    ? new ChangeDraft.Drafted.NotFound()
                     : new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         };
         take(p, draft, done);
@@ -130,13 +132,13 @@
             where(p, tenant, done);
             return;
         }
-        node.acceptance.newest(node.context.settings().ms("freshMs"), configuration -> {
-            if (configuration == null) {
+        node.acceptance.readNewest(node.context.settings().ms("freshMs"), newest -> {
+            if (newest.isEmpty()) {
                 done.accept(Reply.of(ResultCode.NOT_FRESH, null));
-            } else if (configuration.tenantOf(key) == null) {
+            } else if (newest.get().tenantOf(key) == null) {
                 done.accept(Reply.of(ResultCode.BAD_KEY, null));
             } else {
-                where(p, configuration.tenantOf(key), done);
+                where(p, newest.get().tenantOf(key), done);
             }
         });
     }
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
@@ -0,0 +1,41 @@
+package spokestall.configuration.change;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import spokestall.api.Reply;
+import spokestall.api.ResultCode;
+import spokestall.configuration.ConfigurationValidator.ValidationError;
+
+/** The replies are part of the API: their codes, field names and order. */
+class ChangeResultTest {
+    private static void assertReply(final ChangeResult result, final ResultCode code, final String fields) {
+        final Reply reply = result.toReply("chg-1", 17);
+        assertThat(reply.result()).isEqualTo(code);
+        assertThat(reply.fields().toString()).isEqualTo(fields);
+    }
+
+    @Test
+    void aCommitNamesItsVersion() {
+        assertReply(new ChangeResult.Committed(9), ResultCode.OK, "{\"version\":9,\"changeId\":\"chg-1\"}");
+    }
+
+    @Test
+    void anyOtherResultNamesTheCurrentVersion() {
+        final String fields = "{\"current\":17,\"changeId\":\"chg-1\"}";
+        assertReply(new ChangeResult.StaleBase(), ResultCode.STALE_BASE, fields);
+        assertReply(new ChangeResult.NotFound(), ResultCode.NOT_FOUND, fields);
+        assertReply(new ChangeResult.NotReady(), ResultCode.NOT_READY, fields);
+        assertReply(new ChangeResult.Undecided(), ResultCode.UNDECIDED, fields);
+    }
+
+    @Test
+    void anInvalidChangeListsItsErrors() {
+        assertReply(
+                new ChangeResult.Invalid(List.of(new ValidationError("/holds/d9", "unknown district"))),
+                ResultCode.INVALID,
+                "{\"current\":17,\"changeId\":\"chg-1\","
+                        + "\"troubles\":[{\"pointer\":\"/holds/d9\",\"reason\":\"unknown district\"}]}");
+    }
+}
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -118,7 +118,7 @@
             final ChangeDraft draft,
             final long waitMs,
             final Consumer<Reply> done) {
-        to.run(to.incarnation(), () -> to.node().acceptance().agree(changeId, draft, waitMs, done));
+        to.run(to.incarnation(), () -> to.node().acceptance().submit(changeId, draft, waitMs, done));
     }
 
     /** Gives an order made against a base, at any node. */
@@ -128,7 +128,7 @@
             final String changeId,
             final ChangeDraft draft,
             final Consumer<Reply> done) {
-        to.run(to.incarnation(), () -> to.node().acceptance().take(base, changeId, draft, done));
+        to.run(to.incarnation(), () -> to.node().acceptance().submitAgainst(base, changeId, draft, done));
     }
 
     /** Gives an order made against a base and waits for its reply. */
--- a/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -23,7 +23,7 @@
     private static ChangeDraft hold(final boolean begin) {
         return tree -> {
             if (tree.path("holds").has(DISTRICT) == begin) {
-                return new ChangeDraft.Drafted.Already();
+                return new ChangeDraft.Drafted.Unchanged();
             }
             final ObjectNode patch = OperatorFleet.JSON.createObjectNode();
             patch.putObject("holds").set(DISTRICT, begin ? OperatorFleet.JSON.createObjectNode() : NullNode.instance);
@@ -44,7 +44,7 @@
             final boolean begin,
             final java.util.function.Consumer<Reply> done) {
         final String id = "hold-" + fleet.nowMs() + at.name;
-        at.run(at.incarnation(), () -> at.node().acceptance().takeUnnamed(id, hold(begin), WAIT_MS, done));
+        at.run(at.incarnation(), () -> at.node().acceptance().submitWithoutId(id, hold(begin), WAIT_MS, done));
     }
 
     private static List<SimulatedNode> heldAt(final OperatorFleet fleet) {
