--- a/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
@@ -18,7 +18,7 @@
     private final PartialView view;
     private final Clock clock;
     private final FleetClock fleetClock;
-    private final Map<String, EdgeStatus> edges = new TreeMap<>();
+    private final Map<String, TrackedEdge> edges = new TreeMap<>();
     /** The name that last used an address. */
     private final Map<String, String> nameByAddress = new HashMap<>();
 
@@ -29,13 +29,13 @@
     }
 
     /** Returns all edges by name; a live view. */
-    Map<String, EdgeStatus> edges() {
+    Map<String, TrackedEdge> edges() {
         return Collections.unmodifiableMap(edges);
     }
 
     /** Takes what an edge says of itself in full. */
     void onRequest(final FeedMessage.FeedRequest request) {
-        put(new EdgeStatus(request.node(), request.fresh(), request.openRequests(), clock.nowMs()));
+        put(new TrackedEdge(request.node(), request.fresh(), request.openRequests(), clock.nowMs()));
     }
 
     /** Takes a brief request; returns whether its sender is known, here or by gossip, in the same incarnation. */
@@ -44,7 +44,7 @@
         if (known == null) {
             return false;
         }
-        put(new EdgeStatus(
+        put(new TrackedEdge(
                 known.at(fleetClock.nowMs(), request.draining()),
                 request.fresh(),
                 request.openRequests(),
@@ -53,7 +53,7 @@
     }
 
     private NodeInfo find(final FeedMessage.FreshnessRequest request) {
-        final EdgeStatus tracked = edges.get(nameByAddress.getOrDefault(request.from(), ""));
+        final TrackedEdge tracked = edges.get(nameByAddress.getOrDefault(request.from(), ""));
         if (tracked != null && isSender(tracked.info(), request)) {
             return tracked.info();
         }
@@ -68,7 +68,7 @@
         return info.incarnation() == request.incarnation() && info.address().equals(request.from());
     }
 
-    private void put(final EdgeStatus edge) {
+    private void put(final TrackedEdge edge) {
         edges.put(edge.info().name(), edge);
         nameByAddress.put(edge.info().address(), edge.info().name());
     }
@@ -82,7 +82,7 @@
     /** Returns the edges that asked within this time, had a valid freshness lease and weren't draining. */
     Collection<NodeInfo> serving(final long maxAgeMs) {
         final List<NodeInfo> found = new ArrayList<>();
-        for (final EdgeStatus edge : edges.values()) {
+        for (final TrackedEdge edge : edges.values()) {
             if (edge.fresh() && !edge.info().leaving() && clock.nowMs() - edge.lastRequestMs() <= maxAgeMs) {
                 found.add(edge.info());
             }
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -48,7 +48,7 @@
     }
 
     /** What a core last reported of itself: whether it votes, what it applied, and the newest version it accepted. */
-    public record CoreStatus(boolean voting, long appliedVersion, long newestVersion) {}
+    public record CoreReport(boolean voting, long appliedVersion, long newestVersion) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** The request id of what belongs to no round. */
@@ -65,7 +65,7 @@
     private final FreshnessLease lease;
     private final UpdateSource updateSource;
     private final ReportedEdges reportedEdges;
-    private final Map<String, CoreStatus> coreStatuses = new TreeMap<>();
+    private final Map<String, CoreReport> coreReports = new TreeMap<>();
     private final Map<String, Long> lastResponseMs = new HashMap<>();
     private Timings timings;
     private long nextRequestId = NO_ROUND + 1;
@@ -111,8 +111,8 @@
     }
 
     /** Returns what the cores last reported, by name; a live view. */
-    public Map<String, CoreStatus> coreStatuses() {
-        return Collections.unmodifiableMap(coreStatuses);
+    public Map<String, CoreReport> coreReports() {
+        return Collections.unmodifiableMap(coreReports);
     }
 
     /** Returns for how long a core has not responded, in milliseconds; {@link Long#MAX_VALUE} if it never did. */
@@ -189,7 +189,7 @@
     private void fetchFromCoreAhead(final VoterSet voterSet) {
         voterSet.voters().stream()
                 .filter(voter -> {
-                    final CoreStatus status = coreStatuses.get(voter.name());
+                    final CoreReport status = coreReports.get(voter.name());
                     return status != null && status.appliedVersion() > appliedVersion();
                 })
                 .map(Voter::address)
@@ -243,9 +243,9 @@
         if (sameVoterSet) {
             applyUpdates(response);
         }
-        onCoreStatus(
+        onCoreReport(
                 response.voterName(),
-                new CoreStatus(response.voting(), response.appliedVersion(), response.newestVersion()),
+                new CoreReport(response.voting(), response.appliedVersion(), response.newestVersion()),
                 response.requestId(),
                 sameVoterSet,
                 voter != null && voter.diskId().equals(response.diskId()));
@@ -260,9 +260,9 @@
         if (response.clientUnknown() && voter != null) {
             sender.send(voter.address(), feedRequest(voter.address(), NO_ROUND, false));
         }
-        onCoreStatus(
+        onCoreReport(
                 response.voterName(),
-                new CoreStatus(
+                new CoreReport(
                         response.voting(),
                         response.newestVersion() - response.versionsBehind(),
                         response.newestVersion()),
@@ -277,13 +277,13 @@
      * @param sameVoterSet whether it answered out of this node's voter set; else it confirms nothing
      * @param diskOfVoter whether it answered from the disk that the voter set names
      */
-    private void onCoreStatus(
+    private void onCoreReport(
             final String coreName,
-            final CoreStatus status,
+            final CoreReport status,
             final long requestId,
             final boolean sameVoterSet,
             final boolean diskOfVoter) {
-        coreStatuses.put(coreName, status);
+        coreReports.put(coreName, status);
         lastResponseMs.put(coreName, clock.nowMs());
         if (!sameVoterSet) {
             return;
@@ -324,7 +324,7 @@
             return;
         }
         final long next = Math.max(appliedVersion() + 1, voterSet.firstNumber());
-        if (coreStatuses.values().stream().anyMatch(status -> status.appliedVersion() >= next)) {
+        if (coreReports.values().stream().anyMatch(status -> status.appliedVersion() >= next)) {
             return;
         }
         completing = true;
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
@@ -83,7 +83,7 @@
     }
 
     /** Returns the edges that ask this core, by name; a live view. */
-    public Map<String, EdgeStatus> edges() {
+    public Map<String, TrackedEdge> edges() {
         return edgeTracker.edges();
     }
 
@@ -94,7 +94,7 @@
 
     /** Returns an edge's incarnation as of its last request, or null if it doesn't ask this core. */
     public Long incarnationOf(final String edgeName) {
-        final EdgeStatus edge = edges().get(edgeName);
+        final TrackedEdge edge = edges().get(edgeName);
         return edge == null ? null : edge.info().incarnation();
     }
 
--- a/spokestall/src/main/java/spokestall/configuration/feed/EdgeStatus.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/TrackedEdge.java
@@ -10,4 +10,4 @@
  * @param openRequests how many client requests it had in flight
  * @param lastRequestMs when the request arrived, on this core's monotonic clock
  */
-public record EdgeStatus(NodeInfo info, boolean fresh, int openRequests, long lastRequestMs) {}
+public record TrackedEdge(NodeInfo info, boolean fresh, int openRequests, long lastRequestMs) {}
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/FeedServerOptions.java
@@ -0,0 +1,22 @@
+package spokestall.node;
+
+import spokestall.configuration.feed.FeedServer;
+
+/** The feed server's options, from the settings in force. */
+final class FeedServerOptions implements FeedServer.Options {
+    private final NodeContext context;
+
+    FeedServerOptions(final NodeContext context) {
+        this.context = context;
+    }
+
+    @Override
+    public long messageVersion() {
+        return context.settings().ms("noteVersion");
+    }
+
+    @Override
+    public long edgeTimeoutMs() {
+        return context.settings().heardMs();
+    }
+}
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -282,7 +282,7 @@
     private void back(final SimulatedNode core, final Return from, final long startUs, final Runnable then) {
         final long fromMs = world.sim.nowMs();
         final long fromBytes = world.traffic.sentTo(core.name);
-        final long provedBefore = core.node().follower().lease().expiresMs();
+        final long provedBefore = core.node().feedClient().lease().expiresMs();
         whenBack(core, provedBefore, () -> {
             backs.add(new Back(from, world.sim.nowMs() - fromMs, world.traffic.sentTo(core.name) - fromBytes, startUs));
             look();
@@ -294,8 +294,8 @@
     private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
         final boolean voting = core.running() && core.node().acceptor().state() == Acceptor.State.VOTING;
         if (voting
-                && core.node().follower().isFresh()
-                && core.node().follower().lease().expiresMs() > provedBefore
+                && core.node().feedClient().isFresh()
+                && core.node().feedClient().lease().expiresMs() > provedBefore
                 && core.node().configurationStore().configuration().version() + 1 >= acknowledged) {
             then.run();
         } else {
