--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -243,7 +243,7 @@
         final ChangeAttempt.Proposal proposal = attempt.propose(appliedVersion() + 1, change);
         final byte[] encoded = MessageCodec.bytes(change);
         proposals.add(proposal);
-        proposer.change(
+        proposer.propose(
                 ConfigurationKeys.keyOf(proposal.version()),
                 timeoutMs,
                 present -> edit(proposal, encoded, present),
@@ -260,7 +260,7 @@
 
     /** A chosen value is applied and announced even if the attempt learned its result another way before. */
     private void onOutcome(final ChangeAttempt.Proposal proposal, final ProposalOutcome outcome) {
-        final byte[] chosen = outcome instanceof ProposalOutcome.Done done ? done.value() : null;
+        final byte[] chosen = outcome instanceof ProposalOutcome.Committed done ? done.value() : null;
         if (chosen != null) {
             onChosen(proposal, chosen);
         }
@@ -270,9 +270,9 @@
         final ChangeAttempt attempt = proposal.attempt();
         if (chosen != null && isSameChange(chosen, proposal)) {
             attempt.complete(new ChangeResult.Committed(proposal.version()));
-        } else if (outcome instanceof ProposalOutcome.Undecided) {
+        } else if (outcome instanceof ProposalOutcome.Indeterminate) {
             attempt.complete(new ChangeResult.Undecided());
-        } else if (outcome instanceof ProposalOutcome.NotDone) {
+        } else if (outcome instanceof ProposalOutcome.NotCommitted) {
             attempt.complete(new ChangeResult.NotReady());
         } else {
             onSuperseded(attempt);
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -267,7 +267,7 @@
                         response.newestVersion() - response.versionsBehind(),
                         response.newestVersion()),
                 response.requestId(),
-                voterSet != null && voterSet.same(response.generation(), response.epoch()),
+                voterSet != null && voterSet.hasEpoch(response.generation(), response.epoch()),
                 voter != null && Fingerprints.of(voter.diskId()) == response.diskFingerprint());
     }
 
@@ -330,7 +330,7 @@
         completing = true;
         proposer.read(ConfigurationKeys.keyOf(next), timings.freshMs() / 2, outcome -> {
             completing = false;
-            if (outcome instanceof ProposalOutcome.Done done
+            if (outcome instanceof ProposalOutcome.Committed done
                     && done.value() != null
                     && proposer.voterSet() == voterSet) {
                 applyChosen(next, done.value());
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
@@ -67,8 +67,8 @@
         boolean answersFor(final VoterSet expected) {
             return expected != null
                     && (voterSet != null
-                            ? expected.same(voterSet.generation(), voterSet.epoch())
-                            : expected.same(generation, epoch));
+                            ? expected.hasEpoch(voterSet.generation(), voterSet.epoch())
+                            : expected.hasEpoch(generation, epoch));
         }
 
         /** Whether the response carries the updates that were requested, even if there were none. */
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
@@ -134,7 +134,7 @@
         final VoterSet voterSet = acceptor.voterSet();
         final boolean mayOmit = options.messageVersion() >= OMISSIONS_SINCE;
         final boolean voterSetKnown =
-                mayOmit && voterSet != null && voterSet.same(request.generation(), request.epoch());
+                mayOmit && voterSet != null && voterSet.hasEpoch(request.generation(), request.epoch());
         final Collection<NodeInfo> edges = servingEdges();
         final long edgesDigest = mayOmit ? EdgeTracker.digest(edges) : 0;
         final boolean edgesOmitted = mayOmit && (request.edgesDigest() == edgesDigest || !request.wantsUpdates());
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -202,7 +202,7 @@
         membership.open();
         discovery.open(peerDirectory, view, storage.acceptor, environment.reach());
         usage.open();
-        storage.acceptor.watch((key, register) -> {
+        storage.acceptor.addListener((key, register) -> {
             usage.seen(key, register);
             audit.onRegisterStored(key, register);
         });
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -41,7 +41,7 @@
                 new Random(1),
                 new Proposer.Timing(400, 50, 64),
                 (voter, key) -> {});
-        proposer.adopt(VOTER_SET);
+        proposer.updateVoterSet(VOTER_SET);
         configurationStore.load(snapshot(BASE + 1));
         client = new FeedClient(
                 new Edge(),
