--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -45,7 +45,7 @@
         if (now == version) {
             return;
         }
-        final Map<Long, ConfigurationChange> changes = configurationStore.kept(version);
+        final Map<Long, ConfigurationChange> changes = configurationStore.retainedAfter(version);
         if (changes.isEmpty()) {
             audit.message(
                     "snapshot",
@@ -68,7 +68,7 @@
 
     private void holds(final long now) {
         final Set<String> held =
-                new TreeSet<>(configurationStore.configuration().holds());
+                new TreeSet<>(configurationStore.configuration().drainedZones());
         if (!held.equals(holds)) {
             final ObjectNode entry = entry().put("version", now);
             held.forEach(entry.putArray("districts")::add);
@@ -82,7 +82,7 @@
         configurationStore
                 .configuration()
                 .tenants()
-                .forEach((name, tenant) -> found.put(name, Set.copyOf(tenant.keys())));
+                .forEach((name, tenant) -> found.put(name, Set.copyOf(tenant.keyHashes())));
         final Set<String> names = new TreeSet<>(found.keySet());
         names.addAll(keys.keySet());
         for (final String name : names) {
--- a/spokestall/src/main/java/spokestall/configuration/ClientLimits.java
+++ b/spokestall/src/main/java/spokestall/configuration/ClientLimits.java
@@ -1,5 +1,10 @@
 package spokestall.configuration;
 
-/** What any client may send and how long it may take or rest: the size of a request's head, the time from its first byte
- * until it is whole, and the rest between two requests on a connection. */
-public record ClientLimits(int headMaxBytes, long headWaitMs, long restMaxMs) {}
+/**
+ * The limits on any client's requests and connections.
+ *
+ * @param headMaxBytes the size of a request's head
+ * @param headTimeoutMs the time from the first byte of a head until the head is complete, in milliseconds
+ * @param idleTimeoutMs the time between two requests on a connection, in milliseconds
+ */
+public record ClientLimits(int headMaxBytes, long headTimeoutMs, long idleTimeoutMs) {}
--- a/spokestall/src/main/java/spokestall/configuration/CommittedChange.java
+++ b/spokestall/src/main/java/spokestall/configuration/CommittedChange.java
@@ -1,4 +1,10 @@
 package spokestall.configuration;
 
-/** An order that was accepted: the id it came with, the version it became, and the fleet's time in the agreed change. */
+/**
+ * A change that committed.
+ *
+ * @param changeId the id of the operator's request
+ * @param version the version that the change made
+ * @param acceptedMs the fleet's time in the committed change, in milliseconds; 0 if it has none
+ */
 public record CommittedChange(String changeId, long version, long acceptedMs) {}
--- a/spokestall/src/main/java/spokestall/configuration/CommittedChanges.java
+++ b/spokestall/src/main/java/spokestall/configuration/CommittedChanges.java
@@ -6,56 +6,62 @@
 import java.util.Map;
 
 /**
- * Which orders were accepted lately, and as which versions, so that one that is sent again is confirmed again. It is made
- * of the agreed changes alone, their times too, so all nodes at a version know the same orders. An order is known for
- * {@link #KEPT_MS} after it was accepted, longer while fewer than {@link #KEPT_LEAST} came after it, and at most until
- * {@link #KEPT_MOST} did.
+ * The changes that committed lately, by id, so that a request which is repeated is acknowledged again instead of applied
+ * again.
+ *
+ * <p>It is a function of the committed changes alone, their times included, so all nodes at a version know the same ones. A
+ * change is retained for {@link #RETENTION_MS} after it committed, longer while fewer than {@link #RETAINED_MIN} followed it,
+ * and at most until {@link #RETAINED_MAX} did.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class CommittedChanges {
-    /** For how long an operator may send an order again, by the times in the changes. */
-    static final long KEPT_MS = 600_000;
-    /** So many are known however old they are. */
-    static final int KEPT_LEAST = 512;
-    /** No more are known, so that memory, disks and snapshots stay bounded. */
-    static final int KEPT_MOST = 2048;
-
-    private final Map<String, CommittedChange> orders = new LinkedHashMap<>();
+    /** For how long an operator may repeat a request, by the times in the changes. */
+    static final long RETENTION_MS = 600_000;
+    /** So many are retained however old they are. */
+    static final int RETAINED_MIN = 512;
+    /** No more are retained, so that memory, disks and snapshots stay bounded. */
+    static final int RETAINED_MAX = 2048;
+
+    /** In the order in which they committed. */
+    private final Map<String, CommittedChange> changes = new LinkedHashMap<>();
+
     private long newestMs;
 
-    /** The version that an order became, or null. */
+    /** Returns the version that a change made, or null if it isn't known. */
     Long versionOf(final String changeId) {
-        final CommittedChange found = orders.get(changeId);
+        final CommittedChange found = changes.get(changeId);
         return found == null ? null : found.version();
     }
 
-    /** An order was accepted; a change without a time counts as made with the one before. */
-    void accept(final String changeId, final long version, final long acceptedMs) {
+    /** Adds the newest change; one without a time, or an earlier one, counts as made at the time of the one before. */
+    void add(final String changeId, final long version, final long acceptedMs) {
         newestMs = Math.max(newestMs, acceptedMs);
-        orders.remove(changeId);
-        orders.put(changeId, new CommittedChange(changeId, version, newestMs));
-        forget();
+        changes.remove(changeId);
+        changes.put(changeId, new CommittedChange(changeId, version, newestMs));
+        evict();
     }
 
-    private void forget() {
-        final Iterator<CommittedChange> oldest = orders.values().iterator();
-        while (orders.size() > KEPT_LEAST) {
-            final boolean over = oldest.next().acceptedMs() + KEPT_MS < newestMs;
-            if (!over && orders.size() <= KEPT_MOST) {
+    private void evict() {
+        final Iterator<CommittedChange> oldest = changes.values().iterator();
+        while (changes.size() > RETAINED_MIN) {
+            final boolean expired = oldest.next().acceptedMs() + RETENTION_MS < newestMs;
+            if (!expired && changes.size() <= RETAINED_MAX) {
                 return;
             }
             oldest.remove();
         }
     }
 
-    /** Takes the orders of elsewhere in place of these. */
-    void replace(final List<CommittedChange> others) {
-        orders.clear();
+    /** Replaces all changes by those of a snapshot or of a former generation, given in the order in which they committed. */
+    void replaceAll(final List<CommittedChange> others) {
+        changes.clear();
         newestMs = 0;
-        others.forEach(o -> accept(o.changeId(), o.version(), o.acceptedMs()));
+        others.forEach(other -> add(other.changeId(), other.version(), other.acceptedMs()));
     }
 
-    /** All that are known, the oldest first. */
+    /** Returns a copy of all that are known, the oldest first. */
     List<CommittedChange> all() {
-        return List.copyOf(orders.values());
+        return List.copyOf(changes.values());
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/Configuration.java
+++ b/spokestall/src/main/java/spokestall/configuration/Configuration.java
@@ -6,106 +6,127 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One version of the configuration, made ready for use. */
+/** One version of the configuration, indexed for use. Immutable, but for its collections, which must not be modified. */
 public final class Configuration {
-    /** What a host, path and key lead to: a tenant, or null where none is needed or none has the key, and a route. */
+    /**
+     * What a request's host, path and key resolve to.
+     *
+     * @param tenant the tenant of the key, or null if there was no key or no tenant has it
+     * @param route the route, or null if none matches
+     */
     public record Found(Tenant tenant, Route route) {
-        /** Whether a key is missing that would be needed. */
+        /** Returns whether the request needs a tenant's key and has none. */
         public boolean keyMissing() {
-            return tenant == null && (route == null || !route.open());
+            return tenant == null && (route == null || !route.anonymous());
         }
     }
 
+    /** The host of routes for any host. */
+    private static final String ANY_HOST = "";
+
     private final long version;
     private final JsonNode tree;
     private final Map<String, Tenant> tenants = new HashMap<>();
-    private final Map<String, Tenant> byKey = new HashMap<>();
-    private final Map<String, RouteTable> byHost = new HashMap<>();
+    private final Map<String, Tenant> tenantByKeyHash = new HashMap<>();
+    private final Map<String, RouteTable> sharedRoutesByHost = new HashMap<>();
     private final Map<String, ServiceLimits> services;
-    private final Set<String> holds;
+    private final Set<String> drainedZones;
     private final ClientLimits limits;
 
-    /** Example: {@code new Configuration(17, tree, tenants, routes, services, holds, limits)} */
+    /**
+     * Creates a version.
+     *
+     * @param tree the configuration as operators wrote it
+     * @param tenants the tenants, with their own routes
+     * @param routes the routes shared by all tenants
+     * @param services the services' limits by name
+     * @param drainedZones the zones that are evacuated
+     */
     public Configuration(
             final long version,
             final JsonNode tree,
             final Collection<Tenant> tenants,
             final Collection<Route> routes,
             final Map<String, ServiceLimits> services,
-            final Set<String> holds,
+            final Set<String> drainedZones,
             final ClientLimits limits) {
         this.version = version;
         this.tree = tree;
         this.services = services;
-        this.holds = holds;
+        this.drainedZones = drainedZones;
         this.limits = limits;
         for (final Tenant tenant : tenants) {
             this.tenants.put(tenant.name(), tenant);
-            for (final String key : tenant.keys()) {
-                byKey.put(key, tenant);
+            for (final String keyHash : tenant.keyHashes()) {
+                tenantByKeyHash.put(keyHash, tenant);
             }
         }
         for (final Route route : routes) {
-            byHost.computeIfAbsent(route.host(), h -> new RouteTable()).add(route);
+            sharedRoutesByHost
+                    .computeIfAbsent(route.host(), host -> new RouteTable())
+                    .add(route);
         }
     }
 
-    /** Example: {@code configuration.version()} */
+    /** Returns the version's number; 0 before the first. */
     public long version() {
         return version;
     }
 
-    /** The configuration as operators wrote it. */
+    /** Returns the configuration as operators wrote it. */
     public JsonNode tree() {
         return tree;
     }
 
-    /** The tenant a key's hash belongs to, or null. */
+    /** Returns the tenant that a key belongs to by its hash, or null. */
     public Tenant tenantOf(final String keyHash) {
-        return byKey.get(keyHash);
+        return tenantByKeyHash.get(keyHash);
     }
 
-    /** What an ask leads to: the tenant's own route, else one for all of its host, else one for all of any host.
-     * keyHash is null where no key came. */
+    /**
+     * Resolves a request: to the tenant's own route, else to a shared one of its host, else to a shared one of any host.
+     *
+     * @param keyHash the hash of the request's key, or null if it has none
+     */
     public Found find(final String host, final String path, final String keyHash) {
-        final Tenant tenant = keyHash == null ? null : byKey.get(keyHash);
+        final Tenant tenant = keyHash == null ? null : tenantByKeyHash.get(keyHash);
         Route route = tenant == null ? null : tenant.route(path);
         if (route == null) {
-            route = shared(host, path);
+            route = sharedRoute(host, path);
         }
-        if (route == null && !host.isEmpty()) {
-            route = shared("", path);
+        if (route == null && !host.equals(ANY_HOST)) {
+            route = sharedRoute(ANY_HOST, path);
         }
         return new Found(tenant, route);
     }
 
-    private Route shared(final String host, final String path) {
-        final RouteTable of = byHost.get(host);
-        return of == null ? null : of.find(path);
+    private Route sharedRoute(final String host, final String path) {
+        final RouteTable routes = sharedRoutesByHost.get(host);
+        return routes == null ? null : routes.find(path);
     }
 
-    /** All tenants by name. */
+    /** Returns all tenants by name. */
     public Map<String, Tenant> tenants() {
         return tenants;
     }
 
-    /** A service's bounds, or null. */
+    /** Returns a service's limits, or null if there is no such service. */
     public ServiceLimits service(final String name) {
         return services.get(name);
     }
 
-    /** Names of the services. */
+    /** Returns all services' limits by name. */
     public Map<String, ServiceLimits> services() {
         return services;
     }
 
-    /** What clients may send, and how long they may take. */
+    /** Returns the limits on clients. */
     public ClientLimits limits() {
         return limits;
     }
 
-    /** Zones that are to be empty. */
-    public Set<String> holds() {
-        return holds;
+    /** Returns the zones that are evacuated: no request is served in them. */
+    public Set<String> drainedZones() {
+        return drainedZones;
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationStore.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationStore.java
@@ -8,133 +8,150 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The configuration a node has applied, with the newest changes for those who follow from a place on. */
+/**
+ * The configuration that a node has applied, with the newest changes for feed clients.
+ *
+ * <p>Versions are applied in order and only rise. Not thread-safe; all calls on the node's event loop.
+ */
 public final class ConfigurationStore {
-    /** The one reader of JSON. */
+    /** The one reader and writer of JSON. Safe for use from any thread. */
     public static final ObjectMapper JSON = new ObjectMapper();
 
-    private static final long CHANGES_BYTES_MOST = 2 << 20;
-    /** So many changes cost a follower more than the whole. */
-    private static final int CHANGES_AT_ONCE = 32;
+    private static final long RETAINED_BYTES_MAX = 2 << 20;
+    /** A client that misses more changes is sent a snapshot, which costs less. */
+    private static final int CHANGES_PER_RESPONSE_MAX = 32;
 
-    private final int changesKept;
-    private final TreeMap<Long, ConfigurationChange> changes = new TreeMap<>();
-    private final CommittedChanges orders = new CommittedChanges();
-    private long changesBytes;
-    private ConfigurationSnapshot snapshot;
-    private long bytesMost;
-    private final ConfigurationFormat form;
+    private final ConfigurationFormat format;
+    private final int retainedMax;
+    private final TreeMap<Long, ConfigurationChange> retainedChanges = new TreeMap<>();
+    private final CommittedChanges committedChanges = new CommittedChanges();
+    private long retainedBytes;
+    private long maxBytes;
     private Configuration configuration;
+    /** The snapshot that was made last, of this version or an older one; or null. */
+    private ConfigurationSnapshot snapshot;
 
-    /** Example: {@code new ConfigurationStore(1024)} keeps that many changes for followers. */
-    public ConfigurationStore(final int changesKept) {
-        this(changesKept, new NativeConfigurationFormat(null));
+    /** Creates an empty store for configurations in spokestall's own format that were validated elsewhere. */
+    public ConfigurationStore(final int retainedMax) {
+        this(retainedMax, new NativeConfigurationFormat(null));
     }
 
-    /** Example: {@code new ConfigurationStore(1024, form)} keeps configurations of that form. */
-    public ConfigurationStore(final int changesKept, final ConfigurationFormat form) {
-        this.changesKept = changesKept;
-        this.form = form;
-        this.configuration = form.read(0, JSON.createObjectNode(), null);
+    /**
+     * Creates an empty store.
+     *
+     * @param retainedMax how many changes are retained for feed clients
+     */
+    public ConfigurationStore(final int retainedMax, final ConfigurationFormat format) {
+        this.retainedMax = retainedMax;
+        this.format = format;
+        this.configuration = format.read(0, JSON.createObjectNode(), null);
     }
 
-    /** The version in force here. */
+    /** Returns the version that is applied here. */
     public Configuration configuration() {
         return configuration;
     }
 
-    /** More than the configuration in force here may not be, written out. */
-    public long bytesMost() {
-        return bytesMost;
+    /** Returns an upper bound of the applied configuration's size as JSON, in bytes. */
+    public long maxBytes() {
+        return maxBytes;
     }
 
-    /** The version an order was accepted as, or null: those of ten minutes at least, and never fewer than 512, but never more
-     * than 2048. */
+    /** Returns the version that a change made, or null if it didn't commit or is no longer known (ten minutes at least). */
     public Long versionOf(final String changeId) {
-        return orders.versionOf(changeId);
+        return committedChanges.versionOf(changeId);
     }
 
-    /** The tree after a change, not yet applied. */
+    /**
+     * Returns the configuration after a change, without applying it.
+     *
+     * @throws IllegalArgumentException if the change is no JSON
+     */
     public JsonNode preview(final ConfigurationChange change) {
         try {
             final JsonNode json = JSON.readTree(change.json());
             return change.kind() == ConfigurationChange.Kind.PUT ? json : MergePatch.apply(configuration.tree(), json);
         } catch (final IOException e) {
-            throw new IllegalArgumentException("a change that is no JSON was accepted", e);
+            throw new IllegalArgumentException("change " + change.changeId() + " is no JSON", e);
         }
     }
 
-    /** Applies the next change. */
+    /** Applies a change; its version follows the one here, or starts a generation. */
     public void apply(final long version, final ConfigurationChange change) {
         assert version > configuration.version() : version + " after " + configuration.version();
-        configuration = form.read(version, preview(change), configuration);
-        bytesMost = (change.kind() == ConfigurationChange.Kind.PUT ? 0 : bytesMost) + change.json().length;
-        keep(version, change);
+        configuration = format.read(version, preview(change), configuration);
+        maxBytes = (change.kind() == ConfigurationChange.Kind.PUT ? 0 : maxBytes) + change.json().length;
+        retain(version, change);
         if (!change.before().isEmpty()) {
-            orders.replace(change.before());
+            committedChanges.replaceAll(change.before());
         }
-        orders.accept(change.changeId(), version, change.acceptedMs());
+        committedChanges.add(change.changeId(), version, change.acceptedMs());
     }
 
-    /** The newest one is kept however large it is: it is told to all. */
-    private void keep(final long version, final ConfigurationChange change) {
-        changes.put(version, change);
-        changesBytes += change.json().length;
-        while (changes.size() > changesKept || changesBytes > CHANGES_BYTES_MOST && changes.size() > 1) {
-            changesBytes -= changes.pollFirstEntry().getValue().json().length;
+    /** The newest change is retained however large it is, to be announced. */
+    private void retain(final long version, final ConfigurationChange change) {
+        retainedChanges.put(version, change);
+        retainedBytes += change.json().length;
+        while (retainedChanges.size() > retainedMax
+                || retainedBytes > RETAINED_BYTES_MAX && retainedChanges.size() > 1) {
+            retainedBytes -= retainedChanges.pollFirstEntry().getValue().json().length;
         }
     }
 
-    /** The orders that were accepted lately, the oldest first. */
-    public List<CommittedChange> orders() {
-        return orders.all();
+    /** Returns the changes that committed lately, the oldest first. */
+    public List<CommittedChange> committedChanges() {
+        return committedChanges.all();
     }
 
-    /** Starts from a snapshot if it is newer. */
-    public boolean load(final ConfigurationSnapshot snapshot) {
-        if (snapshot.version() <= configuration.version()) {
+    /**
+     * Replaces the configuration by a snapshot if that is newer.
+     *
+     * @return whether it was newer
+     * @throws IllegalArgumentException if the snapshot is no JSON
+     */
+    public boolean load(final ConfigurationSnapshot newer) {
+        if (newer.version() <= configuration.version()) {
             return false;
         }
         try {
-            bytesMost = snapshot.json().length;
-            configuration = form.read(snapshot.version(), JSON.readTree(snapshot.json()), null);
+            maxBytes = newer.json().length;
+            configuration = format.read(newer.version(), JSON.readTree(newer.json()), null);
         } catch (final IOException e) {
-            throw new IllegalArgumentException("bad snapshot", e);
+            throw new IllegalArgumentException("the snapshot of version " + newer.version() + " is no JSON", e);
         }
-        changes.clear();
-        changesBytes = 0;
-        orders.replace(snapshot.orders());
+        retainedChanges.clear();
+        retainedBytes = 0;
+        committedChanges.replaceAll(newer.committedChanges());
         return true;
     }
 
-    /** This version whole. */
+    /** Returns a snapshot of the applied version, made once for each. */
     public ConfigurationSnapshot snapshot() {
         if (snapshot != null && snapshot.version() == configuration.version()) {
             return snapshot;
         }
         try {
             snapshot = new ConfigurationSnapshot(
-                    configuration.version(), JSON.writeValueAsBytes(configuration.tree()), orders.all());
+                    configuration.version(), JSON.writeValueAsBytes(configuration.tree()), committedChanges.all());
             return snapshot;
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("a JSON tree can't be encoded", e);
         }
     }
 
-    /** The changes that are kept from after a place, however far they reach back. */
-    public Map<Long, ConfigurationChange> kept(final long place) {
-        return changes.tailMap(place, false);
+    /** Returns a live view of the retained changes after a version, which may begin later than with the next one. */
+    public Map<Long, ConfigurationChange> retainedAfter(final long version) {
+        return retainedChanges.tailMap(version, false);
     }
 
-    /** The changes after a place, or null when they don't reach back that far or are so many that the snapshot is
-     * quicker. */
-    public Map<Long, ConfigurationChange> after(final long place) {
-        if (place == configuration.version()) {
+    /** Returns all changes after a version, or null if they aren't all retained or so many that a snapshot costs less. */
+    public Map<Long, ConfigurationChange> changesAfter(final long version) {
+        if (version == configuration.version()) {
             return Map.of();
         }
-        if (!changes.containsKey(place + 1) || configuration.version() - place > CHANGES_AT_ONCE) {
+        if (!retainedChanges.containsKey(version + 1) || configuration.version() - version > CHANGES_PER_RESPONSE_MAX) {
             return null;
         }
-        return changes.tailMap(place, false);
+        return retainedChanges.tailMap(version, false);
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationValidator.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationValidator.java
@@ -7,22 +7,38 @@
 import com.networknt.schema.JsonSchemaFactory;
 import com.networknt.schema.SpecVersion;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.BinaryOperator;
 
-/** Checks a whole configuration against the schema file and in meaning; every trouble is named with its place. */
+/**
+ * Validates configurations in spokestall's own format: first against the schema, then, if they conform, by what they mean
+ * ({@link SemanticCheck}).
+ *
+ * <p>Validation is incremental: nodes that are identical (the same object) in a configuration found valid before aren't
+ * validated again by themselves, only against the rest. {@link MergePatch} keeps them identical. Immutable; safe for use from
+ * any thread.
+ */
 public final class ConfigurationValidator {
-    /** One thing wrong: where, and why. */
+    /**
+     * One error in a configuration.
+     *
+     * @param pointer the JSON pointer of what is wrong, empty for the whole
+     * @param reason why it is wrong
+     */
     public record ValidationError(String pointer, String reason) {}
 
     private final JsonSchema schema;
     private final Set<String> regions;
     private final Set<String> zones;
 
-    /** Example: {@code new ConfigurationValidator(schemaFile.at("/$defs/policy"), Set.of("r1"), Set.of("d1"))} */
+    /**
+     * Creates a validator.
+     *
+     * @param configurationSchema the JSON schema of a configuration
+     * @param regions the regions of the fleet
+     * @param zones the zones of the fleet
+     */
     public ConfigurationValidator(
             final JsonNode configurationSchema, final Set<String> regions, final Set<String> zones) {
         schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(configurationSchema);
@@ -30,160 +46,56 @@
         this.zones = zones;
     }
 
-    /** All that is wrong with a configuration. What it shares, node for node, with one that was found good is not checked again
-     * by itself, only against the rest. */
-    public List<ValidationError> check(final JsonNode tree, final JsonNode good) {
+    /**
+     * Validates a configuration.
+     *
+     * @param valid a configuration that was found valid, or an empty object
+     * @return all errors of the schema or, if there is none, all others; a list of the caller's own
+     */
+    public List<ValidationError> check(final JsonNode tree, final JsonNode valid) {
         final List<ValidationError> errors = new ArrayList<>();
-        schema.validate(changed(tree, good))
-                .forEach(m -> errors.add(
-                        new ValidationError(pointer(m.getInstanceLocation().toString()), m.getMessage())));
-        if (!errors.isEmpty()) {
-            return errors;
-        }
-        final Map<String, String> keys = new HashMap<>();
-        final Map<String, String> tenants = new HashMap<>();
-        tree.path("cells").fields().forEachRemaining(cell -> {
-            final String at = "/cells/" + cell.getKey();
-            if (cell.getValue().path("tenants").isEmpty()) {
-                errors.add(new ValidationError(at + "/tenants", "a cell needs at least one tenant"));
-            }
-            cell.getValue().path("tenants").fields().forEachRemaining(t -> {
-                final String where = at + "/tenants/" + t.getKey();
-                final String had = tenants.putIfAbsent(t.getKey(), where);
-                if (had != null) {
-                    errors.add(new ValidationError(where, "tenant is also at " + had));
-                }
-                final JsonNode was =
-                        good.path("cells").path(cell.getKey()).path("tenants").path(t.getKey());
-                keys(where, t.getValue(), keys, errors);
-                if (was != t.getValue() || tree.path("services") != good.path("services")) {
-                    tenant(tree, where, t.getValue(), was, errors);
-                }
-            });
-        });
-        shared(tree, good, errors);
-        tree.path("holds").fieldNames().forEachRemaining(d -> {
-            if (!zones.contains(d)) {
-                errors.add(new ValidationError("/holds/" + d, "unknown district"));
-            }
-        });
-        return errors;
+        schema.validate(withoutUnchanged(tree, valid))
+                .forEach(message -> errors.add(new ValidationError(
+                        pointer(message.getInstanceLocation().toString()), message.getMessage())));
+        return errors.isEmpty() ? new SemanticCheck(tree, valid, regions, zones).errors() : errors;
     }
 
-    /** Routes for all tenants: their services, regions and paths. */
-    private void shared(final JsonNode tree, final JsonNode good, final List<ValidationError> errors) {
-        final Map<String, String> paths = new HashMap<>();
-        tree.path("bindings").fields().forEachRemaining(e -> {
-            final JsonNode b = e.getValue();
-            final String place = "/bindings/" + e.getKey();
-            final String path = b.path("path").asText();
-            final String had = paths.putIfAbsent(b.path("host").asText("") + " " + path, place);
-            if (had != null) {
-                errors.add(new ValidationError(place + "/path", "the same host and path are also at " + had));
-            }
-            if (b == good.path("bindings").path(e.getKey()) && tree.path("services") == good.path("services")) {
-                return;
-            }
-            if (!(RequestTarget.of(path) instanceof RequestTarget.Good)) {
-                errors.add(new ValidationError(place + "/path", "is no path that can be read in one way only"));
-            }
-            if (b.has("service") && !tree.path("services").has(b.path("service").asText())) {
-                errors.add(new ValidationError(place + "/service", "unknown service"));
-            }
-            int weights = b.has("split") ? 0 : 1;
-            for (final var it = b.path("split").fields(); it.hasNext(); ) {
-                final Map.Entry<String, JsonNode> share = it.next();
-                weights += share.getValue().asInt();
-                if (!tree.path("services").has(share.getKey())) {
-                    errors.add(new ValidationError(place + "/split/" + share.getKey(), "unknown service"));
-                }
-            }
-            if (weights == 0) {
-                errors.add(new ValidationError(place + "/split", "has no weight at all"));
-            }
-            for (int i = 0; i < b.path("regions").size(); i++) {
-                if (!regions.contains(b.path("regions").get(i).asText())) {
-                    errors.add(new ValidationError(place + "/regions/" + i, "unknown region"));
-                }
-            }
-        });
-    }
-
-    /** The tree without the tenants, and in the other tenants without the routes, that are the very nodes they were. */
-    private static JsonNode changed(final JsonNode tree, final JsonNode good) {
-        return within(
+    /** Returns the tree without unchanged tenants and, in the other tenants, without unchanged routes. */
+    private static JsonNode withoutUnchanged(final JsonNode tree, final JsonNode valid) {
+        return withoutUnchanged(
                 tree,
-                good,
+                valid,
                 "cells",
-                (cell, cellWas) -> within(
+                (cell, validCell) -> withoutUnchanged(
                         cell,
-                        cellWas,
+                        validCell,
                         "tenants",
-                        (tenant, tenantWas) -> within(tenant, tenantWas, "bindings", (route, was) -> route)));
+                        (tenant, validTenant) ->
+                                withoutUnchanged(tenant, validTenant, "bindings", (route, validRoute) -> route)));
     }
 
-    /** A copy in which the members of one map are only those that are not as they were, each changed in its turn. */
-    private static JsonNode within(
-            final JsonNode of, final JsonNode was, final String map, final BinaryOperator<JsonNode> each) {
-        if (!of.path(map).isObject() || !was.path(map).isObject()) {
-            return of;
+    /** Returns a copy in which one map has only the changed members, each replaced by what {@code reduce} makes of it. */
+    private static JsonNode withoutUnchanged(
+            final JsonNode node, final JsonNode validNode, final String map, final BinaryOperator<JsonNode> reduce) {
+        if (!node.path(map).isObject() || !validNode.path(map).isObject()) {
+            return node;
         }
-        final ObjectNode made = JsonNodeFactory.instance.objectNode();
-        made.setAll((ObjectNode) of);
-        final ObjectNode left = made.putObject(map);
-        of.path(map).fields().forEachRemaining(e -> {
-            final JsonNode had = was.path(map).path(e.getKey());
-            if (e.getValue() != had) {
-                left.set(e.getKey(), each.apply(e.getValue(), had));
+        final ObjectNode reduced = JsonNodeFactory.instance.objectNode();
+        reduced.setAll((ObjectNode) node);
+        final ObjectNode changed = reduced.putObject(map);
+        node.path(map).fields().forEachRemaining(member -> {
+            final JsonNode validMember = validNode.path(map).path(member.getKey());
+            if (member.getValue() != validMember) {
+                changed.set(member.getKey(), reduce.apply(member.getValue(), validMember));
             }
         });
-        return made;
+        return reduced;
     }
 
+    /** Makes a JSON pointer of the schema validator's path, such as {@code $.cells.c1}. */
     private static String pointer(final String path) {
         return path.startsWith("$")
                 ? path.substring(1).replace(".", "/").replace("[", "/").replace("]", "")
                 : path;
     }
-
-    private static void keys(
-            final String where, final JsonNode t, final Map<String, String> keys, final List<ValidationError> errors) {
-        t.path("keys").fields().forEachRemaining(k -> {
-            final String place = where + "/keys/" + k.getKey();
-            final String had = keys.putIfAbsent(k.getValue().path("sha256").asText(), place);
-            if (had != null) {
-                errors.add(new ValidationError(place, "the same key is also at " + had));
-            }
-        });
-    }
-
-    private void tenant(
-            final JsonNode tree,
-            final String where,
-            final JsonNode t,
-            final JsonNode was,
-            final List<ValidationError> errors) {
-        for (int i = 0; i < t.path("homeRegions").size(); i++) {
-            if (!regions.contains(t.path("homeRegions").get(i).asText())) {
-                errors.add(new ValidationError(where + "/homeRegions/" + i, "unknown region"));
-            }
-        }
-        final Map<String, String> paths = new HashMap<>();
-        t.path("bindings").fields().forEachRemaining(b -> {
-            final String place = where + "/bindings/" + b.getKey();
-            if (!tree.path("services").has(b.getValue().path("service").asText())) {
-                errors.add(new ValidationError(place + "/service", "unknown service"));
-            }
-            final String path = b.getValue().path("path").asText();
-            if (b.getValue() != was.path("bindings").path(b.getKey())
-                    && (!(RequestTarget.of(path) instanceof RequestTarget.Good)
-                            || path.length() > 1 && path.endsWith("/"))) {
-                errors.add(new ValidationError(place + "/path", "is no path that can be read in one way only"));
-            }
-            final String had = paths.putIfAbsent(path, place);
-            if (had != null) {
-                errors.add(new ValidationError(place + "/path", "the same path is also at " + had));
-            }
-        });
-    }
 }
--- a/spokestall/src/main/java/spokestall/configuration/KeyHash.java
+++ b/spokestall/src/main/java/spokestall/configuration/KeyHash.java
@@ -7,26 +7,27 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Keys are kept as hashes only. */
+/** Hashes of tenants' keys: configurations hold only these, never the keys. Safe for use from any thread. */
 public final class KeyHash {
-    private static final LoadingCache<String, String> SEEN = Caffeine.newBuilder()
-            .maximumSize(10_000)
+    private static final int CACHED_KEYS_MAX = 10_000;
+    private static final LoadingCache<String, String> CACHE = Caffeine.newBuilder()
+            .maximumSize(CACHED_KEYS_MAX)
             .executor(Runnable::run)
             .build(key -> hex(key.getBytes(StandardCharsets.UTF_8)));
 
     private KeyHash() {}
 
-    /** Example: {@code KeyHash.of("k-123").length() == 64} */
+    /** Returns the SHA-256 of a key's UTF-8 bytes as 64 lower-case hex digits, cached. */
     public static String of(final String key) {
-        return SEEN.get(key);
+        return CACHE.get(key);
     }
 
-    /** The SHA-256 of some bytes. */
+    /** Returns the SHA-256 of some bytes as 64 lower-case hex digits. */
     public static String hex(final byte[] bytes) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (final NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/MergePatch.java
+++ b/spokestall/src/main/java/spokestall/configuration/MergePatch.java
@@ -4,26 +4,35 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** JSON merge patch (RFC 7396) that shares what does not change with the tree it was made from. */
+/**
+ * JSON merge patch (RFC 7396). The result shares all nodes that the patch doesn't change with the target, so that a later
+ * comparison by identity finds what changed.
+ */
 public final class MergePatch {
     private MergePatch() {}
 
-    /** Example: {@code MergePatch.apply(tree, patch)}; null in the patch takes a member away. */
+    /**
+     * Returns the patched tree; neither argument is modified.
+     *
+     * @param target the tree to patch, or null
+     * @param patch the patch, in which a null removes a member
+     */
     public static JsonNode apply(final JsonNode target, final JsonNode patch) {
         if (!patch.isObject()) {
             return patch;
         }
-        final ObjectNode made = JsonNodeFactory.instance.objectNode();
+        final ObjectNode patched = JsonNodeFactory.instance.objectNode();
         if (target != null && target.isObject()) {
-            made.setAll((ObjectNode) target);
+            patched.setAll((ObjectNode) target);
         }
-        patch.fields().forEachRemaining(e -> {
-            if (e.getValue().isNull()) {
-                made.remove(e.getKey());
+        patch.fields().forEachRemaining(member -> {
+            final String name = member.getKey();
+            if (member.getValue().isNull()) {
+                patched.remove(name);
             } else {
-                made.set(e.getKey(), apply(made.get(e.getKey()), e.getValue()));
+                patched.set(name, apply(patched.get(name), member.getValue()));
             }
         });
-        return made;
+        return patched;
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
+++ b/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
@@ -8,86 +8,113 @@
 import java.util.Map;
 import java.util.Set;
 
-/** spokestall's own form of a configuration: cells with their tenants, routes for all, services and holds. */
+/**
+ * spokestall's own format of a configuration: cells with their tenants, shared routes, services and drained zones. Its field
+ * names are what operators write and nodes store, so they stay though the code has other terms ({@code bindings} are routes,
+ * {@code holds} are drained zones).
+ */
 public final class NativeConfigurationFormat implements ConfigurationFormat {
     private static final int HEAD_MAX_BYTES = 16 << 10;
-    private static final long HEAD_WAIT_MS = 10_000;
-    private static final long REST_MAX_MS = 60_000;
-    private final ConfigurationValidator rules;
+    private static final long HEAD_TIMEOUT_MS = 10_000;
+    private static final long IDLE_TIMEOUT_MS = 60_000;
+    private static final int REQUEST_MAX_BYTES = 64 << 10;
+    private static final int RESPONSE_MAX_BYTES = 256 << 10;
+    private static final long ATTEMPT_TIMEOUT_MS = 2000;
+    private static final long SLOW_START_MS = 10_000;
+    private static final double SLOW_START_PER_SECOND = 10;
+    private final ConfigurationValidator validator;
 
-    /** Example: {@code new NativeConfigurationFormat(new ConfigurationValidator(schema, regions, zones))}; a book that checks nothing may have null. */
-    public NativeConfigurationFormat(final ConfigurationValidator rules) {
-        this.rules = rules;
+    /**
+     * Creates the format.
+     *
+     * @param validator what {@link #check} validates with; null for a store that only reads
+     */
+    public NativeConfigurationFormat(final ConfigurationValidator validator) {
+        this.validator = validator;
     }
 
     @Override
-    public List<ConfigurationValidator.ValidationError> check(final JsonNode tree, final JsonNode good) {
-        return rules.check(tree, good);
+    public List<ConfigurationValidator.ValidationError> check(final JsonNode tree, final JsonNode valid) {
+        return validator.check(tree, valid);
     }
 
     @Override
-    public Configuration read(final long version, final JsonNode tree, final Configuration before) {
+    public Configuration read(final long version, final JsonNode tree, final Configuration previous) {
         final List<Tenant> tenants = new ArrayList<>();
         tree.path("cells")
                 .fields()
                 .forEachRemaining(cell -> cell.getValue()
                         .path("tenants")
                         .fields()
-                        .forEachRemaining(t -> tenants.add(tenant(cell.getKey(), t.getKey(), t.getValue(), before))));
+                        .forEachRemaining(tenant -> tenants.add(
+                                readTenant(tenant.getKey(), cell.getKey(), tenant.getValue(), previous))));
         final List<Route> routes = new ArrayList<>();
-        tree.path("bindings").fields().forEachRemaining(b -> routes.add(route(b.getKey(), b.getValue())));
+        tree.path("bindings")
+                .fields()
+                .forEachRemaining(route -> routes.add(readRoute(route.getKey(), route.getValue())));
         final Map<String, ServiceLimits> services = new HashMap<>();
-        tree.path("services").fields().forEachRemaining(e -> services.put(e.getKey(), rule(e.getKey(), e.getValue())));
-        final Set<String> holds = new HashSet<>();
-        tree.path("holds").fieldNames().forEachRemaining(holds::add);
-        return new Configuration(version, tree, tenants, routes, services, holds, limits(tree.path("limits")));
+        tree.path("services")
+                .fields()
+                .forEachRemaining(service ->
+                        services.put(service.getKey(), readServiceLimits(service.getKey(), service.getValue())));
+        final Set<String> drainedZones = new HashSet<>();
+        tree.path("holds").fieldNames().forEachRemaining(drainedZones::add);
+        return new Configuration(
+                version, tree, tenants, routes, services, drainedZones, readClientLimits(tree.path("limits")));
     }
 
-    private static ClientLimits limits(final JsonNode l) {
+    private static ClientLimits readClientLimits(final JsonNode limits) {
         return new ClientLimits(
-                l.path("headMaxBytes").asInt(HEAD_MAX_BYTES),
-                l.path("headWaitMs").asLong(HEAD_WAIT_MS),
-                l.path("restMaxMs").asLong(REST_MAX_MS));
+                limits.path("headMaxBytes").asInt(HEAD_MAX_BYTES),
+                limits.path("headWaitMs").asLong(HEAD_TIMEOUT_MS),
+                limits.path("restMaxMs").asLong(IDLE_TIMEOUT_MS));
     }
 
-    private static Tenant tenant(
-            final String cell, final String name, final JsonNode source, final Configuration before) {
-        final Tenant had = before == null ? null : before.tenants().get(name);
-        return had != null && had.madeFrom(source) && had.cell().equals(cell) ? had : Tenant.read(name, cell, source);
+    /** A tenant whose node is the same as in the previous version isn't read again: there may be very many. */
+    private static Tenant readTenant(
+            final String name, final String cell, final JsonNode source, final Configuration previous) {
+        final Tenant unchanged = previous == null ? null : previous.tenants().get(name);
+        return unchanged != null && unchanged.isReadFrom(source) && unchanged.cell().equals(cell)
+                ? unchanged
+                : Tenant.read(name, cell, source);
     }
 
-    private static Route route(final String name, final JsonNode b) {
+    private static Route readRoute(final String name, final JsonNode route) {
         final List<Route.Share> split = new ArrayList<>();
-        b.path("split")
+        route.path("split")
                 .fields()
-                .forEachRemaining(
-                        s -> split.add(new Route.Share(s.getKey(), s.getValue().asInt())));
+                .forEachRemaining(share -> split.add(
+                        new Route.Share(share.getKey(), share.getValue().asInt())));
         if (split.isEmpty()) {
-            split.add(new Route.Share(b.path("service").asText(), 1));
+            split.add(new Route.Share(route.path("service").asText(), 1));
         }
         final Set<String> regions = new HashSet<>();
-        b.path("regions").forEach(r -> regions.add(r.asText()));
+        route.path("regions").forEach(region -> regions.add(region.asText()));
+        final int attemptsMax = route.path("goes").asInt(0);
+        final long timeoutMs = route.path("spanMs").asLong(0);
+        final long latencyTargetMs = route.path("aimMs").asLong(0);
+        final boolean anonymous = route.path("open").asBoolean(false);
         return new Route(
                 name,
-                b.path("host").asText(""),
-                b.path("path").asText(),
+                route.path("host").asText(""),
+                route.path("path").asText(),
                 split,
-                b.path("runOnce").asBoolean(false),
-                b.path("goes").asInt(0),
-                b.path("spanMs").asLong(0),
-                b.path("aimMs").asLong(0),
-                b.path("priority").asInt(0),
-                b.path("open").asBoolean(false),
+                route.path("runOnce").asBoolean(false),
+                attemptsMax,
+                timeoutMs,
+                latencyTargetMs,
+                route.path("priority").asInt(0),
+                anonymous,
                 regions);
     }
 
-    private static ServiceLimits rule(final String name, final JsonNode s) {
+    private static ServiceLimits readServiceLimits(final String name, final JsonNode service) {
+        final int requestMaxBytes = service.path("askMaxBytes").asInt(REQUEST_MAX_BYTES);
+        final int responseMaxBytes = service.path("answerMaxBytes").asInt(RESPONSE_MAX_BYTES);
+        final long attemptTimeoutMs = service.path("goMs").asLong(ATTEMPT_TIMEOUT_MS);
+        final long slowStartMs = service.path("warmupMs").asLong(SLOW_START_MS);
+        final double slowStartPerSecond = service.path("warmPerS").asDouble(SLOW_START_PER_SECOND);
         return new ServiceLimits(
-                name,
-                s.path("askMaxBytes").asInt(64 << 10),
-                s.path("answerMaxBytes").asInt(256 << 10),
-                s.path("goMs").asLong(2000),
-                s.path("warmupMs").asLong(10_000),
-                s.path("warmPerS").asDouble(10));
+                name, requestMaxBytes, responseMaxBytes, attemptTimeoutMs, slowStartMs, slowStartPerSecond);
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
+++ b/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
@@ -1,66 +1,79 @@
 package spokestall.configuration;
 
 /**
- * An ask's target as it came. It is forwarded to the letter, and matched only if its path can be read in one way: two
- * programs that each tidy a path after their own manner must not see two different paths in it.
+ * A request's target as it was received. It is forwarded verbatim, and matched only if its path has a single reading: two
+ * programs that normalise a path in different ways must not see two different paths in it.
  */
 public sealed interface RequestTarget {
-    /** A path with one reading, and the whole target as it came. */
+    /** A target whose path has a single reading, and the target as it was received. */
     record Good(String path, String raw) implements RequestTarget {}
 
-    /** No path, or one that can be read in two ways. */
+    /** A target without a path, or whose path has more than one reading, and why. */
     record Bad(String why) implements RequestTarget {}
 
-    /** Reads a request target. */
+    /** Reads a request target; the fragment is no part of it. */
     static RequestTarget of(final String raw) {
-        final int mark = raw.indexOf('?');
-        final String path = mark < 0 ? raw : raw.substring(0, mark);
-        if (!path.startsWith("/")) {
+        final int queryMark = raw.indexOf('?');
+        final int pathEnd = queryMark < 0 ? raw.length() : queryMark;
+        if (!raw.startsWith("/")) {
             return new Bad("must begin with a slash");
         }
         for (int i = 0; i < raw.length(); i++) {
-            final boolean inPath = mark < 0 || i < mark;
-            final char c = raw.charAt(i);
-            if (c <= ' '
-                    || c >= 0x7f
-                    || "#\\\"<>^`{|}".indexOf(c) >= 0 && (inPath || c == '#' || c == '\\')
-                    || inPath && (c == ';' || c == '[' || c == ']')) {
-                return new Bad("has a character that may not stand there");
+            final String why = whyBad(raw, i, i < pathEnd);
+            if (why != null) {
+                return new Bad(why);
             }
-            if (c == '%') {
-                final int escaped = escaped(raw, i);
-                if (escaped < 0) {
-                    return new Bad("has a bad escape");
-                }
-                if (inPath && !mayBeEscaped(escaped)) {
-                    return new Bad("escapes what must not be escaped");
-                }
+        }
+        final String path = raw.substring(0, pathEnd);
+        return hasEmptyOrDotSegment(path) ? new Bad("has an empty or dot segment") : new Good(path, raw);
+    }
+
+    /** Returns why the character at an index isn't accepted, or null if it is. */
+    private static String whyBad(final String raw, final int index, final boolean inPath) {
+        final char c = raw.charAt(index);
+        // A semicolon or bracket in a path begins a parameter for some programs and is plain text for others.
+        final String forbidden = inPath ? "#\\\"<>^`{|};[]" : "#\\";
+        if (c <= ' ' || c >= 0x7f || forbidden.indexOf(c) >= 0) {
+            return "has a character that may not stand there";
+        }
+        if (c == '%') {
+            final int escaped = escapedOctet(raw, index);
+            if (escaped < 0) {
+                return "has a bad escape";
+            }
+            if (inPath && !mayBeEscaped(escaped)) {
+                return "escapes what must not be escaped";
             }
         }
-        for (int at = 0; at >= 0; ) {
-            final int end = path.indexOf('/', at + 1);
-            final String segment = path.substring(at + 1, end < 0 ? path.length() : end);
-            if (segment.equals(".") || segment.equals("..") || segment.isEmpty() && end >= 0) {
-                return new Bad("has an empty or dot segment");
+        return null;
+    }
+
+    private static boolean hasEmptyOrDotSegment(final String path) {
+        for (int slash = 0; slash >= 0; ) {
+            final int next = path.indexOf('/', slash + 1);
+            final String segment = path.substring(slash + 1, next < 0 ? path.length() : next);
+            if (segment.equals(".") || segment.equals("..") || segment.isEmpty() && next >= 0) {
+                return true;
             }
-            at = end;
+            slash = next;
         }
-        return new Good(path, raw);
+        return false;
     }
 
-    private static int escaped(final String raw, final int at) {
-        if (at + 2 >= raw.length()) {
+    /** Returns the octet that is escaped at an index, or -1 if no two hex digits follow. */
+    private static int escapedOctet(final String raw, final int index) {
+        if (index + 2 >= raw.length()) {
             return -1;
         }
-        final int high = Character.digit(raw.charAt(at + 1), 16);
-        final int low = Character.digit(raw.charAt(at + 2), 16);
+        final int high = Character.digit(raw.charAt(index + 1), 16);
+        final int low = Character.digit(raw.charAt(index + 2), 16);
         return high < 0 || low < 0 ? -1 : high * 16 + low;
     }
 
-    /** Neither controls, nor what splits a path or a segment, nor what need not be escaped. */
+    /** Neither controls, nor what separates paths or segments, nor what needs no escape and so has two spellings. */
     private static boolean mayBeEscaped(final int c) {
-        final boolean plain =
+        final boolean unreserved =
                 c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || "-._~".indexOf(c) >= 0;
-        return c >= ' ' && c != 0x7f && c != '/' && c != '\\' && c != ';' && !plain;
+        return c >= ' ' && c != 0x7f && c != '/' && c != '\\' && c != ';' && !unreserved;
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/Route.java
+++ b/spokestall/src/main/java/spokestall/configuration/Route.java
@@ -5,9 +5,19 @@
 import java.util.Set;
 
 /**
- * What a path leads to. A run-once route's asks must never run twice. One that ends with a slash leads only to what is
- * below it. Spans and goes that are zero are not bounded by the route; no regions means all of them; an open one needs
- * no key.
+ * Where requests to a path are sent, and under which conditions.
+ *
+ * @param name the route's name
+ * @param host the host that it is for, or empty for any
+ * @param path the path that it matches; one that ends with a slash matches only what is below it, any other itself too
+ * @param split the services that it sends to, by weight; never empty
+ * @param runOnce whether its requests aren't idempotent and so must never be executed twice
+ * @param attemptsMax how many attempts a request may have, 0 for no bound of the route's own
+ * @param timeoutMs how long a request may take in milliseconds, 0 for no bound of the route's own
+ * @param latencyTargetMs the latency in milliseconds that responses should stay under (SLO), 0 for none
+ * @param priority the priority of its requests, 0 the highest, unless the tenant has one
+ * @param anonymous whether requests need no tenant's key
+ * @param regions the regions in which its requests may be served, empty for all
  */
 public record Route(
         String name,
@@ -16,21 +26,37 @@
         List<Share> split,
         boolean runOnce,
         int attemptsMax,
-        long spanMs,
-        long aimMs,
+        long timeoutMs,
+        long latencyTargetMs,
         int priority,
-        boolean open,
+        boolean anonymous,
         Set<String> regions) {
     /** One service's weight in a split. */
     public record Share(String service, int weight) {}
 
-    /** A tenant's own route. */
+    private static final int UNBOUNDED = 0;
+    private static final int NO_TARGET = 0;
+    private static final int HIGHEST_PRIORITY = 0;
+
+    /** Creates a tenant's own route, to one service and without bounds. */
     public static Route of(final String name, final String path, final String service, final boolean runOnce) {
-        return new Route(name, "", path, List.of(new Share(service, 1)), runOnce, 0, 0, 0, 0, false, Set.of());
+        final boolean anonymous = false;
+        return new Route(
+                name,
+                "",
+                path,
+                List.of(new Share(service, 1)),
+                runOnce,
+                UNBOUNDED,
+                UNBOUNDED,
+                NO_TARGET,
+                HIGHEST_PRIORITY,
+                anonymous,
+                Set.of());
     }
 
-    /** One of the services, each as often as its weight says. */
-    public String service(final Random random) {
+    /** Picks one of the services with the probability of its weight; a single service takes no random draw. */
+    public String pickService(final Random random) {
         if (split.size() == 1) {
             return split.get(0).service();
         }
@@ -38,18 +64,18 @@
         for (final Share share : split) {
             total += share.weight();
         }
-        int at = total <= 0 ? 0 : random.nextInt(total);
+        int remaining = total <= 0 ? 0 : random.nextInt(total);
         for (final Share share : split) {
-            at -= share.weight();
-            if (at < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
         return split.get(split.size() - 1).service();
     }
 
-    /** Whether a service is among those it leads to. */
-    public boolean leadsTo(final String service) {
+    /** Returns whether the route may send to a service. */
+    public boolean sendsTo(final String service) {
         for (final Share share : split) {
             if (share.service().equals(service) && (share.weight() > 0 || split.size() == 1)) {
                 return true;
@@ -58,8 +84,12 @@
         return false;
     }
 
-    /** Whether an ask of this tenant (null: of none) may be served in a region; what both say binds. */
-    public boolean home(final Tenant tenant, final String region) {
+    /**
+     * Returns whether a request may be served in a region. Both the route's and the tenant's regions bind.
+     *
+     * @param tenant the request's tenant, or null
+     */
+    public boolean allowsRegion(final Tenant tenant, final String region) {
         return (regions.isEmpty() || regions.contains(region))
                 && (tenant == null
                         || tenant.homeRegions().isEmpty()
--- a/spokestall/src/main/java/spokestall/configuration/RouteTable.java
+++ b/spokestall/src/main/java/spokestall/configuration/RouteTable.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Routes by path, of which the longest that leads to an ask's path counts. */
+/** Routes by path, matched by the longest prefix of whole segments. Immutable once filled. */
 final class RouteTable {
     private final Map<String, Route> byPath = new HashMap<>();
 
@@ -15,18 +15,18 @@
         return byPath.size();
     }
 
-    /** A path that ends with a slash leads to what is below it only; another one to itself too. */
+    /** Returns the route with the longest path that matches, or null; of two that differ by the final slash, that with it. */
     Route find(final String path) {
         Route found = byPath.get(path);
-        int at = path.length();
-        while (found == null && at > 0) {
-            at = path.lastIndexOf('/', at - 1);
-            if (at < 0) {
+        int slash = path.length();
+        while (found == null && slash > 0) {
+            slash = path.lastIndexOf('/', slash - 1);
+            if (slash < 0) {
                 return null;
             }
-            found = byPath.get(path.substring(0, at + 1));
-            if (found == null && at > 0) {
-                found = byPath.get(path.substring(0, at));
+            found = byPath.get(path.substring(0, slash + 1));
+            if (found == null && slash > 0) {
+                found = byPath.get(path.substring(0, slash));
             }
         }
         return found;
--- a/spokestall/src/main/java/spokestall/configuration/Tenant.java
+++ b/spokestall/src/main/java/spokestall/configuration/Tenant.java
@@ -6,95 +6,97 @@
 import java.util.List;
 import java.util.Set;
 
-/** A tenant: its cell, home regions (none: all), keys (by the hash of each), priority and routes by path. */
+/** A tenant: its cell, home regions, keys, priority and own routes. Immutable. */
 public final class Tenant {
     private final String name;
     private final String cell;
     private final JsonNode source;
     private final Set<String> homeRegions;
-    private final Set<String> keys;
+    private final Set<String> keyHashes;
     private final Integer priority;
     private final RouteTable routes = new RouteTable();
 
-    /** Example: {@code new Tenant("t-1", "cell-1", source, Set.of("r1"), Set.of(hash), null, List.of())}; priority is null
-     * where the route's own counts. */
+    /**
+     * Creates a tenant.
+     *
+     * @param source the node of the configuration that it was read from, see {@link #isReadFrom}
+     * @param homeRegions the regions in which its requests may be served, empty for all
+     * @param keyHashes the hashes of the keys in force
+     * @param priority its requests' priority, 0 the highest; null for that of their route
+     * @param routes its own routes, which precede the shared ones
+     */
     public Tenant(
             final String name,
             final String cell,
             final JsonNode source,
             final Set<String> homeRegions,
-            final Set<String> keys,
+            final Set<String> keyHashes,
             final Integer priority,
             final List<Route> routes) {
         this.name = name;
         this.cell = cell;
         this.source = source;
         this.homeRegions = homeRegions;
-        this.keys = keys;
+        this.keyHashes = keyHashes;
         this.priority = priority;
         routes.forEach(this.routes::add);
     }
 
+    /** Reads a tenant in spokestall's own format. */
     static Tenant read(final String name, final String cell, final JsonNode source) {
-        final Set<String> homes = new HashSet<>();
-        final Set<String> hashes = new HashSet<>();
-        final List<Route> own = new ArrayList<>();
-        source.path("homeRegions").forEach(r -> homes.add(r.asText()));
-        source.path("keys").forEach(k -> hashes.add(k.path("sha256").asText()));
-        source.path("bindings").fields().forEachRemaining(e -> {
-            final JsonNode b = e.getValue();
-            own.add(Route.of(
-                    e.getKey(),
-                    b.path("path").asText(),
-                    b.path("service").asText(),
-                    b.path("runOnce").asBoolean(false)));
+        final Set<String> homeRegions = new HashSet<>();
+        source.path("homeRegions").forEach(region -> homeRegions.add(region.asText()));
+        final Set<String> keyHashes = new HashSet<>();
+        source.path("keys").forEach(key -> keyHashes.add(key.path("sha256").asText()));
+        final List<Route> routes = new ArrayList<>();
+        source.path("bindings").fields().forEachRemaining(member -> {
+            final JsonNode route = member.getValue();
+            routes.add(Route.of(
+                    member.getKey(),
+                    route.path("path").asText(),
+                    route.path("service").asText(),
+                    route.path("runOnce").asBoolean(false)));
         });
-        return new Tenant(
-                name,
-                cell,
-                source,
-                homes,
-                hashes,
-                source.has("priority") ? source.path("priority").asInt() : null,
-                own);
+        final Integer priority = source.has("priority") ? source.path("priority").asInt() : null;
+        return new Tenant(name, cell, source, homeRegions, keyHashes, priority, routes);
     }
 
-    /** Example: {@code tenant.name()} */
+    /** Returns the tenant's name, unique in the configuration. */
     public String name() {
         return name;
     }
 
-    /** Example: {@code tenant.cell()} */
+    /** Returns the name of the tenant's cell, empty in a format without cells. */
     public String cell() {
         return cell;
     }
 
-    /** Whether it was made from that very node of a tree. */
-    public boolean madeFrom(final JsonNode other) {
+    /** Returns whether the tenant was read from this very node, and so need not be read again. */
+    public boolean isReadFrom(final JsonNode other) {
         return source == other;
     }
 
-    /** Example: {@code if (!tenant.homeRegions().contains(region)) deny();} */
+    /** Returns the regions in which the tenant's requests may be served, empty for all. */
     public Set<String> homeRegions() {
         return homeRegions;
     }
 
-    /** Hashes of the keys in force. */
-    public Set<String> keys() {
-        return keys;
+    /** Returns the hashes of the keys in force. */
+    public Set<String> keyHashes() {
+        return keyHashes;
     }
 
-    /** Its rank, 0 the highest, or what the route says. */
-    public int priority(final int routes) {
-        return priority == null ? routes : priority;
+    /** Returns the priority of the tenant's requests, 0 the highest; that of the route unless the tenant has its own. */
+    public int priority(final int routePriority) {
+        return priority == null ? routePriority : priority;
     }
 
-    /** The route with the longest path that leads to this one, or null. */
+    /** Returns the tenant's own route with the longest path that matches, or null. */
     public Route route(final String path) {
         return routes.find(path);
     }
 
-    /** How many routes. */
+    /** Returns the number of the tenant's own routes. */
     public int routeCount() {
         return routes.size();
     }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Submits a change that came without an id, so that its repetition can't be told from a new request. While a request
+     * Submits a change that came without an id, so that its repetition can't be distinguished from a new request. While a request
      * waited at a node that was paused or partitioned, it may have been repeated elsewhere and undone since; so only a node
      * whose freshness lease is valid on arrival takes it.
      *
@@ -233,7 +233,7 @@
 
     /** A merge patch enlarges the configuration by no more than its own size, so all is encoded only near the bound. */
     private boolean isTooLarge(final ConfigurationChange change, final JsonNode after) {
-        final long before = change.kind() == ConfigurationChange.Kind.PUT ? 0 : configurationStore.bytesMost();
+        final long before = change.kind() == ConfigurationChange.Kind.PUT ? 0 : configurationStore.maxBytes();
         return before + change.json().length > limits.configurationBytesMax()
                 && encode(after).length > limits.configurationBytesMax();
     }
--- a/spokestall/src/main/java/spokestall/configuration/change/package-info.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/package-info.java
@@ -5,7 +5,7 @@
  * form in which callers express a change ({@link spokestall.configuration.change.ChangeDraft}).
  *
  * <p>Invariants: a change is validated as a whole before it is proposed. A version is one write-once register, so a number
- * stands for one change. A request is judged only by a configuration confirmed to be the newest after the request arrived. A
+ * denotes one change. A request is judged only by a configuration confirmed to be the newest after the request arrived. A
  * change id that committed lately is acknowledged again, not applied twice. Each request receives one reply.
  *
  * <p>Callers: operators' calls ({@code spokestall.node} and the platform module). Everything runs on the node's event loop.
--- a/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
@@ -13,7 +13,7 @@
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
 
-/** The edges that ask this core, by name, from their requests. Not thread-safe; all calls on the node's event loop. */
+/** The edges that send requests to this core, by name. Not thread-safe; all calls on the node's event loop. */
 final class EdgeTracker {
     private final PartialView view;
     private final Clock clock;
@@ -79,7 +79,7 @@
         nameByAddress.values().retainAll(edges.keySet());
     }
 
-    /** Returns the edges that asked within this time, had a valid freshness lease and weren't draining. */
+    /** Returns the edges whose last request is within this time, had a valid freshness lease and weren't draining. */
     Collection<NodeInfo> serving(final long maxAgeMs) {
         final List<NodeInfo> found = new ArrayList<>();
         for (final TrackedEdge edge : edges.values()) {
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -24,8 +24,8 @@
  * Follows the numbered changes of the configuration from the version applied here, and keeps this node's
  * {@link FreshnessLease}.
  *
- * <p>Each tick is one round of the lease: every core is asked for the newest version, and one of them
- * ({@link UpdateSource}) also for changes and registry entries. Changes are applied in order only. A version that a majority
+ * <p>Each tick is one round of the lease: it requests the newest version of every core, and of one of them
+ * ({@link UpdateSource}) also changes and registry entries. Changes are applied in order only. A version that a majority
  * may have accepted but that no core is known to have applied is read through the proposer, which completes it.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
@@ -37,7 +37,7 @@
      * @param freshMs the freshness lease's duration
      * @param openRoundsMax how many unanswered rounds are kept
      * @param updateTimeoutMs a source that sent no updates for so long is replaced by the next nearest
-     * @param probeInterval every so many ticks a more distant core is asked for updates instead
+     * @param probeInterval every so many ticks updates are requested of a more distant core instead
      * @param fullRequests whether every request is a {@link FeedMessage.FeedRequest}, for cores that know no other
      */
     public record Timings(
@@ -115,7 +115,7 @@
         return Collections.unmodifiableMap(coreReports);
     }
 
-    /** Returns for how long a core has not responded, in milliseconds; {@link Long#MAX_VALUE} if it never did. */
+    /** Returns how long ago a core last responded, in milliseconds; {@link Long#MAX_VALUE} if it never did. */
     public long sinceResponseMs(final String coreName) {
         final Long respondedMs = lastResponseMs.get(coreName);
         return respondedMs == null ? Long.MAX_VALUE : clock.nowMs() - respondedMs;
@@ -126,7 +126,7 @@
         return reportedEdges.reportedWithin(maxAgeMs);
     }
 
-    /** Sends one round: asks every core for its newest version, and one of them for updates. */
+    /** Sends one round: requests the newest version of every core, and updates of one of them. */
     public void onTick() {
         final VoterSet voterSet = proposer.voterSet();
         final List<String> cores = voterSet == null
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
@@ -12,13 +12,13 @@
 
 /**
  * The messages between feed clients (all nodes) and feed servers (cores). They are encoded by the order of their
- * components, so a new component goes last and carries the message version that introduced it.
+ * components, so a new component is added last and carries the message version that introduced it.
  */
 public sealed interface FeedMessage extends Message {
     /**
-     * Asks a core for the newest version that it knows and, if {@code wantsUpdates}, for the changes after
+     * Requests of a core the newest version that it knows and, if {@code wantsUpdates}, the changes after
      * {@code appliedVersion} and the registry entries after {@code registryOffset}. It names what the client has already, the
-     * voter set and the list of edges (by its digest), which the response then omits; zero stands for none.
+     * voter set and the list of edges (by its digest), which the response then omits; zero means none.
      */
     record FeedRequest(
             String from,
@@ -83,7 +83,7 @@
      */
     record FeedUpdate(long version, @SinceVersion(3) byte[] encodedChange) implements FeedMessage {}
 
-    /** Asks for the newest version alone. A node that serves clients is identified by its address and incarnation. */
+    /** Requests the newest version alone. A node that serves clients is identified by its address and incarnation. */
     record FreshnessRequest(
             String from,
             long incarnation,
@@ -98,7 +98,7 @@
 
     /**
      * Answers a {@link FreshnessRequest}: the newest version known to this voter, its disk (by fingerprint), its voter set,
-     * and by how many versions the voter's own configuration lags. A client that the core doesn't know is asked to introduce
+     * and by how many versions the voter's own configuration lags. A client that the core doesn't know is to introduce
      * itself with a {@link FeedRequest}.
      */
     record FreshnessResponse(
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedNode.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedNode.java
@@ -11,9 +11,9 @@
     /** Returns how many client requests this node has in flight. */
     int openRequests();
 
-    /** Returns the addresses of cores known otherwise, to ask while this node knows no voter set. */
+    /** Returns the addresses of cores known otherwise, for requests while this node knows no voter set. */
     List<String> coreAddresses();
 
-    /** Returns how far away an address is, 0 being this node; the nearest core is asked for updates. */
+    /** Returns how far away an address is, 0 being this node; updates are requested of the nearest core. */
     int distanceTo(String address);
 }
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
@@ -23,7 +23,7 @@
 import spokestall.time.FleetClock;
 
 /**
- * Answers feed clients out of this core's state, and tracks the edges that ask.
+ * Answers feed clients out of this core's state, and tracks the edges that send requests.
  *
  * <p>A node without an acceptor has a server too, for {@link #announce} alone: a change may be proposed on any node.
  *
@@ -82,17 +82,17 @@
         this.edgeTracker = new EdgeTracker(sources.view(), clock, fleetClock);
     }
 
-    /** Returns the edges that ask this core, by name; a live view. */
+    /** Returns the edges that send requests to this core, by name; a live view. */
     public Map<String, TrackedEdge> edges() {
         return edgeTracker.edges();
     }
 
-    /** Returns the edges that asked lately and may serve, in the order of their names. */
+    /** Returns the edges that sent requests lately and may serve, in the order of their names. */
     public Collection<NodeInfo> servingEdges() {
         return edgeTracker.serving(options.edgeTimeoutMs());
     }
 
-    /** Returns an edge's incarnation as of its last request, or null if it doesn't ask this core. */
+    /** Returns an edge's incarnation as of its last request, or null if it sends none. */
     public Long incarnationOf(final String edgeName) {
         final TrackedEdge edge = edges().get(edgeName);
         return edge == null ? null : edge.info().incarnation();
@@ -108,7 +108,7 @@
         final Set<String> addresses = new TreeSet<>();
         view.members().forEach(member -> addresses.add(member.address()));
         edges().values().forEach(edge -> addresses.add(edge.info().address()));
-        final Map<Long, ConfigurationChange> changes = configurationStore.after(version - 1);
+        final Map<Long, ConfigurationChange> changes = configurationStore.changesAfter(version - 1);
         final ConfigurationChange change = changes == null ? null : changes.get(version);
         final boolean fetched = change == null || change.json().length > ANNOUNCED_BYTES_MAX;
         final FeedMessage.FeedUpdate update =
@@ -175,7 +175,7 @@
         final List<FeedMessage.Numbered> changes = new ArrayList<>();
         ConfigurationSnapshot snapshot = null;
         if (request.appliedVersion() < appliedVersion()) {
-            final Map<Long, ConfigurationChange> missing = configurationStore.after(request.appliedVersion());
+            final Map<Long, ConfigurationChange> missing = configurationStore.changesAfter(request.appliedVersion());
             if (missing == null) {
                 snapshot = configurationStore.snapshot();
             } else {
--- a/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
@@ -10,7 +10,7 @@
 /**
  * The freshness lease (a read index): until when this node may treat the configuration that it has applied as the newest.
  *
- * <p>A request round asks every voter for the newest version that it accepted. The round confirms the configuration once a
+ * <p>A round requests of every voter the newest version that it accepted. The round confirms the configuration once a
  * majority of one voter set answered that round and the newest version among the answers is applied here. The lease then
  * runs from when the round was <em>sent</em>, never from when it was answered, since a version may have been committed
  * between the two.
--- a/spokestall/src/main/java/spokestall/configuration/feed/UpdateSource.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/UpdateSource.java
@@ -7,7 +7,7 @@
 
 /**
  * Which core a {@link FeedClient} fetches updates from, and whether a request for them is in flight. The nearest core
- * serves until it sends no updates for a while; now and then a more distant one is asked, so that groups of near nodes don't
+ * serves until it sends no updates for a while; now and then a more distant one is used, so that groups of near nodes don't
  * depend on each other alone. Not thread-safe; all calls on the node's event loop.
  */
 final class UpdateSource {
@@ -20,8 +20,8 @@
     private final FeedNode node;
     private final Clock clock;
     private FeedClient.Timings timings;
-    /** The present source's rank by distance. */
-    private int rank = -1;
+    /** The present source's index in the order of distance. */
+    private int distanceIndex = -1;
 
     private int picks;
     private long lastUpdatesMs = Long.MIN_VALUE / 2;
@@ -41,7 +41,7 @@
         timings = newer;
     }
 
-    /** Picks the core to ask for updates in this tick; this node itself only if it is the one core. */
+    /** Picks the core to request updates of in this tick; this node itself only if it is the one core. */
     String pick(final List<String> cores) {
         final List<String> others = new ArrayList<>(cores);
         others.remove(ownAddress);
@@ -52,23 +52,23 @@
         final long nowMs = clock.nowMs();
         if (nowMs - lastUpdatesMs > timings.updateTimeoutMs()) {
             lastUpdatesMs = nowMs;
-            rank++;
+            distanceIndex++;
         }
         final int probeInterval = timings.probeInterval();
         if (++picks % (PROBES_UNTIL_NEAREST * probeInterval) == 0) {
-            rank = 0;
+            distanceIndex = 0;
         }
         final int probeOffset = picks % probeInterval == 0 ? 1 + picks / probeInterval : 0;
-        return others.get((rank + probeOffset) % others.size());
+        return others.get((distanceIndex + probeOffset) % others.size());
     }
 
-    /** A core was asked for updates and nobody else's are awaited any more. */
+    /** Updates were requested of a core; those of any other are no longer awaited. */
     void onRequested(final String core) {
         pendingSource = core;
         pendingSinceMs = clock.nowMs();
     }
 
-    /** A core was asked for updates by a tick, which doesn't displace a request in flight. */
+    /** Updates were requested of a core by a tick, which doesn't displace a request in flight. */
     void onTickRequested(final String core) {
         if (pendingSource == null) {
             onRequested(core);
--- a/spokestall/src/main/java/spokestall/configuration/package-info.java
+++ b/spokestall/src/main/java/spokestall/configuration/package-info.java
@@ -1,16 +1,17 @@
 /**
- * The operators' configuration (called policy here) and how a change to it is accepted.
+ * The operators' configuration, which stored data and operators' calls name {@code policy}.
  *
- * <p>Owns: the configuration as an immutable tree and what it means ({@link spokestall.configuration.Configuration}), its form
- * ({@link spokestall.configuration.ConfigurationFormat}), its checks ({@link spokestall.configuration.ConfigurationValidator}), the applied version with its newest
- * changes ({@link spokestall.configuration.ConfigurationStore}), and the proposal of the next version ({@link spokestall.configuration.change.ChangeCoordinator}).
+ * <p>Owns: the configuration as an immutable tree and what it means ({@link spokestall.configuration.Configuration}), its
+ * format ({@link spokestall.configuration.ConfigurationFormat}), its validation
+ * ({@link spokestall.configuration.ConfigurationValidator}), and the applied version with the newest changes
+ * ({@link spokestall.configuration.ConfigurationStore}). How it is followed is
+ * {@code spokestall.configuration.feed}'s, how it is changed {@code spokestall.configuration.change}'s.
  *
- * <p>Invariants: a change is checked as a whole before it is proposed. A version is one write-once register, so a number stands
- * for one change. Versions are applied in order and only rise. A change id that was taken is acknowledged again, not applied
- * twice.
+ * <p>Invariants: a version denotes one change. Versions are applied in order and only rise. Trees share the nodes that a
+ * change leaves alone, so that validation and reading skip them by identity; no tree is modified once made. All nodes at a
+ * version know the same committed change ids.
  *
- * <p>Callers: operators' calls reach {@code Acceptance}; {@code feed.Follower} applies versions to the {@code Book};
- * {@code edge} reads the {@code Policy} in force. {@code Acceptance} and {@code feed} know each other: the one cycle among
- * the packages.
+ * <p>Callers: the feed client and the acceptor's storage apply versions to the store; {@code spokestall.proxy} reads the
+ * applied configuration; the change coordinator validates.
  */
 package spokestall.configuration;
--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -41,7 +41,7 @@
     private final ClientConnection.Terms terms = new ClientConnection.Terms() {
         @Override
         public long headWaitMs() {
-            return limits.headWaitMs();
+            return limits.headTimeoutMs();
         }
 
         @Override
@@ -68,7 +68,7 @@
         this.socketOptions = socketOptions;
         this.httpOptions = httpOptions;
         this.limits = limits;
-        this.rest = new IdleLimit(limits.restMaxMs(), terms.nowMs());
+        this.rest = new IdleLimit(limits.idleTimeoutMs(), terms.nowMs());
     }
 
     /** Listens at an address too, from its start on. */
@@ -154,7 +154,7 @@
             return;
         }
         limits = newer;
-        rest.change(newer.restMaxMs(), terms.nowMs());
+        rest.change(newer.idleTimeoutMs(), terms.nowMs());
         openers.forEach(opener -> opener.setUndertowOptions(options(newer)));
     }
 
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -85,7 +85,7 @@
                 params.get("client").asText(),
                 knownEdges.forClients(),
                 tenant.homeRegions(),
-                configurationStore.configuration().holds(),
+                configurationStore.configuration().drainedZones(),
                 EDGES_NAMED);
         if (selected.isEmpty()) {
             return Reply.of(ResultCode.NO_UPSTREAM, null);
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -101,6 +101,6 @@
                 ConfigurationChange.Kind.PUT,
                 configurationStore.snapshot().json(),
                 fleet.nowMs(),
-                configurationStore.orders()));
+                configurationStore.committedChanges()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -122,7 +122,7 @@
     /** Upstreams of a zone whose evacuation ended received nothing meanwhile, so their slow start begins again. */
     void onConfigurationApplied() {
         final Configuration configuration = configurationStore.configuration();
-        final Set<String> evacuatedNow = configuration.holds();
+        final Set<String> evacuatedNow = configuration.drainedZones();
         for (final String zone : evacuatedZones) {
             if (!evacuatedNow.contains(zone)) {
                 restartWarmup(zone, configuration);
@@ -136,7 +136,7 @@
         for (final Endpoint endpoint : endpointRegistry.listed()) {
             final ServiceLimits limits = configuration.service(endpoint.service());
             if (endpoint.zone().equals(zone) && limits != null) {
-                loadBalancer.chill(List.of(endpoint.instance()), limits.warmupMs() + marginMs);
+                loadBalancer.chill(List.of(endpoint.instance()), limits.slowStartMs() + marginMs);
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -137,7 +137,7 @@
 
     private void addEvacuations(final ObjectNode evacuations) {
         final Configuration configuration = configurationStore.configuration();
-        for (final String zone : configuration.holds()) {
+        for (final String zone : configuration.drainedZones()) {
             final String reason =
                     configuration.tree().path("holds").path(zone).path("reason").asText();
             roleStatus.describeEvacuation(zone, evacuations.putObject(zone).put("reason", reason));
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -112,7 +112,7 @@
             return rejected(unauthorized, unproven);
         }
         final Route route = found.route();
-        final ServiceLimits service = route == null ? null : configuration.service(route.service(context.random()));
+        final ServiceLimits service = route == null ? null : configuration.service(route.pickService(context.random()));
         if (service == null) {
             return rejected(ResultCode.NO_BINDING, unproven);
         }
@@ -175,7 +175,7 @@
         }
         // The longest that both bodies may be is kept free for the request from here on.
         final long heldBytes =
-                (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes()) + (long) service.answerMaxBytes();
+                (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes()) + (long) service.responseMaxBytes();
         if (!limiter.take(grant.tenantName(), heldBytes)) {
             return rejected(ResultCode.BUSY, unproven);
         }
@@ -189,19 +189,19 @@
 
     private long spanMs(final RequestHead head, final Route route) {
         final long spanMs = Math.min(head.spanMs(), limits.spanMaxMs());
-        return route.spanMs() > 0 ? Math.min(spanMs, route.spanMs()) : spanMs;
+        return route.timeoutMs() > 0 ? Math.min(spanMs, route.timeoutMs()) : spanMs;
     }
 
     /** Whether an upstream may be picked for a request: in a home region of it, and in no drained zone. */
     boolean allows(final Route route, final Tenant tenant, final Upstream upstream) {
-        return route.home(tenant, upstream.region())
-                && !context.configurationStore().configuration().holds().contains(upstream.zone());
+        return route.allowsRegion(tenant, upstream.region())
+                && !context.configurationStore().configuration().drainedZones().contains(upstream.zone());
     }
 
     /** Whether this node's own zone is drained and its edges take no requests then. */
     boolean isOwnZoneDrained(final Configuration configuration) {
         return limits.conventions().holdsEdges()
-                && configuration.holds().contains(context.self().zone());
+                && configuration.drainedZones().contains(context.self().zone());
     }
 
     /** Whether this node may take the tenant's requests. */
--- a/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
@@ -50,7 +50,7 @@
         final Configuration configuration = context.configurationStore().configuration();
         final Configuration.Found found =
                 configuration.find(grant.head().host(), grant.target().path(), grant.keyHash());
-        if (!(found.route() != null && found.route().open())
+        if (!(found.route() != null && found.route().anonymous())
                 && !AdmissionController.nameOf(found.tenant()).equals(grant.tenantName())) {
             return ResultCode.BAD_KEY;
         }
@@ -73,8 +73,8 @@
     private boolean follow(final Configuration configuration, final Route newest) {
         if (!newest.equals(route)) {
             route = newest;
-            if (!newest.leadsTo(service.name())) {
-                service = configuration.service(newest.service(context.random()));
+            if (!newest.sendsTo(service.name())) {
+                service = configuration.service(newest.pickService(context.random()));
             }
         }
         return service != null;
--- a/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
@@ -11,7 +11,7 @@
 public final class EdgeSelector {
     private EdgeSelector() {}
 
-    /** Example: {@code EdgeSelector.elect("client-7", edges, tenant.homeRegions(), configuration.holds(), 2)} */
+    /** Example: {@code EdgeSelector.elect("client-7", edges, tenant.homeRegions(), configuration.drainedZones(), 2)} */
     public static List<NodeInfo> elect(
             final String client,
             final Collection<NodeInfo> edges,
--- a/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
@@ -178,16 +178,16 @@
     private boolean warmEnough(final ServiceLimits rule, final Upstream u) {
         final long nowMs = fleet.nowMs();
         final long ageMs = Math.max(
-                0, u.warmUpUntilMs() > 0 ? rule.warmupMs() - (u.warmUpUntilMs() - nowMs) : nowMs - u.readySinceMs());
+                0, u.warmUpUntilMs() > 0 ? rule.slowStartMs() - (u.warmUpUntilMs() - nowMs) : nowMs - u.readySinceMs());
         final Long chilled = warmUpUntilMs.get(u.instance());
         final boolean warmingUp = chilled != null && clock.nowMs() < chilled;
-        if (ageMs >= rule.warmupMs() && !warmingUp) {
+        if (ageMs >= rule.slowStartMs() && !warmingUp) {
             slowStart.remove(u.instance());
             warmUpUntilMs.remove(u.instance());
             return true;
         }
-        final double ramp = timing.warmSlack() > 0 ? 1 : warmingUp ? 0.5 : (double) ageMs / rule.warmupMs();
-        final double perS = (timing.warmRatio() * rule.warmPerS() * ramp + timing.warmSlack())
+        final double ramp = timing.warmSlack() > 0 ? 1 : warmingUp ? 0.5 : (double) ageMs / rule.slowStartMs();
+        final double perS = (timing.warmRatio() * rule.slowStartPerSecond() * ramp + timing.warmSlack())
                 / timing.edges().getAsInt();
         return slowStart
                 .computeIfAbsent(u.instance(), i -> new SlowStart(clock.nowMs()))
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -109,7 +109,7 @@
             return;
         }
         body = complete;
-        reservation.holdBytes(complete.length + (long) grant.service().answerMaxBytes());
+        reservation.holdBytes(complete.length + (long) grant.service().responseMaxBytes());
         final ResultCode refusal = refusal();
         if (refusal != null) {
             endWith(refusal);
@@ -299,13 +299,13 @@
                 grant.target().raw(),
                 head.headers(),
                 body,
-                Math.min(permission.service().attemptMs(), remainingMs()),
-                grant.service().answerMaxBytes(),
+                Math.min(permission.service().attemptTimeoutMs(), remainingMs()),
+                grant.service().responseMaxBytes(),
                 !permission.route().runOnce());
     }
 
     private void scheduleHedge(final Upstream upstream) {
-        final long latencyTargetMs = permission.route().aimMs();
+        final long latencyTargetMs = permission.route().latencyTargetMs();
         if (latencyTargetMs > 0 && !grant.route().runOnce()) {
             final int number = attempts.begun();
             context.clock()
@@ -332,7 +332,7 @@
         mayHaveRun |= result instanceof AttemptResult.Answered || result instanceof AttemptResult.Lost;
         final Route route = permission.route();
         final long slowMs =
-                route.aimMs() > 0 ? route.aimMs() : permission.service().attemptMs() / 4;
+                route.latencyTargetMs() > 0 ? route.latencyTargetMs() : permission.service().attemptTimeoutMs() / 4;
         context.loadBalancer()
                 .ended(
                         upstream.service(),
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.message.MessageCodec;
 
-/** How long an accepted order is known, on every node alike. */
+/** For how long a committed change is known, on all nodes alike. */
 class CommittedChangesTest {
     private static final byte[] PATCH = "{}".getBytes(StandardCharsets.UTF_8);
     private long versions;
@@ -25,59 +25,59 @@
     }
 
     @Test
-    void anOrderIsKnownForTenMinutesWhateverComesAfterItUpToTheMost() {
+    void aChangeIsRetainedForTenMinutesUnlessTooManyFollow() {
         final ConfigurationStore configurationStore = new ConfigurationStore(8);
         apply(configurationStore, 1_000_000);
-        for (int i = 2; i <= CommittedChanges.KEPT_MOST; i++) {
-            apply(configurationStore, 1_000_000 + i * CommittedChanges.KEPT_MS / CommittedChanges.KEPT_MOST);
+        for (int i = 2; i <= CommittedChanges.RETAINED_MAX; i++) {
+            apply(configurationStore, 1_000_000 + i * CommittedChanges.RETENTION_MS / CommittedChanges.RETAINED_MAX);
         }
         assertThat(configurationStore.versionOf("order-1"))
-                .as("at the end of its time")
+                .as("at the end of its retention")
                 .isEqualTo(1);
-        apply(configurationStore, 1_000_000 + CommittedChanges.KEPT_MS);
+        apply(configurationStore, 1_000_000 + CommittedChanges.RETENTION_MS);
         assertThat(configurationStore.versionOf("order-1"))
-                .as("one more than the most")
+                .as("one more than the maximum")
                 .isNull();
-        assertThat(configurationStore.orders()).hasSize(CommittedChanges.KEPT_MOST);
+        assertThat(configurationStore.committedChanges()).hasSize(CommittedChanges.RETAINED_MAX);
     }
 
     @Test
-    void afterItsTimeAnOrderIsKnownUntilTheLeastCameAfterIt() {
+    void anExpiredChangeIsRetainedUntilTheMinimumFollowed() {
         final ConfigurationStore configurationStore = new ConfigurationStore(8);
-        for (int i = 0; i < CommittedChanges.KEPT_LEAST; i++) {
-            apply(configurationStore, i * CommittedChanges.KEPT_MS);
+        for (int i = 0; i < CommittedChanges.RETAINED_MIN; i++) {
+            apply(configurationStore, i * CommittedChanges.RETENTION_MS);
         }
         assertThat(configurationStore.versionOf("order-1")).isEqualTo(1);
-        apply(configurationStore, CommittedChanges.KEPT_LEAST * CommittedChanges.KEPT_MS);
+        apply(configurationStore, CommittedChanges.RETAINED_MIN * CommittedChanges.RETENTION_MS);
         assertThat(configurationStore.versionOf("order-1")).isNull();
         assertThat(configurationStore.versionOf("order-2")).isEqualTo(2);
     }
 
     @Test
-    void nodesThatFollowAndNodesThatStartFromAnySnapshotKnowTheSame() {
+    void nodesThatFollowAndNodesThatLoadAnySnapshotKnowTheSameChanges() {
         for (int seed = 0; seed < 20; seed++) {
             versions = 0;
             final Random random = new Random(seed);
-            final ConfigurationStore whole = new ConfigurationStore(4);
-            ConfigurationStore late = new ConfigurationStore(4);
+            final ConfigurationStore following = new ConfigurationStore(4);
+            ConfigurationStore restarting = new ConfigurationStore(4);
             long nowMs = 1_800_000_000_000L;
             for (int i = 0; i < 3000; i++) {
                 nowMs += random.nextInt(500) == 0 ? -30_000 : random.nextInt(4000);
                 final ConfigurationChange change = change(random.nextInt(50) == 0 ? 0 : nowMs);
                 final byte[] agreed = MessageCodec.bytes(change);
-                whole.apply(versions, MessageCodec.record(agreed, ConfigurationChange.class));
-                late.apply(versions, MessageCodec.record(agreed, ConfigurationChange.class));
+                following.apply(versions, MessageCodec.record(agreed, ConfigurationChange.class));
+                restarting.apply(versions, MessageCodec.record(agreed, ConfigurationChange.class));
                 if (random.nextInt(200) == 0) {
-                    late = new ConfigurationStore(4);
-                    late.load(MessageCodec.record(MessageCodec.bytes(whole.snapshot()), ConfigurationSnapshot.class));
+                    restarting = new ConfigurationStore(4);
+                    restarting.load(MessageCodec.record(MessageCodec.bytes(following.snapshot()), ConfigurationSnapshot.class));
                 }
             }
-            assertThat(late.orders()).isEqualTo(whole.orders());
+            assertThat(restarting.committedChanges()).isEqualTo(following.committedChanges());
         }
     }
 
     @Test
-    void whatTheOlderProgramWroteIsReadAndCanBeRead() {
+    void recordsOfOlderProgramsAreReadAndOlderProgramsReadOurs() {
         record OldChange(String changeId, ConfigurationChange.Kind kind, byte[] json) {}
         record OldSnapshot(long version, byte[] json, Map<String, Long> changeIds) {}
         final Map<String, Long> ids = new LinkedHashMap<>(Map.of("a", 6L));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aGenerationsFirstChangeBringsTheOrdersOfBeforeToNodesThatKnowNoneOrOthers() {
+    void theFirstChangeOfAGenerationReplacesWhatNodesKnew() {
         final List<CommittedChange> before =
                 List.of(new CommittedChange("kept", 3, 10), new CommittedChange("too", 4, 20));
         final ConfigurationChange first =
@@ -111,7 +111,7 @@
         apply(ahead, 15);
         for (final ConfigurationStore configurationStore : List.of(blank, ahead)) {
             configurationStore.apply(900, MessageCodec.record(MessageCodec.bytes(first), ConfigurationChange.class));
-            assertThat(configurationStore.orders())
+            assertThat(configurationStore.committedChanges())
                     .containsExactly(before.get(0), before.get(1), new CommittedChange("founding-9", 900, 30));
         }
     }
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
@@ -54,7 +54,7 @@
         assertThat(tenant.name()).isEqualTo("tenant-1");
         assertThat(tenant.cell()).isEqualTo("cell-1");
         assertThat(tenant.homeRegions()).containsExactlyInAnyOrder("r1", "r2");
-        assertThat(tenant.keys()).hasSize(2);
+        assertThat(tenant.keyHashes()).hasSize(2);
         assertThat(tenant.priority(9)).isEqualTo(3);
         assertThat(configuration.tenants().get("tenant-2").priority(9)).isEqualTo(9);
         final Route pay = tenant.route("/pay/17");
@@ -93,7 +93,7 @@
                 .as("what holds without a word")
                 .isEqualTo(new ServiceLimits("transfers", 65_536, 262_144, 2000, 10_000, 10));
         assertThat(configuration.limits()).isEqualTo(new ClientLimits(8192, 3000, 15_000));
-        assertThat(configuration.holds()).containsExactlyInAnyOrder("d1", "d2");
+        assertThat(configuration.drainedZones()).containsExactlyInAnyOrder("d1", "d2");
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
@@ -10,7 +10,7 @@
 import spokestall.api.CallRegistry;
 
 class ConfigurationValidatorTest {
-    private static final ConfigurationValidator RULES =
+    private static final ConfigurationValidator VALIDATOR =
             new ConfigurationValidator(new CallRegistry().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
 
     private static ObjectNode configuration() {
@@ -56,21 +56,21 @@
         return patch;
     }
 
-    /** Checking only what changed says the same as checking all, whatever came before. */
+    /** Whatever was validated before. */
     @Test
-    void whatIsSharedWithAGoodConfigurationNeedNotBeCheckedAgain() {
+    void incrementalValidationAcceptsTheSameAsCompleteValidation() {
         final Random random = new Random(4);
-        JsonNode good = configuration();
+        JsonNode valid = configuration();
         final JsonNode nothing = ConfigurationStore.JSON.createObjectNode();
         int accepted = 0;
         int rejected = 0;
         for (int i = 0; i < 3000; i++) {
-            final JsonNode after = MergePatch.apply(good, patch(random));
-            final var whole = RULES.check(after, nothing);
-            final var part = RULES.check(after, good);
-            assertThat(part.isEmpty()).as(after + " " + whole + " " + part).isEqualTo(whole.isEmpty());
-            if (whole.isEmpty()) {
-                good = random.nextInt(20) == 0 ? configuration() : after;
+            final JsonNode after = MergePatch.apply(valid, patch(random));
+            final var complete = VALIDATOR.check(after, nothing);
+            final var incremental = VALIDATOR.check(after, valid);
+            assertThat(incremental.isEmpty()).as(after + " " + complete + " " + incremental).isEqualTo(complete.isEmpty());
+            if (complete.isEmpty()) {
+                valid = random.nextInt(20) == 0 ? configuration() : after;
                 accepted++;
             } else {
                 rejected++;
--- a/spokestall/src/test/java/spokestall/configuration/RequestTargetTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RequestTargetTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class RequestTargetTest {
-    /** Whatever is let through reads the same to a program that decodes and tidies it as to one that does neither. */
+    /** An accepted target reads the same to a program that decodes and normalises it as to one that does neither. */
     @Test
     void aGoodTargetHasOneReading() {
         final Random random = new Random(7);
--- a/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
@@ -20,15 +20,15 @@
         return path + (slash && random.nextBoolean() ? "/" : "");
     }
 
-    /** The rule as it is told: the longest that leads there. */
-    private static boolean leads(final String route, final String path) {
+    /** The rule that the table implements by its index. */
+    private static boolean matches(final String route, final String path) {
         return route.endsWith("/") ? path.startsWith(route) : path.equals(route) || path.startsWith(route + "/");
     }
 
     @Test
-    void theLongestThatLeadsThereIsFoundAmongRandomOnes() {
+    void theLongestMatchingPathIsFoundAmongRandomRoutes() {
         final Random random = new Random(7);
-        int found = 0;
+        int matched = 0;
         for (int round = 0; round < 2000; round++) {
             final RouteTable routes = new RouteTable();
             final List<String> all = new ArrayList<>();
@@ -37,31 +37,31 @@
                 routes.add(Route.of("b", path, "s", false));
                 all.add(path);
             }
-            final String asked = path(random, true);
+            final String requested = path(random, true);
             final String expected = all.stream()
-                    .filter(b -> leads(b, asked))
+                    .filter(candidate -> matches(candidate, requested))
                     .max(Comparator.comparingInt(String::length))
                     .orElse(null);
-            final Route route = routes.find(asked);
+            final Route route = routes.find(requested);
             assertThat(route == null ? null : route.path())
-                    .as(asked + " among " + all)
+                    .as(requested + " among " + all)
                     .isEqualTo(expected);
-            found += route == null ? 0 : 1;
+            matched += route == null ? 0 : 1;
         }
-        assertThat(found).isBetween(300, 1900);
+        assertThat(matched).isBetween(300, 1900);
     }
 
     @Test
-    void whatARouteAndATenantSayOfRegionsBothBind() {
+    void regionsOfRouteAndTenantBothBind() {
         final Route open = Route.of("b", "/b", "s", false);
         final Route two = new Route("b", "", "/b", open.split(), false, 0, 0, 0, 0, false, Set.of("r1", "r2"));
         final Tenant tenant = new Tenant("t", "", null, Set.of("r2", "r3"), Set.of(), null, List.of());
         assertThat(List.of("r1", "r2", "r3"))
-                .filteredOn(r -> two.home(tenant, r))
+                .filteredOn(r -> two.allowsRegion(tenant, r))
                 .containsExactly("r2");
-        assertThat(List.of("r1", "r2", "r3")).filteredOn(r -> two.home(null, r)).containsExactly("r1", "r2");
+        assertThat(List.of("r1", "r2", "r3")).filteredOn(r -> two.allowsRegion(null, r)).containsExactly("r1", "r2");
         assertThat(List.of("r1", "r2", "r3"))
-                .filteredOn(r -> open.home(tenant, r))
+                .filteredOn(r -> open.allowsRegion(tenant, r))
                 .containsExactly("r2", "r3");
     }
 }
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -94,7 +94,7 @@
         assertThat(change.before()).isEmpty();
         final ConfigurationSnapshot snapshot =
                 MessageCodec.record(HEX.parseHex(lines.get("policy-snapshot older")), ConfigurationSnapshot.class);
-        assertThat(snapshot.orders()).hasSameSizeAs(snapshot.changeIds().entrySet());
-        assertThat(snapshot.orders()).allMatch(order -> order.acceptedMs() == 0);
+        assertThat(snapshot.committedChanges()).hasSameSizeAs(snapshot.changeIds().entrySet());
+        assertThat(snapshot.committedChanges()).allMatch(order -> order.acceptedMs() == 0);
     }
 }
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -132,14 +132,14 @@
         final Acceptor acceptor = acceptor();
         final ConfigurationSnapshot snapshot =
                 MessageCodec.record(acceptor.localRecord("~policy"), ConfigurationSnapshot.class);
-        assertThat(snapshot.orders())
+        assertThat(snapshot.committedChanges())
                 .containsExactly(
                         new CommittedChange("founding-7", 7_340_032, 1_000),
                         new CommittedChange("chg-2", 7_340_033, 2_000));
         final ConfigurationStore configurationStore = new ConfigurationStore(16);
         assertThat(configurationStore.load(snapshot)).isTrue();
         assertThat(configurationStore.configuration().version()).isEqualTo(7_340_033);
-        assertThat(configurationStore.configuration().holds()).containsExactly("d2");
+        assertThat(configurationStore.configuration().drainedZones()).containsExactly("d2");
         final ConfigurationChange change = MessageCodec.record(
                 acceptor.registers().get("policy/0000000000007340033").value(), ConfigurationChange.class);
         assertThat(change.changeId()).isEqualTo("chg-2");
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -206,7 +206,7 @@
                 registerBytes = Math.max(registerBytes, bytes(core.node().acceptor()));
                 configurationStoreBytes = Math.max(
                         configurationStoreBytes,
-                        core.node().configurationStore().kept(0).values().stream()
+                        core.node().configurationStore().retainedAfter(0).values().stream()
                                 .mapToLong(c -> c.json().length)
                                 .sum());
             }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleJudge.java
@@ -37,7 +37,7 @@
         seenIncarnation.put(node, node.upSinceMs());
         seen.put(node, version);
         judge.check(Rule.POLICY, version < before ? 2 : 0, node.name + " went from " + before + " back to " + version);
-        node.node().configurationStore().kept(before).forEach((v, change) -> {
+        node.node().configurationStore().retainedAfter(before).forEach((v, change) -> {
             final ConfigurationChange had = versions.putIfAbsent(v, change);
             judge.check(
                     Rule.POLICY,
--- a/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -50,7 +50,7 @@
     private static List<SimulatedNode> heldAt(final OperatorFleet fleet) {
         return fleet.nodes().stream()
                 .filter(n ->
-                        n.node().configurationStore().configuration().holds().contains(DISTRICT))
+                        n.node().configurationStore().configuration().drainedZones().contains(DISTRICT))
                 .toList();
     }
 
