--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationSnapshot.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationSnapshot.java
@@ -27,8 +27,7 @@
     }
 
     /** Creates a snapshot for programs of any version. */
-    public ConfigurationSnapshot(
-            final long version, final byte[] json, final List<CommittedChange> committedChanges) {
+    public ConfigurationSnapshot(final long version, final byte[] json, final List<CommittedChange> committedChanges) {
         this(version, json, newestIds(committedChanges), committedChanges);
     }
 
--- a/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
+++ b/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
@@ -46,8 +46,8 @@
                 .forEachRemaining(cell -> cell.getValue()
                         .path("tenants")
                         .fields()
-                        .forEachRemaining(tenant -> tenants.add(
-                                readTenant(tenant.getKey(), cell.getKey(), tenant.getValue(), previous))));
+                        .forEachRemaining(tenant ->
+                                tenants.add(readTenant(tenant.getKey(), cell.getKey(), tenant.getValue(), previous))));
         final List<Route> routes = new ArrayList<>();
         tree.path("bindings")
                 .fields()
@@ -74,7 +74,9 @@
     private static Tenant readTenant(
             final String name, final String cell, final JsonNode source, final Configuration previous) {
         final Tenant unchanged = previous == null ? null : previous.tenants().get(name);
-        return unchanged != null && unchanged.isReadFrom(source) && unchanged.cell().equals(cell)
+        return unchanged != null
+                        && unchanged.isReadFrom(source)
+                        && unchanged.cell().equals(cell)
                 ? unchanged
                 : Tenant.read(name, cell, source);
     }
--- a/spokestall/src/main/java/spokestall/configuration/SemanticCheck.java
+++ b/spokestall/src/main/java/spokestall/configuration/SemanticCheck.java
@@ -62,8 +62,8 @@
         final JsonNode validTenants = valid.path("cells").path(name).path("tenants");
         cell.path("tenants")
                 .fields()
-                .forEachRemaining(tenant -> checkTenant(
-                        pointer, tenant.getKey(), tenant.getValue(), validTenants.path(tenant.getKey())));
+                .forEachRemaining(tenant ->
+                        checkTenant(pointer, tenant.getKey(), tenant.getValue(), validTenants.path(tenant.getKey())));
     }
 
     private void checkTenant(
--- a/spokestall/src/main/java/spokestall/configuration/Tenant.java
+++ b/spokestall/src/main/java/spokestall/configuration/Tenant.java
@@ -57,7 +57,8 @@
                     route.path("service").asText(),
                     route.path("runOnce").asBoolean(false)));
         });
-        final Integer priority = source.has("priority") ? source.path("priority").asInt() : null;
+        final Integer priority =
+                source.has("priority") ? source.path("priority").asInt() : null;
         return new Tenant(name, cell, source, homeRegions, keyHashes, priority, routes);
     }
 
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -124,12 +124,7 @@
 
     private UsageComponent usageComponent() {
         return new UsageComponent(
-                context,
-                peerDirectory,
-                storage.acceptor,
-                proposer,
-                environment.platform(),
-                feedServer::incarnationOf);
+                context, peerDirectory, storage.acceptor, proposer, environment.platform(), feedServer::incarnationOf);
     }
 
     private MembershipComponent membershipComponent() {
--- a/spokestall/src/main/java/spokestall/node/RecordCalls.java
+++ b/spokestall/src/main/java/spokestall/node/RecordCalls.java
@@ -60,7 +60,8 @@
             sealed.counts().forEach(counts::put);
             return Reply.of(ResultCode.OK, fields);
         }
-        final boolean absent = outcome instanceof ProposalOutcome.Committed || outcome instanceof ProposalOutcome.Pruned;
+        final boolean absent =
+                outcome instanceof ProposalOutcome.Committed || outcome instanceof ProposalOutcome.Pruned;
         return Reply.of(absent ? ResultCode.NOT_FOUND : ResultCode.NOT_READY, null);
     }
 
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -71,7 +71,8 @@
             return (window + 1) * periods.windowMs + periods.claimKeepMs < fleetClock.nowMs();
         }
         final VoterSet voterSet = core.voterSet();
-        return key.startsWith(VoterSet.KEY_PREFIX) && !key.equals(VoterSet.key(voterSet.generation(), voterSet.epoch() + 1));
+        return key.startsWith(VoterSet.KEY_PREFIX)
+                && !key.equals(VoterSet.key(voterSet.generation(), voterSet.epoch() + 1));
     }
 
     /** Claims come in large numbers and versions may be large, so they must leave capacity for what keeps the fleet going. */
--- a/spokestall/src/main/java/spokestall/node/SnapshotStore.java
+++ b/spokestall/src/main/java/spokestall/node/SnapshotStore.java
@@ -73,7 +73,8 @@
     private void write() {
         transitionTo(State.WRITING);
         final long version = configurationStore.configuration().version();
-        acceptor.putLocalRecord(KEY, MessageCodec.bytes(configurationStore.snapshot()), synced -> onWritten(version, synced));
+        acceptor.putLocalRecord(
+                KEY, MessageCodec.bytes(configurationStore.snapshot()), synced -> onWritten(version, synced));
     }
 
     private void onWritten(final long version, final boolean synced) {
@@ -103,6 +104,7 @@
 
     /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
     private void dropVersions() {
-        ConfigurationKeys.keysUpTo(acceptor.registers(), acceptor.versionFloor()).forEach(acceptor::removeRegister);
+        ConfigurationKeys.keysUpTo(acceptor.registers(), acceptor.versionFloor())
+                .forEach(acceptor::removeRegister);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -174,8 +174,8 @@
             return rejected(ResultCode.NO_UPSTREAM, unproven);
         }
         // The longest that both bodies may be is kept free for the request from here on.
-        final long heldBytes =
-                (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes()) + (long) service.responseMaxBytes();
+        final long heldBytes = (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes())
+                + (long) service.responseMaxBytes();
         if (!limiter.take(grant.tenantName(), heldBytes)) {
             return rejected(ResultCode.BUSY, unproven);
         }
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -331,8 +331,9 @@
         attempts.ended(!(result instanceof AttemptResult.NotSent));
         mayHaveRun |= result instanceof AttemptResult.Answered || result instanceof AttemptResult.Lost;
         final Route route = permission.route();
-        final long slowMs =
-                route.latencyTargetMs() > 0 ? route.latencyTargetMs() : permission.service().attemptTimeoutMs() / 4;
+        final long slowMs = route.latencyTargetMs() > 0
+                ? route.latencyTargetMs()
+                : permission.service().attemptTimeoutMs() / 4;
         context.loadBalancer()
                 .ended(
                         upstream.service(),
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -69,7 +69,8 @@
                 restarting.apply(versions, MessageCodec.record(agreed, ConfigurationChange.class));
                 if (random.nextInt(200) == 0) {
                     restarting = new ConfigurationStore(4);
-                    restarting.load(MessageCodec.record(MessageCodec.bytes(following.snapshot()), ConfigurationSnapshot.class));
+                    restarting.load(
+                            MessageCodec.record(MessageCodec.bytes(following.snapshot()), ConfigurationSnapshot.class));
                 }
             }
             assertThat(restarting.committedChanges()).isEqualTo(following.committedChanges());
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
@@ -68,7 +68,9 @@
             final JsonNode after = MergePatch.apply(valid, patch(random));
             final var complete = VALIDATOR.check(after, nothing);
             final var incremental = VALIDATOR.check(after, valid);
-            assertThat(incremental.isEmpty()).as(after + " " + complete + " " + incremental).isEqualTo(complete.isEmpty());
+            assertThat(incremental.isEmpty())
+                    .as(after + " " + complete + " " + incremental)
+                    .isEqualTo(complete.isEmpty());
             if (complete.isEmpty()) {
                 valid = random.nextInt(20) == 0 ? configuration() : after;
                 accepted++;
--- a/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
@@ -59,7 +59,9 @@
         assertThat(List.of("r1", "r2", "r3"))
                 .filteredOn(r -> two.allowsRegion(tenant, r))
                 .containsExactly("r2");
-        assertThat(List.of("r1", "r2", "r3")).filteredOn(r -> two.allowsRegion(null, r)).containsExactly("r1", "r2");
+        assertThat(List.of("r1", "r2", "r3"))
+                .filteredOn(r -> two.allowsRegion(null, r))
+                .containsExactly("r1", "r2");
         assertThat(List.of("r1", "r2", "r3"))
                 .filteredOn(r -> open.allowsRegion(tenant, r))
                 .containsExactly("r2", "r3");
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -94,7 +94,8 @@
         assertThat(change.before()).isEmpty();
         final ConfigurationSnapshot snapshot =
                 MessageCodec.record(HEX.parseHex(lines.get("policy-snapshot older")), ConfigurationSnapshot.class);
-        assertThat(snapshot.committedChanges()).hasSameSizeAs(snapshot.changeIds().entrySet());
+        assertThat(snapshot.committedChanges())
+                .hasSameSizeAs(snapshot.changeIds().entrySet());
         assertThat(snapshot.committedChanges()).allMatch(order -> order.acceptedMs() == 0);
     }
 }
--- a/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
+++ b/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
@@ -54,7 +54,8 @@
     @Test
     void versionsUpToTheFloorMustNotBeCreatedAnew() {
         assertThat(retention.isPruned(ConfigurationKeys.keyOf(VERSION_FLOOR))).isTrue();
-        assertThat(retention.isPruned(ConfigurationKeys.keyOf(VERSION_FLOOR + 1))).isFalse();
+        assertThat(retention.isPruned(ConfigurationKeys.keyOf(VERSION_FLOOR + 1)))
+                .isFalse();
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -113,7 +113,8 @@
                 new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", CAST, false),
                 "10.0.0.1:7000");
         keepOwnRecords(acceptor);
-        acceptor.raiseVersionFloor(FIRST_VERSION, () -> acceptor.removeRegister(ConfigurationKeys.keyOf(FIRST_VERSION)));
+        acceptor.raiseVersionFloor(
+                FIRST_VERSION, () -> acceptor.removeRegister(ConfigurationKeys.keyOf(FIRST_VERSION)));
         acceptor.removeRegister(SealedWindow.key(344));
     }
 
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -228,7 +228,8 @@
                 proofs.get(phase)
                         .get(n.core)
                         .recordValue(Math.min(
-                                3_600_000, Math.max(0, n.node().feedClient().lease().ageMs())));
+                                3_600_000,
+                                Math.max(0, n.node().feedClient().lease().ageMs())));
             }
         }
         for (final AcknowledgedChange a : changes) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -194,7 +194,9 @@
             final java.util.function.Consumer<Response> done) {
         final AdmittedRequest[] mine = {null};
         final AdmissionResult opened = edge.node()
-                .admissionController().admit(head,
+                .admissionController()
+                .admit(
+                        head,
                         answer -> world.sim.after(1 + random.nextInt(20), () -> {
                             done.accept(answer);
                             edge.run(incarnation, () -> mine[0].onResponseWritten());
--- a/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -49,8 +49,11 @@
 
     private static List<SimulatedNode> heldAt(final OperatorFleet fleet) {
         return fleet.nodes().stream()
-                .filter(n ->
-                        n.node().configurationStore().configuration().drainedZones().contains(DISTRICT))
+                .filter(n -> n.node()
+                        .configurationStore()
+                        .configuration()
+                        .drainedZones()
+                        .contains(DISTRICT))
                 .toList();
     }
 
