--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -52,7 +52,7 @@
         if (now == version) {
             return;
         }
-        final Map<Long, ConfigurationChange> changes = configurationStore.kept(version);
+        final Map<Long, ConfigurationChange> changes = configurationStore.retainedAfter(version);
         if (changes.isEmpty()) {
             sink.append(
                     "snapshot",
@@ -75,7 +75,7 @@
 
     private void recordEvacuations(final long now) {
         final Set<String> evacuatedNow =
-                new TreeSet<>(configurationStore.configuration().holds());
+                new TreeSet<>(configurationStore.configuration().drainedZones());
         if (!evacuatedNow.equals(evacuatedZones)) {
             final ObjectNode entry = entry().put("version", now);
             evacuatedNow.forEach(entry.putArray("districts")::add);
@@ -89,7 +89,7 @@
         configurationStore
                 .configuration()
                 .tenants()
-                .forEach((name, tenant) -> found.put(name, Set.copyOf(tenant.keys())));
+                .forEach((name, tenant) -> found.put(name, Set.copyOf(tenant.keyHashes())));
         final Set<String> names = new TreeSet<>(found.keySet());
         names.addAll(keysByTenant.keySet());
         for (final String name : names) {
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/node/ChangeHost.java
@@ -0,0 +1,30 @@
+package spokestall.node;
+
+import spokestall.configuration.change.ChangeCoordinator;
+import spokestall.configuration.feed.FeedServer;
+
+/** Binds the change coordinator to its node, which announces what commits. */
+final class ChangeHost implements ChangeCoordinator.Host {
+    private final NodeContext context;
+    private final FeedServer feedServer;
+
+    ChangeHost(final NodeContext context, final FeedServer feedServer) {
+        this.context = context;
+        this.feedServer = feedServer;
+    }
+
+    @Override
+    public String name() {
+        return context.name;
+    }
+
+    @Override
+    public long fleetMs() {
+        return context.fleet.settled() ? context.fleet.nowMs() : 0;
+    }
+
+    @Override
+    public void onCommitted(final long version) {
+        feedServer.announce(version);
+    }
+}
--- a/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
+++ b/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
@@ -6,6 +6,7 @@
 import spokestall.api.CallRegistry;
 import spokestall.api.Reply;
 import spokestall.api.ResultCode;
+import spokestall.configuration.Configuration;
 import spokestall.configuration.ConfigurationChange;
 import spokestall.configuration.ConfigurationStore;
 import spokestall.configuration.KeyHash;
@@ -62,20 +63,21 @@
 
     /** Answers with a configuration that was proved newest after the call was received. */
     private void getConfiguration(final Consumer<Reply> done) {
-        changeCoordinator.newest(context.settings().ms("policyBoundMs"), configuration -> {
-            if (configuration == null) {
+        changeCoordinator.readNewest(context.settings().ms("policyBoundMs"), newest -> {
+            if (newest.isEmpty()) {
                 done.accept(Reply.of(ResultCode.NOT_READY, null));
                 return;
             }
+            final Configuration configuration = newest.get();
             final ObjectNode fields =
                     ConfigurationStore.JSON.createObjectNode().put("version", configuration.version());
-            fields.put("ageMs", feedClient.ageMs()).set("policy", configuration.tree());
+            fields.put("ageMs", feedClient.lease().ageMs()).set("policy", configuration.tree());
             done.accept(Reply.of(ResultCode.OK, fields));
         });
     }
 
     private void change(final JsonNode params, final ChangeDraft draft, final Consumer<Reply> done) {
-        changeCoordinator.take(
+        changeCoordinator.submitAgainst(
                 params.get("base").asLong(), params.get("changeId").asText(), draft, done);
     }
 
@@ -101,7 +103,7 @@
             final boolean missing = existing.isMissingNode()
                     || value.isNull() && !existing.path("keys").has(keyId);
             return missing
-                    ? new ChangeDraft.Drafted.Missing()
+                    ? new ChangeDraft.Drafted.NotFound()
                     : new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         };
         change(params, draft, done);
--- a/spokestall/src/main/java/spokestall/node/CoreStatus.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStatus.java
@@ -1,6 +1,8 @@
 package spokestall.node;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import spokestall.configuration.feed.FeedServer;
+import spokestall.configuration.feed.TrackedEdge;
 
 /**
  * A core's part of {@code status}: its voter and disk, the usage report's lease, the hints that it stores for other voters, and
@@ -42,9 +44,9 @@
                 .edges()
                 .forEach((name, edge) -> edges.putObject(name)
                         .put("fresh", edge.fresh())
-                        .put("open", edge.open())
-                        .put("leaving", edge.member().leaving())
-                        .put("heardMs", context.clock.nowMs() - edge.heardMs()));
+                        .put("open", edge.openRequests())
+                        .put("leaving", edge.info().leaving())
+                        .put("heardMs", context.clock.nowMs() - edge.lastRequestMs()));
     }
 
     private void addLease(final ObjectNode lease) {
@@ -60,8 +62,8 @@
     @Override
     public void describeEvacuation(final String zone, final ObjectNode evacuation) {
         int open = 0;
-        for (final FeedServer.Present edge : feedServer.edges().values()) {
-            open += edge.member().zone().equals(zone) ? edge.open() : 0;
+        for (final TrackedEdge edge : feedServer.edges().values()) {
+            open += edge.info().zone().equals(zone) ? edge.openRequests() : 0;
         }
         evacuation.put("open", open).put("empty", open == 0);
     }
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -122,9 +122,9 @@
                 || configurationStore.configuration().version() >= voterSet.firstNumber()) {
             return;
         }
-        final Register first = acceptor.registers().get(ConfigurationKeys.key(voterSet.firstNumber()));
+        final Register first = acceptor.registers().get(ConfigurationKeys.keyOf(voterSet.firstNumber()));
         if (first != null && first.value() != null) {
-            feedClient.learn(voterSet.firstNumber(), first.value());
+            feedClient.applyChosen(voterSet.firstNumber(), first.value());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -59,7 +59,7 @@
     }
 
     private void locateEdges(final JsonNode params, final Consumer<Reply> done) {
-        if (!feedClient.fresh() || proposer.voterSet() == null) {
+        if (!feedClient.isFresh() || proposer.voterSet() == null) {
             done.accept(Reply.of(ResultCode.NOT_FRESH, null));
             return;
         }
@@ -69,13 +69,13 @@
             done.accept(edgesFor(params, tenant));
             return;
         }
-        changeCoordinator.newest(context.settings().ms("freshMs"), configuration -> {
-            if (configuration == null) {
+        changeCoordinator.readNewest(context.settings().ms("freshMs"), newest -> {
+            if (newest.isEmpty()) {
                 done.accept(Reply.of(ResultCode.NOT_FRESH, null));
-            } else if (configuration.tenantOf(keyHash) == null) {
+            } else if (newest.get().tenantOf(keyHash) == null) {
                 done.accept(Reply.of(ResultCode.BAD_KEY, null));
             } else {
-                done.accept(edgesFor(params, configuration.tenantOf(keyHash)));
+                done.accept(edgesFor(params, newest.get().tenantOf(keyHash)));
             }
         });
     }
@@ -85,7 +85,7 @@
                 params.get("client").asText(),
                 knownEdges.forClients(),
                 tenant.homeRegions(),
-                configurationStore.configuration().holds(),
+                configurationStore.configuration().drainedZones(),
                 EDGES_NAMED);
         if (selected.isEmpty()) {
             return Reply.of(ResultCode.NO_UPSTREAM, null);
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -61,7 +61,7 @@
         });
         entries.add(entry(FLOOR, Long.toString(fleetClock.nowMs()).getBytes(StandardCharsets.UTF_8)));
         entries.add(entry(
-                ConfigurationKeys.key(voterSet.firstNumber()), configurationChange(survivors, newest, generation)));
+                ConfigurationKeys.keyOf(voterSet.firstNumber()), configurationChange(survivors, newest, generation)));
         return new InitialState(voterSet, entries);
     }
 
@@ -117,7 +117,7 @@
             }
         }
         newest.forEach((key, register) -> {
-            final long version = ConfigurationKeys.of(key);
+            final long version = ConfigurationKeys.versionOf(key);
             final boolean firstOfGeneration =
                     version == (version >> VoterSet.GENERATION_SHIFT) << VoterSet.GENERATION_SHIFT;
             if (version > merged.configuration().version()
@@ -130,6 +130,6 @@
                 ConfigurationChange.Kind.PUT,
                 merged.snapshot().json(),
                 fleetClock.nowMs(),
-                merged.orders()));
+                merged.committedChanges()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -7,6 +7,7 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import spokestall.configuration.feed.FeedClient;
+import spokestall.configuration.feed.FeedServer;
 import spokestall.gossip.NodeInfo;
 import spokestall.gossip.PartialView;
 import spokestall.proxy.EdgeDirectory;
@@ -64,8 +65,7 @@
             edges.put(context.name, view.self());
         }
         if (edges.isEmpty()) {
-            feedClient
-                    .edges(context.settings().part("leaveBoundMs", BOUNDS_WITHOUT_CORES))
+            feedClient.edgesReportedWithin(context.settings().part("leaveBoundMs", BOUNDS_WITHOUT_CORES))
                     .forEach(edge -> edges.put(edge.name(), edge));
         }
         if (view.self().leaving()) {
@@ -78,13 +78,13 @@
     private Collection<NodeInfo> reported() {
         final long freshMs = context.settings().heardMs();
         if (!context.core) {
-            return feedClient.edges(freshMs);
+            return feedClient.edgesReportedWithin(freshMs);
         }
-        final Collection<NodeInfo> reportedHere = feedServer.freshEdges();
+        final Collection<NodeInfo> reportedHere = feedServer.servingEdges();
         if (!reportedHere.isEmpty() && !justStarted()) {
             return reportedHere;
         }
-        final List<NodeInfo> all = new ArrayList<>(feedClient.edges(freshMs));
+        final List<NodeInfo> all = new ArrayList<>(feedClient.edgesReportedWithin(freshMs));
         // Later entries replace earlier ones of the same name: this node's own knowledge wins.
         all.addAll(reportedHere);
         return all;
--- a/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
+++ b/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
@@ -2,6 +2,7 @@
 
 import spokestall.configuration.feed.FeedClient;
 import spokestall.configuration.feed.FeedMessage;
+import spokestall.configuration.feed.FeedServer;
 import spokestall.consensus.ConsensusMessage;
 import spokestall.discovery.DiscoveryMessage;
 import spokestall.gossip.GossipMessage;
@@ -72,17 +73,10 @@
 
     /** Requests are for cores, responses and updates for all. */
     private void onFeedMessage(final FeedMessage message) {
-        if (message instanceof FeedMessage.FeedRequest request) {
-            if (core != null) {
-                core.feedServer.answer(request);
-            }
-        } else if (message instanceof FeedMessage.FreshnessRequest request) {
-            if (core != null) {
-                core.feedServer.answer(request);
-            }
-        } else {
-            components.feedClient.hear(message);
+        if (core != null) {
+            core.feedServer.onMessage(message);
         }
+        components.feedClient.onMessage(message);
     }
 
     private void onUsageMessage(final UsageMessage message) {
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -77,7 +77,7 @@
         public void onConfigurationApplied() {
             configurationListener.accept(components.configurationStore.configuration());
             // The coordinator may propose anew, which must not happen inside the feed client's own step.
-            context.clock.after(0, components.changeCoordinator::moved);
+            context.clock.after(0, components.changeCoordinator::onConfigurationApplied);
             if (components.proxy != null) {
                 components.proxy.onConfigurationApplied();
             }
@@ -115,7 +115,7 @@
         final SettingsUpdate update = SettingsUpdate.of(context.settings(), newer, context.core);
         context.applySettings(update.settings());
         components.view.updateSeeds(update.settings().seeds());
-        components.feedClient.timing(context.timings().feedClient());
+        components.feedClient.updateTimings(context.timings().feedClient());
         if (components.proxy != null) {
             components.proxy.applySettings();
         }
@@ -142,7 +142,7 @@
     public void shutDown(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=shutdown_started node=%s", context.name);
         components.view.markLeaving();
-        components.feedClient.tick();
+        components.feedClient.onTick();
         components.knownEdges.publish();
         final GracefulShutdown.Requests requests =
                 components.proxy == null ? GracefulShutdown.NO_REQUESTS : components.proxy;
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -8,6 +8,8 @@
 import spokestall.configuration.NativeConfigurationFormat;
 import spokestall.configuration.change.ChangeCoordinator;
 import spokestall.configuration.feed.FeedClient;
+import spokestall.configuration.feed.FeedReplica;
+import spokestall.configuration.feed.FeedServer;
 import spokestall.consensus.Proposer;
 import spokestall.consensus.VoterSet;
 import spokestall.gossip.PartialView;
@@ -72,8 +74,8 @@
         this.discovery = new DiscoveryComponent(context);
         this.handoff = new HandoffComponent(context, this::voterSet, this::sinceHeardMs);
         this.proposer = proposer();
-        this.feedServer = new FeedServer(this);
         this.storage = core ? coreStorage() : null;
+        this.feedServer = feedServer();
         this.usage = core ? usageComponent() : null;
         this.membership = membershipComponent();
         this.feedClient = feedClient();
@@ -122,12 +124,7 @@
 
     private UsageComponent usageComponent() {
         return new UsageComponent(
-                context,
-                peerDirectory,
-                storage.acceptor,
-                proposer,
-                environment.platform(),
-                feedServer::presentIncarnation);
+                context, peerDirectory, storage.acceptor, proposer, environment.platform(), feedServer::incarnationOf);
     }
 
     private MembershipComponent membershipComponent() {
@@ -141,20 +138,29 @@
                 usage == null ? () -> 0 : usage::highestFencingToken);
     }
 
+    private FeedServer feedServer() {
+        return new FeedServer(
+                context.name,
+                new FeedServer.Sources(
+                        configurationStore,
+                        discovery.endpointRegistry,
+                        view,
+                        storage == null ? null : storage.acceptor),
+                context.post,
+                context.clock,
+                context.fleet,
+                new FeedServerOptions(context));
+    }
+
     private FeedClient feedClient() {
+        final FeedBinding binding = new FeedBinding(this, listener);
         return new FeedClient(
-                view::self,
-                configurationStore,
-                discovery.endpointRegistry,
-                proposer,
+                binding,
+                new FeedReplica(configurationStore, discovery.endpointRegistry, proposer),
                 context.post,
                 context.clock,
                 context.timings().feedClient(),
-                peerDirectory::coreAddresses,
-                membership::adopt,
-                listener::onConfigurationApplied,
-                this::openRequests,
-                peerDirectory::distance);
+                binding);
     }
 
     private ProxyComponent proxyComponent() {
@@ -173,16 +179,12 @@
 
     private ChangeCoordinator changeCoordinator(final ConfigurationFormat format) {
         return new ChangeCoordinator(
-                context.name,
-                configurationStore,
+                new ChangeHost(context, feedServer),
+                new ChangeCoordinator.Replication(configurationStore, proposer, feedClient),
                 format,
-                proposer,
-                feedClient,
                 context.clock,
-                () -> context.fleet.settled() ? context.fleet.nowMs() : 0,
-                context.timings().changeMs(),
-                context.timings().configurationMaxBytes(),
-                feedServer::tell);
+                new ChangeCoordinator.Limits(
+                        context.timings().changeMs(), context.timings().configurationMaxBytes()));
     }
 
     private AuditComponent auditComponent() {
@@ -242,7 +244,7 @@
 
     /** Returns whether this node serves clients now. */
     boolean ready() {
-        return proxy != null && !view.self().leaving() && feedClient.fresh() && context.fleet.settled();
+        return proxy != null && !view.self().leaving() && feedClient.isFresh() && context.fleet.settled();
     }
 
     /** A core's voter waits for the fleet's time, and until it knows that its disk is not an older state of itself. */
@@ -251,10 +253,11 @@
     }
 
     private long sinceHeardMs(final String core) {
-        return feedClient.heardMs(core);
+        return feedClient.sinceResponseMs(core);
     }
 
-    private int openRequests() {
+    /** Returns how many client requests this node has in flight. */
+    int openRequests() {
         return proxy == null ? 0 : proxy.openRequests();
     }
 }
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -40,7 +40,7 @@
             components.knownEdges.publish();
         });
         ticker.every(settings.ms("proofMs"), () -> {
-            components.feedClient.tick();
+            components.feedClient.onTick();
             components.knownEdges.publish();
         });
         if (context.core) {
@@ -73,7 +73,7 @@
     }
 
     private void pruneCore() {
-        components.feedServer.tidy(context.settings().part("leaveBoundMs", EDGE_KEPT_LEAVE_BOUNDS));
+        components.feedServer.pruneEdges(context.settings().part("leaveBoundMs", EDGE_KEPT_LEAVE_BOUNDS));
         components.storage.pruneRegisters();
     }
 
@@ -99,9 +99,9 @@
         components.view.announce(votersKnown ? components.peerDirectory.coreAddresses() : List.of());
         components.knownEdges.publish();
         // Before there are voters nothing can be proved, and bootstrap takes seconds, so requests become rarer then.
-        final boolean proofPossible = votersKnown && !components.feedClient.fresh();
+        final boolean proofPossible = votersKnown && !components.feedClient.isFresh();
         if (proofPossible || attempt < FAST_ATTEMPTS || attempt % (2 * FAST_ATTEMPTS) == 0) {
-            components.feedClient.tick();
+            components.feedClient.onTick();
         }
         context.clock.after(
                 context.settings().part("leaveBoundMs", FAST_PERIOD_LEAVE_BOUNDS),
@@ -110,7 +110,7 @@
 
     private boolean mayServe() {
         return context.fleet.settled()
-                && components.feedClient.fresh()
+                && components.feedClient.isFresh()
                 && (components.proxy == null
                         || !components.discovery.endpointRegistry.endpoints().isEmpty());
     }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -129,7 +129,7 @@
     /** Upstreams of a zone whose evacuation ended received nothing meanwhile, so their slow start begins again. */
     void onConfigurationApplied() {
         final Configuration configuration = configurationStore.configuration();
-        final Set<String> evacuatedNow = configuration.holds();
+        final Set<String> evacuatedNow = configuration.drainedZones();
         for (final String zone : evacuatedZones) {
             if (!evacuatedNow.contains(zone)) {
                 restartWarmup(zone, configuration);
@@ -143,7 +143,7 @@
         for (final Endpoint endpoint : endpointRegistry.endpoints()) {
             final ServiceLimits limits = configuration.service(endpoint.service());
             if (endpoint.zone().equals(zone) && limits != null) {
-                loadBalancer.restartSlowStart(List.of(endpoint.instance()), limits.warmupMs() + marginMs);
+                loadBalancer.restartSlowStart(List.of(endpoint.instance()), limits.slowStartMs() + marginMs);
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -62,7 +62,7 @@
 
     @Override
     public boolean isPruned(final String key) {
-        final long version = ConfigurationKeys.of(key);
+        final long version = ConfigurationKeys.versionOf(key);
         if (version >= 0) {
             return version <= core.versionFloor() || version < core.voterSet().firstNumber();
         }
@@ -78,7 +78,7 @@
     /** Claims come in large numbers and versions may be large, so they must leave capacity for what keeps the fleet going. */
     @Override
     public boolean hasCapacityFor(final String key) {
-        final boolean bulk = IdempotencyClaim.isKey(key) || ConfigurationKeys.of(key) >= 0;
+        final boolean bulk = IdempotencyClaim.isKey(key) || ConfigurationKeys.versionOf(key) >= 0;
         return !bulk || core.logFill() < BULK_FILL_RATIO;
     }
 
--- a/spokestall/src/main/java/spokestall/node/SnapshotStore.java
+++ b/spokestall/src/main/java/spokestall/node/SnapshotStore.java
@@ -98,12 +98,13 @@
 
     private void raiseFloor() {
         acceptor.raiseVersionFloor(
-                ConfigurationKeys.floor(acceptor.registers(), storedVersion, versionsKept, versionsMaxBytes),
+                ConfigurationKeys.retentionFloor(acceptor.registers(), storedVersion, versionsKept, versionsMaxBytes),
                 this::dropVersions);
     }
 
     /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
     private void dropVersions() {
-        ConfigurationKeys.upTo(acceptor.registers(), acceptor.versionFloor()).forEach(acceptor::removeRegister);
+        ConfigurationKeys.keysUpTo(acceptor.registers(), acceptor.versionFloor())
+                .forEach(acceptor::removeRegister);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -72,8 +72,8 @@
     private void addOwnView(final ObjectNode fields) {
         fields.put("local", true)
                 .put("version", configurationStore.configuration().version())
-                .put("proofAgeMs", feedClient.ageMs())
-                .put("fresh", feedClient.fresh());
+                .put("proofAgeMs", feedClient.lease().ageMs())
+                .put("fresh", feedClient.isFresh());
     }
 
     private ObjectNode upstreams() {
@@ -132,17 +132,17 @@
         final long timeoutMs = Math.max(
                 context.settings().ms("leaveBoundMs"), context.settings().heardMs());
         for (final Voter voter : voterSet.voters()) {
-            final FeedClient.Observation last = feedClient.last().get(voter.name());
-            final boolean heard = last != null && feedClient.heardMs(voter.name()) < timeoutMs;
+            final FeedClient.CoreReport last = feedClient.coreReports().get(voter.name());
+            final boolean heard = last != null && feedClient.sinceResponseMs(voter.name()) < timeoutMs;
             voters.putObject(voter.name())
                     .put("state", !heard ? "unheard" : last.voting() ? "voting" : "blank")
-                    .put("applied", heard ? last.applied() : 0);
+                    .put("applied", heard ? last.appliedVersion() : 0);
         }
     }
 
     private void addEvacuations(final ObjectNode evacuations) {
         final Configuration configuration = configurationStore.configuration();
-        for (final String zone : configuration.holds()) {
+        for (final String zone : configuration.drainedZones()) {
             final String reason =
                     configuration.tree().path("holds").path(zone).path("reason").asText();
             roleStatus.describeEvacuation(zone, evacuations.putObject(zone).put("reason", reason));
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -102,8 +102,8 @@
     }
 
     /** Returns the parameters of the configuration feed. */
-    FeedClient.Timing feedClient() {
-        return new FeedClient.Timing(
+    FeedClient.Timings feedClient() {
+        return new FeedClient.Timings(
                 settings.ms("freshMs"),
                 OPEN_FRESHNESS_REQUESTS,
                 3 * settings.ms("proofMs"),
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -113,7 +113,7 @@
             return rejected(unauthorized, unproven);
         }
         final Route route = found.route();
-        final ServiceLimits service = route == null ? null : configuration.service(route.service(context.random()));
+        final ServiceLimits service = route == null ? null : configuration.service(route.pickService(context.random()));
         if (service == null) {
             return rejected(ResultCode.NO_BINDING, unproven);
         }
@@ -138,7 +138,7 @@
 
     /** Why this edge can admit nothing now, or null. */
     private ResultCode unreadiness() {
-        if (!context.follower().fresh() || !context.fleet().settled()) {
+        if (!context.follower().isFresh() || !context.fleet().settled()) {
             return ResultCode.NOT_FRESH;
         }
         return context.counter().mayStart() ? null : ResultCode.UNCOUNTED;
@@ -175,8 +175,8 @@
             return rejected(ResultCode.NO_UPSTREAM, unproven);
         }
         // The longest that both bodies may be is kept free for the request from here on.
-        final long heldBytes =
-                (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes()) + (long) service.answerMaxBytes();
+        final long heldBytes = (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes())
+                + (long) service.responseMaxBytes();
         if (!limiter.take(grant.tenantName(), heldBytes)) {
             return rejected(ResultCode.BUSY, unproven);
         }
@@ -190,19 +190,19 @@
 
     private long spanMs(final RequestHead head, final Route route) {
         final long spanMs = Math.min(head.spanMs(), limits.spanMaxMs());
-        return route.spanMs() > 0 ? Math.min(spanMs, route.spanMs()) : spanMs;
+        return route.timeoutMs() > 0 ? Math.min(spanMs, route.timeoutMs()) : spanMs;
     }
 
     /** Whether an upstream may be picked for a request: in a home region of it, and in no drained zone. */
     boolean allows(final Route route, final Tenant tenant, final Upstream upstream) {
-        return route.home(tenant, upstream.region())
-                && !context.configurationStore().configuration().holds().contains(upstream.zone());
+        return route.allowsRegion(tenant, upstream.region())
+                && !context.configurationStore().configuration().drainedZones().contains(upstream.zone());
     }
 
     /** Whether this node's own zone is drained and its edges take no requests then. */
     boolean isOwnZoneDrained(final Configuration configuration) {
         return limits.conventions().holdsEdges()
-                && configuration.holds().contains(context.self().zone());
+                && configuration.drainedZones().contains(context.self().zone());
     }
 
     /** Whether this node may take the tenant's requests. */
--- a/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
@@ -48,13 +48,13 @@
         final long ageMs = warmUpAgeMs(service, upstream);
         final Long untilMs = restartedUntilMs.get(upstream.instance());
         final boolean restarted = untilMs != null && clock.nowMs() < untilMs;
-        if (ageMs >= service.warmupMs() && !restarted) {
+        if (ageMs >= service.slowStartMs() && !restarted) {
             rates.remove(upstream.instance());
             restartedUntilMs.remove(upstream.instance());
             return true;
         }
         final double ratePerS =
-                limits.rampRatio() * service.warmPerS() * ramp(service, ageMs, restarted) + limits.slackPerS();
+                limits.rampRatio() * service.slowStartPerSecond() * ramp(service, ageMs, restarted) + limits.slackPerS();
         final double ownRatePerS = ratePerS / limits.sharingEdges().getAsInt();
         return rates.computeIfAbsent(upstream.instance(), i -> new SlowStart(clock.nowMs()))
                 .spend(clock.nowMs(), ownRatePerS, BURST);
@@ -66,7 +66,7 @@
         return Math.max(
                 0,
                 upstream.warmUpUntilMs() > 0
-                        ? service.warmupMs() - (upstream.warmUpUntilMs() - nowMs)
+                        ? service.slowStartMs() - (upstream.warmUpUntilMs() - nowMs)
                         : nowMs - upstream.readySinceMs());
     }
 
@@ -75,7 +75,7 @@
         if (limits.slackPerS() > 0) {
             return 1;
         }
-        return restarted ? RESTARTED_RAMP : (double) ageMs / service.warmupMs();
+        return restarted ? RESTARTED_RAMP : (double) ageMs / service.slowStartMs();
     }
 
     /** Removes what is known of all instances but these. */
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -39,7 +39,7 @@
 
         @Override
         public boolean isPruned(final String key) {
-            final long version = ConfigurationKeys.of(key);
+            final long version = ConfigurationKeys.versionOf(key);
             return version >= 0 && version <= acceptor.versionFloor();
         }
     }
@@ -115,14 +115,14 @@
         machines.values()
                 .forEach(m -> m.acceptor.raiseVersionFloor(
                         FLOOR,
-                        () -> ConfigurationKeys.upTo(m.acceptor.registers(), FLOOR)
+                        () -> ConfigurationKeys.keysUpTo(m.acceptor.registers(), FLOOR)
                                 .forEach(m.acceptor::removeRegister)));
     }
 
     private ProposalOutcome propose(final long version, final byte[] value) {
         final List<ProposalOutcome> outcomes = new ArrayList<>();
         proposer.propose(
-                ConfigurationKeys.key(version),
+                ConfigurationKeys.keyOf(version),
                 500,
                 now -> now == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
                 outcomes::add);
--- a/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
+++ b/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
@@ -53,8 +53,9 @@
 
     @Test
     void versionsUpToTheFloorMustNotBeCreatedAnew() {
-        assertThat(retention.isPruned(ConfigurationKeys.key(VERSION_FLOOR))).isTrue();
-        assertThat(retention.isPruned(ConfigurationKeys.key(VERSION_FLOOR + 1))).isFalse();
+        assertThat(retention.isPruned(ConfigurationKeys.keyOf(VERSION_FLOOR))).isTrue();
+        assertThat(retention.isPruned(ConfigurationKeys.keyOf(VERSION_FLOOR + 1)))
+                .isFalse();
     }
 
     @Test
@@ -74,7 +75,7 @@
     @Test
     void claimsAndVersionsLeaveCapacityForOtherRegisters() {
         final String claim = IdempotencyClaim.key("tenant-1", "pay-17");
-        final String version = ConfigurationKeys.key(VERSION_FLOOR + 1);
+        final String version = ConfigurationKeys.keyOf(VERSION_FLOOR + 1);
         assertThat(retention.hasCapacityFor(claim)).isTrue();
         assertThat(retention.hasCapacityFor(version)).isTrue();
         logFill = 0.7;
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -206,7 +206,7 @@
                 registerBytes = Math.max(registerBytes, bytes(core.node().acceptor()));
                 configurationStoreBytes = Math.max(
                         configurationStoreBytes,
-                        core.node().configurationStore().kept(0).values().stream()
+                        core.node().configurationStore().retainedAfter(0).values().stream()
                                 .mapToLong(c -> c.json().length)
                                 .sum());
             }
@@ -282,7 +282,7 @@
     private void back(final SimulatedNode core, final Return from, final long startUs, final Runnable then) {
         final long fromMs = world.sim.nowMs();
         final long fromBytes = world.traffic.sentTo(core.name);
-        final long provedBefore = core.node().feedClient().freshUntilMs();
+        final long provedBefore = core.node().feedClient().lease().expiresMs();
         whenBack(core, provedBefore, () -> {
             backs.add(new Back(from, world.sim.nowMs() - fromMs, world.traffic.sentTo(core.name) - fromBytes, startUs));
             look();
@@ -294,8 +294,8 @@
     private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
         final boolean voting = core.running() && core.node().acceptor().state() == Acceptor.State.VOTING;
         if (voting
-                && core.node().feedClient().fresh()
-                && core.node().feedClient().freshUntilMs() > provedBefore
+                && core.node().feedClient().isFresh()
+                && core.node().feedClient().lease().expiresMs() > provedBefore
                 && core.node().configurationStore().configuration().version() + 1 >= acknowledged) {
             then.run();
         } else {
@@ -309,7 +309,7 @@
         for (final SimulatedNode core : world.cores()) {
             final Acceptor acceptor = core.running() ? core.node().acceptor() : null;
             if (acceptor != null && acceptor.state() == Acceptor.State.VOTING) {
-                final Register r = acceptor.registers().get(ConfigurationKeys.key(acknowledged));
+                final Register r = acceptor.registers().get(ConfigurationKeys.keyOf(acknowledged));
                 having += acceptor.versionFloor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
             }
         }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -252,7 +252,7 @@
         }
         final int phase = run.phase().ordinal();
         requests[phase] += due;
-        if (!node.feedClient().fresh()) {
+        if (!node.feedClient().isFresh()) {
             stale[phase] += due;
             return;
         }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -157,7 +157,7 @@
                     steps.nowMs() / 1000.0,
                     phase,
                     up.size(),
-                    up.stream().filter(n -> n.node().feedClient().fresh()).count(),
+                    up.stream().filter(n -> n.node().feedClient().isFresh()).count(),
                     up.stream()
                                     .mapToLong(n -> n.node()
                                             .configurationStore()
@@ -229,7 +229,8 @@
                 proofs.get(phase)
                         .get(n.core)
                         .recordValue(Math.min(
-                                3_600_000, Math.max(0, n.node().feedClient().ageMs())));
+                                3_600_000,
+                                Math.max(0, n.node().feedClient().lease().ageMs())));
             }
         }
         for (final AcknowledgedChange a : changes) {
@@ -259,7 +260,7 @@
         return !changes.isEmpty()
                 && nodes.stream()
                         .allMatch(n -> n.up()
-                                && n.node().feedClient().fresh()
+                                && n.node().feedClient().isFresh()
                                 && n.node().configurationStore().configuration().version()
                                         >= changes.get(0).version()
                                 && (n.core
