--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -14,6 +14,7 @@
 import spokestall.handoff.ResponseCache;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.Locality;
 import spokestall.proxy.ProxyContext;
 import spokestall.proxy.UpstreamClient;
 import spokestall.usage.EdgeIdentity;
@@ -22,6 +23,10 @@
 import spokestall.usage.EdgeIdentity;
 import spokestall.usage.CounterLimits;
 import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageMessage;
 
 /**
@@ -71,9 +76,8 @@
 
     private LoadBalancer loadBalancer() {
         return new LoadBalancer(
-                context.settings().region(),
-                context.settings().text("district"),
-                service -> endpointRegistry.ready(service, context.fleet.nowMs()),
+                new Locality(context.settings().region(), context.settings().text("district")),
+                service -> endpointRegistry.readyUpstreams(service, context.fleet.nowMs()),
                 context.clock,
                 context.fleet,
                 context.random,
@@ -96,13 +100,13 @@
                         context.fleet,
                         context.random,
                         peerDirectory::sharingEdges,
-                        peerDirectory::homeCores),
+                        peerDirectory::coreAddressesIn),
                 context.timings().proxy());
     }
 
     /** Applies the node's newer settings. */
     void applySettings() {
-        loadBalancer.timing(context.timings().loadBalancer(peerDirectory::sharingEdges));
+        loadBalancer.updateParameters(context.timings().loadBalancer(peerDirectory::sharingEdges));
         admissionController.limits(context.timings().proxy());
     }
 
@@ -114,7 +118,7 @@
     /** Removes the load balancer's state of endpoints that are no longer listed. */
     void onRetainTick() {
         loadBalancer.retain(
-                endpointRegistry.listed().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
+                endpointRegistry.endpoints().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
     }
 
     /** Takes a core's acknowledgement of counts. */
@@ -136,10 +140,10 @@
 
     private void restartWarmup(final String zone, final Configuration configuration) {
         final long marginMs = context.settings().part("leaveBoundMs", WARMUP_MARGIN_LEAVE_BOUNDS);
-        for (final Endpoint endpoint : endpointRegistry.listed()) {
+        for (final Endpoint endpoint : endpointRegistry.endpoints()) {
             final ServiceLimits limits = configuration.service(endpoint.service());
             if (endpoint.zone().equals(zone) && limits != null) {
-                loadBalancer.chill(List.of(endpoint.instance()), limits.warmupMs() + marginMs);
+                loadBalancer.restartSlowStart(List.of(endpoint.instance()), limits.warmupMs() + marginMs);
             }
         }
     }
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -19,8 +19,8 @@
     private final FleetClock fleet = new FleetClock(clock, 100);
 
     private UsageCounter counter(final long uncountedMaxMs) {
-        fleet.heard("p", clock.nowMs(), true, clock.nowMs());
-        fleet.heard("q", clock.nowMs(), true, clock.nowMs());
+        fleet.onPeerReading("p", clock.nowMs(), true, clock.nowMs());
+        fleet.onPeerReading("q", clock.nowMs(), true, clock.nowMs());
         return new UsageCounter(
                 new EdgeIdentity("e", "e", 7),
                 new CounterLimits(5000, 1000, 3, uncountedMaxMs, 4, 100),
