--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -51,11 +51,11 @@
     /** Writes what an earlier holder left in a window's register. */
     private void store(final SealedWindow contents) {
         context.proposer("w")
-                .change(
+                .propose(
                         SealedWindow.key(contents.window()),
                         800,
                         value -> new RegisterEdit.Set(MessageCodec.bytes(contents)),
-                        outcome -> assertThat(outcome).isInstanceOf(ProposalOutcome.Done.class));
+                        outcome -> assertThat(outcome).isInstanceOf(ProposalOutcome.Committed.class));
         context.run(context.clock.nowMs() + 400);
     }
 
