--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -67,7 +67,7 @@
 
     /** Answers one who follows: what is newest here, and the news from its places on. */
     void answer(final FeedMessage.FeedRequest ask) {
-        if (ask.self().serves()) {
+        if (ask.self().servesClients()) {
             heard(new Present(ask.self(), ask.fresh(), ask.open(), node.context.clock.nowMs()));
         }
         final boolean voting = node.storage.acceptor.state() == Acceptor.State.VOTING;
@@ -106,9 +106,9 @@
                         snapshot,
                         brief ? List.of() : List.copyOf(fresh),
                         update ? node.discovery.endpointRegistry.incarnation() : 0,
-                        node.discovery.endpointRegistry.place(),
-                        update ? node.discovery.endpointRegistry.listedAfter(from) : List.of(),
-                        update ? node.discovery.endpointRegistry.reportsAfter(from) : List.of(),
+                        node.discovery.endpointRegistry.offset(),
+                        update ? node.discovery.endpointRegistry.endpointsAfter(from) : List.of(),
+                        update ? node.discovery.endpointRegistry.observationsAfter(from) : List.of(),
                         table == null ? 0 : table.generation(),
                         table == null ? 0 : table.epoch(),
                         brief,
@@ -186,7 +186,7 @@
             return false;
         }
         heard(new Present(
-                found.at(node.context.fleet.nowMs(), ask.leaving()),
+                found.seenAt(node.context.fleet.nowMs(), ask.leaving()),
                 ask.fresh(),
                 ask.open(),
                 node.context.clock.nowMs()));
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -102,7 +102,7 @@
                 context.clock,
                 context.fleet,
                 context.random,
-                context.timings().view());
+                context.timings().partialView());
     }
 
     private Proposer proposer() {
@@ -113,7 +113,7 @@
                 context.clock,
                 context.random,
                 context.timings().proposer(),
-                handoff::missed);
+                handoff::onMissedChange);
     }
 
     private CoreStorage coreStorage() {
@@ -193,7 +193,7 @@
     private void openCore() {
         storage.open();
         membership.open();
-        discovery.open(peerDirectory, view, storage.acceptor, environment.reach());
+        discovery.open(peerDirectory, storage.acceptor, environment.discovery());
         usage.open();
         storage.acceptor.addListener((key, register) -> {
             usage.onRegisterStored(key, register);
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -36,7 +36,7 @@
         final Settings settings = context.settings();
         fastStart(context.clock.nowMs() + settings.part("leaveBoundMs", FAST_START_LEAVE_BOUNDS), 0);
         ticker.every(settings.part("leaveBoundMs", 0.125), () -> {
-            components.view.tick();
+            components.view.onTick();
             components.knownEdges.publish();
         });
         ticker.every(settings.ms("proofMs"), () -> {
@@ -59,14 +59,14 @@
         final UsageComponent usage = components.usage;
         final CoreStorage storage = components.storage;
         ticker.every(settings.part("leaveBoundMs", 0.0625), components.membership::tick);
-        ticker.every(settings.part("leaveBoundMs", 0.125), components.discovery::tick);
+        ticker.every(settings.part("leaveBoundMs", 0.125), components.discovery::onTick);
         ticker.every(
                 settings.part("leaseMs", 0.1),
                 () -> usage.tickLease(components.view.self().leaving()));
         ticker.every(settings.part("reportDueMs", 0.01), usage.reporter::onTick);
         ticker.every(settings.part("keyBoundMs", 0.2), this::pruneCore);
         ticker.every(settings.ms("countPushMs"), usage::tickPersistedCounts);
-        ticker.every(settings.ms("listMs"), components.discovery::tickKept);
+        ticker.every(settings.ms("listMs"), components.discovery::onStoreTick);
         ticker.every(settings.part("keyBoundMs", 0.02), usage::mergeCountsFromDisk);
         ticker.every(settings.part("keyBoundMs", 0.1), components.audit::onTick);
         ticker.every(settings.part("keyBoundMs", 0.02), () -> storage.applyFirstVersion(components.feedClient));
@@ -79,7 +79,7 @@
 
     /** Bounds shared by all edges are divided by the configured counts, so nodes must agree on them. */
     private void warnOfOtherCounts() {
-        final List<String> differing = components.peerDirectory.differing();
+        final List<String> differing = components.peerDirectory.peersWithOtherCounts();
         if (!differing.isEmpty()) {
             LOG.atWarning().log(
                     "event=counts_differ node=%s cores=%s edges=%s from=%s",
@@ -96,7 +96,7 @@
             return;
         }
         final boolean votersKnown = components.voterSet() != null;
-        components.view.greet(votersKnown ? components.peerDirectory.coreAddresses() : List.of());
+        components.view.announce(votersKnown ? components.peerDirectory.coreAddresses() : List.of());
         components.knownEdges.publish();
         // Before there are voters nothing can be proved, and bootstrap takes seconds, so requests become rarer then.
         final boolean proofPossible = votersKnown && !components.feedClient.fresh();
@@ -112,6 +112,6 @@
         return context.fleet.settled()
                 && components.feedClient.fresh()
                 && (components.proxy == null
-                        || !components.discovery.endpointRegistry.listed().isEmpty());
+                        || !components.discovery.endpointRegistry.endpoints().isEmpty());
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleRun.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
@@ -263,7 +264,11 @@
                                         >= changes.get(0).version()
                                 && (n.core
                                         ? n.node().acceptor().state() == Acceptor.State.VOTING
-                                        : n.node().endpointRegistry().listed().size() == shape.flags.upstreams));
+                                        : n.node()
+                                                        .endpointRegistry()
+                                                        .endpoints()
+                                                        .size()
+                                                == shape.flags.upstreams));
     }
 
     /** How old the newest word on some upstreams is at each edge. */
@@ -274,12 +279,15 @@
                     final String instance = outside.list()
                             .get(chance.nextInt(outside.list().size()))
                             .instance();
-                    final HealthObservation word =
-                            n.node().endpointRegistry().word(instance, n.node().fleetMs());
-                    if (word == null) {
+                    final Optional<HealthObservation> health = n.node()
+                            .endpointRegistry()
+                            .health(instance, n.node().fleetMs());
+                    if (health.isEmpty()) {
                         wordless.merge(phase, 1L, Long::sum);
                     } else {
-                        words.get(phase).recordValue(Math.max(0, n.node().fleetMs() - word.stampMs()));
+                        words.get(phase)
+                                .recordValue(Math.max(
+                                        0, n.node().fleetMs() - health.get().timestampMs()));
                     }
                 }
             }
