--- a/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
+++ b/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
@@ -90,7 +90,7 @@
             proxy.onCountsAcknowledged(acknowledged);
         }
         if (core != null) {
-            core.usage.hear(message);
+            core.usage.onMessage(message);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
@@ -44,7 +44,7 @@
         if (!context.follower().fresh()) {
             return ResultCode.NOT_FRESH;
         }
-        if (!context.counter().mayBegin()) {
+        if (!context.counter().mayStart()) {
             return ResultCode.UNCOUNTED;
         }
         final Configuration configuration = context.configurationStore().configuration();
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -172,14 +172,14 @@
     }
 
     /** Has everything that was decided written down, and some entries more, so that it takes two files. */
-    static void tell(final AuditSink audit) {
+    static void recordAudit(final AuditSink audit) {
         final LongSupplier fleetMs = () -> 5_000;
         final Auditor auditor = new Auditor(audit, configurationStore(), fleetMs);
-        auditor.table(TABLE);
-        auditor.configuration();
-        auditor.lease(LEASE);
-        auditor.window(WINDOW);
-        IntStream.range(0, 3).forEach(i -> audit.message("sample", numbered(i)));
+        auditor.recordVoters(TABLE);
+        auditor.recordConfiguration();
+        auditor.recordLease(LEASE);
+        auditor.recordWindow(WINDOW);
+        IntStream.range(0, 3).forEach(i -> audit.append("sample", numbered(i)));
     }
 
     private static ObjectNode numbered(final int number) {
