--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -102,7 +102,7 @@
     public Settings applySettings(final Settings newer) {
         final SettingsUpdate update = SettingsUpdate.of(context.settings(), newer, context.core);
         context.applySettings(update.settings());
-        components.view.seeds(update.settings().seeds());
+        components.view.updateSeeds(update.settings().seeds());
         components.feedClient.timing(context.timings().feedClient());
         if (components.proxy != null) {
             components.proxy.applySettings();
@@ -129,7 +129,7 @@
      */
     public void shutDown(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=shutdown_started node=%s", context.name);
-        components.view.leave();
+        components.view.markLeaving();
         components.feedClient.tick();
         components.knownEdges.publish();
         final GracefulShutdown.Requests requests =
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -161,7 +161,7 @@
 
     private boolean reserveCapacity() {
         if (!reservation.hasCapacity()
-                && context.loadBalancer().mayReserve(grant.service(), grant.tenantName(), permission::allows)) {
+                && context.loadBalancer().hasCapacity(grant.service(), grant.tenantName(), permission::allows)) {
             reservation.reserve();
         }
         return reservation.hasCapacity();
@@ -248,7 +248,9 @@
         final ResultCode refusal = refusal();
         final Upstream upstream = refusal != null
                 ? null
-                : context.loadBalancer().elect(permission.service(), permission::allows, attemptedInstances);
+                : context.loadBalancer()
+                        .pick(permission.service(), permission::allows, attemptedInstances)
+                        .orElse(null);
         if (upstream == null) {
             onNoUpstream(refusal);
             return;
@@ -260,7 +262,7 @@
         attemptedInstances.add(upstream.instance());
         final Attempt attempt = attemptAt(upstream);
         final long begunMs = context.clock().nowMs();
-        context.loadBalancer().begun(upstream.instance());
+        context.loadBalancer().onAttemptStarted(upstream.instance());
         reservation.release();
         scheduleHedge(upstream);
         final LongSupplier sendableUntilMs = () -> refusal() != null
@@ -316,7 +318,7 @@
     /** An idempotent request is sent to a second upstream as well, once and paid for; the first complete answer counts. */
     private void onHedgeDue(final Upstream silent, final int number) {
         if (stage == Stage.ATTEMPTING && attempts.open() == 1 && attempts.begun() == number) {
-            context.loadBalancer().late(silent.instance());
+            context.loadBalancer().onAttemptLate(silent.instance());
             retry();
         }
     }
@@ -334,10 +336,10 @@
         final long slowMs =
                 route.aimMs() > 0 ? route.aimMs() : permission.service().attemptMs() / 4;
         context.loadBalancer()
-                .ended(
+                .onAttemptEnded(
                         upstream.service(),
                         upstream.instance(),
-                        endFor(result),
+                        outcomeFor(result),
                         context.clock().nowMs() - begunMs,
                         slowMs);
         if (result instanceof AttemptResult.Answered answered) {
@@ -347,14 +349,14 @@
         }
     }
 
-    private static LoadBalancer.End endFor(final AttemptResult result) {
+    private static AttemptOutcome outcomeFor(final AttemptResult result) {
         if (result instanceof AttemptResult.Answered) {
-            return LoadBalancer.End.WELL;
+            return AttemptOutcome.ANSWERED;
         }
         if (result instanceof AttemptResult.NotSent unsent) {
-            return unsent.why().equals(STOPPED_HERE) ? LoadBalancer.End.WELL : LoadBalancer.End.UNREACHED;
+            return unsent.why().equals(STOPPED_HERE) ? AttemptOutcome.ANSWERED : AttemptOutcome.UNREACHABLE;
         }
-        return result instanceof AttemptResult.NotRun ? LoadBalancer.End.DENIED : LoadBalancer.End.LOST;
+        return result instanceof AttemptResult.NotRun ? AttemptOutcome.REJECTED : AttemptOutcome.LOST;
     }
 
     private void onAnswered(final Upstream upstream, final AttemptResult.Answered answered) {
@@ -426,7 +428,7 @@
     private void recordExecuted(final Upstream upstream, final AttemptResult.Answered answered) {
         final HandoffMessage.Store stored = new HandoffMessage.Store(
                 claimManager.key(), KeyHash.hex(MessageCodec.bytes(answered.content())), answered.content());
-        context.responseCache().keep(stored);
+        context.responseCache().put(stored);
         for (final String core : context.homeCores().apply(grant.tenant().homeRegions())) {
             context.post().send(core, stored);
         }
