--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -89,7 +89,7 @@
 
     private ConfigurationFormat nativeFormat(final Settings settings) {
         return new NativeConfigurationFormat(new ConfigurationValidator(
-                calls.file().at("/$defs/policy"),
+                calls.schema().at("/$defs/policy"),
                 settings.regions(),
                 settings.zones().keySet()));
     }
@@ -138,7 +138,7 @@
                 configurationStore,
                 storage,
                 new ToleratedSeatLoss(context.settings(), view),
-                usage == null ? () -> 0 : usage::tokenSeen);
+                usage == null ? () -> 0 : usage::highestFencingToken);
     }
 
     private FeedClient feedClient() {
@@ -196,7 +196,7 @@
         discovery.open(peerDirectory, storage.acceptor, environment.discovery());
         usage.open();
         storage.acceptor.addListener((key, register) -> {
-            usage.seen(key, register);
+            usage.onRegisterStored(key, register);
             audit.onRegisterStored(key, register);
         });
     }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -17,6 +17,7 @@
 import spokestall.proxy.Locality;
 import spokestall.proxy.ProxyContext;
 import spokestall.proxy.UpstreamClient;
+import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageCounter;
 import spokestall.usage.UsageMessage;
 
@@ -56,9 +57,7 @@
         this.endpointRegistry = sources.endpointRegistry();
         this.loadBalancer = loadBalancer();
         this.usageCounter = new UsageCounter(
-                context.name,
-                context.address,
-                context.incarnation,
+                new EdgeIdentity(context.name, context.address, context.incarnation),
                 context.timings().usageCounter(),
                 context.clock,
                 context.fleet,
@@ -105,7 +104,7 @@
 
     /** Sends counts that are due. */
     void onCountTick() {
-        usageCounter.tick();
+        usageCounter.onTick();
     }
 
     /** Removes the load balancer's state of endpoints that are no longer listed. */
@@ -116,7 +115,7 @@
 
     /** Takes a core's acknowledgement of counts. */
     void onCountsAcknowledged(final UsageMessage.CountsAcknowledged message) {
-        usageCounter.hear(message, peerDirectory.voterAddress(message.name()));
+        usageCounter.onMessage(message, peerDirectory.voterAddress(message.core()));
     }
 
     /** Upstreams of a zone whose evacuation ended received nothing meanwhile, so their slow start begins again. */
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -325,7 +325,7 @@
 
     private void onAttemptSent() {
         if (grant.tenant() != null) {
-            context.counter().begun(grant.tenantName());
+            context.counter().onStarted(grant.tenantName());
         }
     }
 
