--- a/spokestall/src/main/java/spokestall/gossip/PartialView.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -194,7 +194,7 @@
         final GossipMessage.Shuffle shuffle = (GossipMessage.Shuffle) message;
         merge(shuffle.self(), 0);
         if (shuffle.reply()) {
-            fleetClock.heard(shuffle.self().name(), shuffle.fleetMs(), shuffle.settled(), shuffle.echoMs());
+            fleetClock.onPeerReading(shuffle.self().name(), shuffle.fleetMs(), shuffle.settled(), shuffle.echoMs());
         } else {
             sendSample(shuffle.from(), true, shuffle.sentMs());
         }
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -135,7 +135,7 @@
         return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
-    /** Returns when the platform's list of endpoints is read. */
+    /** Returns how often the platform's endpoint list is read. */
     EndpointListReader.Schedule endpointList() {
         return new EndpointListReader.Schedule(settings.ms("listMs"), settings.part("leaveBoundMs", 0.5));
     }
