--- a/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
@@ -45,7 +45,7 @@
             return false;
         }
         put(new TrackedEdge(
-                known.at(fleetClock.nowMs(), request.draining()),
+                known.seenAt(fleetClock.nowMs(), request.draining()),
                 request.fresh(),
                 request.openRequests(),
                 clock.nowMs()));
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -154,7 +154,7 @@
         return new FeedMessage.FreshnessRequest(
                 address,
                 info.incarnation(),
-                info.serves(),
+                info.servesClients(),
                 lease.isFresh(),
                 info.leaving(),
                 node.openRequests(),
@@ -173,8 +173,8 @@
                 requestId,
                 wantsUpdates,
                 appliedVersion(),
-                endpointRegistry.incarnationHeard(core),
-                endpointRegistry.placeHeard(core),
+                endpointRegistry.peerIncarnation(core),
+                endpointRegistry.peerOffset(core),
                 voterSet == null ? 0 : voterSet.generation(),
                 voterSet == null ? 0 : voterSet.epoch(),
                 reportedEdges.digest());
@@ -226,7 +226,7 @@
         final VoterSet voterSet = proposer.voterSet();
         final Voter voter = voterSet == null ? null : voterSet.voter(response.voterName());
         if (voter != null) {
-            endpointRegistry.take(
+            endpointRegistry.mergeFrom(
                     voter.address(),
                     response.registryIncarnation(),
                     response.registryOffset(),
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
@@ -127,7 +127,7 @@
 
     /** Answers with the newest version and, if the client wants them, with updates. */
     private void onFeedRequest(final FeedMessage.FeedRequest request) {
-        if (request.node().serves()) {
+        if (request.node().servesClients()) {
             edgeTracker.onRequest(request);
         }
         final Updates updates = request.wantsUpdates() && isCaughtUp() ? updatesFor(request) : Updates.NONE;
@@ -152,7 +152,7 @@
                         updates.snapshot,
                         edgesOmitted ? List.of() : List.copyOf(edges),
                         updates.registryIncarnation,
-                        endpointRegistry.place(),
+                        endpointRegistry.offset(),
                         updates.endpoints,
                         updates.healthObservations,
                         voterSet == null ? 0 : voterSet.generation(),
@@ -188,8 +188,8 @@
                 changes,
                 snapshot,
                 endpointRegistry.incarnation(),
-                endpointRegistry.listedAfter(registryOffset),
-                endpointRegistry.reportsAfter(registryOffset));
+                endpointRegistry.endpointsAfter(registryOffset),
+                endpointRegistry.observationsAfter(registryOffset));
     }
 
     /** Answers with the newest version alone; a client with an older voter set is sent this core's. */
--- a/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
+++ b/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
@@ -45,7 +45,7 @@
     /** Handles one message. */
     void onMessage(final Message received) {
         if (received instanceof GossipMessage message) {
-            components.view.hear(message);
+            components.view.onMessage(message);
         } else if (received instanceof ConsensusMessage message) {
             components.membership.hear(message);
         } else if (received instanceof BootstrapMessage message) {
@@ -55,11 +55,11 @@
         } else if (received instanceof FeedMessage message) {
             onFeedMessage(message);
         } else if (received instanceof DiscoveryMessage.Push message) {
-            components.discovery.hear(message);
+            components.discovery.onMessage(message);
         } else if (received instanceof UsageMessage message) {
             onUsageMessage(message);
         } else if (received instanceof HandoffMessage message) {
-            components.handoff.hear(message, proxy == null ? null : proxy.admissionController);
+            components.handoff.onMessage(message, proxy == null ? null : proxy.admissionController);
         }
     }
 
@@ -67,7 +67,7 @@
     private void onMembershipMessage(final MembershipMessage message) {
         components.membership.hear(message);
         if (core != null && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
-            components.handoff.handOver(voterStatus, core.storage.acceptor);
+            components.handoff.onVoterBack(voterStatus, core.storage.acceptor);
         }
     }
 
@@ -84,7 +84,7 @@
             proxy.onCountsAcknowledged(acknowledged);
         }
         if (core != null) {
-            core.usage.hear(message);
+            core.usage.onMessage(message);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -12,12 +12,24 @@
 import spokestall.consensus.Acceptor;
 import spokestall.discovery.EndpointRegistry;
 import spokestall.lease.LeaseManager;
+import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.message.Message;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.EdgeDirectory;
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsUpdate;
 import spokestall.usage.UsageCounter;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
 
 /**
  * One node of the fleet, a core or an edge: its lifecycle, and access to its components.
@@ -102,7 +114,7 @@
     public Settings applySettings(final Settings newer) {
         final SettingsUpdate update = SettingsUpdate.of(context.settings(), newer, context.core);
         context.applySettings(update.settings());
-        components.view.seeds(update.settings().seeds());
+        components.view.updateSeeds(update.settings().seeds());
         components.feedClient.updateTimings(context.timings().feedClient());
         if (components.proxy != null) {
             components.proxy.applySettings();
@@ -120,7 +132,7 @@
 
     /** Runs a call of the schema file; {@code done} receives the reply, perhaps before this method returns. */
     public void call(final String method, final JsonNode params, final Consumer<Reply> done) {
-        components.calls.run(method, params, done);
+        components.calls.call(method, params, done);
     }
 
     /**
@@ -129,7 +141,7 @@
      */
     public void shutDown(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=shutdown_started node=%s", context.name);
-        components.view.leave();
+        components.view.markLeaving();
         components.feedClient.onTick();
         components.knownEdges.publish();
         final GracefulShutdown.Requests requests =
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -91,7 +91,7 @@
 
     private ConfigurationFormat nativeFormat(final Settings settings) {
         return new NativeConfigurationFormat(new ConfigurationValidator(
-                calls.file().at("/$defs/policy"),
+                calls.schema().at("/$defs/policy"),
                 settings.regions(),
                 settings.zones().keySet()));
     }
@@ -104,7 +104,7 @@
                 context.clock,
                 context.fleet,
                 context.random,
-                context.timings().view());
+                context.timings().partialView());
     }
 
     private Proposer proposer() {
@@ -115,7 +115,7 @@
                 context.clock,
                 context.random,
                 context.timings().proposer(),
-                handoff::missed);
+                handoff::onMissedChange);
     }
 
     private CoreStorage coreStorage() {
@@ -135,7 +135,7 @@
                 configurationStore,
                 storage,
                 new ToleratedSeatLoss(context.settings(), view),
-                usage == null ? () -> 0 : usage::tokenSeen);
+                usage == null ? () -> 0 : usage::highestFencingToken);
     }
 
     private FeedServer feedServer() {
@@ -195,10 +195,10 @@
     private void openCore() {
         storage.open();
         membership.open();
-        discovery.open(peerDirectory, view, storage.acceptor, environment.reach());
+        discovery.open(peerDirectory, storage.acceptor, environment.discovery());
         usage.open();
         storage.acceptor.addListener((key, register) -> {
-            usage.seen(key, register);
+            usage.onRegisterStored(key, register);
             audit.onRegisterStored(key, register);
         });
     }
--- a/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
+++ b/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
@@ -2,12 +2,20 @@
 
 import java.util.Random;
 import spokestall.audit.AuditSink;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.DiscoveryClient;
 import spokestall.message.MessageSender;
 import spokestall.proxy.UpstreamClient;
 import spokestall.storage.SegmentStore;
 import spokestall.time.Clock;
 import spokestall.usage.UsageReporter;
+import spokestall.usage.ReportSchedule;
+import spokestall.usage.UsageReportClient;
+import spokestall.usage.ReportSchedule;
+import spokestall.usage.UsageReportClient;
+import spokestall.usage.ReportSchedule;
+import spokestall.usage.UsageReportClient;
+import spokestall.usage.ReportSchedule;
+import spokestall.usage.UsageReportClient;
 
 /**
  * The services through which a {@link Node} reaches the world: time, randomness, network and disk. A process passes real
@@ -19,7 +27,7 @@
  * @param random the only source of randomness; with the same seed and the same events a node does the same
  * @param messageSender sends a message to another node's address; delivery is not guaranteed
  * @param segments the disk of a core, or null on an edge
- * @param reach performs one health check of an upstream
+ * @param discovery reads the platform's list of endpoints and probes them
  * @param upstreams sends clients' requests to upstreams
  * @param platform receives the usage report
  * @param audit records what was decided
@@ -29,7 +37,7 @@
         Random random,
         MessageSender messageSender,
         SegmentStore segments,
-        HealthChecker.Reach reach,
+        DiscoveryClient discovery,
         UpstreamClient upstreams,
-        UsageReporter.Platform platform,
+        UsageReportClient platform,
         AuditSink audit) {}
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -14,9 +14,19 @@
 import spokestall.handoff.ResponseCache;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.Locality;
 import spokestall.proxy.ProxyContext;
 import spokestall.proxy.UpstreamClient;
+import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageCounter;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageMessage;
 
 /**
@@ -55,9 +65,7 @@
         this.endpointRegistry = sources.endpointRegistry();
         this.loadBalancer = loadBalancer();
         this.usageCounter = new UsageCounter(
-                context.name,
-                context.address,
-                context.incarnation,
+                new EdgeIdentity(context.name, context.address, context.incarnation),
                 context.timings().usageCounter(),
                 context.clock,
                 context.fleet,
@@ -68,9 +76,8 @@
 
     private LoadBalancer loadBalancer() {
         return new LoadBalancer(
-                context.settings().region(),
-                context.settings().text("district"),
-                service -> endpointRegistry.ready(service, context.fleet.nowMs()),
+                new Locality(context.settings().region(), context.settings().text("district")),
+                service -> endpointRegistry.readyUpstreams(service, context.fleet.nowMs()),
                 context.clock,
                 context.fleet,
                 context.random,
@@ -93,30 +100,30 @@
                         context.fleet,
                         context.random,
                         peerDirectory::sharingEdges,
-                        peerDirectory::homeCores),
+                        peerDirectory::coreAddressesIn),
                 context.timings().proxy());
     }
 
     /** Applies the node's newer settings. */
     void applySettings() {
-        loadBalancer.timing(context.timings().loadBalancer(peerDirectory::sharingEdges));
+        loadBalancer.updateParameters(context.timings().loadBalancer(peerDirectory::sharingEdges));
         admissionController.limits(context.timings().proxy());
     }
 
     /** Sends counts that are due. */
     void onCountTick() {
-        usageCounter.tick();
+        usageCounter.onTick();
     }
 
     /** Removes the load balancer's state of endpoints that are no longer listed. */
     void onRetainTick() {
         loadBalancer.retain(
-                endpointRegistry.listed().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
+                endpointRegistry.endpoints().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
     }
 
     /** Takes a core's acknowledgement of counts. */
     void onCountsAcknowledged(final UsageMessage.CountsAcknowledged message) {
-        usageCounter.hear(message, peerDirectory.voterAddress(message.name()));
+        usageCounter.onMessage(message, peerDirectory.voterAddress(message.core()));
     }
 
     /** Upstreams of a zone whose evacuation ended received nothing meanwhile, so their slow start begins again. */
@@ -133,10 +140,10 @@
 
     private void restartWarmup(final String zone, final Configuration configuration) {
         final long marginMs = context.settings().part("leaveBoundMs", WARMUP_MARGIN_LEAVE_BOUNDS);
-        for (final Endpoint endpoint : endpointRegistry.listed()) {
+        for (final Endpoint endpoint : endpointRegistry.endpoints()) {
             final ServiceLimits limits = configuration.service(endpoint.service());
             if (endpoint.zone().equals(zone) && limits != null) {
-                loadBalancer.chill(List.of(endpoint.instance()), limits.slowStartMs() + marginMs);
+                loadBalancer.restartSlowStart(List.of(endpoint.instance()), limits.slowStartMs() + marginMs);
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -4,18 +4,19 @@
 import spokestall.configuration.feed.FeedClient;
 import spokestall.consensus.Proposer;
 import spokestall.consensus.VoterSet;
+import spokestall.discovery.EndpointListReader;
 import spokestall.discovery.HealthChecker;
-import spokestall.gossip.PartialView;
-import spokestall.lease.LeaseManager;
+import spokestall.gossip.ViewParameters;
+import spokestall.lease.LeaseTimeouts;
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
-import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.LoadBalancerParameters;
 import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
-import spokestall.usage.UsageCounter;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.CounterLimits;
+import spokestall.usage.ReportSchedule;
 
 /**
  * Derives each component's periods, time-outs and bounds from the settings. The settings give a few bounds that operators care
@@ -29,6 +30,31 @@
     /** The version of messages since which a response may omit what the requester has. */
     private static final int OMISSIONS_SINCE = 3;
 
+    /** How many members a gossip message names at most. */
+    private static final int GOSSIP_SAMPLE = 6;
+    /** How many attempts a proposal has at most. */
+    private static final int PROPOSAL_ATTEMPTS = 64;
+    /** How many requests for a proof of freshness may be open at once. */
+    private static final int OPEN_FRESHNESS_REQUESTS = 32;
+    /** Every so many requests for updates one goes to a core that is not the nearest. */
+    private static final int CORE_ROVE_REQUESTS = 8;
+
+    private static final int EDGE_ROVE_REQUESTS = 64;
+    /** After how many failed health checks in a row an upstream is down. */
+    private static final int FAILED_CHECKS = 2;
+    /** How many cores check each upstream. */
+    private static final int CHECKING_CORES = 2;
+
+    private static final int USAGE_WINDOWS_KEPT = 3;
+    /** How many attempts a client's request has at most. */
+    private static final int REQUEST_ATTEMPTS = 3;
+    /** The ratio of the setting {@code retryShare} that is used. */
+    private static final double RETRY_SHARE_RATIO = 0.9;
+
+    private static final long SHUTDOWN_CHECK_MS = 20;
+    private static final long SHUTDOWN_WRITE_MS = 50;
+    private static final int MILLIS_PER_SECOND = 1000;
+
     private final Settings settings;
     private final boolean core;
 
@@ -51,7 +77,7 @@
 
     /** Returns the length of a usage window, whose counts are reported together. */
     long windowMs() {
-        return settings.ms("reportWindowS") * 1000;
+        return settings.ms("reportWindowS") * MILLIS_PER_SECOND;
     }
 
     /** Returns for how long a change to the configuration may take before it is answered. */
@@ -59,33 +85,38 @@
         return settings.part("policyBoundMs", 0.8);
     }
 
-    PartialView.Timing view() {
-        return new PartialView.Timing(
+    /** Returns the parameters of the partial view: sizes, and after which time a silent member is removed. */
+    ViewParameters partialView() {
+        return new ViewParameters(
                 2 * (countOrBound("cores") + countOrBound("edges")),
-                6,
+                GOSSIP_SAMPLE,
                 settings.part("leaveBoundMs", 4),
                 settings.part("leaveBoundMs", 1));
     }
 
+    /** Returns the parameters of proposals; a round waits for some round trips between the farthest nodes. */
     Proposer.Timing proposer() {
         final long farMs = settings.ms("farMs");
-        return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), 64);
+        return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), PROPOSAL_ATTEMPTS);
     }
 
+    /** Returns the parameters of the configuration feed. */
     FeedClient.Timings feedClient() {
         return new FeedClient.Timings(
                 settings.ms("freshMs"),
-                32,
+                OPEN_FRESHNESS_REQUESTS,
                 3 * settings.ms("proofMs"),
-                core ? 8 : 64,
+                core ? CORE_ROVE_REQUESTS : EDGE_ROVE_REQUESTS,
                 settings.ms("noteVersion") < OMISSIONS_SINCE);
     }
 
+    /** Returns the parameters of the fleet's first start. */
     BootstrapProposer.Timing bootstrapProposer() {
         return new BootstrapProposer.Timing(
                 settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
     }
 
+    /** Returns the parameters of changes of the voters. */
     MembershipCoordinator.Timing membershipCoordinator() {
         return new MembershipCoordinator.Timing(
                 (int) settings.ms("cores"),
@@ -99,33 +130,39 @@
                 settings.part("leaveBoundMs", 8));
     }
 
+    /** Returns the parameters of the handover of a core that shuts down. */
     GracefulHandover.Timing handover() {
         return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
     }
 
-    HealthChecker.Timing prober() {
-        return new HealthChecker.Timing(
-                settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 0.5),
-                2,
-                2,
-                settings.ms("listMs"),
+    /** Returns how often the platform's endpoint list is read. */
+    EndpointListReader.Schedule endpointList() {
+        return new EndpointListReader.Schedule(settings.ms("listMs"), settings.part("leaveBoundMs", 0.5));
+    }
+
+    /** Returns the parameters of health checks. */
+    HealthChecker.ProbeParameters probes() {
+        return new HealthChecker.ProbeParameters(
                 settings.part("leaveBoundMs", 0.25),
-                settings.ms("probes") == 1);
+                FAILED_CHECKS,
+                CHECKING_CORES,
+                settings.part("leaveBoundMs", 0.25));
     }
 
-    UsageCounter.Timing usageCounter() {
-        return new UsageCounter.Timing(
+    /** Returns the parameters of the counting of requests. */
+    CounterLimits usageCounter() {
+        return new CounterLimits(
                 windowMs(),
                 settings.part("reportDueMs", 0.1),
-                3,
+                USAGE_WINDOWS_KEPT,
                 settings.ms("uncountedMs"),
                 (int) settings.ms("cores"),
                 settings.ms("farMs") / 2);
     }
 
-    UsageReporter.Timing reporter() {
-        return new UsageReporter.Timing(
+    /** Returns the parameters of the usage report, as ratios of the time by which it is due. */
+    ReportSchedule reporter() {
+        return new ReportSchedule(
                 windowMs(),
                 settings.part("reportDueMs", 0.15),
                 settings.part("reportDueMs", 0.5),
@@ -136,8 +173,9 @@
                 settings.number("dutiesPerS"));
     }
 
-    LeaseManager.Timing lease() {
-        return new LeaseManager.Timing(
+    /** Returns the parameters of the usage report's lease. */
+    LeaseTimeouts lease() {
+        return new LeaseTimeouts(
                 settings.ms("leaseMs"),
                 settings.part("leaseMs", 0.2),
                 settings.part("leaseMs", 0.4),
@@ -147,17 +185,18 @@
                 settings.ms("restMs"));
     }
 
-    LoadBalancer.Timing loadBalancer(final IntSupplier sharingEdges) {
-        return new LoadBalancer.Timing(
-                sharingEdges,
-                settings.number("warmRatio"),
-                settings.number("warmSlack"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 2),
-                settings.number("districtCost"),
-                settings.number("regionCost"));
+    /** Returns the parameters of the load balancer; shared bounds are divided by the number of edges. */
+    LoadBalancerParameters loadBalancer(final IntSupplier sharingEdges) {
+        return new LoadBalancerParameters(
+                new LoadBalancerParameters.SlowStartLimits(
+                        sharingEdges, settings.number("warmRatio"), settings.number("warmSlack")),
+                new LoadBalancerParameters.EjectionTimes(
+                        settings.part("leaveBoundMs", 0.25), settings.part("leaveBoundMs", 2)),
+                new LoadBalancerParameters.DistanceCosts(
+                        settings.number("districtCost"), settings.number("regionCost")));
     }
 
+    /** Returns the parameters of the admission and execution of clients' requests. */
     ProxyLimits proxy() {
         return new ProxyLimits(
                 (int) settings.ms("askOpenMax"),
@@ -166,8 +205,8 @@
                 20 * settings.ms("farMs"),
                 4 * settings.ms("farMs"),
                 settings.ms("retryAfterMs"),
-                3,
-                settings.number("retryShare") * 0.9,
+                REQUEST_ATTEMPTS,
+                settings.number("retryShare") * RETRY_SHARE_RATIO,
                 settings.number("retryAllowance"),
                 settings.ms("askSpanMaxMs"),
                 settings.part("claimKeepMs", 0.01),
@@ -180,13 +219,14 @@
                         settings.ms("any500") == 1));
     }
 
+    /** Returns the parameters of the graceful shutdown, as ratios of the longest time that it may take. */
     GracefulShutdown.Timing gracefulShutdown() {
         return new GracefulShutdown.Timing(
                 settings.part("stopWaitMs", 0.2),
                 settings.part("stopWaitMs", 0.75),
                 settings.part("stopWaitMs", 0.9),
                 settings.ms("stopWaitMs"),
-                20,
-                50);
+                SHUTDOWN_CHECK_MS,
+                SHUTDOWN_WRITE_MS);
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
@@ -11,7 +11,7 @@
 
 class ConfigurationValidatorTest {
     private static final ConfigurationValidator VALIDATOR =
-            new ConfigurationValidator(new CallRegistry().file().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
+            new ConfigurationValidator(new CallRegistry().schema().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
 
     private static ObjectNode configuration() {
         final ObjectNode configuration = ConfigurationStore.JSON.createObjectNode();
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -13,6 +13,7 @@
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
 import spokestall.discovery.EndpointRegistry;
+import spokestall.discovery.HealthSource;
 import spokestall.gossip.NodeInfo;
 import spokestall.message.Fingerprints;
 import spokestall.message.Message;
@@ -45,7 +46,7 @@
         configurationStore.load(snapshot(BASE + 1));
         client = new FeedClient(
                 new Edge(),
-                new FeedReplica(configurationStore, new EndpointRegistry(7, 64, 4000, true), proposer),
+                new FeedReplica(configurationStore, new EndpointRegistry(7, 64, 4000, HealthSource.PROBES), proposer),
                 (to, message) -> sent.add(new Sent(to, message)),
                 clock,
                 new FeedClient.Timings(1000, 32, 3 * TICK_MS, 64, false),
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -5,12 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import spokestall.discovery.Endpoint;
-import spokestall.discovery.HealthChecker;
+import spokestall.discovery.DiscoveryClient;
+import spokestall.discovery.ListedEndpoint;
+import spokestall.discovery.ProbeResult;
 import spokestall.message.Header;
 import spokestall.message.ResponseContent;
 import spokestall.proxy.Attempt;
@@ -20,8 +22,11 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.standin.UpstreamStandIn;
 import spokestall.testbed.verdict.Ledger;
+import spokestall.usage.ReportCallback;
+import spokestall.usage.ReportResult;
 import spokestall.usage.SealedWindow;
-import spokestall.usage.UsageReporter;
+import spokestall.usage.SendDeadline;
+import spokestall.usage.UsageReportClient;
 
 /** The upstreams and the platform of a simulated run. */
 final class SimulatedEnvironment {
@@ -63,7 +68,7 @@
     private final Map<String, Up> byAddress = new TreeMap<>();
     private final Map<String, Up> byInstance = new LinkedHashMap<>();
     private final Map<String, Integer> turns = new TreeMap<>();
-    private List<Endpoint> list = new ArrayList<>();
+    private List<ListedEndpoint> list = new ArrayList<>();
     private int made;
     private long lastGapMs = -20_000;
 
@@ -107,10 +112,10 @@
 
     /** The platform's list is made anew now and then, so it lags. */
     private void refresh() {
-        final List<Endpoint> now = new ArrayList<>();
+        final List<ListedEndpoint> now = new ArrayList<>();
         byInstance.values().forEach(u -> {
             if (u.listed) {
-                now.add(Endpoint.read(
+                now.add(new ListedEndpoint(
                         u.instance,
                         u.service,
                         u.address,
@@ -131,7 +136,7 @@
     }
 
     /** The rim of one life. */
-    final class NodeEnvironment implements UpstreamClient, HealthChecker.Reach, UsageReporter.Platform {
+    final class NodeEnvironment implements UpstreamClient, DiscoveryClient, UsageReportClient {
         private final SimulatedNode node;
         private final long incarnation;
 
@@ -145,26 +150,26 @@
         }
 
         @Override
-        public void list(final long waitMs, final Consumer<List<Endpoint>> done) {
-            final List<Endpoint> now = list;
-            back(10 + random.nextInt(40), () -> done.accept(now));
+        public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+            final List<ListedEndpoint> now = list;
+            back(10 + random.nextInt(40), () -> done.accept(Optional.of(now)));
         }
 
         @Override
-        public void probe(final String address, final long waitMs, final Consumer<HealthChecker.Probe> done) {
+        public void probe(final String address, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
             final Up up = byAddress.get(address);
             final long way = world.net.wayMs(node.address, address);
             if (up == null || way < 0 || !up.running) {
-                back(way < 0 ? waitMs : 2 * way, () -> done.accept(null));
+                back(way < 0 ? timeoutMs : 2 * way, () -> done.accept(Optional.empty()));
                 return;
             }
             back(
                     2 * way + 1,
                     () -> done.accept(
                             !up.running
-                                    ? null
-                                    : new HealthChecker.Probe(
-                                            up.instance, up.service, up.leaving, world.sim.nowMs() - up.readyAtMs)));
+                                    ? Optional.empty()
+                                    : Optional.of(new ProbeResult(
+                                            up.instance, up.service, up.leaving, world.sim.nowMs() - up.readyAtMs))));
         }
 
         @Override
@@ -173,11 +178,11 @@
                 final long token,
                 final SealedWindow sealed,
                 final long waitMs,
-                final LongSupplier until,
-                final Consumer<Boolean> done) {
+                final SendDeadline deadline,
+                final ReportCallback callback) {
             final long way = 5L + random.nextInt(20);
             // Connecting takes a round trip; the check is made when the bytes are about to leave.
-            leave(2 * way, until, () -> done.accept(false), () -> {
+            leave(2 * way, deadline::latestMs, () -> callback.onResult(ReportResult.UNCONFIRMED), () -> {
                 final TreeMap<String, Long> counts = new TreeMap<>(sealed.counts());
                 if (world.injectedFault == InjectedFault.SWAPPED_TENANTS) {
                     final Long first = counts.get(Deployment.tenant(0));
@@ -191,7 +196,9 @@
                                     new Ledger.Reported(holder, token, sealed.window(), counts, world.sim.nowMs())));
                 }
                 final boolean lost = random.nextInt(50) == 0;
-                back(lost ? waitMs : 2 * way, () -> done.accept(!lost));
+                back(
+                        lost ? waitMs : 2 * way,
+                        () -> callback.onResult(lost ? ReportResult.UNCONFIRMED : ReportResult.ACCEPTED));
             });
         }
 
