--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -306,7 +306,8 @@
                 key,
                 timeouts.storeWaitMs(),
                 value -> ifOwned(value, ended, Lease::release),
-                outcome -> onReleaseEnded(outcome instanceof ProposalOutcome.Committed ? "released" : "outcome_unknown"));
+                outcome ->
+                        onReleaseEnded(outcome instanceof ProposalOutcome.Committed ? "released" : "outcome_unknown"));
     }
 
     private void onReleaseEnded(final String reason) {
--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -4,10 +4,6 @@
 import spokestall.consensus.Proposer;
 import spokestall.consensus.Register;
 import spokestall.lease.LeaseManager;
-import spokestall.lease.LeaseTimeouts;
-import spokestall.lease.LeaseTimeouts;
-import spokestall.lease.LeaseTimeouts;
-import spokestall.lease.LeaseTimeouts;
 import spokestall.message.MessageCodec;
 import spokestall.usage.SealedWindow;
 
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -12,24 +12,12 @@
 import spokestall.consensus.Acceptor;
 import spokestall.discovery.EndpointRegistry;
 import spokestall.lease.LeaseManager;
-import spokestall.lease.LeaseTimeouts;
-import spokestall.lease.LeaseTimeouts;
-import spokestall.lease.LeaseTimeouts;
-import spokestall.lease.LeaseTimeouts;
 import spokestall.message.Message;
 import spokestall.proxy.AdmissionController;
 import spokestall.proxy.EdgeDirectory;
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsUpdate;
 import spokestall.usage.UsageCounter;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
 
 /**
  * One node of the fleet, a core or an edge: its lifecycle, and access to its components.
--- a/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
+++ b/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
@@ -7,14 +7,6 @@
 import spokestall.proxy.UpstreamClient;
 import spokestall.storage.SegmentStore;
 import spokestall.time.Clock;
-import spokestall.usage.UsageReporter;
-import spokestall.usage.ReportSchedule;
-import spokestall.usage.UsageReportClient;
-import spokestall.usage.ReportSchedule;
-import spokestall.usage.UsageReportClient;
-import spokestall.usage.ReportSchedule;
-import spokestall.usage.UsageReportClient;
-import spokestall.usage.ReportSchedule;
 import spokestall.usage.UsageReportClient;
 
 /**
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -19,14 +19,6 @@
 import spokestall.proxy.UpstreamClient;
 import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageCounter;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
-import spokestall.usage.CounterLimits;
-import spokestall.usage.EdgeIdentity;
 import spokestall.usage.UsageMessage;
 
 /**
--- a/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
@@ -53,8 +53,8 @@
             restartedUntilMs.remove(upstream.instance());
             return true;
         }
-        final double ratePerS =
-                limits.rampRatio() * service.slowStartPerSecond() * ramp(service, ageMs, restarted) + limits.slackPerS();
+        final double ratePerS = limits.rampRatio() * service.slowStartPerSecond() * ramp(service, ageMs, restarted)
+                + limits.slackPerS();
         final double ownRatePerS = ratePerS / limits.sharingEdges().getAsInt();
         return rates.computeIfAbsent(upstream.instance(), i -> new SlowStart(clock.nowMs()))
                 .spend(clock.nowMs(), ownRatePerS, BURST);
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
@@ -10,8 +10,8 @@
 import spokestall.api.CallRegistry;
 
 class ConfigurationValidatorTest {
-    private static final ConfigurationValidator VALIDATOR =
-            new ConfigurationValidator(new CallRegistry().schema().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
+    private static final ConfigurationValidator VALIDATOR = new ConfigurationValidator(
+            new CallRegistry().schema().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1"));
 
     private static ObjectNode configuration() {
         final ObjectNode configuration = ConfigurationStore.JSON.createObjectNode();
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -93,7 +93,8 @@
                         context.random.nextInt(50_000),
                         () -> frozenUntilMs[context.random.nextInt(4)] =
                                 context.clock.nowMs() + 1000 + context.random.nextInt(5000));
-                context.clock.after(context.random.nextInt(50_000), () -> context.powerCycle(context.random.nextInt(6)));
+                context.clock.after(
+                        context.random.nextInt(50_000), () -> context.powerCycle(context.random.nextInt(6)));
             }
             for (long atMs = 200; atMs < 60_000; atMs += 20) {
                 context.run(atMs);
