--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -228,7 +228,7 @@
     }
 
     private void propose(final Attempt attempt, final long leftMs) {
-        final byte[] value = MessageCodec.bytes(attempt.change);
+        final byte[] value = MessageCodec.encodeRecord(attempt.change);
         attempts.add(attempt);
         proposer.change(
                 ConfigurationKeys.key(attempt.next),
@@ -285,7 +285,9 @@
     }
 
     private static boolean same(final byte[] value, final ConfigurationChange change) {
-        return MessageCodec.record(value, ConfigurationChange.class).changeId().equals(change.changeId());
+        return MessageCodec.decodeRecord(value, ConfigurationChange.class)
+                .changeId()
+                .equals(change.changeId());
     }
 
     private void chosen(final Attempt attempt, final byte[] value) {
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -473,7 +473,8 @@
             final long before = configurationStore.configuration().version();
             configurationStore.apply(
                     version,
-                    spokestall.message.MessageCodec.record(value, spokestall.configuration.ConfigurationChange.class));
+                    spokestall.message.MessageCodec.decodeRecord(
+                            value, spokestall.configuration.ConfigurationChange.class));
             LOG.atInfo().log(
                     "event=policy node=%s version=%s before=%s", self.get().name(), version, before);
             applied.run();
--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -73,10 +73,10 @@
         final byte[] kept = segmentedLog.table().get(FLOOR);
         floor = kept == null ? 0 : ByteBuffer.wrap(kept).getLong();
         final byte[] table = segmentedLog.table().get(VOTER_SET);
-        voterSet = table == null ? null : MessageCodec.record(table, VoterSet.class);
+        voterSet = table == null ? null : MessageCodec.decodeRecord(table, VoterSet.class);
         segmentedLog.table().forEach((key, value) -> {
             if (!key.startsWith("~")) {
-                registers.put(key, MessageCodec.record(value, Register.class));
+                registers.put(key, MessageCodec.decodeRecord(value, Register.class));
             }
         });
         final byte[] caught = segmentedLog.table().get(CAUGHT);
@@ -202,7 +202,7 @@
         if (was != State.RESIGNED || newGeneration) {
             change(State.CATCHING_UP, "table");
         }
-        segmentedLog.put(VOTER_SET, MessageCodec.bytes(table), ok -> {
+        segmentedLog.put(VOTER_SET, MessageCodec.encodeRecord(table), ok -> {
             if (!ok || mark != tableEpochDown || state == State.RESIGNED) {
                 return;
             }
@@ -277,7 +277,7 @@
         voterSet = table;
         final long mark = ++tableEpochDown;
         change(State.CATCHING_UP, "founded");
-        segmentedLog.put(VOTER_SET, MessageCodec.bytes(table), ok -> {});
+        segmentedLog.put(VOTER_SET, MessageCodec.encodeRecord(table), ok -> {});
         for (final ConsensusMessage.Entry entry : entries) {
             store(entry.key(), entry.register(), ok -> {});
         }
@@ -468,7 +468,7 @@
         assert had == null || had.accepted().compareTo(now.accepted()) <= 0 : "an accepted rank fell on " + key;
         before.putIfAbsent(key, had == null ? Register.EMPTY : had);
         onTheWay.merge(key, 1, Integer::sum);
-        segmentedLog.put(key, MessageCodec.bytes(now), ok -> {
+        segmentedLog.put(key, MessageCodec.encodeRecord(now), ok -> {
             if (onTheWay.merge(key, -1, Integer::sum) == 0) {
                 onTheWay.remove(key);
                 before.remove(key);
--- a/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -30,7 +30,7 @@
 /** The wires to other processes: framed messages over TCP, one wire out to each, with a bounded queue in front. */
 public final class TcpTransport implements MessageSender {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int FRAME_MAX = MessageCodec.FIELD_MAX + (1 << 20);
+    private static final int FRAME_MAX = MessageCodec.MAX_FIELD_BYTES + (1 << 20);
     private static final int QUEUE_FRAMES = 4096;
     private static final long QUEUE_BYTES = 2L * FRAME_MAX;
     private static final long AGAIN_MS = 200;
@@ -103,7 +103,7 @@
 
     @Override
     public void send(final String address, final Message message) {
-        outs.computeIfAbsent(address, Out::new).send(MessageCodec.message(message, version));
+        outs.computeIfAbsent(address, Out::new).send(MessageCodec.encode(message, version));
     }
 
     private void read(final StreamConnection connection) {
@@ -179,10 +179,11 @@
         /** What came after this program is skipped, and named once; the wire stays. */
         private void take() throws IOException {
             try {
-                heard.accept(MessageCodec.message(frame.array()));
+                heard.accept(MessageCodec.decode(frame.array()));
             } catch (final UnknownMessageException e) {
                 if (unknown.size() < UNKNOWN_MAX && unknown.add(e.getMessage())) {
-                    LOG.atWarning().log("event=note_unknown what=\"%s\" own=%s", e.getMessage(), MessageCodec.VERSION);
+                    LOG.atWarning().log(
+                            "event=note_unknown what=\"%s\" own=%s", e.getMessage(), MessageCodec.CURRENT_VERSION);
                 }
             }
         }
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -147,7 +147,7 @@
         }
         final Register copy = own.get();
         if (copy != null) {
-            glance(copy.value() == null ? null : MessageCodec.record(copy.value(), Lease.class));
+            glance(copy.value() == null ? null : MessageCodec.decodeRecord(copy.value(), Lease.class));
         }
         if (copy != null && looked && !strange && !due()) {
             return;
@@ -157,7 +157,7 @@
             reading = false;
             if (state == State.WATCHING && outcome instanceof ProposalOutcome.Done done) {
                 strange = false;
-                looked(done.value() == null ? null : MessageCodec.record(done.value(), Lease.class));
+                looked(done.value() == null ? null : MessageCodec.decodeRecord(done.value(), Lease.class));
             }
         });
     }
@@ -257,7 +257,7 @@
                 Lease.key(duty),
                 timing.storeWaitMs(),
                 value -> {
-                    final Lease now = value == null ? null : MessageCodec.record(value, Lease.class);
+                    final Lease now = value == null ? null : MessageCodec.decodeRecord(value, Lease.class);
                     if (now != null && now.owner().equals(owner)) {
                         return new RegisterEdit.Set(value);
                     }
@@ -269,8 +269,8 @@
                     final long first = proposer.voterSet().firstNumber();
                     final long token = Math.max(now == null ? 0 : now.token(), first) + 1;
                     return free
-                            ? new RegisterEdit.Set(
-                                    MessageCodec.bytes(new Lease(owner, name, 0, token, timing.leaseMs(), false)))
+                            ? new RegisterEdit.Set(MessageCodec.encodeRecord(
+                                    new Lease(owner, name, 0, token, timing.leaseMs(), false)))
                             : RegisterEdit.LEAVE;
                 },
                 outcome -> acquired(outcome, owner, executionId, requestedMs));
@@ -292,7 +292,7 @@
         seen = null;
         looked = false;
         if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
-            final Lease now = MessageCodec.record(done.value(), Lease.class);
+            final Lease now = MessageCodec.decodeRecord(done.value(), Lease.class);
             seen = now;
             seenMs = nowMs;
             looked = true;
@@ -326,9 +326,9 @@
 
     /** Compares and sets: the lease is changed only while it is this execution's and not released. */
     private static RegisterEdit ifOwned(final byte[] value, final LeaseSession mine, final UnaryOperator<Lease> next) {
-        final Lease now = value == null ? null : MessageCodec.record(value, Lease.class);
+        final Lease now = value == null ? null : MessageCodec.decodeRecord(value, Lease.class);
         final boolean own = now != null && now.owner().equals(mine.owner()) && !now.released();
-        return own ? new RegisterEdit.Set(MessageCodec.bytes(next.apply(now))) : RegisterEdit.LEAVE;
+        return own ? new RegisterEdit.Set(MessageCodec.encodeRecord(next.apply(now))) : RegisterEdit.LEAVE;
     }
 
     private void renew(final LeaseSession mine) {
@@ -353,7 +353,7 @@
         final long nowMs = clock.nowMs();
         final boolean good = outcome instanceof ProposalOutcome.Done done
                 && done.wrote()
-                && MessageCodec.record(done.value(), Lease.class).owner().equals(mine.owner());
+                && MessageCodec.decodeRecord(done.value(), Lease.class).owner().equals(mine.owner());
         final boolean timely = nowMs - requestedMs <= timing.storeWaitMs() && mine.mayWork(nowMs);
         return good && timely ? Math.max(0, requestedMs + timing.leaseMs() - timing.marginMs() - nowMs) : 0;
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -146,7 +146,7 @@
         this.membership = new ReconfigurationPlanner(name, mostLost);
         this.silence = new PeerLiveness(timing.sayMs());
         final byte[] had = acceptor.own(FORM);
-        kept = had == null ? null : MessageCodec.record(had, Kept.class);
+        kept = had == null ? null : MessageCodec.decodeRecord(had, Kept.class);
         if (kept != null && kept.base == generation()) {
             acceptor.resign(kept.base);
         }
@@ -551,7 +551,7 @@
                 p.base(), p.proposalNumber(), same ? kept.accepted : ProposalNumber.NONE, same ? kept.founding : null);
         acceptor.resign(p.base());
         final Kept now = kept;
-        acceptor.keepOwn(FORM, MessageCodec.bytes(now), ok -> {
+        acceptor.keepOwn(FORM, MessageCodec.encodeRecord(now), ok -> {
             if (ok) {
                 post.send(
                         p.from(),
@@ -612,7 +612,7 @@
         }
         kept = new Kept(a.base(), a.proposalNumber(), a.proposalNumber(), a.founding());
         acceptor.resign(a.base());
-        acceptor.keepOwn(FORM, MessageCodec.bytes(kept), ok -> {
+        acceptor.keepOwn(FORM, MessageCodec.encodeRecord(kept), ok -> {
             if (ok) {
                 post.send(
                         a.from(),
@@ -745,7 +745,7 @@
 
     private void propose(final VoterSet next) {
         changing = true;
-        final byte[] mine = MessageCodec.bytes(next);
+        final byte[] mine = MessageCodec.encodeRecord(next);
         proposer.change(
                 VoterSet.key(next.generation(), next.epoch()),
                 timing.roundMs() * 2,
@@ -756,7 +756,7 @@
     private void changed(final ProposalOutcome outcome) {
         changing = false;
         if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
-            final VoterSet table = MessageCodec.record(done.value(), VoterSet.class);
+            final VoterSet table = MessageCodec.decodeRecord(done.value(), VoterSet.class);
             adopt(table);
             for (final String other : others.get()) {
                 post.send(other, new ConsensusMessage.Table(table));
--- a/spokestall/src/main/java/spokestall/message/Fingerprints.java
+++ b/spokestall/src/main/java/spokestall/message/Fingerprints.java
@@ -1,16 +1,22 @@
 package spokestall.message;
 
-/** Long texts as one number each, to be compared in their place. */
+/**
+ * 64-bit fingerprints of texts, so that messages can compare long texts by one number. They are part of messages, so their
+ * values must stay. Not for untrusted input: equal fingerprints of different texts are easy to construct.
+ */
 public final class Fingerprints {
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
     private Fingerprints() {}
 
-    /** Never zero. */
+    /** Returns a text's fingerprint, FNV-1a over its UTF-16 code units with the upper half folded in; never zero. */
     public static long of(final String text) {
-        long h = 0xcbf29ce484222325L;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        h ^= h >>> 32;
-        return h == 0 ? 1 : h;
+        hash ^= hash >>> 32;
+        return hash == 0 ? 1 : hash;
     }
 }
--- a/spokestall/src/main/java/spokestall/message/Header.java
+++ b/spokestall/src/main/java/spokestall/message/Header.java
@@ -1,4 +1,4 @@
 package spokestall.message;
 
-/** One header field as it stood on a wire. */
+/** One HTTP header field, its name in the case in which it was received. */
 public record Header(String name, String value) {}
--- a/spokestall/src/main/java/spokestall/message/Message.java
+++ b/spokestall/src/main/java/spokestall/message/Message.java
@@ -1,4 +1,4 @@
 package spokestall.message;
 
-/** A record that one process sends to another. Every kind has a number in the {@link MessageCodec}'s table. */
+/** A record that one node sends to another. Each type of message has a number in {@link MessageRegistry}. */
 public interface Message {}
--- a/spokestall/src/main/java/spokestall/message/MessageSender.java
+++ b/spokestall/src/main/java/spokestall/message/MessageSender.java
@@ -1,7 +1,10 @@
 package spokestall.message;
 
-/** Sends messages to other processes, as well as it can: a note may be lost, late or come twice. */
+/**
+ * Sends messages to other nodes without any guarantee: a message may be lost, delayed, duplicated or reordered, and the sender
+ * isn't notified.
+ */
 public interface MessageSender {
-    /** Example: {@code post.send("127.0.0.1:7101", new Tick(...));} */
+    /** Sends a message to the node at an address (IP and port). Returns at once and doesn't throw if the node can't be reached. */
     void send(String address, Message message);
 }
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/message/RecordLayout.java
@@ -0,0 +1,128 @@
+package spokestall.message;
+
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.lang.reflect.Constructor;
+import java.lang.reflect.Method;
+import java.lang.reflect.RecordComponent;
+import java.lang.reflect.Type;
+
+/**
+ * The order and types of a record type's fields, as read once by reflection. Writes and reads the fields of one record; the
+ * byte that says whether the record is present is the caller's.
+ *
+ * <p>Thread-safe: immutable.
+ */
+final class RecordLayout {
+    private static final ClassValue<RecordLayout> LAYOUTS = new ClassValue<>() {
+        @Override
+        protected RecordLayout computeValue(final Class<?> type) {
+            return new RecordLayout(type);
+        }
+    };
+
+    /** One field: {@code absent} is its value where a message's version lacks it. */
+    private record Field(Method accessor, Type type, int sinceVersion, Object absent) {}
+
+    private final Field[] fields;
+    private final Constructor<?> constructor;
+
+    private RecordLayout(final Class<?> type) {
+        final RecordComponent[] components = type.getRecordComponents();
+        if (components == null) {
+            throw new IllegalStateException(type + " is no record");
+        }
+        final Class<?>[] types = new Class<?>[components.length];
+        fields = new Field[components.length];
+        for (int i = 0; i < components.length; i++) {
+            types[i] = components[i].getType();
+            final Method accessor = components[i].getAccessor();
+            accessor.setAccessible(true);
+            fields[i] =
+                    new Field(accessor, components[i].getGenericType(), sinceVersion(components[i]), absent(types[i]));
+        }
+        try {
+            constructor = type.getDeclaredConstructor(types);
+            constructor.setAccessible(true);
+        } catch (final NoSuchMethodException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** Returns a record type's layout; throws {@link IllegalStateException} if the type is no record. */
+    static RecordLayout of(final Class<?> type) {
+        return LAYOUTS.get(type);
+    }
+
+    private static int sinceVersion(final RecordComponent component) {
+        final SinceVersion since = component.getAnnotation(SinceVersion.class);
+        return since == null ? MessageCodec.OLDEST_VERSION : since.value();
+    }
+
+    private static Object absent(final Class<?> type) {
+        return type == boolean.class
+                ? (Object) false
+                : type == int.class ? (Object) 0 : type == long.class ? (Object) 0L : null;
+    }
+
+    /** Writes the fields that a version has. */
+    void write(final DataOutputStream out, final Object record, final int version) throws IOException {
+        try {
+            for (final Field field : fields) {
+                if (field.sinceVersion <= version) {
+                    RecordEncoder.write(out, field.type, field.accessor.invoke(record), version);
+                }
+            }
+        } catch (final ReflectiveOperationException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** Writes the fields that the oldest version lacks, as they follow the others in a stored record. */
+    void writeLaterFields(final DataOutputStream out, final Object record) throws IOException {
+        try {
+            for (final Field field : fields) {
+                if (field.sinceVersion > MessageCodec.OLDEST_VERSION) {
+                    RecordEncoder.write(out, field.type, field.accessor.invoke(record), MessageCodec.OLDEST_VERSION);
+                }
+            }
+        } catch (final ReflectiveOperationException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** Reads a record from the fields that a version has. */
+    Object read(final DataInputStream in, final int version) throws IOException {
+        return construct(values(in, version));
+    }
+
+    /** Reads a stored record, whose later fields are missing from some field on if an older program wrote it. */
+    Object readStored(final DataInputStream in) throws IOException {
+        final Object[] values = values(in, MessageCodec.OLDEST_VERSION);
+        for (int i = 0; i < fields.length; i++) {
+            if (fields[i].sinceVersion > MessageCodec.OLDEST_VERSION && in.available() > 0) {
+                values[i] = RecordDecoder.read(in, fields[i].type, MessageCodec.OLDEST_VERSION);
+            }
+        }
+        return construct(values);
+    }
+
+    private Object[] values(final DataInputStream in, final int version) throws IOException {
+        final Object[] values = new Object[fields.length];
+        for (int i = 0; i < fields.length; i++) {
+            values[i] = fields[i].sinceVersion > version
+                    ? fields[i].absent
+                    : RecordDecoder.read(in, fields[i].type, version);
+        }
+        return values;
+    }
+
+    private Object construct(final Object[] values) throws IOException {
+        try {
+            return constructor.newInstance(values);
+        } catch (final ReflectiveOperationException e) {
+            throw new IOException("bad " + constructor.getDeclaringClass().getSimpleName(), e);
+        }
+    }
+}
--- a/spokestall/src/main/java/spokestall/message/SinceVersion.java
+++ b/spokestall/src/main/java/spokestall/message/SinceVersion.java
@@ -5,11 +5,14 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** Marks a field of a record that messages have from a version on: where it is absent, it is read as zero, false or null. A
- * record alone has such fields behind all others, where older programs don't look. */
+/**
+ * Marks a field that a record did not have in the first version. Messages of older versions lack it, and it is decoded as zero,
+ * false or null: its type is long, int, boolean or one that may be null. In a stored record such fields follow all others, where
+ * older programs don't read.
+ */
 @Target(ElementType.RECORD_COMPONENT)
 @Retention(RetentionPolicy.RUNTIME)
 public @interface SinceVersion {
-    /** The first version with it. */
+    /** The first version of messages that has the field. */
     int value();
 }
--- a/spokestall/src/main/java/spokestall/message/UnknownMessageException.java
+++ b/spokestall/src/main/java/spokestall/message/UnknownMessageException.java
@@ -2,11 +2,14 @@
 
 import java.io.IOException;
 
-/** A whole note that this program can't read: of a kind, or in a version, that came after it. The wire itself is good. */
+/**
+ * A complete frame is of a version or type that this program doesn't know, as a newer program sends it. The receiver skips the
+ * frame; the connection stays usable.
+ */
 public final class UnknownMessageException extends IOException {
     private static final long serialVersionUID = 1;
 
-    UnknownMessageException(final String what) {
-        super(what);
+    UnknownMessageException(final String versionOrType) {
+        super(versionOrType);
     }
 }
--- a/spokestall/src/main/java/spokestall/message/VarInts.java
+++ b/spokestall/src/main/java/spokestall/message/VarInts.java
@@ -4,36 +4,45 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** Whole numbers in as many bytes as they need: seven bits a byte, the lowest first, the upper bit says that more come. */
+/**
+ * Integers of variable length (LEB128): seven bits a byte, the lowest first; the upper bit says that another byte follows.
+ * Signed values are zigzag-coded first, so that small negative ones are short too.
+ */
 final class VarInts {
-    private static final int BYTES_MAX = 10;
+    private static final int MAX_BYTES = 10;
+    private static final int BITS_PER_BYTE = 7;
+    private static final int VALUE_BITS = 0x7f;
+    private static final int CONTINUATION_BIT = 0x80;
 
     private VarInts() {}
 
-    /** Small negative numbers become small ones: 0, -1, 1, -2 are folded to 0, 1, 2, 3. */
-    static long folded(final long value) {
+    /** Maps 0, -1, 1, -2, ... to 0, 1, 2, 3, ... */
+    static long zigZag(final long value) {
         return value << 1 ^ value >> 63;
     }
 
-    static long unfolded(final long value) {
+    /** Reverses {@link #zigZag}. */
+    static long unZigZag(final long value) {
         return value >>> 1 ^ -(value & 1);
     }
 
+    /** Writes a value, taken as unsigned, in one to ten bytes. */
     static void write(final DataOutputStream out, final long value) throws IOException {
-        long left = value;
-        while ((left & ~0x7fL) != 0) {
-            out.writeByte((int) (left & 0x7f | 0x80));
-            left >>>= 7;
+        long rest = value;
+        while ((rest & ~(long) VALUE_BITS) != 0) {
+            out.writeByte((int) (rest & VALUE_BITS | CONTINUATION_BIT));
+            rest >>>= BITS_PER_BYTE;
         }
-        out.writeByte((int) left);
+        out.writeByte((int) rest);
     }
 
+    /** Reads a value; throws {@link IOException} if it has more than ten bytes. */
     static long read(final DataInputStream in) throws IOException {
         long value = 0;
-        for (int i = 0; i < BYTES_MAX; i++) {
-            final int one = in.readUnsignedByte();
-            value |= (long) (one & 0x7f) << 7 * i;
-            if (one < 0x80) {
+        for (int i = 0; i < MAX_BYTES; i++) {
+            final int next = in.readUnsignedByte();
+            value |= (long) (next & VALUE_BITS) << BITS_PER_BYTE * i;
+            if (next < CONTINUATION_BIT) {
                 return value;
             }
         }
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -64,7 +64,7 @@
     void open() {
         final byte[] stored = acceptor.own(POLICY);
         if (stored != null) {
-            final ConfigurationSnapshot snapshot = MessageCodec.record(stored, ConfigurationSnapshot.class);
+            final ConfigurationSnapshot snapshot = MessageCodec.decodeRecord(stored, ConfigurationSnapshot.class);
             configurationStore.load(snapshot);
             snapshotDown = snapshot.version();
             raiseFloor();
@@ -99,7 +99,7 @@
         configurationDirty = false;
         keepingConfiguration = true;
         final long version = configurationStore.configuration().version();
-        acceptor.keepOwn(POLICY, MessageCodec.bytes(configurationStore.snapshot()), ok -> {
+        acceptor.keepOwn(POLICY, MessageCodec.encodeRecord(configurationStore.snapshot()), ok -> {
             keepingConfiguration = false;
             if (ok) {
                 snapshotDown = version;
--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -61,7 +61,8 @@
         final Map<Long, ConfigurationChange> after = node.configurationStore.after(version - 1);
         final ConfigurationChange change = after == null ? null : after.get(version);
         final FeedMessage.FeedUpdate update = new FeedMessage.FeedUpdate(
-                version, change == null || change.json().length > UPDATE_BYTES_MAX ? null : MessageCodec.bytes(change));
+                version,
+                change == null || change.json().length > UPDATE_BYTES_MAX ? null : MessageCodec.encodeRecord(change));
         all.forEach(to -> node.context.post.send(to, update));
     }
 
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -46,10 +46,10 @@
             if (IdempotencyClaim.isKey(key) || key.startsWith("usage/")) {
                 entries.add(entry(key, r.value()));
             } else if (key.startsWith("duty/") && !key.equals(FLOOR)) {
-                final Lease l = MessageCodec.record(r.value(), Lease.class);
+                final Lease l = MessageCodec.decodeRecord(r.value(), Lease.class);
                 entries.add(entry(
                         key,
-                        MessageCodec.bytes(
+                        MessageCodec.encodeRecord(
                                 new Lease(l.owner(), l.holder(), l.renewal(), l.token(), l.spanMs(), false))));
             }
         });
@@ -85,7 +85,7 @@
         final ConfigurationStore configurationStore = new ConfigurationStore(1);
         for (final SurvivingState r : survivingState) {
             if (r.configuration() != null) {
-                configurationStore.load(MessageCodec.record(r.configuration(), ConfigurationSnapshot.class));
+                configurationStore.load(MessageCodec.decodeRecord(r.configuration(), ConfigurationSnapshot.class));
             }
         }
         newest.forEach((key, r) -> {
@@ -93,10 +93,10 @@
             final boolean first = version == (version >> VoterSet.GENERATION_SHIFT) << VoterSet.GENERATION_SHIFT;
             if (version > configurationStore.configuration().version()
                     && (first || version == configurationStore.configuration().version() + 1)) {
-                configurationStore.apply(version, MessageCodec.record(r.value(), ConfigurationChange.class));
+                configurationStore.apply(version, MessageCodec.decodeRecord(r.value(), ConfigurationChange.class));
             }
         });
-        return MessageCodec.bytes(new ConfigurationChange(
+        return MessageCodec.encodeRecord(new ConfigurationChange(
                 "founding-" + generation,
                 ConfigurationChange.Kind.PUT,
                 configurationStore.snapshot().json(),
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -192,7 +192,7 @@
                 context.name,
                 table == null ? 0 : table.generation(),
                 version,
-                version == 0 ? null : MessageCodec.bytes(configurationStore.snapshot()),
+                version == 0 ? null : MessageCodec.encodeRecord(configurationStore.snapshot()),
                 tokenSeen.getAsLong(),
                 hasState,
                 registers);
--- a/spokestall/src/main/java/spokestall/node/MessageNumbers.java
+++ b/spokestall/src/main/java/spokestall/node/MessageNumbers.java
@@ -7,7 +7,7 @@
 import spokestall.handoff.HandoffMessage;
 import spokestall.membership.BootstrapMessage;
 import spokestall.membership.MembershipMessage;
-import spokestall.message.MessageCodec;
+import spokestall.message.MessageRegistry;
 import spokestall.usage.UsageMessage;
 
 /** The numbers of all messages. A number is never given to another kind. */
@@ -15,42 +15,42 @@
     private MessageNumbers() {}
 
     static void number() {
-        MessageCodec.number(1, GossipMessage.Shuffle.class);
-        MessageCodec.number(10, ConsensusMessage.Prepare.class);
-        MessageCodec.number(11, ConsensusMessage.Promise.class);
-        MessageCodec.number(12, ConsensusMessage.Accept.class);
-        MessageCodec.number(13, ConsensusMessage.Accepted.class);
-        MessageCodec.number(14, ConsensusMessage.Chosen.class);
-        MessageCodec.number(15, ConsensusMessage.Table.class);
-        MessageCodec.number(16, ConsensusMessage.CatchUpRequest.class);
-        MessageCodec.number(17, ConsensusMessage.CatchUpResponse.class);
-        MessageCodec.number(18, ConsensusMessage.HandoverRequest.class);
-        MessageCodec.number(19, ConsensusMessage.HandoverResponse.class);
-        MessageCodec.number(20, MembershipMessage.VoterStatus.class);
-        MessageCodec.number(21, MembershipMessage.GenerationPrepare.class);
-        MessageCodec.number(22, MembershipMessage.GenerationPromise.class);
-        MessageCodec.number(23, MembershipMessage.GenerationAccept.class);
-        MessageCodec.number(24, MembershipMessage.GenerationAccepted.class);
-        MessageCodec.number(25, MembershipMessage.GenerationStarted.class);
-        MessageCodec.number(26, MembershipMessage.SurvivingStateRequest.class);
-        MessageCodec.number(27, MembershipMessage.SurvivingStateResponse.class);
-        MessageCodec.number(30, FeedMessage.FeedRequest.class);
-        MessageCodec.number(31, FeedMessage.FeedResponse.class);
-        MessageCodec.number(32, FeedMessage.FeedUpdate.class);
-        MessageCodec.number(33, FeedMessage.FreshnessRequest.class);
-        MessageCodec.number(34, FeedMessage.FreshnessResponse.class);
-        MessageCodec.number(40, DiscoveryMessage.Push.class);
-        MessageCodec.number(51, UsageMessage.CountsRequest.class);
-        MessageCodec.number(52, UsageMessage.CountsResponse.class);
-        MessageCodec.number(53, UsageMessage.Counts.class);
-        MessageCodec.number(54, UsageMessage.CountsAcknowledged.class);
-        MessageCodec.number(60, HandoffMessage.Store.class);
-        MessageCodec.number(61, HandoffMessage.Fetch.class);
-        MessageCodec.number(62, HandoffMessage.FetchResult.class);
-        MessageCodec.number(63, HandoffMessage.Hint.class);
-        MessageCodec.number(70, BootstrapMessage.Prepare.class);
-        MessageCodec.number(71, BootstrapMessage.Promise.class);
-        MessageCodec.number(72, BootstrapMessage.Accept.class);
-        MessageCodec.number(73, BootstrapMessage.Accepted.class);
+        MessageRegistry.register(1, GossipMessage.Shuffle.class);
+        MessageRegistry.register(10, ConsensusMessage.Prepare.class);
+        MessageRegistry.register(11, ConsensusMessage.Promise.class);
+        MessageRegistry.register(12, ConsensusMessage.Accept.class);
+        MessageRegistry.register(13, ConsensusMessage.Accepted.class);
+        MessageRegistry.register(14, ConsensusMessage.Chosen.class);
+        MessageRegistry.register(15, ConsensusMessage.Table.class);
+        MessageRegistry.register(16, ConsensusMessage.CatchUpRequest.class);
+        MessageRegistry.register(17, ConsensusMessage.CatchUpResponse.class);
+        MessageRegistry.register(18, ConsensusMessage.HandoverRequest.class);
+        MessageRegistry.register(19, ConsensusMessage.HandoverResponse.class);
+        MessageRegistry.register(20, MembershipMessage.VoterStatus.class);
+        MessageRegistry.register(21, MembershipMessage.GenerationPrepare.class);
+        MessageRegistry.register(22, MembershipMessage.GenerationPromise.class);
+        MessageRegistry.register(23, MembershipMessage.GenerationAccept.class);
+        MessageRegistry.register(24, MembershipMessage.GenerationAccepted.class);
+        MessageRegistry.register(25, MembershipMessage.GenerationStarted.class);
+        MessageRegistry.register(26, MembershipMessage.SurvivingStateRequest.class);
+        MessageRegistry.register(27, MembershipMessage.SurvivingStateResponse.class);
+        MessageRegistry.register(30, FeedMessage.FeedRequest.class);
+        MessageRegistry.register(31, FeedMessage.FeedResponse.class);
+        MessageRegistry.register(32, FeedMessage.FeedUpdate.class);
+        MessageRegistry.register(33, FeedMessage.FreshnessRequest.class);
+        MessageRegistry.register(34, FeedMessage.FreshnessResponse.class);
+        MessageRegistry.register(40, DiscoveryMessage.Push.class);
+        MessageRegistry.register(51, UsageMessage.CountsRequest.class);
+        MessageRegistry.register(52, UsageMessage.CountsResponse.class);
+        MessageRegistry.register(53, UsageMessage.Counts.class);
+        MessageRegistry.register(54, UsageMessage.CountsAcknowledged.class);
+        MessageRegistry.register(60, HandoffMessage.Store.class);
+        MessageRegistry.register(61, HandoffMessage.Fetch.class);
+        MessageRegistry.register(62, HandoffMessage.FetchResult.class);
+        MessageRegistry.register(63, HandoffMessage.Hint.class);
+        MessageRegistry.register(70, BootstrapMessage.Prepare.class);
+        MessageRegistry.register(71, BootstrapMessage.Promise.class);
+        MessageRegistry.register(72, BootstrapMessage.Accept.class);
+        MessageRegistry.register(73, BootstrapMessage.Accepted.class);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -215,7 +215,7 @@
     private void stored(final String key, final Register register) {
         duty.seen(key, register);
         if (register.value() != null && SealedWindow.windowOf(key) >= 0) {
-            auditor.window(MessageCodec.record(register.value(), SealedWindow.class));
+            auditor.window(MessageCodec.decodeRecord(register.value(), SealedWindow.class));
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -168,7 +168,7 @@
                 node.context.settings().ms("policyBoundMs"),
                 outcome -> {
                     if (outcome instanceof ProposalOutcome.Done d && d.value() != null) {
-                        final SealedWindow sealed = MessageCodec.record(d.value(), SealedWindow.class);
+                        final SealedWindow sealed = MessageCodec.decodeRecord(d.value(), SealedWindow.class);
                         final ObjectNode out = ConfigurationStore.JSON
                                 .createObjectNode()
                                 .put("window", sealed.window())
--- a/spokestall/src/main/java/spokestall/node/PersistedState.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -33,7 +33,7 @@
     <T extends Message> T read(final Class<T> type) {
         final byte[] had = acceptor.own(key);
         try {
-            return had == null ? null : type.cast(MessageCodec.message(had));
+            return had == null ? null : type.cast(MessageCodec.decode(had));
         } catch (final IOException | ClassCastException e) {
             LOG.atWarning().log("event=kept_unread key=%s why=\"%s\"", key, e.getMessage());
             return null;
@@ -45,7 +45,7 @@
         if (writing || change == written) {
             return;
         }
-        final byte[] bytes = MessageCodec.message(now.get(), MessageCodec.VERSION);
+        final byte[] bytes = MessageCodec.encode(now.get(), MessageCodec.CURRENT_VERSION);
         if (bytes.length > BYTES_MAX) {
             return;
         }
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -83,7 +83,7 @@
         if (!IdempotencyClaim.isKey(key) || value == null) {
             return true;
         }
-        final IdempotencyClaim claim = MessageCodec.record(value, IdempotencyClaim.class);
+        final IdempotencyClaim claim = MessageCodec.decodeRecord(value, IdempotencyClaim.class);
         return claim.ticketMs() + claimKeepMs + marginMs / 2 >= fleet.nowMs();
     }
 
@@ -91,7 +91,7 @@
     boolean over(final String key, final byte[] value) {
         if (IdempotencyClaim.isKey(key)) {
             return value != null
-                    && MessageCodec.record(value, IdempotencyClaim.class).claimedMs() + claimKeepMs + marginMs
+                    && MessageCodec.decodeRecord(value, IdempotencyClaim.class).claimedMs() + claimKeepMs + marginMs
                             < fleet.nowMs();
         }
         return gone(key);
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -82,7 +82,7 @@
         if (key.equals(LEASE) && register.value() != null) {
             tokenSeen = Math.max(
                     tokenSeen,
-                    MessageCodec.record(register.value(), Lease.class).token());
+                    MessageCodec.decodeRecord(register.value(), Lease.class).token());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -38,7 +38,7 @@
     }
 
     private static IdempotencyClaim read(final byte[] had) {
-        return had == null ? null : MessageCodec.record(had, IdempotencyClaim.class);
+        return had == null ? null : MessageCodec.decodeRecord(had, IdempotencyClaim.class);
     }
 
     void claim(
@@ -57,7 +57,7 @@
                 0,
                 "",
                 "");
-        final byte[] value = MessageCodec.bytes(mine);
+        final byte[] value = MessageCodec.encodeRecord(mine);
         parts.proposer()
                 .change(
                         key,
@@ -129,7 +129,7 @@
                             final boolean own = now != null
                                     && now.claimId().equals(mine.claimId())
                                     && now.state() == IdempotencyClaim.State.OPEN;
-                            return own ? new RegisterEdit.Set(MessageCodec.bytes(ended)) : RegisterEdit.LEAVE;
+                            return own ? new RegisterEdit.Set(MessageCodec.encodeRecord(ended)) : RegisterEdit.LEAVE;
                         },
                         outcome -> done.accept(outcome instanceof ProposalOutcome.Done d && d.wrote()));
     }
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -456,7 +456,7 @@
     /** The claim's end and the answer go to the store and to home cores; the client need not wait for it. */
     private void record(final Upstream to, final AttemptResult.Whole whole) {
         final HandoffMessage.Store keep = new HandoffMessage.Store(
-                claimManager.key(), KeyHash.hex(MessageCodec.bytes(whole.content())), whole.content());
+                claimManager.key(), KeyHash.hex(MessageCodec.encodeRecord(whole.content())), whole.content());
         parts.responseCache().keep(keep);
         for (final String core : parts.homeCores().apply(ask.tenant().homeRegions())) {
             parts.post().send(core, keep);
--- a/spokestall/src/main/java/spokestall/settings/Settings.java
+++ b/spokestall/src/main/java/spokestall/settings/Settings.java
@@ -176,10 +176,10 @@
         number("ringSegmentBytes", 8 << 20, "size of each", 1 << 16, 1 << 30);
         number(
                 "noteVersion",
-                MessageCodec.VERSION,
+                MessageCodec.CURRENT_VERSION,
                 "version of the notes this node sends; the older one while an upgrade is under way",
-                MessageCodec.OLDEST,
-                MessageCodec.VERSION);
+                MessageCodec.OLDEST_VERSION,
+                MessageCodec.CURRENT_VERSION);
         number("auditFiles", 8, "audit files kept, the oldest going first; 0: no audit is written", 0, 1000);
         number("auditFileBytes", 1 << 20, "size of each", 4096, 1 << 30);
         number("workers", 4, "worker threads; 0: the thread that reads and writes wires does their work too", 0, 256);
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -239,7 +239,7 @@
         unit.stage = Stage.SEALING;
         final Map<String, Long> counts = configurationStore.sum(unit.window);
         final byte[] value =
-                MessageCodec.bytes(new SealedWindow(unit.window, counts, mine.owner(), mine.token(), false));
+                MessageCodec.encodeRecord(new SealedWindow(unit.window, counts, mine.owner(), mine.token(), false));
         proposer.change(
                 SealedWindow.key(unit.window),
                 timing.storeWaitMs(),
@@ -248,7 +248,7 @@
                         : RegisterEdit.LEAVE,
                 outcome -> {
                     if (outcome instanceof ProposalOutcome.Done done && done.value() != null) {
-                        unit.sealed = MessageCodec.record(done.value(), SealedWindow.class);
+                        unit.sealed = MessageCodec.decodeRecord(done.value(), SealedWindow.class);
                         lastSealed = Math.max(lastSealed, unit.window);
                         unit.stage = unit.sealed.completed() ? Stage.OVER : Stage.SEND;
                     } else {
@@ -296,10 +296,11 @@
                 SealedWindow.key(unit.window),
                 timing.storeWaitMs(),
                 value -> {
-                    final SealedWindow now = value == null ? null : MessageCodec.record(value, SealedWindow.class);
+                    final SealedWindow now =
+                            value == null ? null : MessageCodec.decodeRecord(value, SealedWindow.class);
                     return now == null || now.completed()
                             ? RegisterEdit.LEAVE
-                            : new RegisterEdit.Set(MessageCodec.bytes(now.complete()));
+                            : new RegisterEdit.Set(MessageCodec.encodeRecord(now.complete()));
                 },
                 outcome -> {
                     unit.stage = Stage.OVER;
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -64,12 +64,13 @@
             for (int i = 0; i < 3000; i++) {
                 nowMs += random.nextInt(500) == 0 ? -30_000 : random.nextInt(4000);
                 final ConfigurationChange change = change(random.nextInt(50) == 0 ? 0 : nowMs);
-                final byte[] agreed = MessageCodec.bytes(change);
-                whole.apply(versions, MessageCodec.record(agreed, ConfigurationChange.class));
-                late.apply(versions, MessageCodec.record(agreed, ConfigurationChange.class));
+                final byte[] agreed = MessageCodec.encodeRecord(change);
+                whole.apply(versions, MessageCodec.decodeRecord(agreed, ConfigurationChange.class));
+                late.apply(versions, MessageCodec.decodeRecord(agreed, ConfigurationChange.class));
                 if (random.nextInt(200) == 0) {
                     late = new ConfigurationStore(4);
-                    late.load(MessageCodec.record(MessageCodec.bytes(whole.snapshot()), ConfigurationSnapshot.class));
+                    late.load(MessageCodec.decodeRecord(
+                            MessageCodec.encodeRecord(whole.snapshot()), ConfigurationSnapshot.class));
                 }
             }
             assertThat(late.orders()).isEqualTo(whole.orders());
@@ -81,21 +82,22 @@
         record OldChange(String changeId, ConfigurationChange.Kind kind, byte[] json) {}
         record OldSnapshot(long version, byte[] json, Map<String, Long> changeIds) {}
         final Map<String, Long> ids = new LinkedHashMap<>(Map.of("a", 6L));
-        final ConfigurationSnapshot read =
-                MessageCodec.record(MessageCodec.bytes(new OldSnapshot(7, PATCH, ids)), ConfigurationSnapshot.class);
+        final ConfigurationSnapshot read = MessageCodec.decodeRecord(
+                MessageCodec.encodeRecord(new OldSnapshot(7, PATCH, ids)), ConfigurationSnapshot.class);
         final ConfigurationStore configurationStore = new ConfigurationStore(4);
         configurationStore.load(read);
         assertThat(configurationStore.versionOf("a")).isEqualTo(6);
         configurationStore.apply(
                 8,
-                MessageCodec.record(
-                        MessageCodec.bytes(new OldChange("b", ConfigurationChange.Kind.PATCH, PATCH)),
+                MessageCodec.decodeRecord(
+                        MessageCodec.encodeRecord(new OldChange("b", ConfigurationChange.Kind.PATCH, PATCH)),
                         ConfigurationChange.class));
         assertThat(configurationStore.versionOf("b")).isEqualTo(8);
-        assertThat(MessageCodec.record(MessageCodec.bytes(configurationStore.snapshot()), OldSnapshot.class)
+        assertThat(MessageCodec.decodeRecord(
+                                MessageCodec.encodeRecord(configurationStore.snapshot()), OldSnapshot.class)
                         .changeIds())
                 .containsOnlyKeys("a", "b");
-        assertThat(MessageCodec.record(MessageCodec.bytes(change(5)), OldChange.class)
+        assertThat(MessageCodec.decodeRecord(MessageCodec.encodeRecord(change(5)), OldChange.class)
                         .changeId())
                 .isEqualTo("order-1");
     }
@@ -110,7 +112,8 @@
         final ConfigurationStore ahead = new ConfigurationStore(4);
         apply(ahead, 15);
         for (final ConfigurationStore configurationStore : List.of(blank, ahead)) {
-            configurationStore.apply(900, MessageCodec.record(MessageCodec.bytes(first), ConfigurationChange.class));
+            configurationStore.apply(
+                    900, MessageCodec.decodeRecord(MessageCodec.encodeRecord(first), ConfigurationChange.class));
             assertThat(configurationStore.orders())
                     .containsExactly(before.get(0), before.get(1), new CommittedChange("founding-9", 900, 30));
         }
--- a/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
+++ b/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
@@ -22,19 +22,20 @@
 import spokestall.io.Addresses;
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
+import spokestall.message.MessageRegistry;
 
 class TcpTransportTest {
     record Hello(long number, String text) implements Message {}
 
     @Test
     void aWireThatNobodyHearsIsGivenUpAndOpenedAgain() throws Exception {
-        MessageCodec.number(202, Hello.class);
+        MessageRegistry.register(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         final ScheduledExecutorService tick = Executors.newSingleThreadScheduledExecutor();
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(20_000);
             final TcpTransport connections = new TcpTransport(
-                    worker, message -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
+                    worker, message -> {}, 300, MessageCodec.CURRENT_VERSION, new TrustedNetworks("127.0.0.0/8"));
             final String to = "127.0.0.1:" + server.getLocalPort();
             final ScheduledFuture<?> unused = tick.scheduleAtFixedRate(
                     () -> connections.send(to, new Hello(1, "x")), 0, 20, TimeUnit.MILLISECONDS);
@@ -44,7 +45,7 @@
             final DataInputStream in = new DataInputStream(again.getInputStream());
             final byte[] frame = new byte[in.readInt()];
             in.readFully(frame);
-            assertThat(MessageCodec.message(frame)).isEqualTo(new Hello(1, "x"));
+            assertThat(MessageCodec.decode(frame)).isEqualTo(new Hello(1, "x"));
         } finally {
             tick.shutdownNow();
             worker.shutdownNow();
@@ -67,8 +68,8 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        final TcpTransport there =
-                new TcpTransport(worker, heard::add, 300, MessageCodec.VERSION, new TrustedNetworks("10.0.0.0/8"));
+        final TcpTransport there = new TcpTransport(
+                worker, heard::add, 300, MessageCodec.CURRENT_VERSION, new TrustedNetworks("10.0.0.0/8"));
         there.listen(Addresses.of("127.0.0.1:" + port));
         try (Socket stranger = new Socket(InetAddress.getLoopbackAddress(), port)) {
             stranger.setSoTimeout(10_000);
@@ -81,18 +82,18 @@
 
     @Test
     void messagesArriveWholeAndInOrderOverOneWireThatIsHeard() throws Exception {
-        MessageCodec.number(202, Hello.class);
+        MessageRegistry.register(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 2));
         final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
         final int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        final TcpTransport there =
-                new TcpTransport(worker, heard::add, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
+        final TcpTransport there = new TcpTransport(
+                worker, heard::add, 300, MessageCodec.CURRENT_VERSION, new TrustedNetworks("127.0.0.0/8"));
         there.listen(Addresses.of("127.0.0.1:" + port));
-        final TcpTransport here =
-                new TcpTransport(worker, message -> {}, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
+        final TcpTransport here = new TcpTransport(
+                worker, message -> {}, 300, MessageCodec.CURRENT_VERSION, new TrustedNetworks("127.0.0.0/8"));
         for (int i = 0; i < 2000; i++) {
             here.send("127.0.0.1:" + port, new Hello(i, "n".repeat(i % 700)));
         }
@@ -106,15 +107,15 @@
 
     @Test
     void aMessageThatComesInPiecesIsHeardOnceItIsWhole() throws Exception {
-        MessageCodec.number(202, Hello.class);
+        MessageRegistry.register(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
         final int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        final TcpTransport there =
-                new TcpTransport(worker, heard::add, 300, MessageCodec.VERSION, new TrustedNetworks("127.0.0.0/8"));
+        final TcpTransport there = new TcpTransport(
+                worker, heard::add, 300, MessageCodec.CURRENT_VERSION, new TrustedNetworks("127.0.0.0/8"));
         there.listen(Addresses.of("127.0.0.1:" + port));
         final Hello large = new Hello(1, "n".repeat(50_000));
         final Hello small = new Hello(2, "x");
@@ -122,7 +123,7 @@
             connection.setSoTimeout(20_000);
             final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             for (final Hello message : List.of(large, small, large)) {
-                final byte[] frame = MessageCodec.message(message, MessageCodec.VERSION);
+                final byte[] frame = MessageCodec.encode(message, MessageCodec.CURRENT_VERSION);
                 new DataOutputStream(bytes).writeInt(frame.length);
                 bytes.write(frame);
             }
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -120,7 +120,8 @@
         final Runnable renew = () -> writer.change(
                 Lease.key("usage_report"),
                 800,
-                value -> new RegisterEdit.Set(MessageCodec.bytes(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
+                value -> new RegisterEdit.Set(
+                        MessageCodec.encodeRecord(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
                 outcome -> {
                     copy[0] = ((ProposalOutcome.Done) outcome).value();
                     renewedMs[0] = bench.clock.nowMs();
@@ -250,7 +251,7 @@
                         Lease.key("usage_report"),
                         800,
                         value -> new RegisterEdit.Set(
-                                MessageCodec.bytes(new Lease("k/1", "k", 0, 7, TIMING.leaseMs(), false))),
+                                MessageCodec.encodeRecord(new Lease("k/1", "k", 0, 7, TIMING.leaseMs(), false))),
                         outcome -> {});
         bench.run(bench.clock.nowMs() + 500);
         assertThat(begins(bench, 10_000, new Incarnation(bench, "k", 1, TIMING)))
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -437,7 +437,7 @@
                 final byte[] register = state.get(e.getKey());
                 have += register != null
                                 && e.getValue()
-                                        .equals(text(MessageCodec.record(register, Register.class)
+                                        .equals(text(MessageCodec.decodeRecord(register, Register.class)
                                                 .value()))
                         ? 1
                         : 0;
--- a/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -26,7 +26,7 @@
     private static Map<Integer, Class<? extends Record>> messages() {
         NumberedMessages.register();
         final CodeSource production = MessageCodec.class.getProtectionDomain().getCodeSource();
-        final Map<Integer, Class<? extends Record>> messages = new TreeMap<>(MessageCodec.numbered());
+        final Map<Integer, Class<? extends Record>> messages = new TreeMap<>(MessageRegistry.copy());
         messages.values()
                 .removeIf(type -> !production.equals(type.getProtectionDomain().getCodeSource()));
         return messages;
@@ -35,14 +35,14 @@
     private static Map<String, String> built() {
         final Map<String, String> lines = new TreeMap<>();
         messages().forEach((number, type) -> {
-            for (int version = MessageCodec.OLDEST; version <= MessageCodec.VERSION; version++) {
+            for (int version = MessageCodec.OLDEST_VERSION; version <= MessageCodec.CURRENT_VERSION; version++) {
                 final String which = number + " v" + version;
                 lines.put(
                         which + " full",
-                        HEX.formatHex(MessageCodec.message((Message) SampleRecords.full(type), version)));
+                        HEX.formatHex(MessageCodec.encode((Message) SampleRecords.full(type), version)));
                 lines.put(
                         which + " empty",
-                        HEX.formatHex(MessageCodec.message((Message) SampleRecords.empty(type), version)));
+                        HEX.formatHex(MessageCodec.encode((Message) SampleRecords.empty(type), version)));
             }
         });
         return lines;
@@ -65,10 +65,10 @@
         for (final Map.Entry<String, String> line :
                 GoldenLines.read("messages.txt").entrySet()) {
             final String[] which = line.getKey().split(" ", -1);
-            final Message message = MessageCodec.message(HEX.parseHex(line.getValue()));
+            final Message message = MessageCodec.decode(HEX.parseHex(line.getValue()));
             final int version = Integer.parseInt(which[1].substring(1));
             assertThat(message).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(which[0])));
-            assertThat(HEX.formatHex(MessageCodec.message(message, version)))
+            assertThat(HEX.formatHex(MessageCodec.encode(message, version)))
                     .as(line.getKey())
                     .isEqualTo(line.getValue());
         }
--- a/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
@@ -13,72 +13,72 @@
     record Inner(String name, @SinceVersion(2) int more) {}
 
     record Tick(
-            long at, List<Inner> inners, @SinceVersion(2) boolean warm, String last) implements Message {}
+            long at, List<Inner> inners, @SinceVersion(2) boolean ready, String last) implements Message {}
 
     static {
-        MessageCodec.number(201, Tick.class);
+        MessageRegistry.register(201, Tick.class);
     }
 
-    private static Tick tick(final int more, final boolean warm) {
-        return new Tick(7, List.of(new Inner("a", more), new Inner("b", more)), warm, "end");
+    private static Tick tick(final int more, final boolean ready) {
+        return new Tick(7, List.of(new Inner("a", more), new Inner("b", more)), ready, "end");
     }
 
     @Test
-    void aNodeHearsTheVersionBeforeItsOwnAndNamesWhatItCannot() throws Exception {
-        assertThat(MessageCodec.message(MessageCodec.message(tick(3, true), 2))).isEqualTo(tick(3, true));
-        assertThat(MessageCodec.message(MessageCodec.message(tick(3, true), 1))).isEqualTo(tick(0, false));
-        final byte[] first = MessageCodec.message(tick(3, true), 1);
+    void decodesOlderVersionsAndNamesTheVersionOrTypeThatIsUnknown() throws Exception {
+        assertThat(MessageCodec.decode(MessageCodec.encode(tick(3, true), 2))).isEqualTo(tick(3, true));
+        assertThat(MessageCodec.decode(MessageCodec.encode(tick(3, true), 1))).isEqualTo(tick(0, false));
+        final byte[] first = MessageCodec.encode(tick(3, true), 1);
         assertThat(first[0])
-                .as("the first version begins with its kind's number")
+                .as("the first version begins with its type's number")
                 .isZero();
-        final byte[] later = MessageCodec.message(tick(3, true), 2);
-        later[0] = MessageCodec.VERSION + 1;
-        assertThatThrownBy(() -> MessageCodec.message(later))
+        final byte[] later = MessageCodec.encode(tick(3, true), 2);
+        later[0] = MessageCodec.CURRENT_VERSION + 1;
+        assertThatThrownBy(() -> MessageCodec.decode(later))
                 .isInstanceOf(UnknownMessageException.class)
-                .hasMessage("version " + (MessageCodec.VERSION + 1));
-        final byte[] strange = MessageCodec.message(tick(3, true), 2);
+                .hasMessage("version " + (MessageCodec.CURRENT_VERSION + 1));
+        final byte[] strange = MessageCodec.encode(tick(3, true), 2);
         strange[2] ^= 0x40;
-        assertThatThrownBy(() -> MessageCodec.message(strange))
+        assertThatThrownBy(() -> MessageCodec.decode(strange))
                 .isInstanceOf(UnknownMessageException.class)
                 .hasMessageStartingWith("kind ");
     }
 
     @Test
-    void aRecordAloneHasItsLaterFieldsBehindTheOthersAndIsReadWithoutThem() {
-        final Tick whole = tick(3, true);
-        final byte[] bytes = MessageCodec.bytes(whole);
-        final Tick read = MessageCodec.record(bytes, Tick.class);
-        assertThat(read.warm()).isTrue();
+    void aStoredRecordHasItsLaterFieldsLastAndIsDecodedWithoutThem() {
+        final Tick written = tick(3, true);
+        final byte[] bytes = MessageCodec.encodeRecord(written);
+        final Tick read = MessageCodec.decodeRecord(bytes, Tick.class);
+        assertThat(read.ready()).isTrue();
         assertThat(read.last()).isEqualTo("end");
         final byte[] older = Arrays.copyOf(bytes, bytes.length - 1);
-        assertThat(MessageCodec.record(older, Tick.class)).isEqualTo(tick(0, false));
+        assertThat(MessageCodec.decodeRecord(older, Tick.class)).isEqualTo(tick(0, false));
     }
 
     @Test
-    void theThirdVersionTakesAsManyBytesAsItsNumbersNeed() throws Exception {
+    void versionThreeEncodesNumbersInVariableLength() throws Exception {
         for (final int n : new int[] {0, 1, -1, 63, 64, -65, 1 << 20, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
             for (final long at : new long[] {0, -1, 1L << 40, Long.MAX_VALUE, Long.MIN_VALUE}) {
                 final Tick one = new Tick(at, List.of(new Inner(null, n), new Inner("", n)), true, "\u00fc");
-                assertThat(MessageCodec.message(MessageCodec.message(one, 3))).isEqualTo(one);
+                assertThat(MessageCodec.decode(MessageCodec.encode(one, 3))).isEqualTo(one);
             }
         }
-        assertThat(MessageCodec.message(tick(3, true), 3).length)
-                .isLessThan(MessageCodec.message(tick(3, true), 2).length / 2);
+        assertThat(MessageCodec.encode(tick(3, true), 3).length)
+                .isLessThan(MessageCodec.encode(tick(3, true), 2).length / 2);
     }
 
     @Test
-    void whateverBytesComeTheyAreReadOrRefusedAsBadInput() throws Exception {
+    void randomlyCorruptedFramesDecodeOrFailWithAnIoException() throws Exception {
         final Random random = new Random(5);
         for (int i = 0; i < 100_000; i++) {
-            final byte[] frame = MessageCodec.message(
-                    tick(random.nextInt(), random.nextBoolean()), 1 + random.nextInt(MessageCodec.VERSION));
+            final byte[] frame = MessageCodec.encode(
+                    tick(random.nextInt(), random.nextBoolean()), 1 + random.nextInt(MessageCodec.CURRENT_VERSION));
             for (int n = 1 + random.nextInt(4); n > 0; n--) {
                 frame[random.nextInt(frame.length)] = (byte) random.nextInt();
             }
             final byte[] cut =
                     random.nextInt(3) == 0 ? Arrays.copyOf(frame, 2 + random.nextInt(frame.length - 2)) : frame;
             try {
-                assertThat(MessageCodec.message(cut)).isInstanceOf(Tick.class);
+                assertThat(MessageCodec.decode(cut)).isInstanceOf(Tick.class);
             } catch (final IOException bad) {
                 assertThat(bad).isNotNull();
             }
--- a/spokestall/src/test/java/spokestall/message/RestoredNumbers.java
+++ b/spokestall/src/test/java/spokestall/message/RestoredNumbers.java
@@ -5,18 +5,20 @@
 import org.junit.jupiter.api.extension.BeforeAllCallback;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** Leaves the table of message numbers as it was before a test class: other tests in the process have kinds of their own,
- * and rely on no others being there. */
+/**
+ * Restores the registry of message numbers after a test class: other tests in the process register types of their own and rely
+ * on no others being there.
+ */
 public final class RestoredNumbers implements BeforeAllCallback, AfterAllCallback {
     private Map<Integer, Class<? extends Record>> before = Map.of();
 
     @Override
     public void beforeAll(final ExtensionContext context) {
-        before = MessageCodec.numbered();
+        before = MessageRegistry.copy();
     }
 
     @Override
     public void afterAll(final ExtensionContext context) {
-        MessageCodec.restore(before);
+        MessageRegistry.restore(before);
     }
 }
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -38,14 +38,15 @@
     private static Map<String, String> built() {
         final Map<String, String> lines = new TreeMap<>();
         STORED.forEach((name, type) -> {
-            lines.put(name + " full", HEX.formatHex(MessageCodec.bytes(SampleRecords.full(type))));
-            lines.put(name + " empty", HEX.formatHex(MessageCodec.bytes(SampleRecords.empty(type))));
+            lines.put(name + " full", HEX.formatHex(MessageCodec.encodeRecord(SampleRecords.full(type))));
+            lines.put(name + " empty", HEX.formatHex(MessageCodec.encodeRecord(SampleRecords.empty(type))));
         });
         STORED_BY_OLDER_PROGRAMS.forEach((name, type) -> {
-            final byte[] older = older(MessageCodec.bytes(SampleRecords.full(type)), type);
+            final byte[] older = older(MessageCodec.encodeRecord(SampleRecords.full(type)), type);
             lines.put(name + " older", HEX.formatHex(older));
             lines.put(
-                    name + " older-written-again", HEX.formatHex(MessageCodec.bytes(MessageCodec.record(older, type))));
+                    name + " older-written-again",
+                    HEX.formatHex(MessageCodec.encodeRecord(MessageCodec.decodeRecord(older, type))));
         });
         return lines;
     }
@@ -63,7 +64,7 @@
 
     private static boolean readable(final byte[] bytes, final Class<? extends Record> type) {
         try {
-            return MessageCodec.record(bytes, type) != null;
+            return MessageCodec.decodeRecord(bytes, type) != null;
         } catch (final IllegalArgumentException cut) {
             return false;
         }
@@ -79,9 +80,11 @@
         final Map<String, String> lines = GoldenLines.read("records.txt");
         lines.forEach((which, hex) -> {
             final Record record =
-                    MessageCodec.record(HEX.parseHex(hex), STORED.get(which.substring(0, which.indexOf(' '))));
+                    MessageCodec.decodeRecord(HEX.parseHex(hex), STORED.get(which.substring(0, which.indexOf(' '))));
             final String again = lines.getOrDefault(which + "-written-again", hex);
-            assertThat(HEX.formatHex(MessageCodec.bytes(record))).as(which).isEqualTo(again);
+            assertThat(HEX.formatHex(MessageCodec.encodeRecord(record)))
+                    .as(which)
+                    .isEqualTo(again);
         });
     }
 
@@ -89,11 +92,11 @@
     void whatAnOlderProgramWroteIsReadWithoutTheLaterFields() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
         final ConfigurationChange change =
-                MessageCodec.record(HEX.parseHex(lines.get("policy-change older")), ConfigurationChange.class);
+                MessageCodec.decodeRecord(HEX.parseHex(lines.get("policy-change older")), ConfigurationChange.class);
         assertThat(change.acceptedMs()).isZero();
         assertThat(change.before()).isEmpty();
-        final ConfigurationSnapshot snapshot =
-                MessageCodec.record(HEX.parseHex(lines.get("policy-snapshot older")), ConfigurationSnapshot.class);
+        final ConfigurationSnapshot snapshot = MessageCodec.decodeRecord(
+                HEX.parseHex(lines.get("policy-snapshot older")), ConfigurationSnapshot.class);
         assertThat(snapshot.orders()).hasSameSizeAs(snapshot.changeIds().entrySet());
         assertThat(snapshot.orders()).allMatch(order -> order.acceptedMs() == 0);
     }
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -114,11 +114,12 @@
         final Register lease = registers.get("duty/usage_report");
         assertThat(lease.promised()).isEqualTo(new ProposalNumber(10, "d3-core/b2"));
         assertThat(lease.accepted()).isEqualTo(new ProposalNumber(9, "d3-core/b2"));
-        assertThat(MessageCodec.record(lease.value(), Lease.class)).isEqualTo(SampleCore.LEASE);
-        assertThat(MessageCodec.record(
+        assertThat(MessageCodec.decodeRecord(lease.value(), Lease.class)).isEqualTo(SampleCore.LEASE);
+        assertThat(MessageCodec.decodeRecord(
                         registers.get("usage/0000000000000000345").value(), SealedWindow.class))
                 .isEqualTo(SampleCore.WINDOW);
-        assertThat(MessageCodec.record(registers.get("once/tenant-1/pay-17").value(), IdempotencyClaim.class))
+        assertThat(MessageCodec.decodeRecord(
+                        registers.get("once/tenant-1/pay-17").value(), IdempotencyClaim.class))
                 .isEqualTo(SampleCore.CLAIM);
         assertThat(registers.get("duty/floor").value()).asString().isEqualTo("12345");
         final Register promised = registers.get("once/tenant-1/pay-18");
@@ -131,7 +132,7 @@
     void theConfigurationIsReadFromTheSnapshotAndTheChange() throws Exception {
         final Acceptor acceptor = acceptor();
         final ConfigurationSnapshot snapshot =
-                MessageCodec.record(acceptor.own("~policy"), ConfigurationSnapshot.class);
+                MessageCodec.decodeRecord(acceptor.own("~policy"), ConfigurationSnapshot.class);
         assertThat(snapshot.orders())
                 .containsExactly(
                         new CommittedChange("founding-7", 7_340_032, 1_000),
@@ -140,7 +141,7 @@
         assertThat(configurationStore.load(snapshot)).isTrue();
         assertThat(configurationStore.configuration().version()).isEqualTo(7_340_033);
         assertThat(configurationStore.configuration().holds()).containsExactly("d2");
-        final ConfigurationChange change = MessageCodec.record(
+        final ConfigurationChange change = MessageCodec.decodeRecord(
                 acceptor.registers().get("policy/0000000000007340033").value(), ConfigurationChange.class);
         assertThat(change.changeId()).isEqualTo("chg-2");
         assertThat(change.kind()).isEqualTo(ConfigurationChange.Kind.PATCH);
@@ -153,11 +154,11 @@
         MessageNumbers.number();
         final Acceptor acceptor = acceptor();
         assertThat(acceptor.own("~council")).isEmpty();
-        assertThat(MessageCodec.record(acceptor.own("~form"), StoredRecords.coordinatorProposal()))
+        assertThat(MessageCodec.decodeRecord(acceptor.own("~form"), StoredRecords.coordinatorProposal()))
                 .isEqualTo(StoredRecords.coordinatorProposal(6, SampleCore.CAST));
-        assertThat(MessageCodec.message(acceptor.own("~usage")))
+        assertThat(MessageCodec.decode(acceptor.own("~usage")))
                 .isEqualTo(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(SampleCore.COUNT)));
-        assertThat(MessageCodec.message(acceptor.own("~listed")))
+        assertThat(MessageCodec.decode(acceptor.own("~listed")))
                 .isEqualTo(new DiscoveryMessage.Push(List.of(SampleCore.LISTED), List.of(), 0));
     }
 
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -95,7 +95,7 @@
     /** Two lives of a core on a blank disk. */
     static void run(final SegmentStore segments) {
         firstIncarnation(open(segments, DISK_ID));
-        accept(open(segments, "unused"), Lease.key("usage_report"), CAST_LATER, MessageCodec.bytes(LEASE));
+        accept(open(segments, "unused"), Lease.key("usage_report"), CAST_LATER, MessageCodec.encodeRecord(LEASE));
     }
 
     private static void firstIncarnation(final Acceptor acceptor) {
@@ -103,12 +103,12 @@
                 TABLE,
                 List.of(
                         founded("duty/floor", "12345".getBytes(StandardCharsets.UTF_8)),
-                        founded("duty/usage_report", MessageCodec.bytes(FIRST_LEASE)),
-                        founded(ConfigurationKeys.key(FIRST_VERSION), MessageCodec.bytes(firstChange()))));
-        accept(acceptor, ConfigurationKeys.key(FIRST_VERSION + 1), CAST, MessageCodec.bytes(secondChange()));
-        accept(acceptor, SealedWindow.key(344), CAST, MessageCodec.bytes(WINDOW));
-        accept(acceptor, SealedWindow.key(345), CAST, MessageCodec.bytes(WINDOW));
-        accept(acceptor, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.bytes(CLAIM));
+                        founded("duty/usage_report", MessageCodec.encodeRecord(FIRST_LEASE)),
+                        founded(ConfigurationKeys.key(FIRST_VERSION), MessageCodec.encodeRecord(firstChange()))));
+        accept(acceptor, ConfigurationKeys.key(FIRST_VERSION + 1), CAST, MessageCodec.encodeRecord(secondChange()));
+        accept(acceptor, SealedWindow.key(344), CAST, MessageCodec.encodeRecord(WINDOW));
+        accept(acceptor, SealedWindow.key(345), CAST, MessageCodec.encodeRecord(WINDOW));
+        accept(acceptor, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.encodeRecord(CLAIM));
         acceptor.hear(
                 new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", CAST, false),
                 "10.0.0.1:7000");
@@ -119,17 +119,17 @@
 
     private static void keepOwnRecords(final Acceptor acceptor) {
         MessageNumbers.number();
-        keep(acceptor, "~policy", MessageCodec.bytes(configurationStore().snapshot()));
+        keep(acceptor, "~policy", MessageCodec.encodeRecord(configurationStore().snapshot()));
         keep(acceptor, "~council", new byte[0]);
-        keep(acceptor, "~form", MessageCodec.bytes(StoredRecords.coordinatorProposal(6, CAST)));
+        keep(acceptor, "~form", MessageCodec.encodeRecord(StoredRecords.coordinatorProposal(6, CAST)));
         keep(
                 acceptor,
                 "~usage",
-                MessageCodec.message(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(COUNT)), MESSAGE_VERSION));
+                MessageCodec.encode(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(COUNT)), MESSAGE_VERSION));
         keep(
                 acceptor,
                 "~listed",
-                MessageCodec.message(new DiscoveryMessage.Push(List.of(LISTED), List.of(), 0), MESSAGE_VERSION));
+                MessageCodec.encode(new DiscoveryMessage.Push(List.of(LISTED), List.of(), 0), MESSAGE_VERSION));
     }
 
     private static void keep(final Acceptor acceptor, final String key, final byte[] value) {
--- a/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
+++ b/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
@@ -45,7 +45,7 @@
                 }
                 configurationStore.apply(configurationStore.configuration().version() + 1, one);
                 us[i] = (System.nanoTime() - fromNs) / 1000;
-                bytes = MessageCodec.bytes(one).length;
+                bytes = MessageCodec.encodeRecord(one).length;
             }
             Arrays.sort(us);
             final double cost = us[TURNS / 2];
@@ -56,7 +56,7 @@
                     cost,
                     cost / first,
                     bytes,
-                    MessageCodec.bytes(configurationStore.snapshot()).length,
+                    MessageCodec.encodeRecord(configurationStore.snapshot()).length,
                     heap(() -> {
                         final ConfigurationStore other = new ConfigurationStore(1024);
                         other.load(configurationStore.snapshot());
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -95,12 +95,12 @@
     UPGRADE {
         @Override
         public void before(final Fleet fleet) throws IOException {
-            fleet.set("noteVersion", MessageCodec.OLDEST);
+            fleet.set("noteVersion", MessageCodec.OLDEST_VERSION);
         }
 
         @Override
         public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            fleet.set("noteVersion", MessageCodec.VERSION);
+            fleet.set("noteVersion", MessageCodec.CURRENT_VERSION);
             TURN.bring(fleet, judge);
         }
     },
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
@@ -195,10 +195,10 @@
                     of.stream()
                             .limit(3)
                             .mapToLong(n -> n.node().endpointRegistry().listed().stream()
-                                            .mapToLong(l -> MessageCodec.bytes(l).length)
+                                            .mapToLong(l -> MessageCodec.encodeRecord(l).length)
                                             .sum()
                                     + n.node().endpointRegistry().reportsAfter(0).stream()
-                                            .mapToLong(r -> MessageCodec.bytes(r).length)
+                                            .mapToLong(r -> MessageCodec.encodeRecord(r).length)
                                             .sum())
                             .average()
                             .orElse(0));
@@ -230,7 +230,7 @@
                 "registerBytes",
                 up.stream()
                         .mapToLong(n -> n.node().acceptor().registers().values().stream()
-                                .mapToLong(r -> MessageCodec.bytes(r).length)
+                                .mapToLong(r -> MessageCodec.encodeRecord(r).length)
                                 .sum())
                         .average()
                         .orElse(0));
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -200,7 +200,7 @@
         if (mine != incarnation) {
             return;
         }
-        final byte[] frame = MessageCodec.message(message, (int) settings.ms("noteVersion"));
+        final byte[] frame = MessageCodec.encode(message, (int) settings.ms("noteVersion"));
         final int kind = ScaleTraffic.kind(frame);
         if (kinds[kind] == null) {
             kinds[kind] = message.getClass().getSimpleName();
@@ -228,7 +228,7 @@
         traffic.in(run.phase(), distance, kind, frame.length);
         timed(kind, () -> {
             try {
-                node.hear(MessageCodec.message(frame));
+                node.hear(MessageCodec.decode(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
@@ -38,9 +38,9 @@
     }
 
     private static byte[] leapt(final long version, final byte[] value) {
-        final ConfigurationChange c = MessageCodec.record(value, ConfigurationChange.class);
+        final ConfigurationChange c = MessageCodec.decodeRecord(value, ConfigurationChange.class);
         final long changes = version & (1L << VoterSet.GENERATION_SHIFT) - 1;
-        return MessageCodec.bytes(new ConfigurationChange(
+        return MessageCodec.encodeRecord(new ConfigurationChange(
                 c.changeId(), c.kind(), c.json(), SimulatedWorld.EPOCH_MS + changes * HOUR_MS, c.before()));
     }
 
--- a/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -140,7 +140,7 @@
             int i = 0;
             for (final SimulatedNode node : run.nodes()) {
                 run.later(i++ * 2400L, () -> {
-                    node.set("noteVersion", Integer.toString(MessageCodec.VERSION));
+                    node.set("noteVersion", Integer.toString(MessageCodec.CURRENT_VERSION));
                     run.bounce(node, 1000, false);
                 });
             }
@@ -148,7 +148,7 @@
 
         @Override
         Map<String, String> settings() {
-            return Map.of("noteVersion", Integer.toString(MessageCodec.OLDEST));
+            return Map.of("noteVersion", Integer.toString(MessageCodec.OLDEST_VERSION));
         }
     },
     SPARING {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
@@ -89,14 +89,14 @@
             final int version,
             final java.util.function.Consumer<Message> arrive) {
         final long ms = wayMs(from, to);
-        final byte[] frame = MessageCodec.message(message, version);
+        final byte[] frame = MessageCodec.encode(message, version);
         sim.carried(frame);
         if (ms < 0) {
             return frame.length;
         }
         sim.after(ms, () -> {
             try {
-                arrive.accept(MessageCodec.message(frame));
+                arrive.accept(MessageCodec.decode(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
