--- a/spokestall/src/main/java/spokestall/storage/DirectorySync.java
+++ b/spokestall/src/main/java/spokestall/storage/DirectorySync.java
@@ -5,14 +5,14 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Folders on disk: a name that was made, renamed or removed in one lasts once it is synced. */
+/** Syncs directories: a file name that was created, renamed or removed survives a power loss only after its directory is synced. */
 public final class DirectorySync {
     private DirectorySync() {}
 
-    /** Syncs the names in a folder. */
-    public static void sync(final Path folder) throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+    /** Syncs a directory's entries. Blocks; throws {@link IOException} if the directory can't be opened or synced. */
+    public static void sync(final Path directory) throws IOException {
+        try (FileChannel entries = FileChannel.open(directory, StandardOpenOption.READ)) {
+            entries.force(true);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
@@ -15,41 +15,69 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
-/** Preallocated files in the data folder. Writes and syncs run on the disk stage, never on the client's. */
+/**
+ * Segments as files {@code segment-0}, {@code segment-1}, ... in one directory, filled with zeros before the first record is
+ * written. The files stay open until the process ends.
+ *
+ * <p>Lost files: {@link #open} syncs all files and the directory's entries before it returns, so no record is written before all
+ * files have their full size on disk. If later a file is missing, or shorter than another, and any file has been written to,
+ * then synced records are lost: all files are zeroed, and the log is blank. Larger files than before are allowed; what they
+ * hold is kept.
+ *
+ * <p>Threading: {@link #read} blocks the caller. {@link #commit} writes and syncs on the disk executor, which must run one task at a
+ * time in their order, and calls back on the callback executor.
+ */
 public final class FileSegmentStore implements SegmentStore {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
+    private static final int ZEROS_BYTES = 1 << 16;
+
     private final List<FileChannel> files = new ArrayList<>();
     private final int sizeBytes;
-    private final Executor disk;
-    private final Executor back;
+    private final Executor diskExecutor;
+    private final Executor callbackExecutor;
 
-    /** Example: {@code FileSegmentStore.open(Path.of("data/ring"), 8, 4 << 20, diskStage, controlStage)} */
+    private FileSegmentStore(final int sizeBytes, final Executor diskExecutor, final Executor callbackExecutor) {
+        this.sizeBytes = sizeBytes;
+        this.diskExecutor = diskExecutor;
+        this.callbackExecutor = callbackExecutor;
+    }
+
+    /**
+     * Opens the files, creating or extending those that need it. Blocks.
+     *
+     * @param sizeBytes size of each file; not less than at an earlier start
+     * @throws IOException if a file can't be created, written or synced
+     */
     public static FileSegmentStore open(
-            final Path folder, final int count, final int sizeBytes, final Executor disk, final Executor back)
+            final Path directory,
+            final int count,
+            final int sizeBytes,
+            final Executor diskExecutor,
+            final Executor callbackExecutor)
             throws IOException {
-        Files.createDirectories(folder);
+        Files.createDirectories(directory);
         final List<Path> paths = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            paths.add(folder.resolve("segment-" + i));
+            paths.add(directory.resolve("segment-" + i));
         }
         if (partlyLost(paths)) {
-            LOG.atSevere().log("event=ring_files_lost folder=%s", folder);
+            LOG.atSevere().log("event=log_segments_lost directory=%s", directory);
             clear(paths);
         }
-        final FileSegmentStore made = new FileSegmentStore(sizeBytes, disk, back);
+        final FileSegmentStore store = new FileSegmentStore(sizeBytes, diskExecutor, callbackExecutor);
         for (final Path path : paths) {
             final FileChannel file = FileChannel.open(
                     path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-            made.fill(file);
-            made.files.add(file);
+            zero(file, file.size(), sizeBytes);
+            file.force(true);
+            store.files.add(file);
         }
-        DirectorySync.sync(folder);
-        DirectorySync.sync(folder.toAbsolutePath().getParent());
-        return made;
+        DirectorySync.sync(directory);
+        DirectorySync.sync(directory.toAbsolutePath().getParent());
+        return store;
     }
 
-    /** Nothing is written to a file before all are made and synced, their folder's names too. So if one is not there, or
-     * shorter than another, while another has been written to, it was lost, and with it what cannot be told. */
+    /** A first start that was cut short also leaves files missing or short, but none of them written to. */
     private static boolean partlyLost(final List<Path> paths) throws IOException {
         final Set<Long> sizes = new HashSet<>();
         for (final Path path : paths) {
@@ -67,15 +95,15 @@
     }
 
     private static boolean written(final Path path) throws IOException {
-        for (final byte one : Files.readAllBytes(path)) {
-            if (one != 0) {
+        for (final byte value : Files.readAllBytes(path)) {
+            if (value != 0) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Empties what is left before anything is made anew: cut short in between, it is still seen that a file is lost. */
+    /** Zeroes the remaining files before any file is created: if this is cut short, the loss is still detected next time. */
     private static void clear(final List<Path> paths) throws IOException {
         for (final Path path : paths) {
             if (Files.exists(path)) {
@@ -87,23 +115,12 @@
         }
     }
 
-    private FileSegmentStore(final int sizeBytes, final Executor disk, final Executor back) {
-        this.sizeBytes = sizeBytes;
-        this.disk = disk;
-        this.back = back;
-    }
-
-    private void fill(final FileChannel file) throws IOException {
-        zero(file, file.size(), sizeBytes);
-        file.force(true);
-    }
-
     private static void zero(final FileChannel file, final long from, final long until) throws IOException {
-        final ByteBuffer zeros = ByteBuffer.allocate(1 << 16);
-        long at = from;
-        while (at < until) {
-            zeros.clear().limit((int) Math.min(zeros.capacity(), until - at));
-            at += file.write(zeros, at);
+        final ByteBuffer zeros = ByteBuffer.allocate(ZEROS_BYTES);
+        long offset = from;
+        while (offset < until) {
+            zeros.clear().limit((int) Math.min(zeros.capacity(), until - offset));
+            offset += file.write(zeros, offset);
         }
     }
 
@@ -120,41 +137,43 @@
     @Override
     public byte[] read(final int segment) {
         try {
-            final ByteBuffer all = ByteBuffer.allocate(sizeBytes);
+            final ByteBuffer bytes = ByteBuffer.allocate(sizeBytes);
             int count = 1;
-            while (all.hasRemaining() && count > 0) {
-                count = files.get(segment).read(all, all.position());
+            while (bytes.hasRemaining() && count > 0) {
+                count = files.get(segment).read(bytes, bytes.position());
             }
-            return all.array();
+            return bytes.array();
         } catch (final IOException e) {
+            // The log becomes BROKEN, which the node reports.
             return null;
         }
     }
 
     @Override
     public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-        disk.execute(() -> {
-            final boolean ok = down(chunks);
-            back.execute(() -> done.accept(ok));
+        diskExecutor.execute(() -> {
+            final boolean synced = writeAndSync(chunks);
+            callbackExecutor.execute(() -> done.accept(synced));
         });
     }
 
-    private boolean down(final List<Chunk> chunks) {
+    private boolean writeAndSync(final List<Chunk> chunks) {
         try {
-            final Set<Integer> touched = new LinkedHashSet<>();
+            final Set<Integer> written = new LinkedHashSet<>();
             for (final Chunk chunk : chunks) {
                 final ByteBuffer bytes = ByteBuffer.wrap(chunk.bytes());
-                long at = chunk.at();
+                long offset = chunk.at();
                 while (bytes.hasRemaining()) {
-                    at += files.get(chunk.segment()).write(bytes, at);
+                    offset += files.get(chunk.segment()).write(bytes, offset);
                 }
-                touched.add(chunk.segment());
+                written.add(chunk.segment());
             }
-            for (final int segment : touched) {
+            for (final int segment : written) {
                 files.get(segment).force(false);
             }
             return true;
         } catch (final IOException e) {
+            // The log becomes REFUSING, which the node logs once, and submits the same chunks again.
             return false;
         }
     }
--- a/spokestall/src/main/java/spokestall/storage/SegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentStore.java
@@ -3,20 +3,28 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The preallocated files under a ring, at the rim: real files in a process, a losing disk in the simulator. */
+/**
+ * The preallocated segments of a log: files in a process, a simulated disk in tests. All calls, and all callbacks, on the event
+ * loop of the log's node.
+ */
 public interface SegmentStore {
-    /** A piece to be written at a place in one file. */
+    /** Bytes to be written at an offset of a segment. */
     record Chunk(int segment, int at, byte[] bytes) {}
 
-    /** How many files there are. */
+    /** Returns the number of segments. */
     int count();
 
-    /** The size of each. */
+    /** Returns the size of each segment, in bytes. */
     int sizeBytes();
 
-    /** A file's whole content, or null when it can't be read. */
+    /** Reads a complete segment; returns null if it can't be read. Blocks. */
     byte[] read(int segment);
 
-    /** Writes and syncs, then tells whether all of it is down. */
+    /**
+     * Writes chunks and syncs them.
+     *
+     * @param done gets true after all chunks are written and synced, false if any is not, in which case any part of them may be
+     *     written. Called later, or at once before this method returns.
+     */
     void commit(List<Chunk> chunks, Consumer<Boolean> done);
 }
