--- a/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
@@ -5,14 +5,13 @@
 import java.util.function.IntSupplier;
 import spokestall.time.Clock;
 
-/** A disk in memory on which a commit is down after a while of a virtual clock, unless the power goes before. */
+/** A disk in memory that syncs each commit after a delay on a virtual clock, unless power is lost before. */
 public final class DelayedSegmentStore extends InMemorySegmentStore {
     private final Clock clock;
     private final IntSupplier delayMs;
     private long slowMs;
     private long incarnation;
 
-    /** Example: {@code new DelayedSegmentStore(8, 1 << 16, clock, () -> 1 + random.nextInt(3))} */
     public DelayedSegmentStore(final int count, final int sizeBytes, final Clock clock, final IntSupplier delayMs) {
         super(count, sizeBytes);
         this.clock = clock;
@@ -21,21 +20,21 @@
 
     @Override
     public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-        final long mine = incarnation;
+        final long incarnationAtCommit = incarnation;
         clock.after(slowMs + delayMs.getAsInt(), () -> {
-            if (incarnation == mine) {
+            if (incarnation == incarnationAtCommit) {
                 write(chunks);
                 done.accept(true);
             }
         });
     }
 
-    /** Each commit takes so much longer from now on. */
+    /** Delays each further commit by so many milliseconds more. */
     public void slowBy(final long byMs) {
         slowMs = byMs;
     }
 
-    /** What is not down yet is lost, and nobody is told. */
+    /** Loses all commits in flight; their callbacks are never called. */
     public void losePower() {
         incarnation++;
     }
--- a/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
+++ b/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
@@ -24,23 +24,22 @@
         return data.resolve("ring").resolve("segment-" + segment);
     }
 
-    /** A ring that has gone on to its fourth file. */
+    /** Fills segments up to the fourth. */
     private void write() throws IOException {
-        final SegmentedLog segmentedLog = open();
+        final SegmentedLog log = open();
         for (int i = 0; i < 200; i++) {
-            segmentedLog.put(
-                    "key-" + i % 20, new byte[1000], ok -> assertThat(ok).isTrue());
+            log.put("key-" + i % 20, new byte[1000], ok -> assertThat(ok).isTrue());
         }
     }
 
     @Test
-    void whatWasWrittenIsThereAgain() throws IOException {
+    void writtenRecordsAreRecoveredAfterReopening() throws IOException {
         write();
         assertThat(open().table()).hasSize(20);
     }
 
     @Test
-    void aLostFileMakesTheLogBlankWhicheverItIs() throws IOException {
+    void anyLostFileMakesTheLogBlank() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             Files.delete(file(segment));
@@ -49,7 +48,7 @@
     }
 
     @Test
-    void aFileThatWasCutShortMakesTheLogBlank() throws IOException {
+    void anyTruncatedFileMakesTheLogBlank() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             try (RandomAccessFile cut = new RandomAccessFile(file(segment).toFile(), "rw")) {
@@ -60,7 +59,7 @@
     }
 
     @Test
-    void aFirstStartThatWasCutShortIsGoneOnWith() throws IOException {
+    void aFirstStartThatWasInterruptedIsCompleted() throws IOException {
         open();
         Files.delete(file(3));
         try (RandomAccessFile cut = new RandomAccessFile(file(5).toFile(), "rw")) {
@@ -71,10 +70,10 @@
     }
 
     @Test
-    void aLossThatWasBeingClearedWhenThePowerWentIsStillSeen() throws IOException {
+    void aLossIsStillDetectedAfterAnInterruptedClearing() throws IOException {
         write();
         Files.delete(file(3));
-        // Cleared this far, and nothing made anew yet.
+        // Zeroed this far, and the lost file not created again yet.
         Files.write(file(0), new byte[SIZE]);
         assertThat(open().blank()).isTrue();
         write();
@@ -82,7 +81,7 @@
     }
 
     @Test
-    void filesThatGrowKeepWhatTheyHave() throws IOException {
+    void filesThatGrowKeepTheirRecords() throws IOException {
         write();
         final SegmentStore larger =
                 FileSegmentStore.open(data.resolve("ring"), FILES, 2 * SIZE, Runnable::run, Runnable::run);
--- a/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
@@ -3,11 +3,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A disk in memory on which a commit is down at once. */
+/** A disk in memory that syncs each commit at once. */
 public class InMemorySegmentStore implements SegmentStore {
     private final byte[][] files;
 
-    /** Example: {@code new InMemorySegmentStore(8, 1 << 14)} */
     public InMemorySegmentStore(final int count, final int sizeBytes) {
         files = new byte[count][sizeBytes];
     }
@@ -33,17 +32,17 @@
         done.accept(true);
     }
 
-    /** Puts whole pieces down. */
+    /** Writes complete chunks. */
     protected final void write(final List<Chunk> chunks) {
         chunks.forEach(chunk -> write(chunk, chunk.bytes().length));
     }
 
-    /** Puts the beginning of a piece down, as a loss of power may leave it. */
+    /** Writes the beginning of a chunk, as a power loss may leave it. */
     protected final void write(final Chunk chunk, final int bytes) {
         System.arraycopy(chunk.bytes(), 0, files[chunk.segment()], chunk.at(), bytes);
     }
 
-    /** Changes some bits of a byte, as a disk that decays. */
+    /** Flips some bits of a byte, as a decaying disk does. */
     public final void flip(final int segment, final int at, final int bits) {
         files[segment][at] ^= (byte) bits;
     }
--- /dev/null
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
@@ -0,0 +1,172 @@
+package spokestall.storage;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.concurrent.atomic.AtomicBoolean;
+import org.junit.jupiter.api.Test;
+
+/** What is recovered after random power losses, which lose or tear any chunks of the commit in flight. */
+class SegmentedLogPowerLossTest {
+    /** Each key has the value that was synced last or one that was put since; it counts as synced from now on. */
+    private static void verifyRecovered(
+            final SegmentedLog log,
+            final int keys,
+            final Map<String, String> synced,
+            final Map<String, List<String>> maybe,
+            final String run) {
+        for (int k = 0; k < keys; k++) {
+            final String key = "key-" + k;
+            final byte[] found = log.table().get(key);
+            final String text = found == null ? null : new String(found, StandardCharsets.UTF_8);
+            final List<String> allowed = new ArrayList<>(maybe.getOrDefault(key, List.of()));
+            allowed.add(synced.get(key));
+            assertThat(allowed).as("%s of %s", key, run).contains(text);
+            synced.put(key, text);
+        }
+        maybe.clear();
+    }
+
+    @Test
+    void syncedPutsSurviveAnyPowerLossAndNothingElseAppears() {
+        long losses = 0;
+        for (int seed = 0; seed < 60; seed++) {
+            final Random random = new Random(seed);
+            final ManualSegmentStore disk = new ManualSegmentStore(6, 4096);
+            SegmentedLog log = new SegmentedLog(disk);
+            assertThat(log.blank()).isTrue();
+            // For each key the value that was synced last, and those that were put since.
+            final Map<String, String> synced = new HashMap<>();
+            final Map<String, List<String>> maybe = new HashMap<>();
+            for (int step = 0; step < 1500; step++) {
+                final String key = "key-" + random.nextInt(12);
+                final String value = random.nextInt(5) == 0
+                        ? null
+                        : String.format("%03d/%05d", seed, step)
+                                + "x".repeat(random.nextBoolean() ? 20 : random.nextInt(200));
+                maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
+                log.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
+                    assertThat(ok).isTrue();
+                    synced.put(key, value);
+                    maybe.get(key).remove(0);
+                });
+                if (random.nextInt(3) == 0) {
+                    disk.sync();
+                }
+                if (random.nextInt(50) == 0) {
+                    disk.losePower(random);
+                    log = new SegmentedLog(disk);
+                    losses++;
+                    assertThat(log.blank() && !synced.isEmpty()).as("not blank").isFalse();
+                    verifyRecovered(log, 12, synced, maybe, "seed " + seed);
+                }
+            }
+        }
+        assertThat(losses).isGreaterThan(500);
+    }
+
+    /** Records of up to a file, in a log that is nearly as full as it may be. */
+    @Test
+    void largeRecordsOverwriteNothingThatRecoveryStillNeeds() {
+        final int size = 4096;
+        for (int seed = 0; seed < 300; seed++) {
+            final Random random = new Random(seed);
+            final ManualSegmentStore disk = new ManualSegmentStore(8, size);
+            SegmentedLog log = new SegmentedLog(disk);
+            final AtomicBoolean anything = new AtomicBoolean();
+            final Map<String, String> synced = new HashMap<>();
+            final Map<String, List<String>> maybe = new HashMap<>();
+            for (int step = 0; step < 400; step++) {
+                final String key = "key-" + random.nextInt(9);
+                final int bytes = random.nextInt(3) == 0 ? 20 + random.nextInt(size - 100) : random.nextInt(200);
+                final String value = random.nextInt(9) == 0 ? null : step + "/" + "x".repeat(bytes);
+                maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
+                log.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
+                    if (ok) {
+                        synced.put(key, value);
+                        anything.set(true);
+                    }
+                    maybe.get(key).remove(value);
+                });
+                if (random.nextInt(4) == 0) {
+                    disk.sync();
+                }
+                if (random.nextInt(40) == 0) {
+                    disk.losePower(random);
+                    log = new SegmentedLog(disk);
+                    assertThat(log.blank() && anything.get())
+                            .as("blank, seed %s step %s", seed, step)
+                            .isFalse();
+                    verifyRecovered(log, 9, synced, maybe, "seed " + seed + " step " + step);
+                }
+            }
+        }
+    }
+
+    /** A value of any length that begins with the number of its put. */
+    private static byte[] numbered(final int number, final int bytes) {
+        return ByteBuffer.allocate(Integer.BYTES + bytes).putInt(number).array();
+    }
+
+    private static int number(final SegmentedLog log, final String key) {
+        final byte[] found = log.table().get(key);
+        return found == null ? 0 : ByteBuffer.wrap(found).getInt();
+    }
+
+    @Test
+    void aPowerLossKeepsAPrefixOfThePuts() {
+        for (int seed = 0; seed < 100; seed++) {
+            final Random random = new Random(seed);
+            final ManualSegmentStore disk = new ManualSegmentStore(8, 4096);
+            SegmentedLog log = new SegmentedLog(disk);
+            for (int step = 1; step <= 300; step++) {
+                // As a snapshot is put before the floor below which it makes other records superfluous.
+                log.put("snapshot", numbered(step, random.nextInt(1500)), ok -> {});
+                log.put("floor", numbered(step, 0), ok -> {});
+                if (random.nextInt(3) == 0) {
+                    disk.sync();
+                }
+                if (random.nextInt(20) == 0) {
+                    disk.losePower(random);
+                    log = new SegmentedLog(disk);
+                    assertThat(number(log, "floor"))
+                            .as("floor, seed %s step %s", seed, step)
+                            .isLessThanOrEqualTo(number(log, "snapshot"));
+                }
+            }
+        }
+    }
+
+    /** Incarnations that end in their first commit, of which only what was written last is left. */
+    @Test
+    void recordsLeftBehindATornTailNeverFollowALaterIncarnationsRecords() {
+        for (int seed = 0; seed < 300; seed++) {
+            final Random random = new Random(seed);
+            final ManualSegmentStore disk = new ManualSegmentStore(8, 1024);
+            SegmentedLog log = new SegmentedLog(disk);
+            final Map<String, Integer> synced = new HashMap<>();
+            for (int step = 1; step <= 600; step++) {
+                final int number = step;
+                final String key = "key-" + random.nextInt(8);
+                log.put(key, numbered(number, random.nextInt(200)), ok -> synced.put(key, number));
+                if (random.nextInt(3) > 0) {
+                    disk.sync();
+                    continue;
+                }
+                disk.losePowerBut(random.nextInt(3));
+                log = new SegmentedLog(disk);
+                for (final Map.Entry<String, Integer> e : synced.entrySet()) {
+                    assertThat(number(log, e.getKey()))
+                            .as("%s, seed %s step %s", e.getKey(), seed, step)
+                            .isGreaterThanOrEqualTo(e.getValue());
+                }
+            }
+        }
+    }
+}
