--- a/spokestall/src/main/java/spokestall/cli/Main.java
+++ b/spokestall/src/main/java/spokestall/cli/Main.java
@@ -15,6 +15,7 @@
 import spokestall.io.protocol.ProtocolAdapter;
 import spokestall.settings.FileSettings;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsResult;
 import spokestall.settings.SettingsSource;
 
 /** The one program; the role is the subcommand. */
@@ -92,12 +93,12 @@
             sets.put(at < 0 ? set : set.substring(0, at), at < 0 ? "" : set.substring(at + 1));
         }
         final SettingsSource source = new FileSettings(flags.file, sets, core);
-        final Settings.Read read = source.read();
-        if (read instanceof Settings.Read.Bad bad) {
+        final SettingsResult read = source.read();
+        if (read instanceof SettingsResult.Invalid bad) {
             bad.errors().forEach(t -> System.err.println(t.key() + ": " + t.reason()));
             return 2;
         }
-        final Settings settings = ((Settings.Read.Good) read).settings();
+        final Settings settings = ((SettingsResult.Valid) read).settings();
         return flags.check ? 0 : new NodeProcess(settings, source, core, ProtocolAdapter.own()).run();
     }
 }
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -108,7 +108,7 @@
     public int run() throws IOException {
         final XnioWorker worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
-                        .set(Options.WORKER_IO_THREADS, (int) settings.ms("ioThreads"))
+                        .set(Options.WORKER_IO_THREADS, (int) settings.integer("ioThreads"))
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                         .set(Options.WORKER_TASK_MAX_THREADS, 2)
                         .set(Options.TCP_NODELAY, true)
@@ -127,8 +127,8 @@
             segments = core
                     ? around.disk(FileSegmentStore.open(
                             Path.of(settings.text("data"), "ring"),
-                            (int) settings.ms("ringSegments"),
-                            (int) settings.ms("ringSegmentBytes"),
+                            (int) settings.integer("ringSegments"),
+                            (int) settings.integer("ringSegmentBytes"),
                             new EventLoop(disk, 1 << 16),
                             stage))
                     : null;
@@ -140,16 +140,16 @@
         final TcpTransport transport = new TcpTransport(
                 worker,
                 message -> stage.offer(() -> node.hear(message)),
-                settings.part("leaveBoundMs", 0.25),
-                (int) settings.ms("noteVersion"),
+                settings.fractionOf("leaveBoundMs", 0.25),
+                (int) settings.integer("noteVersion"),
                 new TrustedNetworks(settings.peers()));
         final HttpUpstreamClient outside = new HttpUpstreamClient(
-                new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), settings.ms("wireRestMs")),
+                new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), settings.integer("wireRestMs")),
                 stage,
                 settings.text("platform"),
                 protocol.attempts(),
                 protocol.platform(),
-                settings.ms("connectMs"));
+                settings.integer("connectMs"));
         final CountDownLatch made = new CountDownLatch(1);
         stage.execute(() -> {
             try {
@@ -192,7 +192,8 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             stage.execute(() -> node.leave(server.connections(), stopped::countDown));
             try {
-                stopped.await((long) (STOP_RATIO * settings.ms("stopWaitMs")) + STOP_LEAST_MS, TimeUnit.MILLISECONDS);
+                stopped.await(
+                        (long) (STOP_RATIO * settings.integer("stopWaitMs")) + STOP_LEAST_MS, TimeUnit.MILLISECONDS);
             } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -218,21 +219,21 @@
     /** What runs the stage's turns: workers of its own, or the thread that has its timers and wires. There an event goes
      * from a wire to the stage and back without waking another thread. */
     private Executor turns(final XnioIoThread io) {
-        final int workers = (int) settings.ms("workers");
+        final int workers = (int) settings.integer("workers");
         return workers == 0 ? io : Executors.newFixedThreadPool(workers);
     }
 
     /** A core goes on without its audit, and says so, rather than not at all. */
     private AuditSink audit(final ExecutorService writer) {
-        if (!core || settings.ms("auditFiles") == 0) {
+        if (!core || settings.integer("auditFiles") == 0) {
             return AuditSink.NONE;
         }
         try {
             return AuditFiles.open(
                     Path.of(settings.text("data"), "audit"),
                     settings.text("name"),
-                    (int) settings.ms("auditFiles"),
-                    (int) settings.ms("auditFileBytes"),
+                    (int) settings.integer("auditFiles"),
+                    (int) settings.integer("auditFileBytes"),
                     writer);
         } catch (final IOException e) {
             LOG.atWarning().log("event=audit_trouble node=%s why=\"%s\"", settings.text("name"), e.getMessage());
--- a/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
+++ b/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsResult;
 import spokestall.settings.SettingsSource;
 
 /**
@@ -51,10 +52,10 @@
     private void read() {
         // The state is taken before the content: a change in between is read at the next look.
         seen = state();
-        final Settings.Read read = source.read();
-        if (read instanceof Settings.Read.Bad bad) {
+        final SettingsResult read = source.read();
+        if (read instanceof SettingsResult.Invalid bad) {
             LOG.atWarning().log("event=settings_refused why=\"%s\"", bad.errors());
-        } else if (read instanceof Settings.Read.Good good) {
+        } else if (read instanceof SettingsResult.Valid good) {
             taker.accept(good.settings());
         }
     }
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
@@ -33,11 +33,11 @@
                 Addresses.of(settings.text("http")),
                 Addresses.of(settings.operators()),
                 new HttpServer.Bounds(
-                        2 * (int) settings.ms("policyMaxBytes"),
+                        2 * (int) settings.integer("policyMaxBytes"),
                         1 << 16,
-                        4 * (int) settings.ms("askOpenMax"),
-                        settings.ms("askSpanMaxMs"),
-                        settings.ms("askSpanMaxMs"),
-                        settings.part("askSpanMaxMs", 1.0 / 30)));
+                        4 * (int) settings.integer("askOpenMax"),
+                        settings.integer("askSpanMaxMs"),
+                        settings.integer("askSpanMaxMs"),
+                        settings.fractionOf("askSpanMaxMs", 1.0 / 30)));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -46,8 +46,8 @@
         this.keeping = new RegisterRetention(
                 ready,
                 context.fleet,
-                context.settings().ms("claimKeepMs"),
-                context.settings().part("claimKeepMs", 0.2),
+                context.settings().integer("claimKeepMs"),
+                context.settings().fractionOf("claimKeepMs", 0.2),
                 context.timings().windowMs(),
                 voterSet,
                 this::floor,
--- a/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
+++ b/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
@@ -24,8 +24,8 @@
         this.endpointRegistry = new EndpointRegistry(
                 context.incarnation,
                 LISTED_MAX,
-                context.settings().ms("leaveBoundMs"),
-                context.settings().ms("probes") == 1);
+                context.settings().integer("leaveBoundMs"),
+                context.settings().integer("probes") == 1);
     }
 
     /** On a core: reads what its disk has from before, and is ready to probe. */
@@ -64,7 +64,7 @@
 
     /** Lets go of what has been absent for long. */
     void prune() {
-        endpointRegistry.prune(context.fleet.nowMs() - context.settings().part("leaveBoundMs", ABSENT_BOUNDS));
+        endpointRegistry.prune(context.fleet.nowMs() - context.settings().fractionOf("leaveBoundMs", ABSENT_BOUNDS));
     }
 
     void hear(final DiscoveryMessage.Push push) {
--- a/spokestall/src/main/java/spokestall/node/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServer.java
@@ -88,7 +88,7 @@
                 ask.registryIncarnation() == node.discovery.endpointRegistry.incarnation() ? ask.registryPlace() : 0;
         final boolean update = ask.update() && ready;
         final VoterSet table = node.storage.acceptor.voterSet();
-        final boolean terse = node.context.settings().ms("noteVersion") >= TERSE;
+        final boolean terse = node.context.settings().integer("noteVersion") >= TERSE;
         final boolean had = terse && table != null && table.same(ask.generation(), ask.epoch());
         final Collection<NodeInfo> fresh = freshEdges();
         final long mark = terse ? mark(fresh) : 0;
@@ -210,7 +210,7 @@
             if (p.fresh()
                     && !p.member().leaving()
                     && node.context.clock.nowMs() - p.heardMs()
-                            <= node.context.settings().heardMs()) {
+                            <= node.context.settings().peerTimeoutMillis()) {
                 found.add(p.member());
             }
         }
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -46,7 +46,7 @@
         int told = 0;
         for (final Voter other : voterSet.get().voters()) {
             final boolean apt = !other.name().equals(voter)
-                    && heardMs.applyAsLong(other.name()) < context.settings().heardMs();
+                    && heardMs.applyAsLong(other.name()) < context.settings().peerTimeoutMillis();
             if (told < CORES_TOLD && apt) {
                 context.post.send(other.address(), new HandoffMessage.Hint(voter, key));
                 told++;
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -48,7 +48,7 @@
             found.put(context.name, view.self());
         }
         if (found.isEmpty()) {
-            follower.edges(context.settings().part("leaveBoundMs", 2)).forEach(e -> found.put(e.name(), e));
+            follower.edges(context.settings().fractionOf("leaveBoundMs", 2)).forEach(e -> found.put(e.name(), e));
         }
         if (view.self().leaving()) {
             found.remove(context.name);
@@ -58,7 +58,7 @@
 
     /** A core that has just started, or that nobody asks since it has no seat, goes by the word of another core. */
     private Collection<NodeInfo> heard() {
-        final long spanMs = context.settings().heardMs();
+        final long spanMs = context.settings().peerTimeoutMillis();
         if (!context.core) {
             return follower.edges(spanMs);
         }
@@ -73,7 +73,7 @@
 
     /** Whether others may not have been heard yet. */
     private boolean justStarted() {
-        return context.clock.nowMs() - startedMs < context.settings().heardMs();
+        return context.clock.nowMs() - startedMs < context.settings().peerTimeoutMillis();
     }
 
     /** Clients are told of what was heard up to now. */
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -61,8 +61,8 @@
 
     /** Whether this life was told that it is the fleet's first, and its disk doesn't say otherwise. */
     private boolean isFirstIncarnation() {
-        return context.settings().ms("cores") == 0
-                && context.settings().ms("bootstrap") == 1
+        return context.settings().integer("cores") == 0
+                && context.settings().integer("bootstrap") == 1
                 && (acceptor == null || acceptor.openedBlank());
     }
 
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -171,7 +171,7 @@
                 follower,
                 context.clock,
                 () -> context.fleet.settled() ? context.fleet.nowMs() : 0,
-                settings.part("policyBoundMs", 0.8),
+                settings.fractionOf("policyBoundMs", 0.8),
                 context.timings().configurationBytesMost(),
                 feeds::tell);
         this.audit = environment.audit();
@@ -230,7 +230,8 @@
             serving.renew();
         }
         LOG.atInfo().log(
-                "event=settings_renewed node=%s taken=%s waiting=%s", context.name, renewal.taken(), renewal.waiting());
+                "event=settings_renewed node=%s taken=%s waiting=%s",
+                context.name, renewal.applied(), renewal.pending());
         return renewal.settings();
     }
 
@@ -254,12 +255,12 @@
                 settings.text("district"),
                 settings.region(),
                 context.incarnation);
-        hurry(context.clock.nowMs() + settings.part("leaveBoundMs", 1.5), 0);
-        every(settings.part("leaveBoundMs", 0.125), () -> {
+        hurry(context.clock.nowMs() + settings.fractionOf("leaveBoundMs", 1.5), 0);
+        every(settings.fractionOf("leaveBoundMs", 0.125), () -> {
             view.tick();
             knownEdges.publish();
         });
-        every(settings.ms("proofMs"), () -> {
+        every(settings.integer("proofMs"), () -> {
             follower.tick();
             knownEdges.publish();
         });
@@ -267,28 +268,28 @@
             startCore(settings);
         }
         if (serving != null) {
-            every(settings.ms("countPushMs"), serving::tickCounts);
-            every(settings.part("leaveBoundMs", 1), serving::retain);
+            every(settings.integer("countPushMs"), serving::tickCounts);
+            every(settings.fractionOf("leaveBoundMs", 1), serving::retain);
         }
-        every(settings.part("leaveBoundMs", 2), this::warnOfDiffering);
-        every(settings.part("leaveBoundMs", 2), discovery::prune);
+        every(settings.fractionOf("leaveBoundMs", 2), this::warnOfDiffering);
+        every(settings.fractionOf("leaveBoundMs", 2), discovery::prune);
     }
 
     private void startCore(final Settings settings) {
-        every(settings.part("leaveBoundMs", 0.0625), membership::tick);
-        every(settings.part("leaveBoundMs", 0.125), discovery::tick);
-        every(settings.part("leaseMs", 0.1), () -> duty.tickLease(leaving()));
-        every(settings.part("reportDueMs", 0.01), duty.reporter::tick);
-        every(settings.part("keyBoundMs", 0.2), this::tidy);
-        every(settings.ms("countPushMs"), duty::tickKept);
-        every(settings.ms("listMs"), discovery::tickKept);
-        every(settings.part("keyBoundMs", 0.02), duty::recount);
-        every(settings.part("keyBoundMs", 0.1), this::decided);
-        every(settings.part("keyBoundMs", 0.02), () -> storage.learnFounded(follower));
+        every(settings.fractionOf("leaveBoundMs", 0.0625), membership::tick);
+        every(settings.fractionOf("leaveBoundMs", 0.125), discovery::tick);
+        every(settings.fractionOf("leaseMs", 0.1), () -> duty.tickLease(leaving()));
+        every(settings.fractionOf("reportDueMs", 0.01), duty.reporter::tick);
+        every(settings.fractionOf("keyBoundMs", 0.2), this::tidy);
+        every(settings.integer("countPushMs"), duty::tickKept);
+        every(settings.integer("listMs"), discovery::tickKept);
+        every(settings.fractionOf("keyBoundMs", 0.02), duty::recount);
+        every(settings.fractionOf("keyBoundMs", 0.1), this::decided);
+        every(settings.fractionOf("keyBoundMs", 0.02), () -> storage.learnFounded(follower));
     }
 
     private void tidy() {
-        feeds.tidy(context.settings().part("leaveBoundMs", 2));
+        feeds.tidy(context.settings().fractionOf("leaveBoundMs", 2));
         storage.tidy();
     }
 
@@ -298,8 +299,8 @@
             LOG.atWarning().log(
                     "event=counts_differ node=%s cores=%s edges=%s from=%s",
                     context.name,
-                    context.settings().ms("cores"),
-                    context.settings().ms("edges"),
+                    context.settings().integer("cores"),
+                    context.settings().integer("edges"),
                     differing);
         }
     }
@@ -318,7 +319,7 @@
             // Before there are voters nothing can be proved; a founding takes seconds.
             follower.tick();
         }
-        context.clock.after(context.settings().part("leaveBoundMs", 0.03), () -> hurry(untilMs, turn + 1));
+        context.clock.after(context.settings().fractionOf("leaveBoundMs", 0.03), () -> hurry(untilMs, turn + 1));
     }
 
     private void every(final long spanMs, final Runnable tick) {
--- a/spokestall/src/main/java/spokestall/node/NodeContext.java
+++ b/spokestall/src/main/java/spokestall/node/NodeContext.java
@@ -31,11 +31,11 @@
         this.core = core;
         this.name = settings.text("name");
         this.address = settings.text("address");
-        this.serves = !core || settings.ms("alsoEdge") == 1;
+        this.serves = !core || settings.integer("alsoEdge") == 1;
         this.clock = environment.clock();
         this.random = environment.random();
         this.incarnation = clock.wallMs() << 10 | random.nextInt(1 << 10);
-        this.fleet = new FleetClock(clock, settings.part("farMs", 2));
+        this.fleet = new FleetClock(clock, settings.fractionOf("farMs", 2));
         this.post = (to, message) -> {
             if (to.equals(address)) {
                 clock.after(0, () -> receiver.accept(message));
@@ -80,8 +80,8 @@
                 incarnation,
                 0,
                 false,
-                (int) settings.ms("cores"),
-                (int) settings.ms("edges"),
+                (int) settings.integer("cores"),
+                (int) settings.integer("edges"),
                 core && serves);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
+++ b/spokestall/src/main/java/spokestall/node/OperatorCallHandler.java
@@ -70,7 +70,7 @@
 
     /** The configuration, proved newest after the call came. */
     private void configurationGet(final Consumer<Reply> done) {
-        node.acceptance.newest(node.context.settings().ms("policyBoundMs"), configuration -> {
+        node.acceptance.newest(node.context.settings().integer("policyBoundMs"), configuration -> {
             if (configuration == null) {
                 done.accept(Reply.of(ResultCode.NOT_READY, null));
                 return;
@@ -129,7 +129,7 @@
             where(p, tenant, done);
             return;
         }
-        node.acceptance.newest(node.context.settings().ms("freshMs"), configuration -> {
+        node.acceptance.newest(node.context.settings().integer("freshMs"), configuration -> {
             if (configuration == null) {
                 done.accept(Reply.of(ResultCode.NOT_FRESH, null));
             } else if (configuration.tenantOf(key) == null) {
@@ -157,7 +157,7 @@
                 .put("name", m.name())
                 .put("address", m.httpAddress())
                 .put("region", m.region()));
-        out.put("forMs", node.context.settings().part("leaveBoundMs", 0.4));
+        out.put("forMs", node.context.settings().fractionOf("leaveBoundMs", 0.4));
         out.put("ticket", new RequestTicket(node.voterSet().generation(), node.context.fleet.nowMs()).text());
         done.accept(Reply.of(ResultCode.OK, out));
     }
@@ -165,7 +165,7 @@
     private void usageGet(final JsonNode p, final Consumer<Reply> done) {
         node.proposer.read(
                 SealedWindow.key(p.get("window").asLong()),
-                node.context.settings().ms("policyBoundMs"),
+                node.context.settings().integer("policyBoundMs"),
                 outcome -> {
                     if (outcome instanceof ProposalOutcome.Done d && d.value() != null) {
                         final SealedWindow sealed = MessageCodec.decodeRecord(d.value(), SealedWindow.class);
@@ -240,8 +240,8 @@
                 final boolean heard = back != null
                         && node.follower.heardMs(s.name())
                                 < Math.max(
-                                        node.context.settings().ms("leaveBoundMs"),
-                                        node.context.settings().heardMs());
+                                        node.context.settings().integer("leaveBoundMs"),
+                                        node.context.settings().peerTimeoutMillis());
                 table.putObject(s.name())
                         .put("state", !heard ? "unheard" : back.voting() ? "voting" : "blank")
                         .put("applied", heard ? back.applied() : 0);
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -95,8 +95,8 @@
 
     /** The edges that shared bounds are divided among: as many as are configured, else as are known or ever were here. */
     int sharingEdges() {
-        if (context.settings().ms("edges") > 0) {
-            return (int) context.settings().ms("edges");
+        if (context.settings().integer("edges") > 0) {
+            return (int) context.settings().integer("edges");
         }
         if (view.changes() == sharingEdgesSeen) {
             return sharingEdgesMax;
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -121,7 +121,7 @@
             if (listed.zone().equals(zone) && rule != null) {
                 loadBalancer.chill(
                         List.of(listed.instance()),
-                        rule.warmupMs() + context.settings().part("leaveBoundMs", 0.5));
+                        rule.warmupMs() + context.settings().fractionOf("leaveBoundMs", 0.5));
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -33,105 +33,107 @@
     }
 
     private int told(final String count) {
-        return settings.ms(count) == 0 ? UNTOLD : (int) settings.ms(count);
+        return settings.integer(count) == 0 ? UNTOLD : (int) settings.integer(count);
     }
 
     /** A configuration, and a founding with it and all else that is left, must fit into one record of the cores' rings. */
     int configurationBytesMost() {
-        return (int) Math.min(settings.ms("policyMaxBytes"), settings.ms("ringSegmentBytes") / 2);
+        return (int) Math.min(settings.integer("policyMaxBytes"), settings.integer("ringSegmentBytes") / 2);
     }
 
     /** The span whose counts are reported together. */
     long windowMs() {
-        return settings.ms("reportWindowS") * 1000;
+        return settings.integer("reportWindowS") * 1000;
     }
 
     PartialView.Timing view() {
         return new PartialView.Timing(
                 2 * (told("cores") + told("edges")),
                 6,
-                settings.part("leaveBoundMs", 4),
-                settings.part("leaveBoundMs", 1));
+                settings.fractionOf("leaveBoundMs", 4),
+                settings.fractionOf("leaveBoundMs", 1));
     }
 
     Proposer.Timing proposer() {
-        final long farMs = settings.ms("farMs");
+        final long farMs = settings.integer("farMs");
         return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), 64);
     }
 
     FeedClient.Timing follower() {
         return new FeedClient.Timing(
-                settings.ms("freshMs"),
+                settings.integer("freshMs"),
                 32,
-                3 * settings.ms("proofMs"),
+                3 * settings.integer("proofMs"),
                 core ? 8 : 64,
-                settings.ms("noteVersion") < TERSE);
+                settings.integer("noteVersion") < TERSE);
     }
 
     BootstrapProposer.Timing bootstrapProposer() {
         return new BootstrapProposer.Timing(
-                settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
+                settings.fractionOf("leaveBoundMs", 0.5),
+                settings.fractionOf("leaveBoundMs", 0.25),
+                8 * settings.integer("farMs"));
     }
 
     MembershipCoordinator.Timing membershipCoordinator() {
         return new MembershipCoordinator.Timing(
-                (int) settings.ms("cores"),
-                settings.part("leaveBoundMs", 0.6),
-                settings.part("leaveBoundMs", 0.15),
-                settings.part("leaveBoundMs", 0.75),
-                8 * settings.ms("farMs"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.ms("noteVersion") < TERSE,
-                settings.part("leaveBoundMs", 0.5),
-                settings.part("leaveBoundMs", 8));
+                (int) settings.integer("cores"),
+                settings.fractionOf("leaveBoundMs", 0.6),
+                settings.fractionOf("leaveBoundMs", 0.15),
+                settings.fractionOf("leaveBoundMs", 0.75),
+                8 * settings.integer("farMs"),
+                settings.fractionOf("leaveBoundMs", 0.25),
+                settings.integer("noteVersion") < TERSE,
+                settings.fractionOf("leaveBoundMs", 0.5),
+                settings.fractionOf("leaveBoundMs", 8));
     }
 
     GracefulHandover.Timing handover() {
-        return new GracefulHandover.Timing(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
+        return new GracefulHandover.Timing(2 * settings.integer("farMs"), 6 * settings.integer("farMs"));
     }
 
     HealthChecker.Timing prober() {
         return new HealthChecker.Timing(
-                settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 0.5),
+                settings.fractionOf("leaveBoundMs", 0.25),
+                settings.fractionOf("leaveBoundMs", 0.5),
                 2,
                 2,
-                settings.ms("listMs"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.ms("probes") == 1);
+                settings.integer("listMs"),
+                settings.fractionOf("leaveBoundMs", 0.25),
+                settings.integer("probes") == 1);
     }
 
     UsageCounter.Timing counter() {
         return new UsageCounter.Timing(
                 windowMs(),
-                settings.part("reportDueMs", 0.1),
+                settings.fractionOf("reportDueMs", 0.1),
                 3,
-                settings.ms("uncountedMs"),
-                (int) settings.ms("cores"),
-                settings.ms("farMs") / 2);
+                settings.integer("uncountedMs"),
+                (int) settings.integer("cores"),
+                settings.integer("farMs") / 2);
     }
 
     UsageReporter.Timing reporter() {
         return new UsageReporter.Timing(
                 windowMs(),
-                settings.part("reportDueMs", 0.15),
-                settings.part("reportDueMs", 0.5),
-                settings.part("reportDueMs", 0.03),
-                settings.ms("reportDueMs"),
-                settings.part("leaseMs", 0.4),
-                settings.part("leaseMs", 0.4),
+                settings.fractionOf("reportDueMs", 0.15),
+                settings.fractionOf("reportDueMs", 0.5),
+                settings.fractionOf("reportDueMs", 0.03),
+                settings.integer("reportDueMs"),
+                settings.fractionOf("leaseMs", 0.4),
+                settings.fractionOf("leaseMs", 0.4),
                 settings.number("dutiesPerS"));
     }
 
     LeaseManager.Timing lease() {
         return new LeaseManager.Timing(
-                settings.ms("leaseMs"),
-                settings.part("leaseMs", 0.2),
-                settings.part("leaseMs", 0.4),
-                settings.part("leaseMs", 0.1),
-                2 * settings.ms("farMs"),
-                settings.ms("maxRunMs"),
-                settings.ms("restMs"));
+                settings.integer("leaseMs"),
+                settings.fractionOf("leaseMs", 0.2),
+                settings.fractionOf("leaseMs", 0.4),
+                settings.fractionOf("leaseMs", 0.1),
+                2 * settings.integer("farMs"),
+                settings.integer("maxRunMs"),
+                settings.integer("restMs"));
     }
 
     LoadBalancer.Timing loadBalancer(final IntSupplier sharingEdges) {
@@ -139,40 +141,40 @@
                 sharingEdges,
                 settings.number("warmRatio"),
                 settings.number("warmSlack"),
-                settings.part("leaveBoundMs", 0.25),
-                settings.part("leaveBoundMs", 2),
+                settings.fractionOf("leaveBoundMs", 0.25),
+                settings.fractionOf("leaveBoundMs", 2),
                 settings.number("districtCost"),
                 settings.number("regionCost"));
     }
 
     AdmissionController.Timing edge() {
         return new AdmissionController.Timing(
-                (int) settings.ms("askOpenMax"),
-                settings.ms("heldMaxBytes"),
-                settings.ms("claimKeepMs"),
-                20 * settings.ms("farMs"),
-                4 * settings.ms("farMs"),
-                settings.ms("retryAfterMs"),
+                (int) settings.integer("askOpenMax"),
+                settings.integer("heldMaxBytes"),
+                settings.integer("claimKeepMs"),
+                20 * settings.integer("farMs"),
+                4 * settings.integer("farMs"),
+                settings.integer("retryAfterMs"),
                 3,
                 settings.number("retryShare") * 0.9,
                 settings.number("retryAllowance"),
-                settings.ms("askSpanMaxMs"),
-                settings.part("claimKeepMs", 0.01),
+                settings.integer("askSpanMaxMs"),
+                settings.fractionOf("claimKeepMs", 0.01),
                 new RequestConventions(
-                        settings.ms("keyed") == 1,
-                        settings.ms("claims") == 1,
-                        settings.ms("homeEdges") == 1,
-                        settings.ms("holdsEdges") == 1,
-                        settings.ms("unsentFree") == 1,
-                        settings.ms("any500") == 1));
+                        settings.integer("keyed") == 1,
+                        settings.integer("claims") == 1,
+                        settings.integer("homeEdges") == 1,
+                        settings.integer("holdsEdges") == 1,
+                        settings.integer("unsentFree") == 1,
+                        settings.integer("any500") == 1));
     }
 
     GracefulShutdown.Timing departure() {
         return new GracefulShutdown.Timing(
-                settings.part("stopWaitMs", 0.2),
-                settings.part("stopWaitMs", 0.75),
-                settings.part("stopWaitMs", 0.9),
-                settings.ms("stopWaitMs"),
+                settings.fractionOf("stopWaitMs", 0.2),
+                settings.fractionOf("stopWaitMs", 0.75),
+                settings.fractionOf("stopWaitMs", 0.9),
+                settings.integer("stopWaitMs"),
                 20,
                 50);
     }
--- a/spokestall/src/main/java/spokestall/node/ToleratedSeatLoss.java
+++ b/spokestall/src/main/java/spokestall/node/ToleratedSeatLoss.java
@@ -22,9 +22,9 @@
 
     @Override
     public int applyAsInt(final List<Voter> voters) {
-        final int byCores = (int) settings.ms("lossCores");
-        final int byZones = largest(voters, NodeInfo::zone, (int) settings.ms("lossDistricts"));
-        final int byRegions = largest(voters, NodeInfo::region, (int) settings.ms("lossRegions"));
+        final int byCores = (int) settings.integer("lossCores");
+        final int byZones = largest(voters, NodeInfo::zone, (int) settings.integer("lossDistricts"));
+        final int byRegions = largest(voters, NodeInfo::region, (int) settings.integer("lossRegions"));
         return Math.max(byCores, Math.max(byZones, byRegions));
     }
 
--- a/spokestall/src/main/java/spokestall/settings/FileSettings.java
+++ b/spokestall/src/main/java/spokestall/settings/FileSettings.java
@@ -4,11 +4,16 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Settings from spokestall's own file and from flags, which win over it; the file may be null. */
+/**
+ * Settings from spokestall's own file and from flags, which override it. Thread-safe.
+ *
+ * @param settingsFile null if there is none
+ * @param core whether the node is a core
+ */
 public record FileSettings(Path settingsFile, Map<String, String> flags, boolean core) implements SettingsSource {
     @Override
-    public Settings.Read read() {
-        return Settings.read(settingsFile, flags, core);
+    public SettingsResult read() {
+        return SettingsReader.read(settingsFile, flags, core);
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/settings/SettingsSource.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsSource.java
@@ -3,20 +3,20 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** Where a node's settings come from, so that they can be read anew while it runs. */
+/** Where a node's settings come from, so that they can be read again while it runs. Calls block on files. */
 public interface SettingsSource {
-    /** Reads and checks all settings as they stand now. */
-    Settings.Read read();
+    /** Reads and checks all settings as they are now. */
+    SettingsResult read();
 
-    /** The file whose change means that there are newer settings; empty where there is none. */
+    /** Returns the file whose modification means that there are newer settings; empty if there is none. */
     Optional<Path> file();
 
-    /** Settings that never change. */
+    /** Returns a source of settings that never change. */
     static SettingsSource constant(final Settings settings) {
         return new SettingsSource() {
             @Override
-            public Settings.Read read() {
-                return new Settings.Read.Good(settings);
+            public SettingsResult read() {
+                return new SettingsResult.Valid(settings);
             }
 
             @Override
--- a/spokestall/src/main/java/spokestall/settings/SettingsUpdate.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsUpdate.java
@@ -9,13 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * Newer settings met by a running node: the settings it goes on with, the keys whose new values it takes, and the keys
- * whose new values wait for its next start. Addresses, identities, sizes of what was allocated and spans that nodes
- * agree on (leases, windows) are never changed in a running node.
+ * What a running node does with newer settings. Addresses, identities, sizes of what was allocated and durations that nodes agree
+ * on (leases, windows) never change in a running node; they wait for its next start. Immutable.
+ *
+ * @param settings what the node continues with: the ones in force with the applied values
+ * @param applied keys whose new values are applied
+ * @param pending keys whose new values are left for the next start
  */
-public record SettingsUpdate(Settings settings, Set<String> taken, Set<String> waiting) {
-    /** Keys whose values a running node can replace: nothing allocated or agreed on depends on them. */
-    static final Set<String> LIVE = Set.of(
+public record SettingsUpdate(Settings settings, Set<String> applied, Set<String> pending) {
+    /** Keys whose values a running node can replace: nothing that is allocated or agreed on depends on them. */
+    static final Set<String> RELOADABLE_KEYS = Set.of(
             "seeds",
             "freshMs",
             "retryShare",
@@ -27,25 +30,27 @@
             "stopWaitMs",
             "whereS");
 
-    /** What a node that runs with some settings makes of newer ones, each set good by itself. A new value that does
-     * not fit what stays in force waits too. */
+    /**
+     * Compares newer settings, which are valid by themselves, with those in force. A reloadable value that is not valid together
+     * with the values that stay in force is pending too.
+     */
     public static SettingsUpdate of(final Settings inForce, final Settings newer, final boolean core) {
-        final Set<String> changed = changed(inForce.values(), newer.values());
-        final Set<String> taken = new TreeSet<>(changed);
-        taken.retainAll(LIVE);
-        Settings.Read mixed = mixed(inForce, newer, taken, core);
-        while (mixed instanceof Settings.Read.Bad bad) {
-            if (!taken.removeAll(keys(bad.errors()))) {
-                taken.clear();
+        final Set<String> changed = changedKeys(inForce.values(), newer.values());
+        final Set<String> applied = new TreeSet<>(changed);
+        applied.retainAll(RELOADABLE_KEYS);
+        SettingsResult merged = merge(inForce, newer, applied, core);
+        while (merged instanceof SettingsResult.Invalid invalid) {
+            if (!applied.removeAll(keys(invalid.errors()))) {
+                applied.clear();
             }
-            mixed = mixed(inForce, newer, taken, core);
+            merged = merge(inForce, newer, applied, core);
         }
-        final Set<String> waiting = new TreeSet<>(changed);
-        waiting.removeAll(taken);
-        return new SettingsUpdate(((Settings.Read.Good) mixed).settings(), taken, waiting);
+        final Set<String> pending = new TreeSet<>(changed);
+        pending.removeAll(applied);
+        return new SettingsUpdate(((SettingsResult.Valid) merged).settings(), applied, pending);
     }
 
-    private static Set<String> changed(final Map<String, String> before, final Map<String, String> after) {
+    private static Set<String> changedKeys(final Map<String, String> before, final Map<String, String> after) {
         final Set<String> changed = new TreeSet<>();
         after.forEach((key, value) -> {
             if (!Objects.equals(value, before.get(key))) {
@@ -55,14 +60,14 @@
         return changed;
     }
 
-    private static Settings.Read mixed(
-            final Settings inForce, final Settings newer, final Set<String> taken, final boolean core) {
+    private static SettingsResult merge(
+            final Settings inForce, final Settings newer, final Set<String> applied, final boolean core) {
         final Map<String, String> values = new TreeMap<>(inForce.values());
-        taken.forEach(key -> values.put(key, newer.values().get(key)));
-        return Settings.read(null, values, core);
+        applied.forEach(key -> values.put(key, newer.values().get(key)));
+        return SettingsReader.read(null, values, core);
     }
 
-    private static List<String> keys(final List<Settings.ValidationError> errors) {
+    private static List<String> keys(final List<SettingsError> errors) {
         final List<String> keys = new ArrayList<>();
         errors.forEach(error -> keys.add(error.key()));
         return keys;
--- /dev/null
+++ b/spokestall/src/main/java/spokestall/settings/SettingsValidator.java
@@ -0,0 +1,165 @@
+package spokestall.settings;
+
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Checks the values of all settings, first each by itself, then, if each is valid, against each other. Adds all errors to a
+ * list; throws nothing. Not thread-safe; used once.
+ */
+final class SettingsValidator {
+    /** Seeds of a fleet whose settings say how many cores it has. */
+    private static final int SEEDS = 3;
+
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_OCTET = 255;
+
+    private final Map<String, String> values;
+    private final List<SettingsError> errors;
+
+    /** @param values every setting with its value, null where none is given and there is no default */
+    SettingsValidator(final Map<String, String> values, final List<SettingsError> errors) {
+        this.values = values;
+        this.errors = errors;
+    }
+
+    void validate(final boolean core) {
+        SettingKeys.all().forEach((name, key) -> checkValue(name, key, values.get(name)));
+        final int seeds =
+                values.get("seeds") == null ? SEEDS : values.get("seeds").split(",", -1).length;
+        if (seeds != SEEDS && !(seeds < SEEDS && "0".equals(values.get("cores")))) {
+            error("seeds", "needs three addresses, has " + seeds);
+        }
+        if (errors.isEmpty()) {
+            final Settings settings = new Settings(values);
+            checkAddresses(settings, core);
+            checkTimings(settings);
+        }
+    }
+
+    private void error(final String key, final String reason) {
+        errors.add(new SettingsError(key, reason));
+    }
+
+    private void checkValue(final String name, final SettingKey key, final String value) {
+        if (value == null) {
+            error(name, "must be given: " + key.description());
+            return;
+        }
+        switch (key.kind()) {
+            case NUMBER -> checkNumber(name, key, value);
+            case ADDRESS -> checkAddress(name, value);
+            case OPTIONAL_ADDRESS -> {
+                if (!value.isEmpty()) {
+                    checkAddress(name, value);
+                }
+            }
+            case ADDRESSES -> {
+                for (final String address : value.split(",", -1)) {
+                    checkAddress(name, address);
+                }
+            }
+            case NETWORKS -> {
+                for (final String network : value.isEmpty() ? new String[0] : value.split(",", -1)) {
+                    checkNetwork(name, network);
+                }
+            }
+            case ZONES -> {
+                if (!value.matches("[^=,]+=[^=,]+(,[^=,]+=[^=,]+)*")) {
+                    error(name, "'" + value + "' is not of the form d1=r1,d2=r1");
+                }
+            }
+            case TEXT -> {
+                if (name.equals("name") && !value.matches("[A-Za-z0-9._-]{1,64}")) {
+                    error(name, "'" + value + "' has other than letters, digits, . _ -");
+                }
+            }
+        }
+    }
+
+    private void checkNumber(final String name, final SettingKey key, final String value) {
+        if (key.fraction() != null && value.isEmpty()) {
+            return;
+        }
+        try {
+            if (!key.range().contains(Double.parseDouble(value))) {
+                error(
+                        name,
+                        value + " is not between " + key.range().min() + " and "
+                                + key.range().max());
+            }
+        } catch (final NumberFormatException e) {
+            error(name, "'" + value + "' is not a number");
+        }
+    }
+
+    private void checkNetwork(final String name, final String network) {
+        final String[] parts = network.split("/", -1);
+        checkAddress(name, parts[0] + ":1");
+        if (parts.length > 2 || parts.length == 2 && !parts[1].matches("[12]?\\d|3[0-2]")) {
+            error(name, "'" + network + "' is not an IP number or a network like 10.1.0.0/16");
+        }
+    }
+
+    private void checkAddress(final String name, final String address) {
+        if (!isAddress(address)) {
+            error(name, "'" + address + "' is not an IP number and port like 10.0.0.1:7100");
+        }
+    }
+
+    private static boolean isAddress(final String address) {
+        if (!address.matches("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}")) {
+            return false;
+        }
+        final int colon = address.indexOf(':');
+        for (final String octet : address.substring(0, colon).split("\\.")) {
+            if (Integer.parseInt(octet) > MAX_OCTET) {
+                return false;
+            }
+        }
+        final int port = Integer.parseInt(address.substring(colon + 1));
+        return port > 0 && port <= MAX_PORT;
+    }
+
+    private void checkAddresses(final Settings s, final boolean core) {
+        if (!s.zones().containsKey(s.text("district"))) {
+            error("district", "'" + s.text("district") + "' is not among districts");
+        }
+        if (core && s.text("data").isEmpty()) {
+            error("data", "a core needs a data folder");
+        }
+        if (s.seeds().stream().distinct().count() != s.seeds().size()) {
+            error("seeds", "names an address twice");
+        }
+        if (s.integer("bootstrap") == 1 && s.integer("cores") != 0) {
+            error("bootstrap", "is for a fleet with cores 0 only");
+        }
+        if (s.text("address").equals(s.text("http"))) {
+            error("http", "is the same as address");
+        }
+        checkAddress("operators", s.operators());
+        if (s.operators().equals(s.text("http"))
+                || s.operators().equals(s.text("address"))
+                || s.operators().equals(s.listen())) {
+            error("operators", s.operators() + " is an address of this node for others");
+        }
+    }
+
+    private void checkTimings(final Settings s) {
+        if (s.integer("freshMs") < 2 * s.integer("proofMs")) {
+            error("freshMs", "must be at least 2 x proofMs, for a proof to be renewed in time");
+        }
+        if (s.integer("freshMs") + s.integer("farMs") >= s.integer("keyBoundMs")) {
+            error("freshMs", "must be under keyBoundMs less farMs, for a withdrawn key to stop in time");
+        }
+        if (s.integer("uncountedMs") > 0 && s.integer("uncountedMs") < 2 * s.integer("countPushMs")) {
+            error("uncountedMs", "must be 0 or at least 2 x countPushMs, for counts to be with a majority in time");
+        }
+        if (s.integer("leaseMs") < 8 * s.integer("farMs")) {
+            error("leaseMs", "must be at least 8 x farMs, to be renewed in time");
+        }
+        if (s.integer("reportDueMs") < 3 * s.integer("leaseMs")) {
+            error("reportDueMs", "must be at least 3 x leaseMs, for a takeover to fit in");
+        }
+    }
+}
--- a/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
@@ -14,16 +14,16 @@
 
 /** The settings file as operators write it: its keys, their defaults and what each is read as. */
 class SettingsFormatTest {
-    private static Settings.Read read(final Path folder, final String text) throws Exception {
+    private static SettingsResult read(final Path folder, final String text) throws Exception {
         final Path file = folder.resolve("settings.json");
         Files.writeString(file, text);
-        return Settings.read(file, Map.of(), true);
+        return SettingsReader.read(file, Map.of(), true);
     }
 
     private static Settings everyKey(final Path folder) throws Exception {
-        final Settings.Read read = read(folder, GoldenFile.text("settings.json"));
-        assertThat(read).isInstanceOf(Settings.Read.Good.class);
-        return ((Settings.Read.Good) read).settings();
+        final SettingsResult read = read(folder, GoldenFile.text("settings.json"));
+        assertThat(read).isInstanceOf(SettingsResult.Valid.class);
+        return ((SettingsResult.Valid) read).settings();
     }
 
     @Test
@@ -37,7 +37,9 @@
                 assertThat(settings.number(key))
                         .as(key)
                         .isEqualTo(entry.getValue().asDouble());
-                assertThat(settings.ms(key)).as(key).isEqualTo(entry.getValue().asLong());
+                assertThat(settings.integer(key))
+                        .as(key)
+                        .isEqualTo(entry.getValue().asLong());
             }
         });
     }
@@ -79,9 +81,9 @@
 
     @Test
     void errorsAreToldByTheirKeysAndReasons(@TempDir final Path folder) throws Exception {
-        final Settings.Read read = read(folder, GoldenFile.text("settings-broken.json"));
+        final SettingsResult read = read(folder, GoldenFile.text("settings-broken.json"));
         final List<String> told = new ArrayList<>();
-        ((Settings.Read.Bad) read).errors().forEach(error -> told.add(error.toString()));
+        ((SettingsResult.Invalid) read).errors().forEach(error -> told.add(error.toString()));
         assertThat(told).isEqualTo(GoldenFile.lines("settings-broken-troubles.txt"));
     }
 }
--- a/spokestall/src/test/java/spokestall/settings/SettingsTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsTest.java
@@ -31,16 +31,16 @@
     }
 
     @Test
-    void allErrorsAreNamedAtOnceByTheirKey(@TempDir final Path folder) throws Exception {
+    void allErrorsAreReportedTogetherByTheirKeys(@TempDir final Path folder) throws Exception {
         final Path file = folder.resolve("s.json");
         Files.writeString(
                 file,
                 "{\"name\":\"a b\",\"address\":\"localhost:7100\",\"leaseMs\":\"soon\",\"cores\":-1,"
                         + "\"colour\":\"red\",\"seeds\":\"10.0.0.1:7100\"}");
-        final Settings.Read read = Settings.read(file, Map.of(), true);
-        assertThat(read).isInstanceOf(Settings.Read.Bad.class);
-        assertThat(((Settings.Read.Bad) read).errors())
-                .extracting(Settings.ValidationError::key)
+        final SettingsResult read = SettingsReader.read(file, Map.of(), true);
+        assertThat(read).isInstanceOf(SettingsResult.Invalid.class);
+        assertThat(((SettingsResult.Invalid) read).errors())
+                .extracting(SettingsError::key)
                 .contains(
                         "name",
                         "address",
@@ -52,77 +52,78 @@
                         "districts",
                         "platform",
                         "http");
-        assertThat(((Settings.Read.Bad) read).errors())
-                .extracting(Settings.ValidationError::reason)
+        assertThat(((SettingsResult.Invalid) read).errors())
+                .extracting(SettingsError::reason)
                 .allSatisfy(r -> assertThat(r).isNotBlank());
     }
 
     @Test
-    void flagsWinOverTheFileAndTogetherTheyMustFit(@TempDir final Path folder) throws Exception {
+    void flagsOverrideTheFileAndAllValuesAreCheckedTogether(@TempDir final Path folder) throws Exception {
         final Path file = folder.resolve("s.json");
         Files.writeString(file, "{\"leaseMs\":3000}");
         final Map<String, String> flags = good();
-        assertThat(((Settings.Read.Good) Settings.read(file, flags, true))
+        assertThat(((SettingsResult.Valid) SettingsReader.read(file, flags, true))
                         .settings()
-                        .ms("leaseMs"))
+                        .integer("leaseMs"))
                 .isEqualTo(3000);
         flags.put("leaseMs", "2100");
-        assertThat(((Settings.Read.Good) Settings.read(file, flags, true))
+        assertThat(((SettingsResult.Valid) SettingsReader.read(file, flags, true))
                         .settings()
-                        .ms("leaseMs"))
+                        .integer("leaseMs"))
                 .isEqualTo(2100);
         flags.put("leaseMs", "500");
         flags.put("operators", "10.0.0.1:7200");
-        assertThat(((Settings.Read.Bad) Settings.read(file, Map.of("peers", "10.0.0.0/33,x"), true)).errors())
+        assertThat(((SettingsResult.Invalid) SettingsReader.read(file, Map.of("peers", "10.0.0.0/33,x"), true))
+                        .errors())
                 .filteredOn(t -> t.key().equals("peers"))
                 .hasSize(2);
         flags.put("district", "d9");
         flags.put("data", "");
-        assertThat(((Settings.Read.Bad) Settings.read(file, flags, true)).errors())
-                .extracting(Settings.ValidationError::key)
+        assertThat(((SettingsResult.Invalid) SettingsReader.read(file, flags, true)).errors())
+                .extracting(SettingsError::key)
                 .containsExactlyInAnyOrder("operators", "leaseMs", "district", "data");
     }
 
     @Test
-    void aFleetThatIsNotToldItsCoresMayHaveFewerSeedsAndAFirstStart() {
+    void aFleetWithoutConfiguredCoresMayHaveFewerSeedsAndBootstrap() {
         final Map<String, String> flags = good();
         flags.putAll(Map.of("cores", "0", "edges", "0", "bootstrap", "1", "seeds", "10.0.0.1:7100"));
-        assertThat(((Settings.Read.Good) Settings.read(null, flags, true))
+        assertThat(((SettingsResult.Valid) SettingsReader.read(null, flags, true))
                         .settings()
                         .seeds())
                 .hasSize(1);
         flags.put("cores", "3");
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
-                .extracting(Settings.ValidationError::key)
+        assertThat(((SettingsResult.Invalid) SettingsReader.read(null, flags, true)).errors())
+                .extracting(SettingsError::key)
                 .contains("seeds");
         flags.put("seeds", good().get("seeds"));
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
-                .extracting(Settings.ValidationError::key)
+        assertThat(((SettingsResult.Invalid) SettingsReader.read(null, flags, true)).errors())
+                .extracting(SettingsError::key)
                 .containsExactly("bootstrap");
         flags.putAll(Map.of("cores", "0", "seeds", "10.0.0.1:7100,10.0.0.1:7100"));
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
-                .extracting(Settings.ValidationError::key)
+        assertThat(((SettingsResult.Invalid) SettingsReader.read(null, flags, true)).errors())
+                .extracting(SettingsError::key)
                 .containsExactly("seeds");
     }
 
     @Test
-    void whatIsNotGivenIsAPartOfItsBoundAndProofsMustFitTheirs() {
+    void unsetDurationsAreFractionsOfTheirBoundsAndMustFitThem() {
         final Map<String, String> flags = good();
-        final Settings plain = ((Settings.Read.Good) Settings.read(null, flags, true)).settings();
-        assertThat(plain.ms("proofMs")).isEqualTo(400);
-        assertThat(plain.ms("freshMs")).isEqualTo(1000);
-        assertThat(plain.ms("countPushMs")).isEqualTo(50);
-        assertThat(plain.ms("uncountedMs")).isEqualTo(200);
-        assertThat(plain.ms("listMs")).isEqualTo(1000);
+        final Settings plain = ((SettingsResult.Valid) SettingsReader.read(null, flags, true)).settings();
+        assertThat(plain.integer("proofMs")).isEqualTo(400);
+        assertThat(plain.integer("freshMs")).isEqualTo(1000);
+        assertThat(plain.integer("countPushMs")).isEqualTo(50);
+        assertThat(plain.integer("uncountedMs")).isEqualTo(200);
+        assertThat(plain.integer("listMs")).isEqualTo(1000);
         flags.put("keyBoundMs", "10000");
         flags.put("uncountedMs", "0");
-        final Settings other = ((Settings.Read.Good) Settings.read(null, flags, true)).settings();
-        assertThat(other.ms("proofMs")).isEqualTo(800);
-        assertThat(other.ms("uncountedMs")).isZero();
+        final Settings other = ((SettingsResult.Valid) SettingsReader.read(null, flags, true)).settings();
+        assertThat(other.integer("proofMs")).isEqualTo(800);
+        assertThat(other.integer("uncountedMs")).isZero();
         flags.put("freshMs", "1000");
         flags.put("uncountedMs", "60");
-        assertThat(((Settings.Read.Bad) Settings.read(null, flags, true)).errors())
-                .extracting(Settings.ValidationError::key)
+        assertThat(((SettingsResult.Invalid) SettingsReader.read(null, flags, true)).errors())
+                .extracting(SettingsError::key)
                 .containsExactlyInAnyOrder("freshMs", "uncountedMs");
     }
 }
--- a/spokestall/src/test/java/spokestall/settings/SettingsUpdateTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsUpdateTest.java
@@ -18,35 +18,35 @@
                 "platform", "10.0.9.1:80",
                 "data", "data"));
         all.putAll(more);
-        return ((Settings.Read.Good) Settings.read(null, all, true)).settings();
+        return ((SettingsResult.Valid) SettingsReader.read(null, all, true)).settings();
     }
 
     @Test
-    void whatARunningNodeCanChangeIsTakenAndTheRestWaits() {
+    void reloadableValuesAreAppliedAndTheRestIsPending() {
         final String seeds = "10.0.0.4:7100,10.0.0.2:7100,10.0.0.3:7100";
         final Settings newer = settings(Map.of("seeds", seeds, "retryShare", "0.1", "leaseMs", "3000"));
-        final SettingsUpdate renewal = SettingsUpdate.of(settings(Map.of()), newer, true);
-        assertThat(renewal.taken()).containsExactly("retryShare", "seeds");
-        assertThat(renewal.waiting()).containsExactly("leaseMs");
-        assertThat(renewal.settings().text("seeds")).isEqualTo(seeds);
-        assertThat(renewal.settings().number("retryShare")).isEqualTo(0.1);
-        assertThat(renewal.settings().ms("leaseMs")).isEqualTo(2000);
+        final SettingsUpdate update = SettingsUpdate.of(settings(Map.of()), newer, true);
+        assertThat(update.applied()).containsExactly("retryShare", "seeds");
+        assertThat(update.pending()).containsExactly("leaseMs");
+        assertThat(update.settings().text("seeds")).isEqualTo(seeds);
+        assertThat(update.settings().number("retryShare")).isEqualTo(0.1);
+        assertThat(update.settings().integer("leaseMs")).isEqualTo(2000);
     }
 
     @Test
-    void aValueThatDoesNotFitWhatStaysInForceWaits() {
+    void aReloadableValueThatIsInvalidWithTheValuesInForceIsPending() {
         final Settings inForce = settings(Map.of());
         final Settings newer = settings(Map.of("proofMs", "50", "freshMs", "100", "whereS", "3"));
-        final SettingsUpdate renewal = SettingsUpdate.of(inForce, newer, true);
-        assertThat(renewal.taken()).containsExactly("whereS");
-        assertThat(renewal.waiting()).containsExactly("freshMs", "proofMs");
-        assertThat(renewal.settings().ms("freshMs")).isEqualTo(inForce.ms("freshMs"));
+        final SettingsUpdate update = SettingsUpdate.of(inForce, newer, true);
+        assertThat(update.applied()).containsExactly("whereS");
+        assertThat(update.pending()).containsExactly("freshMs", "proofMs");
+        assertThat(update.settings().integer("freshMs")).isEqualTo(inForce.integer("freshMs"));
     }
 
     @Test
-    void settingsThatAreTheSameChangeNothing() {
-        final SettingsUpdate renewal = SettingsUpdate.of(settings(Map.of()), settings(Map.of()), true);
-        assertThat(renewal.taken()).isEmpty();
-        assertThat(renewal.waiting()).isEmpty();
+    void equalSettingsChangeNothing() {
+        final SettingsUpdate update = SettingsUpdate.of(settings(Map.of()), settings(Map.of()), true);
+        assertThat(update.applied()).isEmpty();
+        assertThat(update.pending()).isEmpty();
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -13,6 +13,8 @@
 import spokestall.io.process.NodeProcess;
 import spokestall.io.protocol.ProtocolAdapter;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsReader;
+import spokestall.settings.SettingsResult;
 import spokestall.storage.SegmentStore;
 import spokestall.usage.UsageReporter;
 
@@ -30,7 +32,8 @@
     public static void main(final String[] args) throws Exception {
         LogLineFormatter.install();
         final boolean core = args[0].equals("core");
-        final Settings settings = ((Settings.Read.Good) Settings.read(Path.of(args[1]), Map.of(), core)).settings();
+        final Settings settings =
+                ((SettingsResult.Valid) SettingsReader.read(Path.of(args[1]), Map.of(), core)).settings();
         final Path hooks = Path.of(args[2]);
         Runtime.getRuntime()
                 .halt(new NodeProcess(
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleFlags.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFlags.java
@@ -7,7 +7,8 @@
 import java.util.Map;
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.spi.StringArrayOptionHandler;
-import spokestall.settings.Settings;
+import spokestall.settings.SettingsReader;
+import spokestall.settings.SettingsResult;
 
 /** Flags of a run at scale; what is not given grows in proportion to the size that is aimed at. */
 public final class ScaleFlags {
@@ -163,7 +164,7 @@
                     throw new IllegalArgumentException("--set: " + key + " is given by the run");
                 });
         own.putAll(given);
-        if (Settings.read(null, own, true) instanceof Settings.Read.Bad bad) {
+        if (SettingsReader.read(null, own, true) instanceof SettingsResult.Invalid bad) {
             throw new IllegalArgumentException("--set: " + bad.errors());
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -20,6 +20,8 @@
 import spokestall.proxy.AttemptResult;
 import spokestall.proxy.UpstreamClient;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsReader;
+import spokestall.settings.SettingsResult;
 import spokestall.testbed.simulation.SimulatedWorld;
 import spokestall.time.Clock;
 import spokestall.usage.SealedWindow;
@@ -80,11 +82,11 @@
         flags.put("http", address.replace(":7100", ":7200"));
         flags.put("district", run.shape.zone(i));
         flags.put("data", "/scale/" + name);
-        final Settings.Read read = Settings.read(null, flags, core);
-        if (read instanceof Settings.Read.Bad bad) {
+        final SettingsResult read = SettingsReader.read(null, flags, core);
+        if (read instanceof SettingsResult.Invalid bad) {
             throw new IllegalStateException(bad.errors().toString());
         }
-        settings = ((Settings.Read.Good) read).settings();
+        settings = ((SettingsResult.Valid) read).settings();
     }
 
     Node node() {
@@ -200,7 +202,7 @@
         if (mine != incarnation) {
             return;
         }
-        final byte[] frame = MessageCodec.encode(message, (int) settings.ms("noteVersion"));
+        final byte[] frame = MessageCodec.encode(message, (int) settings.integer("noteVersion"));
         final int kind = ScaleTraffic.kind(frame);
         if (kinds[kind] == null) {
             kinds[kind] = message.getClass().getSimpleName();
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -9,6 +9,8 @@
 import spokestall.message.Message;
 import spokestall.node.Node;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsReader;
+import spokestall.settings.SettingsResult;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.verdict.Rule;
@@ -64,11 +66,11 @@
     }
 
     private void read() {
-        final Settings.Read read = Settings.read(null, flags, core);
-        if (read instanceof Settings.Read.Bad bad) {
+        final SettingsResult read = SettingsReader.read(null, flags, core);
+        if (read instanceof SettingsResult.Invalid bad) {
             throw new IllegalStateException(bad.errors().toString());
         }
-        settings = ((Settings.Read.Good) read).settings();
+        settings = ((SettingsResult.Valid) read).settings();
     }
 
     /** From its next start on. */
@@ -77,7 +79,7 @@
     }
 
     int messageVersion() {
-        return (int) settings.ms("noteVersion");
+        return (int) settings.integer("noteVersion");
     }
 
     public Node node() {
