--- a/spokestall/src/main/java/spokestall/io/Addresses.java
+++ b/spokestall/src/main/java/spokestall/io/Addresses.java
@@ -4,20 +4,26 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads addresses that are IP numbers; no name is ever looked up. */
+/** Parses addresses of IPv4 number and port. Host names are never looked up. Thread-safe. */
 public final class Addresses {
+    private static final int IPV4_BYTES = 4;
+
     private Addresses() {}
 
-    /** Example: {@code Addresses.of("127.0.0.1:7100").getPort() == 7100} */
+    /**
+     * Parses an address such as {@code 127.0.0.1:7100}, which was validated before.
+     *
+     * @throws IllegalArgumentException if the port is not a number up to 65535
+     */
     public static InetSocketAddress of(final String address) {
-        final int at = address.lastIndexOf(':');
-        final String[] parts = address.substring(0, at).split("\\.");
-        final byte[] ip = new byte[4];
-        for (int i = 0; i < 4; i++) {
+        final int colon = address.lastIndexOf(':');
+        final String[] parts = address.substring(0, colon).split("\\.");
+        final byte[] ip = new byte[IPV4_BYTES];
+        for (int i = 0; i < IPV4_BYTES; i++) {
             ip[i] = (byte) Integer.parseInt(parts[i]);
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(address.substring(at + 1)));
+            return new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(address.substring(colon + 1)));
         } catch (final UnknownHostException e) {
             throw new IllegalArgumentException(address, e);
         }
--- a/spokestall/src/main/java/spokestall/io/AuditFiles.java
+++ b/spokestall/src/main/java/spokestall/io/AuditFiles.java
@@ -4,18 +4,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.flogger.FluentLogger;
 import com.nimbusds.jose.JOSEException;
-import com.nimbusds.jose.jwk.Curve;
 import com.nimbusds.jose.jwk.ECKey;
-import com.nimbusds.jose.jwk.gen.ECKeyGenerator;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.nio.file.attribute.PosixFilePermissions;
 import java.text.ParseException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -28,187 +24,186 @@
 import spokestall.storage.DirectorySync;
 
 /**
- * A core's audit on disk: a few files of bounded size, the oldest going first, beside the key that signs them and the one
- * that checks them. It is written by a thread of its own; what can't be written is counted and said in the next entry that can.
+ * A core's audit on disk: files {@code audit-00000001.jws}, ... of bounded size and number, of which the oldest is deleted first,
+ * beside the keys of {@link AuditKeys}. Each line is one signed entry of an {@link AuditChain}.
+ *
+ * <p>Entries are written and synced one by one, after {@link #message} has returned, so nothing waits for the audit. Entries that
+ * can't be written, or that arrive while too many are queued, are dropped and counted; the next entry that can be written is
+ * preceded by a {@code gap} entry with their number. A torn last line is cut off at the next start, and its length is part of that
+ * start's {@code start} entry.
+ *
+ * <p>Threading: {@link #message} and {@link #newest} from any thread; all else on the writer, which runs one task at a time in
+ * their order. {@link #open} blocks its caller.
  */
 public final class AuditFiles implements AuditSink {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int WAITING_MAX = 1024;
-    private static final int NEWEST_KEPT = 512;
-    private final Path folder;
+    /** Where the number stands in a file name. */
+    private static final int NUMBER_FROM = 6;
+
+    private static final int NUMBER_TO = 14;
+    /** Entries queued for the writer. */
+    private static final int MAX_QUEUED = 1024;
+    /** Lines kept in memory for operators. */
+    private static final int MAX_NEWEST = 512;
+
+    private final Path directory;
     private final String node;
-    private final int filesMax;
-    private final int fileBytes;
+    private final int maxFiles;
+    private final int maxFileBytes;
     private final Executor writer;
     private final ECKey key;
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queued = new AtomicInteger();
     private final AtomicInteger dropped = new AtomicInteger();
     private final ArrayDeque<String> newest = new ArrayDeque<>();
     private AuditChain chain;
+    /** The last line that was written, after which the chain continues; null if there is none. */
     private String lastLine;
+
     private FileChannel file;
-    private long number;
+    private long fileNumber;
 
     private AuditFiles(
-            final Path folder,
+            final Path directory,
             final String node,
-            final int filesMax,
-            final int fileBytes,
+            final int maxFiles,
+            final int maxFileBytes,
             final Executor writer,
             final ECKey key) {
-        this.folder = folder;
+        this.directory = directory;
         this.node = node;
-        this.filesMax = filesMax;
-        this.fileBytes = fileBytes;
+        this.maxFiles = maxFiles;
+        this.maxFileBytes = maxFileBytes;
         this.writer = writer;
         this.key = key;
     }
 
-    /** Goes on where the folder's newest file ends; a line that was cut off there is taken away, and that is said. */
+    /**
+     * Opens the directory's audit, or begins one, and adds a {@code start} entry.
+     *
+     * @param node the node's name
+     * @param maxFiles files that are kept
+     * @param maxFileBytes size after which a file is not continued
+     * @throws IOException if files can't be read or written, or hold no audit that can be continued
+     */
     public static AuditFiles open(
-            final Path folder, final String node, final int filesMax, final int fileBytes, final Executor writer)
+            final Path directory, final String node, final int maxFiles, final int maxFileBytes, final Executor writer)
             throws IOException {
-        Files.createDirectories(folder);
+        Files.createDirectories(directory);
         try {
-            final AuditFiles made = new AuditFiles(folder, node, filesMax, fileBytes, writer, key(folder, node));
-            made.resume();
-            return made;
+            final AuditFiles audit = new AuditFiles(
+                    directory, node, maxFiles, maxFileBytes, writer, AuditKeys.loadOrGenerate(directory, node));
+            audit.resume();
+            return audit;
         } catch (final JOSEException | ParseException e) {
-            throw new IOException("the audit in " + folder + " can't be gone on with: " + e.getMessage(), e);
-        }
-    }
-
-    private static ECKey key(final Path folder, final String node) throws IOException, JOSEException, ParseException {
-        final Path own = folder.resolve("key.jwk");
-        if (Files.exists(own)) {
-            return ECKey.parse(Files.readString(own));
-        }
-        final ECKey made = new ECKeyGenerator(Curve.P_256)
-                .keyID(node + "/" + Long.toHexString(System.currentTimeMillis()))
-                .generate();
-        final Path fresh = Files.createTempFile(
-                folder,
-                "key",
-                ".new",
-                PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
-        put(fresh, made.toJSONString());
-        put(folder.resolve("public.jwk"), made.toPublicJWK().toJSONString());
-        Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE);
-        DirectorySync.sync(folder);
-        DirectorySync.sync(folder.toAbsolutePath().getParent());
-        return made;
-    }
-
-    private static void put(final Path path, final String text) throws IOException {
-        try (FileChannel out = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            out.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-            out.force(true);
+            throw new IOException("the audit in " + directory + " can't be continued: " + e.getMessage(), e);
         }
     }
 
-    /** The files in their order. */
-    public static List<Path> files(final Path folder) throws IOException {
-        try (Stream<Path> all = Files.list(folder)) {
-            return all.filter(p -> p.getFileName().toString().matches("audit-\\d{8}\\.jws"))
+    /** Returns a directory's audit files, the oldest first. */
+    public static List<Path> files(final Path directory) throws IOException {
+        try (Stream<Path> all = Files.list(directory)) {
+            return all.filter(path -> path.getFileName().toString().matches("audit-\\d{8}\\.jws"))
                     .sorted()
                     .toList();
         }
     }
 
-    private Path path(final long n) {
-        return folder.resolve(String.format("audit-%08d.jws", n));
+    private Path path(final long number) {
+        return directory.resolve(String.format("audit-%08d.jws", number));
     }
 
     private void resume() throws IOException, JOSEException, ParseException {
-        final List<Path> files = files(folder);
+        final List<Path> files = files(directory);
         long torn = 0;
         for (final Path path : files) {
             final String text = Files.readString(path, StandardCharsets.US_ASCII);
-            final int end = text.lastIndexOf('\n') + 1;
-            if (end < text.length()) {
-                torn += text.length() - end;
+            final int completeEnd = text.lastIndexOf('\n') + 1;
+            if (completeEnd < text.length()) {
+                torn += text.length() - completeEnd;
                 try (FileChannel cut = FileChannel.open(path, StandardOpenOption.WRITE)) {
-                    cut.truncate(end);
+                    cut.truncate(completeEnd);
                 }
             }
-            if (end > 0) {
-                final String whole = text.substring(0, end - 1);
-                lastLine = whole.substring(whole.lastIndexOf('\n') + 1);
+            if (completeEnd > 0) {
+                final String complete = text.substring(0, completeEnd - 1);
+                lastLine = complete.substring(complete.lastIndexOf('\n') + 1);
             }
         }
-        number = files.isEmpty()
+        fileNumber = files.isEmpty()
                 ? 1
                 : Long.parseLong(
-                        files.get(files.size() - 1).getFileName().toString().substring(6, 14));
+                        files.get(files.size() - 1).getFileName().toString().substring(NUMBER_FROM, NUMBER_TO));
         chain = new AuditChain(key, lastLine);
-        append();
+        openCurrentFile();
         message("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
     }
 
-    private void append() throws IOException {
-        file = FileChannel.open(path(number), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        DirectorySync.sync(folder);
+    private void openCurrentFile() throws IOException {
+        file = FileChannel.open(path(fileNumber), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        DirectorySync.sync(directory);
     }
 
     @Override
-    public void message(final String kind, final ObjectNode what) {
-        if (waiting.get() >= WAITING_MAX) {
+    public void message(final String kind, final ObjectNode entry) {
+        if (queued.get() >= MAX_QUEUED) {
             dropped.incrementAndGet();
             return;
         }
-        waiting.incrementAndGet();
+        queued.incrementAndGet();
         writer.execute(() -> {
-            waiting.decrementAndGet();
-            write(kind, what);
+            queued.decrementAndGet();
+            write(kind, entry);
         });
     }
 
-    private void write(final String kind, final ObjectNode what) {
+    private void write(final String kind, final ObjectNode entry) {
         try {
             if (dropped.get() > 0) {
                 final int gap = dropped.get();
-                down("gap", JSON.createObjectNode().put("dropped", gap));
+                writeEntry("gap", JSON.createObjectNode().put("dropped", gap));
                 dropped.addAndGet(-gap);
-                LOG.atInfo().log("event=audit_again node=%s dropped=%s", node, gap);
+                LOG.atInfo().log("event=audit_resumed node=%s dropped=%s", node, gap);
             }
-            down(kind, what);
+            writeEntry(kind, entry);
         } catch (final IOException | JOSEException | ParseException e) {
             if (dropped.getAndIncrement() == 0) {
-                LOG.atWarning().log("event=audit_trouble node=%s why=\"%s\"", node, e.getMessage());
+                LOG.atWarning().log("event=audit_write_failed node=%s reason=\"%s\"", node, e.getMessage());
             }
         }
     }
 
-    private void down(final String kind, final ObjectNode what) throws IOException, JOSEException, ParseException {
-        if (file.size() >= fileBytes) {
+    private void writeEntry(final String kind, final ObjectNode entry)
+            throws IOException, JOSEException, ParseException {
+        if (file.size() >= maxFileBytes) {
             file.close();
-            number++;
-            append();
-            final List<Path> all = files(folder);
-            for (final Path old : all.subList(0, Math.max(0, all.size() - filesMax))) {
+            fileNumber++;
+            openCurrentFile();
+            final List<Path> all = files(directory);
+            for (final Path old : all.subList(0, Math.max(0, all.size() - maxFiles))) {
                 Files.delete(old);
             }
         }
-        final long at = file.size();
-        final String line = chain.add(kind, what);
+        final long endOffset = file.size();
+        final String line = chain.add(kind, entry);
         try {
-            put(line);
+            writeLine(line);
         } catch (final IOException e) {
+            // The entry takes no number in the chain, and the rest of its line is removed.
             chain = new AuditChain(key, lastLine);
-            file.truncate(at);
+            file.truncate(endOffset);
             throw e;
         }
         lastLine = line;
         synchronized (newest) {
             newest.addLast(line);
-            if (newest.size() > NEWEST_KEPT) {
+            if (newest.size() > MAX_NEWEST) {
                 newest.removeFirst();
             }
         }
     }
 
-    private void put(final String line) throws IOException {
+    private void writeLine(final String line) throws IOException {
         final ByteBuffer bytes = ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.US_ASCII));
         while (bytes.hasRemaining()) {
             file.write(bytes);
@@ -216,13 +211,13 @@
         file.force(false);
     }
 
-    /** Stands in for a disk that takes nothing more, in tests. */
-    void fail(final FileChannel other) {
-        file = other;
+    /** Replaces the current file by one that fails, in tests. */
+    void replaceFile(final FileChannel replacement) {
+        file = replacement;
     }
 
     @Override
-    public ObjectNode newest(final int most) {
+    public ObjectNode newest(final int limit) {
         final ObjectNode out = JSON.createObjectNode().put("dropped", dropped.get());
         try {
             out.set("key", JSON.readTree(key.toPublicJWK().toJSONString()));
@@ -231,7 +226,7 @@
         }
         synchronized (newest) {
             final List<String> lines = new ArrayList<>(newest);
-            lines.subList(Math.max(0, lines.size() - most), lines.size()).forEach(out.putArray("entries")::add);
+            lines.subList(Math.max(0, lines.size() - limit), lines.size()).forEach(out.putArray("entries")::add);
         }
         return out;
     }
--- a/spokestall/src/main/java/spokestall/io/EventLoop.java
+++ b/spokestall/src/main/java/spokestall/io/EventLoop.java
@@ -6,43 +6,52 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A stage: a bounded queue whose events run one at a time on the shared workers. What comes from outside is offered
- * and may be turned away; what a stage's own work brings back (a timer, a sync, an answer) was bounded when it began.
+ * Runs events one at a time, in the order in which they were added, on shared worker threads. Everything that runs on one event loop
+ * is confined to it and needs no locks.
+ *
+ * <p>Events from outside are offered, and rejected while the queue is full. Completions of the loop's own work (a timer, a sync, a
+ * response) are executed without a bound: their number was bounded when that work began. An event that throws is logged, and the
+ * loop continues with the next one.
+ *
+ * <p>Thread-safe.
  */
 public final class EventLoop implements Executor {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int TURN = 64;
+    /** Events after which other event loops get their turn on the worker. */
+    private static final int MAX_EVENTS_PER_TURN = 64;
+
     private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queued = new AtomicInteger();
     private final Executor workers;
-    private final int bound;
+    private final int capacity;
 
-    /** Example: {@code new EventLoop(workers, 4096)} */
-    public EventLoop(final Executor workers, final int bound) {
+    /** Creates an event loop on workers that rejects offers while {@code capacity} events are queued. */
+    public EventLoop(final Executor workers, final int capacity) {
         this.workers = workers;
-        this.bound = bound;
+        this.capacity = capacity;
     }
 
-    /** Takes an event from outside, or says no. */
+    /** Adds an event from outside; returns false, and adds nothing, if the queue is full. */
     public boolean offer(final Runnable event) {
-        if (waiting.get() >= bound) {
+        if (queued.get() >= capacity) {
             return false;
         }
         execute(event);
         return true;
     }
 
+    /** Adds an event that is never rejected. */
     @Override
     public void execute(final Runnable event) {
         queue.add(event);
-        if (waiting.getAndIncrement() == 0) {
-            workers.execute(this::turn);
+        if (queued.getAndIncrement() == 0) {
+            workers.execute(this::runTurn);
         }
     }
 
-    private void turn() {
+    private void runTurn() {
         int done = 0;
-        while (done < TURN) {
+        while (done < MAX_EVENTS_PER_TURN) {
             final Runnable event = queue.poll();
             if (event == null) {
                 break;
@@ -50,12 +59,12 @@
             try {
                 event.run();
             } catch (final RuntimeException | AssertionError e) {
-                LOG.atSevere().withCause(e).log("event=fault stage=%s", e.getMessage());
+                LOG.atSevere().withCause(e).log("event=fault message=\"%s\"", e.getMessage());
             }
             done++;
         }
-        if (waiting.addAndGet(-done) > 0) {
-            workers.execute(this::turn);
+        if (queued.addAndGet(-done) > 0) {
+            workers.execute(this::runTurn);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/io/LogLineFormatter.java
+++ b/spokestall/src/main/java/spokestall/io/LogLineFormatter.java
@@ -11,21 +11,24 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** One line of key=value pairs for each event. */
+/**
+ * Formats each log record as one line of key=value pairs: time, level, then the event with its keys, then the stack trace if there
+ * is one. Records of libraries get {@code event=library}. Thread-safe.
+ */
 public final class LogLineFormatter extends Formatter {
-    private static final List<Logger> QUIET =
+    private static final List<Logger> WARNINGS_ONLY =
             List.of(Logger.getLogger("io.undertow"), Logger.getLogger("org.xnio"), Logger.getLogger("org.jboss"));
 
-    /** Sends all logs through this form. */
+    /** Replaces all handlers of the process by one that writes this format to standard error. */
     public static void install() {
         final Logger root = Logger.getLogger("");
-        for (final Handler had : root.getHandlers()) {
-            root.removeHandler(had);
+        for (final Handler replaced : root.getHandlers()) {
+            root.removeHandler(replaced);
         }
         final Handler handler = new ConsoleHandler();
         handler.setFormatter(new LogLineFormatter());
         root.addHandler(handler);
-        QUIET.forEach(l -> l.setLevel(Level.WARNING));
+        WARNINGS_ONLY.forEach(logger -> logger.setLevel(Level.WARNING));
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/io/SystemClock.java
+++ b/spokestall/src/main/java/spokestall/io/SystemClock.java
@@ -5,20 +5,22 @@
 import org.xnio.XnioExecutor;
 import spokestall.time.Clock;
 
-/** The process's own time; later events come back on its stage. */
+/**
+ * The process's clock. Events that were scheduled run on its event loop. Thread-safe.
+ */
 public final class SystemClock implements Clock {
     private final XnioExecutor timer;
-    private final Executor stage;
+    private final Executor eventLoop;
 
-    /** Example: {@code new SystemClock(ioThread, stage)} */
-    public SystemClock(final XnioExecutor timer, final Executor stage) {
+    /** Schedules on an I/O thread's timer. */
+    public SystemClock(final XnioExecutor timer, final Executor eventLoop) {
         this.timer = timer;
-        this.stage = stage;
+        this.eventLoop = eventLoop;
     }
 
     @Override
     public long nowMs() {
-        return System.nanoTime() / 1_000_000;
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     @Override
@@ -29,9 +31,9 @@
     @Override
     public void after(final long waitMs, final Runnable event) {
         if (waitMs <= 0) {
-            stage.execute(event);
+            eventLoop.execute(event);
         } else {
-            timer.executeAfter(() -> stage.execute(event), waitMs, TimeUnit.MILLISECONDS);
+            timer.executeAfter(() -> eventLoop.execute(event), waitMs, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
+++ b/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
@@ -20,8 +20,8 @@
 class AuditFilesTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private static AuditFiles open(final Path folder, final int filesMax) throws Exception {
-        return AuditFiles.open(folder, "d1-core", filesMax, 2000, Runnable::run);
+    private static AuditFiles open(final Path folder, final int maxFiles) throws Exception {
+        return AuditFiles.open(folder, "d1-core", maxFiles, 2000, Runnable::run);
     }
 
     private static void fill(final AuditFiles audit, final int from, final int until) {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void whateverIsDoneToAChainIsFound(@TempDir final Path folder) throws Exception {
+    void anyTamperingWithTheChainIsDetected(@TempDir final Path folder) throws Exception {
         fill(open(folder, 100), 0, 20);
         fill(open(folder, 100), 20, 40);
         final List<String> good = lines(folder);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void filesAreBoundedAndATornTailIsTakenAwayAndNamed(@TempDir final Path folder) throws Exception {
+    void filesAreBoundedAndATornTailIsCutAndReported(@TempDir final Path folder) throws Exception {
         fill(open(folder, 3), 0, 60);
         assertThat(AuditFiles.files(folder)).hasSize(3);
         final List<Path> files = AuditFiles.files(folder);
@@ -95,11 +95,11 @@
         fill(audit, 0, 3);
         final FileChannel good = FileChannel.open(AuditFiles.files(folder).get(0), StandardOpenOption.APPEND);
         try (FileChannel full = FileChannel.open(Path.of("/dev/full"), StandardOpenOption.WRITE)) {
-            audit.fail(full);
+            audit.replaceFile(full);
             fill(audit, 3, 8);
             assertThat(audit.newest(1).path("dropped").asInt()).isEqualTo(5);
         }
-        audit.fail(good);
+        audit.replaceFile(good);
         fill(audit, 8, 9);
         assertThat(audit.newest(1).path("dropped").asInt()).isZero();
         final List<String> lines = lines(folder);
