--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -10,19 +10,24 @@
 import spokestall.membership.BootstrapProposer;
 import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipCoordinator;
-import spokestall.proxy.AdmissionController;
 import spokestall.proxy.LoadBalancer;
+import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
 import spokestall.settings.Settings;
 import spokestall.usage.UsageCounter;
 import spokestall.usage.UsageReporter;
 
-/** The time spans and bounds of each part of a node, taken from the settings. */
+/**
+ * Derives each component's periods, time-outs and bounds from the settings. The settings give a few bounds that operators care
+ * about; all else is a ratio of these, so that one setting scales everything that depends on it.
+ *
+ * <p>Immutable; a node creates a new one whenever its settings change.
+ */
 final class Timings {
-    /** What a count that was not told is taken for where a table needs a bound. */
-    private static final int UNTOLD = VoterSet.VOTERS_MAX;
-    /** The version of messages since which an asker is told only what it lacks. */
-    private static final int TERSE = 3;
+    /** Used for a count of nodes that is not configured, where a bound is needed. */
+    private static final int UNCONFIGURED_COUNT = VoterSet.VOTERS_MAX;
+    /** The version of messages since which a response may omit what the requester has. */
+    private static final int OMISSIONS_SINCE = 3;
 
     private final Settings settings;
     private final boolean core;
@@ -32,23 +37,31 @@
         this.core = core;
     }
 
-    private int told(final String count) {
-        return settings.integer(count) == 0 ? UNTOLD : (int) settings.integer(count);
+    private int countOrBound(final String count) {
+        return settings.integer(count) == 0 ? UNCONFIGURED_COUNT : (int) settings.integer(count);
     }
 
-    /** A configuration, and a founding with it and all else that is left, must fit into one record of the cores' rings. */
-    int configurationBytesMost() {
+    /**
+     * Returns the largest size of a configuration in bytes: one must fit into a record of the cores' logs, together with all else
+     * of a new generation's initial state.
+     */
+    int configurationMaxBytes() {
         return (int) Math.min(settings.integer("policyMaxBytes"), settings.integer("ringSegmentBytes") / 2);
     }
 
-    /** The span whose counts are reported together. */
+    /** Returns the length of a usage window, whose counts are reported together. */
     long windowMs() {
         return settings.integer("reportWindowS") * 1000;
     }
 
+    /** Returns for how long a change to the configuration may take before it is answered. */
+    long changeMs() {
+        return settings.fractionOf("policyBoundMs", 0.8);
+    }
+
     PartialView.Timing view() {
         return new PartialView.Timing(
-                2 * (told("cores") + told("edges")),
+                2 * (countOrBound("cores") + countOrBound("edges")),
                 6,
                 settings.fractionOf("leaveBoundMs", 4),
                 settings.fractionOf("leaveBoundMs", 1));
@@ -59,13 +72,13 @@
         return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), 64);
     }
 
-    FeedClient.Timing follower() {
+    FeedClient.Timing feedClient() {
         return new FeedClient.Timing(
                 settings.integer("freshMs"),
                 32,
                 3 * settings.integer("proofMs"),
                 core ? 8 : 64,
-                settings.integer("noteVersion") < TERSE);
+                settings.integer("noteVersion") < OMISSIONS_SINCE);
     }
 
     BootstrapProposer.Timing bootstrapProposer() {
@@ -83,7 +96,7 @@
                 settings.fractionOf("leaveBoundMs", 0.75),
                 8 * settings.integer("farMs"),
                 settings.fractionOf("leaveBoundMs", 0.25),
-                settings.integer("noteVersion") < TERSE,
+                settings.integer("noteVersion") < OMISSIONS_SINCE,
                 settings.fractionOf("leaveBoundMs", 0.5),
                 settings.fractionOf("leaveBoundMs", 8));
     }
@@ -103,7 +116,7 @@
                 settings.integer("probes") == 1);
     }
 
-    UsageCounter.Timing counter() {
+    UsageCounter.Timing usageCounter() {
         return new UsageCounter.Timing(
                 windowMs(),
                 settings.fractionOf("reportDueMs", 0.1),
@@ -147,8 +160,8 @@
                 settings.number("regionCost"));
     }
 
-    AdmissionController.Timing edge() {
-        return new AdmissionController.Timing(
+    ProxyLimits proxy() {
+        return new ProxyLimits(
                 (int) settings.integer("askOpenMax"),
                 settings.integer("heldMaxBytes"),
                 settings.integer("claimKeepMs"),
@@ -169,7 +182,7 @@
                         settings.integer("any500") == 1));
     }
 
-    GracefulShutdown.Timing departure() {
+    GracefulShutdown.Timing gracefulShutdown() {
         return new GracefulShutdown.Timing(
                 settings.fractionOf("stopWaitMs", 0.2),
                 settings.fractionOf("stopWaitMs", 0.75),
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -151,7 +151,7 @@
 
     @Test
     void aCoresOwnRecordsAreRead() throws Exception {
-        MessageNumbers.number();
+        MessageNumbers.register();
         final Acceptor acceptor = acceptor();
         assertThat(acceptor.own("~council")).isEmpty();
         assertThat(MessageCodec.decodeRecord(acceptor.own("~form"), StoredRecords.coordinatorProposal()))
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -16,6 +16,7 @@
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
 import spokestall.node.Node;
+import spokestall.node.NodeEnvironment;
 import spokestall.proxy.Attempt;
 import spokestall.proxy.AttemptResult;
 import spokestall.proxy.UpstreamClient;
@@ -144,7 +145,7 @@
         node = new Node(
                 settings,
                 core,
-                new Node.NodeEnvironment(
+                new NodeEnvironment(
                         clock,
                         run.random(name + "/" + mine),
                         (to, message) -> send(mine, to, message),
@@ -155,7 +156,7 @@
                         AuditSink.NONE));
         node.start();
         if (!core) {
-            counter = node.counter();
+            counter = node.usageCounter();
             later(mine, 1 + chance.nextInt((int) TICK_MS), ScaleTraffic.REQUESTS, () -> requests(mine));
         }
     }
@@ -230,7 +231,7 @@
         traffic.in(run.phase(), distance, kind, frame.length);
         timed(kind, () -> {
             try {
-                node.hear(MessageCodec.decode(frame));
+                node.onMessage(MessageCodec.decode(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -248,7 +249,7 @@
         }
         final int phase = run.phase().ordinal();
         requests[phase] += due;
-        if (!node.follower().fresh()) {
+        if (!node.feedClient().fresh()) {
             stale[phase] += due;
             return;
         }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -8,6 +8,7 @@
 import spokestall.audit.AuditSink;
 import spokestall.message.Message;
 import spokestall.node.Node;
+import spokestall.node.NodeEnvironment;
 import spokestall.settings.Settings;
 import spokestall.settings.SettingsReader;
 import spokestall.settings.SettingsResult;
@@ -129,7 +130,7 @@
         };
         final Random random = world.sim.random(name + "/" + incarnation);
         world.sim.trace("start " + name + " life " + incarnation);
-        final Node.NodeEnvironment environment = new Node.NodeEnvironment(
+        final NodeEnvironment environment = new NodeEnvironment(
                 clock,
                 random,
                 (to, message) -> world.send(this, mine, to, message),
@@ -178,7 +179,7 @@
     }
 
     void hear(final long ofIncarnation, final Message message) {
-        run(ofIncarnation, () -> node.hear(message));
+        run(ofIncarnation, () -> node.onMessage(message));
     }
 
     public void kill() {
