--- a/spokestall/src/main/java/spokestall/io/AuditFiles.java
+++ b/spokestall/src/main/java/spokestall/io/AuditFiles.java
@@ -27,12 +27,12 @@
  * A core's audit on disk: files {@code audit-00000001.jws}, ... of bounded size and number, of which the oldest is deleted first,
  * beside the keys of {@link AuditKeys}. Each line is one signed entry of an {@link AuditChain}.
  *
- * <p>Entries are written and synced one by one, after {@link #message} has returned, so nothing waits for the audit. Entries that
+ * <p>Entries are written and synced one by one, after {@link #append} has returned, so nothing waits for the audit. Entries that
  * can't be written, or that arrive while too many are queued, are dropped and counted; the next entry that can be written is
  * preceded by a {@code gap} entry with their number. A torn last line is cut off at the next start, and its length is part of that
  * start's {@code start} entry.
  *
- * <p>Threading: {@link #message} and {@link #newest} from any thread; all else on the writer, which runs one task at a time in
+ * <p>Threading: {@link #append} and {@link #newest} from any thread; all else on the writer, which runs one task at a time in
  * their order. {@link #open} blocks its caller.
  */
 public final class AuditFiles implements AuditSink {
@@ -136,7 +136,7 @@
                         files.get(files.size() - 1).getFileName().toString().substring(NUMBER_FROM, NUMBER_TO));
         chain = new AuditChain(key, lastLine);
         openCurrentFile();
-        message("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
+        append("start", JSON.createObjectNode().put("node", node).put("tornBytes", torn));
     }
 
     private void openCurrentFile() throws IOException {
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public void message(final String kind, final ObjectNode entry) {
+    public void append(final String kind, final ObjectNode entry) {
         if (queued.get() >= MAX_QUEUED) {
             dropped.incrementAndGet();
             return;
@@ -185,7 +185,7 @@
             }
         }
         final long endOffset = file.size();
-        final String line = chain.add(kind, entry);
+        final String line = chain.append(kind, entry);
         try {
             writeLine(line);
         } catch (final IOException e) {
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -24,7 +24,7 @@
 
     /** The key of the mark that this disk took part in a bootstrap, among the acceptor's local records. */
     static final String BOOTSTRAP_ACCEPTOR = "~council";
-    /** The ratio of {@code claimKeepMs} for which a claim is kept beyond it, so that no two cores' clocks differ over it. */
+    /** The ratio of {@code claimKeepMs} for which a claim is kept beyond it, against clocks that differ. */
     private static final double CLAIM_MARGIN_RATIO = 0.2;
 
     private final NodeContext context;
@@ -76,7 +76,7 @@
 
         @Override
         public long versionFloor() {
-            return acceptor.floor();
+            return acceptor.versionFloor();
         }
 
         @Override
@@ -102,7 +102,7 @@
 
     /** Marks the disk as one that took part in a bootstrap; {@code then} runs once that is synced, and not if it fails. */
     void mark(final Runnable then) {
-        acceptor.keepOwn(BOOTSTRAP_ACCEPTOR, new byte[0], synced -> {
+        acceptor.putLocalRecord(BOOTSTRAP_ACCEPTOR, new byte[0], synced -> {
             if (synced) {
                 then.run();
             }
@@ -139,6 +139,6 @@
                 expired.add(key);
             }
         });
-        expired.forEach(acceptor::drop);
+        expired.forEach(acceptor::removeRegister);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/MessageNumbers.java
+++ b/spokestall/src/main/java/spokestall/node/MessageNumbers.java
@@ -25,7 +25,7 @@
         MessageRegistry.register(12, ConsensusMessage.Accept.class);
         MessageRegistry.register(13, ConsensusMessage.Accepted.class);
         MessageRegistry.register(14, ConsensusMessage.Chosen.class);
-        MessageRegistry.register(15, ConsensusMessage.Table.class);
+        MessageRegistry.register(15, ConsensusMessage.VoterSetUpdate.class);
         MessageRegistry.register(16, ConsensusMessage.CatchUpRequest.class);
         MessageRegistry.register(17, ConsensusMessage.CatchUpResponse.class);
         MessageRegistry.register(18, ConsensusMessage.HandoverRequest.class);
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -89,7 +89,7 @@
 
     private ConfigurationFormat nativeFormat(final Settings settings) {
         return new NativeConfigurationFormat(new ConfigurationValidator(
-                calls.file().at("/$defs/policy"),
+                calls.schema().at("/$defs/policy"),
                 settings.regions(),
                 settings.zones().keySet()));
     }
@@ -138,7 +138,7 @@
                 configurationStore,
                 storage,
                 new ToleratedSeatLoss(context.settings(), view),
-                usage == null ? () -> 0 : usage::tokenSeen);
+                usage == null ? () -> 0 : usage::highestFencingToken);
     }
 
     private FeedClient feedClient() {
@@ -195,8 +195,8 @@
         membership.open();
         discovery.open(peerDirectory, view, storage.acceptor, environment.reach());
         usage.open();
-        storage.acceptor.watch((key, register) -> {
-            usage.seen(key, register);
+        storage.acceptor.addListener((key, register) -> {
+            usage.onRegisterStored(key, register);
             audit.onRegisterStored(key, register);
         });
     }
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -63,11 +63,11 @@
         ticker.every(
                 settings.fractionOf("leaseMs", 0.1),
                 () -> usage.tickLease(components.view.self().leaving()));
-        ticker.every(settings.fractionOf("reportDueMs", 0.01), usage.reporter::tick);
+        ticker.every(settings.fractionOf("reportDueMs", 0.01), usage.reporter::onTick);
         ticker.every(settings.fractionOf("keyBoundMs", 0.2), this::pruneCore);
-        ticker.every(settings.integer("countPushMs"), usage::tickKept);
+        ticker.every(settings.integer("countPushMs"), usage::tickPersistedCounts);
         ticker.every(settings.integer("listMs"), components.discovery::tickKept);
-        ticker.every(settings.fractionOf("keyBoundMs", 0.02), usage::recount);
+        ticker.every(settings.fractionOf("keyBoundMs", 0.02), usage::mergeCountsFromDisk);
         ticker.every(settings.fractionOf("keyBoundMs", 0.1), components.audit::onTick);
         ticker.every(settings.fractionOf("keyBoundMs", 0.02), () -> storage.applyFirstVersion(components.feedClient));
     }
--- a/spokestall/src/main/java/spokestall/node/RecordCalls.java
+++ b/spokestall/src/main/java/spokestall/node/RecordCalls.java
@@ -33,12 +33,12 @@
 
     /** Registers the call that any node answers. */
     void registerUsage(final CallRegistry calls) {
-        calls.on("usage.get", this::getUsage);
+        calls.register("usage.get", this::getUsage);
     }
 
     /** Registers the call that only a core answers. */
     void registerAudit(final CallRegistry calls) {
-        calls.on("audit.get", this::getAudit);
+        calls.register("audit.get", this::getAudit);
     }
 
     private void getUsage(final JsonNode params, final Consumer<Reply> done) {
@@ -49,18 +49,19 @@
     }
 
     private static Reply usageReply(final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Done chosen && chosen.value() != null) {
+        if (outcome instanceof ProposalOutcome.Committed chosen && chosen.value() != null) {
             final SealedWindow sealed = MessageCodec.decodeRecord(chosen.value(), SealedWindow.class);
             final ObjectNode fields = ConfigurationStore.JSON
                     .createObjectNode()
                     .put("window", sealed.window())
                     .put("completed", sealed.completed())
-                    .put("token", sealed.token());
+                    .put("token", sealed.fencingToken());
             final ObjectNode counts = fields.putObject("counts");
             sealed.counts().forEach(counts::put);
             return Reply.of(ResultCode.OK, fields);
         }
-        final boolean absent = outcome instanceof ProposalOutcome.Done || outcome instanceof ProposalOutcome.Gone;
+        final boolean absent =
+                outcome instanceof ProposalOutcome.Committed || outcome instanceof ProposalOutcome.Pruned;
         return Reply.of(absent ? ResultCode.NOT_FOUND : ResultCode.NOT_READY, null);
     }
 
--- a/spokestall/src/main/java/spokestall/node/SnapshotStore.java
+++ b/spokestall/src/main/java/spokestall/node/SnapshotStore.java
@@ -47,7 +47,7 @@
 
     /** Loads the configuration that this disk has, if any. */
     void load() {
-        final byte[] stored = acceptor.own(KEY);
+        final byte[] stored = acceptor.localRecord(KEY);
         if (stored != null) {
             final ConfigurationSnapshot snapshot = MessageCodec.decodeRecord(stored, ConfigurationSnapshot.class);
             configurationStore.load(snapshot);
@@ -73,7 +73,7 @@
     private void write() {
         transitionTo(State.WRITING);
         final long version = configurationStore.configuration().version();
-        acceptor.keepOwn(
+        acceptor.putLocalRecord(
                 KEY, MessageCodec.encodeRecord(configurationStore.snapshot()), synced -> onWritten(version, synced));
     }
 
@@ -97,13 +97,13 @@
     }
 
     private void raiseFloor() {
-        acceptor.raiseFloor(
+        acceptor.raiseVersionFloor(
                 ConfigurationKeys.floor(acceptor.registers(), storedVersion, versionsKept, versionsMaxBytes),
                 this::dropVersions);
     }
 
     /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
     private void dropVersions() {
-        ConfigurationKeys.upTo(acceptor.registers(), acceptor.floor()).forEach(acceptor::drop);
+        ConfigurationKeys.upTo(acceptor.registers(), acceptor.versionFloor()).forEach(acceptor::removeRegister);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -140,7 +140,7 @@
         if (!context.follower().fresh() || !context.fleet().settled()) {
             return ResultCode.NOT_FRESH;
         }
-        return context.counter().mayBegin() ? null : ResultCode.UNCOUNTED;
+        return context.counter().mayStart() ? null : ResultCode.UNCOUNTED;
     }
 
     /** Why whoever sent the request may not, or null. */
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -51,7 +51,7 @@
         final IdempotencyClaim mine = openClaim(ticket, digest);
         final byte[] value = MessageCodec.encodeRecord(mine);
         context.proposer()
-                .change(
+                .propose(
                         key,
                         Math.min(limits.claimWaitMs(), waitMs),
                         stored -> {
@@ -92,10 +92,10 @@
     }
 
     private ClaimResult result(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
-        if (!(outcome instanceof ProposalOutcome.Done done)) {
+        if (!(outcome instanceof ProposalOutcome.Committed done)) {
             final boolean full =
-                    outcome instanceof ProposalOutcome.NotDone n && n.why().equals(Proposer.DENIED);
-            if (outcome instanceof ProposalOutcome.Gone) {
+                    outcome instanceof ProposalOutcome.NotCommitted n && n.reason() == ProposalOutcome.Reason.REJECTED;
+            if (outcome instanceof ProposalOutcome.Pruned) {
                 return new ClaimResult.Refused(ResultCode.TICKET_OLD);
             }
             return new ClaimResult.Refused(full ? ResultCode.CLAIMS_FULL : ResultCode.UNCLEAR);
@@ -128,7 +128,7 @@
 
     private void end(final IdempotencyClaim mine, final IdempotencyClaim ended, final Consumer<Boolean> done) {
         context.proposer()
-                .change(
+                .propose(
                         key,
                         limits.claimWaitMs(),
                         stored -> {
@@ -138,6 +138,6 @@
                                     && now.state() == IdempotencyClaim.State.OPEN;
                             return own ? new RegisterEdit.Set(MessageCodec.encodeRecord(ended)) : RegisterEdit.LEAVE;
                         },
-                        outcome -> done.accept(outcome instanceof ProposalOutcome.Done d && d.wrote()));
+                        outcome -> done.accept(outcome instanceof ProposalOutcome.Committed d && d.wrote()));
     }
 }
