--- a/spokestall/src/main/java/spokestall/cli/CommandHttpClient.java
+++ b/spokestall/src/main/java/spokestall/cli/CommandHttpClient.java
@@ -47,7 +47,7 @@
             final String address,
             final String method,
             final String params,
-            final long timeoutMs,
+            final long timeoutMillis,
             final int responseMaxBytes,
             final Consumer<HttpResult> done) {
         send(
@@ -57,7 +57,7 @@
                         "/rpc/" + method,
                         Map.of("Content-Type", "application/json"),
                         params.getBytes(StandardCharsets.UTF_8),
-                        timeoutMs,
+                        timeoutMillis,
                         responseMaxBytes),
                 done);
     }
--- a/spokestall/src/main/java/spokestall/cli/LoadReport.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadReport.java
@@ -54,9 +54,9 @@
     }
 
     /** Waits until all requests have ended, for so many milliseconds at most. */
-    void await(final long timeoutMs) throws InterruptedException {
+    void await(final long timeoutMillis) throws InterruptedException {
         // Requests that have not ended by then are missing from the counts, so the verdict has them as not run.
-        final boolean unused = pending.await(timeoutMs, TimeUnit.MILLISECONDS);
+        final boolean unused = pending.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
     /** Prints the counts and the verdict; returns whether it is good. The texts are read by scripts. */
--- a/spokestall/src/main/java/spokestall/cli/Main.java
+++ b/spokestall/src/main/java/spokestall/cli/Main.java
@@ -15,6 +15,7 @@
 import spokestall.io.protocol.ProtocolAdapter;
 import spokestall.settings.FileSettings;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsResult;
 import spokestall.settings.SettingsSource;
 
 /** The program's entry: its first argument names the command. */
@@ -90,12 +91,12 @@
             return ExitCode.OK;
         }
         final SettingsSource source = new FileSettings(flags.file, settingsByKey(flags.sets), core);
-        final Settings.Read read = source.read();
-        if (read instanceof Settings.Read.Bad bad) {
+        final SettingsResult read = source.read();
+        if (read instanceof SettingsResult.Invalid bad) {
             bad.errors().forEach(error -> System.err.println(error.key() + ": " + error.reason()));
             return ExitCode.USAGE;
         }
-        final Settings settings = ((Settings.Read.Good) read).settings();
+        final Settings settings = ((SettingsResult.Valid) read).settings();
         return flags.check ? ExitCode.OK : new NodeProcess(settings, source, core, ProtocolAdapter.own()).run();
     }
 
--- a/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
+++ b/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
@@ -93,7 +93,7 @@
         final Set<String> regions = new HashSet<>();
         route.path("regions").forEach(region -> regions.add(region.asText()));
         final int attemptsMax = route.path("goes").asInt(0);
-        final long timeoutMs = route.path("spanMs").asLong(0);
+        final long timeoutMillis = route.path("spanMs").asLong(0);
         final long latencyTargetMs = route.path("aimMs").asLong(0);
         final boolean anonymous = route.path("open").asBoolean(false);
         return new Route(
@@ -103,7 +103,7 @@
                 split,
                 route.path("runOnce").asBoolean(false),
                 attemptsMax,
-                timeoutMs,
+                timeoutMillis,
                 latencyTargetMs,
                 route.path("priority").asInt(0),
                 anonymous,
--- a/spokestall/src/main/java/spokestall/configuration/Route.java
+++ b/spokestall/src/main/java/spokestall/configuration/Route.java
@@ -13,7 +13,7 @@
  * @param split the services that it sends to, by weight; never empty
  * @param runOnce whether its requests aren't idempotent and so must never be executed twice
  * @param attemptsMax how many attempts a request may have, 0 for no bound of the route's own
- * @param timeoutMs how long a request may take in milliseconds, 0 for no bound of the route's own
+ * @param timeoutMillis how long a request may take in milliseconds, 0 for no bound of the route's own
  * @param latencyTargetMs the latency in milliseconds that responses should stay under (SLO), 0 for none
  * @param priority the priority of its requests, 0 the highest, unless the tenant has one
  * @param anonymous whether requests need no tenant's key
@@ -26,7 +26,7 @@
         List<Share> split,
         boolean runOnce,
         int attemptsMax,
-        long timeoutMs,
+        long timeoutMillis,
         long latencyTargetMs,
         int priority,
         boolean anonymous,
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -95,17 +95,17 @@
     /**
      * Submits a change under the id that the operator gave it; submitted again, it is acknowledged again.
      *
-     * @param timeoutMs how long it may take until it is proposed for the last time
+     * @param timeoutMillis how long it may take until it is proposed for the last time
      */
     public void submit(
-            final String changeId, final ChangeDraft draft, final long timeoutMs, final Consumer<Reply> callback) {
+            final String changeId, final ChangeDraft draft, final long timeoutMillis, final Consumer<Reply> callback) {
         confirm(
                 new ChangeAttempt(
                         changeId,
                         draft,
-                        clock.nowMs() + timeoutMs,
+                        clock.nowMs() + timeoutMillis,
                         result -> callback.accept(result.toReply(changeId, appliedVersion()))),
-                timeoutMs);
+                timeoutMillis);
     }
 
     /**
@@ -116,20 +116,20 @@
      * @param changeId a new id that no other request has
      */
     public void submitWithoutId(
-            final String changeId, final ChangeDraft draft, final long timeoutMs, final Consumer<Reply> callback) {
+            final String changeId, final ChangeDraft draft, final long timeoutMillis, final Consumer<Reply> callback) {
         if (feedClient.isFresh()) {
-            submit(changeId, draft, timeoutMs, callback);
+            submit(changeId, draft, timeoutMillis, callback);
         } else {
             callback.accept(new ChangeResult.NotReady().toReply(changeId, appliedVersion()));
         }
     }
 
     /** Reads the newest configuration, confirmed after the call; empty if it can't be confirmed in time. */
-    public void readNewest(final long timeoutMs, final Consumer<Optional<Configuration>> callback) {
+    public void readNewest(final long timeoutMillis, final Consumer<Optional<Configuration>> callback) {
         feedClient
                 .lease()
                 .awaitConfirmation(
-                        timeoutMs,
+                        timeoutMillis,
                         confirmed -> callback.accept(
                                 confirmed && isOfPresentGeneration()
                                         ? Optional.of(configurationStore.configuration())
@@ -155,9 +155,9 @@
         }
     }
 
-    private void confirm(final ChangeAttempt attempt, final long timeoutMs) {
+    private void confirm(final ChangeAttempt attempt, final long timeoutMillis) {
         attempt.confirm();
-        feedClient.lease().awaitConfirmation(timeoutMs, confirmed -> onConfirmation(attempt, confirmed));
+        feedClient.lease().awaitConfirmation(timeoutMillis, confirmed -> onConfirmation(attempt, confirmed));
     }
 
     private void onConfirmation(final ChangeAttempt attempt, final boolean confirmed) {
@@ -239,13 +239,13 @@
     }
 
     private void propose(final ChangeAttempt attempt, final ConfigurationChange change) {
-        final long timeoutMs = Math.min(limits.proposalTimeoutMs(), attempt.remainingMs(clock.nowMs()));
+        final long timeoutMillis = Math.min(limits.proposalTimeoutMs(), attempt.remainingMs(clock.nowMs()));
         final ChangeAttempt.Proposal proposal = attempt.propose(appliedVersion() + 1, change);
-        final byte[] encoded = MessageCodec.bytes(change);
+        final byte[] encoded = MessageCodec.encodeRecord(change);
         proposals.add(proposal);
         proposer.propose(
                 ConfigurationKeys.keyOf(proposal.version()),
-                timeoutMs,
+                timeoutMillis,
                 present -> edit(proposal, encoded, present),
                 outcome -> onOutcome(proposal, outcome));
     }
@@ -288,7 +288,7 @@
     }
 
     private static boolean isSameChange(final byte[] encoded, final ChangeAttempt.Proposal proposal) {
-        return MessageCodec.record(encoded, ConfigurationChange.class)
+        return MessageCodec.decodeRecord(encoded, ConfigurationChange.class)
                 .changeId()
                 .equals(proposal.change().changeId());
     }
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -348,7 +348,7 @@
         final VoterSet voterSet = proposer.voterSet();
         final long before = appliedVersion();
         if (version == before + 1 || version == voterSet.firstNumber() && version > before) {
-            configurationStore.apply(version, MessageCodec.record(encodedChange, ConfigurationChange.class));
+            configurationStore.apply(version, MessageCodec.decodeRecord(encodedChange, ConfigurationChange.class));
             onApplied(before);
             lease.renew(voterSet, appliedVersion());
         }
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
@@ -112,7 +112,7 @@
         final ConfigurationChange change = changes == null ? null : changes.get(version);
         final boolean fetched = change == null || change.json().length > ANNOUNCED_BYTES_MAX;
         final FeedMessage.FeedUpdate update =
-                new FeedMessage.FeedUpdate(version, fetched ? null : MessageCodec.bytes(change));
+                new FeedMessage.FeedUpdate(version, fetched ? null : MessageCodec.encodeRecord(change));
         addresses.forEach(address -> sender.send(address, update));
     }
 
--- a/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
@@ -137,22 +137,22 @@
      * Waits for a confirmation whose round is sent from now on. A confirmation that arrives past the deadline counts as none:
      * after a pause of the process, answers from before it are delivered first and its timers only then.
      *
-     * @param timeoutMs how long to wait; the result is negative at once if it isn't positive or too many wait already
+     * @param timeoutMillis how long to wait; the result is negative at once if it isn't positive or too many wait already
      * @param callback receives the result once, possibly within this call
      */
-    public void awaitConfirmation(final long timeoutMs, final ConfirmationCallback callback) {
-        if (timeoutMs <= 0 || waiters.size() >= WAITERS_MAX) {
+    public void awaitConfirmation(final long timeoutMillis, final ConfirmationCallback callback) {
+        if (timeoutMillis <= 0 || waiters.size() >= WAITERS_MAX) {
             callback.onResult(false);
             return;
         }
-        final Waiter waiter = new Waiter(clock.nowMs(), clock.nowMs() + timeoutMs, callback);
+        final Waiter waiter = new Waiter(clock.nowMs(), clock.nowMs() + timeoutMillis, callback);
         waiters.add(waiter);
-        clock.after(timeoutMs, () -> {
+        clock.after(timeoutMillis, () -> {
             if (waiters.remove(waiter)) {
                 waiter.callback.onResult(false);
             }
         });
-        repeatRound(waiter, timeoutMs);
+        repeatRound(waiter, timeoutMillis);
         sender.sendRound();
     }
 
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
@@ -53,7 +53,7 @@
         versionFloor = storedFloor == null ? 0 : ByteBuffer.wrap(storedFloor).getLong();
         segmentedLog.table().forEach((key, value) -> {
             if (!key.startsWith(LOCAL_PREFIX)) {
-                registers.put(key, MessageCodec.record(value, Register.class));
+                registers.put(key, MessageCodec.decodeRecord(value, Register.class));
             }
         });
     }
@@ -88,12 +88,12 @@
     /** Returns the stored voter set, or null if none was ever stored. */
     VoterSet readVoterSet() {
         final byte[] stored = localRecord(VOTER_SET_KEY);
-        return stored == null ? null : MessageCodec.record(stored, VoterSet.class);
+        return stored == null ? null : MessageCodec.decodeRecord(stored, VoterSet.class);
     }
 
     /** Stores the voter set that the acceptor votes in from now on. */
     void writeVoterSet(final VoterSet voterSet, final WriteCallback done) {
-        put(VOTER_SET_KEY, MessageCodec.bytes(voterSet), done);
+        put(VOTER_SET_KEY, MessageCodec.encodeRecord(voterSet), done);
     }
 
     /** Stores that this disk has everything that a voter of the generation needs. */
@@ -168,7 +168,7 @@
                 : "the accepted number fell on " + key;
         syncedStates.putIfAbsent(key, previous == null ? Register.EMPTY : previous);
         writesInFlight.merge(key, 1, Integer::sum);
-        put(key, MessageCodec.bytes(next), synced -> {
+        put(key, MessageCodec.encodeRecord(next), synced -> {
             onRegisterWritten(key, previous, next, synced);
             done.onWriteCompleted(synced);
         });
--- a/spokestall/src/main/java/spokestall/consensus/Proposal.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposal.java
@@ -120,7 +120,7 @@
             return;
         }
         proposer.endAttempt(attemptId);
-        if (isOverdue() || attempts >= proposer.timing.maxAttempts()) {
+        if (isOverdue() || attempts >= proposer.timing.attemptLimit()) {
             complete(failure(ProposalOutcome.Reason.NO_MAJORITY_IN_TIME));
             return;
         }
--- a/spokestall/src/main/java/spokestall/consensus/Proposer.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposer.java
@@ -21,9 +21,9 @@
      *
      * @param attemptTimeoutMillis how long one phase waits for a majority
      * @param backoffMillis unit of the jittered wait before the next attempt, which grows to eight times this
-     * @param maxAttempts after so many the proposal ends, whatever its deadline
+     * @param attemptLimit after so many the proposal ends, whatever its deadline
      */
-    public record Timing(long attemptTimeoutMillis, long backoffMillis, int maxAttempts) {}
+    public record Timing(long attemptTimeoutMillis, long backoffMillis, int attemptLimit) {}
 
     final String proposerId;
     final String address;
--- a/spokestall/src/main/java/spokestall/discovery/DiscoveryClient.java
+++ b/spokestall/src/main/java/spokestall/discovery/DiscoveryClient.java
@@ -10,8 +10,8 @@
  */
 public interface DiscoveryClient {
     /** Reads the platform's whole list; the result is empty if it could not be had in time. */
-    void listEndpoints(long timeoutMs, Consumer<Optional<List<ListedEndpoint>>> done);
+    void listEndpoints(long timeoutMillis, Consumer<Optional<List<ListedEndpoint>>> done);
 
     /** Probes the instance at an address (IP and port); the result is empty if there was no valid answer in time. */
-    void probe(String address, long timeoutMs, Consumer<Optional<ProbeResult>> done);
+    void probe(String address, long timeoutMillis, Consumer<Optional<ProbeResult>> done);
 }
--- a/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
@@ -20,9 +20,9 @@
      * When the list is read.
      *
      * @param intervalMs how often it is read by the whole fleet
-     * @param timeoutMs how long reading may take
+     * @param timeoutMillis how long reading may take
      */
-    public record Schedule(long intervalMs, long timeoutMs) {}
+    public record Schedule(long intervalMs, long timeoutMillis) {}
 
     /** By which part of the interval each next core waits longer. */
     private static final double DELAY_RATIO_PER_RANK = 0.7;
@@ -100,7 +100,7 @@
         reading = true;
         final long requestedMs = fleetClock.nowMs();
         lastAttemptMs = requestedMs;
-        client.listEndpoints(schedule.timeoutMs(), list -> {
+        client.listEndpoints(schedule.timeoutMillis(), list -> {
             reading = false;
             list.ifPresent(listed -> onList(listed, requestedMs));
         });
--- a/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
@@ -20,12 +20,12 @@
     /**
      * How instances are probed.
      *
-     * @param timeoutMs how long an answer may take
+     * @param timeoutMillis how long an answer may take
      * @param failureThreshold after how many failed probes in a row an instance is {@link HealthStatus#DOWN}
      * @param coresPerEndpoint how many cores probe each instance
      * @param repeatMs how often an observation is repeated that didn't change
      */
-    public record ProbeParameters(long timeoutMs, int failureThreshold, int coresPerEndpoint, long repeatMs) {}
+    public record ProbeParameters(long timeoutMillis, int failureThreshold, int coresPerEndpoint, long repeatMs) {}
 
     /** Beginnings of a warm-up that are nearer to each other than this are taken for the same. */
     private static final long WARM_UP_TOLERANCE_MS = 1000;
@@ -115,7 +115,7 @@
 
     private void probe(final Endpoint endpoint) {
         final long requestedMs = fleetClock.nowMs();
-        client.probe(endpoint.address(), parameters.timeoutMs(), result -> {
+        client.probe(endpoint.address(), parameters.timeoutMillis(), result -> {
             probing.remove(endpoint.instance());
             if (result.isPresent()) {
                 onAnswer(endpoint, result.get(), requestedMs);
--- a/spokestall/src/main/java/spokestall/gossip/PartialView.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -106,14 +106,14 @@
     }
 
     private void dropTimedOut(final long nowMs) {
-        if (membersByName.values().removeIf(member -> nowMs > timeoutMs(member.name()))) {
+        if (membersByName.values().removeIf(member -> nowMs > timeoutMillis(member.name()))) {
             changedMs = nowMs;
             lastSeenMs.keySet().retainAll(membersByName.keySet());
             joinedMs.keySet().retainAll(membersByName.keySet());
             contactedMs.keySet().retainAll(membersByName.keySet());
         }
         nextTimeoutMs = nowMs + parameters.memberTimeoutMs();
-        membersByName.keySet().forEach(name -> nextTimeoutMs = Math.min(nextTimeoutMs, timeoutMs(name)));
+        membersByName.keySet().forEach(name -> nextTimeoutMs = Math.min(nextTimeoutMs, timeoutMillis(name)));
     }
 
     /** Returns a number that grows with each member that is new or that starts or stops serving clients. */
@@ -121,7 +121,7 @@
         return version;
     }
 
-    private long timeoutMs(final String name) {
+    private long timeoutMillis(final String name) {
         return lastSeenMs.getOrDefault(name, 0L) + parameters.memberTimeoutMs();
     }
 
@@ -222,7 +222,7 @@
         }
         membersByName.put(entry.name(), entry);
         lastSeenMs.put(entry.name(), clock.nowMs() - ageMs);
-        nextTimeoutMs = Math.min(nextTimeoutMs, timeoutMs(entry.name()));
+        nextTimeoutMs = Math.min(nextTimeoutMs, timeoutMillis(entry.name()));
         if (membersByName.size() > parameters.viewSize()) {
             evictOldest();
         }
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -124,8 +124,8 @@
     }
 
     @Override
-    public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
-        page(platform.listTarget(), timeoutMs, new ArrayList<>(), 1, done);
+    public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
+        page(platform.listTarget(), timeoutMillis, new ArrayList<>(), 1, done);
     }
 
     private void page(
@@ -150,11 +150,11 @@
     }
 
     @Override
-    public void probe(final String at, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
+    public void probe(final String at, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
         get(
                 at,
                 platform.statusTarget(),
-                timeoutMs,
+                timeoutMillis,
                 true,
                 tree -> done.accept(Optional.ofNullable(tree).map(platform::status)));
     }
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -207,8 +207,8 @@
         }
         final long first = proposer.voterSet().firstNumber();
         final long fencingToken = Math.max(now == null ? 0 : now.fencingToken(), first) + 1;
-        return new RegisterEdit.Set(
-                MessageCodec.bytes(new Lease(owner, context.node(), 0, fencingToken, timeouts.leaseMs(), false)));
+        return new RegisterEdit.Set(MessageCodec.encodeRecord(
+                new Lease(owner, context.node(), 0, fencingToken, timeouts.leaseMs(), false)));
     }
 
     private String whyFree(final Lease expired) {
@@ -325,10 +325,10 @@
             final byte[] value, final LeaseSession session, final UnaryOperator<Lease> change) {
         final Lease now = lease(value);
         final boolean owned = now != null && now.owner().equals(session.owner()) && !now.released();
-        return owned ? new RegisterEdit.Set(MessageCodec.bytes(change.apply(now))) : RegisterEdit.LEAVE;
+        return owned ? new RegisterEdit.Set(MessageCodec.encodeRecord(change.apply(now))) : RegisterEdit.LEAVE;
     }
 
     private static Lease lease(final byte[] value) {
-        return value == null ? null : MessageCodec.record(value, Lease.class);
+        return value == null ? null : MessageCodec.decodeRecord(value, Lease.class);
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
@@ -45,7 +45,7 @@
         this.electorate = electorate;
         this.acceptor = context.acceptor();
         final byte[] stored = acceptor.localRecord(VOTE_KEY);
-        vote = stored == null ? null : MessageCodec.record(stored, Vote.class);
+        vote = stored == null ? null : MessageCodec.decodeRecord(stored, Vote.class);
         if (vote != null && vote.baseGeneration == context.generation()) {
             acceptor.resign(vote.baseGeneration);
         }
@@ -161,7 +161,7 @@
     private void store(final Vote next, final Runnable whenDurable) {
         vote = next;
         acceptor.resign(next.baseGeneration);
-        acceptor.putLocalRecord(VOTE_KEY, MessageCodec.bytes(next), ok -> {
+        acceptor.putLocalRecord(VOTE_KEY, MessageCodec.encodeRecord(next), ok -> {
             if (ok) {
                 whenDurable.run();
             }
--- a/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
+++ b/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
@@ -151,7 +151,7 @@
 
     private void propose(final VoterSet next) {
         transitionTo(Phase.PROPOSING, "epoch-" + next.generation() + "/" + next.epoch());
-        final byte[] value = MessageCodec.bytes(next);
+        final byte[] value = MessageCodec.encodeRecord(next);
         context.proposer()
                 .propose(
                         VoterSet.key(next.generation(), next.epoch()),
@@ -162,7 +162,7 @@
 
     private void onOutcome(final ProposalOutcome outcome) {
         if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
-            final VoterSet agreed = MessageCodec.record(done.value(), VoterSet.class);
+            final VoterSet agreed = MessageCodec.decodeRecord(done.value(), VoterSet.class);
             transitionTo(Phase.IDLE, "agreed");
             listener.onVoterSetAgreed(agreed);
             for (final String node : environment.otherNodeAddresses()) {
--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -32,7 +32,7 @@
     /** Records a usage window once its report is stored here as sent. */
     void onRegisterStored(final String key, final Register register) {
         if (register.value() != null && SealedWindow.windowOf(key) >= 0) {
-            auditor.recordWindow(MessageCodec.record(register.value(), SealedWindow.class));
+            auditor.recordWindow(MessageCodec.decodeRecord(register.value(), SealedWindow.class));
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
+++ b/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
@@ -15,7 +15,7 @@
 import spokestall.configuration.feed.FeedClient;
 
 /**
- * The calls that read and change the configuration: all of it, a part of it, a tenant's keys, or a zone's evacuation.
+ * The calls that read and change the configuration: all of it, a part of it, a tenant's keys, or the zones that are drained.
  *
  * <p>Not thread-safe; all calls on the node's event loop. A change is answered once it is known whether it was committed.
  */
@@ -63,7 +63,7 @@
 
     /** Answers with a configuration that was proved newest after the call was received. */
     private void getConfiguration(final Consumer<Reply> done) {
-        changeCoordinator.readNewest(context.settings().ms("policyBoundMs"), newest -> {
+        changeCoordinator.readNewest(context.settings().integer("policyBoundMs"), newest -> {
             if (newest.isEmpty()) {
                 done.accept(Reply.of(ResultCode.NOT_READY, null));
                 return;
--- a/spokestall/src/main/java/spokestall/node/CoreStatus.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStatus.java
@@ -60,11 +60,11 @@
 
     /** The zone is evacuated once no edge in it has a request in flight. */
     @Override
-    public void describeEvacuation(final String zone, final ObjectNode evacuation) {
+    public void describeEvacuation(final String zone, final ObjectNode drainStatus) {
         int open = 0;
         for (final TrackedEdge edge : feedServer.edges().values()) {
             open += edge.info().zone().equals(zone) ? edge.openRequests() : 0;
         }
-        evacuation.put("open", open).put("empty", open == 0);
+        drainStatus.put("open", open).put("empty", open == 0);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -46,8 +46,8 @@
         this.segmentedLog = new SegmentedLog(segments);
         this.retention = new RegisterRetention(
                 new RegisterRetention.Periods(
-                        context.settings().ms("claimKeepMs"),
-                        context.settings().part("claimKeepMs", CLAIM_MARGIN_RATIO),
+                        context.settings().integer("claimKeepMs"),
+                        context.settings().fractionOf("claimKeepMs", CLAIM_MARGIN_RATIO),
                         context.timings().windowMs()),
                 context.fleet,
                 new RetentionState(voterSet, ready));
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -69,7 +69,7 @@
             done.accept(edgesFor(params, tenant));
             return;
         }
-        changeCoordinator.readNewest(context.settings().ms("freshMs"), newest -> {
+        changeCoordinator.readNewest(context.settings().integer("freshMs"), newest -> {
             if (newest.isEmpty()) {
                 done.accept(Reply.of(ResultCode.NOT_FRESH, null));
             } else if (newest.get().tenantOf(keyHash) == null) {
@@ -96,7 +96,7 @@
                 .put("name", edge.name())
                 .put("address", edge.httpAddress())
                 .put("region", edge.region()));
-        fields.put("forMs", context.settings().part("leaveBoundMs", VALID_LEAVE_BOUNDS));
+        fields.put("forMs", context.settings().fractionOf("leaveBoundMs", VALID_LEAVE_BOUNDS));
         final VoterSet voterSet = proposer.voterSet();
         fields.put("ticket", new RequestTicket(voterSet.generation(), context.fleet.nowMs()).text());
         return Reply.of(ResultCode.OK, fields);
--- a/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
+++ b/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
@@ -35,9 +35,10 @@
     /** Creates the component with an empty registry. */
     DiscoveryComponent(final NodeContext context) {
         this.context = context;
-        this.healthSource = context.settings().ms("probes") == 1 ? HealthSource.PROBES : HealthSource.PLATFORM_LIST;
+        this.healthSource =
+                context.settings().integer("probes") == 1 ? HealthSource.PROBES : HealthSource.PLATFORM_LIST;
         this.endpointRegistry = new EndpointRegistry(
-                context.incarnation, MAX_ENDPOINTS, context.settings().ms("leaveBoundMs"), healthSource);
+                context.incarnation, MAX_ENDPOINTS, context.settings().integer("leaveBoundMs"), healthSource);
     }
 
     /** Prepares a core, once, before its first tick: loads the stored list and creates what reads and probes. */
@@ -87,7 +88,8 @@
 
     /** Removes entries that have not been listed for long, and old observations. */
     void prune() {
-        endpointRegistry.prune(context.fleet.nowMs() - context.settings().part("leaveBoundMs", BOUNDS_KEPT_ABSENT));
+        endpointRegistry.prune(
+                context.fleet.nowMs() - context.settings().fractionOf("leaveBoundMs", BOUNDS_KEPT_ABSENT));
     }
 
     /** Merges what another core sent. A time of reading that lies in the future would keep this core from reading. */
--- a/spokestall/src/main/java/spokestall/node/FeedServerOptions.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServerOptions.java
@@ -12,11 +12,11 @@
 
     @Override
     public long messageVersion() {
-        return context.settings().ms("noteVersion");
+        return context.settings().integer("noteVersion");
     }
 
     @Override
     public long edgeTimeoutMs() {
-        return context.settings().heardMs();
+        return context.settings().peerTimeoutMillis();
     }
 }
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -56,7 +56,7 @@
             if (IdempotencyClaim.isKey(key) || key.startsWith(USAGE_KEYS)) {
                 entries.add(entry(key, register.value()));
             } else if (key.startsWith(LEASE_KEYS) && !key.equals(FLOOR)) {
-                entries.add(entry(key, MessageCodec.bytes(withoutHold(register.value()))));
+                entries.add(entry(key, MessageCodec.encodeRecord(withoutHold(register.value()))));
             }
         });
         entries.add(entry(FLOOR, Long.toString(fleetClock.nowMs()).getBytes(StandardCharsets.UTF_8)));
@@ -77,7 +77,7 @@
     }
 
     private static Lease withoutHold(final byte[] value) {
-        final Lease lease = MessageCodec.record(value, Lease.class);
+        final Lease lease = MessageCodec.decodeRecord(value, Lease.class);
         return new Lease(lease.owner(), lease.holder(), lease.renewal(), lease.fencingToken(), lease.spanMs(), false);
     }
 
@@ -113,7 +113,7 @@
         final ConfigurationStore merged = new ConfigurationStore(1);
         for (final SurvivingState survivor : survivors) {
             if (survivor.configuration() != null) {
-                merged.load(MessageCodec.record(survivor.configuration(), ConfigurationSnapshot.class));
+                merged.load(MessageCodec.decodeRecord(survivor.configuration(), ConfigurationSnapshot.class));
             }
         }
         newest.forEach((key, register) -> {
@@ -122,10 +122,10 @@
                     version == (version >> VoterSet.GENERATION_SHIFT) << VoterSet.GENERATION_SHIFT;
             if (version > merged.configuration().version()
                     && (firstOfGeneration || version == merged.configuration().version() + 1)) {
-                merged.apply(version, MessageCodec.record(register.value(), ConfigurationChange.class));
+                merged.apply(version, MessageCodec.decodeRecord(register.value(), ConfigurationChange.class));
             }
         });
-        return MessageCodec.bytes(new ConfigurationChange(
+        return MessageCodec.encodeRecord(new ConfigurationChange(
                 CHANGE_ID_PREFIX + generation,
                 ConfigurationChange.Kind.PUT,
                 merged.snapshot().json(),
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -61,7 +61,7 @@
     }
 
     private boolean live(final Voter voter) {
-        return liveness.sinceLastAnswerMs(voter.name()) < context.settings().heardMs();
+        return liveness.sinceLastAnswerMs(voter.name()) < context.settings().peerTimeoutMillis();
     }
 
     /**
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -65,7 +65,8 @@
             edges.put(context.name, view.self());
         }
         if (edges.isEmpty()) {
-            feedClient.edgesReportedWithin(context.settings().part("leaveBoundMs", BOUNDS_WITHOUT_CORES))
+            feedClient
+                    .edgesReportedWithin(context.settings().fractionOf("leaveBoundMs", BOUNDS_WITHOUT_CORES))
                     .forEach(edge -> edges.put(edge.name(), edge));
         }
         if (view.self().leaving()) {
@@ -76,7 +77,7 @@
 
     /** A core that has just started, or that no edge contacts since it isn't a voter, uses what another core reports too. */
     private Collection<NodeInfo> reported() {
-        final long freshMs = context.settings().heardMs();
+        final long freshMs = context.settings().peerTimeoutMillis();
         if (!context.core) {
             return feedClient.edgesReportedWithin(freshMs);
         }
@@ -92,7 +93,7 @@
 
     /** Whether edges may not have had time to report yet. */
     private boolean justStarted() {
-        return context.clock.nowMs() - startedMs < context.settings().heardMs();
+        return context.clock.nowMs() - startedMs < context.settings().peerTimeoutMillis();
     }
 
     /** Publishes the edges that are named to clients from now on. */
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -76,8 +76,8 @@
 
     /** The first incarnation is the one that is configured as such and whose disk, if it has one, does not contradict it. */
     private BootstrapAcceptor.Eligibility bootstrapEligibility(final CoreStorage storage) {
-        final boolean first = context.settings().ms("cores") == 0
-                && context.settings().ms("bootstrap") == 1
+        final boolean first = context.settings().integer("cores") == 0
+                && context.settings().integer("bootstrap") == 1
                 && (storage == null || storage.acceptor.openedBlank());
         return first
                 ? BootstrapAcceptor.Eligibility.FIRST_INCARNATION
@@ -245,7 +245,7 @@
                 context.name,
                 voterSet == null ? 0 : voterSet.generation(),
                 version,
-                version == 0 ? null : MessageCodec.bytes(configurationStore.snapshot()),
+                version == 0 ? null : MessageCodec.encodeRecord(configurationStore.snapshot()),
                 fencingTokens.highestStored(),
                 hasState,
                 registers);
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -108,7 +108,7 @@
             components.proxy.applySettings();
         }
         LOG.atInfo().log(
-                "event=settings_renewed node=%s taken=%s waiting=%s", context.name, update.taken(), update.waiting());
+                "event=settings_renewed node=%s taken=%s waiting=%s", context.name, update.applied(), update.pending());
         return update.settings();
     }
 
--- a/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
+++ b/spokestall/src/main/java/spokestall/node/NodeEnvironment.java
@@ -8,10 +8,6 @@
 import spokestall.storage.SegmentStore;
 import spokestall.time.Clock;
 import spokestall.usage.UsageReportClient;
-import spokestall.usage.ReportSchedule;
-import spokestall.usage.UsageReportClient;
-import spokestall.usage.ReportSchedule;
-import spokestall.usage.UsageReportClient;
 
 /**
  * The services through which a {@link Node} reaches the world: time, randomness, network and disk. A process passes real
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -34,12 +34,12 @@
     /** Begins all periodic work; it ends when the ticker is stopped. */
     void start() {
         final Settings settings = context.settings();
-        fastStart(context.clock.nowMs() + settings.part("leaveBoundMs", FAST_START_LEAVE_BOUNDS), 0);
-        ticker.every(settings.part("leaveBoundMs", 0.125), () -> {
+        fastStart(context.clock.nowMs() + settings.fractionOf("leaveBoundMs", FAST_START_LEAVE_BOUNDS), 0);
+        ticker.every(settings.fractionOf("leaveBoundMs", 0.125), () -> {
             components.view.onTick();
             components.knownEdges.publish();
         });
-        ticker.every(settings.ms("proofMs"), () -> {
+        ticker.every(settings.integer("proofMs"), () -> {
             components.feedClient.onTick();
             components.knownEdges.publish();
         });
@@ -48,32 +48,32 @@
         }
         final ProxyComponent proxy = components.proxy;
         if (proxy != null) {
-            ticker.every(settings.ms("countPushMs"), proxy::onCountTick);
-            ticker.every(settings.part("leaveBoundMs", 1), proxy::onRetainTick);
+            ticker.every(settings.integer("countPushMs"), proxy::onCountTick);
+            ticker.every(settings.fractionOf("leaveBoundMs", 1), proxy::onRetainTick);
         }
-        ticker.every(settings.part("leaveBoundMs", 2), this::warnOfOtherCounts);
-        ticker.every(settings.part("leaveBoundMs", 2), components.discovery::prune);
+        ticker.every(settings.fractionOf("leaveBoundMs", 2), this::warnOfOtherCounts);
+        ticker.every(settings.fractionOf("leaveBoundMs", 2), components.discovery::prune);
     }
 
     private void startCore(final Settings settings) {
         final UsageComponent usage = components.usage;
         final CoreStorage storage = components.storage;
-        ticker.every(settings.part("leaveBoundMs", 0.0625), components.membership::onTick);
-        ticker.every(settings.part("leaveBoundMs", 0.125), components.discovery::onTick);
+        ticker.every(settings.fractionOf("leaveBoundMs", 0.0625), components.membership::onTick);
+        ticker.every(settings.fractionOf("leaveBoundMs", 0.125), components.discovery::onTick);
         ticker.every(
-                settings.part("leaseMs", 0.1),
+                settings.fractionOf("leaseMs", 0.1),
                 () -> usage.tickLease(components.view.self().leaving()));
-        ticker.every(settings.part("reportDueMs", 0.01), usage.reporter::onTick);
-        ticker.every(settings.part("keyBoundMs", 0.2), this::pruneCore);
-        ticker.every(settings.ms("countPushMs"), usage::tickPersistedCounts);
-        ticker.every(settings.ms("listMs"), components.discovery::onStoreTick);
-        ticker.every(settings.part("keyBoundMs", 0.02), usage::mergeCountsFromDisk);
-        ticker.every(settings.part("keyBoundMs", 0.1), components.audit::onTick);
-        ticker.every(settings.part("keyBoundMs", 0.02), () -> storage.applyFirstVersion(components.feedClient));
+        ticker.every(settings.fractionOf("reportDueMs", 0.01), usage.reporter::onTick);
+        ticker.every(settings.fractionOf("keyBoundMs", 0.2), this::pruneCore);
+        ticker.every(settings.integer("countPushMs"), usage::tickPersistedCounts);
+        ticker.every(settings.integer("listMs"), components.discovery::onStoreTick);
+        ticker.every(settings.fractionOf("keyBoundMs", 0.02), usage::mergeCountsFromDisk);
+        ticker.every(settings.fractionOf("keyBoundMs", 0.1), components.audit::onTick);
+        ticker.every(settings.fractionOf("keyBoundMs", 0.02), () -> storage.applyFirstVersion(components.feedClient));
     }
 
     private void pruneCore() {
-        components.feedServer.pruneEdges(context.settings().part("leaveBoundMs", EDGE_KEPT_LEAVE_BOUNDS));
+        components.feedServer.pruneEdges(context.settings().fractionOf("leaveBoundMs", EDGE_KEPT_LEAVE_BOUNDS));
         components.storage.pruneRegisters();
     }
 
@@ -84,8 +84,8 @@
             LOG.atWarning().log(
                     "event=counts_differ node=%s cores=%s edges=%s from=%s",
                     context.name,
-                    context.settings().ms("cores"),
-                    context.settings().ms("edges"),
+                    context.settings().integer("cores"),
+                    context.settings().integer("edges"),
                     differing);
         }
     }
@@ -104,7 +104,7 @@
             components.feedClient.onTick();
         }
         context.clock.after(
-                context.settings().part("leaveBoundMs", FAST_PERIOD_LEAVE_BOUNDS),
+                context.settings().fractionOf("leaveBoundMs", FAST_PERIOD_LEAVE_BOUNDS),
                 () -> fastStart(untilMs, attempt + 1));
     }
 
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -115,8 +115,8 @@
      * that this node has known at a time, so that an edge that is out of sight for a while doesn't raise the others' share.
      */
     int sharingEdges() {
-        if (context.settings().ms("edges") > 0) {
-            return (int) context.settings().ms("edges");
+        if (context.settings().integer("edges") > 0) {
+            return (int) context.settings().integer("edges");
         }
         if (view.version() == countedVersion) {
             return maxEdgesSeen;
--- a/spokestall/src/main/java/spokestall/node/PersistedState.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -41,7 +41,7 @@
     <T extends Message> T read(final Class<T> type) {
         final byte[] stored = acceptor.localRecord(key);
         try {
-            return stored == null ? null : type.cast(MessageCodec.message(stored));
+            return stored == null ? null : type.cast(MessageCodec.decode(stored));
         } catch (final IOException | ClassCastException e) {
             LOG.atWarning().log("event=persisted_state_unreadable key=%s reason=\"%s\"", key, e.getMessage());
             return null;
@@ -54,7 +54,7 @@
         if (writing || changes == writtenChangeCount) {
             return;
         }
-        final byte[] bytes = MessageCodec.message(currentState.get(), MessageCodec.VERSION);
+        final byte[] bytes = MessageCodec.encode(currentState.get(), MessageCodec.CURRENT_VERSION);
         if (bytes.length > MAX_BYTES) {
             return;
         }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -131,7 +131,7 @@
     }
 
     private void restartWarmup(final String zone, final Configuration configuration) {
-        final long marginMs = context.settings().part("leaveBoundMs", WARMUP_MARGIN_LEAVE_BOUNDS);
+        final long marginMs = context.settings().fractionOf("leaveBoundMs", WARMUP_MARGIN_LEAVE_BOUNDS);
         for (final Endpoint endpoint : endpointRegistry.endpoints()) {
             final ServiceLimits limits = configuration.service(endpoint.service());
             if (endpoint.zone().equals(zone) && limits != null) {
--- a/spokestall/src/main/java/spokestall/node/RecordCalls.java
+++ b/spokestall/src/main/java/spokestall/node/RecordCalls.java
@@ -44,13 +44,13 @@
     private void getUsage(final JsonNode params, final Consumer<Reply> done) {
         proposer.read(
                 SealedWindow.key(params.get("window").asLong()),
-                context.settings().ms("policyBoundMs"),
+                context.settings().integer("policyBoundMs"),
                 outcome -> done.accept(usageReply(outcome)));
     }
 
     private static Reply usageReply(final ProposalOutcome outcome) {
         if (outcome instanceof ProposalOutcome.Committed chosen && chosen.value() != null) {
-            final SealedWindow sealed = MessageCodec.record(chosen.value(), SealedWindow.class);
+            final SealedWindow sealed = MessageCodec.decodeRecord(chosen.value(), SealedWindow.class);
             final ObjectNode fields = ConfigurationStore.JSON
                     .createObjectNode()
                     .put("window", sealed.window())
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -93,7 +93,7 @@
         if (!IdempotencyClaim.isKey(key) || value == null) {
             return true;
         }
-        final IdempotencyClaim claim = MessageCodec.record(value, IdempotencyClaim.class);
+        final IdempotencyClaim claim = MessageCodec.decodeRecord(value, IdempotencyClaim.class);
         return claim.ticketMs() + periods.claimKeepMs + periods.marginMs / 2 >= fleetClock.nowMs();
     }
 
@@ -105,7 +105,7 @@
         if (value == null) {
             return false;
         }
-        final IdempotencyClaim claim = MessageCodec.record(value, IdempotencyClaim.class);
+        final IdempotencyClaim claim = MessageCodec.decodeRecord(value, IdempotencyClaim.class);
         return claim.claimedMs() + periods.claimKeepMs + periods.marginMs < fleetClock.nowMs();
     }
 }
--- a/spokestall/src/main/java/spokestall/node/SnapshotStore.java
+++ b/spokestall/src/main/java/spokestall/node/SnapshotStore.java
@@ -49,7 +49,7 @@
     void load() {
         final byte[] stored = acceptor.localRecord(KEY);
         if (stored != null) {
-            final ConfigurationSnapshot snapshot = MessageCodec.record(stored, ConfigurationSnapshot.class);
+            final ConfigurationSnapshot snapshot = MessageCodec.decodeRecord(stored, ConfigurationSnapshot.class);
             configurationStore.load(snapshot);
             storedVersion = snapshot.version();
             raiseFloor();
@@ -74,7 +74,7 @@
         transitionTo(State.WRITING);
         final long version = configurationStore.configuration().version();
         acceptor.putLocalRecord(
-                KEY, MessageCodec.bytes(configurationStore.snapshot()), synced -> onWritten(version, synced));
+                KEY, MessageCodec.encodeRecord(configurationStore.snapshot()), synced -> onWritten(version, synced));
     }
 
     private void onWritten(final long version, final boolean synced) {
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -129,11 +129,11 @@
 
     private void addVoters(final VoterSet voterSet, final ObjectNode voters) {
         voters.put("generation", voterSet.generation()).put("epoch", voterSet.epoch());
-        final long timeoutMs = Math.max(
-                context.settings().ms("leaveBoundMs"), context.settings().heardMs());
+        final long timeoutMillis = Math.max(
+                context.settings().integer("leaveBoundMs"), context.settings().peerTimeoutMillis());
         for (final Voter voter : voterSet.voters()) {
             final FeedClient.CoreReport last = feedClient.coreReports().get(voter.name());
-            final boolean heard = last != null && feedClient.sinceResponseMs(voter.name()) < timeoutMs;
+            final boolean heard = last != null && feedClient.sinceResponseMs(voter.name()) < timeoutMillis;
             voters.putObject(voter.name())
                     .put("state", !heard ? "unheard" : last.voting() ? "voting" : "blank")
                     .put("applied", heard ? last.appliedVersion() : 0);
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -8,10 +8,10 @@
 import spokestall.discovery.HealthChecker;
 import spokestall.gossip.ViewParameters;
 import spokestall.lease.LeaseTimeouts;
+import spokestall.membership.BootstrapProposer;
+import spokestall.membership.GracefulHandover;
 import spokestall.membership.MembershipSettings;
 import spokestall.membership.MembershipTimeouts;
-import spokestall.membership.GracefulHandover;
-import spokestall.membership.BootstrapProposer;
 import spokestall.proxy.LoadBalancerParameters;
 import spokestall.proxy.ProxyLimits;
 import spokestall.proxy.RequestConventions;
@@ -65,7 +65,7 @@
     }
 
     private int countOrBound(final String count) {
-        return settings.ms(count) == 0 ? UNCONFIGURED_COUNT : (int) settings.ms(count);
+        return settings.integer(count) == 0 ? UNCONFIGURED_COUNT : (int) settings.integer(count);
     }
 
     /**
@@ -73,17 +73,17 @@
      * of a new generation's initial state.
      */
     int configurationMaxBytes() {
-        return (int) Math.min(settings.ms("policyMaxBytes"), settings.ms("ringSegmentBytes") / 2);
+        return (int) Math.min(settings.integer("policyMaxBytes"), settings.integer("ringSegmentBytes") / 2);
     }
 
     /** Returns the length of a usage window, whose counts are reported together. */
     long windowMs() {
-        return settings.ms("reportWindowS") * MILLIS_PER_SECOND;
+        return settings.integer("reportWindowS") * MILLIS_PER_SECOND;
     }
 
     /** Returns for how long a change to the configuration may take before it is answered. */
     long changeMs() {
-        return settings.part("policyBoundMs", 0.8);
+        return settings.fractionOf("policyBoundMs", 0.8);
     }
 
     /** Returns the parameters of the partial view: sizes, and after which time a silent member is removed. */
@@ -91,102 +91,104 @@
         return new ViewParameters(
                 2 * (countOrBound("cores") + countOrBound("edges")),
                 GOSSIP_SAMPLE,
-                settings.part("leaveBoundMs", 4),
-                settings.part("leaveBoundMs", 1));
+                settings.fractionOf("leaveBoundMs", 4),
+                settings.fractionOf("leaveBoundMs", 1));
     }
 
     /** Returns the parameters of proposals; a round waits for some round trips between the farthest nodes. */
     Proposer.Timing proposer() {
-        final long farMs = settings.ms("farMs");
+        final long farMs = settings.integer("farMs");
         return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), PROPOSAL_ATTEMPTS);
     }
 
     /** Returns the parameters of the configuration feed. */
     FeedClient.Timings feedClient() {
         return new FeedClient.Timings(
-                settings.ms("freshMs"),
+                settings.integer("freshMs"),
                 OPEN_FRESHNESS_REQUESTS,
-                3 * settings.ms("proofMs"),
+                3 * settings.integer("proofMs"),
                 core ? CORE_ROVE_REQUESTS : EDGE_ROVE_REQUESTS,
-                settings.ms("noteVersion") < OMISSIONS_SINCE);
+                settings.integer("noteVersion") < OMISSIONS_SINCE);
     }
 
     /** Returns the parameters of the fleet's first start. */
     BootstrapProposer.Timeouts bootstrapProposer() {
         return new BootstrapProposer.Timeouts(
-                settings.part("leaveBoundMs", 0.5), settings.part("leaveBoundMs", 0.25), 8 * settings.ms("farMs"));
+                settings.fractionOf("leaveBoundMs", 0.5),
+                settings.fractionOf("leaveBoundMs", 0.25),
+                8 * settings.integer("farMs"));
     }
 
     /** Returns the parameters of changes of the voters. */
     MembershipSettings membership() {
         return new MembershipSettings(
-                (int) settings.ms("cores"),
-                settings.ms("noteVersion") < OMISSIONS_SINCE
+                (int) settings.integer("cores"),
+                settings.integer("noteVersion") < OMISSIONS_SINCE
                         ? MembershipSettings.VoterSetInStatus.ALWAYS
                         : MembershipSettings.VoterSetInStatus.WHEN_RECIPIENT_MAY_LACK_IT,
                 new MembershipTimeouts(
-                        settings.part("leaveBoundMs", 0.6),
-                        settings.part("leaveBoundMs", 0.15),
-                        settings.part("leaveBoundMs", 0.75),
-                        8 * settings.ms("farMs"),
-                        settings.part("leaveBoundMs", 0.25),
-                        settings.part("leaveBoundMs", 0.5),
-                        settings.part("leaveBoundMs", 8)));
+                        settings.fractionOf("leaveBoundMs", 0.6),
+                        settings.fractionOf("leaveBoundMs", 0.15),
+                        settings.fractionOf("leaveBoundMs", 0.75),
+                        8 * settings.integer("farMs"),
+                        settings.fractionOf("leaveBoundMs", 0.25),
+                        settings.fractionOf("leaveBoundMs", 0.5),
+                        settings.fractionOf("leaveBoundMs", 8)));
     }
 
     /** Returns the parameters of the handover of a core that shuts down. */
     GracefulHandover.Timeouts handover() {
-        return new GracefulHandover.Timeouts(2 * settings.ms("farMs"), 6 * settings.ms("farMs"));
+        return new GracefulHandover.Timeouts(2 * settings.integer("farMs"), 6 * settings.integer("farMs"));
     }
 
     /** Returns how often the platform's endpoint list is read. */
     EndpointListReader.Schedule endpointList() {
-        return new EndpointListReader.Schedule(settings.ms("listMs"), settings.part("leaveBoundMs", 0.5));
+        return new EndpointListReader.Schedule(settings.integer("listMs"), settings.fractionOf("leaveBoundMs", 0.5));
     }
 
     /** Returns the parameters of health checks. */
     HealthChecker.ProbeParameters probes() {
         return new HealthChecker.ProbeParameters(
-                settings.part("leaveBoundMs", 0.25),
+                settings.fractionOf("leaveBoundMs", 0.25),
                 FAILED_CHECKS,
                 CHECKING_CORES,
-                settings.part("leaveBoundMs", 0.25));
+                settings.fractionOf("leaveBoundMs", 0.25));
     }
 
     /** Returns the parameters of the counting of requests. */
     CounterLimits usageCounter() {
         return new CounterLimits(
                 windowMs(),
-                settings.part("reportDueMs", 0.1),
+                settings.fractionOf("reportDueMs", 0.1),
                 USAGE_WINDOWS_KEPT,
-                settings.ms("uncountedMs"),
-                (int) settings.ms("cores"),
-                settings.ms("farMs") / 2);
+                settings.integer("uncountedMs"),
+                (int) settings.integer("cores"),
+                settings.integer("farMs") / 2);
     }
 
     /** Returns the parameters of the usage report, as ratios of the time by which it is due. */
     ReportSchedule reporter() {
         return new ReportSchedule(
                 windowMs(),
-                settings.part("reportDueMs", 0.15),
-                settings.part("reportDueMs", 0.5),
-                settings.part("reportDueMs", 0.03),
-                settings.ms("reportDueMs"),
-                settings.part("leaseMs", 0.4),
-                settings.part("leaseMs", 0.4),
+                settings.fractionOf("reportDueMs", 0.15),
+                settings.fractionOf("reportDueMs", 0.5),
+                settings.fractionOf("reportDueMs", 0.03),
+                settings.integer("reportDueMs"),
+                settings.fractionOf("leaseMs", 0.4),
+                settings.fractionOf("leaseMs", 0.4),
                 settings.number("dutiesPerS"));
     }
 
     /** Returns the parameters of the usage report's lease. */
     LeaseTimeouts lease() {
         return new LeaseTimeouts(
-                settings.ms("leaseMs"),
-                settings.part("leaseMs", 0.2),
-                settings.part("leaseMs", 0.4),
-                settings.part("leaseMs", 0.1),
-                2 * settings.ms("farMs"),
-                settings.ms("maxRunMs"),
-                settings.ms("restMs"));
+                settings.integer("leaseMs"),
+                settings.fractionOf("leaseMs", 0.2),
+                settings.fractionOf("leaseMs", 0.4),
+                settings.fractionOf("leaseMs", 0.1),
+                2 * settings.integer("farMs"),
+                settings.integer("maxRunMs"),
+                settings.integer("restMs"));
     }
 
     /** Returns the parameters of the load balancer; shared bounds are divided by the number of edges. */
@@ -195,7 +197,7 @@
                 new LoadBalancerParameters.SlowStartLimits(
                         sharingEdges, settings.number("warmRatio"), settings.number("warmSlack")),
                 new LoadBalancerParameters.EjectionTimes(
-                        settings.part("leaveBoundMs", 0.25), settings.part("leaveBoundMs", 2)),
+                        settings.fractionOf("leaveBoundMs", 0.25), settings.fractionOf("leaveBoundMs", 2)),
                 new LoadBalancerParameters.DistanceCosts(
                         settings.number("districtCost"), settings.number("regionCost")));
     }
@@ -203,33 +205,33 @@
     /** Returns the parameters of the admission and execution of clients' requests. */
     ProxyLimits proxy() {
         return new ProxyLimits(
-                (int) settings.ms("askOpenMax"),
-                settings.ms("heldMaxBytes"),
-                settings.ms("claimKeepMs"),
-                20 * settings.ms("farMs"),
-                4 * settings.ms("farMs"),
-                settings.ms("retryAfterMs"),
+                (int) settings.integer("askOpenMax"),
+                settings.integer("heldMaxBytes"),
+                settings.integer("claimKeepMs"),
+                20 * settings.integer("farMs"),
+                4 * settings.integer("farMs"),
+                settings.integer("retryAfterMs"),
                 REQUEST_ATTEMPTS,
                 settings.number("retryShare") * RETRY_SHARE_RATIO,
                 settings.number("retryAllowance"),
-                settings.ms("askSpanMaxMs"),
-                settings.part("claimKeepMs", 0.01),
+                settings.integer("askSpanMaxMs"),
+                settings.fractionOf("claimKeepMs", 0.01),
                 new RequestConventions(
-                        settings.ms("keyed") == 1,
-                        settings.ms("claims") == 1,
-                        settings.ms("homeEdges") == 1,
-                        settings.ms("holdsEdges") == 1,
-                        settings.ms("unsentFree") == 1,
-                        settings.ms("any500") == 1));
+                        settings.integer("keyed") == 1,
+                        settings.integer("claims") == 1,
+                        settings.integer("homeEdges") == 1,
+                        settings.integer("holdsEdges") == 1,
+                        settings.integer("unsentFree") == 1,
+                        settings.integer("any500") == 1));
     }
 
     /** Returns the parameters of the graceful shutdown, as ratios of the longest time that it may take. */
     GracefulShutdown.Timing gracefulShutdown() {
         return new GracefulShutdown.Timing(
-                settings.part("stopWaitMs", 0.2),
-                settings.part("stopWaitMs", 0.75),
-                settings.part("stopWaitMs", 0.9),
-                settings.ms("stopWaitMs"),
+                settings.fractionOf("stopWaitMs", 0.2),
+                settings.fractionOf("stopWaitMs", 0.75),
+                settings.fractionOf("stopWaitMs", 0.9),
+                settings.integer("stopWaitMs"),
                 SHUTDOWN_CHECK_MS,
                 SHUTDOWN_WRITE_MS);
     }
--- a/spokestall/src/main/java/spokestall/node/ToleratedVoterLoss.java
+++ b/spokestall/src/main/java/spokestall/node/ToleratedVoterLoss.java
@@ -30,9 +30,9 @@
 
     @Override
     public int votersLost(final List<Voter> voters) {
-        final int byCores = (int) settings.ms("lossCores");
-        final int byZones = votersInLargestPlaces(voters, NodeInfo::zone, (int) settings.ms("lossDistricts"));
-        final int byRegions = votersInLargestPlaces(voters, NodeInfo::region, (int) settings.ms("lossRegions"));
+        final int byCores = (int) settings.integer("lossCores");
+        final int byZones = votersInLargestPlaces(voters, NodeInfo::zone, (int) settings.integer("lossDistricts"));
+        final int byRegions = votersInLargestPlaces(voters, NodeInfo::region, (int) settings.integer("lossRegions"));
         return Math.max(byCores, Math.max(byZones, byRegions));
     }
 
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -83,7 +83,7 @@
         if (key.equals(LEASE_KEY) && register.value() != null) {
             highestFencingToken = Math.max(
                     highestFencingToken,
-                    MessageCodec.record(register.value(), Lease.class).fencingToken());
+                    MessageCodec.decodeRecord(register.value(), Lease.class).fencingToken());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -190,7 +190,7 @@
 
     private long spanMs(final RequestHead head, final Route route) {
         final long spanMs = Math.min(head.spanMs(), limits.spanMaxMs());
-        return route.timeoutMs() > 0 ? Math.min(spanMs, route.timeoutMs()) : spanMs;
+        return route.timeoutMillis() > 0 ? Math.min(spanMs, route.timeoutMillis()) : spanMs;
     }
 
     /** Whether an upstream may be picked for a request: in a home region of it, and in no drained zone. */
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -31,7 +31,7 @@
     }
 
     private static IdempotencyClaim read(final byte[] stored) {
-        return stored == null ? null : MessageCodec.record(stored, IdempotencyClaim.class);
+        return stored == null ? null : MessageCodec.decodeRecord(stored, IdempotencyClaim.class);
     }
 
     /**
@@ -49,7 +49,7 @@
             final Consumer<ClaimResult> done) {
         final String digest = KeyHash.hex(body);
         final IdempotencyClaim mine = openClaim(ticket, digest);
-        final byte[] value = MessageCodec.bytes(mine);
+        final byte[] value = MessageCodec.encodeRecord(mine);
         context.proposer()
                 .propose(
                         key,
@@ -136,7 +136,7 @@
                             final boolean own = now != null
                                     && now.claimId().equals(mine.claimId())
                                     && now.state() == IdempotencyClaim.State.OPEN;
-                            return own ? new RegisterEdit.Set(MessageCodec.bytes(ended)) : RegisterEdit.LEAVE;
+                            return own ? new RegisterEdit.Set(MessageCodec.encodeRecord(ended)) : RegisterEdit.LEAVE;
                         },
                         outcome -> done.accept(outcome instanceof ProposalOutcome.Committed d && d.wrote()));
     }
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -428,7 +428,7 @@
     /** The claim's end and the response go to their stores and to cores of the home regions; the client doesn't wait. */
     private void recordExecuted(final Upstream upstream, final AttemptResult.Answered answered) {
         final HandoffMessage.Store stored = new HandoffMessage.Store(
-                claimManager.key(), KeyHash.hex(MessageCodec.bytes(answered.content())), answered.content());
+                claimManager.key(), KeyHash.hex(MessageCodec.encodeRecord(answered.content())), answered.content());
         context.responseCache().put(stored);
         for (final String core : context.homeCores().apply(grant.tenant().homeRegions())) {
             context.post().send(core, stored);
--- a/spokestall/src/main/java/spokestall/usage/UsageReportClient.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReportClient.java
@@ -9,7 +9,7 @@
      * @param holder the node that holds the lease
      * @param fencingToken of the session under which it is sent, which may be newer than the one that sealed the window
      * @param window the sealed counts
-     * @param timeoutMs how long the answer is waited for
+     * @param timeoutMillis how long the answer is waited for
      * @param deadline checked right before the bytes leave
      * @param callback receives the result
      */
@@ -17,7 +17,7 @@
             String holder,
             long fencingToken,
             SealedWindow window,
-            long timeoutMs,
+            long timeoutMillis,
             SendDeadline deadline,
             ReportCallback callback);
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -181,7 +181,7 @@
     private void seal(final LeaseSession under, final WindowReport report) {
         report.transition(WindowReport.Stage.SEALING);
         final Map<String, Long> counts = table.totals(report.window());
-        final byte[] value = MessageCodec.bytes(
+        final byte[] value = MessageCodec.encodeRecord(
                 new SealedWindow(report.window(), counts, under.owner(), under.fencingToken(), false));
         proposer.propose(
                 SealedWindow.key(report.window()),
@@ -195,7 +195,7 @@
     private void onSealOutcome(final WindowReport report, final ProposalOutcome outcome) {
         if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
             lastSealed = Math.max(lastSealed, report.window());
-            report.onSealed(MessageCodec.record(done.value(), SealedWindow.class));
+            report.onSealed(MessageCodec.decodeRecord(done.value(), SealedWindow.class));
         } else {
             final boolean past = outcome instanceof ProposalOutcome.Pruned || !isReportable(report.window());
             report.transition(past ? WindowReport.Stage.DONE : WindowReport.Stage.CLOSING);
@@ -216,7 +216,7 @@
         }
     }
 
-    private void send(final LeaseSession under, final WindowReport report, final long timeoutMs) {
+    private void send(final LeaseSession under, final WindowReport report, final long timeoutMillis) {
         report.transition(WindowReport.Stage.SENDING);
         lastSentMs = clock.nowMs();
         callsInFlight++;
@@ -224,7 +224,7 @@
                 node,
                 under.fencingToken(),
                 report.sealed(),
-                timeoutMs,
+                timeoutMillis,
                 () -> under == session && under.isValid(clock.nowMs()) ? under.deadlineMs() : Long.MIN_VALUE,
                 result -> onReportResult(under, report, result));
     }
@@ -257,9 +257,9 @@
     }
 
     private static RegisterEdit completed(final byte[] value) {
-        final SealedWindow now = value == null ? null : MessageCodec.record(value, SealedWindow.class);
+        final SealedWindow now = value == null ? null : MessageCodec.decodeRecord(value, SealedWindow.class);
         return now == null || now.completed()
                 ? RegisterEdit.LEAVE
-                : new RegisterEdit.Set(MessageCodec.bytes(now.complete()));
+                : new RegisterEdit.Set(MessageCodec.encodeRecord(now.complete()));
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -14,7 +14,6 @@
 import spokestall.consensus.VoterSet;
 import spokestall.discovery.EndpointRegistry;
 import spokestall.discovery.HealthSource;
-import spokestall.discovery.HealthSource;
 import spokestall.gossip.NodeInfo;
 import spokestall.message.Fingerprints;
 import spokestall.message.Message;
--- a/spokestall/src/test/java/spokestall/configuration/feed/FreshnessLeaseTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FreshnessLeaseTest.java
@@ -149,8 +149,8 @@
 
     @Test
     void aWaiterRepeatsItsRoundUntilItTimesOut() {
-        final long timeoutMs = 250;
-        lease.awaitConfirmation(timeoutMs, results::add);
+        final long timeoutMillis = 250;
+        lease.awaitConfirmation(timeoutMillis, results::add);
         advance(1000);
         final long startMs = sentRounds.get(0);
         assertThat(sentRounds).containsExactly(startMs, startMs + 100, startMs + 200);
--- a/spokestall/src/test/java/spokestall/discovery/EndpointListReaderTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointListReaderTest.java
@@ -72,13 +72,14 @@
     private DiscoveryClient client(final String name) {
         return new DiscoveryClient() {
             @Override
-            public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+            public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
                 reads.merge(name, 1, Integer::sum);
                 done.accept(Optional.of(List.copyOf(list)));
             }
 
             @Override
-            public void probe(final String address, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
+            public void probe(
+                    final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
                 throw new AssertionError("nothing is probed");
             }
         };
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -67,12 +67,13 @@
     private DiscoveryClient client(final String name) {
         return new DiscoveryClient() {
             @Override
-            public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+            public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
                 throw new AssertionError("the list is not read");
             }
 
             @Override
-            public void probe(final String address, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
+            public void probe(
+                    final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
                 assertThat(address).isEqualTo("10.0.0.1:80");
                 probes.merge(name, 1, Integer::sum);
                 if (answering) {
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -117,7 +117,8 @@
         final Runnable renew = () -> writer.propose(
                 Lease.key("usage_report"),
                 800,
-                value -> new RegisterEdit.Set(MessageCodec.bytes(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
+                value -> new RegisterEdit.Set(
+                        MessageCodec.encodeRecord(new Lease("w/1", "w", ++renewal[0], 1, 2000, false))),
                 outcome -> {
                     copy[0] = ((ProposalOutcome.Committed) outcome).value();
                     renewedMs[0] = context.clock.nowMs();
@@ -242,7 +243,7 @@
                         Lease.key("usage_report"),
                         800,
                         value -> new RegisterEdit.Set(
-                                MessageCodec.bytes(new Lease("k/1", "k", 0, 7, TIMEOUTS.leaseMs(), false))),
+                                MessageCodec.encodeRecord(new Lease("k/1", "k", 0, 7, TIMEOUTS.leaseMs(), false))),
                         outcome -> {});
         context.run(context.clock.nowMs() + 500);
         assertThat(msUntilSessionOf(context, 10_000, new Incarnation(context, "k", 1, TIMEOUTS)))
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -228,7 +228,7 @@
     private static boolean holds(final byte[] register, final String value) {
         return register != null
                 && value.equals(
-                        text(MessageCodec.record(register, Register.class).value()));
+                        text(MessageCodec.decodeRecord(register, Register.class).value()));
     }
 
     /** The cores that are up. */
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -20,7 +20,7 @@
     private static final ReportSchedule SCHEDULE = new ReportSchedule(WINDOW_MS, 1500, 5000, 300, DUE_MS, 800, 800, 10);
     private static final List<String> CORES = List.of("v0", "v1", "v2", "v3", "v4", "v5");
 
-    private record Call(SealedWindow contents, long atMs, long timeoutMs, ReportCallback callback) {
+    private record Call(SealedWindow contents, long atMs, long timeoutMillis, ReportCallback callback) {
         long window() {
             return contents.window();
         }
@@ -33,8 +33,8 @@
     private final UsageReporter reporter = new UsageReporter(
             new ReporterContext("k", "k", context.proposer("k"), this::answer, context.clock, fleetClock),
             SCHEDULE,
-            (holder, fencingToken, contents, timeoutMs, deadline, callback) ->
-                    calls.add(new Call(contents, context.clock.nowMs(), timeoutMs, callback)),
+            (holder, fencingToken, contents, timeoutMillis, deadline, callback) ->
+                    calls.add(new Call(contents, context.clock.nowMs(), timeoutMillis, callback)),
             new ReportSources(table, () -> CORES, edge -> null, () -> 0));
 
     private void answer(final String core, final Message message) {
@@ -50,10 +50,11 @@
 
     /** Writes what an earlier holder left in a window's register. */
     private void store(final SealedWindow contents) {
-        context.proposer("w").propose(
+        context.proposer("w")
+                .propose(
                         SealedWindow.key(contents.window()),
                         800,
-                        value -> new RegisterEdit.Set(MessageCodec.bytes(contents)),
+                        value -> new RegisterEdit.Set(MessageCodec.encodeRecord(contents)),
                         outcome -> assertThat(outcome).isInstanceOf(ProposalOutcome.Committed.class));
         context.run(context.clock.nowMs() + 400);
     }
@@ -76,8 +77,8 @@
         tickUntil(50_000);
         assertThat(calls).extracting(Call::window).containsExactlyInAnyOrder(7L, 8L);
         assertThat(calls)
-                .allSatisfy(c ->
-                        assertThat(c.atMs + c.timeoutMs).isLessThanOrEqualTo((c.window() + 1) * WINDOW_MS + DUE_MS));
+                .allSatisfy(c -> assertThat(c.atMs + c.timeoutMillis)
+                        .isLessThanOrEqualTo((c.window() + 1) * WINDOW_MS + DUE_MS));
     }
 
     @Test
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleFigures.java
@@ -198,10 +198,10 @@
                     of.stream()
                             .limit(3)
                             .mapToLong(n -> n.node().endpointRegistry().endpoints().stream()
-                                            .mapToLong(l -> MessageCodec.bytes(l).length)
+                                            .mapToLong(l -> MessageCodec.encodeRecord(l).length)
                                             .sum()
                                     + n.node().endpointRegistry().observationsAfter(0).stream()
-                                            .mapToLong(r -> MessageCodec.bytes(r).length)
+                                            .mapToLong(r -> MessageCodec.encodeRecord(r).length)
                                             .sum())
                             .average()
                             .orElse(0));
@@ -233,7 +233,7 @@
                 "registerBytes",
                 up.stream()
                         .mapToLong(n -> n.node().acceptor().registers().values().stream()
-                                .mapToLong(r -> MessageCodec.bytes(r).length)
+                                .mapToLong(r -> MessageCodec.encodeRecord(r).length)
                                 .sum())
                         .average()
                         .orElse(0));
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleNode.java
@@ -23,6 +23,8 @@
 import spokestall.proxy.AttemptResult;
 import spokestall.proxy.UpstreamClient;
 import spokestall.settings.Settings;
+import spokestall.settings.SettingsReader;
+import spokestall.settings.SettingsResult;
 import spokestall.testbed.simulation.SimulatedWorld;
 import spokestall.time.Clock;
 import spokestall.usage.ReportCallback;
@@ -86,11 +88,11 @@
         flags.put("http", address.replace(":7100", ":7200"));
         flags.put("district", run.shape.zone(i));
         flags.put("data", "/scale/" + name);
-        final Settings.Read read = Settings.read(null, flags, core);
-        if (read instanceof Settings.Read.Bad bad) {
+        final SettingsResult read = SettingsReader.read(null, flags, core);
+        if (read instanceof SettingsResult.Invalid bad) {
             throw new IllegalStateException(bad.errors().toString());
         }
-        settings = ((Settings.Read.Good) read).settings();
+        settings = ((SettingsResult.Valid) read).settings();
     }
 
     Node node() {
@@ -206,7 +208,7 @@
         if (mine != incarnation) {
             return;
         }
-        final byte[] frame = MessageCodec.message(message, (int) settings.ms("noteVersion"));
+        final byte[] frame = MessageCodec.encode(message, (int) settings.integer("noteVersion"));
         final int kind = ScaleTraffic.kind(frame);
         if (kinds[kind] == null) {
             kinds[kind] = message.getClass().getSimpleName();
@@ -234,7 +236,7 @@
         traffic.in(run.phase(), distance, kind, frame.length);
         timed(kind, () -> {
             try {
-                node.onMessage(MessageCodec.message(frame));
+                node.onMessage(MessageCodec.decode(frame));
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -280,12 +282,12 @@
         }
 
         @Override
-        public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+        public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
             later(mine, PLATFORM_MS, ScaleTraffic.OUTSIDE, () -> done.accept(Optional.of(run.outside.list())));
         }
 
         @Override
-        public void probe(final String to, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
+        public void probe(final String to, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
             probes++;
             later(mine, 2, ScaleTraffic.OUTSIDE, () -> done.accept(run.outside.probe(to)));
         }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -150,17 +150,17 @@
         }
 
         @Override
-        public void listEndpoints(final long timeoutMs, final Consumer<Optional<List<ListedEndpoint>>> done) {
+        public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
             final List<ListedEndpoint> now = list;
             back(10 + random.nextInt(40), () -> done.accept(Optional.of(now)));
         }
 
         @Override
-        public void probe(final String address, final long timeoutMs, final Consumer<Optional<ProbeResult>> done) {
+        public void probe(final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
             final Up up = byAddress.get(address);
             final long way = world.net.wayMs(node.address, address);
             if (up == null || way < 0 || !up.running) {
-                back(way < 0 ? timeoutMs : 2 * way, () -> done.accept(Optional.empty()));
+                back(way < 0 ? timeoutMillis : 2 * way, () -> done.accept(Optional.empty()));
                 return;
             }
             back(
