--- /dev/null
+++ b/spokestall/src/main/java/spokestall/io/process/package-info.java
@@ -0,0 +1,12 @@
+/**
+ * A node as a process: threads, files and sockets around the node, from its start to a clean stop.
+ *
+ * <p>Owns: the wiring of a process ({@link spokestall.io.process.NodeProcess}), the signal that settings have changed ({@link
+ * spokestall.io.process.HangupSignal}) and their reading ({@link spokestall.io.process.SettingsReloader}).
+ *
+ * <p>Invariants: a SIGHUP before the handler is in place doesn't end the process once {@code main} runs; settings that can't be
+ * read leave those in force.
+ *
+ * <p>Callers: the commands in {@code cli}, the platform module and the testbed.
+ */
+package spokestall.io.process;
--- a/spokestall/src/main/java/spokestall/proxy/AdaptiveLimit.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdaptiveLimit.java
@@ -1,12 +1,12 @@
 package spokestall.proxy;
 
 /**
- * How many goes one edge may have open at one upstream, found out by how long they take: one more after a full round that
- * was quick, fewer when one took longer than it should, half when one got no answer. So what an upstream can't take waits
- * with the client, who is told when to come back, and not in the upstream's queue.
+ * The number of attempts that one edge may have open at one upstream, adapted to how long they take: it grows by one after a
+ * full round that was quick, shrinks when one took longer than it should, and halves when one got no response. So what an
+ * upstream can't serve waits at the client, which learns when to come back, and not in the upstream's queue.
  */
 final class AdaptiveLimit {
-    /** Before anything is known of an upstream. */
+    /** The limit before anything is known of an upstream. */
     static final int FIRST = 4;
 
     private static final double MOST = 256;
@@ -18,7 +18,7 @@
         return open;
     }
 
-    /** How many more it may have. */
+    /** Returns how many more attempts may be opened. */
     int room() {
         return Math.max(0, (int) most - open);
     }
@@ -31,13 +31,13 @@
         open++;
     }
 
-    /** One ended: whether it was answered, how long that took, and how long it should take at the most. */
+    /** Records that an attempt ended: whether it was answered, how long that took, and how long it should take at most. */
     void ended(final boolean answered, final long spentMs, final long slowMs, final long nowMs) {
         assert open > 0 : "ended more than begun";
         if (answered && spentMs <= slowMs) {
             most = open >= (int) most - 1 ? Math.min(MOST, most + 1 / most) : most;
         } else if (nowMs - cutMs >= slowMs) {
-            // What was begun before the last cut says nothing about it.
+            // Attempts begun before the last decrease say nothing about it.
             cutMs = nowMs;
             most = Math.max(1, most * (answered ? 0.8 : 0.5));
         }
--- a/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
@@ -1,12 +1,12 @@
 package spokestall.proxy;
 
 /**
- * The goes of one ask: how many there were, and whether one more may be. Each further one is paid for from the retry
- * budget and counts against the most that there may be; where what was never sent is free, only a go that may have
- * arrived is counted, and paid for by the one after it; one that is begun while another is under way is always paid for.
+ * Counts the attempts of one request and decides whether one more may begin. Each attempt after the first takes one from the
+ * retry budget and counts against the maximum. Where unsent attempts are free, only one that may have arrived counts, and the
+ * attempt after it takes from the budget; a hedged attempt always does. Not thread-safe.
  */
 final class AttemptBudget {
-    /** However free they are. */
+    /** The maximum also where unsent attempts are free. */
     static final int MOST = 6;
 
     private final boolean unsentFree;
@@ -23,24 +23,24 @@
         return begun;
     }
 
-    /** One more begins; true if it is the first. */
+    /** Records that an attempt begins; returns whether it is the first. */
     boolean begin() {
         return begun++ == 0;
     }
 
-    /** How many are under way. */
+    /** Returns the number of attempts in flight. */
     int open() {
         return begun - ended;
     }
 
-    /** One ended; it may have arrived if any of it was sent. */
+    /** Records that an attempt ended; it may have arrived if any of it was sent. */
     void ended(final boolean mayHaveArrived) {
         ended++;
         unsentLast = !mayHaveArrived;
         unsent += mayHaveArrived ? 0 : 1;
     }
 
-    /** Whether there may be one more, which is then paid for. */
+    /** Returns whether one more attempt may begin, and takes it from the budget. */
     boolean again(final int most, final RetryBudget budget) {
         return (unsentFree ? begun - unsent : begun) < most
                 && begun < MOST
--- a/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * The places of asks in flight at an edge and the bytes of bodies that are held for them. A tenant may take a place, or
- * bytes, only while it holds no more than is free: one alone gets half, and however many want all, some stays free for
- * one more.
+ * Limits the requests in flight at an edge and the bytes of bodies that are held for them. A tenant may take a permit, or
+ * bytes, only while it holds no more than is free: a tenant alone gets half, and however many tenants want everything, some
+ * stays free for one more. Not thread-safe.
  */
 final class ConcurrencyLimiter {
     private static final class Use {
@@ -45,7 +45,7 @@
         return true;
     }
 
-    /** Holds so many bytes more, or fewer. */
+    /** Changes the bytes held for a tenant by a difference. */
     void hold(final String tenant, final long more) {
         uses.get(tenant).bytes += more;
         bytes += more;
--- a/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import spokestall.gossip.NodeInfo;
 
-/** Elects the edges a client is to use: the same ones for the same client, spread over all edges. */
+/** Selects the edges that a client is to use: the same ones for the same client, spread over all edges by rendezvous hashing. */
 public final class EdgeSelector {
     private EdgeSelector() {}
 
-    /** Example: {@code EdgeSelector.elect("client-7", edges, tenant.homeRegions(), configuration.drainedZones(), 2)} */
+    /** Selects up to {@code most} edges, in the home regions and outside drained zones. */
     public static List<NodeInfo> elect(
             final String client,
             final Collection<NodeInfo> edges,
@@ -29,7 +29,7 @@
         return fit.subList(0, Math.min(most, fit.size()));
     }
 
-    /** Those of the zone, of the region where the zone has but one, or all where the region has none. */
+    /** The edges of the zone; of the region where the zone has only one; or all where the region has none. */
     public static List<NodeInfo> near(final Collection<NodeInfo> edges, final String region, final String zone) {
         final List<NodeInfo> here = new ArrayList<>();
         final List<NodeInfo> around = new ArrayList<>();
--- a/spokestall/src/main/java/spokestall/proxy/LatencyTracker.java
+++ b/spokestall/src/main/java/spokestall/proxy/LatencyTracker.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How quick each upstream is beside the others of its service: a moving mean of its answers' time over theirs. */
+/** The latency of each upstream relative to the others of its service: a moving mean of its response time over theirs. */
 final class LatencyTracker {
     private static final double SHARE = 0.1;
     private final Map<String, Double> services = new HashMap<>();
@@ -20,7 +20,7 @@
         means.merge(of, value, (mean, v) -> mean + SHARE * (v - mean));
     }
 
-    /** One while nothing is known; two is half as quick as the others. */
+    /** Returns the relative latency: one while nothing is known; two means twice as slow as the others. */
     double of(final String service, final String instance) {
         return instances.getOrDefault(instance, 1.0);
     }
--- a/spokestall/src/main/java/spokestall/proxy/RetryBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/RetryBudget.java
@@ -3,15 +3,15 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Keeps retries below a share of asks in every span of time, not only fixed ones: each ask earns a share of a retry,
- * and what is earned but unspent never exceeds a small allowance.
+ * Keeps retries below a ratio of requests in every span of time: each request earns a fraction of a retry, and what is earned
+ * but not spent never exceeds a small allowance. Not thread-safe.
  */
 final class RetryBudget {
     private final DoubleSupplier share;
     private final DoubleSupplier allowance;
     private double earned;
 
-    /** The allowance is this edge's part of the fleet's, which shrinks as the fleet grows. */
+    /** The allowance is this edge's part of the fleet's; it shrinks as the fleet grows. */
     RetryBudget(final DoubleSupplier share, final DoubleSupplier allowance) {
         this.share = share;
         this.allowance = allowance;
--- a/spokestall/src/main/java/spokestall/proxy/SlowStart.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStart.java
@@ -1,6 +1,6 @@
 package spokestall.proxy;
 
-/** How fast this edge may send to one cold upstream: its part of the upstream's ramp, a few in advance at most. */
+/** The rate at which this edge may send to one upstream that is warming up: its part of the upstream's ramp, a few in advance at most. */
 final class SlowStart {
     private double tokens;
     private long filledMs;
@@ -9,7 +9,7 @@
         this.filledMs = nowMs;
     }
 
-    /** perS is this edge's part of the ramp at this age. */
+    /** {@code perS} is this edge's part of the ramp at this age, in requests a second. */
     boolean spend(final long nowMs, final double perS, final double burst) {
         tokens = Math.min(burst, tokens + perS * Math.max(0, nowMs - filledMs) / 1000.0);
         filledMs = nowMs;
--- a/spokestall/src/main/java/spokestall/proxy/package-info.java
+++ b/spokestall/src/main/java/spokestall/proxy/package-info.java
@@ -9,7 +9,7 @@
  * attempt. "Not run" is said only when that is proven. A run-once request is claimed before its first byte leaves, where the
  * deployment has claims. Each request gets one answer.
  *
- * <p>Callers: the server in {@code rim} opens requests here; {@code Node} builds the edge. It reaches upstreams only through
+ * <p>Callers: {@code io.protocol} admits requests here; {@code node.ProxyComponent} builds it. It reaches upstreams only through
  * {@link spokestall.proxy.UpstreamClient}. All calls are made on the node's event loop.
  */
 package spokestall.proxy;
