--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
@@ -43,29 +43,29 @@
     @Test
     void atRestControlIsSmall() {
         final Map<String, MessageTraffic.Sum> rest = MessageTraffic.of(1, Deployment.PADMA, false, Map.of());
-        assertThat(of(rest, "ProofAsk", "ProofBack")).isLessThan(900);
-        assertThat(of(rest, "FeedAsk", "FeedBack")).isLessThan(900);
-        assertThat(of(rest, "Counts", "CountsHad")).isLessThan(40);
+        assertThat(of(rest, "FreshnessRequest", "FreshnessResponse")).isLessThan(900);
+        assertThat(of(rest, "FeedRequest", "FeedResponse")).isLessThan(900);
+        assertThat(of(rest, "Counts", "CountsAcknowledged")).isLessThan(40);
         assertThat(of(rest, "Prepare", "Promise", "Accept", "Accepted", "Chosen"))
                 .isLessThan(350);
         assertThat(of(rest, "Push")).isLessThan(1000);
         assertThat(of(rest, "Shuffle")).isLessThan(600);
-        assertThat(rest.get("ProofAsk").bytes() / rest.get("ProofAsk").messages).isLessThan(60);
-        assertThat(rest.get("ProofBack").bytes() / rest.get("ProofBack").messages)
+        assertThat(rest.get("FreshnessRequest").bytes() / rest.get("FreshnessRequest").messages).isLessThan(60);
+        assertThat(rest.get("FreshnessResponse").bytes() / rest.get("FreshnessResponse").messages)
                 .isLessThan(70);
         final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, false, SPARING);
-        assertThat(of(sparing) - of(sparing, "Standing")).isLessThan(1500);
+        assertThat(of(sparing) - of(sparing, "VoterStatus")).isLessThan(1500);
         assertThat(of(sparing, "Push")).isLessThan(20);
     }
 
     @Test
     void withAsksCountsAreSmall() {
         final Map<String, MessageTraffic.Sum> requests = MessageTraffic.of(1, Deployment.PADMA, true, Map.of());
-        assertThat(of(requests, "Counts", "CountsHad")).isLessThan(3500);
-        assertThat(of(requests, "ProofAsk", "ProofBack", "FeedAsk", "FeedBack", "Push", "Shuffle"))
+        assertThat(of(requests, "Counts", "CountsAcknowledged")).isLessThan(3500);
+        assertThat(of(requests, "FreshnessRequest", "FreshnessResponse", "FeedRequest", "FeedResponse", "Push", "Shuffle"))
                 .isLessThan(3400);
         final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, true, SPARING);
-        assertThat(of(sparing, "Counts", "CountsHad")).isLessThan(1200);
+        assertThat(of(sparing, "Counts", "CountsAcknowledged")).isLessThan(1200);
     }
 
     /** Who is there is known with one shuffle a second and node, too. */
--- a/testbed/src/test/java/spokestall/testbed/scale/ScaleTest.java
+++ b/testbed/src/test/java/spokestall/testbed/scale/ScaleTest.java
@@ -56,7 +56,7 @@
                 final List<Figure> figures = ScaleFigures.of(run, 0);
                 assertThat(figures)
                         .as("what a core answers to followers")
-                        .anyMatch(f -> f.name().equals("CALM.core.bytesOut.FeedBack.REGIONS") && f.value() > 0);
+                        .anyMatch(f -> f.name().equals("CALM.core.bytesOut.FeedResponse.REGIONS") && f.value() > 0);
                 assertThat(figures).anyMatch(f -> f.name().equals("CALM.fleet.inForceAllMsMax") && f.value() > 0);
                 assertThat(figures).anyMatch(f -> f.name().equals("CALM.edge.proofMsP99") && f.value() < 1000);
             }
