--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
@@ -50,7 +50,8 @@
                 .isLessThan(350);
         assertThat(of(rest, "Push")).isLessThan(1000);
         assertThat(of(rest, "Shuffle")).isLessThan(600);
-        assertThat(rest.get("FreshnessRequest").bytes() / rest.get("FreshnessRequest").messages).isLessThan(60);
+        assertThat(rest.get("FreshnessRequest").bytes() / rest.get("FreshnessRequest").messages)
+                .isLessThan(60);
         assertThat(rest.get("FreshnessResponse").bytes() / rest.get("FreshnessResponse").messages)
                 .isLessThan(70);
         final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, false, SPARING);
@@ -62,7 +63,14 @@
     void withAsksCountsAreSmall() {
         final Map<String, MessageTraffic.Sum> requests = MessageTraffic.of(1, Deployment.PADMA, true, Map.of());
         assertThat(of(requests, "Counts", "CountsAcknowledged")).isLessThan(3500);
-        assertThat(of(requests, "FreshnessRequest", "FreshnessResponse", "FeedRequest", "FeedResponse", "Push", "Shuffle"))
+        assertThat(of(
+                        requests,
+                        "FreshnessRequest",
+                        "FreshnessResponse",
+                        "FeedRequest",
+                        "FeedResponse",
+                        "Push",
+                        "Shuffle"))
                 .isLessThan(3400);
         final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, true, SPARING);
         assertThat(of(sparing, "Counts", "CountsAcknowledged")).isLessThan(1200);
