--- a/spokestall/src/main/java/spokestall/io/process/package-info.java
+++ b/spokestall/src/main/java/spokestall/io/process/package-info.java
@@ -4,7 +4,7 @@
  * <p>Owns: the wiring of a process ({@link spokestall.io.process.NodeProcess}), the signal that settings have changed ({@link
  * spokestall.io.process.HangupSignal}) and their reading ({@link spokestall.io.process.SettingsReloader}).
  *
- * <p>Invariants: a SIGHUP before the handler is in place doesn't end the process once {@code main} runs; settings that can't be
+ * <p>Invariants: the handler of SIGHUP is installed first, since without it that signal ends the process; settings that can't be
  * read leave those in force.
  *
  * <p>Callers: the commands in {@code cli}, the platform module and the testbed.
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -14,6 +14,7 @@
 import spokestall.configuration.feed.ConfigurationKeys;
 import spokestall.consensus.Acceptor;
 import spokestall.consensus.ConsensusMessage;
+import spokestall.consensus.PermissiveGuard;
 import spokestall.consensus.ProposalNumber;
 import spokestall.consensus.Register;
 import spokestall.consensus.RegisterGuard;
@@ -63,27 +64,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private static final RegisterGuard KEEPS_ALL = new RegisterGuard() {
-        @Override
-        public boolean ready() {
-            return true;
-        }
-
-        @Override
-        public boolean isPruned(final String key) {
-            return false;
-        }
-
-        @Override
-        public boolean hasCapacityFor(final String key) {
-            return true;
-        }
-
-        @Override
-        public boolean accepts(final String key, final byte[] value) {
-            return true;
-        }
-    };
+    private static final RegisterGuard KEEPS_ALL = new PermissiveGuard();
 
     private SampleCore() {}
 
