--- a/spokestall/src/main/java/spokestall/configuration/Configuration.java
+++ b/spokestall/src/main/java/spokestall/configuration/Configuration.java
@@ -14,7 +14,7 @@
      * @param tenant the tenant of the key, or null if there was no key or no tenant has it
      * @param route the route, or null if none matches
      */
-    public record Found(Tenant tenant, Route route) {
+    public record Resolution(Tenant tenant, Route route) {
         /** Returns whether the request needs a tenant's key and has none. */
         public boolean keyMissing() {
             return tenant == null && (route == null || !route.anonymous());
@@ -88,7 +88,7 @@
      *
      * @param keyHash the hash of the request's key, or null if it has none
      */
-    public Found find(final String host, final String path, final String keyHash) {
+    public Resolution resolve(final String host, final String path, final String keyHash) {
         final Tenant tenant = keyHash == null ? null : tenantByKeyHash.get(keyHash);
         Route route = tenant == null ? null : tenant.route(path);
         if (route == null) {
@@ -97,7 +97,7 @@
         if (route == null && !host.equals(ANY_HOST)) {
             route = sharedRoute(ANY_HOST, path);
         }
-        return new Found(tenant, route);
+        return new Resolution(tenant, route);
     }
 
     private Route sharedRoute(final String host, final String path) {
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationChange.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationChange.java
@@ -17,7 +17,7 @@
         Kind kind,
         byte[] json,
         @SinceVersion(4) long acceptedMs,
-        @SinceVersion(4) List<CommittedChange> before) {
+        @SinceVersion(4) List<CommittedChange> earlierChanges) {
     /** How a change's JSON is applied. Encoded by ordinal. */
     public enum Kind {
         /** It replaces the configuration. */
@@ -28,7 +28,7 @@
 
     /** A change that a program of an older version encoded has no list. */
     public ConfigurationChange {
-        before = before == null ? List.of() : before;
+        earlierChanges = earlierChanges == null ? List.of() : earlierChanges;
     }
 
     /** Creates a change within a generation. */
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationStore.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationStore.java
@@ -26,7 +26,7 @@
     private final TreeMap<Long, ConfigurationChange> retainedChanges = new TreeMap<>();
     private final CommittedChanges committedChanges = new CommittedChanges();
     private long retainedBytes;
-    private long maxBytes;
+    private long sizeUpperBoundBytes;
     private Configuration configuration;
     /** The snapshot that was made last, of this version or an older one; or null. */
     private ConfigurationSnapshot snapshot;
@@ -53,8 +53,8 @@
     }
 
     /** Returns an upper bound of the applied configuration's size as JSON, in bytes. */
-    public long maxBytes() {
-        return maxBytes;
+    public long sizeUpperBoundBytes() {
+        return sizeUpperBoundBytes;
     }
 
     /** Returns the version that a change made, or null if it didn't commit or is no longer known (ten minutes at least). */
@@ -80,10 +80,11 @@
     public void apply(final long version, final ConfigurationChange change) {
         assert version > configuration.version() : version + " after " + configuration.version();
         configuration = format.read(version, preview(change), configuration);
-        maxBytes = (change.kind() == ConfigurationChange.Kind.PUT ? 0 : maxBytes) + change.json().length;
+        sizeUpperBoundBytes =
+                (change.kind() == ConfigurationChange.Kind.PUT ? 0 : sizeUpperBoundBytes) + change.json().length;
         retain(version, change);
-        if (!change.before().isEmpty()) {
-            committedChanges.replaceAll(change.before());
+        if (!change.earlierChanges().isEmpty()) {
+            committedChanges.replaceAll(change.earlierChanges());
         }
         committedChanges.add(change.changeId(), version, change.acceptedMs());
     }
@@ -114,7 +115,7 @@
             return false;
         }
         try {
-            maxBytes = newer.json().length;
+            sizeUpperBoundBytes = newer.json().length;
             configuration = format.read(newer.version(), JSON.readTree(newer.json()), null);
         } catch (final IOException e) {
             throw new IllegalArgumentException("the snapshot of version " + newer.version() + " is no JSON", e);
--- a/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
+++ b/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
@@ -6,30 +6,30 @@
  */
 public sealed interface RequestTarget {
     /** A target whose path has a single reading, and the target as it was received. */
-    record Good(String path, String raw) implements RequestTarget {}
+    record Valid(String path, String raw) implements RequestTarget {}
 
     /** A target without a path, or whose path has more than one reading, and why. */
-    record Bad(String why) implements RequestTarget {}
+    record Invalid(String reason) implements RequestTarget {}
 
     /** Reads a request target; the fragment is no part of it. */
     static RequestTarget of(final String raw) {
         final int queryMark = raw.indexOf('?');
         final int pathEnd = queryMark < 0 ? raw.length() : queryMark;
         if (!raw.startsWith("/")) {
-            return new Bad("must begin with a slash");
+            return new Invalid("must begin with a slash");
         }
         for (int i = 0; i < raw.length(); i++) {
-            final String why = whyBad(raw, i, i < pathEnd);
-            if (why != null) {
-                return new Bad(why);
+            final String reason = rejectionReason(raw, i, i < pathEnd);
+            if (reason != null) {
+                return new Invalid(reason);
             }
         }
         final String path = raw.substring(0, pathEnd);
-        return hasEmptyOrDotSegment(path) ? new Bad("has an empty or dot segment") : new Good(path, raw);
+        return hasEmptyOrDotSegment(path) ? new Invalid("has an empty or dot segment") : new Valid(path, raw);
     }
 
     /** Returns why the character at an index isn't accepted, or null if it is. */
-    private static String whyBad(final String raw, final int index, final boolean inPath) {
+    private static String rejectionReason(final String raw, final int index, final boolean inPath) {
         final char c = raw.charAt(index);
         // A semicolon or bracket in a path begins a parameter for some programs and is plain text for others.
         final String forbidden = inPath ? "#\\\"<>^`{|};[]" : "#\\";
--- a/spokestall/src/main/java/spokestall/configuration/SemanticCheck.java
+++ b/spokestall/src/main/java/spokestall/configuration/SemanticCheck.java
@@ -161,6 +161,6 @@
     }
 
     private static boolean isAmbiguous(final String path) {
-        return !(RequestTarget.of(path) instanceof RequestTarget.Good);
+        return !(RequestTarget.of(path) instanceof RequestTarget.Valid);
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/change/CallerReply.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/CallerReply.java
@@ -14,7 +14,7 @@
     private final String changeId;
     private final LongSupplier appliedVersion;
     private final Consumer<Reply> callback;
-    private boolean given;
+    private boolean sent;
 
     CallerReply(final String changeId, final LongSupplier appliedVersion, final Consumer<Reply> callback) {
         this.changeId = changeId;
@@ -23,9 +23,9 @@
     }
 
     /** Gives the reply, unless one was given. */
-    void give(final ChangeResult result) {
-        if (!given) {
-            given = true;
+    void send(final ChangeResult result) {
+        if (!sent) {
+            sent = true;
             callback.accept(result.toReply(changeId, appliedVersion.getAsLong()));
         }
     }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeAttempt.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeAttempt.java
@@ -125,7 +125,7 @@
     }
 
     /** Returns the result of an attempt whose time is over. */
-    ChangeResult timedOut() {
+    ChangeResult timeoutResult() {
         return mayBeCommitted ? new ChangeResult.Undecided() : new ChangeResult.NotReady();
     }
 
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -57,7 +57,7 @@
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** While more changes than this are in progress, a change is given up with its call. */
-    private static final int PURSUED_MAX = 64;
+    private static final int PENDING_CHANGES_MAX = 64;
 
     private final Host host;
     private final ConfigurationStore configurationStore;
@@ -69,7 +69,7 @@
     /** The proposals whose end still matters, in the order in which they began. */
     private final List<ChangeAttempt.Proposal> proposals = new ArrayList<>();
 
-    private int pursued;
+    private int pendingChanges;
 
     /** Creates a coordinator without attempts. */
     public ChangeCoordinator(
@@ -93,7 +93,7 @@
         submit(
                 changeId,
                 tree -> appliedVersion() == baseVersion ? draft.draftOn(tree) : new ChangeDraft.Drafted.StaleBase(),
-                ChangePatience.of(limits.proposalTimeoutMs()),
+                ChangeDeadlines.of(limits.proposalTimeoutMs()),
                 callback);
     }
 
@@ -101,30 +101,30 @@
     public void submit(
             final String changeId,
             final ChangeDraft draft,
-            final ChangePatience patience,
+            final ChangeDeadlines deadlines,
             final Consumer<Reply> callback) {
         final long receivedMs = clock.nowMs();
-        final boolean overloaded = pursued >= PURSUED_MAX;
-        final long pursueMillis = overloaded ? patience.answerMillis() : patience.pursueMillis();
+        final boolean overloaded = pendingChanges >= PENDING_CHANGES_MAX;
+        final long timeoutMillis = overloaded ? deadlines.replyAfterMillis() : deadlines.abandonAfterMillis();
         final CallerReply reply = new CallerReply(changeId, this::appliedVersion, callback);
-        if (patience.answersEarly()) {
-            answerEarly(patience, reply);
+        if (deadlines.mayReplyEarly()) {
+            scheduleEarlyReplies(deadlines, reply);
         }
-        pursued++;
+        pendingChanges++;
         confirm(
-                new ChangeAttempt(changeId, draft, receivedMs, receivedMs + pursueMillis, (attempt, result) -> {
-                    pursued--;
+                new ChangeAttempt(changeId, draft, receivedMs, receivedMs + timeoutMillis, (attempt, result) -> {
+                    pendingChanges--;
                     log(attempt, result);
-                    reply.give(result);
+                    reply.send(result);
                 }),
-                pursueMillis);
+                timeoutMillis);
     }
 
-    private void answerEarly(final ChangePatience patience, final CallerReply reply) {
+    private void scheduleEarlyReplies(final ChangeDeadlines deadlines, final CallerReply reply) {
         clock.after(
-                patience.redirectMillis(),
-                () -> feedClient.nearestVoter().ifPresent(voter -> reply.give(new ChangeResult.Pending(voter))));
-        clock.after(patience.answerMillis(), () -> reply.give(new ChangeResult.Pending("")));
+                deadlines.redirectAfterMillis(),
+                () -> feedClient.nearestVoter().ifPresent(voter -> reply.send(new ChangeResult.Pending(voter))));
+        clock.after(deadlines.replyAfterMillis(), () -> reply.send(new ChangeResult.Pending("")));
     }
 
     private void log(final ChangeAttempt attempt, final ChangeResult result) {
@@ -148,10 +148,10 @@
     public void submitWithoutId(
             final String changeId,
             final ChangeDraft draft,
-            final ChangePatience patience,
+            final ChangeDeadlines deadlines,
             final Consumer<Reply> callback) {
         if (feedClient.isFresh()) {
-            submit(changeId, draft, patience, callback);
+            submit(changeId, draft, deadlines, callback);
         } else {
             callback.accept(new ChangeResult.NotReady().toReply(changeId, appliedVersion()));
         }
@@ -171,7 +171,7 @@
                 .awaitConfirmation(
                         timeoutMillis,
                         confirmed -> callback.accept(
-                                confirmed && isOfPresentGeneration()
+                                confirmed && isOfCurrentGeneration()
                                         ? Optional.of(configurationStore.configuration())
                                         : Optional.empty()));
     }
@@ -201,8 +201,8 @@
     }
 
     private void onConfirmation(final ChangeAttempt attempt, final boolean confirmed) {
-        if (!confirmed || !isOfPresentGeneration()) {
-            attempt.complete(attempt.timedOut());
+        if (!confirmed || !isOfCurrentGeneration()) {
+            attempt.complete(attempt.timeoutResult());
             return;
         }
         attempt.onConfirmed(clock.nowMs());
@@ -239,10 +239,10 @@
     private void onSuperseded(final ChangeAttempt attempt) {
         final long remainingMs = attempt.remainingMs(clock.nowMs());
         if (remainingMs <= 0) {
-            attempt.complete(attempt.timedOut());
+            attempt.complete(attempt.timeoutResult());
             return;
         }
-        if (isOfPresentGeneration()
+        if (isOfCurrentGeneration()
                 && configurationStore.versionOf(attempt.changeId()) == null
                 && draft(attempt) instanceof ChangeDraft.Drafted.Write write) {
             final ConfigurationChange change = change(attempt, write);
@@ -274,7 +274,8 @@
 
     /** A merge patch enlarges the configuration by no more than its own size, so all is encoded only near the bound. */
     private boolean isTooLarge(final ConfigurationChange change, final JsonNode after) {
-        final long before = change.kind() == ConfigurationChange.Kind.PUT ? 0 : configurationStore.maxBytes();
+        final long before =
+                change.kind() == ConfigurationChange.Kind.PUT ? 0 : configurationStore.sizeUpperBoundBytes();
         return before + change.json().length > limits.configurationBytesMax()
                 && encode(after).length > limits.configurationBytesMax();
     }
@@ -287,16 +288,16 @@
         proposer.propose(
                 ConfigurationKeys.keyOf(proposal.version()),
                 timeoutMillis,
-                present -> edit(proposal, encoded, present),
+                currentValue -> edit(proposal, encoded, currentValue),
                 outcome -> onOutcome(proposal, outcome));
     }
 
     /** Writes the next version if its register is empty, and completes the write of this same change. */
-    private RegisterEdit edit(final ChangeAttempt.Proposal proposal, final byte[] encoded, final byte[] present) {
-        if (present == null) {
+    private RegisterEdit edit(final ChangeAttempt.Proposal proposal, final byte[] encoded, final byte[] currentValue) {
+        if (currentValue == null) {
             return proposal.version() == appliedVersion() + 1 ? new RegisterEdit.Set(encoded) : RegisterEdit.LEAVE;
         }
-        return isSameChange(present, proposal) ? new RegisterEdit.Set(present) : RegisterEdit.LEAVE;
+        return isSameChange(currentValue, proposal) ? new RegisterEdit.Set(currentValue) : RegisterEdit.LEAVE;
     }
 
     /** A chosen value is applied and announced even if the attempt learned its result another way before. */
@@ -318,7 +319,7 @@
                 && failed.reason() == ProposalOutcome.Reason.NO_MAJORITY_IN_TIME) {
             confirmAgain(attempt);
         } else if (outcome instanceof ProposalOutcome.NotCommitted) {
-            attempt.complete(attempt.timedOut());
+            attempt.complete(attempt.timeoutResult());
         } else {
             onSuperseded(attempt);
         }
@@ -330,7 +331,7 @@
         if (remainingMs > 0) {
             confirm(attempt, remainingMs);
         } else {
-            attempt.complete(attempt.timedOut());
+            attempt.complete(attempt.timeoutResult());
         }
     }
 
@@ -349,7 +350,7 @@
     }
 
     /** Whether this node knows the voters and has applied their generation's first version. */
-    private boolean isOfPresentGeneration() {
+    private boolean isOfCurrentGeneration() {
         return proposer.voterSet() != null
                 && appliedVersion() >= proposer.voterSet().firstNumber();
     }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangePatience.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeDeadlines.java
@@ -11,26 +11,26 @@
  * @param answerMillis when the caller is answered at the latest, not before it is redirected
  * @param pursueMillis until when the change is proposed, not less than that
  */
-public record ChangePatience(long redirectMillis, long answerMillis, long pursueMillis) {
+public record ChangeDeadlines(long redirectAfterMillis, long replyAfterMillis, long abandonAfterMillis) {
     /**
      * Checks the order of the three.
      *
      * @throws IllegalArgumentException if one is less than the one before it
      */
-    public ChangePatience {
-        if (redirectMillis > answerMillis || answerMillis > pursueMillis) {
-            throw new IllegalArgumentException("expected redirect <= answer <= pursue, found " + redirectMillis + ", "
-                    + answerMillis + ", " + pursueMillis);
+    public ChangeDeadlines {
+        if (redirectAfterMillis > replyAfterMillis || replyAfterMillis > abandonAfterMillis) {
+            throw new IllegalArgumentException("expected redirect <= answer <= pursue, found " + redirectAfterMillis
+                    + ", " + replyAfterMillis + ", " + abandonAfterMillis);
         }
     }
 
     /** Returns the patience of a change that is given up with its call. */
-    public static ChangePatience of(final long timeoutMillis) {
-        return new ChangePatience(timeoutMillis, timeoutMillis, timeoutMillis);
+    public static ChangeDeadlines of(final long timeoutMillis) {
+        return new ChangeDeadlines(timeoutMillis, timeoutMillis, timeoutMillis);
     }
 
     /** Whether the caller may be answered while the change is still pursued. */
-    boolean answersEarly() {
-        return redirectMillis < pursueMillis;
+    boolean mayReplyEarly() {
+        return redirectAfterMillis < abandonAfterMillis;
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/change/package-info.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/package-info.java
@@ -3,7 +3,7 @@
  *
  * <p>Owns: the requests under way and their proposals ({@link spokestall.configuration.change.ChangeCoordinator}), and the
  * form in which callers express a change ({@link spokestall.configuration.change.ChangeDraft}) and how long they wait for it
- * ({@link spokestall.configuration.change.ChangePatience}).
+ * ({@link spokestall.configuration.change.ChangeDeadlines}).
  *
  * <p>Invariants: a change is validated as a whole before it is proposed. A version is one write-once register, so a number
  * denotes one change. A request is judged only by a configuration confirmed to be the newest after the request arrived. A
--- a/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
@@ -40,7 +40,7 @@
 
     /** Takes a brief request; returns whether its sender is known, here or by gossip, in the same incarnation. */
     boolean onRequest(final FeedMessage.FreshnessRequest request) {
-        final NodeInfo known = find(request);
+        final NodeInfo known = findSender(request);
         if (known == null) {
             return false;
         }
@@ -52,7 +52,7 @@
         return true;
     }
 
-    private NodeInfo find(final FeedMessage.FreshnessRequest request) {
+    private NodeInfo findSender(final FeedMessage.FreshnessRequest request) {
         final TrackedEdge tracked = edges.get(nameByAddress.getOrDefault(request.from(), ""));
         if (tracked != null && isSender(tracked.info(), request)) {
             return tracked.info();
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -204,8 +204,8 @@
     private void fetchFromCoreAhead(final VoterSet voterSet) {
         voterSet.voters().stream()
                 .filter(voter -> {
-                    final CoreReport status = coreReports.get(voter.name());
-                    return status != null && status.appliedVersion() > appliedVersion();
+                    final CoreReport report = coreReports.get(voter.name());
+                    return report != null && report.appliedVersion() > appliedVersion();
                 })
                 .map(Voter::address)
                 .filter(core -> !core.equals(address))
@@ -294,42 +294,42 @@
      */
     private void onCoreReport(
             final String coreName,
-            final CoreReport status,
+            final CoreReport report,
             final long requestId,
             final boolean sameVoterSet,
             final boolean diskOfVoter) {
-        coreReports.put(coreName, status);
+        coreReports.put(coreName, report);
         lastResponseMs.put(coreName, clock.nowMs());
         if (!sameVoterSet) {
             return;
         }
         final VoterSet voterSet = proposer.voterSet();
-        if (status.voting() && diskOfVoter) {
-            lease.onAnswer(requestId, voterSet, coreName, status.newestVersion());
+        if (report.voting() && diskOfVoter) {
+            lease.onAnswer(requestId, voterSet, coreName, report.newestVersion());
         }
         lease.renew(voterSet, appliedVersion());
         final Voter voter = voterSet.voter(coreName);
-        if (status.appliedVersion() > appliedVersion() && voter != null && requestId != NO_ROUND) {
+        if (report.appliedVersion() > appliedVersion() && voter != null && requestId != NO_ROUND) {
             if (!updateSource.isInFlight()) {
                 fetchUpdates(voter.address());
             }
-        } else if (status.newestVersion() > appliedVersion()) {
+        } else if (report.newestVersion() > appliedVersion()) {
             completeNextVersion(voterSet);
         }
     }
 
     private void applyUpdates(final FeedMessage.FeedResponse response) {
-        final long before = appliedVersion();
+        final long previousVersion = appliedVersion();
         if (response.snapshot() != null) {
             configurationStore.load(response.snapshot());
         }
-        for (final FeedMessage.Numbered numbered : response.changes()) {
+        for (final FeedMessage.VersionedChange numbered : response.changes()) {
             if (numbered.version() == appliedVersion() + 1) {
                 configurationStore.apply(numbered.version(), numbered.change());
             }
         }
-        if (appliedVersion() != before) {
-            onApplied(before);
+        if (appliedVersion() != previousVersion) {
+            onApplied(previousVersion);
         }
     }
 
@@ -339,7 +339,7 @@
             return;
         }
         final long next = Math.max(appliedVersion() + 1, voterSet.firstNumber());
-        if (coreReports.values().stream().anyMatch(status -> status.appliedVersion() >= next)) {
+        if (coreReports.values().stream().anyMatch(report -> report.appliedVersion() >= next)) {
             return;
         }
         completing = true;
@@ -361,18 +361,18 @@
      */
     public void applyChosen(final long version, final byte[] encodedChange) {
         final VoterSet voterSet = proposer.voterSet();
-        final long before = appliedVersion();
-        if (version == before + 1 || version == voterSet.firstNumber() && version > before) {
+        final long previousVersion = appliedVersion();
+        if (version == previousVersion + 1 || version == voterSet.firstNumber() && version > previousVersion) {
             configurationStore.apply(version, MessageCodec.decodeRecord(encodedChange, ConfigurationChange.class));
-            onApplied(before);
+            onApplied(previousVersion);
             lease.renew(voterSet, appliedVersion());
         }
     }
 
-    private void onApplied(final long before) {
+    private void onApplied(final long previousVersion) {
         LOG.atInfo().log(
                 "event=configuration_applied node=%s version=%s before=%s",
-                node.info().name(), appliedVersion(), before);
+                node.info().name(), appliedVersion(), previousVersion);
         listener.onConfigurationApplied();
     }
 
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
@@ -36,7 +36,7 @@
             implements FeedMessage {}
 
     /** One change and the version that it made. */
-    record Numbered(long version, ConfigurationChange change) {}
+    record VersionedChange(long version, ConfigurationChange change) {}
 
     /**
      * Answers a {@link FeedRequest}: the newest version that this voter knows, and updates if they were requested. The voter
@@ -51,7 +51,7 @@
             boolean voting,
             long appliedVersion,
             long newestVersion,
-            List<Numbered> changes,
+            List<VersionedChange> changes,
             ConfigurationSnapshot snapshot,
             List<NodeInfo> edges,
             long registryIncarnation,
@@ -87,7 +87,7 @@
     record FreshnessRequest(
             String from,
             long incarnation,
-            boolean serves,
+            boolean servesClients,
             boolean fresh,
             boolean draining,
             int openRequests,
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
@@ -53,7 +53,7 @@
     /** A larger change is fetched by each client, not announced to all at once. */
     private static final int ANNOUNCED_BYTES_MAX = 16 << 10;
     /** The version of messages since which a response may omit what the client has. */
-    private static final int OMISSIONS_SINCE = 3;
+    private static final int OMISSIONS_MIN_MESSAGE_VERSION = 3;
 
     private final String name;
     private final ConfigurationStore configurationStore;
@@ -110,9 +110,9 @@
         edges().values().forEach(edge -> addresses.add(edge.info().address()));
         final Map<Long, ConfigurationChange> changes = configurationStore.changesAfter(version - 1);
         final ConfigurationChange change = changes == null ? null : changes.get(version);
-        final boolean fetched = change == null || change.json().length > ANNOUNCED_BYTES_MAX;
+        final boolean mustFetch = change == null || change.json().length > ANNOUNCED_BYTES_MAX;
         final FeedMessage.FeedUpdate update =
-                new FeedMessage.FeedUpdate(version, fetched ? null : MessageCodec.encodeRecord(change));
+                new FeedMessage.FeedUpdate(version, mustFetch ? null : MessageCodec.encodeRecord(change));
         addresses.forEach(address -> sender.send(address, update));
     }
 
@@ -132,7 +132,7 @@
         }
         final Updates updates = request.wantsUpdates() && isCaughtUp() ? updatesFor(request) : Updates.NONE;
         final VoterSet voterSet = acceptor.voterSet();
-        final boolean mayOmit = options.messageVersion() >= OMISSIONS_SINCE;
+        final boolean mayOmit = options.messageVersion() >= OMISSIONS_MIN_MESSAGE_VERSION;
         final boolean voterSetKnown =
                 mayOmit && voterSet != null && voterSet.hasEpoch(request.generation(), request.epoch());
         final Collection<NodeInfo> edges = servingEdges();
@@ -163,7 +163,7 @@
 
     /** What a client misses of the configuration and the registry. */
     private record Updates(
-            List<FeedMessage.Numbered> changes,
+            List<FeedMessage.VersionedChange> changes,
             ConfigurationSnapshot snapshot,
             long registryIncarnation,
             List<Endpoint> endpoints,
@@ -172,14 +172,14 @@
     }
 
     private Updates updatesFor(final FeedMessage.FeedRequest request) {
-        final List<FeedMessage.Numbered> changes = new ArrayList<>();
+        final List<FeedMessage.VersionedChange> changes = new ArrayList<>();
         ConfigurationSnapshot snapshot = null;
         if (request.appliedVersion() < appliedVersion()) {
             final Map<Long, ConfigurationChange> missing = configurationStore.changesAfter(request.appliedVersion());
             if (missing == null) {
                 snapshot = configurationStore.snapshot();
             } else {
-                missing.forEach((version, change) -> changes.add(new FeedMessage.Numbered(version, change)));
+                missing.forEach((version, change) -> changes.add(new FeedMessage.VersionedChange(version, change)));
             }
         }
         final long registryOffset =
@@ -195,7 +195,7 @@
     /** Answers with the newest version alone; a client with an older voter set is sent this core's. */
     private void onFreshnessRequest(final FeedMessage.FreshnessRequest request) {
         final VoterSet voterSet = acceptor.voterSet();
-        final boolean clientUnknown = request.serves() && !edgeTracker.onRequest(request);
+        final boolean clientUnknown = request.servesClients() && !edgeTracker.onRequest(request);
         if (voterSet != null && voterSet.newerThan(new VoterSet(request.generation(), request.epoch(), List.of()))) {
             sender.send(request.from(), voterSetResponse(request.requestId(), voterSet));
             return;
--- a/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
@@ -49,9 +49,9 @@
             this.voterSet = voterSet;
         }
 
-        boolean confirms(final VoterSet present, final long appliedVersion) {
-            return voterSet == present
-                    && newestVersionByVoter.size() >= present.majority()
+        boolean confirms(final VoterSet currentVoterSet, final long appliedVersion) {
+            return voterSet == currentVoterSet
+                    && newestVersionByVoter.size() >= currentVoterSet.majority()
                     && readIndex() <= appliedVersion;
         }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    private record Waiter(long sinceMs, long deadlineMs, ConfirmationCallback callback) {}
+    private record Waiter(long requestedMs, long deadlineMs, ConfirmationCallback callback) {}
 
     private static final int WAITERS_MAX = 256;
     /** A waiter's round is repeated so many times within one lease duration. */
@@ -127,7 +127,7 @@
                 break;
             }
         }
-        while (!waiters.isEmpty() && waiters.peek().sinceMs <= confirmedMs) {
+        while (!waiters.isEmpty() && waiters.peek().requestedMs <= confirmedMs) {
             final Waiter satisfied = waiters.poll();
             satisfied.callback.onResult(clock.nowMs() < satisfied.deadlineMs);
         }
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -10,7 +10,7 @@
 import spokestall.lease.LeaseContext;
 import spokestall.lease.LeaseManager;
 import spokestall.message.MessageCodec;
-import spokestall.usage.PresentIncarnations;
+import spokestall.usage.CurrentIncarnations;
 import spokestall.usage.ReportSources;
 import spokestall.usage.ReporterContext;
 import spokestall.usage.UsageMessage;
@@ -45,7 +45,7 @@
             final Acceptor acceptor,
             final Proposer proposer,
             final UsageReportClient platform,
-            final PresentIncarnations edges) {
+            final CurrentIncarnations edges) {
         this.context = context;
         this.acceptor = acceptor;
         final Timings timings = context.timings();
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -97,7 +97,7 @@
         if (isMalformed(head)) {
             return rejected(ResultCode.MALFORMED, unproven);
         }
-        if (!(RequestTarget.of(head.target()) instanceof RequestTarget.Good target)) {
+        if (!(RequestTarget.of(head.target()) instanceof RequestTarget.Valid target)) {
             return rejected(ResultCode.BAD_TARGET, unproven);
         }
         final ResultCode unready = unreadiness();
@@ -109,7 +109,7 @@
             return rejected(ResultCode.HELD, unproven);
         }
         final String keyHash = head.key() == null ? null : KeyHash.of(head.key());
-        final Configuration.Found found = configuration.find(head.host(), target.path(), keyHash);
+        final Configuration.Resolution found = configuration.resolve(head.host(), target.path(), keyHash);
         final ResultCode unauthorized = unauthorized(found);
         if (unauthorized != null) {
             return rejected(unauthorized, unproven);
@@ -147,7 +147,7 @@
     }
 
     /** Why whoever sent the request may not, or null. */
-    private ResultCode unauthorized(final Configuration.Found found) {
+    private ResultCode unauthorized(final Configuration.Resolution found) {
         final boolean keyLacks =
                 limits.conventions().keyed() ? found.tenant() == null : found.route() != null && found.keyMissing();
         if (keyLacks) {
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionGrant.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionGrant.java
@@ -15,7 +15,7 @@
  */
 record AdmissionGrant(
         RequestHead head,
-        RequestTarget.Good target,
+        RequestTarget.Valid target,
         String keyHash,
         Tenant tenant,
         Route route,
--- a/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
@@ -48,8 +48,8 @@
             return ResultCode.UNCOUNTED;
         }
         final Configuration configuration = context.configurationStore().configuration();
-        final Configuration.Found found =
-                configuration.find(grant.head().host(), grant.target().path(), grant.keyHash());
+        final Configuration.Resolution found =
+                configuration.resolve(grant.head().host(), grant.target().path(), grant.keyHash());
         if (!(found.route() != null && found.route().anonymous())
                 && !AdmissionController.nameOf(found.tenant()).equals(grant.tenantName())) {
             return ResultCode.BAD_KEY;
--- a/spokestall/src/main/java/spokestall/usage/ReportSchedule.java
+++ b/spokestall/src/main/java/spokestall/usage/ReportSchedule.java
@@ -18,7 +18,7 @@
         long closeMaxMs,
         long gatherMs,
         long dueMs,
-        long storeWaitMs,
+        long storeTimeoutMs,
         long sendTimeoutMs,
         double reportsPerSecond) {
     /** When a window ends, on the fleet's time. */
--- a/spokestall/src/main/java/spokestall/usage/ReportSources.java
+++ b/spokestall/src/main/java/spokestall/usage/ReportSources.java
@@ -8,4 +8,4 @@
  * @param edges tells of which edges an earlier incarnation has ended
  * @param floor from when on windows are reported
  */
-public record ReportSources(UsageTable table, CoreAddresses cores, PresentIncarnations edges, ReportFloor floor) {}
+public record ReportSources(UsageTable table, CoreAddresses cores, CurrentIncarnations edges, ReportFloor floor) {}
--- a/spokestall/src/main/java/spokestall/usage/SealedWindow.java
+++ b/spokestall/src/main/java/spokestall/usage/SealedWindow.java
@@ -29,7 +29,7 @@
     }
 
     /** The same counts, confirmed by the platform. */
-    SealedWindow complete() {
+    SealedWindow asCompleted() {
         return new SealedWindow(window, counts, owner, fencingToken, true);
     }
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageCounter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageCounter.java
@@ -77,7 +77,7 @@
     /** Closes every window and pushes it; nothing more will be counted here. */
     public void stop() {
         stopped = true;
-        startedByWindow.keySet().forEach(this::pushCompletely);
+        startedByWindow.keySet().forEach(this::markAllChanged);
         push();
     }
 
@@ -93,7 +93,7 @@
         startedByWindow.computeIfAbsent(current - 1, w -> new HashMap<>());
         for (final long window : startedByWindow.keySet()) {
             if (isOver(window) && closed.add(window)) {
-                pushCompletely(window);
+                markAllChanged(window);
             }
         }
         for (final Map.Entry<Long, PendingPush> push : pending.entrySet()) {
@@ -115,7 +115,7 @@
         final Long before = coreIncarnations.put(message.core(), message.incarnation());
         if (before != null && before != message.incarnation()) {
             // It restarted, without what it had.
-            startedByWindow.keySet().forEach(this::pushCompletely);
+            startedByWindow.keySet().forEach(this::markAllChanged);
         }
         final PendingPush push = pending.get(message.pushId());
         final int coreCount = Math.max(limits.cores(), cores.current().size());
@@ -135,7 +135,7 @@
         return stopped || (window + 1) * limits.windowMs() + limits.closeMs() < fleetClock.nowMs();
     }
 
-    private void pushCompletely(final long window) {
+    private void markAllChanged(final long window) {
         changed.computeIfAbsent(window, w -> new TreeSet<>())
                 .addAll(startedByWindow.get(window).keySet());
     }
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -121,13 +121,13 @@
             nextWindow++;
         }
         for (final WindowReport report : List.copyOf(reports.values())) {
-            switch (report.stage()) {
-                case CLOSING -> close(session, report);
+            switch (report.state()) {
+                case CLOSING -> gatherAndSeal(session, report);
                 case SEALED -> sendInTime(session, report);
                 case SEALING, SENDING, RECORDING, DONE -> {}
             }
         }
-        reports.values().removeIf(report -> report.stage() == WindowReport.Stage.DONE);
+        reports.values().removeIf(report -> report.state() == WindowReport.State.DONE);
     }
 
     /** Merges what another core has of a window. */
@@ -149,7 +149,7 @@
     }
 
     /** Requests the cores' counts, and seals the window once they have answered and it is closed or the wait is over. */
-    private void close(final LeaseSession under, final WindowReport report) {
+    private void gatherAndSeal(final LeaseSession leaseSession, final WindowReport report) {
         final long lateMs = lateMs(report);
         // Whatever was begun in the window is with a majority by then, or never will be.
         if (lateMs < schedule.graceMs() - schedule.gatherMs()) {
@@ -167,7 +167,7 @@
                 || majority && report.sinceFirstRequestMs(nowMs) >= schedule.gatherMs();
         final boolean complete = closed && lateMs >= schedule.graceMs();
         if (gathered && (complete || lateMs >= schedule.closeMaxMs())) {
-            seal(under, report);
+            seal(leaseSession, report);
         }
     }
 
@@ -178,17 +178,18 @@
         }
     }
 
-    private void seal(final LeaseSession under, final WindowReport report) {
-        report.transition(WindowReport.Stage.SEALING);
+    private void seal(final LeaseSession leaseSession, final WindowReport report) {
+        report.transition(WindowReport.State.SEALING);
         final Map<String, Long> counts = table.totals(report.window());
         final byte[] value = MessageCodec.encodeRecord(
-                new SealedWindow(report.window(), counts, under.owner(), under.fencingToken(), false));
+                new SealedWindow(report.window(), counts, leaseSession.owner(), leaseSession.fencingToken(), false));
         proposer.propose(
                 SealedWindow.key(report.window()),
-                schedule.storeWaitMs(),
-                now -> now == null && under.isValid(clock.nowMs()) && isReportable(report.window())
-                        ? new RegisterEdit.Set(value)
-                        : RegisterEdit.LEAVE,
+                schedule.storeTimeoutMs(),
+                currentValue ->
+                        currentValue == null && leaseSession.isValid(clock.nowMs()) && isReportable(report.window())
+                                ? new RegisterEdit.Set(value)
+                                : RegisterEdit.LEAVE,
                 outcome -> onSealOutcome(report, outcome));
     }
 
@@ -198,68 +199,70 @@
             report.onSealed(MessageCodec.decodeRecord(done.value(), SealedWindow.class));
         } else {
             final boolean past = outcome instanceof ProposalOutcome.Pruned || !isReportable(report.window());
-            report.transition(past ? WindowReport.Stage.DONE : WindowReport.Stage.CLOSING);
+            report.transition(past ? WindowReport.State.DONE : WindowReport.State.CLOSING);
         }
     }
 
     /** Sends a sealed window, unless half the usual time for the answer would be past its due time. */
-    private void sendInTime(final LeaseSession under, final WindowReport report) {
+    private void sendInTime(final LeaseSession leaseSession, final WindowReport report) {
         final long lateMs = lateMs(report);
         if (lateMs + schedule.sendTimeoutMs() / 2 > schedule.dueMs()) {
             missed++;
             LOG.atWarning().log(
                     "event=window_missed node=%s sessionId=%s window=%s lateMs=%s",
-                    node, under.sessionId(), report.window(), lateMs);
-            report.transition(WindowReport.Stage.DONE);
-        } else if (clock.nowMs() - lastSentMs >= schedule.sendGapMs() && under.isValid(clock.nowMs())) {
-            send(under, report, Math.min(schedule.sendTimeoutMs(), schedule.dueMs() - lateMs));
+                    node, leaseSession.sessionId(), report.window(), lateMs);
+            report.transition(WindowReport.State.DONE);
+        } else if (clock.nowMs() - lastSentMs >= schedule.sendGapMs() && leaseSession.isValid(clock.nowMs())) {
+            send(leaseSession, report, Math.min(schedule.sendTimeoutMs(), schedule.dueMs() - lateMs));
         }
     }
 
-    private void send(final LeaseSession under, final WindowReport report, final long timeoutMillis) {
-        report.transition(WindowReport.Stage.SENDING);
+    private void send(final LeaseSession leaseSession, final WindowReport report, final long timeoutMillis) {
+        report.transition(WindowReport.State.SENDING);
         lastSentMs = clock.nowMs();
         callsInFlight++;
         client.report(
                 node,
-                under.fencingToken(),
+                leaseSession.fencingToken(),
                 report.sealed(),
                 timeoutMillis,
-                () -> under == session && under.isValid(clock.nowMs()) ? under.deadlineMs() : Long.MIN_VALUE,
-                result -> onReportResult(under, report, result));
+                () -> leaseSession == session && leaseSession.isValid(clock.nowMs())
+                        ? leaseSession.deadlineMs()
+                        : Long.MIN_VALUE,
+                result -> onReportResult(leaseSession, report, result));
     }
 
-    private void onReportResult(final LeaseSession under, final WindowReport report, final ReportResult result) {
+    private void onReportResult(final LeaseSession leaseSession, final WindowReport report, final ReportResult result) {
         callsInFlight--;
         LOG.atInfo().log(
                 "event=window_reported node=%s sessionId=%s fencingToken=%s window=%s result=%s lateMs=%s",
-                node, under.sessionId(), under.fencingToken(), report.window(), result, lateMs(report));
+                node, leaseSession.sessionId(), leaseSession.fencingToken(), report.window(), result, lateMs(report));
         switch (result) {
-            case ACCEPTED -> recordCompleted(under, report);
+            case ACCEPTED -> recordCompleted(leaseSession, report);
             case UNCONFIRMED -> {
                 unconfirmedCall = true;
-                report.transition(WindowReport.Stage.SEALED);
+                report.transition(WindowReport.State.SEALED);
             }
         }
     }
 
-    private void recordCompleted(final LeaseSession under, final WindowReport report) {
-        report.transition(WindowReport.Stage.RECORDING);
+    private void recordCompleted(final LeaseSession leaseSession, final WindowReport report) {
+        report.transition(WindowReport.State.RECORDING);
         proposer.propose(
-                SealedWindow.key(report.window()), schedule.storeWaitMs(), UsageReporter::completed, outcome -> {
-                    report.transition(WindowReport.Stage.DONE);
+                SealedWindow.key(report.window()), schedule.storeTimeoutMs(), UsageReporter::markCompleted, outcome -> {
+                    report.transition(WindowReport.State.DONE);
                     if (!(outcome instanceof ProposalOutcome.Committed)) {
                         LOG.atWarning().log(
                                 "event=window_completion_unknown node=%s sessionId=%s window=%s",
-                                node, under.sessionId(), report.window());
+                                node, leaseSession.sessionId(), report.window());
                     }
                 });
     }
 
-    private static RegisterEdit completed(final byte[] value) {
-        final SealedWindow now = value == null ? null : MessageCodec.decodeRecord(value, SealedWindow.class);
-        return now == null || now.completed()
+    private static RegisterEdit markCompleted(final byte[] value) {
+        final SealedWindow stored = value == null ? null : MessageCodec.decodeRecord(value, SealedWindow.class);
+        return stored == null || stored.completed()
                 ? RegisterEdit.LEAVE
-                : new RegisterEdit.Set(MessageCodec.encodeRecord(now.complete()));
+                : new RegisterEdit.Set(MessageCodec.encodeRecord(stored.asCompleted()));
     }
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageTable.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageTable.java
@@ -66,14 +66,14 @@
      * Whether every incarnation of an edge that counted in this window or the one before has closed it. An incarnation whose edge
      * is present under another one has ended and is not waited for.
      */
-    public boolean isClosed(final long window, final PresentIncarnations edges) {
+    public boolean isClosed(final long window, final CurrentIncarnations edges) {
         final Set<String> open =
                 new HashSet<>(windows.getOrDefault(window, Map.of()).keySet());
         open.addAll(windows.getOrDefault(window - 1, Map.of()).keySet());
         open.removeAll(closed.getOrDefault(window, Set.of()));
         open.removeIf(key -> {
-            final Long present = edges.of(IncarnationKey.edge(key));
-            return present != null && present != IncarnationKey.incarnation(key);
+            final Long current = edges.of(IncarnationKey.edge(key));
+            return current != null && current != IncarnationKey.incarnation(key);
         });
         return open.isEmpty();
     }
--- a/spokestall/src/main/java/spokestall/usage/WindowReport.java
+++ b/spokestall/src/main/java/spokestall/usage/WindowReport.java
@@ -11,7 +11,7 @@
  */
 final class WindowReport {
     /** How far the report is. */
-    enum Stage {
+    enum State {
         /** The cores' counts are being requested; edges may still push some. */
         CLOSING,
         /** The change that writes the counts into the window's register is under way. */
@@ -25,7 +25,7 @@
         /** Nothing remains to be done: reported, too late, or not to be reported. */
         DONE;
 
-        private Set<Stage> next() {
+        private Set<State> next() {
             return switch (this) {
                 case CLOSING -> EnumSet.of(SEALING);
                 // Back to closing if it is not known to be sealed: the register decides which counts it holds.
@@ -33,7 +33,7 @@
                 case SEALED -> EnumSet.of(SENDING, DONE);
                 case SENDING -> EnumSet.of(RECORDING, SEALED);
                 case RECORDING -> EnumSet.of(DONE);
-                case DONE -> EnumSet.noneOf(Stage.class);
+                case DONE -> EnumSet.noneOf(State.class);
             };
         }
     }
@@ -41,7 +41,7 @@
     private static final long NEVER = -1;
     private final long window;
     private final Set<String> answeredCores = new HashSet<>();
-    private Stage stage = Stage.CLOSING;
+    private State state = State.CLOSING;
     private long firstRequestMs = NEVER;
     private long lastRequestMs = NEVER;
     private SealedWindow sealed;
@@ -54,24 +54,24 @@
         return window;
     }
 
-    Stage stage() {
-        return stage;
+    State state() {
+        return state;
     }
 
-    /** The counts as the register holds them; null before {@link Stage#SEALED}. */
+    /** The counts as the register holds them; null before {@link State#SEALED}. */
     SealedWindow sealed() {
         return sealed;
     }
 
-    void transition(final Stage to) {
-        assert stage.next().contains(to) : "window " + window + " from " + stage + " to " + to;
-        stage = to;
+    void transition(final State to) {
+        assert state.next().contains(to) : "window " + window + " from " + state + " to " + to;
+        state = to;
     }
 
     /** Notes what the register holds: counts that this node or an earlier holder wrote, perhaps confirmed already. */
     void onSealed(final SealedWindow held) {
         sealed = held;
-        transition(held.completed() ? Stage.DONE : Stage.SEALED);
+        transition(held.completed() ? State.DONE : State.SEALED);
     }
 
     void onCoreAnswered(final String core) {
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aChangeIsRetainedForTenMinutesUnlessTooManyFollow() {
+    void changeIsRetainedForTenMinutesUnlessTheMaximumIsExceeded() {
         final ConfigurationStore configurationStore = new ConfigurationStore(8);
         apply(configurationStore, 1_000_000);
         for (int i = 2; i <= CommittedChanges.RETAINED_MAX; i++) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void anExpiredChangeIsRetainedUntilTheMinimumFollowed() {
+    void expiredChangeIsRetainedUntilTheMinimumNumberFollows() {
         final ConfigurationStore configurationStore = new ConfigurationStore(8);
         for (int i = 0; i < CommittedChanges.RETAINED_MIN; i++) {
             apply(configurationStore, i * CommittedChanges.RETENTION_MS);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void nodesThatFollowAndNodesThatLoadAnySnapshotKnowTheSameChanges() {
+    void applyingChangesAndLoadingSnapshotsRetainTheSameChanges() {
         for (int seed = 0; seed < 20; seed++) {
             versions = 0;
             final Random random = new Random(seed);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void recordsOfOlderProgramsAreReadAndOlderProgramsReadOurs() {
+    void recordsAreCompatibleWithOlderVersionsInBothDirections() {
         record OldChange(String changeId, ConfigurationChange.Kind kind, byte[] json) {}
         record OldSnapshot(long version, byte[] json, Map<String, Long> changeIds) {}
         final Map<String, Long> ids = new LinkedHashMap<>(Map.of("a", 6L));
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void theFirstChangeOfAGenerationReplacesWhatNodesKnew() {
+    void firstChangeOfAGenerationReplacesTheKnownChanges() {
         final List<CommittedChange> before =
                 List.of(new CommittedChange("kept", 3, 10), new CommittedChange("too", 4, 20));
         final ConfigurationChange first =
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
@@ -13,37 +13,37 @@
 
 /** The configuration as operators write it: each of its fields, what it means, and how troubles in it are told. */
 class ConfigurationFormatTest {
-    private static final ConfigurationValidator RULES = new ConfigurationValidator(
+    private static final ConfigurationValidator VALIDATOR = new ConfigurationValidator(
             new CallRegistry().schema().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1", "d2"));
-    private static final NativeConfigurationFormat FORM = new NativeConfigurationFormat(RULES);
+    private static final NativeConfigurationFormat FORMAT = new NativeConfigurationFormat(VALIDATOR);
     private static final String KEY_HASH = "8ae87d5cf3a5c7a0dc57ccb0d7ca2e4ee7ac7a24d6fdbc2b3f2ce0dfdfab5ed1";
 
     private static Configuration configuration() {
-        return FORM.read(17, GoldenFile.json("policy.json"), null);
+        return FORMAT.read(17, GoldenFile.json("policy.json"), null);
     }
 
     private static List<String> errors(final String file) {
-        final List<String> told = new ArrayList<>();
-        FORM.check(GoldenFile.json(file), GoldenFile.parsed("{}"))
-                .forEach(error -> told.add(error.pointer() + " " + error.reason()));
-        return told;
+        final List<String> errors = new ArrayList<>();
+        FORMAT.check(GoldenFile.json(file), GoldenFile.parsed("{}"))
+                .forEach(error -> errors.add(error.pointer() + " " + error.reason()));
+        return errors;
     }
 
     @Test
-    void theConfigurationWithEveryFieldIsGood() {
+    void configurationWithEveryFieldIsValid() {
         assertThat(errors("policy.json")).isEmpty();
     }
 
     @Test
-    void itIsWrittenAsItWasRead() {
-        final JsonNode written = GoldenFile.json("policy.json");
-        assertThat(configuration().tree()).isEqualTo(written);
-        final ConfigurationStore configurationStore = new ConfigurationStore(8, FORM);
-        final byte[] sent = GoldenFile.text("policy.json").getBytes(StandardCharsets.UTF_8);
-        configurationStore.apply(1, new ConfigurationChange("change-1", ConfigurationChange.Kind.PUT, sent, 0));
-        assertThat(configurationStore.configuration().tree()).isEqualTo(written);
-        final String kept = new String(configurationStore.snapshot().json(), StandardCharsets.UTF_8);
-        assertThat(kept).isEqualTo(written.toString());
+    void configurationIsStoredWithoutModification() {
+        final JsonNode expected = GoldenFile.json("policy.json");
+        assertThat(configuration().tree()).isEqualTo(expected);
+        final ConfigurationStore configurationStore = new ConfigurationStore(8, FORMAT);
+        final byte[] encoded = GoldenFile.text("policy.json").getBytes(StandardCharsets.UTF_8);
+        configurationStore.apply(1, new ConfigurationChange("change-1", ConfigurationChange.Kind.PUT, encoded, 0));
+        assertThat(configurationStore.configuration().tree()).isEqualTo(expected);
+        final String stored = new String(configurationStore.snapshot().json(), StandardCharsets.UTF_8);
+        assertThat(stored).isEqualTo(expected.toString());
     }
 
     @Test
@@ -64,9 +64,9 @@
     }
 
     @Test
-    void routesForAllAreRead() {
+    void sharedRoutesAreRead() {
         final Route shared =
-                configuration().find("a.example", "/records/1", KEY_HASH).route();
+                configuration().resolve("a.example", "/records/1", KEY_HASH).route();
         assertThat(shared)
                 .isEqualTo(new Route(
                         "shared-service",
@@ -80,12 +80,12 @@
                         4,
                         true,
                         Set.of("r2")));
-        assertThat(configuration().find("", "/split", KEY_HASH).route().split())
+        assertThat(configuration().resolve("", "/split", KEY_HASH).route().split())
                 .containsExactly(new Route.Share("records", 90), new Route.Share("transfers", 10));
     }
 
     @Test
-    void servicesLimitsAndHoldsAreRead() {
+    void servicesLimitsAndDrainedZonesAreRead() {
         final Configuration configuration = configuration();
         assertThat(configuration.service("records"))
                 .isEqualTo(new ServiceLimits("records", 1000, 2000, 300, 4000, 5.5));
@@ -97,16 +97,16 @@
     }
 
     @Test
-    void errorsAreToldByTheirPlacesAndReasons() {
+    void semanticErrorsHavePointersAndReasons() {
         assertThat(errors("policy-broken.json")).isEqualTo(GoldenFile.lines("policy-broken-troubles.txt"));
     }
 
     @Test
-    void whatDoesNotFitTheSchemaIsToldByItsPlaces() {
-        final List<String> places = new ArrayList<>();
-        FORM.check(GoldenFile.json("policy-not-of-the-schema.json"), GoldenFile.parsed("{}"))
-                .forEach(error -> places.add(error.pointer()));
-        assertThat(places)
+    void schemaViolationsHavePointers() {
+        final List<String> pointers = new ArrayList<>();
+        FORMAT.check(GoldenFile.json("policy-not-of-the-schema.json"), GoldenFile.parsed("{}"))
+                .forEach(error -> pointers.add(error.pointer()));
+        assertThat(pointers)
                 .containsExactlyInAnyOrder(
                         "/cells/cell-1/tenants/tenant-1",
                         "/cells/cell-1/tenants/tenant-1/homeRegions",
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aKeyIsKeptAsItsHash() {
+    void keyHashIsTheHexSha256() {
         assertThat(KeyHash.of("abc")).isEqualTo("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/RequestTargetTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RequestTargetTest.java
@@ -9,7 +9,7 @@
 class RequestTargetTest {
     /** An accepted target reads the same to a program that decodes and normalises it as to one that does neither. */
     @Test
-    void aGoodTargetHasOneReading() {
+    void validTargetHasOneInterpretation() {
         final Random random = new Random(7);
         final String[] parts = {
             "/", "a", "payout", ".", "..", "%2e", "%2F", "%5c", "%20", "%70", "%", "%0", "?", "#", ";", "\\", "%0d%0a",
@@ -21,7 +21,7 @@
             for (int n = random.nextInt(6); n > 0; n--) {
                 raw.append(parts[random.nextInt(parts.length)]);
             }
-            if (RequestTarget.of(raw.toString()) instanceof RequestTarget.Good t) {
+            if (RequestTarget.of(raw.toString()) instanceof RequestTarget.Valid t) {
                 good++;
                 assertThat(t.raw()).isEqualTo(raw.toString());
                 final URI read = URI.create("http://h" + raw);
--- a/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void regionsOfRouteAndTenantBothBind() {
+    void regionMustBeAllowedByBothRouteAndTenant() {
         final Route open = Route.of("b", "/b", "s", false);
         final Route two = new Route("b", "", "/b", open.split(), false, 0, 0, 0, 0, false, Set.of("r1", "r2"));
         final Tenant tenant = new Tenant("t", "", null, Set.of("r2", "r3"), Set.of(), null, List.of());
--- a/spokestall/src/test/java/spokestall/configuration/change/CallerReplyTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/CallerReplyTest.java
@@ -11,19 +11,19 @@
 
 class CallerReplyTest {
     @Test
-    void onlyTheFirstReplyIsGiven() {
+    void onlyTheFirstReplyIsSent() {
         final List<Reply> given = new ArrayList<>();
         final CallerReply reply = new CallerReply("chg-1", () -> 17, given::add);
-        reply.give(new ChangeResult.Pending(""));
-        reply.give(new ChangeResult.Committed(18));
+        reply.send(new ChangeResult.Pending(""));
+        reply.send(new ChangeResult.Committed(18));
         assertThat(given).extracting(Reply::result).containsExactly(ResultCode.UNDECIDED);
     }
 
     @Test
-    void aCallerIsAnsweredBeforeItsChangeIsGivenUp() {
-        assertThat(ChangePatience.of(950).answersEarly()).isFalse();
-        assertThat(new ChangePatience(600, 950, 4000).answersEarly()).isTrue();
-        assertThatThrownBy(() -> new ChangePatience(950, 600, 4000)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new ChangePatience(600, 4000, 950)).isInstanceOf(IllegalArgumentException.class);
+    void callerMayReceiveAReplyBeforeTheChangeIsAbandoned() {
+        assertThat(ChangeDeadlines.of(950).mayReplyEarly()).isFalse();
+        assertThat(new ChangeDeadlines(600, 950, 4000).mayReplyEarly()).isTrue();
+        assertThatThrownBy(() -> new ChangeDeadlines(950, 600, 4000)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new ChangeDeadlines(600, 4000, 950)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/change/ChangeAttemptTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeAttemptTest.java
@@ -23,7 +23,7 @@
             (ended, result) -> results.add(result));
 
     @Test
-    void knowsHowLongItWaitedForItsFirstConfirmationAndHowOftenItProposed() {
+    void recordsTimeToFirstConfirmationAndNumberOfProposals() {
         assertThat(attempt.confirmedAfterMs()).isEqualTo(-1);
         attempt.confirm();
         attempt.onConfirmed(140);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aSupersededProposalIsFollowedByAnotherOrByAConfirmation() {
+    void supersededAttemptMayProposeOrConfirmAgain() {
         attempt.confirm();
         attempt.propose(7, CHANGE);
         attempt.propose(8, CHANGE);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void nothingIsProposedOrAnsweredBeforeAConfirmationWasRequested() {
+    void attemptCannotProposeOrCompleteBeforeConfirming() {
         assertThatThrownBy(() -> attempt.propose(7, CHANGE)).isInstanceOf(IllegalStateException.class);
         assertThatThrownBy(() -> attempt.complete(new ChangeResult.NotReady()))
                 .isInstanceOf(IllegalStateException.class);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void theResultIsDeliveredOnce() {
+    void resultIsDeliveredOnce() {
         attempt.confirm();
         attempt.complete(new ChangeResult.NotReady());
         assertThatThrownBy(() -> attempt.complete(new ChangeResult.Undecided()))
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void theRemainingTimeRunsOut() {
+    void remainingTimeIsNegativeAfterTheDeadline() {
         assertThat(attempt.remainingMs(400)).isEqualTo(100);
         assertThat(attempt.remainingMs(600)).isEqualTo(-100);
     }
--- a/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
@@ -17,12 +17,12 @@
     }
 
     @Test
-    void aCommitNamesItsVersion() {
+    void committedReplyContainsItsVersion() {
         assertReply(new ChangeResult.Committed(9), ResultCode.OK, "{\"version\":9,\"changeId\":\"chg-1\"}");
     }
 
     @Test
-    void anyOtherResultNamesTheCurrentVersion() {
+    void otherRepliesContainTheCurrentVersion() {
         final String fields = "{\"current\":17,\"changeId\":\"chg-1\"}";
         assertReply(new ChangeResult.StaleBase(), ResultCode.STALE_BASE, fields);
         assertReply(new ChangeResult.NotFound(), ResultCode.NOT_FOUND, fields);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aChangeInProgressNamesTheVoterThatItsCallerIsRedirectedTo() {
+    void pendingReplyContainsTheVoterToRedirectTo() {
         assertReply(
                 new ChangeResult.Pending("10.1.0.13:7560"),
                 ResultCode.UNDECIDED,
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void onlyAReplyThatNamesAVoterRedirects() {
+    void onlyRepliesWithAVoterRedirect() {
         assertThat(ChangeCoordinator.redirectOf(new ChangeResult.Pending("10.1.0.13:7560").toReply("chg-1", 17)))
                 .contains("10.1.0.13:7560");
         assertThat(ChangeCoordinator.redirectOf(new ChangeResult.Pending("").toReply("chg-1", 17)))
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -99,7 +99,7 @@
         return List.copyOf(sent);
     }
 
-    private static List<String> updateRequestsTo(final List<Sent> of) {
+    private static List<String> updateRequestTargets(final List<Sent> of) {
         return of.stream()
                 .filter(s -> s.message instanceof FeedMessage.FeedRequest request && request.wantsUpdates())
                 .map(Sent::to)
@@ -145,7 +145,7 @@
 
     /** After a pause of the process, answers from before the pause are delivered first and timers only then. */
     @Test
-    void confirmationPastTheDeadlineCountsAsNone() {
+    void confirmationAfterTheDeadlineIsReportedAsFailed() {
         clock.ignoreTimers();
         final List<Boolean> results = new ArrayList<>();
         sent.clear();
@@ -163,27 +163,27 @@
     }
 
     @Test
-    void whenAllCoresAreAheadOneIsAskedForUpdatesOnce() {
+    void requestsUpdatesFromOneCoreOnlyWhenAllAreAhead() {
         final List<Sent> first = tick();
-        assertThat(updateRequestsTo(first)).containsExactly("a");
+        assertThat(updateRequestTargets(first)).containsExactly("a");
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("b", "c", "d", "e")) {
             answer(core, requestId(first), BASE + 2);
         }
-        assertThat(updateRequestsTo(sent))
+        assertThat(updateRequestTargets(sent))
                 .as("the nearest was asked already, its response is in flight")
                 .isEmpty();
         answerWithUpdates("a", requestId(first), BASE + 2, snapshot(BASE + 2));
         assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
-        assertThat(updateRequestsTo(sent)).isEmpty();
+        assertThat(updateRequestTargets(sent)).isEmpty();
         assertThat(client.lease().ageMs())
                 .as("confirmed by the round of the tick")
                 .isEqualTo(20);
     }
 
     @Test
-    void whenTheSourceIsBehindItselfACoreThatIsAheadIsAskedAtOnce() {
+    void requestsUpdatesFromACoreAheadWhenTheUpdateSourceIsBehind() {
         final List<Sent> first = tick();
         sent.clear();
         clock.advance(20);
@@ -191,11 +191,11 @@
             answer(core, requestId(first), BASE + 2);
         }
         answerWithUpdates("a", requestId(first), BASE + 1, null);
-        assertThat(updateRequestsTo(sent)).containsExactly("b");
+        assertThat(updateRequestTargets(sent)).containsExactly("b");
     }
 
     @Test
-    void whenTheSourceIsSilentUntilTheNextTickAnotherIsAsked() {
+    void requestsUpdatesFromAnotherCoreWhenTheUpdateSourceDoesNotRespond() {
         tick();
         clock.advance(TICK_MS);
         final List<Sent> second = tick();
@@ -204,19 +204,19 @@
         for (final String core : List.of("b", "c", "d", "e")) {
             answer(core, requestId(second), BASE + 2);
         }
-        assertThat(updateRequestsTo(sent)).containsExactly("b");
+        assertThat(updateRequestTargets(sent)).containsExactly("b");
         answerWithUpdates("b", 0, BASE + 2, snapshot(BASE + 2));
         assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
     }
 
     @Test
-    void aCoreThatClaimsToBeAheadButSendsNothingIsNotAskedEndlessly() {
+    void doesNotRetryEndlesslyWhenACoreReportsANewerVersionButSendsNoUpdates() {
         final List<Sent> first = tick();
         sent.clear();
         answerWithUpdates("a", requestId(first), BASE + 2, null);
         for (int i = 0; i < 10; i++) {
             answerWithUpdates("a", 0, BASE + 2, null);
         }
-        assertThat(updateRequestsTo(sent)).hasSizeLessThanOrEqualTo(1);
+        assertThat(updateRequestTargets(sent)).hasSizeLessThanOrEqualTo(1);
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/feed/FreshnessLeaseTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FreshnessLeaseTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void runsFromWhenTheRoundWasSent() {
+    void leaseStartsWhenTheRoundIsSent() {
         sendRound();
         advance(100);
         answer(1, "a", APPLIED);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void oneVoterThatAnswersTwiceIsNoMajority() {
+    void repeatedAnswersOfOneVoterCountOnce() {
         sendRound();
         answer(1, "a", APPLIED);
         answer(1, "a", APPLIED);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void answersToDifferentRoundsDoNotAddUp() {
+    void answersToDifferentRoundsAreCountedSeparately() {
         sendRound();
         sendRound();
         answer(1, "a", APPLIED);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void anAcceptedVersionThatIsNotAppliedHoldsTheConfirmationBack() {
+    void acceptedVersionThatIsNotAppliedPreventsConfirmation() {
         sendRound();
         answer(1, "a", APPLIED);
         answer(1, "b", APPLIED + 1);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void answersOfAnotherVoterSetConfirmNothing() {
+    void answersFromAnotherVoterSetAreIgnored() {
         final VoterSet later = voterSet(2);
         sendRound();
         lease.onAnswer(1, later, "a", APPLIED);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aRoundBeyondTheBoundIsAbandoned() {
+    void oldestRoundIsDroppedBeyondTheLimit() {
         for (int i = 0; i <= OPEN_ROUNDS_MAX; i++) {
             sendRound();
         }
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aLateAnswerToAnOlderRoundDoesNotShortenTheLease() {
+    void lateAnswerToAnOlderRoundDoesNotShortenTheLease() {
         sendRound();
         advance(10);
         sendRound();
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aWaiterIsNotSatisfiedByARoundSentBeforeItsCall() {
+    void waiterIsNotConfirmedByARoundSentBeforeItsCall() {
         sendRound();
         advance(1);
         lease.awaitConfirmation(1000, results::add);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void aWaiterRepeatsItsRoundUntilItTimesOut() {
+    void waiterRepeatsRoundsUntilItTimesOut() {
         final long timeoutMillis = 250;
         lease.awaitConfirmation(timeoutMillis, results::add);
         advance(1000);
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void noTimeOrTooManyWaitersFailAtOnce() {
+    void waitFailsImmediatelyWithoutTimeOrWithTooManyWaiters() {
         lease.awaitConfirmation(0, results::add);
         assertThat(results).containsExactly(false);
         assertThat(sentRounds).isEmpty();
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -94,7 +94,7 @@
         final ConfigurationChange change =
                 MessageCodec.decodeRecord(HEX.parseHex(lines.get("policy-change older")), ConfigurationChange.class);
         assertThat(change.acceptedMs()).isZero();
-        assertThat(change.before()).isEmpty();
+        assertThat(change.earlierChanges()).isEmpty();
         final ConfigurationSnapshot snapshot = MessageCodec.decodeRecord(
                 HEX.parseHex(lines.get("policy-snapshot older")), ConfigurationSnapshot.class);
         assertThat(snapshot.committedChanges())
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void onlyChangedCountsArePushedAndAtRestOnlyTheClosingOfEachWindow() {
+    void pushesOnlyChangedCountsAndWithoutRequestsOnlyClosedWindows() {
         final UsageCounter counter = counter(200);
         tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
         counter.onStarted("t1");
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void countsAreResentToCoresThatDidNotAcknowledgeThemUntilAMajorityHas() {
+    void resendsCountsToUnacknowledgedCoresUntilAMajorityAcknowledges() {
         final UsageCounter counter = counter(200);
         tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
         counter.onStarted("t1");
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aRestartedCoreReceivesCompleteWindowsAgain() {
+    void pushesCompleteWindowsAgainAfterACoreRestarts() {
         final UsageCounter counter = counter(200);
         counter.onStarted("t1");
         tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void withoutABoundRequestsStartWithoutAMajorityAndEveryCountStillArrives() {
+    void withoutALimitRequestsStartWithoutAMajorityAndAllCountsAreDelivered() {
         final UsageCounter counter = counter(0);
         for (int i = 0; i < 60; i++) {
             counter.onStarted("t" + i);
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -43,7 +43,7 @@
                 5, () -> reporter.onMessage(new UsageMessage.CountsResponse(core, request.window(), List.of())));
     }
 
-    private void beginAt(final long ms) {
+    private void startSessionAt(final long ms) {
         context.run(ms);
         reporter.onSessionStarted(new LeaseSession("s1", "k/1", 7, ms + 20_000, ms + 600_000));
     }
@@ -72,8 +72,8 @@
 
     /** A holder that starts late sends what is due at once, and waits for the answer no longer than until the window is due. */
     @Test
-    void aHolderThatStartsLateSendsWhatCanStillArriveInTime() {
-        beginAt(49_200);
+    void newHolderSendsEarlierWindowsThatAreNotYetOverdue() {
+        startSessionAt(49_200);
         tickUntil(50_000);
         assertThat(calls).extracting(Call::window).containsExactlyInAnyOrder(7L, 8L);
         assertThat(calls)
@@ -82,8 +82,8 @@
     }
 
     @Test
-    void aWindowThatCanNoLongerArriveInTimeIsNotSent() {
-        beginAt(49_700);
+    void overdueWindowIsNotSent() {
+        startSessionAt(49_700);
         tickUntil(50_400);
         assertThat(calls).extracting(Call::window).containsExactly(8L);
         assertThat(reporter.missed()).isEqualTo(1);
@@ -91,8 +91,8 @@
 
     /** A call that is in flight, or ended unconfirmed, may still arrive. */
     @Test
-    void theReporterIsQuiescentOnlyOnceEachCallIsConfirmed() {
-        beginAt(41_000);
+    void reporterIsQuiescentOnlyAfterEachCallIsConfirmed() {
+        startSessionAt(41_000);
         assertThat(reporter.isQuiescent()).isTrue();
         tickUntil(41_450);
         assertThat(calls).hasSize(1);
@@ -111,11 +111,11 @@
 
     /** Whoever sends a window sends what its register holds, whatever this core's own table has. */
     @Test
-    void aWindowThatAnEarlierHolderSealedIsSentWithTheCountsItWasSealedWith() {
+    void windowSealedByAnEarlierHolderIsSentWithItsSealedCounts() {
         context.run(40_500);
         store(new SealedWindow(7, Map.of("t", 3L), "k0/1", 5, false));
         table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 9L), true));
-        beginAt(41_000);
+        startSessionAt(41_000);
         tickUntil(43_000);
         assertThat(callsOf(7)).hasSize(1);
         assertThat(callsOf(7).get(0).contents().counts()).isEqualTo(Map.of("t", 3L));
@@ -123,10 +123,10 @@
     }
 
     @Test
-    void aWindowThatIsRecordedAsReportedIsNotSentAgain() {
+    void windowRecordedAsReportedIsNotSentAgain() {
         context.run(40_500);
         store(new SealedWindow(7, Map.of("t", 3L), "k0/1", 5, true));
-        beginAt(41_000);
+        startSessionAt(41_000);
         tickUntil(43_000);
         assertThat(callsOf(6)).hasSize(1);
         assertThat(callsOf(7)).isEmpty();
@@ -134,10 +134,10 @@
     }
 
     @Test
-    void anUnconfirmedWindowIsSentAgainWithTheSameCountsAndAConfirmedOneIsRecorded() {
+    void unconfirmedWindowIsResentWithTheSameCountsAndConfirmedWindowIsRecorded() {
         context.run(40_900);
         table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 9L), true));
-        beginAt(41_000);
+        startSessionAt(41_000);
         tickUntil(42_000);
         callsOf(7).get(0).callback().onResult(ReportResult.UNCONFIRMED);
         table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 10L), true));
--- a/spokestall/src/test/java/spokestall/usage/UsageTableTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageTableTest.java
@@ -8,7 +8,7 @@
 class UsageTableTest {
     private static final long NOW = 100;
     private static final int KEPT = 3;
-    private static final PresentIncarnations NONE_KNOWN = edge -> null;
+    private static final CurrentIncarnations NONE_KNOWN = edge -> null;
     private final UsageTable table = new UsageTable(() -> NOW, KEPT);
 
     private static UsageMessage.Count count(
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void countsMergeByTheLargerOneInAnyOrderAndAddUpOverIncarnations() {
+    void mergeTakesTheLargerCountAndTotalsAddIncarnations() {
         table.merge(count("e", 1, NOW, 5, false));
         table.merge(count("e", 1, NOW, 3, false));
         table.merge(count("e", 1, NOW, 5, false));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void windowsFarFromThePresentOneAreNotTaken() {
+    void countsOfTooOldOrFutureWindowsAreDiscarded() {
         table.merge(count("e", 1, NOW - KEPT - 1, 1, false));
         table.merge(count("e", 1, NOW + 2, 1, false));
         assertThat(table.allCounts()).isEmpty();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aWindowIsClosedOnceEveryEdgeThatCountedInItOrTheOneBeforeHasClosedIt() {
+    void windowIsClosedAfterEveryEdgeActiveInItOrThePreviousWindowClosedIt() {
         table.merge(count("e", 1, NOW, 1, true));
         table.merge(count("f", 1, NOW - 1, 1, true));
         assertThat(table.isClosed(NOW, NONE_KNOWN)).isFalse();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anIncarnationWhoseEdgeIsPresentUnderAnotherOneIsNotWaitedFor() {
+    void supersededIncarnationDoesNotKeepAWindowOpen() {
         table.merge(count("e", -7, NOW, 1, false));
         assertThat(table.isClosed(NOW, NONE_KNOWN)).isFalse();
         assertThat(table.isClosed(NOW, edge -> -7L)).isFalse();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aTableThatMergesAllCountsOfAnotherHoldsTheSame() {
+    void mergingAllCountsOfATableReproducesIt() {
         table.merge(count("e#x", -1, NOW, 5, true));
         table.merge(count("f", 2, NOW - 1, 7, false));
         final UsageTable other = new UsageTable(() -> NOW, KEPT);
--- a/spokestall/src/test/java/spokestall/usage/WindowReportTest.java
+++ b/spokestall/src/test/java/spokestall/usage/WindowReportTest.java
@@ -14,28 +14,28 @@
     }
 
     @Test
-    void nothingIsSentBeforeItIsSealed() {
-        assertThatThrownBy(() -> report.transition(WindowReport.Stage.SENDING)).isInstanceOf(AssertionError.class);
-        report.transition(WindowReport.Stage.SEALING);
-        assertThatThrownBy(() -> report.transition(WindowReport.Stage.SENDING)).isInstanceOf(AssertionError.class);
+    void windowIsNotSentBeforeItIsSealed() {
+        assertThatThrownBy(() -> report.transition(WindowReport.State.SENDING)).isInstanceOf(AssertionError.class);
+        report.transition(WindowReport.State.SEALING);
+        assertThatThrownBy(() -> report.transition(WindowReport.State.SENDING)).isInstanceOf(AssertionError.class);
         report.onSealed(sealed(false));
-        report.transition(WindowReport.Stage.SENDING);
-        assertThat(report.stage()).isEqualTo(WindowReport.Stage.SENDING);
+        report.transition(WindowReport.State.SENDING);
+        assertThat(report.state()).isEqualTo(WindowReport.State.SENDING);
     }
 
     @Test
-    void aWindowThatTheRegisterShowsAsReportedIsDone() {
-        report.transition(WindowReport.Stage.SEALING);
+    void windowAlreadyReportedInTheRegisterIsDone() {
+        report.transition(WindowReport.State.SEALING);
         report.onSealed(sealed(true));
-        assertThat(report.stage()).isEqualTo(WindowReport.Stage.DONE);
-        assertThatThrownBy(() -> report.transition(WindowReport.Stage.CLOSING)).isInstanceOf(AssertionError.class);
+        assertThat(report.state()).isEqualTo(WindowReport.State.DONE);
+        assertThatThrownBy(() -> report.transition(WindowReport.State.CLOSING)).isInstanceOf(AssertionError.class);
     }
 
     @Test
-    void aWindowWhoseSealingIsUnknownIsClosedAndSealedAnew() {
-        report.transition(WindowReport.Stage.SEALING);
-        report.transition(WindowReport.Stage.CLOSING);
-        report.transition(WindowReport.Stage.SEALING);
+    void windowWithUnknownSealingOutcomeMayBeSealedAgain() {
+        report.transition(WindowReport.State.SEALING);
+        report.transition(WindowReport.State.CLOSING);
+        report.transition(WindowReport.State.SEALING);
         assertThat(report.sealed()).isNull();
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
@@ -41,7 +41,7 @@
         final ConfigurationChange c = MessageCodec.decodeRecord(value, ConfigurationChange.class);
         final long changes = version & (1L << VoterSet.GENERATION_SHIFT) - 1;
         return MessageCodec.encodeRecord(new ConfigurationChange(
-                c.changeId(), c.kind(), c.json(), SimulatedWorld.EPOCH_MS + changes * HOUR_MS, c.before()));
+                c.changeId(), c.kind(), c.json(), SimulatedWorld.EPOCH_MS + changes * HOUR_MS, c.earlierChanges()));
     }
 
     /** The proof that an asker hears in place of one that can't reach it, or null where the note asks for none. */
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -12,8 +12,8 @@
 import java.util.logging.Logger;
 import spokestall.api.Reply;
 import spokestall.api.ResultCode;
+import spokestall.configuration.change.ChangeDeadlines;
 import spokestall.configuration.change.ChangeDraft;
-import spokestall.configuration.change.ChangePatience;
 import spokestall.consensus.Acceptor;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
@@ -136,7 +136,7 @@
             final ChangeDraft draft,
             final long waitMs,
             final Consumer<Reply> done) {
-        agree(to, changeId, draft, ChangePatience.of(waitMs), done);
+        agree(to, changeId, draft, ChangeDeadlines.of(waitMs), done);
     }
 
     /** Gives an order without a base of its own, which is pursued for longer than its caller waits. */
@@ -144,7 +144,7 @@
             final SimulatedNode to,
             final String changeId,
             final ChangeDraft draft,
-            final ChangePatience patience,
+            final ChangeDeadlines patience,
             final Consumer<Reply> done) {
         to.run(to.incarnation(), () -> to.node().changeCoordinator().submit(changeId, draft, patience, done));
     }
--- a/testbed/src/test/java/spokestall/testbed/simulation/ConcurrentChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/ConcurrentChangesTest.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import spokestall.configuration.change.ChangePatience;
+import spokestall.configuration.change.ChangeDeadlines;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fleet.OperatorFleet;
 
@@ -22,7 +22,7 @@
     private static final long WITHIN_MS = 5000;
 
     private static final RetriedChange.Caller OPERATOR =
-            new RetriedChange.Caller(ChangePatience.of(CALL_MS), RetriedChange.NEVER, calls -> PAUSE_MS * calls);
+            new RetriedChange.Caller(ChangeDeadlines.of(CALL_MS), RetriedChange.NEVER, calls -> PAUSE_MS * calls);
 
     @Test
     void eightAtOnceAreAllAcknowledgedInTimeAndEachOnce() {
--- a/testbed/src/test/java/spokestall/testbed/simulation/FleetSizeChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/FleetSizeChangesTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import spokestall.configuration.change.ChangePatience;
+import spokestall.configuration.change.ChangeDeadlines;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fleet.OperatorFleet;
@@ -23,7 +23,7 @@
     private static final long BETWEEN_MS = 1300;
 
     private static final RetriedChange.Caller OPERATOR =
-            new RetriedChange.Caller(ChangePatience.of(CALL_MS), RetriedChange.NEVER, calls -> PAUSE_MS * calls);
+            new RetriedChange.Caller(ChangeDeadlines.of(CALL_MS), RetriedChange.NEVER, calls -> PAUSE_MS * calls);
 
     private record Waits(long halfMs, long allMs, int calls) {}
 
--- a/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import spokestall.configuration.change.ChangePatience;
+import spokestall.configuration.change.ChangeDeadlines;
 import spokestall.node.ClientConnections;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
@@ -32,7 +32,7 @@
     private static final long RECOVERY_MS = 15_000;
 
     private static final RetriedChange.Caller OPERATOR =
-            new RetriedChange.Caller(ChangePatience.of(CALL_MS), CALL_MS + 50, calls -> PAUSE_MS);
+            new RetriedChange.Caller(ChangeDeadlines.of(CALL_MS), CALL_MS + 50, calls -> PAUSE_MS);
 
     private static Map<String, String> settings() {
         final Map<String, String> settings = new TreeMap<>(OperatorFleet.PLATFORM_SETTINGS);
--- a/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
@@ -10,8 +10,8 @@
 import spokestall.api.ResultCode;
 import spokestall.configuration.ConfigurationChange;
 import spokestall.configuration.change.ChangeCoordinator;
+import spokestall.configuration.change.ChangeDeadlines;
 import spokestall.configuration.change.ChangeDraft;
-import spokestall.configuration.change.ChangePatience;
 import spokestall.testbed.fleet.OperatorFleet;
 
 /**
@@ -34,7 +34,7 @@
      * @param silenceMs after which the caller moves on without a reply, or {@link #NEVER}
      * @param pauseMs the wait before the next call, by the number of calls made
      */
-    record Caller(ChangePatience patience, long silenceMs, LongUnaryOperator pauseMs) {}
+    record Caller(ChangeDeadlines patience, long silenceMs, LongUnaryOperator pauseMs) {}
 
     private final OperatorFleet fleet;
     private final Random random;
--- a/testbed/src/test/java/spokestall/testbed/simulation/SlowNodeChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/SlowNodeChangesTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import spokestall.configuration.change.ChangePatience;
+import spokestall.configuration.change.ChangeDeadlines;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fleet.OperatorFleet;
@@ -20,7 +20,7 @@
     private static final int EDGES = 40;
     private static final int SEEDS = 2;
     private static final int CHANGES = 6;
-    private static final ChangePatience PATIENCE = new ChangePatience(600, 950, 4000);
+    private static final ChangeDeadlines PATIENCE = new ChangeDeadlines(600, 950, 4000);
     /** The caller's patience, less the time that call and reply take on their way. */
     private static final long SILENCE_MS = 900;
 
--- a/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -10,8 +10,8 @@
 import spokestall.api.Reply;
 import spokestall.api.ResultCode;
 import spokestall.configuration.ConfigurationChange;
+import spokestall.configuration.change.ChangeDeadlines;
 import spokestall.configuration.change.ChangeDraft;
-import spokestall.configuration.change.ChangePatience;
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fleet.OperatorFleet;
 
@@ -47,7 +47,9 @@
         final String id = "hold-" + fleet.nowMs() + at.name;
         at.run(
                 at.incarnation(),
-                () -> at.node().changeCoordinator().submitWithoutId(id, hold(begin), ChangePatience.of(WAIT_MS), done));
+                () -> at.node()
+                        .changeCoordinator()
+                        .submitWithoutId(id, hold(begin), ChangeDeadlines.of(WAIT_MS), done));
     }
 
     private static List<SimulatedNode> heldAt(final OperatorFleet fleet) {
