--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationChange.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationChange.java
@@ -4,13 +4,13 @@
 import spokestall.message.SinceVersion;
 
 /**
- * One change to the configuration, as it is proposed, stored and sent. It is encoded by the order of its components.
+ * A change to the configuration, in the form that is proposed, stored and sent. It is encoded in the order of its components.
  *
  * @param changeId the id of the operator's request
- * @param kind what {@code json} is
- * @param json the change, as UTF-8 text
- * @param acceptedMs the fleet's time when it was proposed, in milliseconds; 0 if it wasn't known
- * @param before in the first change of a generation, the changes that committed before it; else empty
+ * @param kind how {@code json} is applied
+ * @param json the change as UTF-8 JSON text
+ * @param acceptedMs the fleet time at which the change was proposed, in milliseconds; 0 if it was unknown
+ * @param earlierChanges in the first change of a generation, the retained changes that committed before it; otherwise empty
  */
 public record ConfigurationChange(
         String changeId,
@@ -20,18 +20,18 @@
         @SinceVersion(4) List<CommittedChange> earlierChanges) {
     /** How a change's JSON is applied. Encoded by ordinal. */
     public enum Kind {
-        /** It replaces the configuration. */
+        /** The JSON replaces the whole configuration. */
         PUT,
-        /** It is a JSON merge patch of the configuration. */
+        /** The JSON is a merge patch of the configuration. */
         PATCH
     }
 
-    /** A change that a program of an older version encoded has no list. */
+    /** Creates a change. A change that was encoded by an older version of the program has no list of earlier changes. */
     public ConfigurationChange {
         earlierChanges = earlierChanges == null ? List.of() : earlierChanges;
     }
 
-    /** Creates a change within a generation. */
+    /** Creates a change that isn't the first of a generation. */
     public ConfigurationChange(final String changeId, final Kind kind, final byte[] json, final long acceptedMs) {
         this(changeId, kind, json, acceptedMs, List.of());
     }
--- a/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/EdgeTracker.java
@@ -13,13 +13,13 @@
 import spokestall.time.Clock;
 import spokestall.time.FleetClock;
 
-/** The edges that send requests to this core, by name. Not thread-safe; all calls on the node's event loop. */
+/** Tracks the edges that send requests to this core, by name. Not thread-safe; call only on the node's event loop. */
 final class EdgeTracker {
     private final PartialView view;
     private final Clock clock;
     private final FleetClock fleetClock;
     private final Map<String, TrackedEdge> edges = new TreeMap<>();
-    /** The name that last used an address. */
+    /** The name of the edge that most recently used each address. */
     private final Map<String, String> nameByAddress = new HashMap<>();
 
     EdgeTracker(final PartialView view, final Clock clock, final FleetClock fleetClock) {
@@ -28,17 +28,21 @@
         this.fleetClock = fleetClock;
     }
 
-    /** Returns all edges by name; a live view. */
+    /** Returns a live, unmodifiable view of all edges by name. */
     Map<String, TrackedEdge> edges() {
         return Collections.unmodifiableMap(edges);
     }
 
-    /** Takes what an edge says of itself in full. */
+    /** Records the edge that sent a full request, which contains the edge's complete node information. */
     void onRequest(final FeedMessage.FeedRequest request) {
         put(new TrackedEdge(request.node(), request.fresh(), request.openRequests(), clock.nowMs()));
     }
 
-    /** Takes a brief request; returns whether its sender is known, here or by gossip, in the same incarnation. */
+    /**
+     * Records the edge that sent a freshness request, which contains only an address and an incarnation.
+     *
+     * @return whether the sender was found with the same incarnation, among the tracked edges or the gossip members
+     */
     boolean onRequest(final FeedMessage.FreshnessRequest request) {
         final NodeInfo known = findSender(request);
         if (known == null) {
@@ -73,13 +77,16 @@
         nameByAddress.put(edge.info().address(), edge.info().name());
     }
 
-    /** Forgets edges that sent no request for this time. */
+    /** Removes edges that have not sent a request for longer than {@code maxAgeMs}. */
     void prune(final long maxAgeMs) {
         edges.values().removeIf(edge -> clock.nowMs() - edge.lastRequestMs() > maxAgeMs);
         nameByAddress.values().retainAll(edges.keySet());
     }
 
-    /** Returns the edges whose last request is within this time, had a valid freshness lease and weren't draining. */
+    /**
+     * Returns the edges that can serve clients: the last request arrived within {@code maxAgeMs}, and reported a valid freshness
+     * lease and an edge that isn't draining.
+     */
     Collection<NodeInfo> serving(final long maxAgeMs) {
         final List<NodeInfo> found = new ArrayList<>();
         for (final TrackedEdge edge : edges.values()) {
@@ -90,7 +97,7 @@
         return found;
     }
 
-    /** Returns a digest of all that clients use of these edges, in their order. */
+    /** Returns an order-dependent digest of the edge fields that feed clients use. */
     static long digest(final Collection<NodeInfo> edges) {
         final StringBuilder all = new StringBuilder();
         for (final NodeInfo edge : edges) {
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedClient.java
@@ -22,24 +22,26 @@
 import spokestall.time.Clock;
 
 /**
- * Follows the numbered changes of the configuration from the version applied here, and keeps this node's
- * {@link FreshnessLease}.
+ * Keeps this node's configuration up to date by fetching the versions after the applied one from the cores, and maintains
+ * this node's {@link FreshnessLease}.
  *
- * <p>Each tick is one round of the lease: it requests the newest version of every core, and of one of them
- * ({@link UpdateSource}) also changes and registry entries. Changes are applied in order only. A version that a majority
- * may have accepted but that no core is known to have applied is read through the proposer, which completes it.
+ * <p>Each tick sends one round of the lease: the client requests the newest version from every core, and from one core
+ * (chosen by {@link UpdateSource}) also changes and registry entries. Changes are applied in version order only. If a
+ * majority may have accepted a version but no core is known to have applied it, the client reads that version's register
+ * through the proposer; the read completes the proposal.
  *
- * <p>Not thread-safe; all calls on the node's event loop.
+ * <p>Not thread-safe; call only on the node's event loop.
  */
 public final class FeedClient {
     /**
-     * The client's timings, from the settings.
+     * The client's timing settings.
      *
-     * @param freshMs the freshness lease's duration
-     * @param openRoundsMax how many unanswered rounds are kept
-     * @param updateTimeoutMs a source that sent no updates for so long is replaced by the next nearest
-     * @param probeInterval every so many ticks updates are requested of a more distant core instead
-     * @param fullRequests whether every request is a {@link FeedMessage.FeedRequest}, for cores that know no other
+     * @param freshMs the duration of the freshness lease, in milliseconds
+     * @param openRoundsMax the maximum number of rounds that are kept while they wait for answers
+     * @param updateTimeoutMs the time without updates, in milliseconds, after which the client switches to the next nearest core
+     * @param probeInterval the number of ticks after which the client requests updates from a more distant core once
+     * @param fullRequests whether every request is a {@link FeedMessage.FeedRequest}, for cores that don't support
+     *     {@link FeedMessage.FreshnessRequest}
      */
     public record Timings(
             long freshMs, int openRoundsMax, long updateTimeoutMs, int probeInterval, boolean fullRequests) {
@@ -48,11 +50,17 @@
         }
     }
 
-    /** What a core last reported of itself: whether it votes, what it applied, and the newest version it accepted. */
+    /**
+     * A core's most recent report about itself.
+     *
+     * @param voting whether the core's acceptor votes
+     * @param appliedVersion the version that the core has applied
+     * @param newestVersion the newest version that the core has accepted or applied
+     */
     public record CoreReport(boolean voting, long appliedVersion, long newestVersion) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** The request id of what belongs to no round. */
+    /** The request id of requests that don't belong to a round of the lease. */
     private static final long NO_ROUND = 0;
 
     private final String address;
@@ -72,7 +80,7 @@
     private long nextRequestId = NO_ROUND + 1;
     private boolean completing;
 
-    /** Creates a client; it sends nothing before its first tick. */
+    /** Creates a client; the client sends no requests before its first tick. */
     public FeedClient(
             final FeedNode node,
             final FeedReplica replica,
@@ -94,14 +102,14 @@
         this.reportedEdges = new ReportedEdges(clock);
     }
 
-    /** Goes on with other timings, after the settings were reloaded. */
+    /** Applies new timings after the settings are reloaded. */
     public void updateTimings(final Timings newer) {
         timings = newer;
         lease.updateTimings(newer.lease());
         updateSource.updateTimings(newer);
     }
 
-    /** Returns the lease that tells whether the configuration here may be acted on. */
+    /** Returns the freshness lease; while it is valid, this node may act on its applied configuration. */
     public FreshnessLease lease() {
         return lease;
     }
@@ -111,18 +119,21 @@
         return lease.isFresh();
     }
 
-    /** Returns what the cores last reported, by name; a live view. */
+    /** Returns a live, unmodifiable view of the most recent report of each core, by core name. */
     public Map<String, CoreReport> coreReports() {
         return Collections.unmodifiableMap(coreReports);
     }
 
-    /** Returns how long ago a core last responded, in milliseconds; {@link Long#MAX_VALUE} if it never did. */
+    /** Returns the time since a core's last response, in milliseconds; {@link Long#MAX_VALUE} if it never responded. */
     public long sinceResponseMs(final String coreName) {
         final Long respondedMs = lastResponseMs.get(coreName);
         return respondedMs == null ? Long.MAX_VALUE : clock.nowMs() - respondedMs;
     }
 
-    /** Returns the address of the nearest core that reported of late that it votes; empty if this node is a voter itself. */
+    /**
+     * Returns the address of the nearest core that reported within the update timeout that it votes. The result is empty if
+     * there is none, if this node knows no voter set, or if this node is itself a voter.
+     */
     public Optional<String> nearestVoter() {
         final VoterSet voterSet = proposer.voterSet();
         if (voterSet == null
@@ -136,12 +147,12 @@
                 .min(Comparator.comparingInt(node::distanceTo));
     }
 
-    /** Returns the edges that a core reported within this time. */
+    /** Returns the edges of the last report if a core sent or confirmed it within {@code maxAgeMs}; otherwise an empty list. */
     public List<NodeInfo> edgesReportedWithin(final long maxAgeMs) {
         return reportedEdges.reportedWithin(maxAgeMs);
     }
 
-    /** Sends one round: requests the newest version of every core, and updates of one of them. */
+    /** Sends one round of the lease: requests the newest version from every core, and updates from one core. */
     public void onTick() {
         final VoterSet voterSet = proposer.voterSet();
         final List<String> cores = voterSet == null
@@ -200,7 +211,7 @@
         sender.send(core, feedRequest(core, NO_ROUND, true));
     }
 
-    /** Fetches from the nearest core that is known to be ahead, if any is. */
+    /** Requests updates from the nearest core that reported a newer applied version than this node's, if there is one. */
     private void fetchFromCoreAhead(final VoterSet voterSet) {
         voterSet.voters().stream()
                 .filter(voter -> {
@@ -213,7 +224,7 @@
                 .ifPresent(this::fetchUpdates);
     }
 
-    /** Receives a core's response or notification; requests are for {@link FeedServer}. */
+    /** Handles a response or notification from a core. {@link FeedServer} handles requests. */
     public void onMessage(final FeedMessage message) {
         if (message instanceof FeedMessage.FeedUpdate update) {
             onUpdate(update);
@@ -224,7 +235,7 @@
         }
     }
 
-    /** What a core notifies of was chosen, so it may be applied before any round confirms it. */
+    /** Handles a notification of a chosen version; a chosen change can be applied before a round confirms it. */
     private void onUpdate(final FeedMessage.FeedUpdate update) {
         if (update.encodedChange() != null && proposer.voterSet() != null) {
             applyChosen(update.version(), update.encodedChange());
@@ -287,10 +298,11 @@
     }
 
     /**
-     * Takes what a core reported of itself.
+     * Processes a core's report: counts it for the lease, then fetches or completes newer versions.
      *
-     * @param sameVoterSet whether it answered out of this node's voter set; else it confirms nothing
-     * @param diskOfVoter whether it answered from the disk that the voter set names
+     * @param sameVoterSet whether the core has the same voter set as this node; a report from another voter set doesn't count
+     *     for the lease
+     * @param diskOfVoter whether the core's disk id is the one that the voter set has for this voter
      */
     private void onCoreReport(
             final String coreName,
@@ -333,7 +345,10 @@
         }
     }
 
-    /** A version was proposed, and no core is known to have seen its end: reads it, which completes it. */
+    /**
+     * Reads the register of the next version if a core has accepted a value for it and no core is known to have applied it. The
+     * read completes the unfinished proposal.
+     */
     private void completeNextVersion(final VoterSet voterSet) {
         if (completing) {
             return;
@@ -354,10 +369,10 @@
     }
 
     /**
-     * Applies a change that this node knows to be chosen, if it is the next one; any other is fetched in its turn. This node
-     * must know a voter set.
+     * Applies a chosen change if it is the next version, or the first version of the voter set's generation. Other versions are
+     * ignored here and fetched in order later. This node must know a voter set.
      *
-     * @param encodedChange the register's value, an encoded {@link ConfigurationChange}
+     * @param encodedChange the register's value: an encoded {@link ConfigurationChange}
      */
     public void applyChosen(final long version, final byte[] encodedChange) {
         final VoterSet voterSet = proposer.voterSet();
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedListener.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedListener.java
@@ -2,11 +2,11 @@
 
 import spokestall.consensus.VoterSet;
 
-/** Receives what a {@link FeedClient} learned. Called on the node's event loop, within the message that brought it. */
+/** Receives events from a {@link FeedClient}, on the node's event loop, while the client handles the triggering message. */
 public interface FeedListener {
-    /** A core answered with a newer voter set than this node's; the listener adopts it before it returns. */
+    /** Called when a core responds with a newer voter set than this node's. The listener must adopt it before returning. */
     void onNewerVoterSet(VoterSet voterSet);
 
-    /** The configuration store moved to a newer version. */
+    /** Called after the configuration store has applied a newer version. */
     void onConfigurationApplied();
 }
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedMessage.java
@@ -11,14 +11,14 @@
 import spokestall.message.SinceVersion;
 
 /**
- * The messages between feed clients (all nodes) and feed servers (cores). They are encoded by the order of their
- * components, so a new component is added last and carries the message version that introduced it.
+ * Messages between feed clients (all nodes) and feed servers (cores). A message is encoded in the order of its record
+ * components, so a new component must be added last, with the message version that introduced it.
  */
 public sealed interface FeedMessage extends Message {
     /**
-     * Requests of a core the newest version that it knows and, if {@code wantsUpdates}, the changes after
-     * {@code appliedVersion} and the registry entries after {@code registryOffset}. It names what the client has already, the
-     * voter set and the list of edges (by its digest), which the response then omits; zero means none.
+     * Requests a core's newest known version and, if {@code wantsUpdates} is set, the changes after {@code appliedVersion} and
+     * the registry entries after {@code registryOffset}. The request also identifies the voter set (by generation and epoch)
+     * and the list of edges (by digest) that the client already has, so that the response can omit them; zero means none.
      */
     record FeedRequest(
             String from,
@@ -35,13 +35,13 @@
             @SinceVersion(3) long edgesDigest)
             implements FeedMessage {}
 
-    /** One change and the version that it made. */
+    /** A change and the version that it created. */
     record VersionedChange(long version, ConfigurationChange change) {}
 
     /**
-     * Answers a {@link FeedRequest}: the newest version that this voter knows, and updates if they were requested. The voter
-     * set is null if the client has it, the snapshot if the changes suffice; {@code registryIncarnation} is zero without
-     * updates.
+     * Answers a {@link FeedRequest} with the newest version that this voter knows and, if requested, with updates. The voter
+     * set is null if the client already has it. The snapshot is null if the changes alone bring the client up to date.
+     * {@code registryIncarnation} is zero in a response without updates.
      */
     record FeedResponse(
             String voterName,
@@ -63,7 +63,7 @@
             @SinceVersion(3) boolean edgesOmitted,
             @SinceVersion(3) long edgesDigest)
             implements FeedMessage {
-        /** Whether the voter answered out of this voter set, be it included or omitted. */
+        /** Returns whether the responder has this voter set; the response may include or omit the voter set itself. */
         boolean answersFor(final VoterSet expected) {
             return expected != null
                     && (voterSet != null
@@ -71,19 +71,19 @@
                             : expected.hasEpoch(generation, epoch));
         }
 
-        /** Whether the response carries the updates that were requested, even if there were none. */
+        /** Returns whether the response answers a request for updates, even if there were no new updates. */
         boolean hasUpdates() {
             return registryIncarnation != 0;
         }
     }
 
     /**
-     * Notifies clients of a committed version, so that they need not wait for their next tick. The encoded change is null if
-     * it is large; clients then fetch it.
+     * Notifies clients of a committed version, so that they don't have to wait for their next tick. The encoded change is null
+     * if it is too large to send to all clients at once; each client then fetches it.
      */
     record FeedUpdate(long version, @SinceVersion(3) byte[] encodedChange) implements FeedMessage {}
 
-    /** Requests the newest version alone. A node that serves clients is identified by its address and incarnation. */
+    /** Requests only the newest version. A core identifies a sender that serves clients by address and incarnation. */
     record FreshnessRequest(
             String from,
             long incarnation,
@@ -97,9 +97,9 @@
             implements FeedMessage {}
 
     /**
-     * Answers a {@link FreshnessRequest}: the newest version known to this voter, its disk (by fingerprint), its voter set,
-     * and by how many versions the voter's own configuration lags. A client that the core doesn't know is to introduce
-     * itself with a {@link FeedRequest}.
+     * Answers a {@link FreshnessRequest} with the newest version known to this voter, the fingerprint of the voter's disk id, the
+     * generation and epoch of its voter set, and the number of versions by which its own configuration lags. If
+     * {@code clientUnknown} is set, the client must identify itself with a {@link FeedRequest}.
      */
     record FreshnessResponse(
             String voterName,
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedNode.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedNode.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import spokestall.gossip.NodeInfo;
 
-/** The node that a {@link FeedClient} runs in, as it describes itself to cores. Called on the node's event loop. */
+/** The node that a {@link FeedClient} runs on. Called on the node's event loop. */
 public interface FeedNode {
-    /** Returns this node's present information; its address never changes. */
+    /** Returns this node's current information. The address must not change. */
     NodeInfo info();
 
     /** Returns how many client requests this node has in flight. */
     int openRequests();
 
-    /** Returns the addresses of cores known otherwise, for requests while this node knows no voter set. */
+    /** Returns the addresses of the cores to send requests to while this node doesn't know a voter set. */
     List<String> coreAddresses();
 
-    /** Returns how far away an address is, 0 being this node; updates are requested of the nearest core. */
+    /** Returns the distance to an address, 0 for this node itself. The client prefers the nearest core for updates. */
     int distanceTo(String address);
 }
--- a/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FeedServer.java
@@ -23,17 +23,17 @@
 import spokestall.time.FleetClock;
 
 /**
- * Answers feed clients out of this core's state, and tracks the edges that send requests.
+ * Answers feed clients from this core's state, and tracks the edges that send requests.
  *
- * <p>A node without an acceptor has a server too, for {@link #announce} alone: a change may be proposed on any node.
+ * <p>A node without an acceptor also has a server, but only for {@link #announce}, because any node can propose a change.
  *
- * <p>Not thread-safe; all calls on the node's event loop.
+ * <p>Not thread-safe; call only on the node's event loop.
  */
 public final class FeedServer {
     /**
-     * What the server answers from.
+     * The state that the server answers from.
      *
-     * @param acceptor this core's acceptor, or null on a node without a disk, which receives no requests
+     * @param acceptor this core's acceptor; null on a node without a disk, which must not receive requests
      */
     public record Sources(
             ConfigurationStore configurationStore,
@@ -41,18 +41,18 @@
             PartialView view,
             Acceptor acceptor) {}
 
-    /** The settings that the server uses, read anew each time since they can be reloaded. */
+    /** The server's settings. The server reads them on each use, because they can be reloaded. */
     public interface Options {
-        /** Returns the version of messages that all nodes of the fleet can read. */
+        /** Returns the message version that all nodes of the fleet can read. */
         long messageVersion();
 
-        /** Returns for how long an edge counts as serving after its last request, in milliseconds. */
+        /** Returns the time after an edge's last request, in milliseconds, during which the edge counts as serving. */
         long edgeTimeoutMs();
     }
 
-    /** A larger change is fetched by each client, not announced to all at once. */
+    /** The size limit of a change in an announcement. Clients fetch larger changes individually. */
     private static final int ANNOUNCED_BYTES_MAX = 16 << 10;
-    /** The version of messages since which a response may omit what the client has. */
+    /** The first message version in which a response may omit data that the client already has. */
     private static final int OMISSIONS_MIN_MESSAGE_VERSION = 3;
 
     private final String name;
@@ -64,7 +64,7 @@
     private final Options options;
     private final EdgeTracker edgeTracker;
 
-    /** Creates the server of the core with this name. */
+    /** Creates the server of the node with this name. */
     public FeedServer(
             final String name,
             final Sources sources,
@@ -82,28 +82,28 @@
         this.edgeTracker = new EdgeTracker(sources.view(), clock, fleetClock);
     }
 
-    /** Returns the edges that send requests to this core, by name; a live view. */
+    /** Returns a live, unmodifiable view of the edges that send requests to this core, by name. */
     public Map<String, TrackedEdge> edges() {
         return edgeTracker.edges();
     }
 
-    /** Returns the edges that sent requests lately and may serve, in the order of their names. */
+    /** Returns the edges that can serve clients and sent a request within the edge timeout, ordered by name. */
     public Collection<NodeInfo> servingEdges() {
         return edgeTracker.serving(options.edgeTimeoutMs());
     }
 
-    /** Returns an edge's incarnation as of its last request, or null if it sends none. */
+    /** Returns the incarnation in an edge's last request, or null if the edge isn't tracked here. */
     public Long incarnationOf(final String edgeName) {
         final TrackedEdge edge = edges().get(edgeName);
         return edge == null ? null : edge.info().incarnation();
     }
 
-    /** Forgets edges that sent no request for this time. */
+    /** Removes edges that have not sent a request for longer than {@code maxAgeMs}. */
     public void pruneEdges(final long maxAgeMs) {
         edgeTracker.prune(maxAgeMs);
     }
 
-    /** Notifies every node known here, once each, that a version was chosen. */
+    /** Notifies every node that this node knows, once each, of a chosen version. */
     public void announce(final long version) {
         final Set<String> addresses = new TreeSet<>();
         view.members().forEach(member -> addresses.add(member.address()));
@@ -116,7 +116,7 @@
         addresses.forEach(address -> sender.send(address, update));
     }
 
-    /** Receives a client's request; responses and updates are for {@link FeedClient}. */
+    /** Handles a client's request. {@link FeedClient} handles responses and notifications. */
     public void onMessage(final FeedMessage message) {
         if (message instanceof FeedMessage.FeedRequest request) {
             onFeedRequest(request);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Answers with the newest version and, if the client wants them, with updates. */
+    /** Answers with the newest version and, if the client requested them, with updates. */
     private void onFeedRequest(final FeedMessage.FeedRequest request) {
         if (request.node().servesClients()) {
             edgeTracker.onRequest(request);
@@ -161,7 +161,7 @@
                         edgesDigest));
     }
 
-    /** What a client misses of the configuration and the registry. */
+    /** The configuration changes and registry entries that a client doesn't have yet. */
     private record Updates(
             List<FeedMessage.VersionedChange> changes,
             ConfigurationSnapshot snapshot,
@@ -192,7 +192,7 @@
                 endpointRegistry.observationsAfter(registryOffset));
     }
 
-    /** Answers with the newest version alone; a client with an older voter set is sent this core's. */
+    /** Answers with only the newest version, or with this core's voter set if the client's is older. */
     private void onFreshnessRequest(final FeedMessage.FreshnessRequest request) {
         final VoterSet voterSet = acceptor.voterSet();
         final boolean clientUnknown = request.servesClients() && !edgeTracker.onRequest(request);
@@ -241,7 +241,7 @@
         return acceptor.state() == Acceptor.State.VOTING;
     }
 
-    /** Whether this core votes and has applied its generation's first version. */
+    /** Returns whether this core votes and has applied the first version of its voter set's generation. */
     private boolean isCaughtUp() {
         return isVoting() && acceptor.voterSet().firstNumber() <= appliedVersion();
     }
@@ -250,12 +250,12 @@
         return configurationStore.configuration().version();
     }
 
-    /** The version that clients may fetch here, 0 before this core has caught up. */
+    /** Returns the version that clients can fetch from this core; 0 until this core has caught up. */
     private long servedVersion() {
         return isCaughtUp() ? appliedVersion() : 0;
     }
 
-    /** The newest version that this core knows of, accepted by its voter or applied. */
+    /** Returns the newest version that this core has applied or, if it votes, that its acceptor has accepted. */
     private long newestVersion() {
         return isVoting()
                 ? Math.max(appliedVersion(), ConfigurationKeys.newestAccepted(acceptor.registers()))
--- a/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/FreshnessLease.java
@@ -8,37 +8,41 @@
 import spokestall.time.Clock;
 
 /**
- * The freshness lease (a read index): until when this node may treat the configuration that it has applied as the newest.
+ * A lease during which this node may treat its applied configuration as the newest. It is renewed by read-index rounds.
  *
- * <p>A round requests of every voter the newest version that it accepted. The round confirms the configuration once a
- * majority of one voter set answered that round and the newest version among the answers is applied here. The lease then
- * runs from when the round was <em>sent</em>, never from when it was answered, since a version may have been committed
- * between the two.
+ * <p>A round requests from every voter the newest version that the voter has accepted. The round confirms the configuration
+ * once a majority of one voter set has answered that round and the newest version among the answers is applied here. The
+ * lease starts when the round is <em>sent</em>, not when it is answered, because another version may be committed in between.
  *
- * <p>Not thread-safe; all calls on the node's event loop. At most {@link Timings#openRoundsMax} rounds and
+ * <p>Not thread-safe; call only on the node's event loop. At most {@link Timings#openRoundsMax} rounds and
  * {@value #WAITERS_MAX} waiters are kept.
  */
 public final class FreshnessLease {
-    /** The lease's duration in milliseconds, and how many unanswered rounds are kept. */
+    /**
+     * The lease's settings.
+     *
+     * @param leaseMs the duration of the lease, in milliseconds
+     * @param openRoundsMax the maximum number of rounds that are kept while they wait for answers
+     */
     record Timings(long leaseMs, int openRoundsMax) {}
 
-    /** Receives the one result of {@link #awaitConfirmation}. */
+    /** Receives the result of {@link #awaitConfirmation}, exactly once. */
     public interface ConfirmationCallback {
         /**
          * Receives the result.
          *
-         * @param confirmed whether a round sent after the call confirmed the configuration in time
+         * @param confirmed whether a round that was sent after the call confirmed the configuration before the deadline
          */
         void onResult(boolean confirmed);
     }
 
-    /** Sends one more round of requests to the voters. */
+    /** Sends rounds of requests to the voters. */
     interface RoundSender {
-        /** Sends a round; it calls {@link FreshnessLease#onRoundSent}. */
+        /** Sends a round and calls {@link FreshnessLease#onRoundSent} for it. */
         void sendRound();
     }
 
-    /** The answers to one round. */
+    /** A round and the answers that have arrived for it. */
     private static final class Round {
         private final long sentMs;
         private final VoterSet voterSet;
@@ -55,7 +59,7 @@
                     && readIndex() <= appliedVersion;
         }
 
-        /** The version that must be applied before a read is current. */
+        /** Returns the newest version among the answers; this node must have applied it for a read to be up to date. */
         private long readIndex() {
             return newestVersionByVoter.values().stream()
                     .mapToLong(Long::longValue)
@@ -67,7 +71,7 @@
     private record Waiter(long requestedMs, long deadlineMs, ConfirmationCallback callback) {}
 
     private static final int WAITERS_MAX = 256;
-    /** A waiter's round is repeated so many times within one lease duration. */
+    /** The number of times per lease duration at which rounds are repeated for a waiter. */
     private static final int ROUNDS_PER_LEASE = 6;
 
     private final Clock clock;
@@ -75,7 +79,7 @@
     private Timings timings;
     private final TreeMap<Long, Round> rounds = new TreeMap<>();
     private final ArrayDeque<Waiter> waiters = new ArrayDeque<>();
-    /** When the newest confirmed round was sent; far in the past before the first. */
+    /** The time at which the newest confirmed round was sent; far in the past until a round is confirmed. */
     private long confirmedMs = Long.MIN_VALUE / 2;
 
     FreshnessLease(final Clock clock, final Timings timings, final RoundSender sender) {
@@ -88,22 +92,22 @@
         timings = newer;
     }
 
-    /** Returns how long ago the newest confirmed round was sent, in milliseconds. */
+    /** Returns the time since the newest confirmed round was sent, in milliseconds. */
     public long ageMs() {
         return clock.nowMs() - confirmedMs;
     }
 
-    /** Returns whether the lease is valid: the configuration here may be acted on. */
+    /** Returns whether the lease is valid, so that this node may act on its applied configuration. */
     public boolean isFresh() {
         return ageMs() <= timings.leaseMs();
     }
 
-    /** Returns when the lease expires, on this node's monotonic clock. */
+    /** Returns the time at which the lease expires, on this node's monotonic clock. */
     public long expiresMs() {
         return confirmedMs + timings.leaseMs();
     }
 
-    /** Begins a round; the oldest ones are abandoned beyond the bound. */
+    /** Starts tracking a round; the oldest rounds are dropped beyond {@link Timings#openRoundsMax}. */
     void onRoundSent(final long requestId, final VoterSet voterSet) {
         rounds.put(requestId, new Round(clock.nowMs(), voterSet));
         while (rounds.size() > timings.openRoundsMax()) {
@@ -111,7 +115,7 @@
         }
     }
 
-    /** Counts a voter's answer to a round of the same voter set; an unknown round is ignored. */
+    /** Counts a voter's answer to a round of the same voter set. Answers to unknown rounds are ignored. */
     void onAnswer(final long requestId, final VoterSet voterSet, final String voterName, final long newestVersion) {
         final Round round = rounds.get(requestId);
         if (round != null && round.voterSet == voterSet) {
@@ -119,7 +123,10 @@
         }
     }
 
-    /** Renews the lease by the newest round that confirms the applied version, and notifies whom that satisfies. */
+    /**
+     * Renews the lease from the newest round that confirms the applied version, and notifies the waiters that were added no later
+     * than that round was sent.
+     */
     void renew(final VoterSet voterSet, final long appliedVersion) {
         for (final Round round : rounds.descendingMap().values()) {
             if (round.confirms(voterSet, appliedVersion)) {
@@ -134,11 +141,11 @@
     }
 
     /**
-     * Waits for a confirmation whose round is sent from now on. A confirmation that arrives past the deadline counts as none:
-     * after a pause of the process, answers from before it are delivered first and its timers only then.
+     * Waits for a confirmation by a round that is sent from now on. A confirmation after the deadline is reported as failed:
+     * after a process pause, answers that arrived before the pause are delivered first and the timers run only after them.
      *
-     * @param timeoutMillis how long to wait; the result is negative at once if it isn't positive or too many wait already
-     * @param callback receives the result once, possibly within this call
+     * @param timeoutMillis the time to wait; if it isn't positive, or if there are too many waiters, the wait fails immediately
+     * @param callback receives the result once, possibly during this call
      */
     public void awaitConfirmation(final long timeoutMillis, final ConfirmationCallback callback) {
         if (timeoutMillis <= 0 || waiters.size() >= WAITERS_MAX) {
@@ -156,7 +163,10 @@
         sender.sendRound();
     }
 
-    /** Requests may be lost, and a proposal that began elsewhere must end before its version can be confirmed. */
+    /**
+     * Sends further rounds until the wait ends. Messages can be lost, and if an accepted version isn't committed yet, rounds
+     * confirm nothing until its proposal ends.
+     */
     private void repeatRound(final Waiter waiter, final long remainingMs) {
         final long intervalMs = Math.max(1, timings.leaseMs() / ROUNDS_PER_LEASE);
         if (remainingMs > intervalMs) {
--- a/spokestall/src/main/java/spokestall/configuration/feed/ReportedEdges.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/ReportedEdges.java
@@ -4,7 +4,10 @@
 import spokestall.gossip.NodeInfo;
 import spokestall.time.Clock;
 
-/** The edges that a core last reported, with the digest that lets the next response omit them. Not thread-safe. */
+/**
+ * The edges in the last report of a core, with their digest. The client sends the digest in its requests, so that a response can
+ * omit an unchanged list. Not thread-safe.
+ */
 final class ReportedEdges {
     private final Clock clock;
     private List<NodeInfo> edges = List.of();
@@ -19,7 +22,7 @@
         return digest;
     }
 
-    /** Takes the edges of a response; one that omits them confirms those here if its digest is the same. */
+    /** Stores the edges of a response. A response that omits them confirms the stored edges if its digest matches. */
     void onResponse(final FeedMessage.FeedResponse response) {
         if (!response.edgesOmitted()) {
             edges = response.edges();
@@ -30,7 +33,7 @@
         reportedMs = clock.nowMs();
     }
 
-    /** Returns the edges if they were reported within this time, else none. */
+    /** Returns the edges if they were reported or confirmed within {@code maxAgeMs}; otherwise an empty list. */
     List<NodeInfo> reportedWithin(final long maxAgeMs) {
         return clock.nowMs() - reportedMs <= maxAgeMs ? edges : List.of();
     }
--- a/spokestall/src/main/java/spokestall/configuration/feed/UpdateSource.java
+++ b/spokestall/src/main/java/spokestall/configuration/feed/UpdateSource.java
@@ -6,26 +6,26 @@
 import spokestall.time.Clock;
 
 /**
- * Which core a {@link FeedClient} fetches updates from, and whether a request for them is in flight. The nearest core
- * serves until it sends no updates for a while; now and then a more distant one is used, so that groups of near nodes don't
- * depend on each other alone. Not thread-safe; all calls on the node's event loop.
+ * Selects the core from which a {@link FeedClient} fetches updates, and tracks whether an update request is in flight. The
+ * nearest core is used until it sends no updates for the update timeout. Periodically a more distant core is used, so that
+ * nearby nodes don't get updates only from each other. Not thread-safe; call only on the node's event loop.
  */
 final class UpdateSource {
-    /** After so many probes of distant cores the nearest one is tried again. */
+    /** The number of probes of more distant cores after which the client returns to the nearest core. */
     private static final int PROBES_UNTIL_NEAREST = 8;
-    /** A request counts as in flight for this part of the time after which the source is changed. */
+    /** A request counts as in flight for the update timeout divided by this number. */
     private static final int IN_FLIGHT_DIVISOR = 3;
 
     private final String ownAddress;
     private final FeedNode node;
     private final Clock clock;
     private FeedClient.Timings timings;
-    /** The present source's index in the order of distance. */
+    /** The current source's index in the list of cores sorted by distance. */
     private int distanceIndex = -1;
 
     private int picks;
     private long lastUpdatesMs = Long.MIN_VALUE / 2;
-    /** The core whose updates are awaited, or null. */
+    /** The address of the core that was sent an update request and has not answered it yet; otherwise null. */
     private String pendingSource;
 
     private long pendingSinceMs;
@@ -41,7 +41,7 @@
         timings = newer;
     }
 
-    /** Picks the core to request updates of in this tick; this node itself only if it is the one core. */
+    /** Picks the core to request updates from in this tick. This node itself is picked only if it is the only core. */
     String pick(final List<String> cores) {
         final List<String> others = new ArrayList<>(cores);
         others.remove(ownAddress);
@@ -62,30 +62,30 @@
         return others.get((distanceIndex + probeOffset) % others.size());
     }
 
-    /** Updates were requested of a core; those of any other are no longer awaited. */
+    /** Records an update request to a core, which replaces any other request in flight. */
     void onRequested(final String core) {
         pendingSource = core;
         pendingSinceMs = clock.nowMs();
     }
 
-    /** Updates were requested of a core by a tick, which doesn't displace a request in flight. */
+    /** Records an update request sent by a tick, unless another request is in flight. */
     void onTickRequested(final String core) {
         if (pendingSource == null) {
             onRequested(core);
         }
     }
 
-    /** Updates arrived from any core. */
+    /** Records that updates arrived from any core. */
     void onUpdates() {
         lastUpdatesMs = clock.nowMs();
     }
 
     /**
-     * A response arrived.
+     * Records a response.
      *
-     * @param core the responder's address, or null if it is no voter
-     * @param hasUpdates whether it carried updates
-     * @return whether it ended the request in flight
+     * @param core the responder's address, or null if the responder is not a voter
+     * @param hasUpdates whether the response has updates
+     * @return whether the response completes the request in flight
      */
     boolean onResponse(final String core, final boolean hasUpdates) {
         final boolean answered = pendingSource != null && (hasUpdates || pendingSource.equals(core));
@@ -95,7 +95,10 @@
         return answered;
     }
 
-    /** Returns whether a request was sent a moment ago, so that the same updates aren't fetched from each core. */
+    /**
+     * Returns whether an update request was sent too recently to send another, so that the client doesn't fetch the same updates
+     * from several cores.
+     */
     boolean isInFlight() {
         return pendingSource != null && clock.nowMs() - pendingSinceMs < timings.updateTimeoutMs() / IN_FLIGHT_DIVISOR;
     }
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -19,7 +19,7 @@
 import spokestall.message.Message;
 import spokestall.time.ManualClock;
 
-/** Which core a feed client fetches updates from, and which answers confirm its lease, as seen by the cores. */
+/** Tests from which core a feed client fetches updates, and which answers confirm its lease. */
 class FeedClientTest {
     private record Sent(String to, Message message) {}
 
@@ -53,7 +53,7 @@
                 new IgnoringListener());
     }
 
-    /** An edge to which core a is the nearest and core e the farthest. */
+    /** An edge whose nearest core is "a" and whose most distant core is "e". */
     private final class Edge implements FeedNode {
         @Override
         public NodeInfo info() {
@@ -92,7 +92,7 @@
         return new ConfigurationSnapshot(version, "{}".getBytes(StandardCharsets.UTF_8), List.of());
     }
 
-    /** Ticks once and returns what was sent. */
+    /** Ticks the client once and returns the messages that it sent. */
     private List<Sent> tick() {
         sent.clear();
         client.onTick();
@@ -143,7 +143,7 @@
                 0));
     }
 
-    /** After a pause of the process, answers from before the pause are delivered first and timers only then. */
+    /** After a process pause, answers that arrived before the pause are delivered first; timers run only after them. */
     @Test
     void confirmationAfterTheDeadlineIsReportedAsFailed() {
         clock.ignoreTimers();
@@ -172,13 +172,13 @@
             answer(core, requestId(first), BASE + 2);
         }
         assertThat(updateRequestTargets(sent))
-                .as("the nearest was asked already, its response is in flight")
+                .as("the request to the nearest core is still in flight")
                 .isEmpty();
         answerWithUpdates("a", requestId(first), BASE + 2, snapshot(BASE + 2));
         assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
         assertThat(updateRequestTargets(sent)).isEmpty();
         assertThat(client.lease().ageMs())
-                .as("confirmed by the round of the tick")
+                .as("the round of the tick confirmed the lease")
                 .isEqualTo(20);
     }
 
--- a/spokestall/src/test/java/spokestall/configuration/feed/FreshnessLeaseTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FreshnessLeaseTest.java
@@ -45,7 +45,7 @@
         assertThat(lease.isFresh()).isFalse();
         sendRound();
         answer(1, "a", APPLIED);
-        assertThat(lease.isFresh()).as("one of three is no majority").isFalse();
+        assertThat(lease.isFresh()).as("one of three voters is not a majority").isFalse();
     }
 
     @Test
@@ -102,7 +102,7 @@
         lease.onAnswer(1, VOTER_SET, "b", APPLIED);
         lease.renew(later, APPLIED);
         assertThat(lease.isFresh())
-                .as("the round was sent to the former voters")
+                .as("the round was sent to the previous voter set")
                 .isFalse();
     }
 
@@ -144,7 +144,7 @@
         answer(2, "c", APPLIED);
         assertThat(results).containsExactly(true);
         advance(2000);
-        assertThat(results).as("the time-out follows the result").containsExactly(true);
+        assertThat(results).as("the timeout after the result has no effect").containsExactly(true);
     }
 
     @Test
