--- a/spokestall/src/main/java/spokestall/configuration/change/CallerReply.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/CallerReply.java
@@ -5,10 +5,10 @@
 import spokestall.api.Reply;
 
 /**
- * The one reply to the caller of a change: its result, or before that a notice that it is still in progress. What comes second is
- * dropped.
+ * Sends exactly one reply to the caller of a change: either its result or an earlier notice that it is still in progress. Later
+ * replies are dropped.
  *
- * <p>Not thread-safe; all calls on the node's event loop.
+ * <p>Not thread-safe; call only on the node's event loop.
  */
 final class CallerReply {
     private final String changeId;
@@ -22,7 +22,7 @@
         this.callback = callback;
     }
 
-    /** Gives the reply, unless one was given. */
+    /** Sends a reply unless one has already been sent. */
     void send(final ChangeResult result) {
         if (!sent) {
             sent = true;
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeAttempt.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeAttempt.java
@@ -4,23 +4,23 @@
 import spokestall.configuration.ConfigurationChange;
 
 /**
- * One request to change the configuration, from its arrival until its result.
+ * A request to change the configuration, from its arrival to its result.
  *
- * <p>Not thread-safe; all calls on the node's event loop. The result is delivered exactly once.
+ * <p>Not thread-safe; call only on the node's event loop. The result is delivered exactly once.
  */
 final class ChangeAttempt {
-    /** What an attempt waits for. */
+    /** The progress of an attempt. */
     enum State {
-        /** For nothing yet; the request has just arrived. */
+        /** The request has arrived and processing has not started. */
         RECEIVED,
-        /** For a confirmation, sent after the request arrived, that the configuration applied here is the newest. */
+        /** Waits for confirmation that this node has applied the newest version, by a round sent after the request arrived. */
         CONFIRMING,
-        /** For the end of the proposal of the next version. */
+        /** Waits for the outcome of proposing the change as the next version. */
         PROPOSING,
-        /** For nothing any more; the result is delivered. */
+        /** The result has been delivered. */
         COMPLETED;
 
-        /** Returns whether a state may follow; a superseded proposal is followed by another or by a confirmation. */
+        /** Returns whether this state may change to {@code next}. A superseded attempt proposes or confirms again. */
         private boolean mayBecome(final State next) {
             return switch (this) {
                 case RECEIVED -> next == CONFIRMING;
@@ -31,18 +31,18 @@
         }
     }
 
-    /** Receives the one result of an attempt. */
+    /** Receives the result of an attempt, exactly once. */
     @FunctionalInterface
     interface Callback {
-        /** Receives the result; the attempt is completed. */
+        /** Receives the result, after the attempt has become {@link State#COMPLETED}. */
         void onResult(ChangeAttempt attempt, ChangeResult result);
     }
 
-    /** One proposal of an attempt; the attempt makes another one after a different change committed as this version. */
+    /** A proposal of an attempt. If a different change commits as this version, the attempt may make another proposal. */
     record Proposal(ChangeAttempt attempt, long version, ConfigurationChange change) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** What {@link #confirmedAfterMs} returns before the first confirmation. */
+    /** The value of {@link #confirmedAfterMs} before the first confirmation. */
     private static final long NOT_CONFIRMED = -1;
 
     private final String changeId;
@@ -55,7 +55,7 @@
     private int proposals;
     private boolean mayBeCommitted;
 
-    /** Creates an attempt whose times are on this node's monotonic clock. */
+    /** Creates an attempt; its times are on this node's monotonic clock. */
     ChangeAttempt(
             final String changeId,
             final ChangeDraft draft,
@@ -81,22 +81,22 @@
         return deadlineMs - nowMs;
     }
 
-    /** Returns how long ago the request arrived, in milliseconds. */
+    /** Returns the time since the request arrived, in milliseconds. */
     long waitedMs(final long nowMs) {
         return nowMs - receivedMs;
     }
 
-    /** Returns how long after its arrival the first confirmation came, in milliseconds; -1 if none did. */
+    /** Returns the time from the request's arrival to the first confirmation, in milliseconds; -1 before it. */
     long confirmedAfterMs() {
         return confirmedAfterMs;
     }
 
-    /** Returns how many proposals were made. */
+    /** Returns the number of proposals made so far. */
     int proposals() {
         return proposals;
     }
 
-    /** The configuration applied here was confirmed to be the newest. */
+    /** Records a confirmation that this node has applied the newest version; only the first one counts. */
     void onConfirmed(final long nowMs) {
         if (confirmedAfterMs == NOT_CONFIRMED) {
             confirmedAfterMs = waitedMs(nowMs);
@@ -107,24 +107,24 @@
         return state;
     }
 
-    /** Waits for a confirmation, on arrival or after a proposal was superseded. */
+    /** Starts waiting for a confirmation: on arrival, or after a proposal that did not commit the change. */
     void confirm() {
         transitionTo(State.CONFIRMING);
     }
 
-    /** Begins a proposal. */
+    /** Starts a proposal. */
     Proposal propose(final long version, final ConfigurationChange change) {
         transitionTo(State.PROPOSING);
         proposals++;
         return new Proposal(this, version, change);
     }
 
-    /** A proposal ended without a known outcome: its value may have been committed, or may yet be. */
+    /** Records that a proposal ended with an unknown outcome: its value may already be committed, or may commit later. */
     void onUndecidedProposal() {
         mayBeCommitted = true;
     }
 
-    /** Returns the result of an attempt whose time is over. */
+    /** Returns the result to deliver when the attempt reaches its deadline. */
     ChangeResult timeoutResult() {
         return mayBeCommitted ? new ChangeResult.Undecided() : new ChangeResult.NotReady();
     }
@@ -137,7 +137,8 @@
 
     private void transitionTo(final State next) {
         if (!state.mayBecome(next)) {
-            throw new IllegalStateException("change " + changeId + " went from " + state + " to " + next);
+            throw new IllegalStateException(
+                    "change " + changeId + ": invalid state transition from " + state + " to " + next);
         }
         LOG.atFine().log("event=change_attempt changeId=%s from=%s to=%s", changeId, state, next);
         state = next;
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -22,41 +22,49 @@
 import spokestall.time.Clock;
 
 /**
- * Makes operators' requests into committed changes: each is drafted on the newest version, validated as a whole, and proposed
- * as the one next version.
+ * Turns operators' requests into committed changes: each request is drafted on top of the newest version, validated as a whole,
+ * and proposed as the next version.
  *
- * <p>A request is judged only by a configuration that was confirmed to be the newest after the request arrived: it is never
- * called stale, invalid, missing or done because this node lags behind. When another change commits first, the request is
- * drafted anew on top of it until it commits, no longer applies, or its time is over. A request whose change id committed
- * lately is acknowledged with that version, not applied again.
+ * <p>The coordinator evaluates a request only against a configuration that was confirmed to be the newest after the request
+ * arrived. It therefore never answers that a request is stale, invalid, not found or already done because this node lags
+ * behind. If another change commits first, the coordinator drafts the request again on top of that version, until the request
+ * commits, no longer applies, or reaches its deadline. A request whose change id is among the retained committed changes is
+ * acknowledged with the version that it created and not applied again.
  *
- * <p>Not thread-safe; all calls and callbacks on the node's event loop. Each callback receives one reply.
+ * <p>Not thread-safe; all calls and callbacks are on the node's event loop. Each callback receives exactly one reply.
  */
 public final class ChangeCoordinator {
-    /** The bounds of a change. */
+    /**
+     * The limits of a change.
+     *
+     * @param proposalTimeoutMs the maximum duration of one proposal, in milliseconds
+     * @param configurationBytesMax the maximum size of the resulting configuration as JSON, in bytes
+     */
     public record Limits(long proposalTimeoutMs, int configurationBytesMax) {}
 
     /**
-     * What the coordinator proposes with.
+     * The replicated state that the coordinator reads and changes.
      *
-     * @param feedClient confirms which version is the newest, and applies those that commit here
+     * @param configurationStore the applied configuration and the retained change ids
+     * @param proposer proposes versions
+     * @param feedClient confirms that the applied version is the newest, and applies versions that this node commits
      */
     public record Replication(ConfigurationStore configurationStore, Proposer proposer, FeedClient feedClient) {}
 
-    /** What the coordinator needs of its node, and tells it. */
+    /** The node that the coordinator runs on. */
     public interface Host {
-        /** Returns the node's name, for logs. */
+        /** Returns the node's name for log events. */
         String name();
 
-        /** Returns the fleet's time that the next change is stamped with, or 0 while it isn't known. */
+        /** Returns the fleet time to record in the next change, in milliseconds; 0 while it is unknown. */
         long fleetMs();
 
-        /** A version was chosen by a proposal of this node, and is applied here if it was the next. */
+        /** Called when a proposal of this node learns that a version is chosen. It is applied here if it is the next one. */
         void onCommitted(long version);
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** While more changes than this are in progress, a change is given up with its call. */
+    /** The number of pending changes from which a new change is abandoned as soon as its caller must be answered. */
     private static final int PENDING_CHANGES_MAX = 64;
 
     private final Host host;
@@ -66,12 +74,12 @@
     private final ConfigurationFormat format;
     private final Clock clock;
     private final Limits limits;
-    /** The proposals whose end still matters, in the order in which they began. */
+    /** The proposals whose outcome their attempts still wait for, in start order. */
     private final List<ChangeAttempt.Proposal> proposals = new ArrayList<>();
 
     private int pendingChanges;
 
-    /** Creates a coordinator without attempts. */
+    /** Creates a coordinator with no pending changes. */
     public ChangeCoordinator(
             final Host host,
             final Replication replication,
@@ -87,7 +95,7 @@
         this.limits = limits;
     }
 
-    /** Submits a change that was made against one version and is stale on top of any other. */
+    /** Submits a change that applies only to version {@code baseVersion}; on top of any other version it is stale. */
     public void submitAgainst(
             final long baseVersion, final String changeId, final ChangeDraft draft, final Consumer<Reply> callback) {
         submit(
@@ -97,7 +105,7 @@
                 callback);
     }
 
-    /** Submits a change under the id that the operator gave it; submitted again, it is acknowledged again. */
+    /** Submits a change with the operator's change id. Repeating a committed request acknowledges it again. */
     public void submit(
             final String changeId,
             final ChangeDraft draft,
@@ -139,11 +147,11 @@
     }
 
     /**
-     * Submits a change that came without an id, so that its repetition can't be distinguished from a new request. While a request
-     * waited at a node that was paused or partitioned, it may have been repeated elsewhere and undone since; so only a node
-     * whose freshness lease is valid on arrival takes it.
+     * Submits a change without an operator's change id, whose repetition can't be distinguished from a new request. If the request
+     * was delayed at a paused or partitioned node, the operator may have repeated it elsewhere and undone it since. Therefore
+     * only a node whose freshness lease is valid accepts the request; any other answers that it is not ready.
      *
-     * @param changeId a new id that no other request has
+     * @param changeId a newly generated id that no other request has
      */
     public void submitWithoutId(
             final String changeId,
@@ -157,14 +165,18 @@
         }
     }
 
-    /** Returns the address of the voter at which a reply to a submitted change asks its caller to request the same again, if any. */
+    /** Returns the address of the voter to which a reply redirects the caller to repeat the change, if any. */
     public static Optional<String> redirectOf(final Reply reply) {
         return Optional.ofNullable(reply.fields())
                 .map(fields -> fields.get(ChangeResult.VOTER_FIELD))
                 .map(JsonNode::asText);
     }
 
-    /** Reads the newest configuration, confirmed after the call; empty if it can't be confirmed in time. */
+    /**
+     * Reads the newest configuration, confirmed by a round sent after the call.
+     *
+     * @param callback receives the configuration, or empty if it can't be confirmed before the timeout
+     */
     public void readNewest(final long timeoutMillis, final Consumer<Optional<Configuration>> callback) {
         feedClient
                 .lease()
@@ -177,8 +189,8 @@
     }
 
     /**
-     * The configuration store moved: a proposal for a version that is applied here need not wait for its own end. Called
-     * as an event of its own, after the change that moved it was dealt with.
+     * Completes or retries the attempts whose proposed version the configuration store has applied, without waiting for the
+     * outcome of their own proposals. Must be called as a separate event, after the event that applied the version.
      */
     public void onConfigurationApplied() {
         final long applied = appliedVersion();
@@ -233,8 +245,9 @@
     }
 
     /**
-     * Another change committed first. What still applies on top of it is proposed at once, since that commits only if
-     * nothing newer exists; any other end is judged by a confirmed version, never by the one that the attempt lost against.
+     * Handles another change committing first. If the attempt still applies on top of that change, it is proposed immediately,
+     * because the proposal commits only if no newer version exists. Any other result requires a confirmed version: the version
+     * that superseded the attempt may not be the newest.
      */
     private void onSuperseded(final ChangeAttempt attempt) {
         final long remainingMs = attempt.remainingMs(clock.nowMs());
@@ -272,7 +285,10 @@
         return errors;
     }
 
-    /** A merge patch enlarges the configuration by no more than its own size, so all is encoded only near the bound. */
+    /**
+     * Returns whether the configuration exceeds the size limit after the change. A merge patch enlarges the configuration by at
+     * most its own size, so the whole configuration is encoded only if this upper bound exceeds the limit.
+     */
     private boolean isTooLarge(final ConfigurationChange change, final JsonNode after) {
         final long before =
                 change.kind() == ConfigurationChange.Kind.PUT ? 0 : configurationStore.sizeUpperBoundBytes();
@@ -292,7 +308,10 @@
                 outcome -> onOutcome(proposal, outcome));
     }
 
-    /** Writes the next version if its register is empty, and completes the write of this same change. */
+    /**
+     * Sets the register of the next version if it is empty, or completes an earlier write of the same change. Otherwise leaves the
+     * register unchanged.
+     */
     private RegisterEdit edit(final ChangeAttempt.Proposal proposal, final byte[] encoded, final byte[] currentValue) {
         if (currentValue == null) {
             return proposal.version() == appliedVersion() + 1 ? new RegisterEdit.Set(encoded) : RegisterEdit.LEAVE;
@@ -300,7 +319,7 @@
         return isSameChange(currentValue, proposal) ? new RegisterEdit.Set(currentValue) : RegisterEdit.LEAVE;
     }
 
-    /** A chosen value is applied and announced even if the attempt learned its result another way before. */
+    /** Applies and announces a chosen value, even if the attempt already learned its result in another way. */
     private void onOutcome(final ChangeAttempt.Proposal proposal, final ProposalOutcome outcome) {
         final byte[] chosen = outcome instanceof ProposalOutcome.Committed done ? done.value() : null;
         if (chosen != null) {
@@ -325,7 +344,7 @@
         }
     }
 
-    /** Goes on with a change whose proposal ran out of its time before the change did. */
+    /** Continues an attempt whose proposal timed out before the attempt's deadline. */
     private void confirmAgain(final ChangeAttempt attempt) {
         final long remainingMs = attempt.remainingMs(clock.nowMs());
         if (remainingMs > 0) {
@@ -349,7 +368,7 @@
                 .equals(proposal.change().changeId());
     }
 
-    /** Whether this node knows the voters and has applied their generation's first version. */
+    /** Returns whether this node knows the voter set and has applied the first version of its generation. */
     private boolean isOfCurrentGeneration() {
         return proposer.voterSet() != null
                 && appliedVersion() >= proposer.voterSet().firstNumber();
@@ -363,7 +382,7 @@
         try {
             return ConfigurationStore.JSON.writeValueAsBytes(json);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("a JSON tree can't be encoded", e);
+            throw new IllegalStateException("failed to encode a JSON tree", e);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeDeadlines.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeDeadlines.java
@@ -1,35 +1,35 @@
 package spokestall.configuration.change;
 
 /**
- * How long a change is pursued, and when its caller is answered meanwhile; in milliseconds after its arrival.
+ * The deadlines of a change, in milliseconds after its arrival: when its caller is answered, and when the change is abandoned.
  *
- * <p>A change that takes longer than its caller waits is pursued all the same: its caller asks again, here or elsewhere, and
- * finds it committed. If each node gave it up with the call, a slow node would only hinder the next one, whose proposal is
- * outranked by what the first left behind.
+ * <p>The coordinator keeps proposing a change that takes longer than its caller waits; the caller repeats the request, on this
+ * node or another, and finds the change committed. If each node abandoned the change with the call, a slow node would only
+ * obstruct the next one, because the next node's proposal would be outranked by the slow node's unfinished proposal.
  *
- * @param redirectMillis when the caller is sent to a voter, if this node isn't one
- * @param answerMillis when the caller is answered at the latest, not before it is redirected
- * @param pursueMillis until when the change is proposed, not less than that
+ * @param redirectAfterMillis when the caller is redirected to a voter, if this node isn't one
+ * @param replyAfterMillis when the caller is answered at the latest; at least {@code redirectAfterMillis}
+ * @param abandonAfterMillis when the coordinator stops proposing the change; at least {@code replyAfterMillis}
  */
 public record ChangeDeadlines(long redirectAfterMillis, long replyAfterMillis, long abandonAfterMillis) {
     /**
-     * Checks the order of the three.
+     * Creates the deadlines.
      *
-     * @throws IllegalArgumentException if one is less than the one before it
+     * @throws IllegalArgumentException if the deadlines are not in ascending order
      */
     public ChangeDeadlines {
         if (redirectAfterMillis > replyAfterMillis || replyAfterMillis > abandonAfterMillis) {
-            throw new IllegalArgumentException("expected redirect <= answer <= pursue, found " + redirectAfterMillis
+            throw new IllegalArgumentException("expected redirect <= reply <= abandon, found " + redirectAfterMillis
                     + ", " + replyAfterMillis + ", " + abandonAfterMillis);
         }
     }
 
-    /** Returns the patience of a change that is given up with its call. */
+    /** Returns the deadlines of a change that is abandoned when its call times out. */
     public static ChangeDeadlines of(final long timeoutMillis) {
         return new ChangeDeadlines(timeoutMillis, timeoutMillis, timeoutMillis);
     }
 
-    /** Whether the caller may be answered while the change is still pursued. */
+    /** Returns whether the caller may be answered before the change is abandoned. */
     boolean mayReplyEarly() {
         return redirectAfterMillis < abandonAfterMillis;
     }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeDraft.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeDraft.java
@@ -4,38 +4,38 @@
 import spokestall.configuration.ConfigurationChange;
 
 /**
- * An operator's request to change the configuration, before it is a change to a particular version: it is drafted anew on
- * top of each version that committed first, for as long as it still applies there.
+ * An operator's request to change the configuration, independent of a particular version. If another change commits first, the
+ * request is drafted again on top of the new version, as long as it still applies there.
  */
 @FunctionalInterface
 public interface ChangeDraft {
-    /** What a draft comes to on top of one version. */
+    /** The result of drafting a request on top of a version. */
     sealed interface Drafted {
-        /** This change is to be proposed. */
+        /** The request results in a change to propose. */
         record Write(ConfigurationChange.Kind kind, JsonNode json) implements Drafted {}
 
-        /** The version is as requested already; nothing is proposed. */
+        /** The version already is as requested; nothing is proposed. */
         record Unchanged() implements Drafted {}
 
-        /** The request was made against a version other than this one. */
+        /** The request applies only to a different version. */
         record StaleBase() implements Drafted {}
 
-        /** The request names something that the version doesn't have. */
+        /** The request refers to an object that doesn't exist in the version. */
         record NotFound() implements Drafted {}
 
         /**
-         * The request itself is wrong, or doesn't go together with this version.
+         * The request is invalid, or conflicts with this version.
          *
-         * @param pointer the JSON pointer of what is wrong
-         * @param reason why it is wrong
+         * @param pointer the JSON pointer of the invalid element
+         * @param reason why the element is invalid
          */
         record Rejected(String pointer, String reason) implements Drafted {}
     }
 
     /**
-     * Drafts the change on top of a version. It may be called many times and must have no effect.
+     * Drafts the change on top of a version. May be called many times and must have no side effects.
      *
-     * @param tree the version's configuration, which must not be modified
+     * @param tree the configuration of the version, which must not be modified
      */
     Drafted draftOn(JsonNode tree);
 }
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeResult.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeResult.java
@@ -8,41 +8,41 @@
 import spokestall.configuration.ConfigurationStore;
 import spokestall.configuration.ConfigurationValidator.ValidationError;
 
-/** How a request to change the configuration ended. */
+/** The result of a request to change the configuration. */
 sealed interface ChangeResult {
-    /** The reply's field with the address of a voter at which the same change is better requested again. */
+    /** The reply field with the address of the voter to which the caller should repeat the request. */
     String VOTER_FIELD = "voter";
 
-    /** The change is committed as this version, or this version is as requested. */
+    /** The change is committed as this version, or this version already is as requested. */
     record Committed(long version) implements ChangeResult {}
 
-    /** The request was made against another version than the newest. */
+    /** The request applies only to a version that isn't the newest. */
     record StaleBase() implements ChangeResult {}
 
-    /** The request names something that the newest version doesn't have. */
+    /** The request refers to an object that doesn't exist in the newest version. */
     record NotFound() implements ChangeResult {}
 
-    /** The configuration would be invalid. */
+    /** The request is invalid, or would make the configuration invalid. */
     record Invalid(List<ValidationError> errors) implements ChangeResult {}
 
-    /** Nothing was proposed that could still be committed: the newest version could not be confirmed in time. */
+    /** No proposal of this request can still commit: the newest version could not be confirmed in time. */
     record NotReady() implements ChangeResult {}
 
-    /** The change may have been committed, or may yet be. */
+    /** The change may already be committed, or may commit later. */
     record Undecided() implements ChangeResult {}
 
     /**
-     * The change is still being made here; the caller may ask again, and at once at this voter, if one is named.
+     * The change is still in progress here. The caller may repeat the request; if a voter is given, immediately and to that voter.
      *
-     * @param voter the address of a core that votes, or empty
+     * @param voter the address of a voting core, or empty
      */
     record Pending(String voter) implements ChangeResult {}
 
     /**
-     * Returns the reply to the operator. Its field names are part of the API.
+     * Returns the reply to the operator. The field names are part of the API.
      *
-     * @param changeId the request's id
-     * @param currentVersion the version applied here, which any reply but that of a commit names
+     * @param changeId the id of the request
+     * @param currentVersion the version applied here; every reply except that of a committed change contains it
      */
     default Reply toReply(final String changeId, final long currentVersion) {
         final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
--- a/spokestall/src/main/java/spokestall/configuration/change/package-info.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/package-info.java
@@ -1,15 +1,15 @@
 /**
- * How a request to change the configuration becomes the next version.
+ * Commits operators' requests to change the configuration as new versions.
  *
- * <p>Owns: the requests under way and their proposals ({@link spokestall.configuration.change.ChangeCoordinator}), and the
- * form in which callers express a change ({@link spokestall.configuration.change.ChangeDraft}) and how long they wait for it
+ * <p>Owns: pending requests and their proposals ({@link spokestall.configuration.change.ChangeCoordinator}), the form in which
+ * callers express a change ({@link spokestall.configuration.change.ChangeDraft}), and a change's deadlines
  * ({@link spokestall.configuration.change.ChangeDeadlines}).
  *
- * <p>Invariants: a change is validated as a whole before it is proposed. A version is one write-once register, so a number
- * denotes one change. A request is judged only by a configuration confirmed to be the newest after the request arrived. A
- * change id that committed lately is acknowledged again, not applied twice. Each request receives one reply,
- * perhaps before the change has ended.
+ * <p>Invariants: a change is validated as a whole before it is proposed. Each version is one write-once register, so a version
+ * number identifies one change. A request is evaluated only against a configuration that was confirmed to be the newest after
+ * the request arrived. A request whose change id is among the retained committed changes is acknowledged again, not applied
+ * twice. Each request receives one reply, possibly before the change ends.
  *
- * <p>Callers: operators' calls ({@code spokestall.node} and the platform module). Everything runs on the node's event loop.
+ * <p>Callers: operators' calls ({@code spokestall.node} and the platform module). All code runs on the node's event loop.
  */
 package spokestall.configuration.change;
--- a/spokestall/src/test/java/spokestall/configuration/change/CallerReplyTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/CallerReplyTest.java
@@ -12,11 +12,11 @@
 class CallerReplyTest {
     @Test
     void onlyTheFirstReplyIsSent() {
-        final List<Reply> given = new ArrayList<>();
-        final CallerReply reply = new CallerReply("chg-1", () -> 17, given::add);
+        final List<Reply> sent = new ArrayList<>();
+        final CallerReply reply = new CallerReply("chg-1", () -> 17, sent::add);
         reply.send(new ChangeResult.Pending(""));
         reply.send(new ChangeResult.Committed(18));
-        assertThat(given).extracting(Reply::result).containsExactly(ResultCode.UNDECIDED);
+        assertThat(sent).extracting(Reply::result).containsExactly(ResultCode.UNDECIDED);
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
@@ -8,7 +8,7 @@
 import spokestall.api.ResultCode;
 import spokestall.configuration.ConfigurationValidator.ValidationError;
 
-/** The replies are part of the API: their codes, field names and order. */
+/** Tests the replies' result codes, field names and field order, which are part of the API. */
 class ChangeResultTest {
     private static void assertReply(final ChangeResult result, final ResultCode code, final String fields) {
         final Reply reply = result.toReply("chg-1", 17);
