--- a/spokestall/src/main/java/spokestall/usage/CoreAddresses.java
+++ b/spokestall/src/main/java/spokestall/usage/CoreAddresses.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** The addresses of the cores that keep counts, as this node knows them now. */
+/** Supplies the addresses of the cores that store usage counts. */
 @FunctionalInterface
 public interface CoreAddresses {
-    /** The present addresses; empty while none is known. */
+    /** Returns the addresses that this node currently knows; empty if it knows none. */
     List<String> current();
 }
--- a/spokestall/src/main/java/spokestall/usage/CounterLimits.java
+++ b/spokestall/src/main/java/spokestall/usage/CounterLimits.java
@@ -1,14 +1,16 @@
 package spokestall.usage;
 
 /**
- * Spans and sizes of an edge's counts.
+ * The limits of a {@link UsageCounter}. Times are in milliseconds.
  *
- * @param windowMs the span of a window
- * @param closeMs how long after its end an edge closes a window
- * @param windowsKept how many past windows are kept
- * @param uncountedMaxMs how long a started request may be without a majority of the cores before no more may start; 0 for no bound
- * @param cores how many cores the settings name; the majority is of these, or of the known ones if those are more
- * @param resendMs how long after a push it is sent again to the cores that have not acknowledged it
+ * @param windowMs the length of a window
+ * @param closeMs the delay after the end of a window before the edge closes it
+ * @param windowsKept the number of past windows that are kept
+ * @param uncountedMaxMs the time for which a started request may lack acknowledgements from a majority of the cores before the
+ *     edge stops starting requests; 0 for no limit
+ * @param cores the number of cores in the settings; a majority is computed from this number, or from the number of known cores
+ *     if that is larger
+ * @param resendMs the time after which a push is sent again to the cores that have not acknowledged it
  */
 public record CounterLimits(
         long windowMs, long closeMs, int windowsKept, long uncountedMaxMs, int cores, long resendMs) {}
--- a/spokestall/src/main/java/spokestall/usage/CurrentIncarnations.java
+++ b/spokestall/src/main/java/spokestall/usage/CurrentIncarnations.java
@@ -1,8 +1,8 @@
 package spokestall.usage;
 
-/** Which incarnation of each edge is present. */
+/** Looks up the current incarnation of an edge. */
 @FunctionalInterface
 public interface CurrentIncarnations {
-    /** The edge's present incarnation, or null if none is known. */
+    /** Returns the edge's current incarnation, or null if it is unknown. */
     Long of(String edge);
 }
--- a/spokestall/src/main/java/spokestall/usage/EdgeIdentity.java
+++ b/spokestall/src/main/java/spokestall/usage/EdgeIdentity.java
@@ -1,10 +1,10 @@
 package spokestall.usage;
 
 /**
- * One incarnation of an edge, as its counts name it.
+ * The identity of an edge that its counts are sent under.
  *
  * @param name the edge's name
- * @param address where cores send acknowledgements to
- * @param incarnation of the edge's process
+ * @param address the address to which cores send acknowledgements
+ * @param incarnation the incarnation of the edge's process
  */
 public record EdgeIdentity(String name, String address, long incarnation) {}
--- a/spokestall/src/main/java/spokestall/usage/IncarnationKey.java
+++ b/spokestall/src/main/java/spokestall/usage/IncarnationKey.java
@@ -1,6 +1,6 @@
 package spokestall.usage;
 
-/** An edge's name and incarnation as one key: {@code name#incarnation}, the latter in hexadecimal. */
+/** Combines an edge's name and incarnation into one key: {@code name#incarnation}, with the incarnation in hexadecimal. */
 final class IncarnationKey {
     private static final char SEPARATOR = '#';
     private static final int RADIX = 16;
--- a/spokestall/src/main/java/spokestall/usage/PendingPush.java
+++ b/spokestall/src/main/java/spokestall/usage/PendingPush.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * A push of counts that a majority of the cores has not acknowledged yet. It names the counts; their values are read anew each
- * time it is sent, since they only grow. Not thread-safe.
+ * A push of counts that a majority of the cores has not acknowledged yet. It stores only which counts to push; their values are
+ * read each time the push is sent, because counts only increase. Not thread-safe.
  */
 final class PendingPush {
     private final Map<Long, Set<String>> tenantsByWindow;
@@ -14,7 +14,7 @@
     private final Set<String> acknowledgedBy = new HashSet<>();
     private long sentMs;
 
-    /** A push of these counts, of which the oldest change was made at {@code oldestMs}. */
+    /** Creates a push of the given tenants' counts by window; their oldest change was made at {@code oldestMs}. */
     PendingPush(final Map<Long, Set<String>> tenantsByWindow, final long oldestMs) {
         this.tenantsByWindow = tenantsByWindow;
         this.oldestMs = oldestMs;
@@ -36,7 +36,7 @@
         sentMs = nowMs;
     }
 
-    /** Notes a core's acknowledgement; false if it had acknowledged already. */
+    /** Records a core's acknowledgement; returns false if the core had already acknowledged the push. */
     boolean onAcknowledged(final String core) {
         return acknowledgedBy.add(core);
     }
@@ -49,7 +49,7 @@
         return acknowledgedBy.size();
     }
 
-    /** Whether it has counts, all of windows before {@code oldestKept}. */
+    /** Returns whether the push has counts and all of them are of windows before {@code oldestKept}. */
     boolean isOutdated(final long oldestKept) {
         return !tenantsByWindow.isEmpty() && tenantsByWindow.keySet().stream().allMatch(w -> w < oldestKept);
     }
--- a/spokestall/src/main/java/spokestall/usage/ReportFloor.java
+++ b/spokestall/src/main/java/spokestall/usage/ReportFloor.java
@@ -1,8 +1,8 @@
 package spokestall.usage;
 
-/** From when on the counts of this generation of the voter set are known to be complete. */
+/** Supplies the time from which the counts of the voter set's current generation are known to be complete. */
 @FunctionalInterface
 public interface ReportFloor {
-    /** In milliseconds of the fleet's time: no window that began before it is reported. */
+    /** Returns that time, in milliseconds of the fleet clock. Windows that began earlier are not reported. */
     long fleetMs();
 }
--- a/spokestall/src/main/java/spokestall/usage/ReportResult.java
+++ b/spokestall/src/main/java/spokestall/usage/ReportResult.java
@@ -1,9 +1,9 @@
 package spokestall.usage;
 
-/** How a report to the platform ended. */
+/** The result of a report to the platform. */
 public enum ReportResult {
-    /** The platform confirmed it. */
+    /** The platform confirmed the report. */
     ACCEPTED,
-    /** It was refused, not sent or not answered in time; it may have arrived, or may yet. */
+    /** The report was rejected, not sent, or not answered in time. The platform may have received it, or may receive it later. */
     UNCONFIRMED
 }
--- a/spokestall/src/main/java/spokestall/usage/ReportSchedule.java
+++ b/spokestall/src/main/java/spokestall/usage/ReportSchedule.java
@@ -1,16 +1,16 @@
 package spokestall.usage;
 
 /**
- * When a window is closed, sealed and sent; spans in milliseconds, counted from the window's end unless said otherwise.
+ * The schedule for closing, sealing and sending a window. Times are in milliseconds.
  *
- * @param windowMs the span of a window
- * @param graceMs how long edges may still push counts before the window is sealed
- * @param closeMaxMs after which it is sealed though an edge has not closed it
- * @param gatherMs how long the cores' answers are waited for, and before the grace ends, when they are first requested
- * @param dueMs by when the report must have arrived at the platform
- * @param storeWaitMs how long a change of the window's register may take
- * @param sendTimeoutMs how long the platform's answer is waited for, if it is not due sooner
- * @param reportsPerSecond the most that are sent
+ * @param windowMs the length of a window
+ * @param graceMs the time after the window's end during which edges may still push counts before the window is sealed
+ * @param closeMaxMs the time after the window's end at which it is sealed even if an edge has not closed it
+ * @param gatherMs the time to wait for the cores' answers; the cores are first asked this long before the grace period ends
+ * @param dueMs the time after the window's end by which the report must have arrived at the platform
+ * @param storeTimeoutMs the timeout of a change to the window's register
+ * @param sendTimeoutMs the timeout of a report's call to the platform, which is shortened if the report is due earlier
+ * @param reportsPerSecond the maximum rate of reports
  */
 public record ReportSchedule(
         long windowMs,
@@ -21,12 +21,12 @@
         long storeTimeoutMs,
         long sendTimeoutMs,
         double reportsPerSecond) {
-    /** When a window ends, on the fleet's time. */
+    /** Returns the end of a window on the fleet clock. */
     long endMs(final long window) {
         return (window + 1) * windowMs;
     }
 
-    /** The least time between two reports. */
+    /** Returns the minimum time between two reports. */
     double sendGapMs() {
         return 1000 / reportsPerSecond;
     }
--- a/spokestall/src/main/java/spokestall/usage/ReportSources.java
+++ b/spokestall/src/main/java/spokestall/usage/ReportSources.java
@@ -1,11 +1,11 @@
 package spokestall.usage;
 
 /**
- * What a {@link UsageReporter} reports from.
+ * The data sources of a {@link UsageReporter}.
  *
- * @param table this core's own counts, into which those of the others are merged
- * @param cores whose counts are requested
- * @param edges tells of which edges an earlier incarnation has ended
- * @param floor from when on windows are reported
+ * @param table this core's counts, into which the counts of the other cores are merged
+ * @param cores the cores from which counts are requested
+ * @param edges the edges' current incarnations, which identify earlier incarnations that have ended
+ * @param floor the time from which windows are reported
  */
 public record ReportSources(UsageTable table, CoreAddresses cores, CurrentIncarnations edges, ReportFloor floor) {}
--- a/spokestall/src/main/java/spokestall/usage/SendDeadline.java
+++ b/spokestall/src/main/java/spokestall/usage/SendDeadline.java
@@ -1,8 +1,8 @@
 package spokestall.usage;
 
-/** Until when a report's bytes may leave this machine; read once the connection is open, on the node's event loop. */
+/** Supplies the time until which a report may be sent. Read on the node's event loop when the connection is open. */
 @FunctionalInterface
 public interface SendDeadline {
-    /** On the monotonic clock, in milliseconds; {@link Long#MIN_VALUE} if they may not leave any more. */
+    /** Returns the deadline in milliseconds of the monotonic clock; {@link Long#MIN_VALUE} if the report must not be sent. */
     long latestMs();
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageCounter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageCounter.java
@@ -12,17 +12,17 @@
 import spokestall.time.FleetClock;
 
 /**
- * An edge's own count of the requests that upstreams began, by window and tenant.
+ * Counts the requests from this edge that upstreams began, by window and tenant, and pushes the counts to the cores.
  *
- * <p>Changed counts are pushed to every core, again to those that have not acknowledged them until a majority has. A window is
- * pushed completely once it is well over, and when a core has restarted without what it had. Counts that a majority does not have
- * may be lost with this edge or arrive too late; so these are bounded by time ({@link #mayStart}): beyond that the edge starts
- * no more requests.
+ * <p>The counter pushes changed counts to every core, and resends them to the cores that have not acknowledged them until a
+ * majority of the cores has. It pushes all counts of a window when it closes the window, and again when a core has restarted
+ * and lost its counts. Counts that a majority of the cores does not have may be lost with this edge or arrive too late.
+ * {@link #mayStart} limits the time for which counts may be in that state; after it, the edge starts no more requests.
  *
- * <p>Not thread-safe; all calls on the node's event loop.
+ * <p>Not thread-safe; call only on the node's event loop.
  */
 public final class UsageCounter {
-    /** Beyond this many, pending pushes are joined into one. */
+    /** The number of pending pushes at which the next push merges all of them into one. */
     private static final int PENDING_MAX = 8;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -65,7 +65,7 @@
         oldestChangeMs = Math.min(oldestChangeMs, clock.nowMs());
     }
 
-    /** Whether one more request may start: no count has been without a majority for longer than the limit. */
+    /** Returns whether another request may start: no count has lacked a majority's acknowledgement for longer than the limit. */
     public boolean mayStart() {
         long oldestMs = oldestChangeMs;
         for (final PendingPush push : pending.values()) {
@@ -74,21 +74,22 @@
         return limits.uncountedMaxMs() == 0 || oldestMs == NEVER || clock.nowMs() - oldestMs <= limits.uncountedMaxMs();
     }
 
-    /** Closes every window and pushes it; nothing more will be counted here. */
+    /** Closes and pushes every window. Must be called after the last request has been counted. */
     public void stop() {
         stopped = true;
         startedByWindow.keySet().forEach(this::markAllChanged);
         push();
     }
 
-    /** Closes windows that are over, and pushes what changed and what was not acknowledged in time. */
+    /** Closes windows that are over, pushes changed counts, and resends pushes that were not acknowledged in time. */
     public void onTick() {
         if (!fleetClock.settled()) {
             return;
         }
         final long current = fleetClock.nowMs() / limits.windowMs();
         discardBefore(current - limits.windowsKept());
-        // Windows without a request are closed too: a core waits for that of each edge that it knows.
+        // Windows without requests must be closed too, because a core waits for each edge that it knows to close a
+        // window.
         startedByWindow.computeIfAbsent(current, w -> new HashMap<>());
         startedByWindow.computeIfAbsent(current - 1, w -> new HashMap<>());
         for (final long window : startedByWindow.keySet()) {
@@ -107,14 +108,14 @@
     }
 
     /**
-     * Notes that a core has the counts of a push.
+     * Records a core's acknowledgement of a push.
      *
-     * @param coreAddress the core's address, as it is among the addresses that are pushed to
+     * @param coreAddress the core's address, in the same form as in the addresses that counts are pushed to
      */
     public void onMessage(final UsageMessage.CountsAcknowledged message, final String coreAddress) {
         final Long before = coreIncarnations.put(message.core(), message.incarnation());
         if (before != null && before != message.incarnation()) {
-            // It restarted, without what it had.
+            // The core restarted and lost its counts.
             startedByWindow.keySet().forEach(this::markAllChanged);
         }
         final PendingPush push = pending.get(message.pushId());
--- a/spokestall/src/main/java/spokestall/usage/UsageMessage.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageMessage.java
@@ -5,52 +5,52 @@
 import spokestall.message.Message;
 import spokestall.message.SinceVersion;
 
-/** The messages by which edges' counts reach the cores, and a core's counts the holder of the lease on the report. */
+/** Messages that send counts from edges to cores, and from cores to the node that holds the usage report lease. */
 public sealed interface UsageMessage extends Message {
     /**
-     * What one edge counted in one window. It only grows until the edge has closed the window.
+     * An edge's counts of one window. The counts only increase until the edge closes the window.
      *
      * @param edge the edge's name
-     * @param incarnation of that edge's process
+     * @param incarnation the incarnation of the edge's process
      * @param window the window's number
-     * @param startedByTenant requests that an upstream began, by tenant
-     * @param closed whether the edge counts nothing more in this window
+     * @param startedByTenant the number of requests that upstreams began, by tenant
+     * @param closed whether the edge has closed the window, so that it counts no more requests in it
      */
     record Count(String edge, long incarnation, long window, Map<String, Long> startedByTenant, boolean closed) {}
 
     /**
-     * An edge's counts, pushed to every core. A core's own table is stored in the same form.
+     * An edge's counts, pushed to every core. Cores also store their own tables in this form.
      *
      * @param sender the edge's address
-     * @param pushId names the push in {@link CountsAcknowledged}
-     * @param counts what changed since the last push
+     * @param pushId identifies the push in {@link CountsAcknowledged}
+     * @param counts the counts that changed since the previous push
      */
     record Counts(String sender, long pushId, List<Count> counts) implements UsageMessage {}
 
     /**
-     * A core's present incarnation has the counts of a push.
+     * Acknowledges that a core's current incarnation has received the counts of a push.
      *
      * @param core the core's name
-     * @param pushId of the push
-     * @param incarnation of the core's process, 0 from programs that did not send it
+     * @param pushId the id of the push
+     * @param incarnation the incarnation of the core's process; 0 from older program versions that don't send it
      */
     record CountsAcknowledged(
             String core, long pushId, @SinceVersion(3) long incarnation) implements UsageMessage {}
 
     /**
-     * Requests from a core all counts that it has of a window.
+     * Requests all counts of a window from a core.
      *
-     * @param sender the address of the lease's holder
+     * @param sender the address of the lease holder
      * @param window the window's number
      */
     record CountsRequest(String sender, long window) implements UsageMessage {}
 
     /**
-     * The reply to {@link CountsRequest}.
+     * Answers a {@link CountsRequest}.
      *
      * @param core the core's name
      * @param window the window's number
-     * @param counts of every incarnation of an edge that the core knows
+     * @param counts the counts of every edge incarnation that the core knows
      */
     record CountsResponse(String core, long window, List<Count> counts) implements UsageMessage {}
 }
--- a/spokestall/src/main/java/spokestall/usage/UsageReportClient.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReportClient.java
@@ -1,16 +1,17 @@
 package spokestall.usage;
 
-/** Sends reports of usage to the platform. */
+/** Sends usage reports to the platform. */
 @FunctionalInterface
 public interface UsageReportClient {
     /**
      * Sends one report.
      *
      * @param holder the node that holds the lease
-     * @param fencingToken of the session under which it is sent, which may be newer than the one that sealed the window
+     * @param fencingToken the fencing token of the current lease session, which may be newer than that of the session that sealed
+     *     the window
      * @param window the sealed counts
-     * @param timeoutMillis how long the answer is waited for
-     * @param deadline checked right before the bytes leave
+     * @param timeoutMillis the time to wait for the platform's answer, in milliseconds
+     * @param deadline the send deadline, checked immediately before the report is sent
      * @param callback receives the result
      */
     void report(
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -17,23 +17,24 @@
 /**
  * Reports each window's usage to the platform while this node holds the lease.
  *
- * <p>Each window passes these stages ({@link WindowReport.Stage}):
+ * <p>The report of each window goes through these states ({@link WindowReport.State}):
  *
  * <ol>
- *   <li>closing: the counts of a majority of the cores are gathered, and every edge has closed the window or the wait for that
- *       is over;
- *   <li>sealing: the counts are written into the window's write-once register. If an earlier holder sealed the window, its counts
- *       are used and this node's are dropped;
- *   <li>sending: what the register holds is sent, never anything else;
- *   <li>recording: that the platform confirmed them is added to the register.
+ *   <li>closing: the reporter gathers the counts of a majority of the cores, and waits until every edge has closed the window or
+ *       the maximum wait is over;
+ *   <li>sealing: the reporter writes the counts into the window's write-once register. If an earlier lease holder has already
+ *       sealed the window, the reporter uses that holder's counts and drops its own;
+ *   <li>sending: the reporter sends the counts in the register, and no others;
+ *   <li>recording: the reporter records in the register that the platform confirmed the counts.
  * </ol>
  *
- * <p>The platform can't be read back, so sending and recording can't be atomic. What holds is: a window that is recorded is not sent
- * again by a later holder; a window may be sent twice, if a holder fails between sending and recording or an answer is lost; all
- * reports of a window carry the same counts. A window that can't arrive before it is due is not sent; its sealed counts stay readable.
+ * <p>The platform has no read call for reports, so sending and recording can't be atomic. The reporter guarantees: a later holder
+ * doesn't resend a window that is recorded as reported, and all reports of a window have the same counts. A window may be sent
+ * twice, if a holder fails between sending and recording or if an answer is lost. A window that can't arrive before it is due is
+ * not sent; its sealed counts remain readable.
  *
- * <p>Each step checks the session before it begins, and again right before bytes leave the machine. Not thread-safe; all calls on
- * the node's event loop.
+ * <p>The reporter checks the lease session before each step, and again immediately before a report is sent. Not thread-safe; call
+ * only on the node's event loop.
  */
 public final class UsageReporter implements LeasedTask {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -55,7 +56,7 @@
     private int callsInFlight;
     private boolean unconfirmedCall;
 
-    /** Creates a reporter, which does nothing until a session starts. */
+    /** Creates a reporter; it is inactive until a lease session starts. */
     public UsageReporter(
             final ReporterContext context,
             final ReportSchedule schedule,
@@ -72,12 +73,12 @@
         this.table = sources.table();
     }
 
-    /** The newest window that this node sealed or found sealed; 0 before the first. */
+    /** Returns the newest window that this node sealed or found already sealed; 0 before the first. */
     public long lastSealed() {
         return lastSealed;
     }
 
-    /** How many windows this node did not send because they were too late. */
+    /** Returns the number of windows that this node did not send because they were overdue. */
     public long missed() {
         return missed;
     }
@@ -94,13 +95,16 @@
                 node, started.sessionId(), started.fencingToken(), nextWindow);
     }
 
-    /** False while a call is in flight or one ended unconfirmed, since that may still be on its way. */
+    /**
+     * Returns false while a call is in flight, and after a call of this session ended unconfirmed, because its request may still
+     * reach the platform.
+     */
     @Override
     public boolean isQuiescent() {
         return callsInFlight == 0 && !unconfirmedCall;
     }
 
-    /** Begins the reports of windows that have ended and takes each report a step further. */
+    /** Starts reports of windows that have ended, and advances each report by one step. */
     public void onTick() {
         if (session == null) {
             return;
@@ -130,7 +134,7 @@
         reports.values().removeIf(report -> report.state() == WindowReport.State.DONE);
     }
 
-    /** Merges what another core has of a window. */
+    /** Merges a core's counts of a window into this core's table. */
     public void onMessage(final UsageMessage.CountsResponse response) {
         response.counts().forEach(table::merge);
         final WindowReport report = reports.get(response.window());
@@ -139,7 +143,10 @@
         }
     }
 
-    /** A window that began before this generation may have been reported with counts that were lost since. */
+    /**
+     * Returns whether a window may be reported. A window that began before this generation's counts are complete may already have
+     * been reported with counts that have been lost since.
+     */
     private boolean isReportable(final long window) {
         return window * schedule.windowMs() >= sources.floor().fleetMs();
     }
@@ -148,10 +155,13 @@
         return fleetClock.nowMs() - schedule.endMs(report.window());
     }
 
-    /** Requests the cores' counts, and seals the window once they have answered and it is closed or the wait is over. */
+    /**
+     * Requests the cores' counts, and seals the window when both conditions hold: all cores have answered, or a majority has and
+     * the gathering time is over; and the window is closed and its grace period is over, or the maximum wait is over.
+     */
     private void gatherAndSeal(final LeaseSession leaseSession, final WindowReport report) {
         final long lateMs = lateMs(report);
-        // Whatever was begun in the window is with a majority by then, or never will be.
+        // By then, either a majority of the cores has the counts of a request in this window, or it never will.
         if (lateMs < schedule.graceMs() - schedule.gatherMs()) {
             return;
         }
@@ -203,7 +213,7 @@
         }
     }
 
-    /** Sends a sealed window, unless half the usual time for the answer would be past its due time. */
+    /** Sends a sealed window, unless less than half of the send timeout is left until it is due. */
     private void sendInTime(final LeaseSession leaseSession, final WindowReport report) {
         final long lateMs = lateMs(report);
         if (lateMs + schedule.sendTimeoutMs() / 2 > schedule.dueMs()) {
--- a/spokestall/src/main/java/spokestall/usage/UsageTable.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageTable.java
@@ -10,11 +10,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * A core's table of requests that upstreams began, by window, incarnation of an edge, and tenant. Merging takes the larger count,
- * so the order and repeats of messages don't matter.
+ * A core's table of the requests that upstreams began, by window, edge incarnation and tenant. A merge takes the larger count, so
+ * reordered and repeated messages have no effect.
  *
- * <p>Bounded: windows far from the present one, and tenants and incarnations beyond a maximum, are not taken. Not thread-safe; all
- * calls on the node's event loop.
+ * <p>The size is limited: counts of windows far from the current one, and counts that exceed the maximum number of tenants or
+ * incarnations, are discarded. Not thread-safe; call only on the node's event loop.
  */
 public final class UsageTable {
     private static final int TENANTS_MAX = 4096;
@@ -23,22 +23,23 @@
     private final int windowsKept;
     private long changeCount;
 
-    // The inner maps' order of iteration reaches messages and the disk, so their kind and the form of their keys stay.
+    // The iteration order of the inner maps determines the order in messages and on disk: keep the map type and key
+    // format.
     private final TreeMap<Long, Map<String, Map<String, Long>>> windows = new TreeMap<>();
     private final TreeMap<Long, Set<String>> closed = new TreeMap<>();
 
     /**
      * Creates an empty table.
      *
-     * @param currentWindow the number of the present window
-     * @param windowsKept how many past windows are kept
+     * @param currentWindow supplies the number of the current window
+     * @param windowsKept the number of past windows that are kept
      */
     public UsageTable(final LongSupplier currentWindow, final int windowsKept) {
         this.currentWindow = currentWindow;
         this.windowsKept = windowsKept;
     }
 
-    /** Merges one edge's counts of a window. */
+    /** Merges an edge's counts of a window. */
     public void merge(final UsageMessage.Count count) {
         final long now = currentWindow.getAsLong();
         changeCount++;
@@ -63,8 +64,8 @@
     }
 
     /**
-     * Whether every incarnation of an edge that counted in this window or the one before has closed it. An incarnation whose edge
-     * is present under another one has ended and is not waited for.
+     * Returns whether every edge incarnation with counts in this window or the previous one has closed this window. An incarnation
+     * is ignored if its edge's current incarnation is a different one, because it has then ended.
      */
     public boolean isClosed(final long window, final CurrentIncarnations edges) {
         final Set<String> open =
@@ -78,7 +79,7 @@
         return open.isEmpty();
     }
 
-    /** A window's totals by tenant, over all edges. */
+    /** Returns a window's totals by tenant over all edges. */
     public Map<String, Long> totals(final long window) {
         final Map<String, Long> totals = new TreeMap<>();
         windows.getOrDefault(window, Map.of())
@@ -87,19 +88,19 @@
         return totals;
     }
 
-    /** The counts of every window, to be stored for this core's next incarnation. */
+    /** Returns the counts of all windows, to be stored for this core's next incarnation. */
     public List<UsageMessage.Count> allCounts() {
         final List<UsageMessage.Count> found = new ArrayList<>();
         windows.keySet().forEach(window -> found.addAll(counts(window)));
         return found;
     }
 
-    /** A number that grows with every merge. */
+    /** Returns the number of calls to {@link #merge}, including those whose counts were discarded. */
     public long changeCount() {
         return changeCount;
     }
 
-    /** The counts of a window, by incarnation of an edge. */
+    /** Returns the counts of a window, one element for each edge incarnation. */
     public List<UsageMessage.Count> counts(final long window) {
         final List<UsageMessage.Count> found = new ArrayList<>();
         windows.getOrDefault(window, Map.of())
--- a/spokestall/src/main/java/spokestall/usage/WindowReport.java
+++ b/spokestall/src/main/java/spokestall/usage/WindowReport.java
@@ -5,30 +5,31 @@
 import java.util.Set;
 
 /**
- * The report of one window under one session: its stage, and which cores gave their counts.
+ * The state of one window's report in one lease session, and the cores that have sent their counts.
  *
- * <p>Not thread-safe; all calls on the node's event loop. Times are milliseconds of the node's monotonic clock.
+ * <p>Not thread-safe; call only on the node's event loop. Times are milliseconds of the node's monotonic clock.
  */
 final class WindowReport {
-    /** How far the report is. */
+    /** The progress of a report. */
     enum State {
-        /** The cores' counts are being requested; edges may still push some. */
+        /** The reporter is requesting the cores' counts; edges may still push counts. */
         CLOSING,
-        /** The change that writes the counts into the window's register is under way. */
+        /** The proposal that writes the counts to the window's register is in progress. */
         SEALING,
-        /** The register holds the counts, and they are not confirmed: they can be sent. */
+        /** The register holds the counts and the platform has not confirmed them: they can be sent. */
         SEALED,
-        /** A call to the platform is under way. */
+        /** A call to the platform is in flight. */
         SENDING,
-        /** The platform confirmed the counts; the change that records this is under way. */
+        /** The platform confirmed the counts; the proposal that records the confirmation is in progress. */
         RECORDING,
-        /** Nothing remains to be done: reported, too late, or not to be reported. */
+        /** The report has ended: the window was reported, is overdue, or must not be reported. */
         DONE;
 
         private Set<State> next() {
             return switch (this) {
                 case CLOSING -> EnumSet.of(SEALING);
-                // Back to closing if it is not known to be sealed: the register decides which counts it holds.
+                // If the outcome of sealing is unknown, the window is sealed again: the register's first value
+                // prevails.
                 case SEALING -> EnumSet.of(SEALED, DONE, CLOSING);
                 case SEALED -> EnumSet.of(SENDING, DONE);
                 case SENDING -> EnumSet.of(RECORDING, SEALED);
@@ -58,17 +59,18 @@
         return state;
     }
 
-    /** The counts as the register holds them; null before {@link State#SEALED}. */
+    /** Returns the counts in the register; null before {@link State#SEALED}. */
     SealedWindow sealed() {
         return sealed;
     }
 
     void transition(final State to) {
-        assert state.next().contains(to) : "window " + window + " from " + state + " to " + to;
+        assert state.next().contains(to)
+                : "window " + window + ": invalid state transition from " + state + " to " + to;
         state = to;
     }
 
-    /** Notes what the register holds: counts that this node or an earlier holder wrote, perhaps confirmed already. */
+    /** Stores the counts in the register, which this node or an earlier holder wrote and which may already be confirmed. */
     void onSealed(final SealedWindow held) {
         sealed = held;
         transition(held.completed() ? State.DONE : State.SEALED);
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -62,7 +62,7 @@
             more.forEach(s -> acknowledge(counter, s, 1));
         }
         assertThat(pushes)
-                .as("20 s are four windows, each closed once to each of four")
+                .as("20 s contain four windows; the closing of each is pushed once to each of four cores")
                 .isBetween(12, 20);
     }
 
@@ -80,7 +80,9 @@
         final List<Sent> again = tick(counter, 60);
         assertThat(again).extracting(Sent::to).containsExactly("c", "d");
         clock.advance(100);
-        assertThat(counter.mayStart()).as("two of four are no majority").isFalse();
+        assertThat(counter.mayStart())
+                .as("two of four cores are not a majority")
+                .isFalse();
         acknowledge(counter, again.get(0), 1);
         assertThat(counter.mayStart()).isTrue();
         assertThat(tick(counter, 200)).isEmpty();
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -48,7 +48,7 @@
         reporter.onSessionStarted(new LeaseSession("s1", "k/1", 7, ms + 20_000, ms + 600_000));
     }
 
-    /** Writes what an earlier holder left in a window's register. */
+    /** Writes counts to a window's register as an earlier lease holder would. */
     private void store(final SealedWindow contents) {
         context.proposer("w")
                 .propose(
@@ -70,7 +70,7 @@
         }
     }
 
-    /** A holder that starts late sends what is due at once, and waits for the answer no longer than until the window is due. */
+    /** A new lease holder sends earlier windows that are not yet overdue. The call timeout ends no later than the window is due. */
     @Test
     void newHolderSendsEarlierWindowsThatAreNotYetOverdue() {
         startSessionAt(49_200);
@@ -89,7 +89,7 @@
         assertThat(reporter.missed()).isEqualTo(1);
     }
 
-    /** A call that is in flight, or ended unconfirmed, may still arrive. */
+    /** The platform may still receive a call that is in flight or ended unconfirmed. */
     @Test
     void reporterIsQuiescentOnlyAfterEachCallIsConfirmed() {
         startSessionAt(41_000);
@@ -103,13 +103,13 @@
         assertThat(calls).hasSizeGreaterThan(1);
         calls.stream().skip(1).forEach(c -> c.callback.onResult(ReportResult.ACCEPTED));
         assertThat(reporter.isQuiescent())
-                .as("the first may still be on its way")
+                .as("the platform may still receive the first call")
                 .isFalse();
         reporter.onSessionStarted(new LeaseSession("e2", "k/2", 8, 60_000, 600_000));
         assertThat(reporter.isQuiescent()).isTrue();
     }
 
-    /** Whoever sends a window sends what its register holds, whatever this core's own table has. */
+    /** A lease holder sends the counts in the window's register, even if its own table differs. */
     @Test
     void windowSealedByAnEarlierHolderIsSentWithItsSealedCounts() {
         context.run(40_500);
@@ -149,6 +149,8 @@
         tickUntil(42_800);
         reporter.onSessionStarted(new LeaseSession("s2", "k/2", 8, 60_000, 600_000));
         tickUntil(44_000);
-        assertThat(callsOf(7)).as("a later session finds it recorded").hasSize(2);
+        assertThat(callsOf(7))
+                .as("a later session finds the window recorded as reported")
+                .hasSize(2);
     }
 }
