--- a/spokestall/src/main/java/spokestall/configuration/CommittedChanges.java
+++ b/spokestall/src/main/java/spokestall/configuration/CommittedChanges.java
@@ -6,35 +6,34 @@
 import java.util.Map;
 
 /**
- * The changes that committed lately, by id, so that a request which is repeated is acknowledged again instead of applied
- * again.
+ * The most recently committed changes by id. They let a node acknowledge a repeated request again instead of applying it twice.
  *
- * <p>It is a function of the committed changes alone, their times included, so all nodes at a version know the same ones. A
- * change is retained for {@link #RETENTION_MS} after it committed, longer while fewer than {@link #RETAINED_MIN} followed it,
- * and at most until {@link #RETAINED_MAX} did.
+ * <p>Retention depends only on the committed changes, including their times, so all nodes at the same version retain the same
+ * changes. A change is retained for {@link #RETENTION_MS} after it commits, longer if fewer than {@link #RETAINED_MIN} changes
+ * follow it, and no longer than until {@link #RETAINED_MAX} changes follow it.
  *
- * <p>Not thread-safe; all calls on the node's event loop.
+ * <p>Not thread-safe; call only on the node's event loop.
  */
 final class CommittedChanges {
-    /** For how long an operator may repeat a request, by the times in the changes. */
+    /** The time for which an operator may repeat a request, measured by the times in the changes. */
     static final long RETENTION_MS = 600_000;
-    /** So many are retained however old they are. */
+    /** The number of changes that are retained regardless of their age. */
     static final int RETAINED_MIN = 512;
-    /** No more are retained, so that memory, disks and snapshots stay bounded. */
+    /** The maximum number of retained changes, which limits memory, disk space and snapshot size. */
     static final int RETAINED_MAX = 2048;
 
-    /** In the order in which they committed. */
+    /** The retained changes by id, in commit order. */
     private final Map<String, CommittedChange> changes = new LinkedHashMap<>();
 
     private long newestMs;
 
-    /** Returns the version that a change made, or null if it isn't known. */
+    /** Returns the version that a change created, or null if the change isn't retained. */
     Long versionOf(final String changeId) {
         final CommittedChange found = changes.get(changeId);
         return found == null ? null : found.version();
     }
 
-    /** Adds the newest change; one without a time, or an earlier one, counts as made at the time of the one before. */
+    /** Adds the newest change. A change without a time, or with an earlier one, gets the time of the previous change. */
     void add(final String changeId, final long version, final long acceptedMs) {
         newestMs = Math.max(newestMs, acceptedMs);
         changes.remove(changeId);
@@ -53,14 +52,14 @@
         }
     }
 
-    /** Replaces all changes by those of a snapshot or of a former generation, given in the order in which they committed. */
+    /** Replaces all changes with those of a snapshot or of an earlier generation, which must be in commit order. */
     void replaceAll(final List<CommittedChange> others) {
         changes.clear();
         newestMs = 0;
         others.forEach(other -> add(other.changeId(), other.version(), other.acceptedMs()));
     }
 
-    /** Returns a copy of all that are known, the oldest first. */
+    /** Returns a copy of all retained changes, oldest first. */
     List<CommittedChange> all() {
         return List.copyOf(changes.values());
     }
--- a/spokestall/src/main/java/spokestall/configuration/Configuration.java
+++ b/spokestall/src/main/java/spokestall/configuration/Configuration.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One version of the configuration, indexed for use. Immutable, but for its collections, which must not be modified. */
+/** A version of the configuration, indexed for lookup. Immutable; callers must not modify the returned collections. */
 public final class Configuration {
     /**
-     * What a request's host, path and key resolve to.
+     * The tenant and route that a request resolves to by its host, path and key.
      *
-     * @param tenant the tenant of the key, or null if there was no key or no tenant has it
-     * @param route the route, or null if none matches
+     * @param tenant the tenant of the key, or null if the request has no key or no tenant has this key
+     * @param route the route, or null if no route matches
      */
     public record Resolution(Tenant tenant, Route route) {
-        /** Returns whether the request needs a tenant's key and has none. */
+        /** Returns whether the request needs a tenant's key but doesn't have a valid one. */
         public boolean keyMissing() {
             return tenant == null && (route == null || !route.anonymous());
         }
     }
 
-    /** The host of routes for any host. */
+    /** The host of routes that match any host. */
     private static final String ANY_HOST = "";
 
     private final long version;
@@ -36,7 +36,7 @@
     /**
      * Creates a version.
      *
-     * @param tree the configuration as operators wrote it
+     * @param tree the configuration in the operators' format
      * @param tenants the tenants, with their own routes
      * @param routes the routes shared by all tenants
      * @param services the services' limits by name
@@ -68,25 +68,26 @@
         }
     }
 
-    /** Returns the version's number; 0 before the first. */
+    /** Returns the version number; 0 before the first version. */
     public long version() {
         return version;
     }
 
-    /** Returns the configuration as operators wrote it. */
+    /** Returns the configuration in the operators' format. */
     public JsonNode tree() {
         return tree;
     }
 
-    /** Returns the tenant that a key belongs to by its hash, or null. */
+    /** Returns the tenant of the key with this hash, or null if there is none. */
     public Tenant tenantOf(final String keyHash) {
         return tenantByKeyHash.get(keyHash);
     }
 
     /**
-     * Resolves a request: to the tenant's own route, else to a shared one of its host, else to a shared one of any host.
+     * Resolves a request to its tenant and route. The tenant's own routes take precedence over the shared routes of the host, and
+     * these over the shared routes for any host.
      *
-     * @param keyHash the hash of the request's key, or null if it has none
+     * @param keyHash the hash of the request's key, or null if the request has no key
      */
     public Resolution resolve(final String host, final String path, final String keyHash) {
         final Tenant tenant = keyHash == null ? null : tenantByKeyHash.get(keyHash);
@@ -125,7 +126,7 @@
         return limits;
     }
 
-    /** Returns the zones that are evacuated: no request is served in them. */
+    /** Returns the zones that are evacuated; no requests are served in them. */
     public Set<String> drainedZones() {
         return drainedZones;
     }
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationFormat.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationFormat.java
@@ -4,24 +4,25 @@
 import java.util.List;
 
 /**
- * The format of a configuration: what operators send and nodes store. Its meaning is {@link Configuration}.
+ * A JSON format of configurations, in which operators send them and nodes store them. {@link #read} converts a configuration in
+ * this format to a {@link Configuration}.
  *
- * <p>Implementations have no state and may be called on any thread.
+ * <p>Implementations are stateless and thread-safe.
  */
 public interface ConfigurationFormat {
     /**
      * Validates a configuration.
      *
      * @param tree the whole configuration
-     * @param valid a configuration that was found valid; nodes that both trees share need not be validated again by themselves
-     * @return all errors, empty if there is none; the caller may add to the list
+     * @param valid a configuration that was validated before; nodes that both trees share need not be validated again on their own
+     * @return all errors, empty if the configuration is valid; the caller may add to the list
      */
     List<ConfigurationValidator.ValidationError> check(JsonNode tree, JsonNode valid);
 
     /**
      * Reads a valid configuration.
      *
-     * @param previous the version before, whose objects may be reused where nothing changed; or null
+     * @param previous the previous version, whose objects may be reused for unchanged parts, or null
      */
     Configuration read(long version, JsonNode tree, Configuration previous);
 }
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationSnapshot.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationSnapshot.java
@@ -6,27 +6,27 @@
 import spokestall.message.SinceVersion;
 
 /**
- * A complete version to start from, with the changes that committed lately. It is encoded by the order of its components.
+ * A complete version of the configuration, with the retained committed changes. It is encoded in the order of its components.
  *
- * @param version the version
- * @param json the configuration, as UTF-8 text
- * @param changeIds the versions of some of the changes by their ids, for programs of older versions
- * @param committedChanges the changes that committed lately, the oldest first
+ * @param version the version number
+ * @param json the configuration as UTF-8 JSON text
+ * @param changeIds the versions of the newest retained changes by change id, for older program versions
+ * @param committedChanges the retained committed changes, oldest first
  */
 public record ConfigurationSnapshot(
         long version,
         byte[] json,
         Map<String, Long> changeIds,
         @SinceVersion(4) List<CommittedChange> committedChanges) {
-    /** So many ids programs of older versions retain. */
+    /** The number of change ids that older program versions retain. */
     private static final int OLDER_IDS_MAX = 512;
 
-    /** A snapshot that a program of an older version encoded has ids alone. */
+    /** Creates a snapshot. A snapshot that was encoded by an older program version has only {@code changeIds}. */
     public ConfigurationSnapshot {
         committedChanges = committedChanges == null ? withoutTimes(changeIds) : committedChanges;
     }
 
-    /** Creates a snapshot for programs of any version. */
+    /** Creates a snapshot that all program versions can read. */
     public ConfigurationSnapshot(final long version, final byte[] json, final List<CommittedChange> committedChanges) {
         this(version, json, newestIds(committedChanges), committedChanges);
     }
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationStore.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationStore.java
@@ -9,16 +9,16 @@
 import java.util.TreeMap;
 
 /**
- * The configuration that a node has applied, with the newest changes for feed clients.
+ * Stores the configuration that a node has applied, and retains the newest changes for feed clients.
  *
- * <p>Versions are applied in order and only rise. Not thread-safe; all calls on the node's event loop.
+ * <p>Versions are applied in order and only increase. Not thread-safe; call only on the node's event loop.
  */
 public final class ConfigurationStore {
-    /** The one reader and writer of JSON. Safe for use from any thread. */
+    /** The shared JSON reader and writer. Thread-safe. */
     public static final ObjectMapper JSON = new ObjectMapper();
 
     private static final long RETAINED_BYTES_MAX = 2 << 20;
-    /** A client that misses more changes is sent a snapshot, which costs less. */
+    /** The maximum number of changes in a response. A client that lacks more is sent a snapshot, which costs less. */
     private static final int CHANGES_PER_RESPONSE_MAX = 32;
 
     private final ConfigurationFormat format;
@@ -28,10 +28,10 @@
     private long retainedBytes;
     private long sizeUpperBoundBytes;
     private Configuration configuration;
-    /** The snapshot that was made last, of this version or an older one; or null. */
+    /** The most recently created snapshot, of the applied version or an older one; null before the first. */
     private ConfigurationSnapshot snapshot;
 
-    /** Creates an empty store for configurations in spokestall's own format that were validated elsewhere. */
+    /** Creates an empty store for configurations in spokestall's native format that are validated elsewhere. */
     public ConfigurationStore(final int retainedMax) {
         this(retainedMax, new NativeConfigurationFormat(null));
     }
@@ -39,7 +39,7 @@
     /**
      * Creates an empty store.
      *
-     * @param retainedMax how many changes are retained for feed clients
+     * @param retainedMax the maximum number of changes that are retained for feed clients
      */
     public ConfigurationStore(final int retainedMax, final ConfigurationFormat format) {
         this.retainedMax = retainedMax;
@@ -47,17 +47,20 @@
         this.configuration = format.read(0, JSON.createObjectNode(), null);
     }
 
-    /** Returns the version that is applied here. */
+    /** Returns the applied version of the configuration. */
     public Configuration configuration() {
         return configuration;
     }
 
-    /** Returns an upper bound of the applied configuration's size as JSON, in bytes. */
+    /** Returns an upper bound on the size of the applied configuration as JSON, in bytes. */
     public long sizeUpperBoundBytes() {
         return sizeUpperBoundBytes;
     }
 
-    /** Returns the version that a change made, or null if it didn't commit or is no longer known (ten minutes at least). */
+    /**
+     * Returns the version that a change created, or null if the change didn't commit or is no longer retained. A change is
+     * retained for at least ten minutes unless too many others follow it.
+     */
     public Long versionOf(final String changeId) {
         return committedChanges.versionOf(changeId);
     }
@@ -65,18 +68,18 @@
     /**
      * Returns the configuration after a change, without applying it.
      *
-     * @throws IllegalArgumentException if the change is no JSON
+     * @throws IllegalArgumentException if the change is not valid JSON
      */
     public JsonNode preview(final ConfigurationChange change) {
         try {
             final JsonNode json = JSON.readTree(change.json());
             return change.kind() == ConfigurationChange.Kind.PUT ? json : MergePatch.apply(configuration.tree(), json);
         } catch (final IOException e) {
-            throw new IllegalArgumentException("change " + change.changeId() + " is no JSON", e);
+            throw new IllegalArgumentException("change " + change.changeId() + " is not valid JSON", e);
         }
     }
 
-    /** Applies a change; its version follows the one here, or starts a generation. */
+    /** Applies a change. Its version must be the one after the applied version, or the first version of a generation. */
     public void apply(final long version, final ConfigurationChange change) {
         assert version > configuration.version() : version + " after " + configuration.version();
         configuration = format.read(version, preview(change), configuration);
@@ -89,7 +92,7 @@
         committedChanges.add(change.changeId(), version, change.acceptedMs());
     }
 
-    /** The newest change is retained however large it is, to be announced. */
+    /** Retains a change and evicts the oldest. The newest is retained regardless of its size, so that it can be announced. */
     private void retain(final long version, final ConfigurationChange change) {
         retainedChanges.put(version, change);
         retainedBytes += change.json().length;
@@ -99,16 +102,16 @@
         }
     }
 
-    /** Returns the changes that committed lately, the oldest first. */
+    /** Returns the retained committed changes, oldest first. */
     public List<CommittedChange> committedChanges() {
         return committedChanges.all();
     }
 
     /**
-     * Replaces the configuration by a snapshot if that is newer.
+     * Replaces the configuration with a snapshot if the snapshot is newer.
      *
-     * @return whether it was newer
-     * @throws IllegalArgumentException if the snapshot is no JSON
+     * @return whether the snapshot was newer
+     * @throws IllegalArgumentException if the snapshot is not valid JSON
      */
     public boolean load(final ConfigurationSnapshot newer) {
         if (newer.version() <= configuration.version()) {
@@ -118,7 +121,7 @@
             sizeUpperBoundBytes = newer.json().length;
             configuration = format.read(newer.version(), JSON.readTree(newer.json()), null);
         } catch (final IOException e) {
-            throw new IllegalArgumentException("the snapshot of version " + newer.version() + " is no JSON", e);
+            throw new IllegalArgumentException("the snapshot of version " + newer.version() + " is not valid JSON", e);
         }
         retainedChanges.clear();
         retainedBytes = 0;
@@ -126,7 +129,7 @@
         return true;
     }
 
-    /** Returns a snapshot of the applied version, made once for each. */
+    /** Returns a snapshot of the applied version, cached until the next version is applied. */
     public ConfigurationSnapshot snapshot() {
         if (snapshot != null && snapshot.version() == configuration.version()) {
             return snapshot;
@@ -136,16 +139,16 @@
                     configuration.version(), JSON.writeValueAsBytes(configuration.tree()), committedChanges.all());
             return snapshot;
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("a JSON tree can't be encoded", e);
+            throw new IllegalStateException("failed to encode a JSON tree", e);
         }
     }
 
-    /** Returns a live view of the retained changes after a version, which may begin later than with the next one. */
+    /** Returns a live view of the retained changes after a version. Changes right after that version may be missing. */
     public Map<Long, ConfigurationChange> retainedAfter(final long version) {
         return retainedChanges.tailMap(version, false);
     }
 
-    /** Returns all changes after a version, or null if they aren't all retained or so many that a snapshot costs less. */
+    /** Returns all changes after a version, or null if some are not retained or a snapshot would cost less. */
     public Map<Long, ConfigurationChange> changesAfter(final long version) {
         if (version == configuration.version()) {
             return Map.of();
--- a/spokestall/src/main/java/spokestall/configuration/ConfigurationValidator.java
+++ b/spokestall/src/main/java/spokestall/configuration/ConfigurationValidator.java
@@ -12,19 +12,19 @@
 import java.util.function.BinaryOperator;
 
 /**
- * Validates configurations in spokestall's own format: first against the schema, then, if they conform, by what they mean
- * ({@link SemanticCheck}).
+ * Validates configurations in spokestall's native format: first against the JSON schema and then, if they conform to it, with
+ * {@link SemanticCheck}.
  *
- * <p>Validation is incremental: nodes that are identical (the same object) in a configuration found valid before aren't
- * validated again by themselves, only against the rest. {@link MergePatch} keeps them identical. Immutable; safe for use from
- * any thread.
+ * <p>Validation is incremental: a node that is the same object as in a previously validated configuration isn't validated again
+ * on its own, but only for consistency with the other nodes. {@link MergePatch} keeps unchanged nodes identical. Immutable and
+ * thread-safe.
  */
 public final class ConfigurationValidator {
     /**
-     * One error in a configuration.
+     * An error in a configuration.
      *
-     * @param pointer the JSON pointer of what is wrong, empty for the whole
-     * @param reason why it is wrong
+     * @param pointer the JSON pointer of the invalid element, empty for the whole configuration
+     * @param reason why the element is invalid
      */
     public record ValidationError(String pointer, String reason) {}
 
@@ -49,8 +49,8 @@
     /**
      * Validates a configuration.
      *
-     * @param valid a configuration that was found valid, or an empty object
-     * @return all errors of the schema or, if there is none, all others; a list of the caller's own
+     * @param valid a configuration that was validated before, or an empty object
+     * @return all schema errors or, if there are none, all semantic errors; the caller may modify the list
      */
     public List<ValidationError> check(final JsonNode tree, final JsonNode valid) {
         final List<ValidationError> errors = new ArrayList<>();
@@ -74,7 +74,7 @@
                                 withoutUnchanged(tenant, validTenant, "bindings", (route, validRoute) -> route)));
     }
 
-    /** Returns a copy in which one map has only the changed members, each replaced by what {@code reduce} makes of it. */
+    /** Returns a copy of a node in which the given map has only its changed members, each transformed by {@code reduce}. */
     private static JsonNode withoutUnchanged(
             final JsonNode node, final JsonNode validNode, final String map, final BinaryOperator<JsonNode> reduce) {
         if (!node.path(map).isObject() || !validNode.path(map).isObject()) {
@@ -92,7 +92,7 @@
         return reduced;
     }
 
-    /** Makes a JSON pointer of the schema validator's path, such as {@code $.cells.c1}. */
+    /** Converts a path of the schema validator, such as {@code $.cells.c1}, to a JSON pointer. */
     private static String pointer(final String path) {
         return path.startsWith("$")
                 ? path.substring(1).replace(".", "/").replace("[", "/").replace("]", "")
--- a/spokestall/src/main/java/spokestall/configuration/KeyHash.java
+++ b/spokestall/src/main/java/spokestall/configuration/KeyHash.java
@@ -7,7 +7,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Hashes of tenants' keys: configurations hold only these, never the keys. Safe for use from any thread. */
+/** Hashes tenants' keys. Configurations contain only the hashes, never the keys. Thread-safe. */
 public final class KeyHash {
     private static final int CACHED_KEYS_MAX = 10_000;
     private static final LoadingCache<String, String> CACHE = Caffeine.newBuilder()
@@ -22,12 +22,12 @@
         return CACHE.get(key);
     }
 
-    /** Returns the SHA-256 of some bytes as 64 lower-case hex digits. */
+    /** Returns the SHA-256 of the bytes as 64 lower-case hex digits. */
     public static String hex(final byte[] bytes) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (final NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("this Java platform does not provide SHA-256", e);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/configuration/MergePatch.java
+++ b/spokestall/src/main/java/spokestall/configuration/MergePatch.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * JSON merge patch (RFC 7396). The result shares all nodes that the patch doesn't change with the target, so that a later
- * comparison by identity finds what changed.
+ * JSON merge patch (RFC 7396). The result shares all nodes that the patch doesn't change with the target, so that a comparison
+ * by identity finds the changed nodes.
  */
 public final class MergePatch {
     private MergePatch() {}
@@ -15,7 +15,7 @@
      * Returns the patched tree; neither argument is modified.
      *
      * @param target the tree to patch, or null
-     * @param patch the patch, in which a null removes a member
+     * @param patch the patch; a null value removes the member
      */
     public static JsonNode apply(final JsonNode target, final JsonNode patch) {
         if (!patch.isObject()) {
--- a/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
+++ b/spokestall/src/main/java/spokestall/configuration/NativeConfigurationFormat.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * spokestall's own format of a configuration: cells with their tenants, shared routes, services and drained zones. Its field
- * names are what operators write and nodes store, so they stay though the code has other terms ({@code bindings} are routes,
- * {@code holds} are drained zones).
+ * spokestall's native configuration format: cells with their tenants, shared routes, services and drained zones. Operators write
+ * and nodes store its field names, so the names must not change even where the code uses other terms ({@code bindings} are
+ * routes, {@code holds} are drained zones).
  */
 public final class NativeConfigurationFormat implements ConfigurationFormat {
     private static final int HEAD_MAX_BYTES = 16 << 10;
@@ -27,7 +27,7 @@
     /**
      * Creates the format.
      *
-     * @param validator what {@link #check} validates with; null for a store that only reads
+     * @param validator the validator for {@link #check}; null if the format is only used for reading
      */
     public NativeConfigurationFormat(final ConfigurationValidator validator) {
         this.validator = validator;
@@ -70,7 +70,7 @@
                 limits.path("restMaxMs").asLong(IDLE_TIMEOUT_MS));
     }
 
-    /** A tenant whose node is the same as in the previous version isn't read again: there may be very many. */
+    /** Reads a tenant, or reuses the previous version's if its node is the same object, because there can be many tenants. */
     private static Tenant readTenant(
             final String name, final String cell, final JsonNode source, final Configuration previous) {
         final Tenant unchanged = previous == null ? null : previous.tenants().get(name);
--- a/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
+++ b/spokestall/src/main/java/spokestall/configuration/RequestTarget.java
@@ -1,17 +1,17 @@
 package spokestall.configuration;
 
 /**
- * A request's target as it was received. It is forwarded verbatim, and matched only if its path has a single reading: two
- * programs that normalise a path in different ways must not see two different paths in it.
+ * A request target as received. A target is forwarded verbatim, and matched to routes only if its path is unambiguous: programs
+ * that normalise paths differently must not read different paths from it.
  */
 public sealed interface RequestTarget {
-    /** A target whose path has a single reading, and the target as it was received. */
+    /** A target with an unambiguous path, and the raw target as received. */
     record Valid(String path, String raw) implements RequestTarget {}
 
-    /** A target without a path, or whose path has more than one reading, and why. */
+    /** A target without a path or with an ambiguous one, and the reason. */
     record Invalid(String reason) implements RequestTarget {}
 
-    /** Reads a request target; the fragment is no part of it. */
+    /** Parses a request target. A target with a fragment is invalid. */
     static RequestTarget of(final String raw) {
         final int queryMark = raw.indexOf('?');
         final int pathEnd = queryMark < 0 ? raw.length() : queryMark;
@@ -28,21 +28,21 @@
         return hasEmptyOrDotSegment(path) ? new Invalid("has an empty or dot segment") : new Valid(path, raw);
     }
 
-    /** Returns why the character at an index isn't accepted, or null if it is. */
+    /** Returns why the character at an index is invalid, or null if it is valid. */
     private static String rejectionReason(final String raw, final int index, final boolean inPath) {
         final char c = raw.charAt(index);
-        // A semicolon or bracket in a path begins a parameter for some programs and is plain text for others.
+        // Some programs treat a semicolon or bracket in a path as the start of a parameter, others as plain text.
         final String forbidden = inPath ? "#\\\"<>^`{|};[]" : "#\\";
         if (c <= ' ' || c >= 0x7f || forbidden.indexOf(c) >= 0) {
-            return "has a character that may not stand there";
+            return "contains an invalid character";
         }
         if (c == '%') {
             final int escaped = escapedOctet(raw, index);
             if (escaped < 0) {
-                return "has a bad escape";
+                return "contains an invalid percent escape";
             }
             if (inPath && !mayBeEscaped(escaped)) {
-                return "escapes what must not be escaped";
+                return "escapes a character that must not be escaped";
             }
         }
         return null;
@@ -60,7 +60,7 @@
         return false;
     }
 
-    /** Returns the octet that is escaped at an index, or -1 if no two hex digits follow. */
+    /** Returns the octet of the escape at an index, or -1 if the percent sign isn't followed by two hex digits. */
     private static int escapedOctet(final String raw, final int index) {
         if (index + 2 >= raw.length()) {
             return -1;
@@ -70,7 +70,10 @@
         return high < 0 || low < 0 ? -1 : high * 16 + low;
     }
 
-    /** Neither controls, nor what separates paths or segments, nor what needs no escape and so has two spellings. */
+    /**
+     * Returns whether an octet may be escaped in a path. Control characters and path or segment separators may not; neither may
+     * unreserved characters, which need no escape and would otherwise have two spellings.
+     */
     private static boolean mayBeEscaped(final int c) {
         final boolean unreserved =
                 c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || "-._~".indexOf(c) >= 0;
--- a/spokestall/src/main/java/spokestall/configuration/Route.java
+++ b/spokestall/src/main/java/spokestall/configuration/Route.java
@@ -5,19 +5,20 @@
 import java.util.Set;
 
 /**
- * Where requests to a path are sent, and under which conditions.
+ * The services to which requests for a path are sent, and the conditions for it.
  *
  * @param name the route's name
- * @param host the host that it is for, or empty for any
- * @param path the path that it matches; one that ends with a slash matches only what is below it, any other itself too
- * @param split the services that it sends to, by weight; never empty
- * @param runOnce whether its requests aren't idempotent and so must never be executed twice
- * @param attemptsMax how many attempts a request may have, 0 for no bound of the route's own
- * @param timeoutMillis how long a request may take in milliseconds, 0 for no bound of the route's own
- * @param latencyTargetMs the latency in milliseconds that responses should stay under (SLO), 0 for none
- * @param priority the priority of its requests, 0 the highest, unless the tenant has one
- * @param anonymous whether requests need no tenant's key
- * @param regions the regions in which its requests may be served, empty for all
+ * @param host the host that the route matches, or empty for any host
+ * @param path the path that the route matches; a path that ends with a slash matches all paths that start with it, any other
+ *     matches itself and all paths below it
+ * @param split the services that the route sends requests to, with their weights; never empty
+ * @param runOnce whether the route's requests are not idempotent and must never be executed twice
+ * @param attemptsMax the maximum number of attempts of a request, 0 for no limit specific to the route
+ * @param timeoutMillis the maximum duration of a request in milliseconds, 0 for no limit specific to the route
+ * @param latencyTargetMs the target latency (SLO) of responses in milliseconds, 0 for none
+ * @param priority the priority of the route's requests unless the tenant has its own; 0 is the highest
+ * @param anonymous whether requests don't need a tenant's key
+ * @param regions the regions in which the route's requests may be served, empty for all regions
  */
 public record Route(
         String name,
@@ -31,14 +32,14 @@
         int priority,
         boolean anonymous,
         Set<String> regions) {
-    /** One service's weight in a split. */
+    /** A service and its weight in a split. */
     public record Share(String service, int weight) {}
 
     private static final int UNBOUNDED = 0;
     private static final int NO_TARGET = 0;
     private static final int HIGHEST_PRIORITY = 0;
 
-    /** Creates a tenant's own route, to one service and without bounds. */
+    /** Creates a tenant's own route to a single service, without limits. */
     public static Route of(final String name, final String path, final String service, final boolean runOnce) {
         final boolean anonymous = false;
         return new Route(
@@ -55,7 +56,7 @@
                 Set.of());
     }
 
-    /** Picks one of the services with the probability of its weight; a single service takes no random draw. */
+    /** Picks a service at random according to the weights. A route with a single service uses no random number. */
     public String pickService(final Random random) {
         if (split.size() == 1) {
             return split.get(0).service();
@@ -74,7 +75,7 @@
         return split.get(split.size() - 1).service();
     }
 
-    /** Returns whether the route may send to a service. */
+    /** Returns whether the route can send requests to a service. */
     public boolean sendsTo(final String service) {
         for (final Share share : split) {
             if (share.service().equals(service) && (share.weight() > 0 || split.size() == 1)) {
@@ -85,7 +86,7 @@
     }
 
     /**
-     * Returns whether a request may be served in a region. Both the route's and the tenant's regions bind.
+     * Returns whether a request may be served in a region. Both the route and the tenant must allow the region.
      *
      * @param tenant the request's tenant, or null
      */
--- a/spokestall/src/main/java/spokestall/configuration/RouteTable.java
+++ b/spokestall/src/main/java/spokestall/configuration/RouteTable.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Routes by path, matched by the longest prefix of whole segments. Immutable once filled. */
+/** Routes by path, matched by the longest prefix of whole path segments. Must not be modified after it has been filled. */
 final class RouteTable {
     private final Map<String, Route> byPath = new HashMap<>();
 
@@ -15,7 +15,10 @@
         return byPath.size();
     }
 
-    /** Returns the route with the longest path that matches, or null; of two that differ by the final slash, that with it. */
+    /**
+     * Returns the route with the longest matching path, or null if none matches. If two matching paths differ only in a trailing
+     * slash, the route with the slash is returned.
+     */
     Route find(final String path) {
         Route found = byPath.get(path);
         int slash = path.length();
--- a/spokestall/src/main/java/spokestall/configuration/SemanticCheck.java
+++ b/spokestall/src/main/java/spokestall/configuration/SemanticCheck.java
@@ -9,8 +9,8 @@
 import spokestall.configuration.ConfigurationValidator.ValidationError;
 
 /**
- * One check of a configuration that conforms to the schema: that names refer to something, that tenants, keys and paths are
- * unique, and that paths have a single reading. Not thread-safe; used once.
+ * Checks a configuration that conforms to the schema: that referenced names exist, that tenants, keys and paths are unique, and
+ * that paths are unambiguous. Not thread-safe; each instance is used for one check.
  */
 final class SemanticCheck {
     private static final String UNKNOWN_SERVICE = "unknown service";
@@ -26,7 +26,7 @@
     private final Map<String, String> keyPointers = new HashMap<>();
     private final List<ValidationError> errors = new ArrayList<>();
 
-    /** Prepares a check; {@code valid} is a configuration found valid before, with which the tree may share nodes. */
+    /** Creates a check. {@code valid} is a previously validated configuration, with which the tree may share nodes. */
     SemanticCheck(final JsonNode tree, final JsonNode valid, final Set<String> regions, final Set<String> zones) {
         this.tree = tree;
         this.valid = valid;
@@ -35,7 +35,7 @@
         this.servicesUnchanged = tree.path("services") == valid.path("services");
     }
 
-    /** Checks the configuration and returns all errors, in the order of the document but for shared routes and zones. */
+    /** Returns all errors: those of cells first, then those of shared routes and of drained zones, each in document order. */
     List<ValidationError> errors() {
         tree.path("cells").fields().forEachRemaining(cell -> checkCell(cell.getKey(), cell.getValue()));
         final Map<String, String> routePointers = new HashMap<>();
--- a/spokestall/src/main/java/spokestall/configuration/Tenant.java
+++ b/spokestall/src/main/java/spokestall/configuration/Tenant.java
@@ -19,11 +19,11 @@
     /**
      * Creates a tenant.
      *
-     * @param source the node of the configuration that it was read from, see {@link #isReadFrom}
-     * @param homeRegions the regions in which its requests may be served, empty for all
-     * @param keyHashes the hashes of the keys in force
-     * @param priority its requests' priority, 0 the highest; null for that of their route
-     * @param routes its own routes, which precede the shared ones
+     * @param source the configuration node that the tenant was read from, see {@link #isReadFrom}
+     * @param homeRegions the regions in which the tenant's requests may be served, empty for all regions
+     * @param keyHashes the hashes of the valid keys
+     * @param priority the priority of the tenant's requests, 0 is the highest; null to use the route's priority
+     * @param routes the tenant's own routes, which take precedence over shared routes
      */
     public Tenant(
             final String name,
@@ -42,7 +42,7 @@
         routes.forEach(this.routes::add);
     }
 
-    /** Reads a tenant in spokestall's own format. */
+    /** Reads a tenant in spokestall's native format. */
     static Tenant read(final String name, final String cell, final JsonNode source) {
         final Set<String> homeRegions = new HashSet<>();
         source.path("homeRegions").forEach(region -> homeRegions.add(region.asText()));
@@ -62,37 +62,37 @@
         return new Tenant(name, cell, source, homeRegions, keyHashes, priority, routes);
     }
 
-    /** Returns the tenant's name, unique in the configuration. */
+    /** Returns the tenant's name, which is unique in the configuration. */
     public String name() {
         return name;
     }
 
-    /** Returns the name of the tenant's cell, empty in a format without cells. */
+    /** Returns the name of the tenant's cell; empty in formats without cells. */
     public String cell() {
         return cell;
     }
 
-    /** Returns whether the tenant was read from this very node, and so need not be read again. */
+    /** Returns whether the tenant was read from the same node object, so that it need not be read again. */
     public boolean isReadFrom(final JsonNode other) {
         return source == other;
     }
 
-    /** Returns the regions in which the tenant's requests may be served, empty for all. */
+    /** Returns the regions in which the tenant's requests may be served; empty for all regions. */
     public Set<String> homeRegions() {
         return homeRegions;
     }
 
-    /** Returns the hashes of the keys in force. */
+    /** Returns the hashes of the valid keys. */
     public Set<String> keyHashes() {
         return keyHashes;
     }
 
-    /** Returns the priority of the tenant's requests, 0 the highest; that of the route unless the tenant has its own. */
+    /** Returns the tenant's own priority, or the route's if the tenant has none; 0 is the highest. */
     public int priority(final int routePriority) {
         return priority == null ? routePriority : priority;
     }
 
-    /** Returns the tenant's own route with the longest path that matches, or null. */
+    /** Returns the tenant's own route with the longest matching path, or null if none matches. */
     public Route route(final String path) {
         return routes.find(path);
     }
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.message.MessageCodec;
 
-/** For how long a committed change is known, on all nodes alike. */
+/** Tests how long committed changes are retained, and that all nodes retain the same ones. */
 class CommittedChangesTest {
     private static final byte[] PATCH = "{}".getBytes(StandardCharsets.UTF_8);
     private long versions;
@@ -32,11 +32,11 @@
             apply(configurationStore, 1_000_000 + i * CommittedChanges.RETENTION_MS / CommittedChanges.RETAINED_MAX);
         }
         assertThat(configurationStore.versionOf("order-1"))
-                .as("at the end of its retention")
+                .as("at the end of the retention time")
                 .isEqualTo(1);
         apply(configurationStore, 1_000_000 + CommittedChanges.RETENTION_MS);
         assertThat(configurationStore.versionOf("order-1"))
-                .as("one more than the maximum")
+                .as("one change more than the maximum")
                 .isNull();
         assertThat(configurationStore.committedChanges()).hasSize(CommittedChanges.RETAINED_MAX);
     }
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationFormatTest.java
@@ -11,7 +11,7 @@
 import spokestall.api.CallRegistry;
 import spokestall.testsupport.GoldenFile;
 
-/** The configuration as operators write it: each of its fields, what it means, and how troubles in it are told. */
+/** Tests the native configuration format: the meaning of each field, and the errors that are reported. */
 class ConfigurationFormatTest {
     private static final ConfigurationValidator VALIDATOR = new ConfigurationValidator(
             new CallRegistry().schema().at("/$defs/policy"), Set.of("r1", "r2"), Set.of("d1", "d2"));
@@ -90,7 +90,7 @@
         assertThat(configuration.service("records"))
                 .isEqualTo(new ServiceLimits("records", 1000, 2000, 300, 4000, 5.5));
         assertThat(configuration.service("transfers"))
-                .as("what holds without a word")
+                .as("defaults")
                 .isEqualTo(new ServiceLimits("transfers", 65_536, 262_144, 2000, 10_000, 10));
         assertThat(configuration.limits()).isEqualTo(new ClientLimits(8192, 3000, 15_000));
         assertThat(configuration.drainedZones()).containsExactlyInAnyOrder("d1", "d2");
--- a/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/ConfigurationValidatorTest.java
@@ -56,7 +56,7 @@
         return patch;
     }
 
-    /** Whatever was validated before. */
+    /** The result must not depend on the configuration that was validated before. */
     @Test
     void incrementalValidationAcceptsTheSameAsCompleteValidation() {
         final Random random = new Random(4);
--- a/spokestall/src/test/java/spokestall/configuration/RequestTargetTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RequestTargetTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class RequestTargetTest {
-    /** An accepted target reads the same to a program that decodes and normalises it as to one that does neither. */
+    /** A program that decodes and normalises a valid target must read the same path as one that does neither. */
     @Test
     void validTargetHasOneInterpretation() {
         final Random random = new Random(7);
--- a/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
@@ -20,7 +20,7 @@
         return path + (slash && random.nextBoolean() ? "/" : "");
     }
 
-    /** The rule that the table implements by its index. */
+    /** The matching rule that the table implements with an index. */
     private static boolean matches(final String route, final String path) {
         return route.endsWith("/") ? path.startsWith(route) : path.equals(route) || path.startsWith(route + "/");
     }
