--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeAttempt.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeAttempt.java
@@ -108,7 +108,7 @@
     }
 
     /** Starts waiting for a confirmation: on arrival, or after a proposal that did not commit the change. */
-    void confirm() {
+    void startConfirming() {
         transitionTo(State.CONFIRMING);
     }
 
--- a/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/ChangeCoordinator.java
@@ -96,7 +96,7 @@
     }
 
     /** Submits a change that applies only to version {@code baseVersion}; on top of any other version it is stale. */
-    public void submitAgainst(
+    public void submitForBaseVersion(
             final long baseVersion, final String changeId, final ChangeDraft draft, final Consumer<Reply> callback) {
         submit(
                 changeId,
@@ -166,7 +166,7 @@
     }
 
     /** Returns the address of the voter to which a reply redirects the caller to repeat the change, if any. */
-    public static Optional<String> redirectOf(final Reply reply) {
+    public static Optional<String> redirectAddress(final Reply reply) {
         return Optional.ofNullable(reply.fields())
                 .map(fields -> fields.get(ChangeResult.VOTER_FIELD))
                 .map(JsonNode::asText);
@@ -208,7 +208,7 @@
     }
 
     private void confirm(final ChangeAttempt attempt, final long timeoutMillis) {
-        attempt.confirm();
+        attempt.startConfirming();
         feedClient.lease().awaitConfirmation(timeoutMillis, confirmed -> onConfirmation(attempt, confirmed));
     }
 
--- a/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
+++ b/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
@@ -77,7 +77,7 @@
     }
 
     private void change(final JsonNode params, final ChangeDraft draft, final Consumer<Reply> done) {
-        changeCoordinator.submitAgainst(
+        changeCoordinator.submitForBaseVersion(
                 params.get("base").asLong(), params.get("changeId").asText(), draft, done);
     }
 
--- a/spokestall/src/main/java/spokestall/usage/UsageTable.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageTable.java
@@ -41,9 +41,9 @@
 
     /** Merges an edge's counts of a window. */
     public void merge(final UsageMessage.Count count) {
-        final long now = currentWindow.getAsLong();
+        final long current = currentWindow.getAsLong();
         changeCount++;
-        if (count.window() < now - windowsKept || count.window() > now + 1) {
+        if (count.window() < current - windowsKept || count.window() > current + 1) {
             return;
         }
         final Map<String, Map<String, Long>> incarnations =
@@ -58,7 +58,7 @@
         if (count.closed()) {
             closed.computeIfAbsent(count.window(), w -> new HashSet<>()).add(incarnation);
         }
-        while (windows.firstKey() < now - windowsKept) {
+        while (windows.firstKey() < current - windowsKept) {
             closed.remove(windows.pollFirstEntry().getKey());
         }
     }
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -64,9 +64,9 @@
             for (int i = 0; i < 3000; i++) {
                 nowMs += random.nextInt(500) == 0 ? -30_000 : random.nextInt(4000);
                 final ConfigurationChange change = change(random.nextInt(50) == 0 ? 0 : nowMs);
-                final byte[] agreed = MessageCodec.encodeRecord(change);
-                following.apply(versions, MessageCodec.decodeRecord(agreed, ConfigurationChange.class));
-                restarting.apply(versions, MessageCodec.decodeRecord(agreed, ConfigurationChange.class));
+                final byte[] encoded = MessageCodec.encodeRecord(change);
+                following.apply(versions, MessageCodec.decodeRecord(encoded, ConfigurationChange.class));
+                restarting.apply(versions, MessageCodec.decodeRecord(encoded, ConfigurationChange.class));
                 if (random.nextInt(200) == 0) {
                     restarting = new ConfigurationStore(4);
                     restarting.load(MessageCodec.decodeRecord(
--- a/spokestall/src/test/java/spokestall/configuration/change/ChangeAttemptTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeAttemptTest.java
@@ -25,10 +25,10 @@
     @Test
     void recordsTimeToFirstConfirmationAndNumberOfProposals() {
         assertThat(attempt.confirmedAfterMs()).isEqualTo(-1);
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.onConfirmed(140);
         attempt.propose(7, CHANGE);
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.onConfirmed(220);
         attempt.propose(8, CHANGE);
         assertThat(attempt.confirmedAfterMs()).isEqualTo(40);
@@ -39,7 +39,7 @@
     @Test
     void isConfirmedThenProposedThenCompleted() {
         assertThat(attempt.state()).isEqualTo(ChangeAttempt.State.RECEIVED);
-        attempt.confirm();
+        attempt.startConfirming();
         assertThat(attempt.state()).isEqualTo(ChangeAttempt.State.CONFIRMING);
         final ChangeAttempt.Proposal proposal = attempt.propose(7, CHANGE);
         assertThat(proposal).isEqualTo(new ChangeAttempt.Proposal(attempt, 7, CHANGE));
@@ -51,10 +51,10 @@
 
     @Test
     void supersededAttemptMayProposeOrConfirmAgain() {
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.propose(7, CHANGE);
         attempt.propose(8, CHANGE);
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.complete(new ChangeResult.StaleBase());
         assertThat(results).containsExactly(new ChangeResult.StaleBase());
     }
@@ -69,13 +69,13 @@
 
     @Test
     void resultIsDeliveredOnce() {
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.complete(new ChangeResult.NotReady());
         assertThatThrownBy(() -> attempt.complete(new ChangeResult.Undecided()))
                 .isInstanceOf(IllegalStateException.class)
                 .hasMessageContaining("chg-1")
                 .hasMessageContaining("COMPLETED");
-        assertThatThrownBy(attempt::confirm).isInstanceOf(IllegalStateException.class);
+        assertThatThrownBy(attempt::startConfirming).isInstanceOf(IllegalStateException.class);
         assertThat(results).containsExactly(new ChangeResult.NotReady());
     }
 
--- a/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
@@ -50,11 +50,11 @@
 
     @Test
     void onlyRepliesWithAVoterRedirect() {
-        assertThat(ChangeCoordinator.redirectOf(new ChangeResult.Pending("10.1.0.13:7560").toReply("chg-1", 17)))
+        assertThat(ChangeCoordinator.redirectAddress(new ChangeResult.Pending("10.1.0.13:7560").toReply("chg-1", 17)))
                 .contains("10.1.0.13:7560");
-        assertThat(ChangeCoordinator.redirectOf(new ChangeResult.Pending("").toReply("chg-1", 17)))
+        assertThat(ChangeCoordinator.redirectAddress(new ChangeResult.Pending("").toReply("chg-1", 17)))
                 .isEmpty();
-        assertThat(ChangeCoordinator.redirectOf(Reply.of(ResultCode.BAD_PARAMS, null)))
+        assertThat(ChangeCoordinator.redirectAddress(Reply.of(ResultCode.BAD_PARAMS, null)))
                 .isEmpty();
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -99,15 +99,15 @@
         return List.copyOf(sent);
     }
 
-    private static List<String> updateRequestTargets(final List<Sent> of) {
-        return of.stream()
+    private static List<String> updateRequestTargets(final List<Sent> messages) {
+        return messages.stream()
                 .filter(s -> s.message instanceof FeedMessage.FeedRequest request && request.wantsUpdates())
                 .map(Sent::to)
                 .toList();
     }
 
-    private static long requestId(final List<Sent> of) {
-        return ((FeedMessage.FeedRequest) of.stream()
+    private static long requestId(final List<Sent> messages) {
+        return ((FeedMessage.FeedRequest) messages.stream()
                         .filter(s -> s.message instanceof FeedMessage.FeedRequest)
                         .findFirst()
                         .orElseThrow()
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -30,8 +30,8 @@
                 () -> CORES);
     }
 
-    private void acknowledge(final UsageCounter counter, final Sent one, final long incarnation) {
-        counter.onMessage(new UsageMessage.CountsAcknowledged(one.to, one.counts.pushId(), incarnation), one.to);
+    private void acknowledge(final UsageCounter counter, final Sent push, final long incarnation) {
+        counter.onMessage(new UsageMessage.CountsAcknowledged(push.to, push.counts.pushId(), incarnation), push.to);
     }
 
     private List<Sent> tick(final UsageCounter counter, final long ms) {
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -156,7 +156,7 @@
             final String changeId,
             final ChangeDraft draft,
             final Consumer<Reply> done) {
-        to.run(to.incarnation(), () -> to.node().changeCoordinator().submitAgainst(base, changeId, draft, done));
+        to.run(to.incarnation(), () -> to.node().changeCoordinator().submitForBaseVersion(base, changeId, draft, done));
     }
 
     /** Gives an order made against a base and waits for its reply. */
--- a/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
@@ -93,7 +93,7 @@
             acknowledged.accept(id);
             return;
         }
-        final Optional<String> voter = ChangeCoordinator.redirectOf(reply);
+        final Optional<String> voter = ChangeCoordinator.redirectAddress(reply);
         if (voter.isPresent()) {
             request(fleet.world.byAddress.get(voter.get()));
         } else {
