--- a/spokestall/src/main/java/spokestall/configuration/change/CallerReply.java
+++ b/spokestall/src/main/java/spokestall/configuration/change/CallerReply.java
@@ -5,16 +5,16 @@
 import spokestall.api.Reply;
 
 /**
- * The one reply to the caller of a change: its result, or before that a notice that it is still in progress. What comes second is
- * dropped.
+ * Sends exactly one reply to the caller of a change: either its result or an earlier notice that it is still in progress. Later
+ * replies are dropped.
  *
- * <p>Not thread-safe; all calls on the node's event loop.
+ * <p>Not thread-safe; call only on the node's event loop.
  */
 final class CallerReply {
     private final String changeId;
     private final LongSupplier appliedVersion;
     private final Consumer<Reply> callback;
-    private boolean given;
+    private boolean sent;
 
     CallerReply(final String changeId, final LongSupplier appliedVersion, final Consumer<Reply> callback) {
         this.changeId = changeId;
@@ -22,10 +22,10 @@
         this.callback = callback;
     }
 
-    /** Gives the reply, unless one was given. */
-    void give(final ChangeResult result) {
-        if (!given) {
-            given = true;
+    /** Sends a reply unless one has already been sent. */
+    void send(final ChangeResult result) {
+        if (!sent) {
+            sent = true;
             callback.accept(result.toReply(changeId, appliedVersion.getAsLong()));
         }
     }
--- a/spokestall/src/main/java/spokestall/usage/UsageReporter.java
+++ b/spokestall/src/main/java/spokestall/usage/UsageReporter.java
@@ -17,23 +17,24 @@
 /**
  * Reports each window's usage to the platform while this node holds the lease.
  *
- * <p>Each window passes these stages ({@link WindowReport.Stage}):
+ * <p>The report of each window goes through these states ({@link WindowReport.State}):
  *
  * <ol>
- *   <li>closing: the counts of a majority of the cores are gathered, and every edge has closed the window or the wait for that
- *       is over;
- *   <li>sealing: the counts are written into the window's write-once register. If an earlier holder sealed the window, its counts
- *       are used and this node's are dropped;
- *   <li>sending: what the register holds is sent, never anything else;
- *   <li>recording: that the platform confirmed them is added to the register.
+ *   <li>closing: the reporter gathers the counts of a majority of the cores, and waits until every edge has closed the window or
+ *       the maximum wait is over;
+ *   <li>sealing: the reporter writes the counts into the window's write-once register. If an earlier lease holder has already
+ *       sealed the window, the reporter uses that holder's counts and drops its own;
+ *   <li>sending: the reporter sends the counts in the register, and no others;
+ *   <li>recording: the reporter records in the register that the platform confirmed the counts.
  * </ol>
  *
- * <p>The platform can't be read back, so sending and recording can't be atomic. What holds is: a window that is recorded is not sent
- * again by a later holder; a window may be sent twice, if a holder fails between sending and recording or an answer is lost; all
- * reports of a window carry the same counts. A window that can't arrive before it is due is not sent; its sealed counts stay readable.
+ * <p>The platform has no read call for reports, so sending and recording can't be atomic. The reporter guarantees: a later holder
+ * doesn't resend a window that is recorded as reported, and all reports of a window have the same counts. A window may be sent
+ * twice, if a holder fails between sending and recording or if an answer is lost. A window that can't arrive before it is due is
+ * not sent; its sealed counts remain readable.
  *
- * <p>Each step checks the session before it begins, and again right before bytes leave the machine. Not thread-safe; all calls on
- * the node's event loop.
+ * <p>The reporter checks the lease session before each step, and again immediately before a report is sent. Not thread-safe; call
+ * only on the node's event loop.
  */
 public final class UsageReporter implements LeasedTask {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -55,7 +56,7 @@
     private int callsInFlight;
     private boolean unconfirmedCall;
 
-    /** Creates a reporter, which does nothing until a session starts. */
+    /** Creates a reporter; it is inactive until a lease session starts. */
     public UsageReporter(
             final ReporterContext context,
             final ReportSchedule schedule,
@@ -72,12 +73,12 @@
         this.table = sources.table();
     }
 
-    /** The newest window that this node sealed or found sealed; 0 before the first. */
+    /** Returns the newest window that this node sealed or found already sealed; 0 before the first. */
     public long lastSealed() {
         return lastSealed;
     }
 
-    /** How many windows this node did not send because they were too late. */
+    /** Returns the number of windows that this node did not send because they were overdue. */
     public long missed() {
         return missed;
     }
@@ -94,13 +95,16 @@
                 node, started.sessionId(), started.fencingToken(), nextWindow);
     }
 
-    /** False while a call is in flight or one ended unconfirmed, since that may still be on its way. */
+    /**
+     * Returns false while a call is in flight, and after a call of this session ended unconfirmed, because its request may still
+     * reach the platform.
+     */
     @Override
     public boolean isQuiescent() {
         return callsInFlight == 0 && !unconfirmedCall;
     }
 
-    /** Begins the reports of windows that have ended and takes each report a step further. */
+    /** Starts reports of windows that have ended, and advances each report by one step. */
     public void onTick() {
         if (session == null) {
             return;
@@ -121,16 +125,16 @@
             nextWindow++;
         }
         for (final WindowReport report : List.copyOf(reports.values())) {
-            switch (report.stage()) {
-                case CLOSING -> close(session, report);
+            switch (report.state()) {
+                case CLOSING -> gatherAndSeal(session, report);
                 case SEALED -> sendInTime(session, report);
                 case SEALING, SENDING, RECORDING, DONE -> {}
             }
         }
-        reports.values().removeIf(report -> report.stage() == WindowReport.Stage.DONE);
+        reports.values().removeIf(report -> report.state() == WindowReport.State.DONE);
     }
 
-    /** Merges what another core has of a window. */
+    /** Merges a core's counts of a window into this core's table. */
     public void onMessage(final UsageMessage.CountsResponse response) {
         response.counts().forEach(table::merge);
         final WindowReport report = reports.get(response.window());
@@ -139,7 +143,10 @@
         }
     }
 
-    /** A window that began before this generation may have been reported with counts that were lost since. */
+    /**
+     * Returns whether a window may be reported. A window that began before this generation's counts are complete may already have
+     * been reported with counts that have been lost since.
+     */
     private boolean isReportable(final long window) {
         return window * schedule.windowMs() >= sources.floor().fleetMs();
     }
@@ -148,10 +155,13 @@
         return fleetClock.nowMs() - schedule.endMs(report.window());
     }
 
-    /** Requests the cores' counts, and seals the window once they have answered and it is closed or the wait is over. */
-    private void close(final LeaseSession under, final WindowReport report) {
+    /**
+     * Requests the cores' counts, and seals the window when both conditions hold: all cores have answered, or a majority has and
+     * the gathering time is over; and the window is closed and its grace period is over, or the maximum wait is over.
+     */
+    private void gatherAndSeal(final LeaseSession leaseSession, final WindowReport report) {
         final long lateMs = lateMs(report);
-        // Whatever was begun in the window is with a majority by then, or never will be.
+        // By then, either a majority of the cores has the counts of a request in this window, or it never will.
         if (lateMs < schedule.graceMs() - schedule.gatherMs()) {
             return;
         }
@@ -167,7 +177,7 @@
                 || majority && report.sinceFirstRequestMs(nowMs) >= schedule.gatherMs();
         final boolean complete = closed && lateMs >= schedule.graceMs();
         if (gathered && (complete || lateMs >= schedule.closeMaxMs())) {
-            seal(under, report);
+            seal(leaseSession, report);
         }
     }
 
@@ -178,17 +188,18 @@
         }
     }
 
-    private void seal(final LeaseSession under, final WindowReport report) {
-        report.transition(WindowReport.Stage.SEALING);
+    private void seal(final LeaseSession leaseSession, final WindowReport report) {
+        report.transition(WindowReport.State.SEALING);
         final Map<String, Long> counts = table.totals(report.window());
         final byte[] value = MessageCodec.encodeRecord(
-                new SealedWindow(report.window(), counts, under.owner(), under.fencingToken(), false));
+                new SealedWindow(report.window(), counts, leaseSession.owner(), leaseSession.fencingToken(), false));
         proposer.propose(
                 SealedWindow.key(report.window()),
-                schedule.storeWaitMs(),
-                now -> now == null && under.isValid(clock.nowMs()) && isReportable(report.window())
-                        ? new RegisterEdit.Set(value)
-                        : RegisterEdit.LEAVE,
+                schedule.storeTimeoutMs(),
+                currentValue ->
+                        currentValue == null && leaseSession.isValid(clock.nowMs()) && isReportable(report.window())
+                                ? new RegisterEdit.Set(value)
+                                : RegisterEdit.LEAVE,
                 outcome -> onSealOutcome(report, outcome));
     }
 
@@ -198,68 +209,70 @@
             report.onSealed(MessageCodec.decodeRecord(done.value(), SealedWindow.class));
         } else {
             final boolean past = outcome instanceof ProposalOutcome.Pruned || !isReportable(report.window());
-            report.transition(past ? WindowReport.Stage.DONE : WindowReport.Stage.CLOSING);
+            report.transition(past ? WindowReport.State.DONE : WindowReport.State.CLOSING);
         }
     }
 
-    /** Sends a sealed window, unless half the usual time for the answer would be past its due time. */
-    private void sendInTime(final LeaseSession under, final WindowReport report) {
+    /** Sends a sealed window, unless less than half of the send timeout is left until it is due. */
+    private void sendInTime(final LeaseSession leaseSession, final WindowReport report) {
         final long lateMs = lateMs(report);
         if (lateMs + schedule.sendTimeoutMs() / 2 > schedule.dueMs()) {
             missed++;
             LOG.atWarning().log(
                     "event=window_missed node=%s sessionId=%s window=%s lateMs=%s",
-                    node, under.sessionId(), report.window(), lateMs);
-            report.transition(WindowReport.Stage.DONE);
-        } else if (clock.nowMs() - lastSentMs >= schedule.sendGapMs() && under.isValid(clock.nowMs())) {
-            send(under, report, Math.min(schedule.sendTimeoutMs(), schedule.dueMs() - lateMs));
+                    node, leaseSession.sessionId(), report.window(), lateMs);
+            report.transition(WindowReport.State.DONE);
+        } else if (clock.nowMs() - lastSentMs >= schedule.sendGapMs() && leaseSession.isValid(clock.nowMs())) {
+            send(leaseSession, report, Math.min(schedule.sendTimeoutMs(), schedule.dueMs() - lateMs));
         }
     }
 
-    private void send(final LeaseSession under, final WindowReport report, final long timeoutMillis) {
-        report.transition(WindowReport.Stage.SENDING);
+    private void send(final LeaseSession leaseSession, final WindowReport report, final long timeoutMillis) {
+        report.transition(WindowReport.State.SENDING);
         lastSentMs = clock.nowMs();
         callsInFlight++;
         client.report(
                 node,
-                under.fencingToken(),
+                leaseSession.fencingToken(),
                 report.sealed(),
                 timeoutMillis,
-                () -> under == session && under.isValid(clock.nowMs()) ? under.deadlineMs() : Long.MIN_VALUE,
-                result -> onReportResult(under, report, result));
+                () -> leaseSession == session && leaseSession.isValid(clock.nowMs())
+                        ? leaseSession.deadlineMs()
+                        : Long.MIN_VALUE,
+                result -> onReportResult(leaseSession, report, result));
     }
 
-    private void onReportResult(final LeaseSession under, final WindowReport report, final ReportResult result) {
+    private void onReportResult(final LeaseSession leaseSession, final WindowReport report, final ReportResult result) {
         callsInFlight--;
         LOG.atInfo().log(
                 "event=window_reported node=%s sessionId=%s fencingToken=%s window=%s result=%s lateMs=%s",
-                node, under.sessionId(), under.fencingToken(), report.window(), result, lateMs(report));
+                node, leaseSession.sessionId(), leaseSession.fencingToken(), report.window(), result, lateMs(report));
         switch (result) {
-            case ACCEPTED -> recordCompleted(under, report);
+            case ACCEPTED -> recordCompleted(leaseSession, report);
             case UNCONFIRMED -> {
                 unconfirmedCall = true;
-                report.transition(WindowReport.Stage.SEALED);
+                report.transition(WindowReport.State.SEALED);
             }
         }
     }
 
-    private void recordCompleted(final LeaseSession under, final WindowReport report) {
-        report.transition(WindowReport.Stage.RECORDING);
+    private void recordCompleted(final LeaseSession leaseSession, final WindowReport report) {
+        report.transition(WindowReport.State.RECORDING);
         proposer.propose(
-                SealedWindow.key(report.window()), schedule.storeWaitMs(), UsageReporter::completed, outcome -> {
-                    report.transition(WindowReport.Stage.DONE);
+                SealedWindow.key(report.window()), schedule.storeTimeoutMs(), UsageReporter::markCompleted, outcome -> {
+                    report.transition(WindowReport.State.DONE);
                     if (!(outcome instanceof ProposalOutcome.Committed)) {
                         LOG.atWarning().log(
                                 "event=window_completion_unknown node=%s sessionId=%s window=%s",
-                                node, under.sessionId(), report.window());
+                                node, leaseSession.sessionId(), report.window());
                     }
                 });
     }
 
-    private static RegisterEdit completed(final byte[] value) {
-        final SealedWindow now = value == null ? null : MessageCodec.decodeRecord(value, SealedWindow.class);
-        return now == null || now.completed()
+    private static RegisterEdit markCompleted(final byte[] value) {
+        final SealedWindow stored = value == null ? null : MessageCodec.decodeRecord(value, SealedWindow.class);
+        return stored == null || stored.completed()
                 ? RegisterEdit.LEAVE
-                : new RegisterEdit.Set(MessageCodec.encodeRecord(now.complete()));
+                : new RegisterEdit.Set(MessageCodec.encodeRecord(stored.asCompleted()));
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/CommittedChangesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.message.MessageCodec;
 
-/** For how long a committed change is known, on all nodes alike. */
+/** Tests how long committed changes are retained, and that all nodes retain the same ones. */
 class CommittedChangesTest {
     private static final byte[] PATCH = "{}".getBytes(StandardCharsets.UTF_8);
     private long versions;
@@ -25,24 +25,24 @@
     }
 
     @Test
-    void aChangeIsRetainedForTenMinutesUnlessTooManyFollow() {
+    void changeIsRetainedForTenMinutesUnlessTheMaximumIsExceeded() {
         final ConfigurationStore configurationStore = new ConfigurationStore(8);
         apply(configurationStore, 1_000_000);
         for (int i = 2; i <= CommittedChanges.RETAINED_MAX; i++) {
             apply(configurationStore, 1_000_000 + i * CommittedChanges.RETENTION_MS / CommittedChanges.RETAINED_MAX);
         }
         assertThat(configurationStore.versionOf("order-1"))
-                .as("at the end of its retention")
+                .as("at the end of the retention time")
                 .isEqualTo(1);
         apply(configurationStore, 1_000_000 + CommittedChanges.RETENTION_MS);
         assertThat(configurationStore.versionOf("order-1"))
-                .as("one more than the maximum")
+                .as("one change more than the maximum")
                 .isNull();
         assertThat(configurationStore.committedChanges()).hasSize(CommittedChanges.RETAINED_MAX);
     }
 
     @Test
-    void anExpiredChangeIsRetainedUntilTheMinimumFollowed() {
+    void expiredChangeIsRetainedUntilTheMinimumNumberFollows() {
         final ConfigurationStore configurationStore = new ConfigurationStore(8);
         for (int i = 0; i < CommittedChanges.RETAINED_MIN; i++) {
             apply(configurationStore, i * CommittedChanges.RETENTION_MS);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void nodesThatFollowAndNodesThatLoadAnySnapshotKnowTheSameChanges() {
+    void applyingChangesAndLoadingSnapshotsRetainTheSameChanges() {
         for (int seed = 0; seed < 20; seed++) {
             versions = 0;
             final Random random = new Random(seed);
@@ -64,9 +64,9 @@
             for (int i = 0; i < 3000; i++) {
                 nowMs += random.nextInt(500) == 0 ? -30_000 : random.nextInt(4000);
                 final ConfigurationChange change = change(random.nextInt(50) == 0 ? 0 : nowMs);
-                final byte[] agreed = MessageCodec.encodeRecord(change);
-                following.apply(versions, MessageCodec.decodeRecord(agreed, ConfigurationChange.class));
-                restarting.apply(versions, MessageCodec.decodeRecord(agreed, ConfigurationChange.class));
+                final byte[] encoded = MessageCodec.encodeRecord(change);
+                following.apply(versions, MessageCodec.decodeRecord(encoded, ConfigurationChange.class));
+                restarting.apply(versions, MessageCodec.decodeRecord(encoded, ConfigurationChange.class));
                 if (random.nextInt(200) == 0) {
                     restarting = new ConfigurationStore(4);
                     restarting.load(MessageCodec.decodeRecord(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void recordsOfOlderProgramsAreReadAndOlderProgramsReadOurs() {
+    void recordsAreCompatibleWithOlderVersionsInBothDirections() {
         record OldChange(String changeId, ConfigurationChange.Kind kind, byte[] json) {}
         record OldSnapshot(long version, byte[] json, Map<String, Long> changeIds) {}
         final Map<String, Long> ids = new LinkedHashMap<>(Map.of("a", 6L));
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void theFirstChangeOfAGenerationReplacesWhatNodesKnew() {
+    void firstChangeOfAGenerationReplacesTheKnownChanges() {
         final List<CommittedChange> before =
                 List.of(new CommittedChange("kept", 3, 10), new CommittedChange("too", 4, 20));
         final ConfigurationChange first =
--- a/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/RouteTableTest.java
@@ -20,7 +20,7 @@
         return path + (slash && random.nextBoolean() ? "/" : "");
     }
 
-    /** The rule that the table implements by its index. */
+    /** The matching rule that the table implements with an index. */
     private static boolean matches(final String route, final String path) {
         return route.endsWith("/") ? path.startsWith(route) : path.equals(route) || path.startsWith(route + "/");
     }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void regionsOfRouteAndTenantBothBind() {
+    void regionMustBeAllowedByBothRouteAndTenant() {
         final Route open = Route.of("b", "/b", "s", false);
         final Route two = new Route("b", "", "/b", open.split(), false, 0, 0, 0, 0, false, Set.of("r1", "r2"));
         final Tenant tenant = new Tenant("t", "", null, Set.of("r2", "r3"), Set.of(), null, List.of());
--- a/spokestall/src/test/java/spokestall/configuration/change/ChangeAttemptTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeAttemptTest.java
@@ -23,12 +23,12 @@
             (ended, result) -> results.add(result));
 
     @Test
-    void knowsHowLongItWaitedForItsFirstConfirmationAndHowOftenItProposed() {
+    void recordsTimeToFirstConfirmationAndNumberOfProposals() {
         assertThat(attempt.confirmedAfterMs()).isEqualTo(-1);
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.onConfirmed(140);
         attempt.propose(7, CHANGE);
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.onConfirmed(220);
         attempt.propose(8, CHANGE);
         assertThat(attempt.confirmedAfterMs()).isEqualTo(40);
@@ -39,7 +39,7 @@
     @Test
     void isConfirmedThenProposedThenCompleted() {
         assertThat(attempt.state()).isEqualTo(ChangeAttempt.State.RECEIVED);
-        attempt.confirm();
+        attempt.startConfirming();
         assertThat(attempt.state()).isEqualTo(ChangeAttempt.State.CONFIRMING);
         final ChangeAttempt.Proposal proposal = attempt.propose(7, CHANGE);
         assertThat(proposal).isEqualTo(new ChangeAttempt.Proposal(attempt, 7, CHANGE));
@@ -50,17 +50,17 @@
     }
 
     @Test
-    void aSupersededProposalIsFollowedByAnotherOrByAConfirmation() {
-        attempt.confirm();
+    void supersededAttemptMayProposeOrConfirmAgain() {
+        attempt.startConfirming();
         attempt.propose(7, CHANGE);
         attempt.propose(8, CHANGE);
-        attempt.confirm();
+        attempt.startConfirming();
         attempt.complete(new ChangeResult.StaleBase());
         assertThat(results).containsExactly(new ChangeResult.StaleBase());
     }
 
     @Test
-    void nothingIsProposedOrAnsweredBeforeAConfirmationWasRequested() {
+    void attemptCannotProposeOrCompleteBeforeConfirming() {
         assertThatThrownBy(() -> attempt.propose(7, CHANGE)).isInstanceOf(IllegalStateException.class);
         assertThatThrownBy(() -> attempt.complete(new ChangeResult.NotReady()))
                 .isInstanceOf(IllegalStateException.class);
@@ -68,19 +68,19 @@
     }
 
     @Test
-    void theResultIsDeliveredOnce() {
-        attempt.confirm();
+    void resultIsDeliveredOnce() {
+        attempt.startConfirming();
         attempt.complete(new ChangeResult.NotReady());
         assertThatThrownBy(() -> attempt.complete(new ChangeResult.Undecided()))
                 .isInstanceOf(IllegalStateException.class)
                 .hasMessageContaining("chg-1")
                 .hasMessageContaining("COMPLETED");
-        assertThatThrownBy(attempt::confirm).isInstanceOf(IllegalStateException.class);
+        assertThatThrownBy(attempt::startConfirming).isInstanceOf(IllegalStateException.class);
         assertThat(results).containsExactly(new ChangeResult.NotReady());
     }
 
     @Test
-    void theRemainingTimeRunsOut() {
+    void remainingTimeIsNegativeAfterTheDeadline() {
         assertThat(attempt.remainingMs(400)).isEqualTo(100);
         assertThat(attempt.remainingMs(600)).isEqualTo(-100);
     }
--- a/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/change/ChangeResultTest.java
@@ -8,7 +8,7 @@
 import spokestall.api.ResultCode;
 import spokestall.configuration.ConfigurationValidator.ValidationError;
 
-/** The replies are part of the API: their codes, field names and order. */
+/** Tests the replies' result codes, field names and field order, which are part of the API. */
 class ChangeResultTest {
     private static void assertReply(final ChangeResult result, final ResultCode code, final String fields) {
         final Reply reply = result.toReply("chg-1", 17);
@@ -17,12 +17,12 @@
     }
 
     @Test
-    void aCommitNamesItsVersion() {
+    void committedReplyContainsItsVersion() {
         assertReply(new ChangeResult.Committed(9), ResultCode.OK, "{\"version\":9,\"changeId\":\"chg-1\"}");
     }
 
     @Test
-    void anyOtherResultNamesTheCurrentVersion() {
+    void otherRepliesContainTheCurrentVersion() {
         final String fields = "{\"current\":17,\"changeId\":\"chg-1\"}";
         assertReply(new ChangeResult.StaleBase(), ResultCode.STALE_BASE, fields);
         assertReply(new ChangeResult.NotFound(), ResultCode.NOT_FOUND, fields);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aChangeInProgressNamesTheVoterThatItsCallerIsRedirectedTo() {
+    void pendingReplyContainsTheVoterToRedirectTo() {
         assertReply(
                 new ChangeResult.Pending("10.1.0.13:7560"),
                 ResultCode.UNDECIDED,
@@ -49,12 +49,12 @@
     }
 
     @Test
-    void onlyAReplyThatNamesAVoterRedirects() {
-        assertThat(ChangeCoordinator.redirectOf(new ChangeResult.Pending("10.1.0.13:7560").toReply("chg-1", 17)))
+    void onlyRepliesWithAVoterRedirect() {
+        assertThat(ChangeCoordinator.redirectAddress(new ChangeResult.Pending("10.1.0.13:7560").toReply("chg-1", 17)))
                 .contains("10.1.0.13:7560");
-        assertThat(ChangeCoordinator.redirectOf(new ChangeResult.Pending("").toReply("chg-1", 17)))
+        assertThat(ChangeCoordinator.redirectAddress(new ChangeResult.Pending("").toReply("chg-1", 17)))
                 .isEmpty();
-        assertThat(ChangeCoordinator.redirectOf(Reply.of(ResultCode.BAD_PARAMS, null)))
+        assertThat(ChangeCoordinator.redirectAddress(Reply.of(ResultCode.BAD_PARAMS, null)))
                 .isEmpty();
     }
 }
--- a/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
+++ b/spokestall/src/test/java/spokestall/configuration/feed/FeedClientTest.java
@@ -19,7 +19,7 @@
 import spokestall.message.Message;
 import spokestall.time.ManualClock;
 
-/** Which core a feed client fetches updates from, and which answers confirm its lease, as seen by the cores. */
+/** Tests from which core a feed client fetches updates, and which answers confirm its lease. */
 class FeedClientTest {
     private record Sent(String to, Message message) {}
 
@@ -53,7 +53,7 @@
                 new IgnoringListener());
     }
 
-    /** An edge to which core a is the nearest and core e the farthest. */
+    /** An edge whose nearest core is "a" and whose most distant core is "e". */
     private final class Edge implements FeedNode {
         @Override
         public NodeInfo info() {
@@ -92,22 +92,22 @@
         return new ConfigurationSnapshot(version, "{}".getBytes(StandardCharsets.UTF_8), List.of());
     }
 
-    /** Ticks once and returns what was sent. */
+    /** Ticks the client once and returns the messages that it sent. */
     private List<Sent> tick() {
         sent.clear();
         client.onTick();
         return List.copyOf(sent);
     }
 
-    private static List<String> updateRequestsTo(final List<Sent> of) {
-        return of.stream()
+    private static List<String> updateRequestTargets(final List<Sent> messages) {
+        return messages.stream()
                 .filter(s -> s.message instanceof FeedMessage.FeedRequest request && request.wantsUpdates())
                 .map(Sent::to)
                 .toList();
     }
 
-    private static long requestId(final List<Sent> of) {
-        return ((FeedMessage.FeedRequest) of.stream()
+    private static long requestId(final List<Sent> messages) {
+        return ((FeedMessage.FeedRequest) messages.stream()
                         .filter(s -> s.message instanceof FeedMessage.FeedRequest)
                         .findFirst()
                         .orElseThrow()
@@ -143,9 +143,9 @@
                 0));
     }
 
-    /** After a pause of the process, answers from before the pause are delivered first and timers only then. */
+    /** After a process pause, answers that arrived before the pause are delivered first; timers run only after them. */
     @Test
-    void confirmationPastTheDeadlineCountsAsNone() {
+    void confirmationAfterTheDeadlineIsReportedAsFailed() {
         clock.ignoreTimers();
         final List<Boolean> results = new ArrayList<>();
         sent.clear();
@@ -163,27 +163,27 @@
     }
 
     @Test
-    void whenAllCoresAreAheadOneIsAskedForUpdatesOnce() {
+    void requestsUpdatesFromOneCoreOnlyWhenAllAreAhead() {
         final List<Sent> first = tick();
-        assertThat(updateRequestsTo(first)).containsExactly("a");
+        assertThat(updateRequestTargets(first)).containsExactly("a");
         sent.clear();
         clock.advance(20);
         for (final String core : List.of("b", "c", "d", "e")) {
             answer(core, requestId(first), BASE + 2);
         }
-        assertThat(updateRequestsTo(sent))
-                .as("the nearest was asked already, its response is in flight")
+        assertThat(updateRequestTargets(sent))
+                .as("the request to the nearest core is still in flight")
                 .isEmpty();
         answerWithUpdates("a", requestId(first), BASE + 2, snapshot(BASE + 2));
         assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
-        assertThat(updateRequestsTo(sent)).isEmpty();
+        assertThat(updateRequestTargets(sent)).isEmpty();
         assertThat(client.lease().ageMs())
-                .as("confirmed by the round of the tick")
+                .as("the round of the tick confirmed the lease")
                 .isEqualTo(20);
     }
 
     @Test
-    void whenTheSourceIsBehindItselfACoreThatIsAheadIsAskedAtOnce() {
+    void requestsUpdatesFromACoreAheadWhenTheUpdateSourceIsBehind() {
         final List<Sent> first = tick();
         sent.clear();
         clock.advance(20);
@@ -191,11 +191,11 @@
             answer(core, requestId(first), BASE + 2);
         }
         answerWithUpdates("a", requestId(first), BASE + 1, null);
-        assertThat(updateRequestsTo(sent)).containsExactly("b");
+        assertThat(updateRequestTargets(sent)).containsExactly("b");
     }
 
     @Test
-    void whenTheSourceIsSilentUntilTheNextTickAnotherIsAsked() {
+    void requestsUpdatesFromAnotherCoreWhenTheUpdateSourceDoesNotRespond() {
         tick();
         clock.advance(TICK_MS);
         final List<Sent> second = tick();
@@ -204,19 +204,19 @@
         for (final String core : List.of("b", "c", "d", "e")) {
             answer(core, requestId(second), BASE + 2);
         }
-        assertThat(updateRequestsTo(sent)).containsExactly("b");
+        assertThat(updateRequestTargets(sent)).containsExactly("b");
         answerWithUpdates("b", 0, BASE + 2, snapshot(BASE + 2));
         assertThat(configurationStore.configuration().version()).isEqualTo(BASE + 2);
     }
 
     @Test
-    void aCoreThatClaimsToBeAheadButSendsNothingIsNotAskedEndlessly() {
+    void doesNotRetryEndlesslyWhenACoreReportsANewerVersionButSendsNoUpdates() {
         final List<Sent> first = tick();
         sent.clear();
         answerWithUpdates("a", requestId(first), BASE + 2, null);
         for (int i = 0; i < 10; i++) {
             answerWithUpdates("a", 0, BASE + 2, null);
         }
-        assertThat(updateRequestsTo(sent)).hasSizeLessThanOrEqualTo(1);
+        assertThat(updateRequestTargets(sent)).hasSizeLessThanOrEqualTo(1);
     }
 }
--- a/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageCounterTest.java
@@ -30,8 +30,8 @@
                 () -> CORES);
     }
 
-    private void acknowledge(final UsageCounter counter, final Sent one, final long incarnation) {
-        counter.onMessage(new UsageMessage.CountsAcknowledged(one.to, one.counts.pushId(), incarnation), one.to);
+    private void acknowledge(final UsageCounter counter, final Sent push, final long incarnation) {
+        counter.onMessage(new UsageMessage.CountsAcknowledged(push.to, push.counts.pushId(), incarnation), push.to);
     }
 
     private List<Sent> tick(final UsageCounter counter, final long ms) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void onlyChangedCountsArePushedAndAtRestOnlyTheClosingOfEachWindow() {
+    void pushesOnlyChangedCountsAndWithoutRequestsOnlyClosedWindows() {
         final UsageCounter counter = counter(200);
         tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
         counter.onStarted("t1");
@@ -62,12 +62,12 @@
             more.forEach(s -> acknowledge(counter, s, 1));
         }
         assertThat(pushes)
-                .as("20 s are four windows, each closed once to each of four")
+                .as("20 s contain four windows; the closing of each is pushed once to each of four cores")
                 .isBetween(12, 20);
     }
 
     @Test
-    void countsAreResentToCoresThatDidNotAcknowledgeThemUntilAMajorityHas() {
+    void resendsCountsToUnacknowledgedCoresUntilAMajorityAcknowledges() {
         final UsageCounter counter = counter(200);
         tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
         counter.onStarted("t1");
@@ -80,14 +80,16 @@
         final List<Sent> again = tick(counter, 60);
         assertThat(again).extracting(Sent::to).containsExactly("c", "d");
         clock.advance(100);
-        assertThat(counter.mayStart()).as("two of four are no majority").isFalse();
+        assertThat(counter.mayStart())
+                .as("two of four cores are not a majority")
+                .isFalse();
         acknowledge(counter, again.get(0), 1);
         assertThat(counter.mayStart()).isTrue();
         assertThat(tick(counter, 200)).isEmpty();
     }
 
     @Test
-    void aRestartedCoreReceivesCompleteWindowsAgain() {
+    void pushesCompleteWindowsAgainAfterACoreRestarts() {
         final UsageCounter counter = counter(200);
         counter.onStarted("t1");
         tick(counter, 10).forEach(s -> acknowledge(counter, s, 1));
@@ -101,7 +103,7 @@
     }
 
     @Test
-    void withoutABoundRequestsStartWithoutAMajorityAndEveryCountStillArrives() {
+    void withoutALimitRequestsStartWithoutAMajorityAndAllCountsAreDelivered() {
         final UsageCounter counter = counter(0);
         for (int i = 0; i < 60; i++) {
             counter.onStarted("t" + i);
--- a/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
+++ b/spokestall/src/test/java/spokestall/usage/UsageReporterTest.java
@@ -43,12 +43,12 @@
                 5, () -> reporter.onMessage(new UsageMessage.CountsResponse(core, request.window(), List.of())));
     }
 
-    private void beginAt(final long ms) {
+    private void startSessionAt(final long ms) {
         context.run(ms);
         reporter.onSessionStarted(new LeaseSession("s1", "k/1", 7, ms + 20_000, ms + 600_000));
     }
 
-    /** Writes what an earlier holder left in a window's register. */
+    /** Writes counts to a window's register as an earlier lease holder would. */
     private void store(final SealedWindow contents) {
         context.proposer("w")
                 .propose(
@@ -70,10 +70,10 @@
         }
     }
 
-    /** A holder that starts late sends what is due at once, and waits for the answer no longer than until the window is due. */
+    /** A new lease holder sends earlier windows that are not yet overdue. The call timeout ends no later than the window is due. */
     @Test
-    void aHolderThatStartsLateSendsWhatCanStillArriveInTime() {
-        beginAt(49_200);
+    void newHolderSendsEarlierWindowsThatAreNotYetOverdue() {
+        startSessionAt(49_200);
         tickUntil(50_000);
         assertThat(calls).extracting(Call::window).containsExactlyInAnyOrder(7L, 8L);
         assertThat(calls)
@@ -82,17 +82,17 @@
     }
 
     @Test
-    void aWindowThatCanNoLongerArriveInTimeIsNotSent() {
-        beginAt(49_700);
+    void overdueWindowIsNotSent() {
+        startSessionAt(49_700);
         tickUntil(50_400);
         assertThat(calls).extracting(Call::window).containsExactly(8L);
         assertThat(reporter.missed()).isEqualTo(1);
     }
 
-    /** A call that is in flight, or ended unconfirmed, may still arrive. */
+    /** The platform may still receive a call that is in flight or ended unconfirmed. */
     @Test
-    void theReporterIsQuiescentOnlyOnceEachCallIsConfirmed() {
-        beginAt(41_000);
+    void reporterIsQuiescentOnlyAfterEachCallIsConfirmed() {
+        startSessionAt(41_000);
         assertThat(reporter.isQuiescent()).isTrue();
         tickUntil(41_450);
         assertThat(calls).hasSize(1);
@@ -103,19 +103,19 @@
         assertThat(calls).hasSizeGreaterThan(1);
         calls.stream().skip(1).forEach(c -> c.callback.onResult(ReportResult.ACCEPTED));
         assertThat(reporter.isQuiescent())
-                .as("the first may still be on its way")
+                .as("the platform may still receive the first call")
                 .isFalse();
         reporter.onSessionStarted(new LeaseSession("e2", "k/2", 8, 60_000, 600_000));
         assertThat(reporter.isQuiescent()).isTrue();
     }
 
-    /** Whoever sends a window sends what its register holds, whatever this core's own table has. */
+    /** A lease holder sends the counts in the window's register, even if its own table differs. */
     @Test
-    void aWindowThatAnEarlierHolderSealedIsSentWithTheCountsItWasSealedWith() {
+    void windowSealedByAnEarlierHolderIsSentWithItsSealedCounts() {
         context.run(40_500);
         store(new SealedWindow(7, Map.of("t", 3L), "k0/1", 5, false));
         table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 9L), true));
-        beginAt(41_000);
+        startSessionAt(41_000);
         tickUntil(43_000);
         assertThat(callsOf(7)).hasSize(1);
         assertThat(callsOf(7).get(0).contents().counts()).isEqualTo(Map.of("t", 3L));
@@ -123,10 +123,10 @@
     }
 
     @Test
-    void aWindowThatIsRecordedAsReportedIsNotSentAgain() {
+    void windowRecordedAsReportedIsNotSentAgain() {
         context.run(40_500);
         store(new SealedWindow(7, Map.of("t", 3L), "k0/1", 5, true));
-        beginAt(41_000);
+        startSessionAt(41_000);
         tickUntil(43_000);
         assertThat(callsOf(6)).hasSize(1);
         assertThat(callsOf(7)).isEmpty();
@@ -134,10 +134,10 @@
     }
 
     @Test
-    void anUnconfirmedWindowIsSentAgainWithTheSameCountsAndAConfirmedOneIsRecorded() {
+    void unconfirmedWindowIsResentWithTheSameCountsAndConfirmedWindowIsRecorded() {
         context.run(40_900);
         table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 9L), true));
-        beginAt(41_000);
+        startSessionAt(41_000);
         tickUntil(42_000);
         callsOf(7).get(0).callback().onResult(ReportResult.UNCONFIRMED);
         table.merge(new UsageMessage.Count("e", 1, 7, Map.of("t", 10L), true));
@@ -149,6 +149,8 @@
         tickUntil(42_800);
         reporter.onSessionStarted(new LeaseSession("s2", "k/2", 8, 60_000, 600_000));
         tickUntil(44_000);
-        assertThat(callsOf(7)).as("a later session finds it recorded").hasSize(2);
+        assertThat(callsOf(7))
+                .as("a later session finds the window recorded as reported")
+                .hasSize(2);
     }
 }
