--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -64,7 +64,7 @@
     /** Counts the voter sets taken in this incarnation, so that a write that was overtaken by a newer one has no effect. */
     private long voterSetUpdates;
 
-    private boolean canWriteLogged = true;
+    private boolean lastLoggedCanWrite = true;
 
     /**
      * Opens the stored state; the acceptor votes at once if its disk has caught up in its voter set's generation.
@@ -315,11 +315,11 @@
     }
 
     private void logWriteState() {
-        if (canWriteLogged != storage.canWrite()) {
-            canWriteLogged = storage.canWrite();
+        if (lastLoggedCanWrite != storage.canWrite()) {
+            lastLoggedCanWrite = storage.canWrite();
             LOG.atWarning().log(
                     "event=disk_write_state_changed node=%s canWrite=%s logState=%s",
-                    name, canWriteLogged, storage.logState());
+                    name, lastLoggedCanWrite, storage.logState());
         }
     }
 
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorCatchUp.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorCatchUp.java
@@ -101,17 +101,17 @@
     /** Sends the page that a voter which is catching up requests. */
     void sendPage(final ConsensusMessage.CatchUpRequest request) {
         final List<ConsensusMessage.Entry> entries = new ArrayList<>();
-        int bytes = 0;
-        boolean last = true;
+        int pageBytes = 0;
+        boolean lastPage = true;
         for (final Map.Entry<String, Register> e :
                 storage.registers().tailMap(request.after(), false).entrySet()) {
-            if (bytes > PAGE_BYTES) {
-                last = false;
+            if (pageBytes > PAGE_BYTES) {
+                lastPage = false;
                 break;
             }
             final byte[] value = e.getValue().value();
             entries.add(new ConsensusMessage.Entry(e.getKey(), e.getValue()));
-            bytes += e.getKey().length() + ENTRY_OVERHEAD_BYTES + (value == null ? 0 : value.length);
+            pageBytes += e.getKey().length() + ENTRY_OVERHEAD_BYTES + (value == null ? 0 : value.length);
         }
         sender.send(
                 request.from(),
@@ -121,7 +121,7 @@
                         request.epoch(),
                         request.after(),
                         entries,
-                        last,
+                        lastPage,
                         storage.versionFloor()));
     }
 }
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorRequestHandler.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorRequestHandler.java
@@ -39,7 +39,7 @@
             return;
         }
         final Register promised = new Register(prepare.proposalNumber(), current.accepted(), current.value());
-        storage.writeRegister(prepare.key(), promised, synced -> sendPromise(prepare, written(synced), promised));
+        storage.writeRegister(prepare.key(), promised, synced -> sendPromise(prepare, writeReply(synced), promised));
     }
 
     private ConsensusMessage.Reply checkPrepare(
@@ -50,13 +50,13 @@
         if (guard.isPruned(prepare.key())) {
             return ConsensusMessage.Reply.PRUNED;
         }
-        final boolean creates = !prepare.peek() && !storage.registers().containsKey(prepare.key());
-        return creates && !guard.hasCapacityFor(prepare.key())
+        final boolean createsRegister = !prepare.peek() && !storage.registers().containsKey(prepare.key());
+        return createsRegister && !guard.hasCapacityFor(prepare.key())
                 ? ConsensusMessage.Reply.REJECTED
                 : ConsensusMessage.Reply.OK;
     }
 
-    private static ConsensusMessage.Reply written(final boolean synced) {
+    private static ConsensusMessage.Reply writeReply(final boolean synced) {
         return synced ? ConsensusMessage.Reply.OK : ConsensusMessage.Reply.WRITE_FAILED;
     }
 
@@ -86,7 +86,7 @@
         storage.writeRegister(
                 accept.key(),
                 new Register(accept.proposalNumber().next(), accept.proposalNumber(), accept.value()),
-                synced -> sendAccepted(accept, written(synced), accept.proposalNumber()));
+                synced -> sendAccepted(accept, writeReply(synced), accept.proposalNumber()));
     }
 
     private ConsensusMessage.Reply checkAccept(
@@ -128,15 +128,15 @@
 
     /** Names the registers of which the voter that hands over has more than this disk. */
     void onHandoverRequest(final ConsensusMessage.HandoverRequest request) {
-        final List<String> lacking = new ArrayList<>();
+        final List<String> outdatedKeys = new ArrayList<>();
         for (final ConsensusMessage.AcceptedEntry entry : request.accepted()) {
             final Register synced = storage.syncedRegister(entry.key());
             if (synced.accepted().compareTo(entry.accepted()) < 0 && !guard.isPruned(entry.key())) {
-                lacking.add(entry.key());
+                outdatedKeys.add(entry.key());
             }
         }
         sender.send(
                 request.from(),
-                new ConsensusMessage.HandoverResponse(name, request.generation(), request.epoch(), lacking));
+                new ConsensusMessage.HandoverResponse(name, request.generation(), request.epoch(), outdatedKeys));
     }
 }
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
@@ -98,24 +98,24 @@
 
     /** Stores that this disk has everything that a voter of the generation needs. */
     void writeCaughtUp(final long generation, final WriteCallback done) {
-        put(CAUGHT_UP_KEY, caughtUpMark(generation).getBytes(StandardCharsets.UTF_8), done);
+        put(CAUGHT_UP_KEY, caughtUpMarker(generation).getBytes(StandardCharsets.UTF_8), done);
     }
 
     /** Returns whether {@link #writeCaughtUp} was stored by this disk's present identity for the generation. */
     boolean isCaughtUp(final long generation) {
-        return storedCaughtUpMark().equals(caughtUpMark(generation));
+        return storedCaughtUpMarker().equals(caughtUpMarker(generation));
     }
 
     /** Returns whether this disk's present identity has caught up in any generation, and so may have voted. */
     boolean hasEverCaughtUp() {
-        return storedCaughtUpMark().startsWith(diskId + "/");
+        return storedCaughtUpMarker().startsWith(diskId + "/");
     }
 
-    private String caughtUpMark(final long generation) {
+    private String caughtUpMarker(final long generation) {
         return diskId + "/" + generation;
     }
 
-    private String storedCaughtUpMark() {
+    private String storedCaughtUpMarker() {
         final byte[] stored = localRecord(CAUGHT_UP_KEY);
         return stored == null ? "" : new String(stored, StandardCharsets.UTF_8);
     }
--- a/spokestall/src/main/java/spokestall/consensus/Proposal.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposal.java
@@ -66,9 +66,9 @@
     private byte[] highestValue;
     private byte[] proposedValue;
     /** Whether the proposed value is the editor's, not one found in PREPARE. */
-    private boolean proposedOwn;
+    private boolean proposedEditorValue;
     /** Whether a value of the editor's was proposed in any attempt, and so may be chosen. */
-    private boolean mayBeChosen;
+    private boolean editorValueMayBeChosen;
 
     private boolean pruned;
     private boolean rejected;
@@ -164,9 +164,9 @@
     private void scheduleTimeout() {
         final long scheduledAttemptId = attemptId;
         final Phase scheduledPhase = phase;
-        final long leftMillis = Math.max(1, deadlineMs - proposer.clock.nowMs());
+        final long remainingMillis = Math.max(1, deadlineMs - proposer.clock.nowMs());
         final long timeoutMillis = proposer.timing.attemptTimeoutMillis() << Math.min(timeouts, MAX_TIMEOUT_DOUBLINGS);
-        proposer.clock.after(Math.min(timeoutMillis, leftMillis), () -> {
+        proposer.clock.after(Math.min(timeoutMillis, remainingMillis), () -> {
             if (attemptId == scheduledAttemptId && phase == scheduledPhase) {
                 onTimeout();
             }
@@ -219,7 +219,7 @@
         if (granted.size() >= voterSet.majority()) {
             onMajorityPromised();
         } else if (isMajorityOutOfReach()) {
-            onPromisesNotGranted();
+            onPrepareRefused();
         }
     }
 
@@ -247,9 +247,9 @@
         }
     }
 
-    private void onPromisesNotGranted() {
+    private void onPrepareRefused() {
         if (pruned) {
-            complete(mayBeChosen ? new ProposalOutcome.Indeterminate() : new ProposalOutcome.Pruned());
+            complete(editorValueMayBeChosen ? new ProposalOutcome.Indeterminate() : new ProposalOutcome.Pruned());
         } else if (rejected) {
             complete(failure(ProposalOutcome.Reason.REJECTED));
         } else {
@@ -257,10 +257,10 @@
         }
     }
 
-    private void propose(final byte[] value, final boolean own) {
+    private void propose(final byte[] value, final boolean fromEditor) {
         proposedValue = value;
-        proposedOwn = own;
-        mayBeChosen |= own;
+        proposedEditorValue = fromEditor;
+        editorValueMayBeChosen |= fromEditor;
         transitionTo(Phase.ACCEPT);
         clearReplies();
         for (final Voter voter : voterSet.voters()) {
@@ -310,7 +310,7 @@
                                 voterSet.generation(), voterSet.epoch(), key, number, proposedValue));
             }
         }
-        complete(new ProposalOutcome.Committed(proposedValue, proposedOwn));
+        complete(new ProposalOutcome.Committed(proposedValue, proposedEditorValue));
         reportMissedVoters();
     }
 
@@ -353,7 +353,7 @@
     }
 
     private ProposalOutcome failure(final ProposalOutcome.Reason reason) {
-        return mayBeChosen ? new ProposalOutcome.Indeterminate() : new ProposalOutcome.NotCommitted(reason);
+        return editorValueMayBeChosen ? new ProposalOutcome.Indeterminate() : new ProposalOutcome.NotCommitted(reason);
     }
 
     private void complete(final ProposalOutcome outcome) {
--- a/spokestall/src/main/java/spokestall/consensus/Proposer.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposer.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns how many proposals wait for replies, those included that wait for late acknowledgements only. */
-    public int roundsInFlight() {
+    public int attemptsInFlight() {
         return inFlight.size();
     }
 
--- a/spokestall/src/main/java/spokestall/lease/AcquisitionRule.java
+++ b/spokestall/src/main/java/spokestall/lease/AcquisitionRule.java
@@ -18,7 +18,7 @@
     private long lastHeldMs;
 
     /** The owner value of the last session that ended in this incarnation, or null. */
-    private String endedOwner;
+    private String lastEndedOwner;
 
     AcquisitionRule(final LeaseContext context, final LeaseTimeouts timeouts, final LeasedTask task) {
         this.context = context;
@@ -31,18 +31,18 @@
     /** Notes that a session of this node has ended now. */
     void onSessionEnded(final LeaseSession session) {
         lastHeldMs = clock.nowMs();
-        endedOwner = session.owner();
+        lastEndedOwner = session.owner();
     }
 
     /** Whether this node may acquire the lease as observed now. */
     boolean mayAcquire(final LeaseWatch watch) {
         final Lease observed = watch.observed();
-        if (isOwnUnused(observed)) {
+        if (isOwnUnusedLease(observed)) {
             return true;
         }
         final long nowMs = clock.nowMs();
-        return nowMs - lastHeldMs >= timeouts.restMs()
-                && nowMs - watch.observedSinceMs() >= expiresAfterMs(observed) + turnDelayMs(observed);
+        return nowMs - lastHeldMs >= timeouts.cooldownMs()
+                && nowMs - watch.observedSinceMs() >= expiresAfterMs(observed) + staggerDelayMs(observed);
     }
 
     /**
@@ -50,10 +50,10 @@
      * Nothing is done under it and nobody else acquired it since, so its expiry need not be waited for. A session that has ended
      * in this incarnation is left to others. Of a lease that an older generation allotted, a later change may have been lost.
      */
-    private boolean isOwnUnused(final Lease observed) {
+    private boolean isOwnUnusedLease(final Lease observed) {
         return observed != null
                 && observed.holder().equals(context.node())
-                && !observed.owner().equals(endedOwner)
+                && !observed.owner().equals(lastEndedOwner)
                 && observed.fencingToken() >= context.proposer().voterSet().firstNumber()
                 && task.isQuiescent();
     }
@@ -65,23 +65,23 @@
         }
         // No lease at all may mean that one was lost with its disks while its holder still works.
         final long spanMs = observed == null ? timeouts.leaseMs() : Math.max(observed.spanMs(), timeouts.leaseMs());
-        return spanMs + timeouts.marginMs();
+        return spanMs + timeouts.safetyMarginMs();
     }
 
     /**
      * Rivals that saw the same lease expire acquire one after another, in an order drawn from the lease itself, so that the first
      * is done before the next begins; all at once would spend the store's time on each other's proposal numbers.
      */
-    private long turnDelayMs(final Lease expired) {
+    private long staggerDelayMs(final Lease expired) {
         final String salt = expired == null ? "" : expired.owner() + expired.renewal();
         final int ownRank = (context.node() + salt).hashCode();
-        int rivalsBefore = 0;
+        int rivalsAhead = 0;
         for (final Voter voter : context.proposer().voterSet().voters()) {
             final boolean rival = expired == null || !voter.name().equals(expired.holder());
             if (rival && (voter.name() + salt).hashCode() < ownRank) {
-                rivalsBefore++;
+                rivalsAhead++;
             }
         }
-        return rivalsBefore * timeouts.turnMs();
+        return rivalsAhead * timeouts.staggerMs();
     }
 }
--- a/spokestall/src/main/java/spokestall/lease/Lease.java
+++ b/spokestall/src/main/java/spokestall/lease/Lease.java
@@ -35,7 +35,7 @@
      * Whether both are the same acquisition in the same state, that is, nobody renewed, released or acquired the lease in between.
      * Either may be null, for no lease at all.
      */
-    static boolean unchanged(final Lease one, final Lease other) {
+    static boolean isSameState(final Lease one, final Lease other) {
         if (one == null || other == null) {
             return one == other;
         }
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -70,7 +70,7 @@
     private final LeasedTask task;
     private final LeaseReplica replica;
     private final LeaseWatch watch;
-    private final AcquisitionRule rule;
+    private final AcquisitionRule acquisitionRule;
     private State state = State.WATCHING;
     private boolean readInFlight;
     private boolean renewalInFlight;
@@ -96,7 +96,7 @@
         this.task = task;
         this.replica = replica;
         this.watch = new LeaseWatch(context.clock());
-        this.rule = new AcquisitionRule(context, timeouts, task);
+        this.acquisitionRule = new AcquisitionRule(context, timeouts, task);
     }
 
     /** What the manager is doing now. */
@@ -118,7 +118,7 @@
     public void onTick() {
         switch (state) {
             case WATCHING -> observe();
-            case HOLDING -> keep();
+            case HOLDING -> renewOrEnd();
             case ACQUIRING, RELEASING, STOPPED -> {}
         }
     }
@@ -133,12 +133,12 @@
         if (state == State.HOLDING) {
             release("stop");
         } else if (state != State.RELEASING) {
-            transition(State.STOPPED, "stop");
+            transitionTo(State.STOPPED, "stop");
             done.run();
         }
     }
 
-    private void transition(final State to, final String reason) {
+    private void transitionTo(final State to, final String reason) {
         assert state.next().contains(to) : "lease of " + context.role() + " from " + state + " to " + to;
         LOG.atInfo().log(
                 "event=lease_state_changed node=%s role=%s from=%s to=%s reason=%s sessionId=%s fencingToken=%s",
@@ -158,20 +158,20 @@
         }
         final Register copy = replica.current();
         if (copy != null) {
-            watch.onReplica(lease(copy.value()));
+            watch.onReplica(decodeLease(copy.value()));
         }
-        if (copy != null && !watch.needsStoreRead() && !rule.mayAcquire(watch)) {
+        if (copy != null && !watch.needsStoreRead() && !acquisitionRule.mayAcquire(watch)) {
             return;
         }
         readInFlight = true;
-        proposer.read(key, timeouts.storeWaitMs(), this::onRead);
+        proposer.read(key, timeouts.storeTimeoutMs(), this::onRead);
     }
 
     private void onRead(final ProposalOutcome outcome) {
         readInFlight = false;
         if (state == State.WATCHING && outcome instanceof ProposalOutcome.Committed done) {
-            watch.onStoreRead(lease(done.value()));
-            if (rule.mayAcquire(watch)) {
+            watch.onStoreRead(decodeLease(done.value()));
+            if (acquisitionRule.mayAcquire(watch)) {
                 acquire();
             }
         }
@@ -184,34 +184,34 @@
                 context.node() + "/" + Long.toHexString(context.random().nextLong());
         final String sessionId = Long.toHexString(context.random().nextLong());
         session = null;
-        transition(State.ACQUIRING, whyFree(expired));
+        transitionTo(State.ACQUIRING, acquisitionReason(expired));
         proposer.propose(
                 key,
-                timeouts.storeWaitMs(),
-                value -> acquisition(value, owner, expired),
+                timeouts.storeTimeoutMs(),
+                value -> acquisitionEdit(value, owner, expired),
                 outcome -> onAcquired(outcome, owner, sessionId, requestedMs));
     }
 
     /** Sets this owner if the lease is free: absent, released, or still the one that was watched until it expired. */
-    private RegisterEdit acquisition(final byte[] value, final String owner, final Lease expired) {
-        final Lease now = lease(value);
-        if (now != null && now.owner().equals(owner)) {
+    private RegisterEdit acquisitionEdit(final byte[] value, final String owner, final Lease expired) {
+        final Lease current = decodeLease(value);
+        if (current != null && current.owner().equals(owner)) {
             return new RegisterEdit.Set(value);
         }
-        final boolean asWatched = now != null
+        final boolean unchangedSinceObserved = current != null
                 && expired != null
-                && now.owner().equals(expired.owner())
-                && now.renewal() == expired.renewal();
-        if (now != null && !now.released() && !asWatched) {
+                && current.owner().equals(expired.owner())
+                && current.renewal() == expired.renewal();
+        if (current != null && !current.released() && !unchangedSinceObserved) {
             return RegisterEdit.LEAVE;
         }
         final long first = proposer.voterSet().firstNumber();
-        final long fencingToken = Math.max(now == null ? 0 : now.fencingToken(), first) + 1;
+        final long fencingToken = Math.max(current == null ? 0 : current.fencingToken(), first) + 1;
         return new RegisterEdit.Set(MessageCodec.encodeRecord(
                 new Lease(owner, context.node(), 0, fencingToken, timeouts.leaseMs(), false)));
     }
 
-    private String whyFree(final Lease expired) {
+    private String acquisitionReason(final Lease expired) {
         if (expired == null) {
             return "no_lease";
         }
@@ -225,34 +225,36 @@
             final ProposalOutcome outcome, final String owner, final String sessionId, final long requestedMs) {
         final long nowMs = clock.nowMs();
         watch.reset();
-        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
-            final Lease now = lease(done.value());
-            watch.restart(now);
-            if (done.wrote() && now.owner().equals(owner) && nowMs - requestedMs <= timeouts.storeWaitMs()) {
+        if (outcome instanceof ProposalOutcome.Committed committed && committed.value() != null) {
+            final Lease current = decodeLease(committed.value());
+            watch.restart(current);
+            if (committed.wrote()
+                    && current.owner().equals(owner)
+                    && nowMs - requestedMs <= timeouts.storeTimeoutMs()) {
                 session = new LeaseSession(
                         sessionId,
                         owner,
-                        now.fencingToken(),
+                        current.fencingToken(),
                         timeouts.deadlineMs(requestedMs),
-                        requestedMs + timeouts.maxRunMs());
+                        requestedMs + timeouts.maxSessionMs());
                 renewalRequestedMs = nowMs;
-                transition(State.HOLDING, "acquired");
+                transitionTo(State.HOLDING, "acquired");
                 task.onSessionStarted(session);
                 return;
             }
         }
         // Rejected, late or unknown: no session begins. If it was stored all the same, the next read finds it and
         // the watch begins again from there.
-        transition(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "not_acquired" : "outcome_unknown");
+        transitionTo(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "not_acquired" : "outcome_unknown");
     }
 
     /** Renews the session in time, or ends it once it is no longer valid. */
-    private void keep() {
+    private void renewOrEnd() {
         final long nowMs = clock.nowMs();
         final Optional<LeaseSession.EndReason> endReason = session.endReason(nowMs);
         if (endReason.isPresent()) {
             release(endReason.get().name());
-        } else if (!renewalInFlight && nowMs - renewalRequestedMs >= timeouts.renewMs()) {
+        } else if (!renewalInFlight && nowMs - renewalRequestedMs >= timeouts.renewIntervalMs()) {
             renew(session);
         }
     }
@@ -263,8 +265,8 @@
         renewalRequestedMs = requestedMs;
         proposer.propose(
                 key,
-                timeouts.storeWaitMs(),
-                value -> ifOwned(value, renewed, now -> now.renewed(timeouts.leaseMs())),
+                timeouts.storeTimeoutMs(),
+                value -> editIfOwned(value, renewed, now -> now.renewed(timeouts.leaseMs())),
                 outcome -> onRenewed(renewed, outcome, requestedMs));
     }
 
@@ -287,8 +289,8 @@
         final long nowMs = clock.nowMs();
         final boolean stored = outcome instanceof ProposalOutcome.Committed done
                 && done.wrote()
-                && lease(done.value()).owner().equals(renewed.owner());
-        final boolean timely = nowMs - requestedMs <= timeouts.storeWaitMs() && renewed.isValid(nowMs);
+                && decodeLease(done.value()).owner().equals(renewed.owner());
+        final boolean timely = nowMs - requestedMs <= timeouts.storeTimeoutMs() && renewed.isValid(nowMs);
         return stored && timely && timeouts.deadlineMs(requestedMs) > nowMs;
     }
 
@@ -296,16 +298,16 @@
     private void release(final String reason) {
         final LeaseSession ended = session;
         ended.cancel();
-        rule.onSessionEnded(ended);
-        transition(State.RELEASING, reason);
+        acquisitionRule.onSessionEnded(ended);
+        transitionTo(State.RELEASING, reason);
         if (!task.isQuiescent()) {
             onReleaseEnded("calls_in_flight");
             return;
         }
         proposer.propose(
                 key,
-                timeouts.storeWaitMs(),
-                value -> ifOwned(value, ended, Lease::release),
+                timeouts.storeTimeoutMs(),
+                value -> editIfOwned(value, ended, Lease::release),
                 outcome ->
                         onReleaseEnded(outcome instanceof ProposalOutcome.Committed ? "released" : "outcome_unknown"));
     }
@@ -313,7 +315,7 @@
     private void onReleaseEnded(final String reason) {
         watch.reset();
         final boolean stopping = onStopped != null;
-        transition(stopping ? State.STOPPED : State.WATCHING, reason);
+        transitionTo(stopping ? State.STOPPED : State.WATCHING, reason);
         session = null;
         if (stopping) {
             onStopped.run();
@@ -321,14 +323,14 @@
     }
 
     /** Changes the lease only while it is this session's and not released. */
-    private static RegisterEdit ifOwned(
+    private static RegisterEdit editIfOwned(
             final byte[] value, final LeaseSession session, final UnaryOperator<Lease> change) {
-        final Lease now = lease(value);
-        final boolean owned = now != null && now.owner().equals(session.owner()) && !now.released();
-        return owned ? new RegisterEdit.Set(MessageCodec.encodeRecord(change.apply(now))) : RegisterEdit.LEAVE;
+        final Lease current = decodeLease(value);
+        final boolean owned = current != null && current.owner().equals(session.owner()) && !current.released();
+        return owned ? new RegisterEdit.Set(MessageCodec.encodeRecord(change.apply(current))) : RegisterEdit.LEAVE;
     }
 
-    private static Lease lease(final byte[] value) {
+    private static Lease decodeLease(final byte[] value) {
         return value == null ? null : MessageCodec.decodeRecord(value, Lease.class);
     }
 }
--- a/spokestall/src/main/java/spokestall/lease/LeaseTimeouts.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseTimeouts.java
@@ -13,9 +13,15 @@
  *     checked within a span, a holder that came back sooner would seem to act beside the one that followed it; 0 for no rest
  */
 public record LeaseTimeouts(
-        long leaseMs, long renewMs, long storeWaitMs, long marginMs, long turnMs, long maxRunMs, long restMs) {
+        long leaseMs,
+        long renewIntervalMs,
+        long storeTimeoutMs,
+        long safetyMarginMs,
+        long staggerMs,
+        long maxSessionMs,
+        long cooldownMs) {
     /** Until when a holder may act whose acquisition or renewal was requested at {@code requestedMs}. */
     long deadlineMs(final long requestedMs) {
-        return requestedMs + leaseMs - marginMs;
+        return requestedMs + leaseMs - safetyMarginMs;
     }
 }
--- a/spokestall/src/main/java/spokestall/lease/LeaseWatch.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseWatch.java
@@ -14,9 +14,9 @@
     private final Clock clock;
     private Lease observed;
     private long observedSinceMs;
-    private boolean known;
+    private boolean hasObservation;
     private Lease replica;
-    private boolean replicaKnown;
+    private boolean hasReplica;
     private boolean replicaDiffers;
 
     LeaseWatch(final Clock clock) {
@@ -35,41 +35,44 @@
 
     /** Whether nothing was observed yet, or this node's copy shows what only the store can confirm. */
     boolean needsStoreRead() {
-        return !known || replicaDiffers;
+        return !hasObservation || replicaDiffers;
     }
 
     /** Receives this node's copy of the lease, null for no lease. A later change by the observed owner restarts the watch. */
-    void onReplica(final Lease now) {
-        if (replicaKnown && Lease.unchanged(now, replica)) {
+    void onReplica(final Lease current) {
+        if (hasReplica && Lease.isSameState(current, replica)) {
             return;
         }
-        replicaKnown = true;
-        replica = now;
-        if (!known || now == null || observed == null || !now.owner().equals(observed.owner())) {
-            replicaDiffers = !known || !Lease.unchanged(now, observed);
-        } else if (now.renewal() > observed.renewal() || now.released() && !observed.released()) {
-            restart(now);
+        hasReplica = true;
+        replica = current;
+        if (!hasObservation
+                || current == null
+                || observed == null
+                || !current.owner().equals(observed.owner())) {
+            replicaDiffers = !hasObservation || !Lease.isSameState(current, observed);
+        } else if (current.renewal() > observed.renewal() || current.released() && !observed.released()) {
+            restart(current);
         }
     }
 
     /** Receives what a read of the store returned, null for no lease. The watch goes on only if that is unchanged too. */
-    void onStoreRead(final Lease now) {
+    void onStoreRead(final Lease current) {
         replicaDiffers = false;
-        if (!known || !Lease.unchanged(now, observed)) {
-            restart(now);
+        if (!hasObservation || !Lease.isSameState(current, observed)) {
+            restart(current);
         }
     }
 
     /** Begins a new watch of this lease, as the store returned it. */
-    void restart(final Lease now) {
-        observed = now;
+    void restart(final Lease current) {
+        observed = current;
         observedSinceMs = clock.nowMs();
-        known = true;
+        hasObservation = true;
     }
 
     /** Forgets the observed lease: the next watch begins with a read of the store. */
     void reset() {
         observed = null;
-        known = false;
+        hasObservation = false;
     }
 }
--- a/spokestall/src/main/java/spokestall/time/FleetClock.java
+++ b/spokestall/src/main/java/spokestall/time/FleetClock.java
@@ -86,8 +86,10 @@
         }
         offsetsMs.add(ownOffsetMs);
         Collections.sort(offsetsMs);
-        final long awayMs = offsetsMs.get(offsetsMs.size() / 2) - ownOffsetMs;
-        ownOffsetMs += Math.abs(awayMs) > stepMs ? awayMs : Long.signum(awayMs) * Math.min(1, Math.abs(awayMs));
+        final long deviationMs = offsetsMs.get(offsetsMs.size() / 2) - ownOffsetMs;
+        ownOffsetMs += Math.abs(deviationMs) > stepMs
+                ? deviationMs
+                : Long.signum(deviationMs) * Math.min(1, Math.abs(deviationMs));
         settled = true;
     }
 }
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -8,7 +8,7 @@
 /** Keys of the records that an acceptor stores beside its registers, against their literals. */
 class AcceptorKeyStabilityTest {
     @Test
-    void keysOfAnAcceptorsLocalRecordsAreTheLiteralOnes() {
+    void localRecordKeysAreStable() {
         assertThat(AcceptorStorage.VOTER_SET_KEY).isEqualTo("~voters");
         assertThat(AcceptorStorage.CAUGHT_UP_KEY).isEqualTo("~caught");
         assertThat(AcceptorStorage.DISK_ID_KEY).isEqualTo("~disk");
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorStorageTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorStorageTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aRegisterInFlightIsNotShownAsSynced() {
+    void theSyncedStateOfARegisterWithAnUnsyncedWriteIsThePreviousOne() {
         storage.writeRegister(KEY, FIRST, WriteCallback.IGNORED);
         disk.pause();
         storage.writeRegister(KEY, SECOND, WriteCallback.IGNORED);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aNewRegisterInFlightIsEmptyOnDisk() {
+    void theSyncedStateOfANewUnsyncedRegisterIsEmpty() {
         disk.pause();
         storage.writeRegister(KEY, FIRST, WriteCallback.IGNORED);
         assertThat(storage.register(KEY)).isSameAs(FIRST);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void listenersAndThenTheCallbackReceiveARegisterOnceItIsSynced() {
+    void listenersAreCalledBeforeTheCallbackOnceARegisterIsSynced() {
         final List<String> calls = new ArrayList<>();
         storage.addListener((key, register) -> calls.add("listener " + key));
         disk.pause();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aRegisterThatTheDiskHasNoCapacityForIsRolledBack() {
+    void aRegisterIsRolledBackIfTheDiskHasNoCapacityForIt() {
         final List<Boolean> results = new ArrayList<>();
         storage.writeRegister(KEY, FIRST, WriteCallback.IGNORED);
         final ProposalNumber number = SECOND.accepted();
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aMergeTakesTheHigherPromiseAndTheValueAcceptedLater() {
+    void aMergeKeepsTheHigherPromiseAndTheValueWithTheHigherAcceptedNumber() {
         final ProposalNumber high = new ProposalNumber(9, "p#2");
         storage.writeRegister(KEY, new Register(high, FIRST.accepted(), FIRST.value()), WriteCallback.IGNORED);
         storage.mergeRegister(KEY, SECOND);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void theVersionFloorRisesOnceItIsSynced() {
+    void theVersionFloorIsRaisedOnlyOnceItIsSynced() {
         final List<Long> floors = new ArrayList<>();
         disk.pause();
         storage.raiseVersionFloor(7, () -> floors.add(storage.versionFloor()));
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aRestartedAcceptorFindsWhatWasSynced() {
+    void syncedStateIsReadBackAfterARestart() {
         assertThat(storage.openedBlank()).isTrue();
         storage.writeRegister(KEY, FIRST, WriteCallback.IGNORED);
         storage.writeCaughtUp(3, WriteCallback.IGNORED);
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aNewVoterVotesOnlyAfterItHasReadAnIntersectingQuorum() {
+    void aNewVoterVotesOnlyAfterCatchingUpFromAnIntersectingQuorum() {
         for (int voters = 2; voters <= VoterSet.VOTERS_MAX; voters++) {
             final VoterSet voterSet = voterSet(voters);
             assertThat(voterSet.intersectingQuorum() + voterSet.majority()).isGreaterThan(voters);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aNewVoterTakesTheHighestVersionFloorOfItsQuorumAndKeepsItThroughARestart() {
+    void aNewVoterAdoptsTheHighestVersionFloorOfItsQuorumAndKeepsItAfterARestart() {
         final SegmentStore disk = disk();
         final Acceptor acceptor = open(disk);
         acceptor.updateVoterSet(voterSet(5));
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aNewVoterDoesNotVoteBeforeItsSnapshotCoversTheVersionsThatTheOthersPruned() {
+    void aNewVoterDoesNotVoteUntilItsSnapshotCoversAllPrunedVersions() {
         final SnapshotGuard guard = new SnapshotGuard();
         guard.syncedSnapshotVersion = 39;
         final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, guard, "disk-0");
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void theVersionFloorKeepsTheNewestVersionAndAtMostSoManyVersionsAndBytes() {
+    void theRetentionFloorKeepsTheNewestVersionAndObeysTheVersionAndByteLimits() {
         final TreeMap<String, Register> registers = new TreeMap<>();
         for (int version = 1; version <= 100; version++) {
             final byte[] value = new byte[version == 90 ? 5000 : 10];
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aVoterThatResignedFromAGenerationVotesInNoneOfItsEpochs() {
+    void aResignedVoterDoesNotVoteInLaterEpochsOfItsGeneration() {
         final Acceptor acceptor = newVoter();
         acceptor.startGeneration(voterSet(3), List.of());
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aVoterThatResignedDoesNotCatchUpInALaterEpoch() {
+    void aResignedVoterDoesNotCatchUpInALaterEpoch() {
         final PausableSegmentStore disk = new PausableSegmentStore();
         final Acceptor acceptor = open(disk);
         acceptor.startGeneration(voterSet(3), List.of());
@@ -162,7 +162,7 @@
 
     /** Two new voters that had each caught up when the other's voter set arrived would otherwise wait for each other for ever. */
     @Test
-    void aVoterThatHasCaughtUpWhenAVoterSetArrivesVotesOnceThatIsSynced() {
+    void aCaughtUpVoterThatReceivesAVoterSetVotesOnceTheVoterSetIsSynced() {
         final PausableSegmentStore disk = new PausableSegmentStore();
         final Acceptor acceptor = open(disk);
         acceptor.updateVoterSet(voterSet(3));
--- a/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -22,7 +22,7 @@
     /** A register that counts the changes made to it, with the outcomes that its proposers and readers received in one run. */
     private static final class Counter {
         private static final int PROPOSERS = 4;
-        private static final int CHANGES_EACH = 8;
+        private static final int CHANGES_PER_PROPOSER = 8;
         private final ConsensusTestContext context;
         private final List<String> committed = new ArrayList<>();
         private long newestNumber;
@@ -44,7 +44,7 @@
         void run() {
             for (int p = 0; p < PROPOSERS; p++) {
                 final Proposer proposer = context.proposer("p" + p);
-                for (int i = 0; i < CHANGES_EACH; i++) {
+                for (int i = 0; i < CHANGES_PER_PROPOSER; i++) {
                     final String changeId = "p" + p + "." + i;
                     context.clock.after(context.random.nextInt(6000), () -> increment(proposer, changeId));
                     context.clock.after(context.random.nextInt(9000), () -> read(proposer));
@@ -92,7 +92,7 @@
 
     /** Every committed change is visible to all that begin after it, and none is made twice or lost. */
     @Test
-    void changesOfOneRegisterStandInOneOrderWhateverTheNetworkAndPowerDo() {
+    void changesOfARegisterAreTotallyOrderedDespiteMessageAndPowerLoss() {
         long committedChanges = 0;
         long otherOutcomes = 0;
         for (int seed = 0; seed < 40; seed++) {
@@ -122,7 +122,7 @@
             TIMING,
             (voter, key) -> missedVoters.add(voter));
 
-    private void set() {
+    private void proposeValue() {
         proposer.propose(KEY, TIMEOUT_MILLIS, current -> new RegisterEdit.Set(VALUE), outcomes::add);
     }
 
@@ -141,7 +141,7 @@
     }
 
     private void commit() {
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.OK);
         reply(1, ConsensusMessage.Reply.OK);
         assertThat(sent).last().isInstanceOf(ConsensusMessage.Accept.class);
@@ -150,17 +150,17 @@
     }
 
     @Test
-    void theNextChangeOfACommittedRegisterNeedsNoPreparePhase() {
+    void aSecondChangeByTheSameProposerSkipsThePreparePhase() {
         proposer.updateVoterSet(VOTERS);
         commit();
         assertThat(outcomes).singleElement().isEqualTo(new ProposalOutcome.Committed(VALUE, true));
         sent.clear();
-        set();
+        proposeValue();
         assertThat(sent).hasSize(3).allMatch(message -> message instanceof ConsensusMessage.Accept);
     }
 
     @Test
-    void aVoterThatAcknowledgesNoChosenValueWithinOneAttemptTimeoutIsReportedAsMissed() {
+    void aVoterThatDoesNotAcknowledgeAChosenValueWithinTheAttemptTimeoutIsReported() {
         proposer.updateVoterSet(VOTERS);
         commit();
         assertThat(sent).last().isInstanceOf(ConsensusMessage.Chosen.class);
@@ -168,13 +168,13 @@
         assertThat(missedVoters).isEmpty();
         clock.runUntil(TIMING.attemptTimeoutMillis(), () -> {});
         assertThat(missedVoters).containsExactly("v2");
-        assertThat(proposer.roundsInFlight()).isZero();
+        assertThat(proposer.attemptsInFlight()).isZero();
     }
 
     @Test
-    void aMajorityThatRejectsThePrepareMakesTheProposalNotCommitted() {
+    void aProposalIsNotCommittedIfAMajorityRejectsItsPrepare() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.REJECTED);
         assertThat(outcomes).isEmpty();
         reply(1, ConsensusMessage.Reply.REJECTED);
@@ -182,17 +182,17 @@
     }
 
     @Test
-    void aMajorityThatHasPrunedTheRegisterMakesTheProposalPruned() {
+    void aProposalEndsAsPrunedIfAMajorityHasPrunedTheRegister() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.PRUNED);
         reply(1, ConsensusMessage.Reply.PRUNED);
         assertThat(outcomes).containsExactly(new ProposalOutcome.Pruned());
     }
 
     @Test
-    void aProposalWithoutAVoterSetIsNotCommittedAtItsDeadline() {
-        set();
+    void aProposalWithoutAVoterSetEndsAsNotCommittedAtItsDeadline() {
+        proposeValue();
         clock.runAll();
         assertThat(sent).isEmpty();
         assertThat(outcomes)
@@ -200,9 +200,9 @@
     }
 
     @Test
-    void aProposalWhoseValueWasSentAndNotAcceptedInTimeIsIndeterminate() {
+    void aProposalIsIndeterminateIfItsValueIsSentButNotAcceptedInTime() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.OK);
         reply(1, ConsensusMessage.Reply.OK);
         assertThat(sent).last().isInstanceOf(ConsensusMessage.Accept.class);
@@ -213,7 +213,7 @@
     @Test
     void aReplyFromADiskWithoutTheVoterSlotIsNotCounted() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         final ConsensusMessage.Prepare prepare = (ConsensusMessage.Prepare) sent.get(0);
         reply(0, ConsensusMessage.Reply.OK);
         proposer.onMessage(new ConsensusMessage.Promise(
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -18,18 +18,18 @@
 /** Versions that were decided and pruned are never decided anew, whichever voters are replaced or restarted after. */
 class VersionFloorTest {
     private static final int VOTERS = 6;
-    private static final long DECIDED = 40;
-    private static final long FLOOR = 30;
-    private static final byte[] FIRST = {1};
-    private static final byte[] OTHER = {2};
+    private static final long NEWEST_VERSION = 40;
+    private static final long VERSION_FLOOR = 30;
+    private static final byte[] DECIDED_VALUE = {1};
+    private static final byte[] OTHER_VALUE = {2};
 
     /** A voter with its disk; versions up to its version floor are pruned. */
-    private final class Machine extends PermissiveGuard {
+    private final class VoterNode extends PermissiveGuard {
         private final String name;
         private InMemorySegmentStore disk = new InMemorySegmentStore(8, 1 << 14);
         private Acceptor acceptor;
 
-        Machine(final String name) {
+        VoterNode(final String name) {
             this.name = name;
         }
 
@@ -44,12 +44,12 @@
         }
     }
 
-    private record Sent(String to, Message message) {}
+    private record Envelope(String to, Message message) {}
 
-    private record Timer(long atMs, Runnable what) {}
+    private record Timer(long atMs, Runnable task) {}
 
-    private final Map<String, Machine> machines = new TreeMap<>();
-    private final ArrayDeque<Sent> inFlight = new ArrayDeque<>();
+    private final Map<String, VoterNode> voterNodes = new TreeMap<>();
+    private final ArrayDeque<Envelope> inFlight = new ArrayDeque<>();
     private final List<Timer> timers = new ArrayList<>();
     private final Clock clock = new Clock() {
         @Override
@@ -73,7 +73,7 @@
     private long nowMs;
 
     private void send(final String to, final Message message) {
-        inFlight.add(new Sent(to, message));
+        inFlight.add(new Envelope(to, message));
     }
 
     private void run(final long spanMs) {
@@ -81,18 +81,18 @@
             deliver();
             final List<Timer> due = timers.stream().filter(t -> t.atMs <= nowMs).toList();
             timers.removeAll(due);
-            due.forEach(t -> t.what.run());
+            due.forEach(t -> t.task.run());
         }
         deliver();
     }
 
     private void deliver() {
         while (!inFlight.isEmpty()) {
-            final Sent sent = inFlight.poll();
+            final Envelope sent = inFlight.poll();
             if (sent.to.equals("late")) {
                 proposer.onMessage((ConsensusMessage) sent.message);
             } else {
-                machines.get(sent.to).acceptor.onMessage((ConsensusMessage) sent.message, sent.to);
+                voterNodes.get(sent.to).acceptor.onMessage((ConsensusMessage) sent.message, sent.to);
             }
         }
     }
@@ -103,19 +103,20 @@
         for (int i = 0; i < VOTERS; i++) {
             final String name = "v" + i;
             voters.add(new Voter(name, name, "disk-" + i));
-            machines.put(name, new Machine(name));
-            machines.get(name).start("disk-" + i);
+            voterNodes.put(name, new VoterNode(name));
+            voterNodes.get(name).start("disk-" + i);
         }
         voterSet = new VoterSet(1, 1, voters);
-        machines.values().forEach(m -> m.acceptor.startGeneration(voterSet, List.of()));
+        voterNodes.values().forEach(m -> m.acceptor.startGeneration(voterSet, List.of()));
         proposer.updateVoterSet(voterSet);
-        for (long version = 1; version <= DECIDED; version++) {
-            assertThat(propose(version, FIRST)).isInstanceOf(ProposalOutcome.Committed.class);
+        for (long version = 1; version <= NEWEST_VERSION; version++) {
+            assertThat(propose(version, DECIDED_VALUE)).isInstanceOf(ProposalOutcome.Committed.class);
         }
-        machines.values()
+        voterNodes
+                .values()
                 .forEach(m -> m.acceptor.raiseVersionFloor(
-                        FLOOR,
-                        () -> ConfigurationKeys.keysUpTo(m.acceptor.registers(), FLOOR)
+                        VERSION_FLOOR,
+                        () -> ConfigurationKeys.keysUpTo(m.acceptor.registers(), VERSION_FLOOR)
                                 .forEach(m.acceptor::removeRegister)));
     }
 
@@ -130,46 +131,48 @@
         return outcomes.get(0);
     }
 
-    private void replace(final int i) {
-        final Machine machine = machines.get("v" + i);
-        machine.disk = new InMemorySegmentStore(8, 1 << 14);
-        machine.start("disk-" + i + "-new");
-        voterSet = voterSet.withReplacedDisk(new Voter(machine.name, machine.name, machine.acceptor.diskId()));
-        machines.values().forEach(m -> m.acceptor.updateVoterSet(voterSet));
+    private void replaceDisk(final int i) {
+        final VoterNode voterNode = voterNodes.get("v" + i);
+        voterNode.disk = new InMemorySegmentStore(8, 1 << 14);
+        voterNode.start("disk-" + i + "-new");
+        voterSet = voterSet.withReplacedDisk(new Voter(voterNode.name, voterNode.name, voterNode.acceptor.diskId()));
+        voterNodes.values().forEach(m -> m.acceptor.updateVoterSet(voterSet));
         for (int tick = 0; tick < 10; tick++) {
-            machine.acceptor.onTick(machine.name);
+            voterNode.acceptor.onTick(voterNode.name);
             run(1);
         }
-        assertThat(machine.acceptor.state()).isEqualTo(Acceptor.State.VOTING);
+        assertThat(voterNode.acceptor.state()).isEqualTo(Acceptor.State.VOTING);
     }
 
-    private void assertNoVersionIsDecidedAnew() {
+    private void assertNoDecidedVersionChanges() {
         proposer.updateVoterSet(voterSet);
-        for (long version = 1; version <= FLOOR; version++) {
-            assertThat(propose(version, OTHER)).as("version %s", version).isInstanceOf(ProposalOutcome.Pruned.class);
+        for (long version = 1; version <= VERSION_FLOOR; version++) {
+            assertThat(propose(version, OTHER_VALUE))
+                    .as("version %s", version)
+                    .isInstanceOf(ProposalOutcome.Pruned.class);
         }
-        for (long version = FLOOR + 1; version <= DECIDED; version++) {
-            assertThat(propose(version, OTHER))
+        for (long version = VERSION_FLOOR + 1; version <= NEWEST_VERSION; version++) {
+            assertThat(propose(version, OTHER_VALUE))
                     .as("version %s", version)
                     .isInstanceOfSatisfying(
                             ProposalOutcome.Committed.class,
-                            done -> assertThat(done.value()).isEqualTo(FIRST));
+                            done -> assertThat(done.value()).isEqualTo(DECIDED_VALUE));
         }
     }
 
     @Test
-    void noVersionIsDecidedAnewAfterAllVotersWereReplacedInTurn() {
+    void noDecidedVersionChangesAfterEachVotersDiskIsReplaced() {
         startVotersThatPrunedVersions();
         for (int i = 0; i < VOTERS; i++) {
-            replace(i);
+            replaceDisk(i);
         }
-        assertNoVersionIsDecidedAnew();
+        assertNoDecidedVersionChanges();
     }
 
     @Test
-    void noVersionIsDecidedAnewAfterAllVotersWereRestarted() {
+    void noDecidedVersionChangesAfterAllVotersRestart() {
         startVotersThatPrunedVersions();
-        machines.values().forEach(m -> m.start("not used"));
-        assertNoVersionIsDecidedAnew();
+        voterNodes.values().forEach(m -> m.start("not used"));
+        assertNoDecidedVersionChanges();
     }
 }
--- a/spokestall/src/test/java/spokestall/handoff/HintStoreTest.java
+++ b/spokestall/src/test/java/spokestall/handoff/HintStoreTest.java
@@ -6,7 +6,7 @@
 
 class HintStoreTest {
     @Test
-    void newestKeysAreHeldUpToTheBoundAndReturnedOnceOldestFirst() {
+    void theNewestKeysAreKeptUpToTheLimitAndRemovedOldestFirst() {
         final HintStore hints = new HintStore(10);
         for (int i = 0; i < 25; i++) {
             hints.add("d2-core", "key-" + i);
--- a/spokestall/src/test/java/spokestall/handoff/ResponseCacheTest.java
+++ b/spokestall/src/test/java/spokestall/handoff/ResponseCacheTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void responsesAreBoundedByTheirBytes() {
+    void theCacheIsBoundedByBytes() {
         cache.put(response("too-large", "d", 10 * BODY_BYTES));
         assertThat(cache.find("too-large", "d")).isEmpty();
         for (int i = 0; i < 50; i++) {
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -18,18 +18,18 @@
     private static final LeaseTimeouts TIMEOUTS = new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 0);
     private static final long CHECKED_SPAN_MS = 3000;
     /** Rivals acquire one after another, in turns of the six voters. */
-    private static final long TURNS_MAX_MS = 6 * TIMEOUTS.turnMs();
+    private static final long STAGGER_MAX_MS = 6 * TIMEOUTS.staggerMs();
 
     /** Managers on a lossy network, each frozen now and then while voters restart: one valid session at most, tokens rise. */
     @Test
     void atMostOneSessionIsValidAndFencingTokensRise() {
-        assertThat(sessionsWith(false)).isGreaterThan(60);
+        assertThat(countSessions(false)).isGreaterThan(60);
     }
 
     /** The same with replicas of the register: one current, one late, one that never changes, one that is sometimes missing. */
     @Test
     void staleReplicasNeverLeadToTwoValidSessions() {
-        assertThat(sessionsWith(true)).isGreaterThan(60);
+        assertThat(countSessions(true)).isGreaterThan(60);
     }
 
     private static LeaseReplica replica(final ConsensusTestContext context, final int number) {
@@ -57,7 +57,7 @@
         return new Register(ProposalNumber.NONE, ProposalNumber.NONE, value);
     }
 
-    private static int sessionsWith(final boolean replicas) {
+    private static int countSessions(final boolean replicas) {
         int held = 0;
         for (int seed = 0; seed < 20; seed++) {
             final ConsensusTestContext context = new ConsensusTestContext(seed, 0.1);
@@ -108,7 +108,7 @@
 
     /** A holder that renews is watched by the replica alone; once it stops, the store is read before the lease is acquired. */
     @Test
-    void theStoreIsReadOnlyOnceTheReplicaWasUnchangedForTheWholeSpan() {
+    void theStoreIsReadOnlyAfterTheReplicaIsUnchangedForTheWholeLeaseSpan() {
         final ConsensusTestContext context = new ConsensusTestContext(2, 0);
         final Proposer writer = context.proposer("w");
         final byte[][] copy = {null};
@@ -145,12 +145,13 @@
             context.run(context.clock.nowMs() + 50);
         }
         assertThat(leaseManager.observedLease().fencingToken()).isGreaterThan(1);
-        assertThat(begunMs[0] - stoppedMs).isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs(), 2 * TIMEOUTS.leaseMs());
+        assertThat(begunMs[0] - stoppedMs)
+                .isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
     /** A lease that is not there may have been lost with its disks while its holder still works. */
     @Test
-    void anAbsentLeaseIsWatchedForTheWholeSpanBeforeItIsAcquired() {
+    void anAbsentLeaseIsWatchedForTheWholeLeaseSpanBeforeItIsAcquired() {
         final ConsensusTestContext context = new ConsensusTestContext(1, 0);
         final long[] begunMs = {-1};
         final LeaseManager leaseManager = new LeaseManager(
@@ -163,10 +164,12 @@
             context.run(atMs);
             leaseManager.onTick();
         }
-        assertThat(begunMs[0] - fromMs).isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs(), 2 * TIMEOUTS.leaseMs());
+        assertThat(begunMs[0] - fromMs)
+                .isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
-    private static final LeaseTimeouts TIMEOUTS_WITH_REST = new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 3600);
+    private static final LeaseTimeouts TIMEOUTS_WITH_COOLDOWN =
+            new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 3600);
 
     /** One incarnation of a node: its manager and the sessions that it began. */
     private static final class Incarnation implements LeasedTask {
@@ -224,11 +227,11 @@
     /** A holder restarted before anyone else acquired: nothing is done under its old lease. An acquisition whose outcome came too
      * late looks the same. */
     @Test
-    void aHolderThatRestartsAcquiresItsOwnLeaseWithoutWaitingForItsExpiry() {
+    void aRestartedHolderAcquiresItsOwnLeaseWithoutWaitingForExpiry() {
         final ConsensusTestContext context = new ConsensusTestContext(3, 0);
-        final Incarnation before = new Incarnation(context, "k", 1, TIMEOUTS_WITH_REST);
+        final Incarnation before = new Incarnation(context, "k", 1, TIMEOUTS_WITH_COOLDOWN);
         msUntilSessionOf(context, 10_000, before);
-        final Incarnation after = new Incarnation(context, "k", 2, TIMEOUTS_WITH_REST);
+        final Incarnation after = new Incarnation(context, "k", 2, TIMEOUTS_WITH_COOLDOWN);
         assertThat(msUntilSessionOf(context, 10_000, after)).isLessThan(TIMEOUTS.leaseMs() / 2);
         assertThat(after.sessions.get(0).fencingToken())
                 .isGreaterThan(before.sessions.get(0).fencingToken());
@@ -236,7 +239,7 @@
 
     /** A lease of an older generation may have been acquired by another since, which was lost with the disks. */
     @Test
-    void aLeaseOfAnOlderGenerationIsWatchedByItsOwnHolderToo() {
+    void aRestartedHolderWaitsForExpiryOfItsLeaseFromAnOlderGeneration() {
         final ConsensusTestContext context = new ConsensusTestContext(4, 0);
         context.proposer("w")
                 .propose(
@@ -247,59 +250,60 @@
                         outcome -> {});
         context.run(context.clock.nowMs() + 500);
         assertThat(msUntilSessionOf(context, 10_000, new Incarnation(context, "k", 1, TIMEOUTS)))
-                .isGreaterThanOrEqualTo(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs());
+                .isGreaterThanOrEqualTo(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs());
     }
 
     /** A graceful shutdown hands the lease over: once released it is acquired at once, but not by a recent holder. */
     @Test
-    void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsRest() {
+    void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsCooldown() {
         final ConsensusTestContext context = new ConsensusTestContext(6, 0);
-        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_REST);
-        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_REST);
+        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
+        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
         msUntilSessionOf(context, 10_000, one);
-        msUntilSessionOf(context, TIMEOUTS_WITH_REST.restMs(), two, one);
+        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), two, one);
         final long stoppedMs = context.clock.nowMs();
         one.leaseManager.stop(() -> {});
-        assertThat(msUntilSessionOf(context, 10_000, two)).isLessThan(TURNS_MAX_MS + TIMEOUTS.leaseMs() / 2);
-        final Incarnation oneAgain = new Incarnation(context, "k1", 2, TIMEOUTS_WITH_REST);
+        assertThat(msUntilSessionOf(context, 10_000, two)).isLessThan(STAGGER_MAX_MS + TIMEOUTS.leaseMs() / 2);
+        final Incarnation oneAgain = new Incarnation(context, "k1", 2, TIMEOUTS_WITH_COOLDOWN);
         msUntilSessionOf(context, 500, oneAgain, two);
         two.leaseManager.stop(() -> {});
         msUntilSessionOf(context, 10_000, oneAgain);
         assertThat(oneAgain.sessions).hasSize(1);
-        assertThat(context.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(TIMEOUTS_WITH_REST.restMs());
+        assertThat(context.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(TIMEOUTS_WITH_COOLDOWN.cooldownMs());
     }
 
     /** A call that may still arrive keeps the lease from being released: it expires instead. */
     @Test
     void aHolderWithACallInFlightLeavesItsLeaseToExpire() {
         final ConsensusTestContext context = new ConsensusTestContext(7, 0);
-        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_REST);
-        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_REST);
+        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
+        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
         msUntilSessionOf(context, 10_000, one);
-        msUntilSessionOf(context, TIMEOUTS_WITH_REST.restMs(), two, one);
+        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), two, one);
         one.callInFlight = true;
         one.leaseManager.stop(() -> {});
-        assertThat(msUntilSessionOf(context, 10_000, two)).isGreaterThan(TIMEOUTS.leaseMs() - TIMEOUTS.renewMs());
+        assertThat(msUntilSessionOf(context, 10_000, two))
+                .isGreaterThan(TIMEOUTS.leaseMs() - TIMEOUTS.renewIntervalMs());
     }
 
     /** Holders that restart and hand over at any moment: one acts at a time, and none acts again after its successor within the
      * span in which the order of holders is checked. */
     @Test
-    void noFormerHolderActsAgainWithinTheCheckedSpan() {
+    void aFormerHolderDoesNotActAgainWithinTheCheckedSpan() {
         int held = 0;
         for (int seed = 0; seed < 30; seed++) {
-            held += holdersIn(seed);
+            held += countHolderChanges(seed);
         }
         assertThat(held).isGreaterThan(100);
     }
 
-    private static int holdersIn(final long seed) {
+    private static int countHolderChanges(final long seed) {
         final ConsensusTestContext context = new ConsensusTestContext(seed, 0.05);
         final List<Incarnation> incarnations = new ArrayList<>();
         final List<String> actors = new ArrayList<>();
         final List<Long> lastActMs = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
-            incarnations.add(new Incarnation(context, "k" + k, 0, TIMEOUTS_WITH_REST));
+            incarnations.add(new Incarnation(context, "k" + k, 0, TIMEOUTS_WITH_COOLDOWN));
         }
         int number = 1;
         for (int tick = 0; tick < 8000; tick++) {
@@ -325,7 +329,7 @@
                 if (context.random.nextBoolean()) {
                     old.leaseManager.stop(() -> {});
                 }
-                incarnations.set(of, new Incarnation(context, old.name, number++, TIMEOUTS_WITH_REST));
+                incarnations.set(of, new Incarnation(context, old.name, number++, TIMEOUTS_WITH_COOLDOWN));
             }
             for (int k = 0; k < incarnations.size(); k++) {
                 if ((tick + k) % 10 == 0) {
--- a/spokestall/src/test/java/spokestall/lease/LeaseSessionTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseSessionTest.java
@@ -11,7 +11,7 @@
     private final LeaseSession session = new LeaseSession("s", "k/1", 7, DEADLINE_MS, END_MS);
 
     @Test
-    void aSessionIsValidUntilItsDeadlineAndARenewalMovesThatForwardOnly() {
+    void aSessionIsValidUntilItsDeadlineAndRenewalsNeverMoveTheDeadlineBack() {
         assertThat(session.isValid(DEADLINE_MS - 1)).isTrue();
         assertThat(session.endReason(DEADLINE_MS)).contains(LeaseSession.EndReason.DEADLINE);
         session.extend(DEADLINE_MS + 400);
--- a/spokestall/src/test/java/spokestall/time/FleetClockTest.java
+++ b/spokestall/src/test/java/spokestall/time/FleetClockTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void oneJumpedClockMovesNothing() {
+    void aSingleJumpedClockDoesNotMoveTheFleetTime() {
         final Random random = new Random(7);
         for (int run = 0; run < 200; run++) {
             final long trueMs = 1_000_000_000L;
@@ -35,7 +35,7 @@
 
     /** Replies that waited for a machine that stood still are off by half of that time. */
     @Test
-    void aReadingThatTookLongDoesNotReplaceAnEarlierOne() {
+    void aDelayedReadingDoesNotReplaceAnEarlierOne() {
         final ManualClock clock = new ManualClock(0, 50_000);
         final FleetClock fleet = new FleetClock(clock, 100);
         for (final String peer : List.of("a", "b", "c")) {
@@ -51,7 +51,7 @@
 
     /** Where each reading takes long, one that is off is better than none. */
     @Test
-    void aFirstReadingCountsHoweverLongItTook() {
+    void theFirstReadingOfAPeerCountsEvenIfItIsDelayed() {
         final FleetClock fleet = new FleetClock(new ManualClock(400, 10_000), 100);
         fleet.onPeerReading("a", 50_000, true, 0);
         fleet.onPeerReading("b", 50_000, true, 0);
