--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -7,46 +7,47 @@
 import spokestall.storage.SegmentedLog;
 
 /**
- * A voter: promises proposal numbers and accepts values for the registers that it stores, on behalf of one voter set.
+ * A Paxos acceptor: promises proposal numbers and accepts values for the registers that it stores, as a voter of one voter set.
  *
- * <p><b>Protocol.</b> Each key is a register of its own and each change of it a single-decree agreement (Paxos): a proposer
+ * <p><b>Protocol.</b> Each key has its own register, and single-decree Paxos decides each change of a register: a proposer
  * sends {@link ConsensusMessage.Prepare} with a proposal number, then {@link ConsensusMessage.Accept} with a value. An acceptor
- * promises a number that is not below the one it promised before, and accepts a value under such a number. A value that a
- * majority of the voter set accepted under one number is chosen. Only messages of this acceptor's own generation and epoch count;
- * a sender with an older voter set receives the newer one.
+ * promises a number, and accepts a value under a number, only if that number is not below the one it promised before. A value that
+ * a majority of the voter set has accepted under one number is chosen. The acceptor handles only messages of its own generation
+ * and epoch; it sends its voter set to a sender that has an older one.
  *
- * <p><b>States and transitions</b>, all made by {@link #transitionTo}:
+ * <p><b>States and transitions.</b> {@link #transitionTo} makes every transition:
  *
  * <ul>
- *   <li>{@link State#BLANK}: no voter slot. To CATCHING_UP when a voter set arrives, or on opening a disk that has a slot; to
- *       VOTING on opening a disk that has caught up.
- *   <li>{@link State#CATCHING_UP}: has a voter set whose record is not synced yet, or a slot without the state that goes with it;
- *       promises and accepts nothing. To VOTING when both are on disk; to BLANK when the voter set has no slot for this disk.
- *   <li>{@link State#VOTING}: to CATCHING_UP while a newer voter set is being written.
- *   <li>{@link State#RESIGNED}: votes in no epoch of this generation again, since a new generation may start from what it has. To
- *       CATCHING_UP when a newer generation's voter set arrives.
- *   <li>{@link State#STOPPED} is not stored: it hides any other state while the disk takes no writes.
+ *   <li>{@link State#BLANK}: the acceptor has no voter slot. Changes to CATCHING_UP when a voter set arrives or when the acceptor
+ *       opens a disk that has a slot; to VOTING when it opens a disk that has caught up.
+ *   <li>{@link State#CATCHING_UP}: the acceptor has a voter set that is not synced yet, or a slot without the registers that a voter
+ *       needs. It promises and accepts nothing. Changes to VOTING when the voter set and the registers are on disk; to BLANK when
+ *       the voter set has no slot for this disk.
+ *   <li>{@link State#VOTING}: changes to CATCHING_UP while the acceptor writes a newer voter set.
+ *   <li>{@link State#RESIGNED}: the acceptor never votes in an epoch of this generation again, since a new generation may start from
+ *       the registers it has. Changes to CATCHING_UP when the voter set of a newer generation arrives.
+ *   <li>{@link State#STOPPED} is not stored: {@link #state()} returns it in place of any other state while the disk takes no writes.
  * </ul>
  *
- * From every state, a resignation leads to RESIGNED and a reset of the identity to BLANK.
+ * From every state, a resignation leads to RESIGNED and an identity reset leads to BLANK.
  *
- * <p><b>What is synced before which reply.</b> The promised number before {@link ConsensusMessage.Promise}; the accepted number and
- * value before {@link ConsensusMessage.Accepted}; the voter set before any reply in its epoch; registers, version floor and the
- * record of the catch-up before the first reply of a new voter. A reply to a peek, and to a handover request, shows synced state
- * only.
+ * <p><b>Durability.</b> The acceptor syncs the promised number before it sends {@link ConsensusMessage.Promise}; the accepted number
+ * and value before {@link ConsensusMessage.Accepted}; the voter set before any reply in its epoch; and the registers, the version
+ * floor and the caught-up record before the first reply of a new voter. Replies to a peek or to a handover request contain only
+ * synced state.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 public final class Acceptor {
-    /** The states of an acceptor. The names are written into replies of the operator's calls. */
+    /** The states of an acceptor. Replies to operator calls contain these names. */
     public enum State {
-        /** Without a voter slot. */
+        /** Has no voter slot. */
         BLANK,
-        /** With a voter set, and without a part of what it takes to vote in it. */
+        /** Has a voter set, but not yet all the synced state that it needs to vote in it. */
         CATCHING_UP,
-        /** Promises and accepts. */
+        /** Promises proposal numbers and accepts values. */
         VOTING,
-        /** Gave up its vote in this generation for a new one. */
+        /** Gave up its vote in this generation so that a new generation can start. */
         RESIGNED,
         /** Its disk takes no writes. */
         STOPPED
@@ -61,17 +62,17 @@
     private final AcceptorRequestHandler requestHandler;
     private VoterSet voterSet;
     private State state = State.BLANK;
-    /** Counts the voter sets taken in this incarnation, so that a write that was overtaken by a newer one has no effect. */
+    /** Number of voter set updates in this incarnation. Callbacks of a write that a newer update has superseded do nothing. */
     private long voterSetUpdates;
 
     private boolean lastLoggedCanWrite = true;
 
     /**
-     * Opens the stored state; the acceptor votes at once if its disk has caught up in its voter set's generation.
+     * Reads the stored state. The acceptor votes at once if its disk has caught up in the generation of the stored voter set.
      *
      * @param name the name of this core, as in its voter slot
-     * @param segmentedLog what the state is stored in; used by this acceptor alone
-     * @param freshDiskId the identity for a disk that has none
+     * @param segmentedLog the log that stores the state; no other component uses it
+     * @param freshDiskId the identity that a disk without one receives
      */
     public Acceptor(
             final String name,
@@ -92,66 +93,69 @@
     }
 
     /**
-     * Stores a record of this node's own beside the registers, or removes it if the value is null.
+     * Stores a node-local record beside the registers, or removes the record if the value is null.
      *
-     * @param key begins with a tilde, so that it can't be a register's
+     * @param key begins with a tilde, which no register key does
      */
     public void putLocalRecord(final String key, final byte[] value, final WriteCallback done) {
         storage.putLocalRecord(key, value, done);
     }
 
-    /** Returns a record of this node's own, or null. */
+    /** Returns a node-local record, or null if there is none. */
     public byte[] localRecord(final String key) {
         return storage.localRecord(key);
     }
 
-    /** Returns whether this voter has the state that it votes with, also while it doesn't vote for a moment. */
+    /**
+     * Returns whether this voter has the registers it needs to vote and hasn't resigned. Stays true while the voter briefly doesn't
+     * vote because it writes a newer voter set.
+     */
     public boolean hasState() {
         return state != State.RESIGNED && hasStateOnDisk();
     }
 
-    /** Returns whether this voter has its slot and fetches the state that it lacks from the others. */
+    /** Returns whether this voter has a slot and is fetching missing registers from the other voters. */
     public boolean isCatchingUp() {
         return state() == State.CATCHING_UP && hasVoterSlot();
     }
 
     /**
-     * Returns whether the state that it votes with is on its disk, also after it resigned: a later attempt at a new generation
-     * needs that state as much as the first.
+     * Returns whether the registers this voter needs to vote are on its disk. Unlike {@link #hasState}, this stays true after a
+     * resignation: a second attempt to start a new generation needs those registers as much as the first one.
      */
     public boolean hasStateOnDisk() {
         return storage.canRead() && hasVoterSlot() && storage.isCaughtUp(voterSet.generation());
     }
 
     /**
-     * Returns whether this disk's identity has voted, or may have. Such an identity must never get a slot anew: it would not know
-     * what it missed while it had none.
+     * Returns whether this disk's identity has voted, or may have. Such an identity must never receive a slot again: it would not
+     * know which changes it missed while it had no slot.
      */
     public boolean mayHaveVoted() {
         return storage.hasEverCaughtUp();
     }
 
-    /** Returns whether the disk was blank when this incarnation opened it. */
+    /** Returns whether the disk had no identity when this incarnation opened it. */
     public boolean openedBlank() {
         return storage.openedBlank();
     }
 
-    /** Returns whether the disk takes writes, as far as is known. */
+    /** Returns whether the disk takes writes, as far as this node knows. */
     public boolean canWrite() {
         return storage.canWrite();
     }
 
-    /** Adds a listener for synced changes of registers. */
+    /** Adds a listener for synced register changes. Listeners can't be removed. */
     public void addListener(final RegisterListener listener) {
         storage.addListener(listener);
     }
 
-    /** Returns the state. */
+    /** Returns the state; {@link State#STOPPED} while the disk takes no writes. */
     public State state() {
         return storage.canWrite() ? state : State.STOPPED;
     }
 
-    /** Returns the newest voter set known here, or null if there was none yet. */
+    /** Returns the newest voter set that this acceptor has received, or null if it has received none. */
     public VoterSet voterSet() {
         return voterSet;
     }
@@ -161,12 +165,12 @@
         return storage.diskId();
     }
 
-    /** Returns the number of the newest synced record of this disk. */
+    /** Returns the sequence number of the newest synced record on this disk. */
     public long syncedSeq() {
         return storage.syncedSeq();
     }
 
-    /** Returns the live view of all registers, in the order of their keys; some may not be synced yet. */
+    /** Returns a live view of all registers, ordered by key; some may not be synced yet. */
     public TreeMap<String, Register> registers() {
         return storage.registers();
     }
@@ -188,7 +192,10 @@
         state = next;
     }
 
-    /** Takes a newer voter set; from here on, messages of older ones are rejected. An older or equal one is ignored. */
+    /**
+     * Adopts a newer voter set; from here on, the acceptor rejects messages of older ones. Ignores a voter set that is not newer, and
+     * any voter set while the disk takes no writes.
+     */
     public void updateVoterSet(final VoterSet next) {
         if (!next.newerThan(voterSet) || !storage.canWrite()) {
             return;
@@ -197,9 +204,12 @@
         final State previous = state;
         voterSet = next;
         final long update = ++voterSetUpdates;
-        // Until the voter set is synced no vote is cast, so a power loss can't bring the old one back under a new vote.
+        // The acceptor casts no vote until the voter set is synced. Otherwise it could vote in the new epoch, lose
+        // power and
+        // restart in the old one.
         final boolean staysVoter = previous == State.VOTING && !newGeneration && hasVoterSlot();
-        // Who resigned from a generation did so for all its epochs, also while a voter set is being written.
+        // A resignation holds for all epochs of its generation, also while the acceptor writes the voter set of a later
+        // epoch.
         if (previous != State.RESIGNED || newGeneration) {
             transitionTo(State.CATCHING_UP, "voter_set_received");
         }
@@ -214,7 +224,8 @@
     }
 
     private void onVoterSetSynced(final boolean staysVoter) {
-        // Who had caught up by the time the voter set arrived has all that a voter needs, though it hadn't voted yet.
+        // A disk that had caught up when the voter set arrived has all registers that a voter needs, even if it hasn't
+        // voted yet.
         if (staysVoter || hasStateOnDisk()) {
             transitionTo(State.VOTING, "voter_set_synced");
         } else if (!hasVoterSlot()) {
@@ -225,28 +236,28 @@
         }
     }
 
-    /** Removes a register for good. The caller makes sure that {@link RegisterGuard#isPruned} holds for its key from then on. */
+    /** Removes a register permanently. The caller ensures that {@link RegisterGuard#isPruned} holds for its key from then on. */
     public void removeRegister(final String key) {
         storage.removeRegister(key);
     }
 
-    /** Returns the version up to which registers of versions were pruned; none of them is ever created anew here. */
+    /** Returns the version up to which version registers were pruned; this acceptor never creates one of those again. */
     public long versionFloor() {
         return storage.versionFloor();
     }
 
     /**
-     * Raises the version floor. Registers below it may be removed only once {@code synced} runs, so that none is ever missing here
-     * without a floor that says so. A floor that isn't higher is ignored.
+     * Raises the version floor. The caller may remove registers up to the floor only once {@code synced} runs, so that a register is
+     * never missing on a disk whose floor doesn't cover it. A floor that isn't higher is ignored.
      */
     public void raiseVersionFloor(final long floor, final Runnable synced) {
         storage.raiseVersionFloor(floor, synced);
     }
 
     /**
-     * Ends this voter's part in its generation, because it promised its state to an attempt at a new one.
+     * Stops voting in the current generation, because this voter promised its state to an attempt to start a new generation.
      *
-     * @param generation the generation that the attempt starts from; a newer one than this goes on voting
+     * @param generation the generation that the attempt starts from; an acceptor in a newer generation continues to vote
      */
     public void resign(final long generation) {
         if (voterSet == null || voterSet.generation() <= generation) {
@@ -254,14 +265,17 @@
         }
     }
 
-    /** Starts over as a blank disk under a fresh identity, after a resignation that led to nothing or the loss of the slot. */
+    /**
+     * Clears the disk and gives it a fresh identity, after a resignation that led to no new generation or after the loss of the voter
+     * slot.
+     */
     public void resetIdentity(final String freshDiskId) {
         storage.writeDiskId(freshDiskId);
         storage.clear();
         transitionTo(State.BLANK, "identity_reset");
     }
 
-    /** Starts a new generation with its first voter set and its first registers, which replace all that was here. */
+    /** Starts a new generation with its first voter set and its initial registers, which replace all registers on this disk. */
     public void startGeneration(final VoterSet first, final List<ConsensusMessage.Entry> entries) {
         if (!first.newerThan(voterSet)) {
             return;
@@ -277,7 +291,10 @@
         completeCatchUp(update);
     }
 
-    /** Starts a generation that others started before, as long as this disk, which has a slot in its first voter set, never voted. */
+    /**
+     * Starts a generation that other voters have started before. Has no effect unless this disk has a slot in the generation's first
+     * voter set, still has one, and is catching up in that generation, so that it hasn't voted in it.
+     */
     public void startGenerationLate(final VoterSet first, final List<ConsensusMessage.Entry> entries) {
         final Voter firstSlot = first.voter(name);
         if (state != State.CATCHING_UP
@@ -295,7 +312,10 @@
         completeCatchUp(voterSetUpdates);
     }
 
-    /** The voter set and registers were written before, so once this record is synced, so are they. */
+    /**
+     * Records that this disk has caught up, and votes once the record is synced. The disk syncs records in the order in which they
+     * are written, so the voter set and the registers written before are synced by then.
+     */
     private void completeCatchUp(final long update) {
         storage.writeCaughtUp(voterSet.generation(), synced -> {
             if (synced && update == voterSetUpdates && hasVoterSlot() && state == State.CATCHING_UP) {
@@ -304,7 +324,11 @@
         });
     }
 
-    /** Retries writes that the disk refused, and requests for pages of the catch-up. */
+    /**
+     * Retries writes that the disk refused and page requests of the catch-up.
+     *
+     * @param address where this node receives messages
+     */
     public void onTick(final String address) {
         storage.retryWrites();
         logWriteState();
@@ -323,7 +347,10 @@
         }
     }
 
-    /** What the others pruned is not among their registers, so it must be here in the form that they keep it in. */
+    /**
+     * Completes the catch-up once enough voters have been read to the end and a snapshot on this disk covers the versions that they
+     * pruned, since their pages don't contain pruned registers.
+     */
     private void completeCatchUpIfPossible() {
         if (catchUp.isComplete(voterSet) && guard.hasSnapshotUpTo(catchUp.highestVersionFloor())) {
             raiseVersionFloor(catchUp.highestVersionFloor(), () -> {});
@@ -332,7 +359,7 @@
     }
 
     /**
-     * Handles a message of a proposer or another voter. Messages that are for others than acceptors are ignored.
+     * Handles a message of a proposer or another voter. Ignores messages that are not for acceptors.
      *
      * @param address where this node receives messages
      */
@@ -352,7 +379,7 @@
         }
     }
 
-    /** Returns OK if this acceptor votes in the sender's epoch. A sender with an older voter set receives the newer one. */
+    /** Returns OK if this acceptor votes in the sender's epoch. Sends the newer voter set to a sender that has an older one. */
     private ConsensusMessage.Reply checkEpoch(final long generation, final long epoch, final String from) {
         if (new VoterSet(generation, epoch, List.of()).newerThan(voterSet)) {
             return ConsensusMessage.Reply.NOT_VOTING;
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorCatchUp.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorCatchUp.java
@@ -9,20 +9,20 @@
 import spokestall.message.MessageSender;
 
 /**
- * The catch-up of an acceptor that has a voter slot and lacks the state that goes with it: it fetches all registers of the other
- * voters, page by page, each voter's from its own offset (the key it has read up to).
+ * Catch-up of an acceptor that has a voter slot but not the registers a voter needs: fetches all registers of the other voters
+ * page by page. The catch-up tracks a separate offset for each voter: the last key read from it.
  *
- * <p>Every value that was chosen before this acceptor may vote was accepted by some majority. The catch-up is complete when so
- * many voters have been read to the end that one of them is in every such majority ({@link VoterSet#intersectingQuorum}). Registers
- * that those voters had pruned are not in their pages; {@link #highestVersionFloor} says which these are.
+ * <p>Every value chosen before this acceptor votes was accepted by some majority. The catch-up is complete when the voters read to
+ * the end include a member of every possible majority ({@link VoterSet#intersectingQuorum}). Their pages don't contain registers
+ * that they have pruned; {@link #highestVersionFloor} is the version up to which that may be the case.
  *
- * <p>Lost requests and responses are made up for by {@link #requestPages}, called on each tick. Not thread-safe; all calls on the
- * node's event loop. The state of the acceptor is {@link Acceptor}'s: this class makes no transitions.
+ * <p>{@link #requestPages}, called on each tick, repeats requests whose request or response was lost. {@link Acceptor} owns the
+ * acceptor's state; this class makes no transitions. Not thread-safe; all calls on the node's event loop.
  */
 final class AcceptorCatchUp {
-    /** A page ends with the register that exceeds this. */
+    /** Page size limit; a page ends with the register that exceeds it. */
     private static final int PAGE_BYTES = 256 << 10;
-    /** What a register takes in a page beside its key and value, roughly. */
+    /** Approximate size of a register in a page, not counting its key and value. */
     private static final int ENTRY_OVERHEAD_BYTES = 64;
 
     private final String name;
@@ -38,7 +38,7 @@
         this.sender = sender;
     }
 
-    /** Starts over: what was read so far was read from another voter set. */
+    /** Discards all progress, since the pages read so far belong to an older voter set. */
     void restart() {
         offsets.clear();
         completedVoters.clear();
@@ -50,7 +50,7 @@
         return completedVoters.size() >= voterSet.intersectingQuorum();
     }
 
-    /** Returns the highest version floor of the voters read from; 0 if none had pruned anything. */
+    /** Returns the highest version floor in the responses received so far; 0 if no voter has pruned anything. */
     long highestVersionFloor() {
         return highestVersionFloor;
     }
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Takes a page into the registers and requests the next one. A page that isn't the next one of its voter is ignored.
+     * Merges a page into the registers and requests the voter's next page. Ignores a page that doesn't start at the voter's offset.
      *
      * @return whether this was the last page of its voter
      */
@@ -98,7 +98,7 @@
         return true;
     }
 
-    /** Sends the page that a voter which is catching up requests. */
+    /** Sends a page of this voter's registers to a voter that is catching up. */
     void sendPage(final ConsensusMessage.CatchUpRequest request) {
         final List<ConsensusMessage.Entry> entries = new ArrayList<>();
         int pageBytes = 0;
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorRequestHandler.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorRequestHandler.java
@@ -5,11 +5,11 @@
 import spokestall.message.MessageSender;
 
 /**
- * The acceptor's part of the protocol within one epoch: judges requests of proposers and of voters that leave by the registers
- * and the {@link RegisterGuard}, and replies once the outcome is synced.
+ * Request handling of an acceptor within one epoch: checks requests of proposers, and of voters that shut down, against the
+ * registers and the {@link RegisterGuard}, and replies once the outcome is synced.
  *
- * <p>Whether this acceptor votes in the sender's epoch is {@link Acceptor}'s to say: handlers take its verdict and pass it on as the
- * reply if it isn't OK. Not thread-safe; all calls on the node's event loop.
+ * <p>{@link Acceptor} checks whether it votes in the sender's epoch. The handlers receive the result as {@code epochReply} and send
+ * it as the reply if it isn't OK. Not thread-safe; all calls on the node's event loop.
  */
 final class AcceptorRequestHandler {
     private final String name;
@@ -25,11 +25,11 @@
         this.guard = guard;
     }
 
-    /** Promises the proposal number, or with a peek only shows what is accepted. The promise is synced before the reply. */
+    /** Promises the proposal number and syncs the promise before it replies. A peek only returns the synced register. */
     void onPrepare(final ConsensusMessage.Prepare prepare, final ConsensusMessage.Reply epochReply) {
         final ConsensusMessage.Reply reply = checkPrepare(prepare, epochReply);
         if (reply != ConsensusMessage.Reply.OK || prepare.peek()) {
-            // A peek must not show what a power loss could still take away.
+            // A peek must not return unsynced state, which a power loss could still revert.
             sendPromise(prepare, reply, storage.syncedRegister(prepare.key()));
             return;
         }
@@ -74,7 +74,7 @@
                         reply == ConsensusMessage.Reply.OK ? register.value() : null));
     }
 
-    /** Accepts the value, unless a higher number is promised. Number and value are synced before the reply. */
+    /** Accepts the value unless a higher number is promised. Syncs the number and the value before it replies. */
     void onAccept(final ConsensusMessage.Accept accept, final ConsensusMessage.Reply epochReply) {
         final ProposalNumber promised = storage.register(accept.key()).promised();
         final ConsensusMessage.Reply reply = checkAccept(accept, promised, epochReply);
@@ -82,7 +82,7 @@
             sendAccepted(accept, reply, promised);
             return;
         }
-        // With the value goes a promise of the same proposer's next number: its next change needs no prepare phase.
+        // Also promises the same proposer's next number, so that the proposer's next change needs no prepare phase.
         storage.writeRegister(
                 accept.key(),
                 new Register(accept.proposalNumber().next(), accept.proposalNumber(), accept.value()),
@@ -114,7 +114,7 @@
                 new ConsensusMessage.Accepted(accept.attemptId(), name, storage.diskId(), reply, promised));
     }
 
-    /** Stores a chosen value that this voter did not accept in its turn. */
+    /** Stores a chosen value that this voter has not accepted itself. Does nothing if a higher number is promised. */
     void onChosen(final ConsensusMessage.Chosen chosen) {
         if (guard.isPruned(chosen.key())) {
             return;
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Names the registers of which the voter that hands over has more than this disk. */
+    /** Replies with the keys for which the sender has accepted a newer value than the one synced on this disk. */
     void onHandoverRequest(final ConsensusMessage.HandoverRequest request) {
         final List<String> outdatedKeys = new ArrayList<>();
         for (final ConsensusMessage.AcceptedEntry entry : request.accepted()) {
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
@@ -11,17 +11,17 @@
 import spokestall.storage.SegmentedLog;
 
 /**
- * An acceptor's stored state: the registers by key, and beside them records of its own under keys that start with a tilde (the
- * identity of this disk, the voter set, the generation it caught up in, the version floor).
+ * An acceptor's stored state: the registers by key, and node-local records under keys that start with a tilde (the disk identity,
+ * the voter set, the generation in which the disk caught up, the version floor).
  *
- * <p>A register changes in memory at once, so that the next message is judged by it, and is rolled back if its write fails.
- * {@link #syncedRegister} gives what a power loss can't take away; only that may leave this node. Writes reach the disk in the
- * order of the calls.
+ * <p>A register changes in memory at once, so that the acceptor checks the next message against the new state, and is rolled back if
+ * its write fails. {@link #syncedRegister} returns the state that survives a power loss; only that state may leave this node.
+ * Writes reach the disk in the order of the calls.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class AcceptorStorage {
-    // These keys are on the disks of running fleets.
+    // Stored on the disks of running fleets: these keys must not change.
     static final String VOTER_SET_KEY = "~voters";
     static final String CAUGHT_UP_KEY = "~caught";
     static final String DISK_ID_KEY = "~disk";
@@ -30,7 +30,7 @@
 
     private final SegmentedLog segmentedLog;
     private final TreeMap<String, Register> registers = new TreeMap<>();
-    /** Of each register with writes in flight: its newest synced state. */
+    /** Newest synced state of each register that has writes in flight, by key. */
     private final Map<String, Register> syncedStates = new HashMap<>();
 
     private final Map<String, Integer> writesInFlight = new HashMap<>();
@@ -39,7 +39,7 @@
     private String diskId;
     private long versionFloor;
 
-    /** Reads the stored state. A disk without an identity takes {@code freshDiskId} as its own. */
+    /** Reads the stored state. Gives the identity {@code freshDiskId} to a disk that has none. */
     AcceptorStorage(final SegmentedLog segmentedLog, final String freshDiskId) {
         this.segmentedLog = segmentedLog;
         final byte[] storedDiskId = localRecord(DISK_ID_KEY);
@@ -68,24 +68,24 @@
         return diskId;
     }
 
-    /** Gives this disk another identity. */
+    /** Replaces the identity of this disk. */
     void writeDiskId(final String freshDiskId) {
         diskId = freshDiskId;
         put(DISK_ID_KEY, diskId.getBytes(StandardCharsets.UTF_8), WriteCallback.IGNORED);
     }
 
-    /** Writes one of this node's own records, or removes it if the value is null. */
+    /** Writes a node-local record, or removes the record if the value is null. */
     void putLocalRecord(final String key, final byte[] value, final WriteCallback done) {
         assert key.startsWith(LOCAL_PREFIX) : key;
         put(key, value, done);
     }
 
-    /** Returns one of this node's own records, or null. */
+    /** Returns a node-local record, or null if there is none. */
     byte[] localRecord(final String key) {
         return segmentedLog.table().get(key);
     }
 
-    /** Returns the stored voter set, or null if none was ever stored. */
+    /** Returns the stored voter set, or null if none is stored. */
     VoterSet readVoterSet() {
         final byte[] stored = localRecord(VOTER_SET_KEY);
         return stored == null ? null : MessageCodec.decodeRecord(stored, VoterSet.class);
@@ -96,17 +96,17 @@
         put(VOTER_SET_KEY, MessageCodec.encodeRecord(voterSet), done);
     }
 
-    /** Stores that this disk has everything that a voter of the generation needs. */
+    /** Records that this disk has all registers that a voter of the generation needs. */
     void writeCaughtUp(final long generation, final WriteCallback done) {
         put(CAUGHT_UP_KEY, caughtUpMarker(generation).getBytes(StandardCharsets.UTF_8), done);
     }
 
-    /** Returns whether {@link #writeCaughtUp} was stored by this disk's present identity for the generation. */
+    /** Returns whether {@link #writeCaughtUp} has recorded the generation for this disk's current identity. */
     boolean isCaughtUp(final long generation) {
         return storedCaughtUpMarker().equals(caughtUpMarker(generation));
     }
 
-    /** Returns whether this disk's present identity has caught up in any generation, and so may have voted. */
+    /** Returns whether this disk's current identity has caught up in any generation, and so may have voted. */
     boolean hasEverCaughtUp() {
         return storedCaughtUpMarker().startsWith(diskId + "/");
     }
@@ -120,7 +120,7 @@
         return stored == null ? "" : new String(stored, StandardCharsets.UTF_8);
     }
 
-    /** Returns the version up to which registers of versions were pruned. */
+    /** Returns the version up to which version registers were pruned. */
     long versionFloor() {
         return versionFloor;
     }
@@ -139,33 +139,33 @@
         });
     }
 
-    /** Returns the live view of all registers, in the order of their keys. */
+    /** Returns a live view of all registers, ordered by key; some may not be synced yet. */
     TreeMap<String, Register> registers() {
         return registers;
     }
 
-    /** Returns a register as the next message is to be judged by it, synced or not; {@link Register#EMPTY} if it isn't there. */
+    /** Returns the current state of a register, synced or not; {@link Register#EMPTY} if there is none. */
     Register register(final String key) {
         return registers.getOrDefault(key, Register.EMPTY);
     }
 
-    /** Returns a register as it is on disk; {@link Register#EMPTY} if it isn't there. */
+    /** Returns the synced state of a register; {@link Register#EMPTY} if there is none. */
     Register syncedRegister(final String key) {
         return syncedStates.getOrDefault(key, register(key));
     }
 
-    /** Registers a listener for good. Listeners are called in the order of their registration. */
+    /** Adds a listener, which can't be removed. Listeners are called in the order in which they were added. */
     void addListener(final RegisterListener listener) {
         listeners.add(listener);
     }
 
-    /** Writes a register. Neither its promised nor its accepted number may fall. Listeners are called before {@code done}. */
+    /** Writes a register. Neither its promised nor its accepted number may decrease. Calls the listeners before {@code done}. */
     void writeRegister(final String key, final Register next, final WriteCallback done) {
         final Register previous = registers.put(key, next);
         assert previous == null || previous.promised().compareTo(next.promised()) <= 0
-                : "the promised number fell on " + key;
+                : "promised number decreased for key " + key;
         assert previous == null || previous.accepted().compareTo(next.accepted()) <= 0
-                : "the accepted number fell on " + key;
+                : "accepted number decreased for key " + key;
         syncedStates.putIfAbsent(key, previous == null ? Register.EMPTY : previous);
         writesInFlight.merge(key, 1, Integer::sum);
         put(key, MessageCodec.encodeRecord(next), synced -> {
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Raises a register to what another voter has: the higher of the two promises, and the value accepted later. */
+    /** Merges another voter's register: keeps the higher promised number, and the value with the higher accepted number. */
     void mergeRegister(final String key, final Register other) {
         final Register own = register(key);
         final boolean acceptedLater = other.accepted().compareTo(own.accepted()) > 0;
@@ -207,14 +207,14 @@
         }
     }
 
-    /** Removes a register, if it is there. */
+    /** Removes a register if there is one under the key. */
     void removeRegister(final String key) {
         if (registers.remove(key) != null) {
             put(key, null, WriteCallback.IGNORED);
         }
     }
 
-    /** Removes all registers and the record that this disk caught up; the voter set, identity and version floor stay. */
+    /** Removes all registers and the caught-up record. Keeps the voter set, the disk identity and the version floor. */
     void clear() {
         for (final String key : List.copyOf(registers.keySet())) {
             removeRegister(key);
@@ -226,27 +226,27 @@
         segmentedLog.put(key, value, done::onWriteCompleted);
     }
 
-    /** Returns whether the disk takes writes, as far as is known. */
+    /** Returns whether the disk takes writes, as far as this node knows. */
     boolean canWrite() {
         return segmentedLog.canWrite();
     }
 
-    /** Returns whether what the disk holds could be read. */
+    /** Returns whether the stored state was readable. */
     boolean canRead() {
         return segmentedLog.state() != SegmentedLog.State.BROKEN;
     }
 
-    /** Returns the state of the log that this is stored in. */
+    /** Returns the state of the underlying log. */
     SegmentedLog.State logState() {
         return segmentedLog.state();
     }
 
-    /** Writes again what the disk refused. */
+    /** Retries the writes that the disk refused. */
     void retryWrites() {
         segmentedLog.retry();
     }
 
-    /** Returns the number of the newest synced record. */
+    /** Returns the sequence number of the newest synced record. */
     long syncedSeq() {
         return segmentedLog.syncedSeq();
     }
--- a/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
+++ b/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
@@ -5,14 +5,14 @@
 import spokestall.message.SinceVersion;
 
 /**
- * The messages between proposers and acceptors, and among acceptors. Each is written by the order of its fields, and
+ * The messages between proposers and acceptors, and among acceptors. Messages are encoded by the order of their fields, and
  * {@link Reply} by its ordinal.
  *
- * <p>Any message may be lost, delayed, reordered or delivered twice. {@code from} is the address that replies go to; generation and
- * epoch are those of the sender's voter set. Replies carry the {@code attemptId} of the request that they answer.
+ * <p>Any message may be lost, delayed, reordered or delivered twice. {@code from} is the address to which the receiver sends its
+ * reply; the generation and the epoch are those of the sender's voter set. Replies carry the {@code attemptId} of their request.
  */
 public sealed interface ConsensusMessage extends Message {
-    /** Requests the promise of a proposal number, or with {@code peek} only what is accepted; a peek changes nothing. */
+    /** Requests the promise of a proposal number; with {@code peek} only the accepted value, without changing the register. */
     record Prepare(
             long attemptId,
             String from,
@@ -23,7 +23,7 @@
             boolean peek)
             implements ConsensusMessage {}
 
-    /** The reply to {@link Prepare}: the register as it is on disk. The value is null unless the reply is OK. */
+    /** The reply to {@link Prepare}: the register's synced state. The value is null unless the reply is OK. */
     record Promise(
             long attemptId,
             String acceptor,
@@ -34,7 +34,7 @@
             byte[] value)
             implements ConsensusMessage {}
 
-    /** Requests that a value be accepted under a proposal number. */
+    /** Requests the acceptance of a value under a proposal number. */
     record Accept(
             long attemptId,
             String from,
@@ -53,16 +53,16 @@
     record Chosen(long generation, long epoch, String key, ProposalNumber proposalNumber, byte[] value)
             implements ConsensusMessage {}
 
-    /** Notifies a node of a voter set that is newer than the one it sent a message in. There is no reply. */
+    /** Notifies a node that used an older voter set of the sender's newer one. There is no reply. */
     record VoterSetUpdate(VoterSet voterSet) implements ConsensusMessage {}
 
-    /** Requests a page of a voter's registers: those after a key, in the order of keys. */
+    /** Requests a page of a voter's registers: those whose keys follow {@code after}, ordered by key. */
     record CatchUpRequest(String from, String name, long generation, long epoch, String after)
             implements ConsensusMessage {}
 
     /**
      * The reply to {@link CatchUpRequest}: a page, whether it is the last one, and the version up to which the voter has pruned
-     * registers of versions.
+     * version registers.
      */
     record CatchUpResponse(
             String name,
@@ -74,35 +74,35 @@
             @SinceVersion(4) long versionFloor)
             implements ConsensusMessage {}
 
-    /** Sent by a voter that shuts down, with what it has accepted; requests the keys for which the receiver has less. */
+    /** Lists what a voter that shuts down has accepted; requests the keys for which the receiver has an older value or none. */
     record HandoverRequest(String from, long generation, long epoch, List<AcceptedEntry> accepted)
             implements ConsensusMessage {}
 
-    /** The reply to {@link HandoverRequest}: the keys for which this voter's disk has an older value or none. */
+    /** The reply to {@link HandoverRequest}: the keys for which the replying voter's disk has an older value or none. */
     record HandoverResponse(String name, long generation, long epoch, List<String> lacking)
             implements ConsensusMessage {}
 
-    /** A register's key, and the number under which its value was accepted. */
+    /** A register's key and the proposal number under which its value was accepted. */
     record AcceptedEntry(String key, ProposalNumber accepted) {}
 
-    /** A register under its key. */
+    /** A register and its key. */
     record Entry(String key, Register register) {}
 
-    /** How an acceptor replied. Written by ordinal: new constants go to the end. */
+    /** The result that an acceptor replies with. Encoded by ordinal: add new constants at the end. */
     enum Reply {
-        /** Promised or accepted, and synced to disk. */
+        /** The acceptor has promised or accepted, and has synced that to disk. */
         OK,
-        /** A higher proposal number is promised. */
+        /** The acceptor has promised a higher proposal number. */
         OUTRANKED,
         /** The sender's voter set is older than the acceptor's. */
         STALE_VOTER_SET,
-        /** The acceptor doesn't vote in the sender's epoch, or not yet. */
+        /** The acceptor doesn't vote in the sender's epoch, at least not yet. */
         NOT_VOTING,
-        /** The key's register was pruned. */
+        /** The acceptor has pruned the register. */
         PRUNED,
         /** The {@link RegisterGuard} has no capacity for the register, or doesn't accept the value. */
         REJECTED,
-        /** The disk didn't take the write. */
+        /** The write to the acceptor's disk failed. */
         WRITE_FAILED
     }
 }
--- a/spokestall/src/main/java/spokestall/consensus/MissedVoterListener.java
+++ b/spokestall/src/main/java/spokestall/consensus/MissedVoterListener.java
@@ -1,8 +1,8 @@
 package spokestall.consensus;
 
-/** Receives the voters that did not acknowledge a chosen value in time. Called on the node's event loop. */
+/** Receives voters that did not acknowledge a chosen value in time. Called on the node's event loop. */
 @FunctionalInterface
 public interface MissedVoterListener {
-    /** Handles a voter that had not accepted the register's chosen value one attempt time-out after it was chosen. */
+    /** Handles a voter that has not acknowledged the register's chosen value within one attempt timeout after it was chosen. */
     void onVoterMissed(String voterName, String key);
 }
--- a/spokestall/src/main/java/spokestall/consensus/Proposal.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposal.java
@@ -4,25 +4,27 @@
 import java.util.Set;
 
 /**
- * One change, or one read, of a register on its way to its outcome.
+ * A single change or read of a register, from its first message to its outcome.
  *
- * <p><b>Phases and transitions</b>, all made by {@link #transitionTo}:
+ * <p><b>Phases and transitions.</b> {@link #transitionTo} makes every transition:
  *
  * <ul>
- *   <li>{@link Phase#NEW}: nothing sent. A read goes to PEEK, a change to PREPARE, or to ACCEPT at once if this proposer's last
- *       change of the register is all it knows of: the acceptors promised its next number along with that change.
- *   <li>{@link Phase#PEEK}: a majority shows what it has accepted. If it is the same everywhere that value is chosen and the read is
- *       complete; else to PREPARE, to finish what another proposer began.
- *   <li>{@link Phase#PREPARE}: a majority promises a number of this proposer's. Of the values that it has accepted, the one with the
- *       highest number may be chosen, so the editor gets that one. To ACCEPT, or to COMPLETED if the editor leaves a value that
- *       all of the majority have.
- *   <li>{@link Phase#ACCEPT}: a majority accepts the editor's value, or the one found in PREPARE. Then it is chosen: COMPLETED.
- *   <li>{@link Phase#COMPLETED}: the callback was called. Late acknowledgements are counted for one more time-out.
+ *   <li>{@link Phase#NEW}: no message sent yet. A read goes to PEEK and a change to PREPARE. A change goes to ACCEPT directly if the
+ *       cache has this proposer's last committed value of the register and the voter set is the same: the acceptors promised the
+ *       proposer's next number when they accepted that value.
+ *   <li>{@link Phase#PEEK}: waits until a majority has returned its accepted values. If all are the same, that value is chosen and
+ *       the read is complete; otherwise the proposal goes to PREPARE to finish the change that another proposer began.
+ *   <li>{@link Phase#PREPARE}: waits until a majority has promised this attempt's number. Among the values that the majority has
+ *       accepted, the one with the highest number may be chosen, so the editor receives that one. Goes to ACCEPT, or to COMPLETED if
+ *       the editor leaves a value that the whole majority has accepted.
+ *   <li>{@link Phase#ACCEPT}: waits until a majority has accepted the editor's value, or the value found in PREPARE. That value is
+ *       then chosen, and the proposal goes to COMPLETED.
+ *   <li>{@link Phase#COMPLETED}: the callback has been called. The proposal counts late acknowledgements for one more timeout.
  * </ul>
  *
- * If a majority can't be had any more or not in time, the next attempt begins with PREPARE under a higher number after a jittered
- * backoff. While a proposal backs off it is in the phase that it will begin with. An attempt counts replies of one voter set; with
- * a newer one the proposal starts over.
+ * If a majority is out of reach or doesn't reply in time, the next attempt starts in PREPARE with a higher number after a jittered
+ * backoff. During the backoff the proposal is already in the phase in which that attempt starts. An attempt counts replies of one
+ * voter set only; when the proposer adopts a newer voter set, the proposal starts over.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -35,10 +37,10 @@
         COMPLETED
     }
 
-    /** The wait for a phase doubles with each that timed out, up to two to the power of this: the network or this node may be slow. */
+    /** Limits the phase timeout, which doubles after each timeout in case the network or this node is slow, to 2^2 = 4 times. */
     private static final int MAX_TIMEOUT_DOUBLINGS = 2;
 
-    /** The backoff doubles with each attempt up to two to the power of this. */
+    /** Limits the backoff, which doubles with each attempt, to 2^3 = 8 times. */
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
     private final Proposer proposer;
@@ -46,28 +48,28 @@
     private final long deadlineMs;
     private final RegisterEditor editor;
     private final ProposalCallback callback;
-    /** Voters whose reply to this phase was OK, and from the disk that has their slot. */
+    /** Voters that replied OK in this phase, from the disk that has their slot. */
     private final Set<String> granted = new HashSet<>();
-    /** Voters that gave any other reply to this phase. A voter can be in both, if its messages came twice. */
+    /** Voters that sent any other reply in this phase. A voter can be in both sets, since messages may be delivered twice. */
     private final Set<String> notGranted = new HashSet<>();
-    /** The numbers under which the voters of this phase had accepted their values. */
+    /** The numbers under which the voters in {@link #granted} have accepted their values. */
     private final Set<ProposalNumber> acceptedNumbers = new HashSet<>();
 
     private Phase phase = Phase.NEW;
     private long attemptId;
     private int attempts;
     private int timeouts;
-    /** The voter set of this attempt. */
+    /** The voter set of the current attempt. */
     private VoterSet voterSet;
-    /** The number of this attempt. */
+    /** The proposal number of the current attempt. */
     private ProposalNumber number;
 
     private ProposalNumber highestAccepted;
     private byte[] highestValue;
     private byte[] proposedValue;
-    /** Whether the proposed value is the editor's, not one found in PREPARE. */
+    /** Whether the editor set the proposed value; false if it was found in PREPARE. */
     private boolean proposedEditorValue;
-    /** Whether a value of the editor's was proposed in any attempt, and so may be chosen. */
+    /** Whether any attempt proposed a value that the editor set, so that this value may be chosen. */
     private boolean editorValueMayBeChosen;
 
     private boolean pruned;
@@ -179,8 +181,8 @@
     }
 
     /**
-     * Starts the next attempt after a jittered wait, so that two proposers don't collide again. One that was outranked first leaves
-     * the other the time for its accept phase.
+     * Starts the next attempt after a jittered backoff, so that two proposers don't collide again. An outranked proposal waits longer,
+     * to give the other proposer time for its accept phase.
      */
     private void backOff(final Phase next) {
         proposer.endAttempt(attemptId);
@@ -200,7 +202,7 @@
         });
     }
 
-    /** Handles a reply to PEEK or PREPARE. */
+    /** Handles a reply in PEEK or PREPARE. */
     void onPromise(final ConsensusMessage.Promise promise) {
         if (phase != Phase.PREPARE && phase != Phase.PEEK
                 || !countReply(promise.acceptor(), promise.diskId(), promise.reply())) {
@@ -224,7 +226,9 @@
     }
 
     private void onMajorityPromised() {
-        // With one number everywhere the majority has accepted the same value, so it is chosen, or none is.
+        // A single accepted number means that the whole majority has accepted the same value, which is therefore
+        // chosen, or that
+        // it has accepted none.
         final boolean unanimous = acceptedNumbers.size() == 1;
         if (phase == Phase.PEEK) {
             if (unanimous) {
@@ -278,7 +282,7 @@
         scheduleTimeout();
     }
 
-    /** Handles a reply to ACCEPT, which may come after the proposal is complete. */
+    /** Handles a reply in ACCEPT. Replies may also arrive after the proposal has completed. */
     void onAccepted(final ConsensusMessage.Accepted accepted) {
         if (phase == Phase.COMPLETED && accepted.reply() == ConsensusMessage.Reply.OK) {
             granted.add(accepted.acceptor());
@@ -314,7 +318,7 @@
         reportMissedVoters();
     }
 
-    /** A voter that hasn't accepted the value one more time-out later has missed it. */
+    /** Reports each voter that has not acknowledged the chosen value after one more attempt timeout. */
     private void reportMissedVoters() {
         if (granted.size() == voterSet.voters().size()) {
             return;
@@ -330,7 +334,10 @@
         });
     }
 
-    /** Counts a reply to this phase. Returns false, and starts over, if the voter set has changed; false also for a stranger's. */
+    /**
+     * Counts a reply in the current phase. Returns false if the sender is not a voter, or if the voter set has changed; in that case
+     * the proposal also starts over.
+     */
     private boolean countReply(final String acceptor, final String diskId, final ConsensusMessage.Reply reply) {
         if (proposer.voterSet() != voterSet) {
             backOff(Phase.PREPARE);
--- a/spokestall/src/main/java/spokestall/consensus/ProposalOutcome.java
+++ b/spokestall/src/main/java/spokestall/consensus/ProposalOutcome.java
@@ -1,29 +1,29 @@
 package spokestall.consensus;
 
-/** How a proposal or a read of a register ended. */
+/** Outcome of a proposal or a read of a register. */
 public sealed interface ProposalOutcome {
     /**
-     * A value is chosen.
+     * The register's chosen value is known.
      *
-     * @param value the register's chosen value; null if it has none, which only a read and {@link RegisterEdit#LEAVE} give
-     * @param wrote whether the value is the one that this proposal's editor set in its last attempt
+     * @param value the chosen value; null if the register has none, which only a read or {@link RegisterEdit#LEAVE} can return
+     * @param wrote whether this proposal's editor set the value in the last attempt
      */
     record Committed(byte[] value, boolean wrote) implements ProposalOutcome {}
 
     /** The editor's value was never proposed, and never will be by this proposal. */
     record NotCommitted(Reason reason) implements ProposalOutcome {}
 
-    /** The editor's value was proposed: it may be chosen already, or later. */
+    /** The editor's value was proposed: it may already be chosen, or may still be chosen later. */
     record Indeterminate() implements ProposalOutcome {}
 
-    /** The register's key is one that the voters have pruned. Its value was chosen long ago, and it is never created anew. */
+    /** The voters have pruned the register. Its value was chosen earlier, and the register is never created again. */
     record Pruned() implements ProposalOutcome {}
 
-    /** Why nothing was committed. */
+    /** The reason why a proposal was not committed. */
     enum Reason {
-        /** The deadline passed, or the attempts were used up, without a majority. */
+        /** No majority replied before the deadline or within the attempt limit. */
         NO_MAJORITY_IN_TIME,
-        /** So many voters rejected the key or the value that no majority is left. */
+        /** A majority was out of reach, and at least one voter rejected the key or the value, or had pruned the register. */
         REJECTED
     }
 }
--- a/spokestall/src/main/java/spokestall/consensus/ProposerCache.java
+++ b/spokestall/src/main/java/spokestall/consensus/ProposerCache.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * What a proposer remembers of the registers that it proposed for most recently, at most {@link #MAX_KEYS} of each kind. It is a
- * hint: what is forgotten costs a rejected attempt or a prepare phase, never a wrong outcome.
+ * LRU cache of the proposal counts and committed values of the registers that a proposer used most recently, at most
+ * {@link #MAX_KEYS} of each. An evicted entry costs a rejected attempt or a prepare phase, never a wrong outcome.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class ProposerCache {
     /**
-     * The last value that this proposer had chosen for a key.
+     * The last value for a key that was chosen through this proposer.
      *
-     * @param voterSet the voter set that chose it
-     * @param next the number that its acceptors promised along with it
+     * @param voterSet the voter set that chose the value
+     * @param next the number for the next change, which the acceptors promised when they accepted the value
      */
     record Committed(VoterSet voterSet, ProposalNumber next, byte[] value) {}
 
@@ -31,22 +31,22 @@
         };
     }
 
-    /** Returns a count for the key that is above all that were used or observed. */
+    /** Returns a count for the key that is higher than all counts used or observed before. */
     long nextCount(final String key) {
         return counts.merge(key, 1L, Long::sum);
     }
 
-    /** Records a count that is in use for the key. */
+    /** Records a count that was used for the key, by this proposer or another one. */
     void observeCount(final String key, final long count) {
         counts.merge(key, count, Math::max);
     }
 
-    /** Records the value that was chosen for the key. */
+    /** Records the chosen value of the key. */
     void putCommitted(final String key, final Committed value) {
         committed.put(key, value);
     }
 
-    /** Returns the recorded value and removes it, since it may be used for one proposal only; null if there is none. */
+    /** Removes and returns the recorded value, since only one proposal may use its next number; null if there is none. */
     Committed takeCommitted(final String key) {
         return committed.remove(key);
     }
--- a/spokestall/src/main/java/spokestall/consensus/RegisterEdit.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterEdit.java
@@ -1,13 +1,13 @@
 package spokestall.consensus;
 
-/** What a {@link RegisterEditor} wants done with a register. */
+/** The decision of a {@link RegisterEditor}: set a new value or leave the register unchanged. */
 public sealed interface RegisterEdit {
-    /** Proposes this value. */
+    /** Proposes a new value. */
     record Set(byte[] value) implements RegisterEdit {}
 
-    /** Proposes no value of its own; the register's present value is the outcome. */
+    /** Proposes no new value; the outcome is the register's current value. */
     record Leave() implements RegisterEdit {}
 
-    /** The only {@link Leave} that is needed. */
+    /** Shared instance of {@link Leave}. */
     RegisterEdit LEAVE = new Leave();
 }
--- a/spokestall/src/main/java/spokestall/consensus/RegisterEditor.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterEditor.java
@@ -1,18 +1,18 @@
 package spokestall.consensus;
 
 /**
- * Decides what becomes of a register, given its present value.
+ * Computes the next value of a register from its current value.
  *
- * <p>It may be called several times in one proposal, once for each attempt that reaches its accept phase. An earlier attempt's
- * value may have been chosen meanwhile, so an editor must recognise its own value when it gets it, and must have no side effects
- * that matter if the proposal fails.
+ * <p>A proposal may call its editor several times, once for each attempt that gets as far as the accept phase. The value of an
+ * earlier attempt may have been chosen in the meantime, so an editor must recognise a current value that it set itself. It must have
+ * no side effects that matter if the proposal fails.
  */
 @FunctionalInterface
 public interface RegisterEditor {
     /**
-     * Returns the edit.
+     * Returns the edit for the current value.
      *
-     * @param current the present value, or null if the register has none
+     * @param current the current value, or null if the register has none
      */
     RegisterEdit edit(byte[] current);
 }
--- a/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
+++ b/spokestall/src/main/java/spokestall/consensus/RegisterGuard.java
@@ -1,29 +1,30 @@
 package spokestall.consensus;
 
 /**
- * What an acceptor must know of the meaning of its registers: which keys are pruned and which values it must not accept.
+ * Rules that depend on the meaning of a register's key and value, which the acceptor itself doesn't know: which keys are pruned and
+ * which values an acceptor must not accept.
  *
- * <p>Called on the node's event loop, during a message or tick of the acceptor. The answers may depend on the fleet's time; an
- * acceptor votes only while {@link #ready} holds.
+ * <p>Called on the node's event loop while the acceptor handles a message or a tick. The results may depend on the fleet's time; an
+ * acceptor votes only while {@link #ready} returns true.
  */
 public interface RegisterGuard {
     /**
-     * Returns whether what the registers of versions up to this one decided is on this disk in another form (a snapshot), so that
-     * the registers may be missing here.
+     * Returns whether a snapshot on this disk covers the decisions of all version registers up to this version, so that these
+     * registers may be missing here.
      */
     default boolean hasSnapshotUpTo(final long versionFloor) {
         return true;
     }
 
-    /** Returns whether the other answers can be relied on yet. */
+    /** Returns whether the other methods return reliable results yet. */
     boolean ready();
 
-    /** Returns whether the key's register was pruned, or may be, and must never be created anew. */
+    /** Returns whether the key's register was pruned, or may have been, and so must never be created again. */
     boolean isPruned(String key);
 
-    /** Returns whether the disk has capacity for a register that isn't there yet; keys that matter less get a no earlier. */
+    /** Returns whether the disk has capacity for a new register. Keys of lower priority are refused at a lower fill level. */
     boolean hasCapacityFor(String key);
 
-    /** Returns whether the value may still be accepted; a claim whose ticket is too old may not. */
+    /** Returns whether the acceptor may accept the value; false, for example, for a claim whose ticket is too old. */
     boolean accepts(String key, byte[] value);
 }
--- a/spokestall/src/main/java/spokestall/consensus/VoterSet.java
+++ b/spokestall/src/main/java/spokestall/consensus/VoterSet.java
@@ -4,26 +4,28 @@
 import java.util.List;
 
 /**
- * The voters that decide, with their place in the order of voter sets. Stored and sent in this order of fields.
+ * The voters of one epoch of one generation. Voter sets are ordered by generation and then by epoch. Stored and sent in this order
+ * of fields.
  *
- * <p>Within a generation each epoch changes one voter slot: gives it another disk or another core, adds one, or removes one. The
- * next epoch's voter set is itself decided by a majority of this one, in the register {@link #key}. A new generation starts from
- * the state that survived the loss of a majority; it is decided outside of these registers (see {@code spokestall.membership}).
+ * <p>Each epoch of a generation differs from the previous one by one voter slot: the slot gets another disk or another core, is
+ * added, or is removed. A majority of the current voter set decides the next epoch's voter set, in the register {@link #key}. A new
+ * generation starts from the state that survived the loss of a majority; it is decided outside these registers (see
+ * {@code spokestall.membership}).
  *
- * @param generation which new start this is; versions and fencing tokens of a generation are above those of all earlier ones
- * @param epoch counts the changes within the generation
+ * @param generation the generation number; versions and fencing tokens of a generation are higher than those of all earlier ones
+ * @param epoch the number of voter set changes within the generation
  * @param voters the voter slots, at most {@link #VOTERS_MAX}, with distinct names
  */
 public record VoterSet(long generation, long epoch, List<Voter> voters) {
-    /** By how many bits the generation is shifted up in versions and fencing tokens. */
+    /** Bit position of the generation in versions and fencing tokens. */
     public static final int GENERATION_SHIFT = 20;
-    /** The most voter slots of a voter set. */
+    /** Maximum number of voter slots of a voter set. */
     public static final int VOTERS_MAX = 63;
 
-    /** What the keys of the registers that decide voter sets begin with. On the wire and on disk. */
+    /** Key prefix of the registers that decide voter sets. Used on the wire and on disk. */
     public static final String KEY_PREFIX = "voters/";
 
-    /** Returns the key of the register that decides the voter set of this generation and epoch. On the wire and on disk. */
+    /** Returns the key of the register that decides the voter set of a generation and epoch. Used on the wire and on disk. */
     public static String key(final long generation, final long epoch) {
         return KEY_PREFIX + generation + "/" + epoch;
     }
@@ -33,30 +35,30 @@
         return generation << GENERATION_SHIFT;
     }
 
-    /** Returns how many voters a majority is; of six voters it is four. Any two majorities share a voter. */
+    /** Returns the number of voters in a majority; four of six voters, for example. Any two majorities share a voter. */
     public int majority() {
         return voters.size() / 2 + 1;
     }
 
     /**
-     * Returns how many voters it takes to share one with every majority; of six voters it is three, of seven four. Whatever a
-     * majority has accepted is known to one of so many.
+     * Returns how many voters a group must have to share a voter with every majority: three of six voters, four of seven. Any
+     * value that a majority has accepted is known to at least one voter of such a group.
      */
     public int intersectingQuorum() {
         return voters.size() - majority() + 1;
     }
 
-    /** Returns whether this voter set replaces the other, which may be null. */
+    /** Returns whether this voter set is newer than the other one, which may be null. */
     public boolean newerThan(final VoterSet other) {
         return other == null || generation > other.generation || generation == other.generation && epoch > other.epoch;
     }
 
-    /** Returns whether this is the voter set of the generation and epoch. */
+    /** Returns whether this is the voter set of this generation and epoch. */
     public boolean hasEpoch(final long otherGeneration, final long otherEpoch) {
         return generation == otherGeneration && epoch == otherEpoch;
     }
 
-    /** Returns the slot of a core, or null if it has none. */
+    /** Returns a core's voter slot, or null if the core has none. */
     public Voter voter(final String name) {
         for (final Voter voter : voters) {
             if (voter.name().equals(name)) {
@@ -66,12 +68,12 @@
         return null;
     }
 
-    /** Returns the next epoch, in which a core votes with another disk. */
+    /** Returns the voter set of the next epoch, in which a core votes with another disk. */
     public VoterSet withReplacedDisk(final Voter voter) {
         return withReplacedVoter(voter.name(), voter);
     }
 
-    /** Returns the next epoch, with one slot more. */
+    /** Returns the voter set of the next epoch, with one more slot. */
     public VoterSet withAddedVoter(final Voter added) {
         assert voter(added.name()) == null && voters.size() < VOTERS_MAX : added;
         final List<Voter> next = new ArrayList<>(voters);
@@ -79,7 +81,7 @@
         return nextEpoch(next);
     }
 
-    /** Returns the next epoch, in which the slot of one core is another's. */
+    /** Returns the voter set of the next epoch, in which one core's slot is given to another core. */
     public VoterSet withReplacedVoter(final String replacedName, final Voter replacement) {
         assert voter(replacedName) != null : replacedName;
         assert replacedName.equals(replacement.name()) || voter(replacement.name()) == null : replacement;
@@ -89,8 +91,9 @@
     }
 
     /**
-     * Returns the next epoch, with one slot fewer. Only a voter set of an even number may lose one: its majority has one voter more
-     * than the next one needs, so what a majority accepted is with a majority of those that stay.
+     * Returns the voter set of the next epoch, with one slot fewer. Only a voter set with an even number of voters may shrink: its
+     * majority has one voter more than the next epoch's, so any value that a majority has accepted is still with a majority of the
+     * remaining voters.
      */
     public VoterSet withRemovedVoter(final String removedName) {
         assert voter(removedName) != null && voters.size() % 2 == 0 : removedName;
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.membership.GenerationAcceptor;
 
-/** Keys of the records that an acceptor stores beside its registers, against their literals. */
+/** Guards the keys of node-local records against changes, since the disks of running fleets contain them. */
 class AcceptorKeyStabilityTest {
     @Test
     void localRecordKeysAreStable() {
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorStorageTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorStorageTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.storage.SegmentedLog;
 
-/** What an acceptor's storage shows before a write is synced, after it, and after a restart. */
+/** Register state that an acceptor's storage returns before a write is synced, after it, and after a restart. */
 class AcceptorStorageTest {
     private static final String KEY = "count";
     private static final Register FIRST = register(1);
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -11,9 +11,9 @@
 import spokestall.storage.SegmentStore;
 import spokestall.storage.SegmentedLog;
 
-/** Transitions of the acceptor, and what it needs before it votes. */
+/** State transitions of an acceptor, and the conditions under which it votes. */
 class AcceptorTest {
-    /** Keeps what versions decided in a snapshot of its own. */
+    /** Guard of an acceptor whose node keeps a snapshot of the decided versions. */
     private static final class SnapshotGuard extends PermissiveGuard {
         private long syncedSnapshotVersion;
 
@@ -160,7 +160,10 @@
         assertThat(acceptor.hasState()).isFalse();
     }
 
-    /** Two new voters that had each caught up when the other's voter set arrived would otherwise wait for each other for ever. */
+    /**
+     * Guards against a deadlock of two new voters: each has caught up when the voter set that adds the other one arrives. If that
+     * voter set made them catch up again, each would wait for the other's pages forever.
+     */
     @Test
     void aCaughtUpVoterThatReceivesAVoterSetVotesOnceTheVoterSetIsSynced() {
         final PausableSegmentStore disk = new PausableSegmentStore();
--- a/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
+++ b/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
@@ -11,11 +11,11 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.EventClock;
 
-/** Six acceptors and some proposers in virtual time; messages are delayed, lost and duplicated, and acceptors lose power. */
+/** Six acceptors and some proposers in virtual time, with delayed, lost and duplicated messages and power loss of acceptors. */
 public final class ConsensusTestContext {
     /** The virtual clock of all nodes. */
     public final EventClock clock = new EventClock(0);
-    /** The source of all randomness, which makes a run repeatable by its seed. */
+    /** The only source of randomness, so that a run is reproducible from its seed. */
     public final Random random;
 
     private final Map<String, Consumer<Message>> receivers = new HashMap<>();
@@ -26,7 +26,7 @@
     /**
      * Starts the six acceptors of the first voter set.
      *
-     * @param lossRatio the share of messages that are lost or sent twice, half of them each
+     * @param lossRatio the share of messages that are not delivered exactly once; half of them are lost and half are delivered twice
      */
     public ConsensusTestContext(final long seed, final double lossRatio) {
         this.random = new Random(seed);
@@ -52,7 +52,7 @@
         return acceptor;
     }
 
-    /** Delivers a message after a random delay, twice, or not at all. */
+    /** Delivers a message once, twice or not at all, after random delays. */
     public void send(final String to, final Message message) {
         final int times = random.nextDouble() < lossRatio ? random.nextInt(2) * 2 : 1;
         for (int i = 0; i < times; i++) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Creates a proposer under an address of its own. */
+    /** Creates a proposer whose address is its name. */
     public Proposer proposer(final String name) {
         final Proposer proposer = new Proposer(
                 name + "#1", name, this::send, clock, random, new Proposer.Timing(150, 30, 1000), (voter, key) -> {});
@@ -73,13 +73,13 @@
         return proposer;
     }
 
-    /** Cuts one acceptor's power and restarts it at once: what was not synced is lost. */
+    /** Restarts an acceptor after a power loss, which discards its unsynced writes. */
     public void powerCycle(final int i) {
         disks.get(i).losePower();
         acceptor(i);
     }
 
-    /** Runs all events up to this time. */
+    /** Runs all events up to a time of the virtual clock, in milliseconds. */
     public void run(final long untilMs) {
         clock.runUntil(untilMs, () -> {});
     }
--- a/spokestall/src/test/java/spokestall/consensus/PausableSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/consensus/PausableSegmentStore.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import spokestall.storage.InMemorySegmentStore;
 
-/** A disk in memory whose commits complete at once, or while it is paused, only when the test resumes it. */
+/** An in-memory disk that completes commits at once or, while it is paused, only when the test calls {@link #completePending}. */
 final class PausableSegmentStore extends InMemorySegmentStore {
     private final List<Runnable> pending = new ArrayList<>();
     private boolean paused;
@@ -22,12 +22,12 @@
         }
     }
 
-    /** Keeps commits pending from here on. */
+    /** Keeps all further commits pending. */
     void pause() {
         paused = true;
     }
 
-    /** Completes the pending commits and those that they give rise to; later ones are pending again. */
+    /** Completes the pending commits and those that their callbacks start. A paused disk stays paused. */
     void completePending() {
         while (!pending.isEmpty()) {
             pending.remove(0).run();
--- a/spokestall/src/test/java/spokestall/consensus/PermissiveGuard.java
+++ b/spokestall/src/test/java/spokestall/consensus/PermissiveGuard.java
@@ -1,6 +1,6 @@
 package spokestall.consensus;
 
-/** Accepts every value and prunes no key, unless a test overrides a method. */
+/** A guard that accepts every value and reports no key as pruned. Tests override single methods. */
 public class PermissiveGuard implements RegisterGuard {
     @Override
     public boolean ready() {
--- a/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -10,7 +10,7 @@
 import spokestall.message.Message;
 import spokestall.time.EventClock;
 
-/** Outcomes of proposals and reads, as one order of changes whatever is lost on the way, and phase by phase. */
+/** Outcomes of proposals and reads: their total order despite message and power loss, and single protocol phases. */
 class ProposerTest {
     private static final String KEY = "count";
     private static final byte[] VALUE = {1};
@@ -19,7 +19,7 @@
     private static final VoterSet VOTERS = new VoterSet(
             1, 1, List.of(new Voter("v0", "v0", "d0"), new Voter("v1", "v1", "d1"), new Voter("v2", "v2", "d2")));
 
-    /** A register that counts the changes made to it, with the outcomes that its proposers and readers received in one run. */
+    /** A simulated run in which proposers increment a register, and the outcomes that proposers and readers received. */
     private static final class Counter {
         private static final int PROPOSERS = 4;
         private static final int CHANGES_PER_PROPOSER = 8;
@@ -70,7 +70,7 @@
             });
         }
 
-        /** A change that finds its own value, proposed in an earlier attempt, does not count itself again. */
+        /** Returns the incremented value, or the current one if an earlier attempt of this change has already set it. */
         private static RegisterEdit next(final byte[] current, final String changeId) {
             final boolean own = current != null && text(current).endsWith(" " + changeId);
             return new RegisterEdit.Set(
@@ -82,7 +82,7 @@
             proposer.read(KEY, 3000, outcome -> {
                 if (outcome instanceof ProposalOutcome.Committed c) {
                     assertThat(number(c.value()))
-                            .as("a read that began after the commit")
+                            .as("value of a read that started after the commit")
                             .isGreaterThanOrEqualTo(newestBefore);
                     newestNumber = Math.max(newestNumber, number(c.value()));
                 }
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Every committed change is visible to all that begin after it, and none is made twice or lost. */
+    /** Checks that every committed change is visible to all later changes and reads, and that no change is lost or applied twice. */
     @Test
     void changesOfARegisterAreTotallyOrderedDespiteMessageAndPowerLoss() {
         long committedChanges = 0;
@@ -99,7 +99,7 @@
             final Counter counter = new Counter(seed);
             counter.run();
             assertThat(counter.committed)
-                    .as("no number stands for two changes")
+                    .as("numbers of committed changes")
                     .extracting(value -> value.split(" ")[0])
                     .doesNotHaveDuplicates();
             committedChanges += counter.committedChanges;
@@ -126,7 +126,7 @@
         proposer.propose(KEY, TIMEOUT_MILLIS, current -> new RegisterEdit.Set(VALUE), outcomes::add);
     }
 
-    /** Replies to the newest request of this type on behalf of a voter that has accepted nothing before. */
+    /** Replies to the last request sent, on behalf of a voter that has not accepted any value before. */
     private void reply(final int voter, final ConsensusMessage.Reply reply) {
         final String name = "v" + voter;
         final String diskId = "d" + voter;
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -15,7 +15,10 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.Clock;
 
-/** Versions that were decided and pruned are never decided anew, whichever voters are replaced or restarted after. */
+/**
+ * Guards against a second decision for a version. A voter that forgets its version floor, on a replaced disk or after a restart,
+ * would treat a pruned register as a new one and accept another value for it.
+ */
 class VersionFloorTest {
     private static final int VOTERS = 6;
     private static final long NEWEST_VERSION = 40;
@@ -23,7 +26,7 @@
     private static final byte[] DECIDED_VALUE = {1};
     private static final byte[] OTHER_VALUE = {2};
 
-    /** A voter with its disk; versions up to its version floor are pruned. */
+    /** A voter and its disk. Its guard reports versions up to its version floor as pruned. */
     private final class VoterNode extends PermissiveGuard {
         private final String name;
         private InMemorySegmentStore disk = new InMemorySegmentStore(8, 1 << 14);
@@ -97,7 +100,7 @@
         }
     }
 
-    /** Starts six voters that have decided some versions and pruned all but the newest of them. */
+    /** Starts six voters that decide {@link #NEWEST_VERSION} versions and prune those up to {@link #VERSION_FLOOR}. */
     private void startVotersThatPrunedVersions() {
         final List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < VOTERS; i++) {
