--- a/spokestall/src/main/java/spokestall/handoff/HandoffMessage.java
+++ b/spokestall/src/main/java/spokestall/handoff/HandoffMessage.java
@@ -3,30 +3,30 @@
 import spokestall.message.Message;
 import spokestall.message.ResponseContent;
 
-/** Messages by which nodes keep data for one another. Encoded by the order of their components, which must not change. */
+/** Messages with which nodes store data for each other. Encoded by the order of their components, which must not change. */
 public sealed interface HandoffMessage extends Message {
     /**
-     * The response of an idempotent request. It is sent to cores of the tenant's home regions only, since the content must
-     * not leave them.
+     * Stores the response to an idempotent request. Nodes send it only to cores in the tenant's home regions, which the content must
+     * not leave.
      *
-     * @param key the claim's key
-     * @param digest the content's digest, as the claim's register holds it
+     * @param key the key of the request's claim
+     * @param digest the digest of the content, as stored in the claim's register
      */
     record Store(String key, String digest, ResponseContent content) implements HandoffMessage {}
 
     /**
-     * Requests a stored response; answered by a {@link FetchResult}.
+     * Requests a stored response. The reply is a {@link FetchResult}.
      *
-     * @param from the address to answer to
-     * @param requestId the requesting node's own number, returned in the answer
-     * @param key the claim's key
+     * @param from the address to which the receiver replies
+     * @param requestId the requesting node's id for this request, which the reply repeats
+     * @param key the key of the request's claim
      * @param digest the digest that the response must have
      */
     record Fetch(String from, long requestId, String key, String digest) implements HandoffMessage {}
 
-    /** Has a core keep a register's key for a voter that missed a change of the register. */
+    /** Asks a core to store a hint: the key of a register of which a voter missed a change. */
     record Hint(String voter, String key) implements HandoffMessage {}
 
-    /** The answer to a {@link Fetch}; the content is null if the node has no such response. */
+    /** The reply to a {@link Fetch}. The content is null if the node doesn't have the response. */
     record FetchResult(long requestId, String key, ResponseContent content) implements HandoffMessage {}
 }
--- a/spokestall/src/main/java/spokestall/handoff/HintStore.java
+++ b/spokestall/src/main/java/spokestall/handoff/HintStore.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Hinted handoff: keys of registers whose changes an unavailable voter missed, kept until the voter is back. Held in memory
- * only; a hint that is lost costs time, since the voter catches up from a majority too.
+ * Hints for hinted handoff: keys of registers whose changes an unavailable voter missed, kept in memory until the voter is available
+ * again. A lost hint only costs time, since the voter also catches up from a majority.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -17,12 +17,12 @@
     private final int maxKeysPerVoter;
     private final Map<String, LinkedHashSet<String>> keysByVoter = new TreeMap<>();
 
-    /** Creates an empty store that drops a voter's oldest key when it would hold more than these for it. */
+    /** Creates an empty store that drops a voter's oldest key when the voter has more than {@code maxKeysPerVoter} keys. */
     public HintStore(final int maxKeysPerVoter) {
         this.maxKeysPerVoter = maxKeysPerVoter;
     }
 
-    /** Adds a register's key for a voter; no effect if it is held already. */
+    /** Adds a register's key for a voter. Has no effect if the store already has the key for that voter. */
     public void add(final String voter, final String key) {
         final LinkedHashSet<String> keys = keysByVoter.computeIfAbsent(voter, v -> new LinkedHashSet<>());
         keys.add(key);
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Removes and returns a voter's oldest keys, at most so many. */
+    /** Removes and returns a voter's oldest keys, at most {@code maxKeys} of them. */
     public List<String> remove(final String voter, final int maxKeys) {
         final LinkedHashSet<String> keys = keysByVoter.get(voter);
         final List<String> removed = new ArrayList<>();
@@ -49,7 +49,7 @@
         return removed;
     }
 
-    /** Returns how many keys are held for each voter, in the order of their names. */
+    /** Returns the number of keys per voter, ordered by voter name. */
     public Map<String, Integer> sizes() {
         final Map<String, Integer> sizes = new TreeMap<>();
         keysByVoter.forEach((voter, keys) -> sizes.put(voter, keys.size()));
--- a/spokestall/src/main/java/spokestall/handoff/ResponseCache.java
+++ b/spokestall/src/main/java/spokestall/handoff/ResponseCache.java
@@ -5,19 +5,21 @@
 import java.util.Optional;
 
 /**
- * Responses of idempotent requests, by the claim's key, in memory. Bounded by bytes; what is little used is evicted first.
+ * In-memory cache of responses to idempotent requests, by the key of the request's claim. Bounded by bytes; evicts rarely used
+ * entries first.
  *
- * <p>All calls on the node's event loop; evictions run on the caller's thread, so that a run can be repeated exactly.
+ * <p>Not thread-safe; all calls on the node's event loop. Evictions run on the caller's thread, so that simulated runs are
+ * reproducible.
  */
 public final class ResponseCache {
-    /** What an entry is taken to cost besides its key, body and headers. */
+    /** Estimated size of an entry, not counting its key, body and headers. */
     private static final int ENTRY_OVERHEAD_BYTES = 256;
-    /** What a header is taken to cost, name and value together. */
+    /** Estimated size of a header, including its name and value. */
     private static final int HEADER_BYTES = 64;
 
     private final Cache<String, HandoffMessage.Store> responses;
 
-    /** Creates an empty cache that holds about so many bytes at most. */
+    /** Creates an empty cache that is limited to about {@code maxBytes} bytes. */
     public ResponseCache(final long maxBytes) {
         responses = Caffeine.newBuilder()
                 .maximumWeight(maxBytes)
@@ -33,12 +35,12 @@
                 + HEADER_BYTES * response.content().headers().size();
     }
 
-    /** Stores a response, in place of any other with its key. */
+    /** Stores a response, replacing any other response with the same key. */
     public void put(final HandoffMessage.Store response) {
         responses.put(response.key(), response);
     }
 
-    /** Returns the response with this key, if there is one and it has this digest. */
+    /** Returns the response with this key, or empty if there is none or its digest differs. */
     public Optional<HandoffMessage.Store> find(final String key, final String digest) {
         return Optional.ofNullable(responses.getIfPresent(key))
                 .filter(response -> response.digest().equals(digest));
--- a/spokestall/src/main/java/spokestall/handoff/package-info.java
+++ b/spokestall/src/main/java/spokestall/handoff/package-info.java
@@ -1,12 +1,12 @@
 /**
- * Data that a node keeps for others for a while (hinted handoff).
+ * Data that a node temporarily stores for other nodes (hinted handoff).
  *
- * <p>Owns: keys of registers that an unavailable voter missed ({@link spokestall.handoff.HintStore}), responses of idempotent
+ * <p>Owns: keys of registers whose changes an unavailable voter missed ({@link spokestall.handoff.HintStore}), responses to idempotent
  * requests ({@link spokestall.handoff.ResponseCache}), and the messages that carry both
  * ({@link spokestall.handoff.HandoffMessage}).
  *
- * <p>Invariants: both are bounded and in memory only. Losing them costs time, never correctness: a voter catches up from a
- * majority, and a register holds the response's digest, so that no other response is taken for it.
+ * <p>Invariants: both stores are bounded and in memory only. Their loss costs time, never correctness: a voter also catches up from a
+ * majority, and a register has the digest of the response, so that a node never mistakes another response for it.
  *
  * <p>Callers: {@code node.HandoffComponent}, and {@code proxy} for responses; all on the node's event loop.
  */
--- a/spokestall/src/main/java/spokestall/lease/AcquisitionRule.java
+++ b/spokestall/src/main/java/spokestall/lease/AcquisitionRule.java
@@ -4,7 +4,7 @@
 import spokestall.time.Clock;
 
 /**
- * Decides when this node may acquire the lease that it observed.
+ * Decides whether this node may acquire the lease that it observes.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -14,10 +14,13 @@
     private final LeaseTimeouts timeouts;
     private final LeasedTask task;
 
-    /** When this node last may have acted as the holder; at first its start, since an earlier incarnation may have held. */
+    /**
+     * The last time at which this node may have acted as the holder. Initially the time of this node's start, since an earlier
+     * incarnation may have held the lease until then.
+     */
     private long lastHeldMs;
 
-    /** The owner value of the last session that ended in this incarnation, or null. */
+    /** The owner value of the last session that ended in this incarnation, or null if none has. */
     private String lastEndedOwner;
 
     AcquisitionRule(final LeaseContext context, final LeaseTimeouts timeouts, final LeasedTask task) {
@@ -28,13 +31,13 @@
         this.lastHeldMs = clock.nowMs();
     }
 
-    /** Notes that a session of this node has ended now. */
+    /** Records the end of a session of this node, at the current time. */
     void onSessionEnded(final LeaseSession session) {
         lastHeldMs = clock.nowMs();
         lastEndedOwner = session.owner();
     }
 
-    /** Whether this node may acquire the lease as observed now. */
+    /** Returns whether this node may acquire the observed lease now. */
     boolean mayAcquire(final LeaseWatch watch) {
         final Lease observed = watch.observed();
         if (isOwnUnusedLease(observed)) {
@@ -46,9 +49,12 @@
     }
 
     /**
-     * Whether the lease names this node as the holder by an acquisition whose outcome was unknown, or by an earlier incarnation.
-     * Nothing is done under it and nobody else acquired it since, so its expiry need not be waited for. A session that has ended
-     * in this incarnation is left to others. Of a lease that an older generation allotted, a later change may have been lost.
+     * Returns whether the lease names this node as its holder but no session of this node uses it: an acquisition with an unknown
+     * outcome or an earlier incarnation stored it. No task acts under such a lease and no other node has acquired it since, so this
+     * node need not wait for its expiry.
+     *
+     * <p>False for a lease whose session ended in this incarnation, which this node leaves to other nodes, and for a lease of an
+     * older generation, since a later change of it may have been lost with a majority of the voters.
      */
     private boolean isOwnUnusedLease(final Lease observed) {
         return observed != null
@@ -58,19 +64,20 @@
                 && task.isQuiescent();
     }
 
-    /** How long a lease must be observed unchanged before it has expired. A released one is free at once. */
+    /** Returns how long a lease must be observed unchanged before it counts as expired. A released lease is free at once. */
     private long expiresAfterMs(final Lease observed) {
         if (observed != null && observed.released()) {
             return 0;
         }
-        // No lease at all may mean that one was lost with its disks while its holder still works.
+        // An absent lease may have been lost with the disks that stored it while its holder still acts under it.
         final long spanMs = observed == null ? timeouts.leaseMs() : Math.max(observed.spanMs(), timeouts.leaseMs());
         return spanMs + timeouts.safetyMarginMs();
     }
 
     /**
-     * Rivals that saw the same lease expire acquire one after another, in an order drawn from the lease itself, so that the first
-     * is done before the next begins; all at once would spend the store's time on each other's proposal numbers.
+     * Returns how long this node waits after the expiry, so that rivals that saw the same lease expire try to acquire it one after
+     * another and the first one finishes before the next one starts. Simultaneous attempts would outrank each other's proposal
+     * numbers. A hash of the node name and the lease determines the order.
      */
     private long staggerDelayMs(final Lease expired) {
         final String salt = expired == null ? "" : expired.owner() + expired.renewal();
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -15,37 +15,38 @@
 /**
  * Acquires, renews and releases the lease of one singleton role.
  *
- * <p>The lease is the value of a register, changed by consensus only: an acquisition, a renewal and a release each compare the
- * owner that they know with the register's and set it in the same change.
+ * <p>The lease is the value of a consensus register ("the store" below). An acquisition, a renewal and a release are each a
+ * compare-and-set on the lease's owner.
  *
  * <ul>
- *   <li><b>No common clock.</b> A register does not expire by itself. A rival acquires a lease only after it saw the same owner and
- *       renewal unchanged for the lease's span and a margin on its own monotonic clock, and only if the store still names that
- *       owner and renewal when it acquires. No lease at all is watched as long. The holder's deadline counts from before it
- *       requested the change and ends a margin earlier, so it has passed by then.
- *   <li><b>Stored before valid.</b> A session begins only once a majority has stored its owner value, and only if the answer came
- *       within the store's wait. After a late or unknown outcome nothing is done under that owner value.
- *   <li><b>Never revived.</b> A renewal that failed, came late or whose outcome is unknown ends the session for good.
- *   <li><b>Fencing.</b> Each acquisition stores a token above the register's own and above the first number of the voter set's
- *       generation, in the same change as the owner; so tokens rise with each acquisition, also when the register was lost.
- *   <li><b>Release.</b> It is written only while no call made under the session may still arrive; otherwise the lease is left to
- *       expire.
+ *   <li><b>No common clock.</b> A register does not expire by itself. A rival acquires a lease only after it has observed the same
+ *       owner and renewal for the lease's span plus a safety margin on its own monotonic clock, and only if the store still has that
+ *       owner and renewal when the acquisition is applied. A rival watches an absent lease for the same time. The holder's deadline
+ *       counts from before it requested its last change and is a safety margin earlier, so the deadline has passed by then.
+ *   <li><b>Stored before valid.</b> A session starts only once a majority has stored its owner value, and only if the outcome
+ *       arrives within the store timeout. After a late or unknown outcome, no task ever acts under that owner value.
+ *   <li><b>No revival.</b> A renewal that fails, is late or has an unknown outcome ends the session permanently.
+ *   <li><b>Fencing.</b> Each acquisition stores a token higher than the register's current one and higher than the first number of
+ *       the voter set's generation, in the same change as the owner. Tokens therefore increase with each acquisition, even after the
+ *       register was lost.
+ *   <li><b>Release.</b> The holder releases the lease only if no call made under the session may still arrive; otherwise the lease
+ *       expires.
  * </ul>
  *
- * <p>Not thread-safe; all calls on the node's event loop, and so are the calls to the {@link LeasedTask}.
+ * <p>Not thread-safe; all calls, including those to the {@link LeasedTask}, run on the node's event loop.
  */
 public final class LeaseManager {
-    /** What the manager is doing. The names are part of the operators' status reply. */
+    /** The states of a manager. The status reply to operators contains these names. */
     public enum State {
-        /** Observing the lease of a rival, or that there is none. */
+        /** Observes the lease of another node, or its absence. */
         WATCHING,
-        /** The change that acquires the lease was requested and its outcome is not known. */
+        /** Has requested the change that acquires the lease and waits for its outcome. */
         ACQUIRING,
-        /** A session of this node is under way. */
+        /** Holds the lease in a session of this node. */
         HOLDING,
-        /** The session was cancelled; the change that releases its lease may be under way. */
+        /** Has cancelled the session; the change that releases its lease may be in flight. */
         RELEASING,
-        /** The role was given up for good. */
+        /** Has given up the role permanently. */
         STOPPED;
 
         private Set<State> next() {
@@ -54,7 +55,7 @@
                 case ACQUIRING -> EnumSet.of(HOLDING, WATCHING, STOPPED);
                 case HOLDING -> EnumSet.of(RELEASING);
                 case RELEASING -> EnumSet.of(WATCHING, STOPPED);
-                // The outcome of an acquisition that was under way at the stop still arrives, and stop may be called
+                // The outcome of an acquisition that was in flight at the stop still arrives, and stop may be called
                 // again.
                 case STOPPED -> EnumSet.of(HOLDING, WATCHING, STOPPED);
             };
@@ -99,22 +100,22 @@
         this.acquisitionRule = new AcquisitionRule(context, timeouts, task);
     }
 
-    /** What the manager is doing now. */
+    /** Returns the state. */
     public State state() {
         return state;
     }
 
-    /** The lease as last observed in the store, or null. */
+    /** Returns the lease as last observed in the store, or null if it was absent or has not been observed. */
     public Lease observedLease() {
         return watch.observed();
     }
 
-    /** The session under way, or the one that is being released; else null. */
+    /** Returns the current session, or the one whose lease is being released; null if there is neither. */
     public LeaseSession session() {
         return session;
     }
 
-    /** Observes the lease while watching; checks and renews the session while holding. */
+    /** Observes the lease in state WATCHING; checks and renews the session in state HOLDING. */
     public void onTick() {
         switch (state) {
             case WATCHING -> observe();
@@ -124,9 +125,9 @@
     }
 
     /**
-     * Gives the role up for good. A session is cancelled at once and its lease released if that is possible.
+     * Gives up the role permanently. Cancels the session at once and releases its lease if no call is in flight.
      *
-     * @param done runs once the release has ended, or at once if there is nothing to release
+     * @param done runs once the release has completed, or at once if there is no session
      */
     public void stop(final Runnable done) {
         onStopped = done;
@@ -192,7 +193,7 @@
                 outcome -> onAcquired(outcome, owner, sessionId, requestedMs));
     }
 
-    /** Sets this owner if the lease is free: absent, released, or still the one that was watched until it expired. */
+    /** Sets this owner if the lease is free: absent, released, or unchanged since it was observed to expire. */
     private RegisterEdit acquisitionEdit(final byte[] value, final String owner, final Lease expired) {
         final Lease current = decodeLease(value);
         if (current != null && current.owner().equals(owner)) {
@@ -243,12 +244,13 @@
                 return;
             }
         }
-        // Rejected, late or unknown: no session begins. If it was stored all the same, the next read finds it and
-        // the watch begins again from there.
+        // No session starts after a rejected, late or unknown outcome. If the acquisition was stored nevertheless, the
+        // next
+        // read returns it and the watch starts again from there.
         transitionTo(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "not_acquired" : "outcome_unknown");
     }
 
-    /** Renews the session in time, or ends it once it is no longer valid. */
+    /** Ends the session if it is no longer valid; otherwise renews its lease when the renewal interval has passed. */
     private void renewOrEnd() {
         final long nowMs = clock.nowMs();
         final Optional<LeaseSession.EndReason> endReason = session.endReason(nowMs);
@@ -284,7 +286,7 @@
         }
     }
 
-    /** Whether the renewal is stored, its answer came in time, and some of the gained time is left. */
+    /** Returns whether the renewal is stored, its outcome arrived in time, and the new deadline has not passed yet. */
     private boolean isRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
         final long nowMs = clock.nowMs();
         final boolean stored = outcome instanceof ProposalOutcome.Committed done
@@ -294,7 +296,7 @@
         return stored && timely && timeouts.deadlineMs(requestedMs) > nowMs;
     }
 
-    /** Ends the session. Its lease is released only if no call of the task may still arrive, else left to expire. */
+    /** Ends the session. Releases its lease if no call of the task may still arrive; otherwise the lease expires. */
     private void release(final String reason) {
         final LeaseSession ended = session;
         ended.cancel();
@@ -322,7 +324,7 @@
         }
     }
 
-    /** Changes the lease only while it is this session's and not released. */
+    /** Applies the change if the lease still belongs to this session and is not released; otherwise leaves it unchanged. */
     private static RegisterEdit editIfOwned(
             final byte[] value, final LeaseSession session, final UnaryOperator<Lease> change) {
         final Lease current = decodeLease(value);
--- a/spokestall/src/main/java/spokestall/lease/LeaseReplica.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseReplica.java
@@ -3,13 +3,13 @@
 import spokestall.consensus.Register;
 
 /**
- * This node's own copy of the lease's register, which may be ahead of the store or behind it. It saves reading the store on each
- * tick; safety does not depend on it.
+ * This node's local copy of the lease's register, which may be ahead of the majority's value or behind it. The copy saves a read
+ * from the majority on each tick; safety does not depend on it.
  */
 public interface LeaseReplica {
-    /** A node without a copy, which reads the store on each tick. */
+    /** The replica of a node without a local copy, which reads from the majority on each tick. */
     LeaseReplica NONE = () -> null;
 
-    /** The register as stored here, its value null if there is no lease; or null if this node has no copy to go by now. */
+    /** Returns the local copy, whose value is null if there is no lease; null if this node has no usable copy now. */
     Register current();
 }
--- a/spokestall/src/main/java/spokestall/lease/LeaseSession.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseSession.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 
 /**
- * One acquisition of the lease and the time in which its holder may act.
+ * One acquisition of the lease, and the time during which its holder may act.
  *
- * <p>The deadline counts from before the acquisition, or its last renewal, was requested; so it passes before any rival, who
- * counts from after it saw the change, may acquire the lease. A session that has become uncertain stays so: no later answer makes
- * it valid again.
+ * <p>The deadline counts from the time at which the holder requested the acquisition or the last renewal. A rival counts from the
+ * later time at which it observed that change, so the deadline passes before the rival may acquire the lease. An uncertain session
+ * stays uncertain: no later reply makes it valid again.
  *
  * <p>Not thread-safe; all calls on the node's event loop. Times are milliseconds of the node's monotonic clock.
  */
 public final class LeaseSession {
-    /** Why a session is no longer valid. */
+    /** The reason why a session is no longer valid. Log lines contain these names. */
     public enum EndReason {
-        /** A renewal failed, came too late or its outcome is unknown. */
+        /** A renewal failed, was late or has an unknown outcome. */
         UNCERTAIN,
-        /** The lease was given up. */
+        /** The holder gave up the lease. */
         CANCELLED,
-        /** The lease was not renewed in time. */
+        /** The deadline passed without a renewal. */
         DEADLINE,
-        /** The session reached its longest duration. */
+        /** The session reached its maximum duration. */
         MAX_RUN
     }
 
@@ -35,11 +35,11 @@
     /**
      * Creates a valid session.
      *
-     * @param sessionId names the session in log lines
+     * @param sessionId the id of the session in log lines
      * @param owner the owner value of this acquisition
      * @param fencingToken the fencing token of this acquisition
-     * @param deadlineMs until when it is valid unless it is renewed
-     * @param endMs until when it may be valid with all renewals
+     * @param deadlineMs the time until which the session is valid without a renewal
+     * @param endMs the time at which the session ends regardless of renewals
      */
     public LeaseSession(
             final String sessionId,
@@ -54,32 +54,32 @@
         this.endMs = endMs;
     }
 
-    /** The id by which log lines name this session. */
+    /** Returns the id of this session in log lines. */
     public String sessionId() {
         return sessionId;
     }
 
-    /** The owner value of this acquisition alone. */
+    /** Returns the owner value, which is unique to this acquisition. */
     public String owner() {
         return owner;
     }
 
-    /** The fencing token of this acquisition. */
+    /** Returns the fencing token of this acquisition. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** Until when the holder may act unless the session is renewed. */
+    /** Returns the time until which the holder may act without a further renewal. */
     public long deadlineMs() {
         return deadlineMs;
     }
 
-    /** Whether the holder may act at {@code nowMs}; to be checked before each step of the work and before its completion. */
+    /** Returns whether the holder may act at {@code nowMs}. The task checks this before each step and before it completes. */
     public boolean isValid(final long nowMs) {
         return endReason(nowMs).isEmpty();
     }
 
-    /** Why the holder may not act at {@code nowMs}; empty while the session is valid. */
+    /** Returns why the holder may not act at {@code nowMs}; empty while the session is valid. */
     public Optional<EndReason> endReason(final long nowMs) {
         if (uncertain) {
             return Optional.of(EndReason.UNCERTAIN);
@@ -93,19 +93,19 @@
         return nowMs >= endMs ? Optional.of(EndReason.MAX_RUN) : Optional.empty();
     }
 
-    /** Moves the deadline after a renewal; never back. */
+    /** Extends the deadline after a renewal. An earlier deadline than the current one has no effect. */
     void extend(final long untilMs) {
-        assert !uncertain : "an uncertain session was renewed";
+        assert !uncertain : "renewal of an uncertain session";
         deadlineMs = Math.max(deadlineMs, untilMs);
     }
 
-    /** Ends the session for good: whether the lease is still this session's is unknown. */
+    /** Ends the session permanently because this node doesn't know whether it still holds the lease. */
     void markUncertain() {
         uncertain = true;
         cancelled = true;
     }
 
-    /** Ends the session because its lease is given up. */
+    /** Ends the session because the holder gives up the lease. */
     void cancel() {
         cancelled = true;
     }
--- a/spokestall/src/main/java/spokestall/lease/LeaseTimeouts.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseTimeouts.java
@@ -1,16 +1,16 @@
 package spokestall.lease;
 
 /**
- * The spans by which a lease is acquired, renewed and given up, in milliseconds.
+ * The durations that govern the acquisition, renewal and release of a lease, in milliseconds.
  *
  * @param leaseMs how long a lease is valid after its acquisition or renewal was requested
- * @param renewMs how long after one renewal the next is requested
- * @param storeWaitMs how long a read or change of the register may take; an answer that comes later is not used
- * @param marginMs how much earlier the holder stops, and how much longer a rival waits
- * @param turnMs the gap between rivals that saw the same lease expire
- * @param maxRunMs the longest that one session may last, with all its renewals
- * @param restMs how long a former holder waits before it acquires the lease from another holder. Where the order of holders is
- *     checked within a span, a holder that came back sooner would seem to act beside the one that followed it; 0 for no rest
+ * @param renewIntervalMs the interval between the requests of two renewals
+ * @param storeTimeoutMs how long a read or change of the register may take; later outcomes are not used
+ * @param safetyMarginMs how long before the end of the lease the holder stops, and how long after it a rival waits
+ * @param staggerMs the delay between the acquisition attempts of two rivals that saw the same lease expire
+ * @param maxSessionMs the maximum duration of a session, including all its renewals
+ * @param cooldownMs how long a former holder waits before it acquires the lease from another holder; 0 for no wait. An observer that
+ *     checks the order of holders within a time span would see a holder that returned sooner as acting beside its successor
  */
 public record LeaseTimeouts(
         long leaseMs,
@@ -20,7 +20,7 @@
         long staggerMs,
         long maxSessionMs,
         long cooldownMs) {
-    /** Until when a holder may act whose acquisition or renewal was requested at {@code requestedMs}. */
+    /** Returns the time until which a holder may act that requested its acquisition or renewal at {@code requestedMs}. */
     long deadlineMs(final long requestedMs) {
         return requestedMs + leaseMs - safetyMarginMs;
     }
--- a/spokestall/src/main/java/spokestall/lease/LeaseWatch.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseWatch.java
@@ -3,10 +3,10 @@
 import spokestall.time.Clock;
 
 /**
- * What this node has observed of the lease, and since when that has been unchanged on its own monotonic clock.
+ * The lease as last observed by this node, and the time on the node's monotonic clock since which it has been unchanged.
  *
- * <p>A lease is taken as observed only when the store named it. The node's own copy of the register, which may be ahead of the
- * store or behind it, can restart the watch or call for a read of the store, never shorten the watch.
+ * <p>Only a read from the store, that is from a majority, starts the watch of a new acquisition. The local replica of the register
+ * may be ahead of the store or behind it: it can restart the watch or cause a read from the store, but never shortens the watch.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -23,22 +23,25 @@
         this.clock = clock;
     }
 
-    /** The lease as last observed, or null if there was none or none is known. */
+    /** Returns the lease as last observed; null if it was absent or has not been observed. */
     Lease observed() {
         return observed;
     }
 
-    /** Since when the observed lease has been unchanged. */
+    /** Returns the time since which the observed lease has been unchanged. */
     long observedSinceMs() {
         return observedSinceMs;
     }
 
-    /** Whether nothing was observed yet, or this node's copy shows what only the store can confirm. */
+    /** Returns whether no lease has been observed yet, or the local replica shows a change that only the store can confirm. */
     boolean needsStoreRead() {
         return !hasObservation || replicaDiffers;
     }
 
-    /** Receives this node's copy of the lease, null for no lease. A later change by the observed owner restarts the watch. */
+    /**
+     * Handles the lease in the local replica, null for an absent lease. A later renewal or a release by the observed owner restarts
+     * the watch. Another owner or an absent lease requires a read from the store. An older state of the observed lease is ignored.
+     */
     void onReplica(final Lease current) {
         if (hasReplica && Lease.isSameState(current, replica)) {
             return;
@@ -55,7 +58,7 @@
         }
     }
 
-    /** Receives what a read of the store returned, null for no lease. The watch goes on only if that is unchanged too. */
+    /** Handles the lease read from the store, null for an absent lease. Restarts the watch if the lease has changed. */
     void onStoreRead(final Lease current) {
         replicaDiffers = false;
         if (!hasObservation || !Lease.isSameState(current, observed)) {
@@ -63,14 +66,14 @@
         }
     }
 
-    /** Begins a new watch of this lease, as the store returned it. */
+    /** Starts a new watch of this lease at the current time. */
     void restart(final Lease current) {
         observed = current;
         observedSinceMs = clock.nowMs();
         hasObservation = true;
     }
 
-    /** Forgets the observed lease: the next watch begins with a read of the store. */
+    /** Discards the observed lease, so that the next watch starts with a read from the store. */
     void reset() {
         observed = null;
         hasObservation = false;
--- a/spokestall/src/main/java/spokestall/time/FleetClock.java
+++ b/spokestall/src/main/java/spokestall/time/FleetClock.java
@@ -7,34 +7,34 @@
 import java.util.Map;
 
 /**
- * The fleet's common time, in milliseconds since 1970: this process's monotonic time plus an offset, which follows the median of
- * the offsets that the peers' readings give and its own. A machine's calendar is read once, at the start, and counts only until
- * peers have been read, so one clock that is wrong or jumps moves nothing.
+ * The fleet's common time, in milliseconds since 1970: this process's monotonic time plus an offset. The offset follows the median
+ * of this node's own offset and the offsets derived from the peers' readings. The machine's wall clock is read only once, at the
+ * start, and serves only until enough peers have been read, so a single clock that is wrong or jumps doesn't move the fleet's time.
  *
- * <p>Not thread-safe; all calls on the node's event loop. The time may step, forwards or backwards, while the offset is more than a
- * step away from the median; else it moves by at most one millisecond with each reading.
+ * <p>Not thread-safe; all calls on the node's event loop. If the offset differs from the median by more than {@code stepMs}, the time
+ * steps forwards or backwards; otherwise each reading moves it by at most one millisecond.
  */
 public final class FleetClock {
-    /** So many peers must have been read, besides this node, before the time settles. */
+    /** Number of peers, not counting this node, that must have been read before the time settles. */
     private static final int MIN_PEERS = 2;
-    /** Readings of further peers are ignored, so that what is kept stays bounded. */
+    /** Maximum number of peers per offset map; readings of further peers are ignored, to bound the memory. */
     private static final int MAX_PEERS = 64;
 
     private final Clock clock;
     private final long stepMs;
-    /** Offsets to this process's monotonic time, by peer, of peers whose own time has settled. */
+    /** Offsets to this process's monotonic time of the peers whose own time has settled, by peer name. */
     private final Map<String, Long> settledOffsetsMs = new HashMap<>();
-    /** The same of peers whose own time hasn't settled: their calendars, in effect. */
+    /** Offsets of the peers whose own time hasn't settled, which are in effect the offsets of their wall clocks. */
     private final Map<String, Long> unsettledOffsetsMs = new HashMap<>();
 
     private long ownOffsetMs;
     private boolean settled;
 
     /**
-     * Starts from this machine's calendar.
+     * Creates a clock that starts from this machine's wall-clock time.
      *
-     * @param stepMs the offset steps if it is further than this from the median; readings that took longer than this on their way
-     *     don't replace earlier ones
+     * @param stepMs the difference from the median above which the offset steps; also the round-trip time above which a reading
+     *     doesn't replace an earlier one
      */
     public FleetClock(final Clock clock, final long stepMs) {
         this.clock = clock;
@@ -42,19 +42,20 @@
         this.ownOffsetMs = clock.wallMs() - clock.nowMs();
     }
 
-    /** Returns the fleet's time. Before {@link #settled} it is this machine's calendar time. */
+    /** Returns the fleet's time. Until {@link #settled}, this is based on the machine's wall clock at the start. */
     public long nowMs() {
         return clock.nowMs() + ownOffsetMs;
     }
 
-    /** Returns whether enough peers have been read; once true it stays true. */
+    /** Returns whether enough peers have been read. Once true, it stays true. */
     public boolean settled() {
         return settled;
     }
 
     /**
-     * Takes a peer's reading, as of the middle of its way here. A reading that was long on its way, as when either end was
-     * suspended, may be off by half of that: it doesn't replace one that the peer has given before.
+     * Handles a peer's reading, assuming that the peer took it in the middle of the round trip. After a long round trip, for example
+     * because either process was suspended, the reading may be off by half of the round-trip time, so it doesn't replace an earlier
+     * reading of that peer.
      *
      * @param peer the peer's name
      * @param peerMs the fleet's time at the peer
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Settled peers alone count once there are enough of them; until then, at the start, so do all others. */
+    /** Moves the offset towards the median. Unsettled peers count only at the start, while there are too few settled ones. */
     private void updateOffset() {
         final List<Long> offsetsMs = new ArrayList<>(settledOffsetsMs.values());
         if (offsetsMs.size() < MIN_PEERS && !settled) {
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -162,7 +162,7 @@
 
     /**
      * Guards against a deadlock of two new voters: each has caught up when the voter set that adds the other one arrives. If that
-     * voter set made them catch up again, each would wait for the other's pages forever.
+     * voter set made them catch up again, each would wait forever for pages that the other one doesn't send before it votes.
      */
     @Test
     void aCaughtUpVoterThatReceivesAVoterSetVotesOnceTheVoterSetIsSynced() {
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -17,16 +17,22 @@
 class LeaseManagerTest {
     private static final LeaseTimeouts TIMEOUTS = new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 0);
     private static final long CHECKED_SPAN_MS = 3000;
-    /** Rivals acquire one after another, in turns of the six voters. */
+    /** The longest time until the last of six voters attempts an acquisition. */
     private static final long STAGGER_MAX_MS = 6 * TIMEOUTS.staggerMs();
 
-    /** Managers on a lossy network, each frozen now and then while voters restart: one valid session at most, tokens rise. */
+    /**
+     * Checks mutual exclusion with managers that are paused at random times, on a lossy network with restarting voters: at most one
+     * session is valid at any time, and fencing tokens increase.
+     */
     @Test
     void atMostOneSessionIsValidAndFencingTokensRise() {
         assertThat(countSessions(false)).isGreaterThan(60);
     }
 
-    /** The same with replicas of the register: one current, one late, one that never changes, one that is sometimes missing. */
+    /**
+     * Checks the same with local replicas of the register: one is current, one is late, one never changes and one is sometimes
+     * missing.
+     */
     @Test
     void staleReplicasNeverLeadToTwoValidSessions() {
         assertThat(countSessions(true)).isGreaterThan(60);
@@ -106,7 +112,10 @@
         return held;
     }
 
-    /** A holder that renews is watched by the replica alone; once it stops, the store is read before the lease is acquired. */
+    /**
+     * A rival watches a holder that renews through the local replica alone. Once the holder stops renewing, the rival reads the lease
+     * from the store before it acquires it.
+     */
     @Test
     void theStoreIsReadOnlyAfterTheReplicaIsUnchangedForTheWholeLeaseSpan() {
         final ConsensusTestContext context = new ConsensusTestContext(2, 0);
@@ -149,7 +158,7 @@
                 .isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
-    /** A lease that is not there may have been lost with its disks while its holder still works. */
+    /** An absent lease may have been lost with the disks that stored it while its holder still acts under it. */
     @Test
     void anAbsentLeaseIsWatchedForTheWholeLeaseSpanBeforeItIsAcquired() {
         final ConsensusTestContext context = new ConsensusTestContext(1, 0);
@@ -171,7 +180,7 @@
     private static final LeaseTimeouts TIMEOUTS_WITH_COOLDOWN =
             new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 3600);
 
-    /** One incarnation of a node: its manager and the sessions that it began. */
+    /** One incarnation of a node, with its lease manager and the sessions that it started. */
     private static final class Incarnation implements LeasedTask {
         private final ConsensusTestContext context;
         private final String name;
@@ -206,7 +215,10 @@
         }
     }
 
-    /** Ticks all of these until the awaited one begins a session; returns how long that took, the full span if it did not. */
+    /**
+     * Ticks all given incarnations until the awaited one starts a session. Returns the elapsed time, which is the full span if it
+     * started none.
+     */
     private static long msUntilSessionOf(
             final ConsensusTestContext context,
             final long spanMs,
@@ -224,8 +236,10 @@
         return context.clock.nowMs() - fromMs;
     }
 
-    /** A holder restarted before anyone else acquired: nothing is done under its old lease. An acquisition whose outcome came too
-     * late looks the same. */
+    /**
+     * If a holder restarts before another node acquires the lease, no task acts under its old lease any more, so a wait for the expiry
+     * would only lose time. A lease from an acquisition with a late outcome looks the same.
+     */
     @Test
     void aRestartedHolderAcquiresItsOwnLeaseWithoutWaitingForExpiry() {
         final ConsensusTestContext context = new ConsensusTestContext(3, 0);
@@ -237,7 +251,7 @@
                 .isGreaterThan(before.sessions.get(0).fencingToken());
     }
 
-    /** A lease of an older generation may have been acquired by another since, which was lost with the disks. */
+    /** Another node may have acquired the lease since, and that change may have been lost with the disks of the old generation. */
     @Test
     void aRestartedHolderWaitsForExpiryOfItsLeaseFromAnOlderGeneration() {
         final ConsensusTestContext context = new ConsensusTestContext(4, 0);
@@ -253,7 +267,7 @@
                 .isGreaterThanOrEqualTo(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs());
     }
 
-    /** A graceful shutdown hands the lease over: once released it is acquired at once, but not by a recent holder. */
+    /** After a graceful shutdown another node acquires the released lease at once, but a recent holder first waits for its cooldown. */
     @Test
     void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsCooldown() {
         final ConsensusTestContext context = new ConsensusTestContext(6, 0);
@@ -272,7 +286,7 @@
         assertThat(context.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(TIMEOUTS_WITH_COOLDOWN.cooldownMs());
     }
 
-    /** A call that may still arrive keeps the lease from being released: it expires instead. */
+    /** A holder doesn't release its lease while one of its calls may still arrive; the lease expires instead. */
     @Test
     void aHolderWithACallInFlightLeavesItsLeaseToExpire() {
         final ConsensusTestContext context = new ConsensusTestContext(7, 0);
@@ -286,8 +300,10 @@
                 .isGreaterThan(TIMEOUTS.leaseMs() - TIMEOUTS.renewIntervalMs());
     }
 
-    /** Holders that restart and hand over at any moment: one acts at a time, and none acts again after its successor within the
-     * span in which the order of holders is checked. */
+    /**
+     * Checks holders that restart or release the lease at random times: only one acts at a time, and none acts again after its
+     * successor within the span in which the order of holders is checked.
+     */
     @Test
     void aFormerHolderDoesNotActAgainWithinTheCheckedSpan() {
         int held = 0;
--- a/spokestall/src/test/java/spokestall/time/EventClock.java
+++ b/spokestall/src/test/java/spokestall/time/EventClock.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A virtual clock that runs its timers in the order of their times, those of one time in the order they were started. */
+/** A virtual clock that runs its timers in the order of their due times, and timers with the same due time in FIFO order. */
 public final class EventClock implements Clock {
     private record Event(long atMs, long number, Runnable task) {}
 
@@ -12,7 +12,7 @@
     private long nowMs;
     private long nextNumber;
 
-    /** Example: {@code new EventClock(0)} */
+    /** Creates a clock without timers that stands at {@code startMs}. */
     public EventClock(final long startMs) {
         this.nowMs = startMs;
     }
@@ -32,7 +32,7 @@
         events.add(new Event(nowMs + Math.max(0, waitMs), nextNumber++, event));
     }
 
-    /** Runs what is due until then, and stands there. */
+    /** Runs all timers due up to {@code untilMs}, calling {@code afterEach} after each, and advances the clock to that time. */
     public void runUntil(final long untilMs, final Runnable afterEach) {
         while (!events.isEmpty() && events.peek().atMs <= untilMs) {
             runNext();
@@ -41,7 +41,7 @@
         nowMs = untilMs;
     }
 
-    /** Runs until no timer is left. */
+    /** Runs all timers, including those that timers start, until none is left. */
     public void runAll() {
         while (!events.isEmpty()) {
             runNext();
--- a/spokestall/src/test/java/spokestall/time/FleetClockTest.java
+++ b/spokestall/src/test/java/spokestall/time/FleetClockTest.java
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Replies that waited for a machine that stood still are off by half of that time. */
+    /** A reply that arrives while this machine is suspended waits for it; the reading is then off by half of that wait. */
     @Test
     void aDelayedReadingDoesNotReplaceAnEarlierOne() {
         final ManualClock clock = new ManualClock(0, 50_000);
@@ -49,7 +49,7 @@
         assertThat(fleet.nowMs()).isBetween(56_400L, 56_600L);
     }
 
-    /** Where each reading takes long, one that is off is better than none. */
+    /** On a link where every reading is delayed, an inaccurate reading is better than none. */
     @Test
     void theFirstReadingOfAPeerCountsEvenIfItIsDelayed() {
         final FleetClock fleet = new FleetClock(new ManualClock(400, 10_000), 100);
--- a/spokestall/src/test/java/spokestall/time/ManualClock.java
+++ b/spokestall/src/test/java/spokestall/time/ManualClock.java
@@ -1,29 +1,29 @@
 package spokestall.time;
 
-/** A clock that a test moves by hand, for what starts no timers, or none that go off. */
+/** A clock that tests advance manually, for code that starts no timers or whose timers need not fire. */
 public final class ManualClock implements Clock {
     private long monotonicMs;
     private long calendarMs;
     private boolean ignoresTimers;
 
-    /** Both times begin at the same value. */
+    /** Creates a clock whose monotonic time and wall-clock time both start at {@code startMs}. */
     public ManualClock(final long startMs) {
         this(startMs, startMs);
     }
 
-    /** Example: {@code new ManualClock(0, 50_000)} */
+    /** Creates a clock with separate start values of the monotonic time and the wall-clock time, in milliseconds. */
     public ManualClock(final long monotonicMs, final long calendarMs) {
         this.monotonicMs = monotonicMs;
         this.calendarMs = calendarMs;
     }
 
-    /** Lets time pass. */
+    /** Advances both times by {@code spanMs} milliseconds. */
     public void advance(final long spanMs) {
         monotonicMs += spanMs;
         calendarMs += spanMs;
     }
 
-    /** Timers may be started from now on; none goes off. */
+    /** Accepts timers from now on but never fires them. Before this call, starting a timer fails the test. */
     public void ignoreTimers() {
         ignoresTimers = true;
     }
@@ -41,7 +41,7 @@
     @Override
     public void after(final long waitMs, final Runnable event) {
         if (!ignoresTimers) {
-            throw new AssertionError("a timer was started on a clock without timers");
+            throw new AssertionError("timer started on a manual clock that doesn't accept timers");
         }
     }
 }
