--- a/spokestall/src/main/java/spokestall/consensus/AcceptorCatchUp.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorCatchUp.java
@@ -82,7 +82,7 @@
      */
     boolean onResponse(final ConsensusMessage.CatchUpResponse response, final VoterSet voterSet, final String address) {
         if (completedVoters.contains(response.name())
-                || !offset(response.name()).equals(response.after())) {
+                || !offset(response.name()).equals(response.afterKey())) {
             return false;
         }
         highestVersionFloor = Math.max(highestVersionFloor, response.versionFloor());
@@ -90,7 +90,7 @@
             storage.mergeRegister(entry.key(), entry.register());
             offsets.put(response.name(), entry.key());
         }
-        if (!response.last()) {
+        if (!response.lastPage()) {
             requestPage(voterSet, voterSet.voter(response.name()), address);
             return false;
         }
@@ -104,7 +104,7 @@
         int pageBytes = 0;
         boolean lastPage = true;
         for (final Map.Entry<String, Register> e :
-                storage.registers().tailMap(request.after(), false).entrySet()) {
+                storage.registers().tailMap(request.afterKey(), false).entrySet()) {
             if (pageBytes > PAGE_BYTES) {
                 lastPage = false;
                 break;
@@ -119,7 +119,7 @@
                         name,
                         request.generation(),
                         request.epoch(),
-                        request.after(),
+                        request.afterKey(),
                         entries,
                         lastPage,
                         storage.versionFloor()));
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorRequestHandler.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorRequestHandler.java
@@ -129,7 +129,7 @@
     /** Replies with the keys for which the sender has accepted a newer value than the one synced on this disk. */
     void onHandoverRequest(final ConsensusMessage.HandoverRequest request) {
         final List<String> outdatedKeys = new ArrayList<>();
-        for (final ConsensusMessage.AcceptedEntry entry : request.accepted()) {
+        for (final ConsensusMessage.AcceptedEntry entry : request.acceptedEntries()) {
             final Register synced = storage.syncedRegister(entry.key());
             if (synced.accepted().compareTo(entry.accepted()) < 0 && !guard.isPruned(entry.key())) {
                 outdatedKeys.add(entry.key());
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
@@ -131,8 +131,8 @@
             return;
         }
         final byte[] value = ByteBuffer.allocate(Long.BYTES).putLong(floor).array();
-        put(VERSION_FLOOR_KEY, value, ok -> {
-            if (ok && floor > versionFloor) {
+        put(VERSION_FLOOR_KEY, value, isSynced -> {
+            if (isSynced && floor > versionFloor) {
                 versionFloor = floor;
                 synced.run();
             }
--- a/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
+++ b/spokestall/src/main/java/spokestall/consensus/ConsensusMessage.java
@@ -56,8 +56,8 @@
     /** Notifies a node that used an older voter set of the sender's newer one. There is no reply. */
     record VoterSetUpdate(VoterSet voterSet) implements ConsensusMessage {}
 
-    /** Requests a page of a voter's registers: those whose keys follow {@code after}, ordered by key. */
-    record CatchUpRequest(String from, String name, long generation, long epoch, String after)
+    /** Requests a page of a voter's registers: those whose keys follow {@code afterKey}, ordered by key. */
+    record CatchUpRequest(String from, String name, long generation, long epoch, String afterKey)
             implements ConsensusMessage {}
 
     /**
@@ -68,18 +68,18 @@
             String name,
             long generation,
             long epoch,
-            String after,
+            String afterKey,
             List<Entry> entries,
-            boolean last,
+            boolean lastPage,
             @SinceVersion(4) long versionFloor)
             implements ConsensusMessage {}
 
     /** Lists what a voter that shuts down has accepted; requests the keys for which the receiver has an older value or none. */
-    record HandoverRequest(String from, long generation, long epoch, List<AcceptedEntry> accepted)
+    record HandoverRequest(String from, long generation, long epoch, List<AcceptedEntry> acceptedEntries)
             implements ConsensusMessage {}
 
     /** The reply to {@link HandoverRequest}: the keys for which the replying voter's disk has an older value or none. */
-    record HandoverResponse(String name, long generation, long epoch, List<String> lacking)
+    record HandoverResponse(String name, long generation, long epoch, List<String> outdatedKeys)
             implements ConsensusMessage {}
 
     /** A register's key and the proposal number under which its value was accepted. */
--- a/spokestall/src/main/java/spokestall/consensus/Proposal.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposal.java
@@ -91,14 +91,15 @@
 
     /** Starts a change. */
     void start() {
-        final ProposerCache.Committed last = proposer.cache.takeCommitted(key);
-        final RegisterEdit edit = last != null && last.voterSet() == proposer.voterSet() && !isOverdue()
-                ? editor.edit(last.value())
-                : RegisterEdit.LEAVE;
+        final ProposerCache.Committed lastCommitted = proposer.cache.takeCommitted(key);
+        final RegisterEdit edit =
+                lastCommitted != null && lastCommitted.voterSet() == proposer.voterSet() && !isOverdue()
+                        ? editor.edit(lastCommitted.value())
+                        : RegisterEdit.LEAVE;
         if (edit instanceof RegisterEdit.Set set) {
             beginAttempt(Phase.ACCEPT);
-            proposer.cache.observeCount(key, last.next().count());
-            number = last.next();
+            proposer.cache.observeCount(key, lastCommitted.next().count());
+            number = lastCommitted.next();
             propose(set.value(), true);
         } else {
             startAttempt(Phase.PREPARE);
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -170,8 +170,8 @@
 
     private void onRead(final ProposalOutcome outcome) {
         readInFlight = false;
-        if (state == State.WATCHING && outcome instanceof ProposalOutcome.Committed done) {
-            watch.onStoreRead(decodeLease(done.value()));
+        if (state == State.WATCHING && outcome instanceof ProposalOutcome.Committed committed) {
+            watch.onStoreRead(decodeLease(committed.value()));
             if (acquisitionRule.mayAcquire(watch)) {
                 acquire();
             }
@@ -206,8 +206,8 @@
         if (current != null && !current.released() && !unchangedSinceObserved) {
             return RegisterEdit.LEAVE;
         }
-        final long first = proposer.voterSet().firstNumber();
-        final long fencingToken = Math.max(current == null ? 0 : current.fencingToken(), first) + 1;
+        final long firstNumber = proposer.voterSet().firstNumber();
+        final long fencingToken = Math.max(current == null ? 0 : current.fencingToken(), firstNumber) + 1;
         return new RegisterEdit.Set(MessageCodec.encodeRecord(
                 new Lease(owner, context.node(), 0, fencingToken, timeouts.leaseMs(), false)));
     }
@@ -261,46 +261,47 @@
         }
     }
 
-    private void renew(final LeaseSession renewed) {
+    private void renew(final LeaseSession renewedSession) {
         renewalInFlight = true;
         final long requestedMs = clock.nowMs();
         renewalRequestedMs = requestedMs;
         proposer.propose(
                 key,
                 timeouts.storeTimeoutMs(),
-                value -> editIfOwned(value, renewed, now -> now.renewed(timeouts.leaseMs())),
-                outcome -> onRenewed(renewed, outcome, requestedMs));
+                value -> editIfOwned(value, renewedSession, now -> now.renewed(timeouts.leaseMs())),
+                outcome -> onRenewed(renewedSession, outcome, requestedMs));
     }
 
-    private void onRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
+    private void onRenewed(final LeaseSession renewedSession, final ProposalOutcome outcome, final long requestedMs) {
         renewalInFlight = false;
-        final boolean extended = isRenewed(renewed, outcome, requestedMs);
-        if (renewed != session || state != State.HOLDING) {
+        final boolean extended = isRenewed(renewedSession, outcome, requestedMs);
+        if (renewedSession != session || state != State.HOLDING) {
             return;
         }
         if (extended) {
-            renewed.extend(timeouts.deadlineMs(requestedMs));
+            renewedSession.extend(timeouts.deadlineMs(requestedMs));
         } else {
-            renewed.markUncertain();
+            renewedSession.markUncertain();
             release("renewal_failed");
         }
     }
 
     /** Returns whether the renewal is stored, its outcome arrived in time, and the new deadline has not passed yet. */
-    private boolean isRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
+    private boolean isRenewed(
+            final LeaseSession renewedSession, final ProposalOutcome outcome, final long requestedMs) {
         final long nowMs = clock.nowMs();
-        final boolean stored = outcome instanceof ProposalOutcome.Committed done
-                && done.wrote()
-                && decodeLease(done.value()).owner().equals(renewed.owner());
-        final boolean timely = nowMs - requestedMs <= timeouts.storeTimeoutMs() && renewed.isValid(nowMs);
+        final boolean stored = outcome instanceof ProposalOutcome.Committed committed
+                && committed.wrote()
+                && decodeLease(committed.value()).owner().equals(renewedSession.owner());
+        final boolean timely = nowMs - requestedMs <= timeouts.storeTimeoutMs() && renewedSession.isValid(nowMs);
         return stored && timely && timeouts.deadlineMs(requestedMs) > nowMs;
     }
 
     /** Ends the session. Releases its lease if no call of the task may still arrive; otherwise the lease expires. */
     private void release(final String reason) {
-        final LeaseSession ended = session;
-        ended.cancel();
-        acquisitionRule.onSessionEnded(ended);
+        final LeaseSession endedSession = session;
+        endedSession.cancel();
+        acquisitionRule.onSessionEnded(endedSession);
         transitionTo(State.RELEASING, reason);
         if (!task.isQuiescent()) {
             onReleaseEnded("calls_in_flight");
@@ -309,7 +310,7 @@
         proposer.propose(
                 key,
                 timeouts.storeTimeoutMs(),
-                value -> editIfOwned(value, ended, Lease::release),
+                value -> editIfOwned(value, endedSession, Lease::release),
                 outcome ->
                         onReleaseEnded(outcome instanceof ProposalOutcome.Committed ? "released" : "outcome_unknown"));
     }
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -107,10 +107,10 @@
         if (voter == null) {
             return;
         }
-        if (response.lacking().isEmpty()) {
+        if (response.outdatedKeys().isEmpty()) {
             holders.add(response.name());
         }
-        for (final String key : response.lacking()) {
+        for (final String key : response.outdatedKeys()) {
             sendRegister(voter, key);
         }
         // With two voters the other one alone is all there is.
--- a/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/VersionFloorTest.java
@@ -128,7 +128,7 @@
         proposer.propose(
                 ConfigurationKeys.keyOf(version),
                 500,
-                now -> now == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
+                current -> current == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
                 outcomes::add);
         run(700);
         return outcomes.get(0);
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -40,23 +40,23 @@
 
     private static LeaseReplica replica(final ConsensusTestContext context, final int number) {
         final Proposer reader = context.proposer("r" + number);
-        final ArrayDeque<Register> late = new ArrayDeque<>(List.of(register(null)));
-        final Runnable look = new Runnable() {
+        final ArrayDeque<Register> copies = new ArrayDeque<>(List.of(register(null)));
+        final Runnable readRegister = new Runnable() {
             @Override
             public void run() {
                 context.clock.after(200, this);
                 reader.read(Lease.key("usage_report"), 300, outcome -> {
-                    if (number != 2 && outcome instanceof ProposalOutcome.Committed done) {
-                        late.add(register(done.value()));
-                        if (late.size() > (number == 1 ? 5 : 1)) {
-                            late.poll();
+                    if (number != 2 && outcome instanceof ProposalOutcome.Committed committed) {
+                        copies.add(register(committed.value()));
+                        if (copies.size() > (number == 1 ? 5 : 1)) {
+                            copies.poll();
                         }
                     }
                 });
             }
         };
-        context.clock.after(1, look);
-        return () -> number == 3 && context.random.nextInt(10) == 0 ? null : late.peek();
+        context.clock.after(1, readRegister);
+        return () -> number == 3 && context.random.nextInt(10) == 0 ? null : copies.peek();
     }
 
     private static Register register(final byte[] value) {
@@ -64,10 +64,10 @@
     }
 
     private static int countSessions(final boolean replicas) {
-        int held = 0;
+        int sessionCount = 0;
         for (int seed = 0; seed < 20; seed++) {
             final ConsensusTestContext context = new ConsensusTestContext(seed, 0.1);
-            final List<LeaseSession> all = new ArrayList<>();
+            final List<LeaseSession> sessions = new ArrayList<>();
             final long[] frozenUntilMs = new long[4];
             for (int k = 0; k < 4; k++) {
                 final int number = k;
@@ -76,11 +76,11 @@
                                 "usage_report", "k" + k, context.proposer("k" + k), context.clock, context.random),
                         TIMEOUTS,
                         session -> {
-                            assertThat(all).allSatisfy(e -> {
+                            assertThat(sessions).allSatisfy(e -> {
                                 assertThat(e.fencingToken()).isLessThan(session.fencingToken());
                                 assertThat(e.owner()).isNotEqualTo(session.owner());
                             });
-                            all.add(session);
+                            sessions.add(session);
                         },
                         replicas ? replica(context, k) : LeaseReplica.NONE);
                 final Runnable tick = new Runnable() {
@@ -105,11 +105,12 @@
             for (long atMs = 200; atMs < 60_000; atMs += 20) {
                 context.run(atMs);
                 final long nowMs = context.clock.nowMs();
-                assertThat(all.stream().filter(e -> e.isValid(nowMs)).count()).isLessThanOrEqualTo(1);
+                assertThat(sessions.stream().filter(e -> e.isValid(nowMs)).count())
+                        .isLessThanOrEqualTo(1);
             }
-            held += all.size();
+            sessionCount += sessions.size();
         }
-        return held;
+        return sessionCount;
     }
 
     /**
@@ -134,11 +135,11 @@
                 });
         renew.run();
         context.run(context.clock.nowMs() + 300);
-        final long[] begunMs = {-1};
+        final long[] acquiredMs = {-1};
         final LeaseManager leaseManager = new LeaseManager(
                 new LeaseContext("usage_report", "k", context.proposer("k"), context.clock, context.random),
                 TIMEOUTS,
-                session -> begunMs[0] = context.clock.nowMs(),
+                session -> acquiredMs[0] = context.clock.nowMs(),
                 () -> register(copy[0]));
         for (int i = 0; i < 100; i++) {
             if (i % 4 == 0) {
@@ -146,15 +147,15 @@
             }
             leaseManager.onTick();
             context.run(context.clock.nowMs() + 100);
-            assertThat(begunMs[0]).isNegative();
+            assertThat(acquiredMs[0]).isNegative();
         }
         final long stoppedMs = renewedMs[0];
-        while (begunMs[0] < 0 && context.clock.nowMs() < stoppedMs + 6000) {
+        while (acquiredMs[0] < 0 && context.clock.nowMs() < stoppedMs + 6000) {
             leaseManager.onTick();
             context.run(context.clock.nowMs() + 50);
         }
         assertThat(leaseManager.observedLease().fencingToken()).isGreaterThan(1);
-        assertThat(begunMs[0] - stoppedMs)
+        assertThat(acquiredMs[0] - stoppedMs)
                 .isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
@@ -162,18 +163,18 @@
     @Test
     void anAbsentLeaseIsWatchedForTheWholeLeaseSpanBeforeItIsAcquired() {
         final ConsensusTestContext context = new ConsensusTestContext(1, 0);
-        final long[] begunMs = {-1};
+        final long[] acquiredMs = {-1};
         final LeaseManager leaseManager = new LeaseManager(
                 new LeaseContext("usage_report", "k", context.proposer("k"), context.clock, context.random),
                 TIMEOUTS,
-                session -> begunMs[0] = context.clock.nowMs(),
+                session -> acquiredMs[0] = context.clock.nowMs(),
                 LeaseReplica.NONE);
         final long fromMs = context.clock.nowMs();
         for (long atMs = fromMs; atMs < fromMs + 6000; atMs += 50) {
             context.run(atMs);
             leaseManager.onTick();
         }
-        assertThat(begunMs[0] - fromMs)
+        assertThat(acquiredMs[0] - fromMs)
                 .isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
@@ -225,8 +226,8 @@
             final Incarnation awaited,
             final Incarnation... others) {
         final long fromMs = context.clock.nowMs();
-        final int before = awaited.sessions.size();
-        while (awaited.sessions.size() == before && context.clock.nowMs() < fromMs + spanMs) {
+        final int sessionsBefore = awaited.sessions.size();
+        while (awaited.sessions.size() == sessionsBefore && context.clock.nowMs() < fromMs + spanMs) {
             awaited.leaseManager.onTick();
             for (final Incarnation other : others) {
                 other.leaseManager.onTick();
@@ -271,18 +272,18 @@
     @Test
     void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsCooldown() {
         final ConsensusTestContext context = new ConsensusTestContext(6, 0);
-        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
-        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
-        msUntilSessionOf(context, 10_000, one);
-        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), two, one);
+        final Incarnation first = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
+        final Incarnation second = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
+        msUntilSessionOf(context, 10_000, first);
+        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), second, first);
         final long stoppedMs = context.clock.nowMs();
-        one.leaseManager.stop(() -> {});
-        assertThat(msUntilSessionOf(context, 10_000, two)).isLessThan(STAGGER_MAX_MS + TIMEOUTS.leaseMs() / 2);
-        final Incarnation oneAgain = new Incarnation(context, "k1", 2, TIMEOUTS_WITH_COOLDOWN);
-        msUntilSessionOf(context, 500, oneAgain, two);
-        two.leaseManager.stop(() -> {});
-        msUntilSessionOf(context, 10_000, oneAgain);
-        assertThat(oneAgain.sessions).hasSize(1);
+        first.leaseManager.stop(() -> {});
+        assertThat(msUntilSessionOf(context, 10_000, second)).isLessThan(STAGGER_MAX_MS + TIMEOUTS.leaseMs() / 2);
+        final Incarnation firstRestarted = new Incarnation(context, "k1", 2, TIMEOUTS_WITH_COOLDOWN);
+        msUntilSessionOf(context, 500, firstRestarted, second);
+        second.leaseManager.stop(() -> {});
+        msUntilSessionOf(context, 10_000, firstRestarted);
+        assertThat(firstRestarted.sessions).hasSize(1);
         assertThat(context.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(TIMEOUTS_WITH_COOLDOWN.cooldownMs());
     }
 
@@ -290,13 +291,13 @@
     @Test
     void aHolderWithACallInFlightLeavesItsLeaseToExpire() {
         final ConsensusTestContext context = new ConsensusTestContext(7, 0);
-        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
-        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
-        msUntilSessionOf(context, 10_000, one);
-        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), two, one);
-        one.callInFlight = true;
-        one.leaseManager.stop(() -> {});
-        assertThat(msUntilSessionOf(context, 10_000, two))
+        final Incarnation holder = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
+        final Incarnation rival = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
+        msUntilSessionOf(context, 10_000, holder);
+        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), rival, holder);
+        holder.callInFlight = true;
+        holder.leaseManager.stop(() -> {});
+        assertThat(msUntilSessionOf(context, 10_000, rival))
                 .isGreaterThan(TIMEOUTS.leaseMs() - TIMEOUTS.renewIntervalMs());
     }
 
@@ -306,11 +307,11 @@
      */
     @Test
     void aFormerHolderDoesNotActAgainWithinTheCheckedSpan() {
-        int held = 0;
+        int holderChanges = 0;
         for (int seed = 0; seed < 30; seed++) {
-            held += countHolderChanges(seed);
+            holderChanges += countHolderChanges(seed);
         }
-        assertThat(held).isGreaterThan(100);
+        assertThat(holderChanges).isGreaterThan(100);
     }
 
     private static int countHolderChanges(final long seed) {
@@ -329,8 +330,8 @@
             assertThat(acting).hasSizeLessThanOrEqualTo(1);
             for (final Incarnation incarnation : acting) {
                 if (actors.isEmpty() || !actors.get(actors.size() - 1).equals(incarnation.name)) {
-                    final int before = actors.lastIndexOf(incarnation.name);
-                    assertThat(before < 0 ? Long.MAX_VALUE : nowMs - lastActMs.get(before))
+                    final int previousIndex = actors.lastIndexOf(incarnation.name);
+                    assertThat(previousIndex < 0 ? Long.MAX_VALUE : nowMs - lastActMs.get(previousIndex))
                             .isGreaterThanOrEqualTo(CHECKED_SPAN_MS);
                     actors.add(incarnation.name);
                     lastActMs.add(nowMs);
@@ -338,14 +339,14 @@
                 lastActMs.set(lastActMs.size() - 1, nowMs);
             }
             if (context.random.nextInt(200) == 0) {
-                final int of = acting.isEmpty() || context.random.nextInt(3) == 0
+                final int index = acting.isEmpty() || context.random.nextInt(3) == 0
                         ? context.random.nextInt(incarnations.size())
                         : incarnations.indexOf(acting.get(0));
-                final Incarnation old = incarnations.get(of);
+                final Incarnation replaced = incarnations.get(index);
                 if (context.random.nextBoolean()) {
-                    old.leaseManager.stop(() -> {});
+                    replaced.leaseManager.stop(() -> {});
                 }
-                incarnations.set(of, new Incarnation(context, old.name, number++, TIMEOUTS_WITH_COOLDOWN));
+                incarnations.set(index, new Incarnation(context, replaced.name, number++, TIMEOUTS_WITH_COOLDOWN));
             }
             for (int k = 0; k < incarnations.size(); k++) {
                 if ((tick + k) % 10 == 0) {
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
@@ -138,7 +138,7 @@
                         page.name(),
                         page.generation(),
                         page.epoch(),
-                        page.after(),
+                        page.afterKey(),
                         List.of(),
                         true,
                         page.versionFloor())
