--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -20,21 +20,22 @@
  * <ul>
  *   <li>{@link State#BLANK}: the acceptor has no voter slot. Changes to CATCHING_UP when a voter set arrives or when the acceptor
  *       opens a disk that has a slot; to VOTING when it opens a disk that has caught up.
- *   <li>{@link State#CATCHING_UP}: the acceptor has a voter set that is not synced yet, or a slot without the registers that a voter
- *       needs. It promises and accepts nothing. Changes to VOTING when the voter set and the registers are on disk; to BLANK when
- *       the voter set has no slot for this disk.
+ *   <li>{@link State#CATCHING_UP}: the acceptor has a voter set that is not synced yet, or a slot without the registers that a
+ *       voter needs. It promises and accepts nothing. Changes to VOTING when the voter set and the registers are on disk; to
+ *       BLANK when the voter set has no slot for this disk.
  *   <li>{@link State#VOTING}: changes to CATCHING_UP while the acceptor writes a newer voter set.
- *   <li>{@link State#RESIGNED}: the acceptor never votes in an epoch of this generation again, since a new generation may start from
- *       the registers it has. Changes to CATCHING_UP when the voter set of a newer generation arrives.
- *   <li>{@link State#STOPPED} is not stored: {@link #state()} returns it in place of any other state while the disk takes no writes.
+ *   <li>{@link State#RESIGNED}: the acceptor never votes in an epoch of this generation again, since a new generation may start
+ *       from the registers it has. Changes to CATCHING_UP when the voter set of a newer generation arrives.
+ *   <li>{@link State#STOPPED} is not stored: {@link #state()} returns it in place of any other state while the disk takes no
+ *       writes.
  * </ul>
  *
  * From every state, a resignation leads to RESIGNED and an identity reset leads to BLANK.
  *
- * <p><b>Durability.</b> The acceptor syncs the promised number before it sends {@link ConsensusMessage.Promise}; the accepted number
- * and value before {@link ConsensusMessage.Accepted}; the voter set before any reply in its epoch; and the registers, the version
- * floor and the caught-up record before the first reply of a new voter. Replies to a peek or to a handover request contain only
- * synced state.
+ * <p><b>Durability.</b> The acceptor syncs the promised number before it sends {@link ConsensusMessage.Promise}; the accepted
+ * number and value before {@link ConsensusMessage.Accepted}; the voter set before any reply in its epoch; and the registers, the
+ * version floor and the caught-up record before the first reply of a new voter. Replies to a peek or to a handover request
+ * contain only synced state.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -193,8 +194,8 @@
     }
 
     /**
-     * Adopts a newer voter set; from here on, the acceptor rejects messages of older ones. Ignores a voter set that is not newer, and
-     * any voter set while the disk takes no writes.
+     * Adopts a newer voter set; from here on, the acceptor rejects messages of older ones. Ignores a voter set that is not newer,
+     * and any voter set while the disk takes no writes.
      */
     public void updateVoterSet(final VoterSet next) {
         if (!next.newerThan(voterSet) || !storage.canWrite()) {
@@ -247,8 +248,8 @@
     }
 
     /**
-     * Raises the version floor. The caller may remove registers up to the floor only once {@code synced} runs, so that a register is
-     * never missing on a disk whose floor doesn't cover it. A floor that isn't higher is ignored.
+     * Raises the version floor. The caller may remove registers up to the floor only once {@code synced} runs, so that a register
+     * is never missing on a disk whose floor doesn't cover it. A floor that isn't higher is ignored.
      */
     public void raiseVersionFloor(final long floor, final Runnable synced) {
         storage.raiseVersionFloor(floor, synced);
@@ -266,8 +267,8 @@
     }
 
     /**
-     * Clears the disk and gives it a fresh identity, after a resignation that led to no new generation or after the loss of the voter
-     * slot.
+     * Removes all registers and gives the disk a fresh identity, after a resignation that led to no new generation or after the
+     * loss of the voter slot.
      */
     public void resetIdentity(final String freshDiskId) {
         storage.writeDiskId(freshDiskId);
@@ -292,8 +293,8 @@
     }
 
     /**
-     * Starts a generation that other voters have started before. Has no effect unless this disk has a slot in the generation's first
-     * voter set, still has one, and is catching up in that generation, so that it hasn't voted in it.
+     * Starts a generation that other voters have started before. Has no effect unless this disk has a slot in the generation's
+     * first voter set, still has one, and is catching up in that generation, so that it hasn't voted in it.
      */
     public void startGenerationLate(final VoterSet first, final List<ConsensusMessage.Entry> entries) {
         final Voter firstSlot = first.voter(name);
--- a/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
+++ b/spokestall/src/main/java/spokestall/consensus/AcceptorStorage.java
@@ -14,8 +14,8 @@
  * An acceptor's stored state: the registers by key, and node-local records under keys that start with a tilde (the disk identity,
  * the voter set, the generation in which the disk caught up, the version floor).
  *
- * <p>A register changes in memory at once, so that the acceptor checks the next message against the new state, and is rolled back if
- * its write fails. {@link #syncedRegister} returns the state that survives a power loss; only that state may leave this node.
+ * <p>A register changes in memory at once, so that the acceptor checks the next message against the new state, and is rolled back
+ * if its write fails. {@link #syncedRegister} returns the state that survives a power loss; only that state may leave this node.
  * Writes reach the disk in the order of the calls.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
--- a/spokestall/src/main/java/spokestall/consensus/Proposal.java
+++ b/spokestall/src/main/java/spokestall/consensus/Proposal.java
@@ -9,14 +9,14 @@
  * <p><b>Phases and transitions.</b> {@link #transitionTo} makes every transition:
  *
  * <ul>
- *   <li>{@link Phase#NEW}: no message sent yet. A read goes to PEEK and a change to PREPARE. A change goes to ACCEPT directly if the
- *       cache has this proposer's last committed value of the register and the voter set is the same: the acceptors promised the
- *       proposer's next number when they accepted that value.
+ *   <li>{@link Phase#NEW}: no message sent yet. A read goes to PEEK and a change to PREPARE. A change goes to ACCEPT directly if
+ *       the cache has this proposer's last committed value of the register and the voter set is the same: the acceptors promised
+ *       the proposer's next number when they accepted that value.
  *   <li>{@link Phase#PEEK}: waits until a majority has returned its accepted values. If all are the same, that value is chosen and
  *       the read is complete; otherwise the proposal goes to PREPARE to finish the change that another proposer began.
  *   <li>{@link Phase#PREPARE}: waits until a majority has promised this attempt's number. Among the values that the majority has
- *       accepted, the one with the highest number may be chosen, so the editor receives that one. Goes to ACCEPT, or to COMPLETED if
- *       the editor leaves a value that the whole majority has accepted.
+ *       accepted, the one with the highest number may be chosen, so the editor receives that one. Goes to ACCEPT, or to COMPLETED
+ *       if the editor leaves a value that the whole majority has accepted.
  *   <li>{@link Phase#ACCEPT}: waits until a majority has accepted the editor's value, or the value found in PREPARE. That value is
  *       then chosen, and the proposal goes to COMPLETED.
  *   <li>{@link Phase#COMPLETED}: the callback has been called. The proposal counts late acknowledgements for one more timeout.
@@ -182,8 +182,8 @@
     }
 
     /**
-     * Starts the next attempt after a jittered backoff, so that two proposers don't collide again. An outranked proposal waits longer,
-     * to give the other proposer time for its accept phase.
+     * Starts the next attempt after a jittered backoff, so that two proposers don't collide again. An outranked proposal waits
+     * longer, to give the other proposer time for its accept phase.
      */
     private void backOff(final Phase next) {
         proposer.endAttempt(attemptId);
@@ -336,8 +336,8 @@
     }
 
     /**
-     * Counts a reply in the current phase. Returns false if the sender is not a voter, or if the voter set has changed; in that case
-     * the proposal also starts over.
+     * Counts a reply in the current phase. Returns false if the sender is not a voter, or if the voter set has changed; in that
+     * case the proposal also starts over.
      */
     private boolean countReply(final String acceptor, final String diskId, final ConsensusMessage.Reply reply) {
         if (proposer.voterSet() != voterSet) {
--- a/spokestall/src/main/java/spokestall/consensus/package-info.java
+++ b/spokestall/src/main/java/spokestall/consensus/package-info.java
@@ -8,10 +8,10 @@
  *
  * <p><b>Protocol.</b> Single-decree Paxos for each register, with separate proposal numbers (ballots) per register. A change is a
  * compare-and-set: PREPARE gets promises and accepted values from a majority; the caller's
- * {@link spokestall.consensus.RegisterEditor} receives the value that may be chosen and sets the next one; ACCEPT asks the voters to
- * accept that value and succeeds with a majority. An acceptor that accepts a value also promises the same proposer's next number, so
- * a proposer that changes a register repeatedly needs only one phase. A read is a PREPARE without a promise (a peek); it completes
- * in one phase if the majority has accepted the same value.
+ * {@link spokestall.consensus.RegisterEditor} receives the value that may be chosen and sets the next one; ACCEPT asks the voters
+ * to accept that value and succeeds with a majority. An acceptor that accepts a value also promises the same proposer's next
+ * number, so a proposer that changes a register repeatedly needs only one phase. A read is a PREPARE without a promise (a peek);
+ * it completes in one phase if the majority has accepted the same value.
  *
  * <p><b>Epochs and generations.</b> Each message carries the generation and epoch of its sender's voter set, and an acceptor votes
  * in one epoch at a time. The next epoch's voter set is the value of a register, decided by a majority of the current epoch. It
@@ -24,8 +24,8 @@
  *   <li>An acceptor replies only after it has synced the state that the reply reports.
  *   <li>Under one disk identity, a register's promised and accepted numbers never decrease. A disk that lost state gets another
  *       identity, and proposers count only replies that carry the identity in the voter slot.
- *   <li>An acceptor votes in one epoch at a time. It never votes again in an older epoch, nor in any epoch of a generation from which
- *       it resigned.
+ *   <li>An acceptor votes in one epoch at a time. It never votes again in an older epoch, nor in any epoch of a generation from
+ *       which it resigned.
  *   <li>Any two majorities of an epoch share a voter. Before an epoch can decide anything, a majority of its voters has every value
  *       chosen in the previous epoch.
  *   <li>A pruned register is never created again; the version floor that covers a pruned version is synced before the register is
--- a/spokestall/src/main/java/spokestall/handoff/HandoffMessage.java
+++ b/spokestall/src/main/java/spokestall/handoff/HandoffMessage.java
@@ -6,8 +6,8 @@
 /** Messages with which nodes store data for each other. Encoded by the order of their components, which must not change. */
 public sealed interface HandoffMessage extends Message {
     /**
-     * Stores the response to an idempotent request. Nodes send it only to cores in the tenant's home regions, which the content must
-     * not leave.
+     * Stores the response to an idempotent request. Nodes send it only to cores in the tenant's home regions, which the content
+     * must not leave.
      *
      * @param key the key of the request's claim
      * @param digest the digest of the content, as stored in the claim's register
--- a/spokestall/src/main/java/spokestall/handoff/HintStore.java
+++ b/spokestall/src/main/java/spokestall/handoff/HintStore.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Hints for hinted handoff: keys of registers whose changes an unavailable voter missed, kept in memory until the voter is available
- * again. A lost hint only costs time, since the voter also catches up from a majority.
+ * Hints for hinted handoff: keys of registers whose changes an unavailable voter missed, kept in memory until the voter is
+ * available again. A lost hint only costs time, since the voter also catches up from a majority.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -20,15 +20,16 @@
  *
  * <ul>
  *   <li><b>No common clock.</b> A register does not expire by itself. A rival acquires a lease only after it has observed the same
- *       owner and renewal for the lease's span plus a safety margin on its own monotonic clock, and only if the store still has that
- *       owner and renewal when the acquisition is applied. A rival watches an absent lease for the same time. The holder's deadline
- *       counts from before it requested its last change and is a safety margin earlier, so the deadline has passed by then.
+ *       owner and renewal for the lease's span plus a safety margin on its own monotonic clock, and only if the store still has
+ *       that owner and renewal when the acquisition is applied. A rival watches an absent lease for the same time. The holder's
+ *       deadline counts from before it requested its last change and is a safety margin earlier, so the deadline has passed by
+ *       then.
  *   <li><b>Stored before valid.</b> A session starts only once a majority has stored its owner value, and only if the outcome
  *       arrives within the store timeout. After a late or unknown outcome, no task ever acts under that owner value.
  *   <li><b>No revival.</b> A renewal that fails, is late or has an unknown outcome ends the session permanently.
  *   <li><b>Fencing.</b> Each acquisition stores a token higher than the register's current one and higher than the first number of
- *       the voter set's generation, in the same change as the owner. Tokens therefore increase with each acquisition, even after the
- *       register was lost.
+ *       the voter set's generation, in the same change as the owner. Tokens therefore increase with each acquisition, even after
+ *       the register was lost.
  *   <li><b>Release.</b> The holder releases the lease only if no call made under the session may still arrive; otherwise the lease
  *       expires.
  * </ul>
--- a/spokestall/src/main/java/spokestall/lease/LeaseTimeouts.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseTimeouts.java
@@ -9,8 +9,8 @@
  * @param safetyMarginMs how long before the end of the lease the holder stops, and how long after it a rival waits
  * @param staggerMs the delay between the acquisition attempts of two rivals that saw the same lease expire
  * @param maxSessionMs the maximum duration of a session, including all its renewals
- * @param cooldownMs how long a former holder waits before it acquires the lease from another holder; 0 for no wait. An observer that
- *     checks the order of holders within a time span would see a holder that returned sooner as acting beside its successor
+ * @param cooldownMs how long a former holder waits before it acquires the lease from another holder; 0 for no wait. An observer
+ *     that checks the order of holders within a time span would see a holder that returned sooner as acting beside its successor
  */
 public record LeaseTimeouts(
         long leaseMs,
--- a/spokestall/src/main/java/spokestall/time/FleetClock.java
+++ b/spokestall/src/main/java/spokestall/time/FleetClock.java
@@ -11,8 +11,8 @@
  * of this node's own offset and the offsets derived from the peers' readings. The machine's wall clock is read only once, at the
  * start, and serves only until enough peers have been read, so a single clock that is wrong or jumps doesn't move the fleet's time.
  *
- * <p>Not thread-safe; all calls on the node's event loop. If the offset differs from the median by more than {@code stepMs}, the time
- * steps forwards or backwards; otherwise each reading moves it by at most one millisecond.
+ * <p>Not thread-safe; all calls on the node's event loop. If the offset differs from the median by more than {@code stepMs}, the
+ * time steps forwards or backwards; otherwise each reading moves it by at most one millisecond.
  */
 public final class FleetClock {
     /** Number of peers, not counting this node, that must have been read before the time settles. */
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Handles a peer's reading, assuming that the peer took it in the middle of the round trip. After a long round trip, for example
-     * because either process was suspended, the reading may be off by half of the round-trip time, so it doesn't replace an earlier
-     * reading of that peer.
+     * Handles a peer's reading, assuming that the peer took it in the middle of the round trip. After a long round trip, for
+     * example because either process was suspended, the reading may be off by half of the round-trip time, so it doesn't replace
+     * an earlier reading of that peer.
      *
      * @param peer the peer's name
      * @param peerMs the fleet's time at the peer
--- a/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
+++ b/spokestall/src/test/java/spokestall/consensus/ConsensusTestContext.java
@@ -26,7 +26,8 @@
     /**
      * Starts the six acceptors of the first voter set.
      *
-     * @param lossRatio the share of messages that are not delivered exactly once; half of them are lost and half are delivered twice
+     * @param lossRatio the share of messages that are not delivered exactly once; half of them are lost and half are delivered
+     *     twice
      */
     public ConsensusTestContext(final long seed, final double lossRatio) {
         this.random = new Random(seed);
--- a/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -90,7 +90,9 @@
         }
     }
 
-    /** Checks that every committed change is visible to all later changes and reads, and that no change is lost or applied twice. */
+    /**
+     * Checks that every committed change is visible to all later changes and reads, and that no change is lost or applied twice.
+     */
     @Test
     void changesOfARegisterAreTotallyOrderedDespiteMessageAndPowerLoss() {
         long committedChanges = 0;
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -114,8 +114,8 @@
     }
 
     /**
-     * A rival watches a holder that renews through the local replica alone. Once the holder stops renewing, the rival reads the lease
-     * from the store before it acquires it.
+     * A rival watches a holder that renews through the local replica alone. Once the holder stops renewing, the rival reads the
+     * lease from the store before it acquires it.
      */
     @Test
     void theStoreIsReadOnlyAfterTheReplicaIsUnchangedForTheWholeLeaseSpan() {
@@ -238,8 +238,8 @@
     }
 
     /**
-     * If a holder restarts before another node acquires the lease, no task acts under its old lease any more, so a wait for the expiry
-     * would only lose time. A lease from an acquisition with a late outcome looks the same.
+     * If a holder restarts before another node acquires the lease, no task acts under its old lease any more, so a wait for the
+     * expiry would only lose time. A lease from an acquisition with a late outcome looks the same.
      */
     @Test
     void aRestartedHolderAcquiresItsOwnLeaseWithoutWaitingForExpiry() {
@@ -268,7 +268,10 @@
                 .isGreaterThanOrEqualTo(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs());
     }
 
-    /** After a graceful shutdown another node acquires the released lease at once, but a recent holder first waits for its cooldown. */
+    /**
+     * After a graceful shutdown another node acquires the released lease at once, but a recent holder first waits for its
+     * cooldown.
+     */
     @Test
     void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsCooldown() {
         final ConsensusTestContext context = new ConsensusTestContext(6, 0);
