--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -128,7 +128,7 @@
     /**
      * Gives up the role permanently. Cancels the session at once and releases its lease if no call is in flight.
      *
-     * @param done runs once the release has completed, or at once if there is no session
+     * @param done runs once the release has ended, successfully or not, or at once if there is no session
      */
     public void stop(final Runnable done) {
         onStopped = done;
