--- a/spokestall/src/main/java/spokestall/lease/AcquisitionRule.java
+++ b/spokestall/src/main/java/spokestall/lease/AcquisitionRule.java
@@ -54,7 +54,8 @@
      * node need not wait for its expiry.
      *
      * <p>False for a lease whose session ended in this incarnation, which this node leaves to other nodes, and for a lease of an
-     * older generation, since a later change of it may have been lost with a majority of the voters.
+     * older generation, since a later change of it may have been lost with a majority of the voters. Also false while a call of the
+     * task may still arrive.
      */
     private boolean isOwnUnusedLease(final Lease observed) {
         return observed != null
