--- a/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
@@ -68,9 +68,9 @@
     private final Set<String> acceptedBy = new HashSet<>();
     private Phase phase = Phase.IDLE;
     private ProposalNumber proposalNumber = ProposalNumber.NONE;
-    private long highestCount;
+    private long highestSeenCount;
     private long candidatesChangedMillis;
-    private long phaseSinceMillis;
+    private long phaseStartedMillis;
     private InitialState proposed;
 
     /** Creates a proposer in phase IDLE. Only the fleet's first incarnation of a core with a blank disk may have one. */
@@ -98,17 +98,17 @@
                 "event=bootstrap node=%s from=%s to=%s reason=%s proposal=%s",
                 local.name(), phase, next, reason, proposalNumber);
         phase = next;
-        phaseSinceMillis = clock.nowMs();
+        phaseStartedMillis = clock.nowMs();
     }
 
     /** Advances while no voter set is known; {@code current} are the cores, by name, that may be voters of the first one. */
-    public void onTick(final Map<String, Voter> current) {
+    public void onTick(final Map<String, Voter> currentCandidates) {
         final long nowMillis = clock.nowMs();
-        if (!candidates.keySet().containsAll(current.keySet())) {
+        if (!candidates.keySet().containsAll(currentCandidates.keySet())) {
             candidatesChangedMillis = nowMillis;
         }
         candidates.clear();
-        candidates.putAll(current);
+        candidates.putAll(currentCandidates);
         switch (phase) {
             case IDLE -> {
                 if (mayPropose(nowMillis)) {
@@ -116,7 +116,7 @@
                 }
             }
             case PREPARING, ACCEPTING -> {
-                if (nowMillis - phaseSinceMillis >= timeouts.roundMillis()) {
+                if (nowMillis - phaseStartedMillis >= timeouts.roundMillis()) {
                     transitionTo(Phase.IDLE, "round_timed_out");
                 }
             }
@@ -134,11 +134,11 @@
                 && candidates.size() <= VoterSet.VOTERS_MAX
                 && nowMillis - startedMillis >= timeouts.startDelayMillis()
                 && nowMillis - candidatesChangedMillis >= timeouts.settleMillis() + staggerMillis
-                && nowMillis - phaseSinceMillis >= staggerMillis;
+                && nowMillis - phaseStartedMillis >= staggerMillis;
     }
 
     private void prepare() {
-        proposalNumber = new ProposalNumber(++highestCount, local.proposerId());
+        proposalNumber = new ProposalNumber(++highestSeenCount, local.proposerId());
         promises.clear();
         acceptedBy.clear();
         transitionTo(Phase.PREPARING, "candidates-" + candidates.size());
@@ -167,7 +167,7 @@
                 accept();
             }
         }
-        highestCount = Math.max(highestCount, promise.promised().count());
+        highestSeenCount = Math.max(highestSeenCount, promise.promised().count());
     }
 
     /** Proposes what a seed accepted under the highest number, if any did: a majority may have accepted it already. */
@@ -194,7 +194,7 @@
                 announce();
             }
         }
-        highestCount = Math.max(highestCount, reply.promised().count());
+        highestSeenCount = Math.max(highestSeenCount, reply.promised().count());
     }
 
     private void announce() {
--- a/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
@@ -53,9 +53,9 @@
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** For so many timed-out rounds a proposal waits for a reachable core that has state but does not promise. */
-    private static final int ROUNDS_TO_WAIT_FOR_STATE = 4;
+    private static final int TIMED_OUT_ROUNDS_WAITING_FOR_STATE_MAX = 4;
 
-    private static final long NOT_REQUIRED = -1;
+    private static final long UNSET = -1;
 
     private final MembershipContext context;
     private final MembershipEnvironment environment;
@@ -68,12 +68,12 @@
     private final Map<String, MembershipMessage.GenerationPromise> promises = new TreeMap<>();
     private final Set<String> acceptedBy = new HashSet<>();
     private Phase phase = Phase.IDLE;
-    private long phaseSinceMillis;
-    private long requiredSinceMillis = NOT_REQUIRED;
+    private long phaseStartedMillis;
+    private long requiredSinceMillis = UNSET;
     private int timedOutRounds;
     private long baseGeneration;
     private ProposalNumber proposalNumber = ProposalNumber.NONE;
-    private long highestCount;
+    private long highestSeenCount;
     private InitialState proposed;
 
     GenerationRecovery(
@@ -104,7 +104,7 @@
                     context.local().name(), phase, next, reason, baseGeneration, proposalNumber);
         }
         phase = next;
-        phaseSinceMillis = context.nowMillis();
+        phaseStartedMillis = context.nowMillis();
     }
 
     /** Abandons a proposal that a newer voter set has overtaken. */
@@ -114,7 +114,7 @@
 
     /** Ends the recovery after this core began the new generation. */
     void onGenerationStarted() {
-        requiredSinceMillis = NOT_REQUIRED;
+        requiredSinceMillis = UNSET;
         timedOutRounds = 0;
         transitionTo(Phase.IDLE, "generation_started");
     }
@@ -129,14 +129,14 @@
             beginIfSettled(statuses);
             return TickResult.IN_PROGRESS;
         }
-        requiredSinceMillis = NOT_REQUIRED;
+        requiredSinceMillis = UNSET;
         return TickResult.NOT_REQUIRED;
     }
 
     /** Waits longer while voters are unheard, and one round longer for each core whose name is lower. */
     private void beginIfSettled(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final long nowMillis = context.nowMillis();
-        if (requiredSinceMillis == NOT_REQUIRED) {
+        if (requiredSinceMillis == UNSET) {
             requiredSinceMillis = nowMillis;
         }
         final MembershipTimeouts timeouts = context.timeouts();
@@ -162,16 +162,16 @@
 
     private void advance(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final MembershipTimeouts timeouts = context.timeouts();
-        final long elapsedMillis = context.nowMillis() - phaseSinceMillis;
+        final long elapsedMillis = context.nowMillis() - phaseStartedMillis;
         if (phase == Phase.COLLECTING && elapsedMillis >= timeouts.settleMillis()) {
             prepare(statuses);
         } else if (phase == Phase.PREPARING
                 && promises.size() >= electorate.majority()
-                && !isStateOutstanding(statuses)
+                && !isWaitingForPromiseWithState(statuses)
                 && (promises.size() >= statuses.size() || elapsedMillis >= timeouts.settleMillis())) {
             accept();
         } else if (phase != Phase.COLLECTING && elapsedMillis >= 2 * timeouts.roundMillis()) {
-            requiredSinceMillis = NOT_REQUIRED;
+            requiredSinceMillis = UNSET;
             timedOutRounds++;
             transitionTo(Phase.IDLE, "round_timed_out");
         }
@@ -181,8 +181,8 @@
      * Whether a core that reported state and is still reachable has not promised yet: it is slow, and until it promises it may vote in
      * the old generation for a value that no other core has.
      */
-    private boolean isStateOutstanding(final Map<String, MembershipMessage.VoterStatus> statuses) {
-        return timedOutRounds < ROUNDS_TO_WAIT_FOR_STATE
+    private boolean isWaitingForPromiseWithState(final Map<String, MembershipMessage.VoterStatus> statuses) {
+        return timedOutRounds < TIMED_OUT_ROUNDS_WAITING_FOR_STATE_MAX
                 && survivors.values().stream()
                         .anyMatch(survivor -> survivor.hasState()
                                 && survivor.generation() == baseGeneration
@@ -192,8 +192,8 @@
     }
 
     private void prepare(final Map<String, MembershipMessage.VoterStatus> statuses) {
-        highestCount = Math.max(highestCount, localAcceptor.promisedCount()) + 1;
-        proposalNumber = new ProposalNumber(highestCount, context.local().proposerId());
+        highestSeenCount = Math.max(highestSeenCount, localAcceptor.promisedCount()) + 1;
+        proposalNumber = new ProposalNumber(highestSeenCount, context.local().proposerId());
         promises.clear();
         acceptedBy.clear();
         transitionTo(Phase.PREPARING, "collected");
@@ -224,7 +224,7 @@
         if (promise.granted()) {
             promises.put(promise.name(), promise);
         } else {
-            highestCount = Math.max(highestCount, promise.promised().count());
+            highestSeenCount = Math.max(highestSeenCount, promise.promised().count());
         }
     }
 
@@ -281,7 +281,7 @@
             return;
         }
         if (!reply.granted()) {
-            highestCount = Math.max(highestCount, reply.promised().count());
+            highestSeenCount = Math.max(highestSeenCount, reply.promised().count());
             return;
         }
         acceptedBy.add(reply.name());
--- a/spokestall/src/main/java/spokestall/membership/GenerationStart.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationStart.java
@@ -69,7 +69,7 @@
     }
 
     /** Returns the initial state of the present generation if the sender is one of its first voters and has never voted in it. */
-    Optional<InitialState> missedBy(final MembershipMessage.VoterStatus status) {
+    Optional<InitialState> initialStateMissedBy(final MembershipMessage.VoterStatus status) {
         if (retained == null || retained.voterSet().generation() != context.generation()) {
             return Optional.empty();
         }
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -66,9 +66,9 @@
         if (onComplete == null) {
             return;
         }
-        final boolean alone =
+        final boolean isOnlyVoter =
                 acceptor.voterSet() == null || acceptor.voterSet().voters().size() < 2;
-        if (alone || !acceptor.hasState() || clock.nowMs() >= deadlineMillis) {
+        if (isOnlyVoter || !acceptor.hasState() || clock.nowMs() >= deadlineMillis) {
             complete();
             return;
         }
@@ -76,26 +76,26 @@
             voterSet = acceptor.voterSet();
             holders.clear();
         }
-        final List<ConsensusMessage.AcceptedEntry> held = heldRegisters();
+        final List<ConsensusMessage.AcceptedEntry> accepted = acceptedRegisters();
         for (final Voter voter : voterSet.voters()) {
             if (!voter.name().equals(local.name()) && !holders.contains(voter.name())) {
                 sender.send(
                         voter.address(),
                         new ConsensusMessage.HandoverRequest(
-                                local.address(), voterSet.generation(), voterSet.epoch(), held));
+                                local.address(), voterSet.generation(), voterSet.epoch(), accepted));
             }
         }
         clock.after(timeouts.retryMillis(), this::requestMissing);
     }
 
-    private List<ConsensusMessage.AcceptedEntry> heldRegisters() {
-        final List<ConsensusMessage.AcceptedEntry> held = new ArrayList<>();
+    private List<ConsensusMessage.AcceptedEntry> acceptedRegisters() {
+        final List<ConsensusMessage.AcceptedEntry> accepted = new ArrayList<>();
         acceptor.registers().forEach((key, register) -> {
             if (register.value() != null) {
-                held.add(new ConsensusMessage.AcceptedEntry(key, register.accepted()));
+                accepted.add(new ConsensusMessage.AcceptedEntry(key, register.accepted()));
             }
         });
-        return held;
+        return accepted;
     }
 
     /** Handles a voter's reply; one for another voter set, or after the end, is ignored. */
--- a/spokestall/src/main/java/spokestall/membership/MajorityLossDetector.java
+++ b/spokestall/src/main/java/spokestall/membership/MajorityLossDetector.java
@@ -29,7 +29,7 @@
         if (!context.acceptor().canWrite()
                 || !environment.isFleetClockSettled()
                 || !electorate.containsLocal()
-                || statuses.values().stream().anyMatch(status -> status.newerThan(voterSet))) {
+                || statuses.values().stream().anyMatch(status -> status.hasNewerVoterSetThan(voterSet))) {
             return false;
         }
         int writable = 0;
@@ -47,7 +47,8 @@
             return writable == context.settings().configuredCores();
         }
         // A voter that still catches up will have its state, as long as enough others are there to read from.
-        final int expected = withState >= voterSet.intersectingQuorum() ? withState + catchingUp : withState;
-        return writable >= electorate.majority() && writable - expected > electorate.size() - electorate.majority();
+        final int expectedWithState = withState >= voterSet.intersectingQuorum() ? withState + catchingUp : withState;
+        return writable >= electorate.majority()
+                && writable - expectedWithState > electorate.size() - electorate.majority();
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -133,11 +133,11 @@
     }
 
     private void onVoterStatus(final MembershipMessage.VoterStatus status) {
-        final VoterStatusExchange.Contact contact = statusExchange.onVoterStatus(status);
-        if (contact == VoterStatusExchange.Contact.REJECTED) {
+        final VoterStatusExchange.ReceiveResult result = statusExchange.onVoterStatus(status);
+        if (result == VoterStatusExchange.ReceiveResult.REJECTED) {
             return;
         }
-        if (statusExchange.provesOlderDisk(status)) {
+        if (statusExchange.provesDiskRollback(status)) {
             // What this core once promised may not be on its disk, so it must not remain the same voter.
             LOG.atSevere().log(
                     "event=disk_older node=%s written=%s knownWritten=%s reportedBy=%s",
@@ -145,14 +145,14 @@
             generationAcceptor.restartAsBlankVoter();
         }
         exchangeVoterSets(status);
-        if (contact == VoterStatusExchange.Contact.NEW) {
+        if (result == VoterStatusExchange.ReceiveResult.NEW_OR_RETURNED) {
             // A peer that has just come should not have to wait for the next tick.
             statusExchange.sendLocalStatus(status.address());
         }
     }
 
     private void exchangeVoterSets(final MembershipMessage.VoterStatus status) {
-        if (status.newerThan(context.voterSet())) {
+        if (status.hasNewerVoterSetThan(context.voterSet())) {
             if (status.voterSet() != null) {
                 adopt(status.voterSet());
             } else {
@@ -161,10 +161,10 @@
             }
             return;
         }
-        final Optional<InitialState> missed = generationStart.missedBy(status);
-        if (missed.isPresent()) {
-            context.send(status.address(), new MembershipMessage.GenerationStarted(missed.get()));
-        } else if (status.lacks(context.voterSet())) {
+        final Optional<InitialState> missedState = generationStart.initialStateMissedBy(status);
+        if (missedState.isPresent()) {
+            context.send(status.address(), new MembershipMessage.GenerationStarted(missedState.get()));
+        } else if (status.lacksVoterSet(context.voterSet())) {
             context.send(status.address(), new ConsensusMessage.VoterSetUpdate(context.voterSet()));
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
@@ -90,17 +90,17 @@
         }
 
         /** Whether the sender knows that this disk was once written further than it is now. */
-        public boolean provesOlderDisk(final String localDiskId, final long localWritten) {
+        public boolean provesDiskRollback(final String localDiskId, final long localWritten) {
             return recipientWritten > localWritten && recipientDiskFingerprint == Fingerprints.of(localDiskId);
         }
 
         /** Whether the sender has a newer voter set than this one, which may be null. */
-        public boolean newerThan(final VoterSet local) {
+        public boolean hasNewerVoterSetThan(final VoterSet local) {
             return generation > 0 && new VoterSet(generation, epoch, List.of()).newerThan(local);
         }
 
         /** Whether the sender lacks this voter set, which may be null. */
-        public boolean lacks(final VoterSet local) {
+        public boolean lacksVoterSet(final VoterSet local) {
             return local != null && (generation == 0 || local.newerThan(new VoterSet(generation, epoch, List.of())));
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
+++ b/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
@@ -36,9 +36,9 @@
     /** After so many rounds of resignation with a voting majority elsewhere this core starts over. */
     private static final int ROUNDS_RESIGNED_MAX = 4;
     /** A proposal to a voting majority has this many rounds. */
-    private static final int ROUNDS_TO_PROPOSE = 2;
+    private static final int PROPOSAL_TIMEOUT_ROUNDS = 2;
     /** So many times the bound of silence until others must have reported a silent voter. */
-    private static final int SILENCE_BOUNDS_TO_WAIT = 2;
+    private static final int JOIN_WAIT_SILENCE_PERIODS = 2;
 
     private static final long UNSET = -1;
 
@@ -78,30 +78,30 @@
         if (voterSet == null || phase == Phase.PROPOSING || !context.acceptor().canWrite()) {
             return;
         }
-        if (!doesMajorityVote(voterSet, statuses)) {
+        if (!isMajorityVoting(voterSet, statuses)) {
             resignedSinceMillis = UNSET;
             return;
         }
         switch (context.acceptor().state()) {
-            case RESIGNED -> startOverIfResignedTooLong();
+            case RESIGNED -> restartIfResignedTooLong();
             case BLANK -> join(voterSet, statuses);
             case VOTING -> {
                 joiningSinceMillis = UNSET;
-                if (hasMoved(voterSet)) {
+                if (hasAddressChanged(voterSet)) {
                     propose(voterSet.withReplacedDisk(context.localVoter()));
                 } else {
                     planner.withoutRemovableVoter(voterSet, statuses).ifPresent(this::propose);
                 }
             }
             case CATCHING_UP, STOPPED -> {
-                if (hasMoved(voterSet)) {
+                if (hasAddressChanged(voterSet)) {
                     propose(voterSet.withReplacedDisk(context.localVoter()));
                 }
             }
         }
     }
 
-    private static boolean doesMajorityVote(
+    private static boolean isMajorityVoting(
             final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
         int voting = 0;
         for (final MembershipMessage.VoterStatus status : statuses.values()) {
@@ -111,7 +111,7 @@
     }
 
     /** The vote on a new generation that this core resigned for came to nothing, since the old one still has a majority. */
-    private void startOverIfResignedTooLong() {
+    private void restartIfResignedTooLong() {
         resignedSinceMillis = resignedSinceMillis == UNSET ? context.nowMillis() : resignedSinceMillis;
         if (context.nowMillis() - resignedSinceMillis
                 > ROUNDS_RESIGNED_MAX * context.timeouts().roundMillis()) {
@@ -120,7 +120,7 @@
     }
 
     /** Whether this core's disk is a voter under an address that this core no longer has. */
-    private boolean hasMoved(final VoterSet voterSet) {
+    private boolean hasAddressChanged(final VoterSet voterSet) {
         final Voter voter = voterSet.voter(context.local().name());
         return voter != null
                 && voter.diskId().equals(context.acceptor().diskId())
@@ -137,15 +137,15 @@
             return;
         }
         joiningSinceMillis = joiningSinceMillis == UNSET ? context.nowMillis() : joiningSinceMillis;
-        final boolean waitedLongEnough = context.nowMillis() - joiningSinceMillis
-                > SILENCE_BOUNDS_TO_WAIT * context.timeouts().silentAfterMillis();
+        final boolean waitExpired = context.nowMillis() - joiningSinceMillis
+                > JOIN_WAIT_SILENCE_PERIODS * context.timeouts().silentAfterMillis();
         planner.withLocalVoter(
                         voterSet,
                         context.localVoter(),
                         statuses,
-                        waitedLongEnough
-                                ? ReconfigurationPlanner.JoinPatience.WAITED_LONG_ENOUGH
-                                : ReconfigurationPlanner.JoinPatience.WAIT_FOR_UNREPORTED_VOTERS)
+                        waitExpired
+                                ? ReconfigurationPlanner.JoinWait.WAIT_EXPIRED
+                                : ReconfigurationPlanner.JoinWait.WAIT_FOR_UNREPORTED_VOTERS)
                 .ifPresent(this::propose);
     }
 
@@ -155,14 +155,14 @@
         context.proposer()
                 .propose(
                         VoterSet.key(next.generation(), next.epoch()),
-                        ROUNDS_TO_PROPOSE * context.timeouts().roundMillis(),
+                        PROPOSAL_TIMEOUT_ROUNDS * context.timeouts().roundMillis(),
                         current -> current == null ? new RegisterEdit.Set(value) : RegisterEdit.LEAVE,
                         this::onOutcome);
     }
 
     private void onOutcome(final ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
-            final VoterSet agreed = MessageCodec.decodeRecord(done.value(), VoterSet.class);
+        if (outcome instanceof ProposalOutcome.Committed committed && committed.value() != null) {
+            final VoterSet agreed = MessageCodec.decodeRecord(committed.value(), VoterSet.class);
             transitionTo(Phase.IDLE, "agreed");
             listener.onVoterSetAgreed(agreed);
             for (final String node : environment.otherNodeAddresses()) {
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -16,11 +16,11 @@
  */
 final class ReconfigurationPlanner {
     /** How a joining core treats voters without a current status. */
-    enum JoinPatience {
+    enum JoinWait {
         /** It waits for them, since one of them may turn out silent and leave its slot. */
         WAIT_FOR_UNREPORTED_VOTERS,
         /** It has waited so long that the others would have reported them silent. */
-        WAITED_LONG_ENOUGH
+        WAIT_EXPIRED
     }
 
     private final String localName;
@@ -39,7 +39,7 @@
             final VoterSet voterSet,
             final Voter localVoter,
             final Map<String, MembershipMessage.VoterStatus> statuses,
-            final JoinPatience patience) {
+            final JoinWait joinWait) {
         if (voterSet.voter(localName) != null) {
             return Optional.of(voterSet.withReplacedDisk(localVoter));
         }
@@ -56,9 +56,9 @@
                 return Optional.of(voterSet.withReplacedVoter(voter, localVoter));
             }
         }
-        final boolean mayAdd = patience == JoinPatience.WAITED_LONG_ENOUGH
+        final boolean mayAdd = joinWait == JoinWait.WAIT_EXPIRED
                 || voterSet.voters().stream().allMatch(voter -> statuses.containsKey(voter.name()));
-        return mayAdd && isAdditionHarmless(voterSet, localVoter, statuses)
+        return mayAdd && isAdditionSafe(voterSet, localVoter, statuses)
                 ? Optional.of(voterSet.withAddedVoter(localVoter))
                 : Optional.empty();
     }
@@ -68,7 +68,7 @@
      * survive it now anyway. Adding a third of four voters in one region, for example, would make that region's loss the loss
      * of the majority.
      */
-    private boolean isAdditionHarmless(
+    private boolean isAdditionSafe(
             final VoterSet voterSet,
             final Voter localVoter,
             final Map<String, MembershipMessage.VoterStatus> statuses) {
@@ -77,8 +77,8 @@
         }
         VoterSet withAllJoiners = voterSet.withAddedVoter(localVoter);
         for (final MembershipMessage.VoterStatus status : statuses.values()) {
-            final boolean waits = status.canWrite() && withAllJoiners.voter(status.name()) == null;
-            if (waits && withAllJoiners.voters().size() < VoterSet.VOTERS_MAX) {
+            final boolean isJoiner = status.canWrite() && withAllJoiners.voter(status.name()) == null;
+            if (isJoiner && withAllJoiners.voters().size() < VoterSet.VOTERS_MAX) {
                 withAllJoiners =
                         withAllJoiners.withAddedVoter(new Voter(status.name(), status.address(), status.diskId()));
             }
@@ -113,7 +113,7 @@
 
     private boolean survivesToleratedLoss(final VoterSet voterSet) {
         final List<Voter> voters = voterSet.voters();
-        return voters.size() - toleratedLoss.votersLost(voters) >= voterSet.majority();
+        return voters.size() - toleratedLoss.maxVotersLost(voters) >= voterSet.majority();
     }
 
     /** Only the first voting core by name proposes a removal, so that they do not all propose the same at once. */
--- a/spokestall/src/main/java/spokestall/membership/ToleratedLoss.java
+++ b/spokestall/src/main/java/spokestall/membership/ToleratedLoss.java
@@ -7,5 +7,5 @@
 @FunctionalInterface
 public interface ToleratedLoss {
     /** Returns how many of these voters that loss can take at the most. */
-    int votersLost(List<Voter> voters);
+    int maxVotersLost(List<Voter> voters);
 }
--- a/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
+++ b/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
@@ -14,20 +14,20 @@
  * Sends this core's status to the others and keeps the last status received from each of them.
  *
  * <p>Each status says how far the sender's disk is written and how far it knows the recipient's disk to be. A core whose disk was
- * restored to an older state therefore finds out from the first peer that remembers more ({@link #provesOlderDisk}); until enough
+ * restored to an older state therefore finds out from the first peer that remembers more ({@link #provesDiskRollback}); until enough
  * peers have spoken to exclude that, {@link #isDiskVerified} is false and the node gives no vote. All of it is kept in memory.
  *
  * <p>Not thread-safe; all calls on the node's event loop. At most {@link #PEERS_MAX} peers are kept.
  */
 final class VoterStatusExchange {
     /** What a received status was to this core. */
-    enum Contact {
+    enum ReceiveResult {
         /** The maximum number of peers is kept already; the status was not recorded. */
         REJECTED,
         /** The first status of this peer, or the first after a pause. */
-        NEW,
+        NEW_OR_RETURNED,
         /** The peer's last status is still fresh. */
-        CURRENT
+        KNOWN
     }
 
     /** Last status of a peer, and the highest sequence number it reported of its present disk. */
@@ -40,7 +40,7 @@
 
     private static final int PEERS_MAX = 4 * VoterSet.VOTERS_MAX;
     /** After so many unchanged status intervals a core sends its status once an interval instead of on every tick. */
-    private static final int SETTLED_INTERVALS = 3;
+    private static final int UNCHANGED_INTERVALS_TO_SETTLE = 3;
 
     private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
 
@@ -49,7 +49,7 @@
     private final boolean bootstrapCandidate;
     private final PeerLiveness liveness;
     private final Map<String, PeerStatus> peers = new TreeMap<>();
-    private MembershipMessage.VoterStatus lastAnnounced;
+    private MembershipMessage.VoterStatus lastAnnouncedStatus;
     private long lastAnnouncedMillis = NEVER_MILLIS;
     private long statusChangedMillis;
 
@@ -86,18 +86,18 @@
                 0);
     }
 
-    private long silentVoters(final long boundMillis) {
+    private long silentVoters(final long silenceThresholdMillis) {
         final VoterSet voterSet = context.voterSet();
         return voterSet == null
                 ? 0
-                : liveness.silentVoters(voterSet, context.local().name(), boundMillis, context.nowMillis());
+                : liveness.silentVoters(voterSet, context.local().name(), silenceThresholdMillis, context.nowMillis());
     }
 
     /** Records a peer's status. */
-    Contact onVoterStatus(final MembershipMessage.VoterStatus status) {
+    ReceiveResult onVoterStatus(final MembershipMessage.VoterStatus status) {
         final PeerStatus previous = peers.get(status.name());
         if (previous == null && peers.size() >= PEERS_MAX) {
-            return Contact.REJECTED;
+            return ReceiveResult.REJECTED;
         }
         final long nowMillis = context.nowMillis();
         liveness.onMessage(status.name(), nowMillis);
@@ -106,12 +106,12 @@
                 previous == null
                         ? new PeerStatus(status, nowMillis, status.written())
                         : previous.next(status, nowMillis));
-        return previous == null || !isFresh(previous) ? Contact.NEW : Contact.CURRENT;
+        return previous == null || !isFresh(previous) ? ReceiveResult.NEW_OR_RETURNED : ReceiveResult.KNOWN;
     }
 
     /** Whether the sender knows that this core's disk was once written further than it is now. */
-    boolean provesOlderDisk(final MembershipMessage.VoterStatus status) {
-        return status.provesOlderDisk(
+    boolean provesDiskRollback(final MembershipMessage.VoterStatus status) {
+        return status.provesDiskRollback(
                         context.acceptor().diskId(), context.acceptor().syncedSeq())
                 && context.acceptor().canWrite();
     }
@@ -159,40 +159,40 @@
         final long nowMillis = context.nowMillis();
         final long intervalMillis = context.timeouts().statusIntervalMillis();
         final MembershipMessage.VoterStatus status = localStatus();
-        if (!status.equals(lastAnnounced)) {
-            lastAnnounced = status;
+        if (!status.equals(lastAnnouncedStatus)) {
+            lastAnnouncedStatus = status;
             statusChangedMillis = nowMillis;
         }
         if (isSettled(recoveryPhase, nowMillis) && nowMillis - lastAnnouncedMillis < intervalMillis) {
             return;
         }
-        final boolean toEdgesToo =
+        final boolean includeEdges =
                 status.voterSet() == null && nowMillis / intervalMillis != lastAnnouncedMillis / intervalMillis;
         lastAnnouncedMillis = nowMillis;
-        announce(status, toEdgesToo ? environment.otherNodeAddresses() : environment.otherCoreAddresses());
+        announce(status, includeEdges ? environment.otherNodeAddresses() : environment.otherCoreAddresses());
     }
 
     private boolean isSettled(final GenerationRecovery.Phase recoveryPhase, final long nowMillis) {
         final Acceptor.State state = context.acceptor().state();
         return recoveryPhase == GenerationRecovery.Phase.IDLE
                 && nowMillis - statusChangedMillis
-                        > SETTLED_INTERVALS * context.timeouts().statusIntervalMillis()
+                        > UNCHANGED_INTERVALS_TO_SETTLE * context.timeouts().statusIntervalMillis()
                 && (state == Acceptor.State.VOTING || state == Acceptor.State.STOPPED);
     }
 
     private void announce(final MembershipMessage.VoterStatus status, final List<String> recipients) {
-        final Set<String> haveVoterSet = new HashSet<>();
+        final Set<String> addressesWithVoterSet = new HashSet<>();
         peers.values().forEach(peer -> {
-            if (!peer.status.lacks(status.voterSet())) {
-                haveVoterSet.add(peer.status.address());
+            if (!peer.status.lacksVoterSet(status.voterSet())) {
+                addressesWithVoterSet.add(peer.status.address());
             }
         });
-        final MembershipMessage.VoterStatus shortStatus =
+        final MembershipMessage.VoterStatus statusForUpToDatePeers =
                 context.settings().voterSetInStatus() == MembershipSettings.VoterSetInStatus.ALWAYS
                         ? status
                         : status.withoutVoterSet();
         for (final String recipient : recipients) {
-            send(recipient, haveVoterSet.contains(recipient) ? shortStatus : status);
+            send(recipient, addressesWithVoterSet.contains(recipient) ? statusForUpToDatePeers : status);
         }
     }
 
@@ -203,12 +203,13 @@
 
     private void send(final String to, final MembershipMessage.VoterStatus status) {
         final long written = context.acceptor().syncedSeq();
-        MembershipMessage.VoterStatus complete = status.withWriteProgress(written, 0, 0);
+        MembershipMessage.VoterStatus statusToSend = status.withWriteProgress(written, 0, 0);
         for (final PeerStatus peer : peers.values()) {
             if (peer.status.address().equals(to)) {
-                complete = status.withWriteProgress(written, Fingerprints.of(peer.status.diskId()), peer.writtenMax);
+                statusToSend =
+                        status.withWriteProgress(written, Fingerprints.of(peer.status.diskId()), peer.writtenMax);
             }
         }
-        context.send(to, complete);
+        context.send(to, statusToSend);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -223,7 +223,7 @@
     private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
         if (status.voterSet() != null && status.voterSet().newerThan(proposer.voterSet())) {
             proposer.updateVoterSet(status.voterSet());
-        } else if (status.lacks(proposer.voterSet())) {
+        } else if (status.lacksVoterSet(proposer.voterSet())) {
             context.post.send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         }
     }
--- a/spokestall/src/main/java/spokestall/node/ToleratedVoterLoss.java
+++ b/spokestall/src/main/java/spokestall/node/ToleratedVoterLoss.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public int votersLost(final List<Voter> voters) {
+    public int maxVotersLost(final List<Voter> voters) {
         final int byCores = (int) settings.integer("lossCores");
         final int byZones = votersInLargestPlaces(voters, NodeInfo::zone, (int) settings.integer("lossDistricts"));
         final int byRegions = votersInLargestPlaces(voters, NodeInfo::region, (int) settings.integer("lossRegions"));
--- a/spokestall/src/test/java/spokestall/membership/BootstrapAcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/membership/BootstrapAcceptorTest.java
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aSeedThatRestartsAfterItAcceptedDoesNotVoteForASecondGeneration() {
+    void aRestartedSeedDoesNotVoteForASecondGeneration() {
         acceptProposalOfA();
         restart(1);
         prepare(1, "b", NUMBER_OF_B);
@@ -91,7 +91,7 @@
 
     /** The seed that restarted votes no more, so B's majority would need seed 0, which reports what it accepted. */
     @Test
-    void aSeedPromisesWithTheStateThatItAcceptedBefore() {
+    void aPromiseIncludesThePreviouslyAcceptedState() {
         acceptProposalOfA();
         restart(1);
         prepare(1, "b", NUMBER_OF_B);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aLowerNumberThanThePromisedOneIsRejectedWithThePromisedNumber() {
+    void aProposalBelowThePromisedNumberIsRejectedWithThatNumber() {
         prepare(0, "b", NUMBER_OF_B);
         sent.clear();
         prepare(0, "a", NUMBER_OF_A);
--- a/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
+++ b/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
@@ -12,7 +12,7 @@
     private static final int RANDOM_FLEETS = 200;
     private static final int RESTARTING_FLEETS = 60;
 
-    private static Set<Long> firstGenerations(final MembershipTestContext fleet) {
+    private static Set<Long> firstGenerations(final MembershipTestFleet fleet) {
         return fleet.startedGenerations.getOrDefault(0L, Set.of());
     }
 
@@ -21,7 +21,7 @@
     void noFleetHasTwoFirstGenerations() {
         int bootstrapped = 0;
         for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 1 + seed % 7, 1 + seed % 3, 0.85);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 1 + seed % 7, 1 + seed % 3, 0.85);
             fleet.loss = 0.1 * (seed % 5);
             startAndRestartAtRandom(fleet);
             fleet.run(12_000);
@@ -40,7 +40,7 @@
         assertThat(bootstrapped).isGreaterThan(100);
     }
 
-    private static void startAndRestartAtRandom(final MembershipTestContext fleet) {
+    private static void startAndRestartAtRandom(final MembershipTestFleet fleet) {
         for (final MembershipTestNode node : fleet.nodes.values()) {
             fleet.clock.after(fleet.random.nextInt(fleet.random.nextBoolean() ? 500 : 6000), node::start);
         }
@@ -58,14 +58,14 @@
 
     /** Restarted incarnations that are wrongly configured as first are the fault that the check of two generations must find. */
     @Test
-    void seedsThatForgetTheirPromisesWouldBeDetected() {
-        int twice = 0;
+    void detectsSeedsThatForgetTheirPromises() {
+        int fleetsWithTwoGenerations = 0;
         for (int seed = 0; seed < RESTARTING_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 4, 3, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 4, 3, 1);
             fleet.seeds.clear();
             fleet.seeds.addAll(List.of("e0", "e1", "e2"));
             fleet.everyIncarnationIsFirst = true;
-            fleet.edgesWithoutFeed = true;
+            fleet.edgeFeedDisabled = true;
             fleet.loss = 0.4;
             fleet.startAll();
             for (int at = 2000; at < 9000; at += 100) {
@@ -76,16 +76,16 @@
                 });
             }
             fleet.run(12_000);
-            twice += firstGenerations(fleet).size() > 1 ? 1 : 0;
+            fleetsWithTwoGenerations += firstGenerations(fleet).size() > 1 ? 1 : 0;
         }
-        assertThat(twice).isPositive();
+        assertThat(fleetsWithTwoGenerations).isPositive();
     }
 
     /** A core that is wrongly configured as first on each restart has a disk that contradicts it. */
     @Test
-    void aSeedWithADiskVotesInOneIncarnationOnlyWhateverItsSettingsSay() {
+    void aSeedWithADiskVotesInOnlyOneIncarnation() {
         for (int seed = 0; seed < RESTARTING_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 5, 1, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 5, 1, 1);
             fleet.seeds.clear();
             fleet.seeds.addAll(List.of("c0", "c1", "c2"));
             fleet.everyIncarnationIsFirst = true;
@@ -107,7 +107,7 @@
 
     @Test
     void coresThatAreNotConfiguredAsFirstWaitForAVoterSet() {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(3, 3, 2, 0);
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(3, 3, 2, 0);
         fleet.startAll();
         fleet.run(60_000);
         assertThat(fleet.startedGenerations).isEmpty();
--- a/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
@@ -16,14 +16,14 @@
     private static final int INTERRUPTED_FLEETS = 20;
 
     /** Cores c0 to c5 vote; the first three are lost below. */
-    private static MembershipTestContext sixCores(final long seed) {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 6, 2, 1);
+    private static MembershipTestFleet sixCores(final long seed) {
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 6, 2, 1);
         fleet.startAll();
         fleet.run(15_000);
         return fleet;
     }
 
-    private static void forFirstThree(final MembershipTestContext fleet, final Consumer<MembershipTestNode> action) {
+    private static void forFirstThreeCores(final MembershipTestFleet fleet, final Consumer<MembershipTestNode> action) {
         for (int i = 0; i < 3; i++) {
             action.accept(fleet.node("c" + i));
         }
@@ -31,10 +31,10 @@
 
     /** Most disks are lost, perhaps all, while cores under new names start. */
     @Test
-    void aGenerationIsFollowedByOnlyOneWhileVotersAreAdded() {
+    void aGenerationHasOnlyOneSuccessorWhileVotersAreAdded() {
         int recovered = 0;
         for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 2 + seed % 4, 2, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 2 + seed % 4, 2, 1);
             fleet.startAll();
             fleet.run(8000);
             fleet.loss = 0.1 * (seed % 4);
@@ -58,7 +58,7 @@
         assertThat(recovered).isGreaterThan(20);
     }
 
-    private static void loseSomeCores(final MembershipTestContext fleet) {
+    private static void loseSomeCores(final MembershipTestFleet fleet) {
         final List<MembershipTestNode> cores = new ArrayList<>(fleet.cores());
         Collections.shuffle(cores, fleet.random);
         for (final MembershipTestNode core : cores.subList(0, 1 + fleet.random.nextInt(cores.size()))) {
@@ -75,11 +75,11 @@
         }
     }
 
-    private static void assertMergedFromAllWithState(final MembershipTestContext fleet, final int seed) {
+    private static void assertMergedFromAllWithState(final MembershipTestFleet fleet, final int seed) {
         final long first = fleet.startedGenerations.get(0L).iterator().next();
         assertThat(fleet.startedGenerations.get(first)).as(fleet.describe()).hasSize(1);
         final long second = fleet.startedGenerations.get(first).iterator().next();
-        assertThat(fleet.mergedStateOf.get(second)).as("seed " + seed).containsExactlyInAnyOrder("c3", "c4", "c5");
+        assertThat(fleet.mergedStateSources.get(second)).as("seed " + seed).containsExactlyInAnyOrder("c3", "c4", "c5");
         assertThat(fleet.allCoresVote()).as(fleet.describe()).isTrue();
     }
 
@@ -87,13 +87,13 @@
     @Test
     void recoveryWaitsForACoreWithStateWhoseDiskIsSlow() {
         for (int seed = 0; seed < SLOW_FLEETS; seed++) {
-            final MembershipTestContext fleet = sixCores(seed);
+            final MembershipTestFleet fleet = sixCores(seed);
             for (int i = 0; i < 3; i++) {
                 fleet.node("c" + i).wipe();
                 fleet.node("c" + (i + 3)).slowDisk(700 + 150 * i);
             }
             fleet.runFor(1000);
-            forFirstThree(fleet, MembershipTestNode::start);
+            forFirstThreeCores(fleet, MembershipTestNode::start);
             fleet.runFor(30_000);
             assertMergedFromAllWithState(fleet, seed);
         }
@@ -101,10 +101,10 @@
 
     /** The proposer is lost after the others promised: they have resigned, and the next proposer needs their state. */
     @Test
-    void anInterruptedRecoveryLeavesNoStateOut() {
+    void anInterruptedRecoveryMergesAllSurvivingState() {
         for (int seed = 0; seed < INTERRUPTED_FLEETS; seed++) {
-            final MembershipTestContext fleet = sixCores(seed);
-            forFirstThree(fleet, core -> {
+            final MembershipTestFleet fleet = sixCores(seed);
+            forFirstThreeCores(fleet, core -> {
                 core.wipe();
                 core.start();
             });
@@ -113,21 +113,21 @@
                 fleet.runFor(5);
             }
             fleet.runFor(fleet.random.nextInt(150));
-            forFirstThree(fleet, MembershipTestNode::stop);
+            forFirstThreeCores(fleet, MembershipTestNode::stop);
             fleet.runFor(fleet.random.nextInt(4000));
-            forFirstThree(fleet, MembershipTestNode::start);
+            forFirstThreeCores(fleet, MembershipTestNode::start);
             fleet.runFor(20_000);
             assertMergedFromAllWithState(fleet, seed);
         }
     }
 
     @Test
-    void recoveryDoesNotWaitForeverForACoreWithStateWhoseDiskHasStopped() {
-        final MembershipTestContext fleet = sixCores(1);
-        forFirstThree(fleet, MembershipTestNode::wipe);
+    void recoveryDoesNotWaitForeverForACoreWithAStalledDisk() {
+        final MembershipTestFleet fleet = sixCores(1);
+        forFirstThreeCores(fleet, MembershipTestNode::wipe);
         fleet.node("c3").slowDisk(1_000_000);
         fleet.runFor(1000);
-        forFirstThree(fleet, MembershipTestNode::start);
+        forFirstThreeCores(fleet, MembershipTestNode::start);
         fleet.runFor(30_000);
         assertThat(fleet.startedGenerations).as(fleet.describe()).hasSizeGreaterThan(1);
     }
--- a/spokestall/src/test/java/spokestall/membership/GracefulHandoverTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GracefulHandoverTest.java
@@ -16,20 +16,20 @@
 
     /** Values are accepted by four of six voters only, one of which leaves gracefully. */
     @Test
-    void aMajorityWithoutTheVoterThatLeavesHoldsWhatItAccepted() {
+    void theRemainingMajorityHoldsAllAcceptedValuesAfterAHandover() {
         for (int seed = 0; seed < FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 6, 2, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 6, 2, 1);
             fleet.startAll();
             fleet.run(15_000);
             for (final String from : List.of("e0", "c0", "c1", "c2", "c3")) {
-                fleet.cut.add(from + ">c4");
-                fleet.cut.add(from + ">c5");
+                fleet.blockedLinks.add(from + ">c4");
+                fleet.blockedLinks.add(from + ">c5");
             }
             final Map<String, String> confirmed = writeValues(fleet);
             fleet.runFor(1000);
             assertThat(confirmed).hasSize(VALUES);
             assertThat(fleet.countCopies(confirmed).fewest()).isEqualTo(4);
-            fleet.cut.clear();
+            fleet.blockedLinks.clear();
             final MembershipTestNode leaving = fleet.node("c" + seed % 4);
             leaving.leaveGracefullyForGood();
             fleet.runFor(1000);
@@ -39,7 +39,7 @@
     }
 
     /** Returns the values that were confirmed, filled as the fleet runs. */
-    private static Map<String, String> writeValues(final MembershipTestContext fleet) {
+    private static Map<String, String> writeValues(final MembershipTestFleet fleet) {
         final Map<String, String> confirmed = new TreeMap<>();
         for (int i = 0; i < VALUES; i++) {
             final String key = "once/" + i;
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void theHandoverEndsAlsoWhenNoOtherVoterAnswers() {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(1, 3, 1, 1);
+    void theHandoverEndsWhenNoOtherVoterAnswers() {
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, 3, 1, 1);
         fleet.startAll();
         fleet.run(15_000);
         fleet.node("c0").stop();
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
@@ -24,7 +24,7 @@
  */
 final class MembershipModelRun {
     /** What a run without a violation found. */
-    record Summary(int confirmed, int fewestCopies, int fewestCopiesInCalm) {}
+    record Summary(int confirmed, int fewestCopies, int fewestCopiesWhenSettled) {}
 
     private enum Loss {
         WIPE,
@@ -32,7 +32,7 @@
         KILL_ALL,
         REPLACE,
         REPLACE_GRACEFULLY,
-        CUT
+        PARTITION
     }
 
     private static final int CATCH_UP_MILLIS = 4000;
@@ -43,21 +43,21 @@
     private static final int SEED_EDGES = 3;
     private static final int REGIONS = 3;
     private static final int LOSSES = 9;
-    private static final int CUT_OUTGOING = 1;
-    private static final int CUT_INCOMING = 2;
+    private static final int BLOCK_OUTGOING = 1;
+    private static final int BLOCK_INCOMING = 2;
 
     private final long seed;
-    private final MembershipTestContext fleet;
+    private final MembershipTestFleet fleet;
     private final Map<String, String> confirmed = new TreeMap<>();
-    private final int[] coresMade = new int[REGIONS];
+    private final int[] coresCreated = new int[REGIONS];
     private int writes;
-    private int fewestCopiesInCalm = Integer.MAX_VALUE;
+    private int fewestCopiesWhenSettled = Integer.MAX_VALUE;
     private int fewestCopies = Integer.MAX_VALUE;
 
     /** Starts the fleet; the fault is injected once it has settled. */
-    MembershipModelRun(final long seed, final Consumer<MembershipTestContext> injectedFault) {
+    MembershipModelRun(final long seed, final Consumer<MembershipTestFleet> injectedFault) {
         this.seed = seed;
-        fleet = new MembershipTestContext(seed);
+        fleet = new MembershipTestFleet(seed);
         fleet.wholeRegionMayFail = true;
         for (int i = 0; i < CORES; i++) {
             addCore(i % REGIONS).configuredAsFirst = true;
@@ -73,7 +73,7 @@
     }
 
     private MembershipTestNode addCore(final int region) {
-        return fleet.addCore("c" + (region + REGIONS * coresMade[region]++));
+        return fleet.addCore("c" + (region + REGIONS * coresCreated[region]++));
     }
 
     private int random(final int bound) {
@@ -81,7 +81,7 @@
     }
 
     private String describe() {
-        return "seed " + seed + " " + fleet.describe() + "\n" + fleet.newest();
+        return "seed " + seed + " " + fleet.describe() + "\n" + fleet.newestVoterSet();
     }
 
     private void write() {
@@ -106,7 +106,7 @@
     }
 
     private void checkCopies() {
-        final MembershipTestContext.Copies copies = fleet.countCopies(confirmed);
+        final MembershipTestFleet.Copies copies = fleet.countCopies(confirmed);
         assertThat(copies.fewest())
                 .as("%s %s", copies, describe())
                 .isGreaterThanOrEqualTo(Math.max(1, copies.required()));
@@ -114,7 +114,7 @@
     }
 
     /** Runs on, with writes, and with checks of the copies now and then and at the end. */
-    private void pass(final long spanMillis) {
+    private void runWithWrites(final long spanMillis) {
         final long untilMillis = fleet.nowMs() + spanMillis;
         while (fleet.nowMs() < untilMillis) {
             write();
@@ -127,19 +127,19 @@
     }
 
     /** The span after which whoever came back or is new no longer counts as lost. */
-    private void calm() {
-        pass(fleet.loss == 0 ? CATCH_UP_MILLIS : CATCH_UP_LOSSY_MILLIS);
+    private void settle() {
+        runWithWrites(fleet.loss == 0 ? CATCH_UP_MILLIS : CATCH_UP_LOSSY_MILLIS);
         assertThat(survivesNextLoss()).as(describe()).isTrue();
-        assertThat(fleet.newest().voters().size())
+        assertThat(fleet.newestVoterSet().voters().size())
                 .as(describe())
                 .isLessThanOrEqualTo(fleet.cores().size() + 1);
-        fewestCopiesInCalm =
-                Math.min(fewestCopiesInCalm, fleet.countCopies(confirmed).fewest());
+        fewestCopiesWhenSettled =
+                Math.min(fewestCopiesWhenSettled, fleet.countCopies(confirmed).fewest());
     }
 
     /** Whether every voter that is up votes, and whichever region is lost next, a majority of the voters still does. */
     private boolean survivesNextLoss() {
-        final VoterSet voterSet = fleet.newest();
+        final VoterSet voterSet = fleet.newestVoterSet();
         final List<MembershipTestNode> voters = fleet.cores().stream()
                 .filter(core -> voterSet.voter(core.name) != null)
                 .toList();
@@ -154,7 +154,7 @@
     }
 
     /** Cores of one region, one or several or all of them. */
-    private List<MembershipTestNode> someCores(final int region) {
+    private List<MembershipTestNode> randomCoresIn(final int region) {
         final List<MembershipTestNode> all = new ArrayList<>(
                 fleet.cores().stream().filter(core -> core.region() == region).toList());
         Collections.shuffle(all, fleet.random);
@@ -162,13 +162,13 @@
     }
 
     private void wipe(final int region) {
-        final List<MembershipTestNode> cores = someCores(region);
+        final List<MembershipTestNode> cores = randomCoresIn(region);
         cores.forEach(MembershipTestNode::wipe);
         startOneByOne(cores);
     }
 
     private void kill(final int region) {
-        final List<MembershipTestNode> cores = someCores(region);
+        final List<MembershipTestNode> cores = randomCoresIn(region);
         cores.forEach(MembershipTestNode::stop);
         startOneByOne(cores);
     }
@@ -176,39 +176,39 @@
     private void killAll() {
         final List<MembershipTestNode> all = fleet.cores();
         all.forEach(MembershipTestNode::stop);
-        pass(random(900));
+        runWithWrites(random(900));
         all.forEach(MembershipTestNode::start);
     }
 
     private void startOneByOne(final List<MembershipTestNode> cores) {
         for (final MembershipTestNode core : cores) {
-            pass(random(6000));
+            runWithWrites(random(6000));
             core.start();
         }
     }
 
     /** Each is removed for good and a blank one starts, itself perhaps lost again during catch-up, with the rest of the region. */
     private void replace(final int region) {
-        final List<MembershipTestNode> cores = someCores(region);
+        final List<MembershipTestNode> cores = randomCoresIn(region);
         cores.forEach(MembershipTestNode::removeForGood);
-        pass(random(3000));
+        runWithWrites(random(3000));
         final List<MembershipTestNode> successors = new ArrayList<>();
         cores.forEach(core -> successors.add(addCore(region)));
         successors.forEach(MembershipTestNode::start);
         if (random(2) == 0) {
-            pass(random(4500));
+            runWithWrites(random(4500));
             successors.get(0).removeForGood();
             final MembershipTestNode second = addCore(region);
-            pass(random(2000));
+            runWithWrites(random(2000));
             second.start();
         }
         if (random(3) == 0) {
-            runUntilItVotes(fleet.node("c" + (region + REGIONS * (coresMade[region] - 1))));
+            runUntilVoting(fleet.node("c" + (region + REGIONS * (coresCreated[region] - 1))));
             wipe(region);
         }
     }
 
-    private void runUntilItVotes(final MembershipTestNode core) {
+    private void runUntilVoting(final MembershipTestNode core) {
         for (int i = 0; i < 100 && core.acceptor.state() != Acceptor.State.VOTING; i++) {
             fleet.runFor(20);
         }
@@ -217,39 +217,39 @@
 
     /** The new core starts first, then the old one hands over and leaves. */
     private void replaceGracefully(final int region) {
-        for (final MembershipTestNode old : someCores(region)) {
+        for (final MembershipTestNode old : randomCoresIn(region)) {
             addCore(region).start();
-            pass(500 + random(4000));
+            runWithWrites(500 + random(4000));
             old.leaveGracefullyForGood();
-            pass(1000);
+            runWithWrites(1000);
         }
     }
 
     /** Cut off in one direction or both, from all nodes or from cores only, perhaps restarted meanwhile. */
-    private void cut(final int region) {
-        final List<MembershipTestNode> cores = someCores(region);
+    private void partition(final int region) {
+        final List<MembershipTestNode> cores = randomCoresIn(region);
         final int directions = 1 + random(3);
         final boolean fromCoresOnly = random(2) == 0;
         for (final MembershipTestNode core : cores) {
             for (final MembershipTestNode other : fleet.nodes.values()) {
                 if (!cores.contains(other) && (other.core || !fromCoresOnly)) {
-                    addCut(directions, core, other);
+                    blockLinks(directions, core, other);
                 }
             }
         }
-        pass(2000 + random(18_000));
+        runWithWrites(2000 + random(18_000));
         if (random(3) == 0) {
             cores.forEach(MembershipTestNode::stop);
-            pass(random(1000));
+            runWithWrites(random(1000));
             cores.forEach(MembershipTestNode::start);
         }
         if (random(3) == 0) {
             // A core starts while the others are silent, and may take the slot of one of them.
             addCore(region).start();
-            pass(random(9000));
+            runWithWrites(random(9000));
             cores.get(0).removeForGood();
         }
-        fleet.cut.clear();
+        fleet.blockedLinks.clear();
         if (random(2) == 0) {
             restartWhileRejoining(cores);
         }
@@ -267,16 +267,16 @@
         }
     }
 
-    private void addCut(final int directions, final MembershipTestNode core, final MembershipTestNode other) {
-        if ((directions & CUT_OUTGOING) > 0) {
-            fleet.cut.add(core.name + ">" + other.name);
+    private void blockLinks(final int directions, final MembershipTestNode core, final MembershipTestNode other) {
+        if ((directions & BLOCK_OUTGOING) > 0) {
+            fleet.blockedLinks.add(core.name + ">" + other.name);
         }
-        if ((directions & CUT_INCOMING) > 0) {
-            fleet.cut.add(other.name + ">" + core.name);
+        if ((directions & BLOCK_INCOMING) > 0) {
+            fleet.blockedLinks.add(other.name + ">" + core.name);
         }
     }
 
-    private void inflictLoss() {
+    private void injectLoss() {
         final int region = random(REGIONS);
         switch (Loss.values()[random(Loss.values().length)]) {
             case WIPE -> wipe(region);
@@ -284,25 +284,25 @@
             case KILL_ALL -> killAll();
             case REPLACE -> replace(region);
             case REPLACE_GRACEFULLY -> replaceGracefully(region);
-            case CUT -> cut(region);
+            case PARTITION -> partition(region);
         }
     }
 
     /** Runs through all losses; throws an AssertionError at the first violation. */
     Summary run() {
-        calm();
+        settle();
         for (int i = 0; i < LOSSES; i++) {
-            inflictLoss();
-            calm();
+            injectLoss();
+            settle();
         }
         fleet.loss = 0;
-        calm();
-        readBack();
+        settle();
+        verifyConfirmedValues();
         assertThat(fleet.startedGenerations).as(describe()).hasSize(1);
-        return new Summary(confirmed.size(), fewestCopies, fewestCopiesInCalm);
+        return new Summary(confirmed.size(), fewestCopies, fewestCopiesWhenSettled);
     }
 
-    private void readBack() {
+    private void verifyConfirmedValues() {
         fleet.runFor(3000);
         final Map<String, String> read = new TreeMap<>();
         confirmed
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
@@ -8,28 +8,28 @@
 class MembershipModelTest {
     private static final int SEEDS = Integer.getInteger("seeds", 12);
     private static final int FAULTY_SEEDS = 4;
-    private static final int CONFIRMED_PER_SEED_MIN = 150;
-    private static final int COPIES_IN_CALM_MIN = 3;
+    private static final int CONFIRMED_WRITES_PER_SEED_MIN = 150;
+    private static final int COPIES_WHEN_SETTLED_MIN = 3;
 
     @Test
-    void whatWasConfirmedSurvivesEveryToleratedLoss() {
+    void confirmedWritesSurviveEveryToleratedLoss() {
         int confirmed = 0;
         int fewestCopies = Integer.MAX_VALUE;
         for (int seed = 0; seed < SEEDS; seed++) {
             final MembershipModelRun.Summary summary = new MembershipModelRun(seed, fleet -> {}).run();
             confirmed += summary.confirmed();
             fewestCopies = Math.min(fewestCopies, summary.fewestCopies());
-            assertThat(summary.fewestCopiesInCalm())
+            assertThat(summary.fewestCopiesWhenSettled())
                     .as("copies in calm times, seed " + seed)
-                    .isGreaterThanOrEqualTo(COPIES_IN_CALM_MIN);
+                    .isGreaterThanOrEqualTo(COPIES_WHEN_SETTLED_MIN);
         }
-        assertThat(confirmed).isGreaterThan(SEEDS * CONFIRMED_PER_SEED_MIN);
+        assertThat(confirmed).isGreaterThan(SEEDS * CONFIRMED_WRITES_PER_SEED_MIN);
         assertThat(fewestCopies).isPositive();
         System.out.printf("%d seeds, %d confirmed, %d copies at the least%n", SEEDS, confirmed, fewestCopies);
     }
 
     @Test
-    void aJoinerThatVotesBeforeItCaughtUpWouldBeDetected() {
+    void detectsAJoinerThatVotesBeforeItHasCaughtUp() {
         int detected = 0;
         for (int seed = 0; seed < FAULTY_SEEDS; seed++) {
             try {
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestFleet.java
@@ -26,7 +26,7 @@
  * A fleet of unknown size in virtual time: cores and edges that start late, restart and lose disks, with messages delayed, lost and
  * duplicated. After every event it checks that no two nodes have different voter sets for one epoch.
  */
-final class MembershipTestContext {
+final class MembershipTestFleet {
     private static final int DELAY_MAX_MILLIS = 60;
 
     final EventClock clock = new EventClock(0);
@@ -36,9 +36,9 @@
     /** Generations seen in any voter set, by the generation that they ended; the first generations by 0. */
     final Map<Long, Set<Long>> startedGenerations = new TreeMap<>();
     /** Pairs of nodes, as "from>to", between which no message passes. */
-    final Set<String> cut = new HashSet<>();
+    final Set<String> blockedLinks = new HashSet<>();
     /** Whose state each generation that was proposed was merged from, by the generation. */
-    final Map<Long, Set<String>> mergedStateOf = new HashMap<>();
+    final Map<Long, Set<String>> mergedStateSources = new HashMap<>();
 
     /** Probability that a message is lost or duplicated. */
     double loss;
@@ -49,23 +49,23 @@
     /** The tolerated loss is a whole region, else one node. */
     boolean wholeRegionMayFail;
     /** Edges receive no feed. */
-    boolean edgesWithoutFeed;
+    boolean edgeFeedDisabled;
 
     long messages;
     long voterSetsSent;
     private final Map<Long, Long> baseGenerationOf = new HashMap<>();
     private final Map<String, List<Voter>> votersByEpoch = new HashMap<>();
-    private long generations = 1;
-    private VoterSet newest;
+    private long lastGeneration = 1;
+    private VoterSet newestVoterSet;
 
-    MembershipTestContext(final long seed) {
+    MembershipTestFleet(final long seed) {
         random = new Random(seed);
     }
 
     /** A fleet of cores c0.. and edges e0.., some of which are seeds; each is configured as first with the given probability. */
-    static MembershipTestContext fleet(
+    static MembershipTestFleet fleet(
             final long seed, final int cores, final int edges, final double configuredAsFirst) {
-        final MembershipTestContext fleet = new MembershipTestContext(seed);
+        final MembershipTestFleet fleet = new MembershipTestFleet(seed);
         for (int i = 0; i < cores; i++) {
             fleet.addCore("c" + i).configuredAsFirst = fleet.random.nextDouble() < configuredAsFirst;
         }
@@ -101,8 +101,8 @@
 
     /** Every proposed generation has a number of its own, so that two of them can be told apart. */
     InitialState initialState(final long baseGeneration, final List<Voter> voters) {
-        final long generation = Math.max(baseGeneration, generations) + 1;
-        generations = generation;
+        final long generation = Math.max(baseGeneration, lastGeneration) + 1;
+        lastGeneration = generation;
         baseGenerationOf.put(generation, baseGeneration);
         return new InitialState(new VoterSet(generation, 1, voters), List.of());
     }
@@ -114,11 +114,11 @@
         survivors.stream()
                 .filter(survivor -> survivor.hasState() && survivor.generation() == baseGeneration)
                 .forEach(survivor -> withState.add(survivor.name()));
-        mergedStateOf.put(initialState.voterSet().generation(), withState);
+        mergedStateSources.put(initialState.voterSet().generation(), withState);
         return initialState;
     }
 
-    int votersLost(final List<Voter> voters) {
+    int maxVotersLost(final List<Voter> voters) {
         if (!wholeRegionMayFail) {
             return 1;
         }
@@ -128,8 +128,8 @@
     }
 
     /** The newest voter set that any node took. */
-    VoterSet newest() {
-        return newest;
+    VoterSet newestVoterSet() {
+        return newestVoterSet;
     }
 
     private Message withInjectedFault(final Message message) {
@@ -147,7 +147,7 @@
 
     void send(final String from, final String to, final Message original) {
         final Message message = withInjectedFault(original);
-        if (cut.contains(from + ">" + to)) {
+        if (blockedLinks.contains(from + ">" + to)) {
             return;
         }
         messages++;
@@ -155,9 +155,9 @@
                 message instanceof MembershipMessage.VoterStatus status && status.voterSet() != null
                         || message instanceof ConsensusMessage.VoterSetUpdate;
         voterSetsSent += withVoterSet ? 1 : 0;
-        final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
+        final int copies = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
         final MembershipTestNode target = node(to);
-        for (int i = 0; target != null && i < times; i++) {
+        for (int i = 0; target != null && i < copies; i++) {
             final int incarnation = target.incarnations;
             clock.after(1 + random.nextInt(DELAY_MAX_MILLIS), () -> {
                 if (target.up && target.incarnations == incarnation) {
@@ -170,7 +170,7 @@
     private void checkVoterSet(final MembershipTestNode node) {
         final VoterSet voterSet = node.up ? node.proposer.voterSet() : null;
         if (voterSet != null) {
-            newest = voterSet.newerThan(newest) ? voterSet : newest;
+            newestVoterSet = voterSet.newerThan(newestVoterSet) ? voterSet : newestVoterSet;
             final List<Voter> known =
                     votersByEpoch.putIfAbsent(voterSet.generation() + "/" + voterSet.epoch(), voterSet.voters());
             assertThat(known == null || known.equals(voterSet.voters()))
@@ -187,9 +187,9 @@
     /** What a voter of the newest set has on its disk, synced; empty if its disk is lost or has not caught up. */
     private Optional<Map<String, byte[]>> storedState(final Voter voter) {
         final MembershipTestNode node = node(voter.name());
-        final Map<String, byte[]> stored = node.removed ? Map.of() : node.synced();
+        final Map<String, byte[]> stored = node.removed ? Map.of() : node.syncedRecords();
         final boolean sameDisk = voter.diskId().equals(text(stored.get("~disk")));
-        final String caughtUp = voter.diskId() + "/" + newest.generation();
+        final String caughtUp = voter.diskId() + "/" + newestVoterSet.generation();
         return sameDisk && caughtUp.equals(text(stored.get("~caught"))) ? Optional.of(stored) : Optional.empty();
     }
 
@@ -207,7 +207,7 @@
 
     /** Counts the copies of values, by key, that are synced on disks of voters. */
     Copies countCopies(final Map<String, String> values) {
-        final List<Map<String, byte[]>> states = newest.voters().stream()
+        final List<Map<String, byte[]>> states = newestVoterSet.voters().stream()
                 .map(this::storedState)
                 .flatMap(Optional::stream)
                 .toList();
@@ -222,7 +222,7 @@
                 fewestKey = value.getKey();
             }
         }
-        return new Copies(newest.voters().size(), states.size(), fewest, fewestKey);
+        return new Copies(newestVoterSet.voters().size(), states.size(), fewest, fewestKey);
     }
 
     private static boolean holds(final byte[] register, final String value) {
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -15,7 +15,7 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.Clock;
 
-/** One node of a {@link MembershipTestContext}, a core or an edge, over all its incarnations. */
+/** One node of a {@link MembershipTestFleet}, a core or an edge, over all its incarnations. */
 final class MembershipTestNode {
     /** Whether a node may be a voter. */
     enum Role {
@@ -29,9 +29,9 @@
             new MembershipTimeouts(2400, 600, 3000, 880, 1000, 2000, 32_000));
 
     private static final int TICK_MILLIS = 250;
-    private static final int FEED_MILLIS = 400;
+    private static final int FEED_POLL_MILLIS = 400;
     /** The gossip view of a node is complete after this at the latest. */
-    private static final int VIEW_SPREAD_MILLIS = 1500;
+    private static final int GOSSIP_SPREAD_MILLIS = 1500;
 
     final String name;
     final boolean core;
@@ -45,7 +45,7 @@
 
     Acceptor acceptor;
     Proposer proposer;
-    private final MembershipTestContext fleet;
+    private final MembershipTestFleet fleet;
     private DelayedSegmentStore disk;
     private MembershipCoordinator coordinator;
     private GracefulHandover handover;
@@ -53,7 +53,7 @@
     private Optional<BootstrapProposer> bootstrapProposer = Optional.empty();
     private long startedMillis;
 
-    MembershipTestNode(final MembershipTestContext fleet, final String name, final Role role) {
+    MembershipTestNode(final MembershipTestFleet fleet, final String name, final Role role) {
         this.fleet = fleet;
         this.name = name;
         this.core = role == Role.CORE;
@@ -116,7 +116,7 @@
                 new MembershipContext(local, acceptor, proposer, this::send, clock, SETTINGS),
                 new CoreEnvironment(),
                 fleet::merge,
-                fleet::votersLost,
+                fleet::maxVotersLost,
                 bootstrapProposer);
         handover = new GracefulHandover(local, acceptor, this::send, clock, new GracefulHandover.Timeouts(220, 900));
         if (acceptor.voterSet() != null) {
@@ -156,9 +156,9 @@
 
     /** An edge learns of voter sets by the feed that it requests from all cores. */
     private void pollFeed(final Clock clock) {
-        clock.after(FEED_MILLIS, () -> pollFeed(clock));
+        clock.after(FEED_POLL_MILLIS, () -> pollFeed(clock));
         for (final MembershipTestNode other : fleet.nodes.values()) {
-            if (!fleet.edgesWithoutFeed
+            if (!fleet.edgeFeedDisabled
                     && other.core
                     && other.up
                     && other.proposer.voterSet() != null
@@ -180,7 +180,7 @@
                     && other.incarnations > 0
                     && wanted.test(other)
                     && fleet.nowMs() - Math.max(startedMillis, other.startedMillis)
-                            > (name + otherName).hashCode() % VIEW_SPREAD_MILLIS) {
+                            > (name + otherName).hashCode() % GOSSIP_SPREAD_MILLIS) {
                 known.add(otherName);
             }
         });
@@ -224,7 +224,7 @@
     }
 
     /** What its disk has, synced. */
-    Map<String, byte[]> synced() {
+    Map<String, byte[]> syncedRecords() {
         return new SegmentedLog(disk).table();
     }
 
@@ -264,7 +264,7 @@
     }
 
     private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
-        if (status.lacks(proposer.voterSet())) {
+        if (status.lacksVoterSet(proposer.voterSet())) {
             send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         } else if (status.voterSet() != null) {
             proposer.updateVoterSet(status.voterSet());
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -14,12 +14,12 @@
 class ReconfigurationTest {
     private static final int RANDOM_FLEETS = 40;
 
-    private static long number(final byte[] value) {
+    private static long parseNumber(final byte[] value) {
         return value == null ? 0 : Long.parseLong(new String(value, UTF_8));
     }
 
-    private static MembershipTestContext startedFleet(final int cores, final int edges) {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(1, cores, edges, 1);
+    private static MembershipTestFleet startedFleet(final int cores, final int edges) {
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, cores, edges, 1);
         fleet.startAll();
         fleet.run(15_000);
         return fleet;
@@ -27,10 +27,10 @@
 
     /** Cores join under new names and lose disks while a counter is incremented. */
     @Test
-    void whatWasAgreedStandsWhileVotersAreAddedAndSwapped() {
+    void committedIncrementsSurviveWhileVotersAreAddedAndReplaced() {
         long increments = 0;
         for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 2 + seed % 3, 2, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 2 + seed % 3, 2, 1);
             fleet.startAll();
             fleet.run(8000);
             assertThat(fleet.allCoresVote()).as(seed + " " + fleet.describe()).isTrue();
@@ -57,7 +57,7 @@
         assertThat(increments).isGreaterThan(2000);
     }
 
-    private static void scheduleIncrements(final MembershipTestContext fleet, final List<Long> confirmed) {
+    private static void scheduleIncrements(final MembershipTestFleet fleet, final List<Long> confirmed) {
         for (int at = 0; at < 30_000; at += 350) {
             final MembershipTestNode proposing = fleet.node("e" + fleet.random.nextInt(2));
             fleet.clock.after(at, () -> increment(proposing, confirmed));
@@ -69,18 +69,18 @@
         proposing.proposer.propose(
                 "count",
                 2500,
-                current ->
-                        new RegisterEdit.Set(Long.toString(number(current) + 1).getBytes(UTF_8)),
+                current -> new RegisterEdit.Set(
+                        Long.toString(parseNumber(current) + 1).getBytes(UTF_8)),
                 outcome -> {
                     if (outcome instanceof ProposalOutcome.Committed done && done.wrote()) {
-                        assertThat(number(done.value())).isGreaterThan(highest);
-                        confirmed.add(number(done.value()));
+                        assertThat(parseNumber(done.value())).isGreaterThan(highest);
+                        confirmed.add(parseNumber(done.value()));
                     }
                 });
     }
 
     /** Wipes only when all cores vote, so that a majority with state remains. */
-    private static void wipeOneDisk(final MembershipTestContext fleet) {
+    private static void wipeOneDisk(final MembershipTestFleet fleet) {
         final List<MembershipTestNode> cores = fleet.cores();
         final MembershipTestNode core = cores.get(fleet.random.nextInt(cores.size()));
         if (fleet.allCoresVote() && cores.size() > 2) {
@@ -91,7 +91,7 @@
 
     @Test
     void aCoreUnderANewNameVotesWithinASecondOfReceivingTheVoterSet() {
-        final MembershipTestContext fleet = startedFleet(3, 1);
+        final MembershipTestFleet fleet = startedFleet(3, 1);
         final MembershipTestNode joining = fleet.addCore("n0");
         joining.start();
         long receivedMillis = -1;
@@ -105,49 +105,49 @@
 
     /** Six cores are removed for good one after another, each followed by a blank one under another name and address. */
     @Test
-    void replacedCoresLeaveNoVoterBehind() {
-        final MembershipTestContext fleet = startedFleet(6, 2);
+    void coresReplacedAfterTheirRemovalLeaveNoExtraVoter() {
+        final MembershipTestFleet fleet = startedFleet(6, 2);
         for (int i = 0; i < 6; i++) {
             fleet.node("c" + i).removeForGood();
             fleet.runFor(1000);
             fleet.addCore("n" + i).start();
             fleet.runFor(4000);
             assertThat(fleet.allCoresVote()).as(i + " " + fleet.describe()).isTrue();
-            assertThat(fleet.newest().voters()).hasSize(6);
+            assertThat(fleet.newestVoterSet().voters()).hasSize(6);
         }
         assertThat(fleet.startedGenerations).hasSize(1);
     }
 
     /** Each new core starts before the old one is removed: that costs one more voter, and not more than that. */
     @Test
-    void coresReplacedAfterTheirSuccessorsStartedLeaveOneVoterBehind() {
-        final MembershipTestContext fleet = startedFleet(6, 2);
+    void coresReplacedAfterTheirSuccessorsStartedLeaveOneExtraVoter() {
+        final MembershipTestFleet fleet = startedFleet(6, 2);
         for (int i = 0; i < 6; i++) {
             fleet.addCore("n" + i).start();
             fleet.runFor(4000);
             assertThat(fleet.allCoresVote()).as(i + " " + fleet.describe()).isTrue();
             fleet.node("c" + i).removeForGood();
             fleet.runFor(4000);
-            assertThat(fleet.newest().voters()).hasSize(7);
+            assertThat(fleet.newestVoterSet().voters()).hasSize(7);
         }
         assertThat(fleet.startedGenerations).hasSize(1);
     }
 
     @Test
-    void aVoterLongSilentIsRemovedAndItsDiskHasNoVoteWhenItIsBack() {
-        final MembershipTestContext fleet = startedFleet(6, 2);
+    void aLongSilentVoterIsRemovedAndItsOldDiskNeverVotesAgain() {
+        final MembershipTestFleet fleet = startedFleet(6, 2);
         final MembershipTestNode away = fleet.node("c2");
         final String disk = away.acceptor.diskId();
         away.stop();
         fleet.runFor(28_000);
-        assertThat(fleet.newest().voters()).as("not yet").hasSize(6);
+        assertThat(fleet.newestVoterSet().voters()).as("not yet").hasSize(6);
         fleet.runFor(6000);
-        assertThat(fleet.newest().voters()).hasSize(5);
-        assertThat(fleet.newest().voter("c2")).isNull();
+        assertThat(fleet.newestVoterSet().voters()).hasSize(5);
+        assertThat(fleet.newestVoterSet().voter("c2")).isNull();
         away.start();
         fleet.runFor(4000);
         assertThat(fleet.allCoresVote()).as(fleet.describe()).isTrue();
-        assertThat(fleet.newest().voter("c2").diskId())
+        assertThat(fleet.newestVoterSet().voter("c2").diskId())
                 .isEqualTo(away.acceptor.diskId())
                 .isNotEqualTo(disk);
     }
@@ -155,12 +155,12 @@
     /** Of four voters one could be removed if one loss had to be tolerated, but c0 and c3 are in one region. */
     @Test
     void noVoterIsRemovedIfTheToleratedLossCouldThenTakeTheMajority() {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(1, 4, 2, 1);
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, 4, 2, 1);
         fleet.wholeRegionMayFail = true;
         fleet.startAll();
         fleet.run(15_000);
         fleet.node("c1").stop();
         fleet.runFor(60_000);
-        assertThat(fleet.newest().voters()).hasSize(4);
+        assertThat(fleet.newestVoterSet().voters()).hasSize(4);
     }
 }
--- a/spokestall/src/test/java/spokestall/membership/VoterStatusExchangeTest.java
+++ b/spokestall/src/test/java/spokestall/membership/VoterStatusExchangeTest.java
@@ -11,7 +11,7 @@
     /** Cores that have settled send at most one status a second to each other, without their voter set. */
     @Test
     void aSettledFleetSendsFewStatusesAndNoVoterSets() {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(1, CORES, 6, 1);
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, CORES, 6, 1);
         fleet.startAll();
         fleet.run(15_000);
         final long messages = fleet.messages;
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -25,7 +25,7 @@
     private static final Map<String, Class<? extends Record>> STORED = Map.of(
             "register", Register.class,
             "voters", VoterSet.class,
-            "formation-ballot", StoredRecords.coordinatorProposal(),
+            "formation-ballot", StoredRecords.generationVote(),
             "policy-snapshot", ConfigurationSnapshot.class,
             "policy-change", ConfigurationChange.class,
             "lease", Lease.class,
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -154,8 +154,8 @@
         MessageNumbers.register();
         final Acceptor acceptor = acceptor();
         assertThat(acceptor.localRecord("~council")).isEmpty();
-        assertThat(MessageCodec.decodeRecord(acceptor.localRecord("~form"), StoredRecords.coordinatorProposal()))
-                .isEqualTo(StoredRecords.coordinatorProposal(6, SampleCore.CAST));
+        assertThat(MessageCodec.decodeRecord(acceptor.localRecord("~form"), StoredRecords.generationVote()))
+                .isEqualTo(StoredRecords.generationVote(6, SampleCore.CAST));
         assertThat(MessageCodec.decode(acceptor.localRecord("~usage")))
                 .isEqualTo(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(SampleCore.COUNT)));
         assertThat(MessageCodec.decode(acceptor.localRecord("~listed")))
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -103,7 +103,7 @@
         MessageNumbers.register();
         keep(acceptor, "~policy", MessageCodec.encodeRecord(configurationStore().snapshot()));
         keep(acceptor, "~council", new byte[0]);
-        keep(acceptor, "~form", MessageCodec.encodeRecord(StoredRecords.coordinatorProposal(6, CAST)));
+        keep(acceptor, "~form", MessageCodec.encodeRecord(StoredRecords.generationVote(6, CAST)));
         keep(
                 acceptor,
                 "~usage",
