--- a/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -7,29 +7,30 @@
 import spokestall.message.MessageSender;
 
 /**
- * A seed's vote on the first generation, on a core or on an edge.
+ * Acceptor of the vote on the first generation. It runs on every seed, which may be a core or an edge.
  *
- * <p>What it promised and accepted is kept in memory only. That is sufficient because only an incarnation that was configured as
- * the fleet's first, with a blank disk if it has one, ever votes: a later incarnation gives no vote that could contradict what this one forgot. For the
- * same reason a reply leaves only after the disk, if there is one, is durably marked as used.
+ * <p>Promises and the accepted state are kept in memory only. That is sufficient because only an incarnation that is configured as
+ * the fleet's first, and whose disk, if it has one, was blank, ever votes: no later incarnation can vote and contradict promises
+ * that were lost with the memory. For the same reason this class sends a reply only after the disk, if there is one, is durably
+ * marked as used.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 public final class BootstrapAcceptor {
     /** Whether this incarnation may vote. */
     public enum Eligibility {
-        /** It was configured as the fleet's first and its disk, if it has one, was blank. */
+        /** The node was configured for the fleet's first start and its disk, if it has one, was blank. */
         FIRST_INCARNATION,
-        /** An earlier incarnation may have voted. */
+        /** An earlier incarnation of this node may have voted. */
         LATER_INCARNATION
     }
 
-    /** What the acceptor needs of the node around it. */
+    /** Callbacks from the acceptor to the node that runs it. */
     public interface Environment {
-        /** The voter set that this node knows, or null. */
+        /** Returns the voter set that this node knows, or null. */
         VoterSet voterSet();
 
-        /** Runs the action once the disk, if there is one, can no longer be taken for blank. */
+        /** Runs the action once the disk, if there is one, is durably marked as used, so that no later start finds it blank. */
         void afterDiskMarked(Runnable action);
     }
 
@@ -42,7 +43,7 @@
     private ProposalNumber accepted = ProposalNumber.NONE;
     private InitialState acceptedState;
 
-    /** Creates the acceptor of the node at this address; it votes only if that is one of the seeds. */
+    /** Creates the acceptor of the node at this address, which votes only if the address is one of the seeds. */
     public BootstrapAcceptor(
             final String address,
             final List<String> seeds,
@@ -56,7 +57,7 @@
         this.environment = environment;
     }
 
-    /** Handles a proposer's message; replies of other seeds are ignored. */
+    /** Handles a proposer's request; ignores replies from other seeds. */
     public void onMessage(final BootstrapMessage message) {
         if (message instanceof BootstrapMessage.Prepare prepare && votesFor(prepare.from(), prepare.seeds())) {
             onPrepare(prepare);
@@ -93,7 +94,10 @@
         environment.afterDiskMarked(() -> sender.send(to, message));
     }
 
-    /** A proposer that is late is sent the voter set; one with other seeds gets no reply. */
+    /**
+     * Whether this node votes on the proposal. If it knows a voter set already, it sends that to the proposer and does not vote. A
+     * proposer that is configured with other seeds gets no reply.
+     */
     private boolean votesFor(final String proposerAddress, final List<String> proposerSeeds) {
         final VoterSet voterSet = environment.voterSet();
         if (voterSet != null) {
--- a/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapMessage.java
@@ -5,14 +5,17 @@
 import spokestall.message.Message;
 
 /**
- * Messages of the vote on a fleet's first generation, between {@link BootstrapProposer} and {@link BootstrapAcceptor}. Written by
+ * Messages between {@link BootstrapProposer} and {@link BootstrapAcceptor} in the vote on a fleet's first generation. Written by
  * the order of their fields.
  */
 public sealed interface BootstrapMessage extends Message {
-    /** Phase one. A seed answers only if its own list of seeds is the same. */
+    /** Request of phase one. A seed replies only if it is configured with the same list of seeds. */
     record Prepare(String from, List<String> seeds, ProposalNumber proposalNumber) implements BootstrapMessage {}
 
-    /** The reply to {@link Prepare}; if granted, with the initial state that this seed accepted before, or null. */
+    /**
+     * Reply to {@link Prepare}. A granted promise carries the initial state that the seed has accepted already, or null if it has
+     * accepted none.
+     */
     record Promise(
             String seed,
             ProposalNumber proposalNumber,
@@ -22,11 +25,11 @@
             InitialState initialState)
             implements BootstrapMessage {}
 
-    /** Phase two. */
+    /** Request of phase two. */
     record Accept(String from, List<String> seeds, ProposalNumber proposalNumber, InitialState initialState)
             implements BootstrapMessage {}
 
-    /** The reply to {@link Accept}. */
+    /** Reply to {@link Accept}. */
     record Accepted(String seed, ProposalNumber proposalNumber, boolean granted, ProposalNumber promised)
             implements BootstrapMessage {}
 }
--- a/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapProposer.java
@@ -16,17 +16,19 @@
 /**
  * Proposes the first generation of a fleet whose number of cores is not configured.
  *
- * <p>Once no new core has reported for a while it proposes the cores it knows as voters, and the {@link BootstrapAcceptor}s of a
- * majority of the seeds decide. A core that is not among those voters joins later by a reconfiguration. Transitions:
+ * <p>Once no new core has reported for {@link Timeouts#settleMillis}, it proposes the cores it knows as voters, and the
+ * {@link BootstrapAcceptor}s of a majority of the seeds decide. A core that is not among those voters joins later by a
+ * reconfiguration. Transitions:
  *
  * <pre>
- * IDLE -> PREPARING        enough cores are known and their number has settled
+ * IDLE -> PREPARING        enough cores are known and no further core has reported for the settle time
  * PREPARING -> ACCEPTING   a majority of the seeds promised
  * ACCEPTING -> CHOSEN      a majority of the seeds accepted
  * PREPARING, ACCEPTING -> IDLE   the round timed out
  * </pre>
  *
- * <p>It stores nothing: a proposer id is used by one incarnation only. Not thread-safe; all calls on the node's event loop.
+ * <p>The proposer stores nothing on disk, since each proposer id is used by one incarnation only. Not thread-safe; all calls on
+ * the node's event loop.
  */
 public final class BootstrapProposer {
     private enum Phase {
@@ -37,23 +39,26 @@
     }
 
     /**
-     * Time-outs, in milliseconds.
+     * Timeouts, in milliseconds.
      *
-     * @param startDelayMillis least time from the start of this incarnation to its first proposal
-     * @param settleMillis how long no further core must have reported
-     * @param roundMillis time-out of each phase; also staggers proposers by their rank among the cores
+     * @param startDelayMillis minimum time from the start of this incarnation to its first proposal
+     * @param settleMillis time without a new core after which the set of known cores counts as settled
+     * @param roundMillis timeout of each phase; also the delay between proposers, by their rank among the cores
      */
     public record Timeouts(long startDelayMillis, long settleMillis, long roundMillis) {}
 
     /** Builds the initial state of the first generation. */
     @FunctionalInterface
     public interface InitialStateFactory {
-        /** Returns an initial state with exactly these voters. */
+        /** Creates an initial state with exactly these voters. */
         InitialState create(List<Voter> voters);
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** With fewer cores a single core could bootstrap alone before it has received a status of the others, unless there is only one seed. */
+    /**
+     * Minimum number of known cores, unless there is only one seed. With fewer, a core could bootstrap the fleet alone before it
+     * has received a status from any other core.
+     */
     private static final int MIN_CORES = 2;
 
     private final LocalNode local;
@@ -73,7 +78,10 @@
     private long phaseStartedMillis;
     private InitialState proposed;
 
-    /** Creates a proposer in phase IDLE. Only the fleet's first incarnation of a core with a blank disk may have one. */
+    /**
+     * Creates a proposer in phase IDLE. Only a core that is configured for the fleet's first start and has a blank disk may have
+     * one.
+     */
     public BootstrapProposer(
             final LocalNode local,
             final List<String> seeds,
@@ -101,7 +109,10 @@
         phaseStartedMillis = clock.nowMs();
     }
 
-    /** Advances while no voter set is known; {@code current} are the cores, by name, that may be voters of the first one. */
+    /**
+     * Advances the proposal. Called while this core knows no voter set; {@code currentCandidates} are the cores, by name, that may
+     * become voters of the first one.
+     */
     public void onTick(final Map<String, Voter> currentCandidates) {
         final long nowMillis = clock.nowMs();
         if (!candidates.keySet().containsAll(currentCandidates.keySet())) {
@@ -121,7 +132,7 @@
                 }
             }
             case CHOSEN -> {
-                // The voters receive the initial state from each other; nothing is left to propose.
+                // The voters send each other the initial state; there is nothing left to propose.
             }
         }
     }
@@ -151,7 +162,7 @@
         return seeds.size() / 2 + 1;
     }
 
-    /** Handles a seed's reply; messages of other proposers and of nodes that are not seeds are ignored. */
+    /** Handles a seed's reply; ignores requests of other proposers and replies from nodes that are not seeds. */
     public void onMessage(final BootstrapMessage message) {
         if (message instanceof BootstrapMessage.Promise promise && seeds.contains(promise.seed())) {
             onPromise(promise);
@@ -170,7 +181,10 @@
         highestSeenCount = Math.max(highestSeenCount, promise.promised().count());
     }
 
-    /** Proposes what a seed accepted under the highest number, if any did: a majority may have accepted it already. */
+    /**
+     * Sends phase two. If any seed has accepted a state already, proposes the one with the highest number again, since a majority
+     * may have accepted that state.
+     */
     private void accept() {
         BootstrapMessage.Promise highest = null;
         for (final BootstrapMessage.Promise promise : promises.values()) {
--- a/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationAcceptor.java
@@ -6,13 +6,12 @@
 import spokestall.message.MessageCodec;
 
 /**
- * This core's vote on the generation that follows its own: the acceptor of the two-phase vote that {@link GenerationRecovery}
- * proposes.
+ * Acceptor of the two-phase vote on the successor of this core's generation; {@link GenerationRecovery} is the proposer.
  *
- * <p>Whoever votes here has resigned from its present generation first, so that the old generation and the new one can never both
- * have a majority. The resignation takes effect in memory before the vote is written; the vote is durable before the promise or
- * acceptance is sent, and after a restart the stored vote renews the resignation. Promised numbers of one generation never
- * decrease.
+ * <p>A core resigns from its current generation before it votes here, so that the old generation and the new one can never both
+ * have a majority. The resignation takes effect in memory before the vote is written. The vote is durable before the promise or
+ * acceptance is sent, and after a restart a stored vote makes the core resign again. The promised numbers for one generation
+ * never decrease.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -23,8 +22,10 @@
     /**
      * The stored vote, written by the order of its fields.
      *
-     * @param baseGeneration the generation that the vote ends
-     * @param initialState what was accepted, or null
+     * @param baseGeneration generation that the vote ends
+     * @param promised highest proposal number that this core has promised
+     * @param accepted proposal number of {@code initialState}, or {@link ProposalNumber#NONE}
+     * @param initialState accepted initial state of the next generation, or null
      */
     record Vote(long baseGeneration, ProposalNumber promised, ProposalNumber accepted, InitialState initialState) {}
 
@@ -32,10 +33,10 @@
     private final MembershipEnvironment environment;
     private final RecoveryElectorate electorate;
     private final Acceptor acceptor;
-    /** Null if none was given since the last restart as a blank voter. */
+    /** Null if this core has not voted, or not since it last restarted as a blank voter. */
     private Vote vote;
 
-    /** Loads the stored vote and renews the resignation that came with it. */
+    /** Loads the stored vote, and resigns again if the vote ends the current generation. */
     GenerationAcceptor(
             final MembershipContext context,
             final MembershipEnvironment environment,
@@ -51,15 +52,18 @@
         }
     }
 
-    /** The count of the highest number that this core promised, 0 if none. */
+    /** Returns the count of the highest proposal number that this core has promised, or 0 if it has promised none. */
     long promisedCount() {
         return vote == null ? 0 : vote.promised.count();
     }
 
-    /** Handles phase one. A prepare for another generation or by an older voter set gets no promise. */
+    /**
+     * Handles phase one. Replies to a proposer with an older voter set with the current one, and to a lower proposal number than
+     * promised with a rejection. Does not reply to a prepare for a newer generation, or while this core may not vote.
+     */
     void onPrepare(final MembershipMessage.GenerationPrepare prepare) {
         if (isOutdated(prepare)) {
-            // Its voters would be others than ours.
+            // The proposer's electorate may differ from this core's.
             context.send(prepare.from(), new ConsensusMessage.VoterSetUpdate(context.voterSet()));
             return;
         }
@@ -71,7 +75,7 @@
             context.send(prepare.from(), rejection(prepare));
             return;
         }
-        // Read before the resignation, which changes what is reported as surviving.
+        // Read before the resignation, so that the resignation cannot change the reported state.
         final SurvivingState survivingState = environment.survivingState();
         final Vote next = new Vote(
                 prepare.baseGeneration(),
@@ -124,7 +128,7 @@
                 null);
     }
 
-    /** Handles phase two. */
+    /** Handles phase two. Does not reply to an accept for another generation, or while this core may not vote. */
     void onAccept(final MembershipMessage.GenerationAccept accept) {
         if (!mayVoteOn(accept.baseGeneration())) {
             return;
@@ -157,7 +161,7 @@
                 vote.promised);
     }
 
-    /** Resigns, stores the vote, and runs the action once it is durable; never if the disk failed. */
+    /** Resigns, stores the vote, and runs the action once the vote is durable. The action does not run if the write fails. */
     private void store(final Vote next, final Runnable whenDurable) {
         vote = next;
         acceptor.resign(next.baseGeneration);
@@ -168,11 +172,11 @@
         });
     }
 
-    /** Discards the vote with the disk identity that gave it: this core starts over as a blank voter. */
+    /** Replaces the disk identity and discards the vote that was given under it, so that this core restarts as a blank voter. */
     void restartAsBlankVoter() {
         vote = null;
         acceptor.resetIdentity(environment.freshDiskId());
-        // The identity that voted was replaced, so nothing waits for the vote's removal.
+        // The disk identity that voted is already replaced, so nothing depends on when the vote is removed.
         acceptor.putLocalRecord(VOTE_KEY, null, ok -> {});
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
@@ -13,19 +13,19 @@
 /**
  * Proposes a new generation after so many disks were lost that no majority of the voters has state.
  *
- * <p>First it collects what any node still has, then it runs a two-phase vote among the {@link RecoveryElectorate}, whose members
- * answer through their {@link GenerationAcceptor}s. Transitions:
+ * <p>The proposer first collects surviving state from all nodes, then runs a two-phase vote among the {@link RecoveryElectorate},
+ * whose members reply through their {@link GenerationAcceptor}s. Transitions:
  *
  * <pre>
- * IDLE -> COLLECTING       recovery was required for long enough
- * COLLECTING -> PREPARING  after the settle time
- * PREPARING -> ACCEPTING   a majority promised, and every core with state did or was waited for
+ * IDLE -> COLLECTING       recovery has been required for long enough
+ * COLLECTING -> PREPARING  the settle time has passed
+ * PREPARING -> ACCEPTING   a majority promised, and so did every reachable core with state unless the wait for it is over
  * ACCEPTING -> IDLE        a majority accepted: the generation is chosen
- * any -> IDLE              the round timed out, or a newer voter set was adopted
+ * any -> IDLE              a vote round timed out, a newer voter set was adopted, or this core started a new generation
  * </pre>
  *
- * <p>It stores nothing: a proposer id is used by one incarnation only, and what acceptors stored is found again by the next
- * proposal. Not thread-safe; all calls on the node's event loop.
+ * <p>The proposer stores nothing on disk: each proposer id is used by one incarnation only, and the next proposal finds any state
+ * that acceptors have stored. Not thread-safe; all calls on the node's event loop.
  */
 final class GenerationRecovery {
     /** Phases of the proposer. */
@@ -36,23 +36,23 @@
         ACCEPTING
     }
 
-    /** What a tick found. */
+    /** Whether a tick found that a recovery is required. */
     enum TickResult {
-        /** A majority with state is there or can be. */
+        /** A majority with state is available or may become available. */
         NOT_REQUIRED,
-        /** A recovery is in progress or about to begin; the voter set must not be changed meanwhile. */
+        /** A recovery is in progress or about to start; no reconfiguration may start until it ends. */
         IN_PROGRESS
     }
 
-    /** Is notified of a generation that this core's proposal made chosen. */
+    /** Receives the generation that was chosen through this core's proposal. */
     @FunctionalInterface
     interface GenerationListener {
-        /** Called once, after the other voters were sent the initial state. */
+        /** Called once, after this core has sent the initial state to the other voters. */
         void onGenerationChosen(InitialState initialState);
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** For so many timed-out rounds a proposal waits for a reachable core that has state but does not promise. */
+    /** Number of timed-out rounds in which the proposer waits for every reachable core with state to promise. */
     private static final int TIMED_OUT_ROUNDS_WAITING_FOR_STATE_MAX = 4;
 
     private static final long UNSET = -1;
@@ -107,19 +107,19 @@
         phaseStartedMillis = context.nowMillis();
     }
 
-    /** Abandons a proposal that a newer voter set has overtaken. */
+    /** Abandons the proposal, since a newer voter set was adopted. */
     void onNewVoterSet() {
         transitionTo(Phase.IDLE, "new_voter_set");
     }
 
-    /** Ends the recovery after this core began the new generation. */
+    /** Ends the recovery after this core has started the new generation. */
     void onGenerationStarted() {
         requiredSinceMillis = UNSET;
         timedOutRounds = 0;
         transitionTo(Phase.IDLE, "generation_started");
     }
 
-    /** Begins or advances a recovery, given the current statuses by name. */
+    /** Starts or advances a recovery if one is required. {@code statuses} are the current statuses by core name. */
     TickResult onTick(final Map<String, MembershipMessage.VoterStatus> statuses) {
         if (phase != Phase.IDLE) {
             advance(statuses);
@@ -133,7 +133,10 @@
         return TickResult.NOT_REQUIRED;
     }
 
-    /** Waits longer while voters are unheard, and one round longer for each core whose name is lower. */
+    /**
+     * Starts collecting once recovery has been required for the settle time, or for longer while some voter has no current status.
+     * Waits one more round for each reachable core with a lower name, so that cores do not propose concurrently.
+     */
     private void beginIfSettled(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final long nowMillis = context.nowMillis();
         if (requiredSinceMillis == UNSET) {
@@ -178,8 +181,8 @@
     }
 
     /**
-     * Whether a core that reported state and is still reachable has not promised yet: it is slow, and until it promises it may vote in
-     * the old generation for a value that no other core has.
+     * Whether a core that reported state and is still reachable has not promised yet. Such a core is slow, and until it promises,
+     * it may vote in the old generation for a value that no other core has. False after too many rounds have timed out.
      */
     private boolean isWaitingForPromiseWithState(final Map<String, MembershipMessage.VoterStatus> statuses) {
         return timedOutRounds < TIMED_OUT_ROUNDS_WAITING_FOR_STATE_MAX
@@ -208,14 +211,14 @@
         }
     }
 
-    /** Records what a node still has, while it is being collected. */
+    /** Records the surviving state of a node, in phase COLLECTING only. */
     void onSurvivingState(final SurvivingState survivor) {
         if (phase == Phase.COLLECTING) {
             survivors.put(survivor.name(), survivor);
         }
     }
 
-    /** Records a promise, or the number that outranks this proposal. */
+    /** Records a promise, or the higher proposal number of a rejection. */
     void onPromise(final MembershipMessage.GenerationPromise promise) {
         if (phase != Phase.PREPARING
                 || !isForThisProposal(promise.baseGeneration(), promise.proposalNumber(), promise.name())) {
@@ -244,7 +247,7 @@
         }
     }
 
-    /** The cores that promised, with their present disks, and the other voters of the old set, each without a disk. */
+    /** Returns the cores that promised, with their current disks, and the other voters of the old set, each without a disk. */
     private List<Voter> nextVoters() {
         final List<Voter> voters = new ArrayList<>();
         for (final MembershipMessage.GenerationPromise promise : promises.values()) {
@@ -260,7 +263,10 @@
         return voters;
     }
 
-    /** What was accepted under the highest number, which may be chosen already; else all that survived, merged. */
+    /**
+     * Returns the state that was accepted under the highest proposal number, since it may be chosen already; if there is none,
+     * merges all surviving state.
+     */
     private InitialState stateToPropose(final List<Voter> voters) {
         MembershipMessage.GenerationPromise highest = null;
         final List<SurvivingState> allSurvivors = new ArrayList<>(survivors.values());
@@ -274,7 +280,7 @@
         return highest != null ? highest.initialState() : merger.merge(baseGeneration, allSurvivors, voters);
     }
 
-    /** Records an acceptance; with a majority of them the generation is chosen. */
+    /** Records an acceptance. Once a majority has accepted, the generation is chosen. */
     void onAccepted(final MembershipMessage.GenerationAccepted reply) {
         if (phase != Phase.ACCEPTING
                 || !isForThisProposal(reply.baseGeneration(), reply.proposalNumber(), reply.name())) {
--- a/spokestall/src/main/java/spokestall/membership/GenerationStart.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationStart.java
@@ -6,34 +6,35 @@
 import spokestall.consensus.Voter;
 
 /**
- * Begins a generation that was chosen, and retains its initial state until every voter has it, for those that missed it.
+ * Starts a chosen generation on this core, and retains its initial state until every voter has it, so that this core can send it
+ * to voters that missed it.
  *
  * <p>The initial state is retained in memory only. The acceptor stores the voter set and the registers before this core votes in
  * the generation. Not thread-safe; all calls on the node's event loop.
  */
 final class GenerationStart {
-    /** What an initial state meant to this core. */
+    /** How this core handled an initial state. */
     enum Result {
-        /** It is of an older generation. */
+        /** The initial state is of an older generation and was ignored. */
         OUTDATED,
-        /** This core knows the generation already; as a voter that has missed the initial state it catches up from it. */
+        /** This core already knows the generation. If it is a voter that missed the initial state, it catches up from it. */
         KNOWN_GENERATION,
-        /** This core is not a voter of the new generation and only has to adopt its voter set. */
+        /** This core is not a voter of the new generation; the caller must adopt the voter set. */
         NOT_A_VOTER,
-        /** This core begins the new generation as a voter. */
+        /** This core started the new generation as a voter. */
         STARTED
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final MembershipContext context;
-    /** Null once every voter has it. */
+    /** Initial state of the last generation started, or null once every voter has it. */
     private InitialState retained;
 
     GenerationStart(final MembershipContext context) {
         this.context = context;
     }
 
-    /** Begins the generation, unless this core knows it or a newer one already. */
+    /** Starts the generation, unless this core already knows it or a newer one. */
     Result onGenerationStarted(final InitialState initialState) {
         if (context.voterSet() != null && initialState.voterSet().generation() == context.generation()) {
             context.acceptor().startGenerationLate(initialState.voterSet(), initialState.entries());
@@ -68,7 +69,10 @@
         }
     }
 
-    /** Returns the initial state of the present generation if the sender is one of its first voters and has never voted in it. */
+    /**
+     * Returns the initial state of the current generation if the sender of the status is a voter of its first epoch, with the same
+     * disk, and has no state yet; empty otherwise.
+     */
     Optional<InitialState> initialStateMissedBy(final MembershipMessage.VoterStatus status) {
         if (retained == null || retained.voterSet().generation() != context.generation()) {
             return Optional.empty();
--- a/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
+++ b/spokestall/src/main/java/spokestall/membership/GracefulHandover.java
@@ -14,18 +14,20 @@
 import spokestall.time.Clock;
 
 /**
- * Last step of a voter that shuts down: ensures that a majority of the voters without itself hold everything that it has accepted.
+ * Handover by a voter that shuts down: ensures that a majority of the voters, not counting itself, hold everything that it has
+ * accepted.
  *
- * <p>It requests from each other voter which of its registers that voter lacks, and sends those as chosen values. It ends after a bounded
- * time whether complete or not. The voter set does not change: the voter may be back in a moment. Nothing is stored here; a
- * peer counts as a holder once it replies that it lacks nothing. Not thread-safe; all calls on the node's event loop.
+ * <p>The leaving voter asks each other voter which of the accepted registers it lacks, and sends these registers as chosen values.
+ * A peer counts as a holder once it replies that it lacks nothing. The handover ends after a bounded time, even if incomplete. The
+ * voter set does not change, since the voter may restart soon. This class stores nothing on disk. Not thread-safe; all calls on
+ * the node's event loop.
  */
 public final class GracefulHandover {
     /**
-     * Time-outs, in milliseconds.
+     * Timeouts, in milliseconds.
      *
-     * @param retryMillis interval between requests to the voters that still lack something
-     * @param deadlineMillis upper bound of the handover, from its beginning
+     * @param retryMillis interval between requests to voters that are not yet holders
+     * @param deadlineMillis maximum duration of the handover
      */
     public record Timeouts(long retryMillis, long deadlineMillis) {}
 
@@ -38,10 +40,10 @@
     private final Set<String> holders = new HashSet<>();
     private long deadlineMillis;
     private VoterSet voterSet;
-    /** Null unless a handover is in progress. */
+    /** Callback for the end of the handover; null unless a handover is in progress. */
     private Runnable onComplete;
 
-    /** Creates a handover that has not begun. */
+    /** Creates a handover that has not started. */
     public GracefulHandover(
             final LocalNode local,
             final Acceptor acceptor,
@@ -55,7 +57,10 @@
         this.timeouts = timeouts;
     }
 
-    /** Begins the handover; {@code whenComplete} runs once, at its end, and immediately if no peer could lack anything. */
+    /**
+     * Starts the handover. {@code whenComplete} runs once, at the end; immediately if there is no other voter or this voter has no
+     * state.
+     */
     public void begin(final Runnable whenComplete) {
         deadlineMillis = clock.nowMs() + timeouts.deadlineMillis();
         onComplete = whenComplete;
@@ -98,7 +103,7 @@
         return accepted;
     }
 
-    /** Handles a voter's reply; one for another voter set, or after the end, is ignored. */
+    /** Handles a voter's reply; ignores replies for another voter set and replies after the end of the handover. */
     public void onResponse(final ConsensusMessage.HandoverResponse response) {
         if (onComplete == null || voterSet == null || !voterSet.hasEpoch(response.generation(), response.epoch())) {
             return;
@@ -113,7 +118,7 @@
         for (final String key : response.lacking()) {
             sendRegister(voter, key);
         }
-        // With two voters the other one alone is all there is.
+        // Of two voters a majority is two, but there is only one other voter.
         if (holders.size() >= Math.min(voterSet.majority(), voterSet.voters().size() - 1)) {
             complete();
         }
--- a/spokestall/src/main/java/spokestall/membership/InitialState.java
+++ b/spokestall/src/main/java/spokestall/membership/InitialState.java
@@ -5,9 +5,9 @@
 import spokestall.consensus.VoterSet;
 
 /**
- * What a new generation starts from. Sent and stored by the order of its fields.
+ * Voter set and registers that a new generation starts from. Sent and stored by the order of its fields.
  *
  * @param voterSet voter set of the generation's first epoch
- * @param entries registers that each voter holds before its first vote
+ * @param entries registers that each voter must store before its first vote in the generation
  */
 public record InitialState(VoterSet voterSet, List<ConsensusMessage.Entry> entries) {}
--- a/spokestall/src/main/java/spokestall/membership/InitialStateMerger.java
+++ b/spokestall/src/main/java/spokestall/membership/InitialStateMerger.java
@@ -7,10 +7,11 @@
 @FunctionalInterface
 public interface InitialStateMerger {
     /**
-     * Merges what survived into the initial state of a generation numbered above everything that survived.
+     * Merges the surviving states into the initial state of a new generation. The generation's number is above every generation,
+     * configuration version and fencing token among the survivors.
      *
-     * @param baseGeneration the generation that the new one follows, 0 for the first
-     * @param survivors surviving state of every node that reported any; a node may occur twice
+     * @param baseGeneration generation that the new one succeeds, or 0 if the new one is the first
+     * @param survivors surviving state of every node that reported it; a node may occur twice
      * @param voters voters of the new generation
      */
     InitialState merge(long baseGeneration, List<SurvivingState> survivors, List<Voter> voters);
--- a/spokestall/src/main/java/spokestall/membership/MajorityLossDetector.java
+++ b/spokestall/src/main/java/spokestall/membership/MajorityLossDetector.java
@@ -4,7 +4,8 @@
 import spokestall.consensus.VoterSet;
 
 /**
- * Decides from the current statuses whether the fleet needs a new generation. Stateless; all calls on the node's event loop.
+ * Decides from the current statuses whether the fleet needs a new generation. Has no state of its own; all calls on the node's
+ * event loop.
  */
 final class MajorityLossDetector {
     private final MembershipContext context;
@@ -21,8 +22,10 @@
     }
 
     /**
-     * Whether no majority with state can come together although a majority of the electorate is there. Always false while this
-     * core could not vote on a new generation itself, or while a newer voter set is reported.
+     * Whether a majority of the electorate is reachable and writable, but so many of these cores lack state that no majority with
+     * state is possible. Before the first generation, whether all configured cores are reachable and writable. Always false while
+     * the fleet clock has not settled, while this core cannot vote on a new generation itself, or while any core reports a newer
+     * voter set.
      */
     boolean isMajorityLost(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final VoterSet voterSet = context.voterSet();
@@ -46,7 +49,7 @@
         if (voterSet == null) {
             return writable == context.settings().configuredCores();
         }
-        // A voter that still catches up will have its state, as long as enough others are there to read from.
+        // A voter that is catching up will have state, provided that enough reachable voters have state for it to read.
         final int expectedWithState = withState >= voterSet.intersectingQuorum() ? withState + catchingUp : withState;
         return writable >= electorate.majority()
                 && writable - expectedWithState > electorate.size() - electorate.majority();
--- a/spokestall/src/main/java/spokestall/membership/MembershipContext.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipContext.java
@@ -9,14 +9,14 @@
 import spokestall.time.Clock;
 
 /**
- * What all membership state machines of one core share: its identity, its acceptor and proposer, and how it sends and tells time.
+ * Dependencies shared by all membership state machines of one core.
  *
  * @param local identity of this core
- * @param acceptor acceptor of this core; owns the stored voter set and the disk identity
+ * @param acceptor acceptor of this core; stores the voter set and the disk identity
  * @param proposer proposer of this core; receives every voter set that the acceptor adopts
  * @param sender sends messages; delivery is not guaranteed
- * @param clock monotonic time and later events
- * @param settings settings of membership
+ * @param clock monotonic time, and scheduling of later events
+ * @param settings membership settings
  */
 public record MembershipContext(
         LocalNode local,
@@ -25,17 +25,17 @@
         MessageSender sender,
         Clock clock,
         MembershipSettings settings) {
-    /** The voter set that this core knows, or null before it knows one. */
+    /** Returns the voter set that this core knows, or null before it knows one. */
     VoterSet voterSet() {
         return acceptor.voterSet();
     }
 
-    /** The generation of {@link #voterSet()}, or 0 before one is known. */
+    /** Returns the generation of {@link #voterSet()}, or 0 before this core knows one. */
     long generation() {
         return voterSet() == null ? 0 : voterSet().generation();
     }
 
-    /** This core with its present disk, as a voter. */
+    /** Returns this core as a voter with its current disk. */
     Voter localVoter() {
         return new Voter(local.name(), local.address(), acceptor.diskId());
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -12,19 +12,19 @@
 /**
  * Membership on one core: decides which cores are voters and with which disks.
  *
- * <p>Passes messages and ticks to the state machines, in the order that they need, and is the only place where a newer voter set
- * comes into force:
+ * <p>Passes messages and ticks to the state machines below, in the order that they require. Every newer voter set is applied
+ * here, except the first one of a generation in which this core is a voter, which {@link GenerationStart} applies.
  *
  * <ul>
- *   <li>{@link VoterStatusExchange}: who is there, with which disk and how much state
+ *   <li>{@link VoterStatusExchange}: which cores are reachable, with which disk and whether they have state
  *   <li>{@link BootstrapProposer}: the first generation of a fleet without a configured number of cores
  *   <li>{@link GenerationRecovery} and {@link GenerationAcceptor}: the vote on a new generation when no majority with state is left
- *   <li>{@link GenerationStart}: the beginning of a generation that was chosen
+ *   <li>{@link GenerationStart}: the start of a generation that was chosen
  *   <li>{@link Reconfiguration}: changes of one voter while a majority votes
  * </ul>
  *
- * <p>Recovery comes before reconfiguration: while the former is in progress the voter set is not changed. What is stored before
- * which reply is stated in those classes. Not thread-safe; all calls on the node's event loop.
+ * <p>Recovery has priority over reconfiguration: while a recovery is in progress, no reconfiguration starts. Each class
+ * documents what it stores before it replies. Not thread-safe; all calls on the node's event loop.
  */
 public final class MembershipCoordinator {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -62,12 +62,12 @@
                 this::adopt);
     }
 
-    /** Whether enough other voters have reported to exclude that this disk is an older state of itself. */
+    /** Whether enough other voters have reported to rule out that this core's disk was restored to an older state. */
     public boolean isDiskVerified() {
         return statusExchange.isDiskVerified();
     }
 
-    /** Brings a voter set into force if it is newer than the present one, and drops the registers of older ones. */
+    /** Applies a voter set if it is newer than the current one, and then drops all registers that decide voter sets. */
     public void adopt(final VoterSet voterSet) {
         final boolean newer = voterSet.newerThan(context.voterSet());
         context.acceptor().updateVoterSet(voterSet);
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Sends the status, then advances bootstrap, recovery or reconfiguration, whichever is due. */
+    /** Sends this core's status if due, then advances bootstrap, recovery or reconfiguration. */
     public void onTick() {
         statusExchange.onTick(recovery.phase());
         context.acceptor().onTick(context.local().address());
@@ -113,7 +113,7 @@
         bootstrapProposer.get().onTick(candidates);
     }
 
-    /** Handles a message of another core; a {@link MembershipMessage.SurvivingStateRequest} is the node's to answer. */
+    /** Handles a message of another core, except {@link MembershipMessage.SurvivingStateRequest}, which the node answers. */
     public void onMessage(final MembershipMessage message) {
         if (message instanceof MembershipMessage.VoterStatus status) {
             onVoterStatus(status);
@@ -138,7 +138,8 @@
             return;
         }
         if (statusExchange.provesDiskRollback(status)) {
-            // What this core once promised may not be on its disk, so it must not remain the same voter.
+            // The disk may lack promises that this core has made, so the core must not vote again under the same disk
+            // identity.
             LOG.atSevere().log(
                     "event=disk_older node=%s written=%s knownWritten=%s reportedBy=%s",
                     context.local().name(), context.acceptor().syncedSeq(), status.recipientWritten(), status.name());
@@ -146,7 +147,7 @@
         }
         exchangeVoterSets(status);
         if (result == VoterStatusExchange.ReceiveResult.NEW_OR_RETURNED) {
-            // A peer that has just come should not have to wait for the next tick.
+            // A new or returned peer receives this core's status now instead of at the next tick.
             statusExchange.sendLocalStatus(status.address());
         }
     }
@@ -156,7 +157,7 @@
             if (status.voterSet() != null) {
                 adopt(status.voterSet());
             } else {
-                // The peer answers a status with an older voter set by sending its own.
+                // The peer replies to a status with an older voter set by sending its own voter set.
                 statusExchange.sendLocalStatus(status.address());
             }
             return;
@@ -174,7 +175,7 @@
             case NOT_A_VOTER -> adopt(initialState.voterSet());
             case STARTED -> recovery.onGenerationStarted();
             case KNOWN_GENERATION, OUTDATED -> {
-                // Nothing else depends on it.
+                // GenerationStart has handled the message, and no other state machine is affected.
             }
         }
     }
--- a/spokestall/src/main/java/spokestall/membership/MembershipEnvironment.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipEnvironment.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** What membership needs of the node around it. All calls are made on the node's event loop. */
+/** Callbacks from membership to the node that runs it. All calls are made on the node's event loop. */
 public interface MembershipEnvironment {
-    /** What this node could contribute to a new generation at this moment. */
+    /** Returns the state that this node could contribute to a new generation now. */
     SurvivingState survivingState();
 
-    /** Addresses of all other nodes known, cores and edges. */
+    /** Returns the addresses of all other known nodes, cores and edges. */
     List<String> otherNodeAddresses();
 
-    /** Addresses of the other cores known. */
+    /** Returns the addresses of the other known cores. */
     List<String> otherCoreAddresses();
 
-    /** A disk identity that was never used before; each call draws a new one. */
+    /** Generates a disk identity that was never used before. */
     String freshDiskId();
 
-    /** Whether the fleet clock has settled. No generation is begun before, since its number is taken from that clock. */
+    /** Whether the fleet clock has settled. No generation starts earlier, since generation numbers are taken from that clock. */
     boolean isFleetClockSettled();
 }
--- a/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipMessage.java
@@ -7,20 +7,23 @@
 import spokestall.message.Message;
 import spokestall.message.SinceVersion;
 
-/** Messages between cores about who can vote, and of the vote on a new generation. Written by the order of their fields. */
+/**
+ * Messages between cores: voter statuses, and the vote on a new generation. Written by the order of their fields.
+ */
 public sealed interface MembershipMessage extends Message {
     /**
-     * A core's report on itself, sent to every core it knows.
+     * Status of the sending core, which it sends to every core it knows.
      *
      * <p>{@code silentVoters} and {@code removableVoters} have one bit for each position in the voter set that {@code generation}
-     * and {@code epoch} name. {@code written} is the sequence number up to which the sender's disk is written;
-     * {@code recipientDiskFingerprint} and {@code recipientWritten} are what it knows of the recipient's disk, so that a core
-     * whose disk was restored to an older state finds out.
+     * and {@code epoch} identify. {@code written} is the highest sequence number synced to the sender's disk.
+     * {@code recipientDiskFingerprint} and {@code recipientWritten} are the fingerprint of the recipient's disk identity and the
+     * highest sequence number that the sender has seen reported for that disk, so that a core can detect that its own disk was
+     * restored to an older state.
      *
      * @param voterSet the sender's voter set, or null if the recipient has it already or the sender knows none
-     * @param hasState whether its disk has complete state of its generation
-     * @param bootstrapCandidate whether it may be a voter of the first generation
-     * @param catchingUp whether it is a voter that still reads state from the others
+     * @param hasState whether the sender's disk has the complete state of its generation
+     * @param bootstrapCandidate whether the sender may become a voter of the first generation
+     * @param catchingUp whether the sender is a voter that is still reading state from the other voters
      */
     record VoterStatus(
             String name,
@@ -40,13 +43,16 @@
             @SinceVersion(4) long recipientDiskFingerprint,
             @SinceVersion(4) long recipientWritten)
             implements MembershipMessage {
-        /** Before version 3 the voter set is always there, and its numbers are nowhere else. */
+        /**
+         * Takes the generation and epoch from the voter set if there is one: messages before version 3 always carry the voter set
+         * and lack the two separate fields.
+         */
         public VoterStatus {
             generation = voterSet == null ? generation : voterSet.generation();
             epoch = voterSet == null ? epoch : voterSet.epoch();
         }
 
-        /** The same status with how far the sender's and the recipient's disks are written. */
+        /** Returns a copy with the write progress of the sender's and the recipient's disks. */
         VoterStatus withWriteProgress(
                 final long ownWritten, final long recipientFingerprint, final long recipientProgress) {
             return new VoterStatus(
@@ -68,7 +74,7 @@
                     recipientProgress);
         }
 
-        /** The same status with only the numbers of the voter set. */
+        /** Returns a copy without the voter set, which keeps its generation and epoch. */
         VoterStatus withoutVoterSet() {
             return new VoterStatus(
                     name,
@@ -89,23 +95,26 @@
                     recipientWritten);
         }
 
-        /** Whether the sender knows that this disk was once written further than it is now. */
+        /** Whether the sender has seen a higher sequence number from this disk than the disk has now. */
         public boolean provesDiskRollback(final String localDiskId, final long localWritten) {
             return recipientWritten > localWritten && recipientDiskFingerprint == Fingerprints.of(localDiskId);
         }
 
-        /** Whether the sender has a newer voter set than this one, which may be null. */
+        /** Whether the sender's voter set is newer than {@code local}, which may be null. */
         public boolean hasNewerVoterSetThan(final VoterSet local) {
             return generation > 0 && new VoterSet(generation, epoch, List.of()).newerThan(local);
         }
 
-        /** Whether the sender lacks this voter set, which may be null. */
+        /** Whether the sender's voter set is missing or older than {@code local}, which may be null. */
         public boolean lacksVoterSet(final VoterSet local) {
             return local != null && (generation == 0 || local.newerThan(new VoterSet(generation, epoch, List.of())));
         }
     }
 
-    /** Phase one of the vote that ends generation {@code baseGeneration}; {@code epoch} is that of the sender's voter set. */
+    /**
+     * Request of phase one of the vote on the successor of generation {@code baseGeneration}; {@code epoch} is that of the sender's
+     * voter set.
+     */
     record GenerationPrepare(
             String from,
             long baseGeneration,
@@ -113,8 +122,8 @@
             @SinceVersion(3) long epoch) implements MembershipMessage {}
 
     /**
-     * The reply to {@link GenerationPrepare}. If granted, it has what this core accepted before, if anything, and what it still
-     * has; otherwise both are null.
+     * Reply to {@link GenerationPrepare}. A granted promise carries the initial state that this core has accepted already, or null,
+     * and its surviving state; in a rejection both are null.
      */
     record GenerationPromise(
             long baseGeneration,
@@ -129,21 +138,21 @@
             SurvivingState survivingState)
             implements MembershipMessage {}
 
-    /** Phase two of the vote that ends generation {@code baseGeneration}. */
+    /** Request of phase two of the vote on the successor of generation {@code baseGeneration}. */
     record GenerationAccept(String from, long baseGeneration, ProposalNumber proposalNumber, InitialState initialState)
             implements MembershipMessage {}
 
-    /** The reply to {@link GenerationAccept}. */
+    /** Reply to {@link GenerationAccept}. */
     record GenerationAccepted(
             long baseGeneration, ProposalNumber proposalNumber, String name, boolean granted, ProposalNumber promised)
             implements MembershipMessage {}
 
-    /** A new generation was chosen and starts from this state. */
+    /** Notification that a new generation was chosen and starts from this state. */
     record GenerationStarted(InitialState initialState) implements MembershipMessage {}
 
-    /** Requests what a node of any role still has. */
+    /** Request for the surviving state of a node of any role. */
     record SurvivingStateRequest(String from) implements MembershipMessage {}
 
-    /** The reply to {@link SurvivingStateRequest}. */
+    /** Reply to {@link SurvivingStateRequest}. */
     record SurvivingStateResponse(SurvivingState survivingState) implements MembershipMessage {}
 }
--- a/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
+++ b/spokestall/src/main/java/spokestall/membership/PeerLiveness.java
@@ -6,8 +6,8 @@
 import spokestall.consensus.VoterSet;
 
 /**
- * Records since when this core has not received anything from each other voter. A pause of this core itself resets the record, so
- * that it does not make the others look silent. Not thread-safe; all calls on the node's event loop.
+ * Records when this core last received a status from each other voter. A pause of this core itself resets all records, so that
+ * the other voters do not appear silent after it. Not thread-safe; all calls on the node's event loop.
  */
 final class PeerLiveness {
     private final long pauseThresholdMillis;
@@ -15,12 +15,12 @@
     private VoterSet voterSet;
     private long lastTickMillis = -1;
 
-    /** Creates a record; ticks further apart than {@code pauseThresholdMillis} mean that this core was paused. */
+    /** Creates an empty record. Ticks further apart than {@code pauseThresholdMillis} mean that this core was paused. */
     PeerLiveness(final long pauseThresholdMillis) {
         this.pauseThresholdMillis = pauseThresholdMillis;
     }
 
-    /** Follows the voter set in force. The silence of a voter that is new or has another disk begins now. */
+    /** Updates the records to the current voter set. The silence of a voter that is new or has changed is counted from now. */
     void onTick(final VoterSet current, final long nowMillis) {
         if (lastTickMillis >= 0 && nowMillis - lastTickMillis > pauseThresholdMillis) {
             lastReceivedMillis.clear();
@@ -36,14 +36,14 @@
         voterSet = current;
     }
 
-    /** Records that the core of this name sent something. */
+    /** Records a status from the core with this name. */
     void onMessage(final String core, final long nowMillis) {
         lastReceivedMillis.replace(core, nowMillis);
     }
 
     /**
-     * Returns the voters that were silent for longer than the bound, one bit for each position in the voter set. The bit of
-     * {@code localName} is never set.
+     * Returns the voters that have been silent for longer than the threshold, as a bit set of positions in the voter set. The bit
+     * of {@code localName} is never set.
      */
     long silentVoters(
             final VoterSet voters, final String localName, final long silenceThresholdMillis, final long nowMillis) {
--- a/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
+++ b/spokestall/src/main/java/spokestall/membership/Reconfiguration.java
@@ -10,12 +10,13 @@
 import spokestall.message.MessageCodec;
 
 /**
- * Changes the voter set by one voter at a time while a majority votes: joins, gets a new address or disk, or removes a voter that
- * does not come back.
+ * Changes the voter set by one voter at a time while a majority votes: adds this core, updates its address or disk, or removes a
+ * voter that stays silent.
  *
- * <p>The voter set of the next epoch is agreed in a register of its own, by a majority of the present one; whoever proposes second
- * finds the first proposal there and adopts it. Only an agreed voter set is adopted, and the acceptor votes under it only once it
- * is stored. Transitions: IDLE -> PROPOSING when a change is due, PROPOSING -> IDLE when the proposal ends, whatever its outcome.
+ * <p>A majority of the current voters agrees on the voter set of the next epoch in a register for that epoch. A second proposer
+ * finds the first voter set in the register and adopts it. Only an agreed voter set is adopted, and the acceptor votes under it
+ * only after storing it. Transitions: IDLE -> PROPOSING when a change is due, PROPOSING -> IDLE when the proposal ends with any
+ * outcome.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -25,19 +26,19 @@
         PROPOSING
     }
 
-    /** Is notified of the voter set that was agreed. */
+    /** Receives the agreed voter sets. */
     @FunctionalInterface
     interface VoterSetListener {
-        /** Called with each voter set read from its register, which may be known already. */
+        /** Called with each voter set that was read from its register; this core may know it already. */
         void onVoterSetAgreed(VoterSet voterSet);
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** After so many rounds of resignation with a voting majority elsewhere this core starts over. */
+    /** Number of rounds after which a resigned core restarts as a blank voter, if a majority still votes. */
     private static final int ROUNDS_RESIGNED_MAX = 4;
-    /** A proposal to a voting majority has this many rounds. */
+    /** Timeout of a proposal, in rounds. */
     private static final int PROPOSAL_TIMEOUT_ROUNDS = 2;
-    /** So many times the bound of silence until others must have reported a silent voter. */
+    /** Multiple of the silence threshold after which the other voters must have reported a silent voter. */
     private static final int JOIN_WAIT_SILENCE_PERIODS = 2;
 
     private static final long UNSET = -1;
@@ -72,7 +73,7 @@
         phase = next;
     }
 
-    /** Proposes the change that is due, if any and if a majority is there to agree on it. */
+    /** Proposes the change that is due, if there is one and a majority votes. */
     void onTick(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final VoterSet voterSet = context.voterSet();
         if (voterSet == null || phase == Phase.PROPOSING || !context.acceptor().canWrite()) {
@@ -110,7 +111,10 @@
         return voting >= voterSet.majority();
     }
 
-    /** The vote on a new generation that this core resigned for came to nothing, since the old one still has a majority. */
+    /**
+     * Restarts this core as a blank voter if it has been resigned for too long: the old generation still has a majority, so the
+     * vote on a new generation, for which this core resigned, did not succeed.
+     */
     private void restartIfResignedTooLong() {
         resignedSinceMillis = resignedSinceMillis == UNSET ? context.nowMillis() : resignedSinceMillis;
         if (context.nowMillis() - resignedSinceMillis
@@ -119,7 +123,7 @@
         }
     }
 
-    /** Whether this core's disk is a voter under an address that this core no longer has. */
+    /** Whether the voter set lists this core's disk under a former address of this core. */
     private boolean hasAddressChanged(final VoterSet voterSet) {
         final Voter voter = voterSet.voter(context.local().name());
         return voter != null
@@ -128,8 +132,8 @@
     }
 
     /**
-     * Proposes this core as a voter. A disk identity that has voted and is no voter any more must never become one again, since it
-     * does not know what it missed: it is replaced first.
+     * Proposes this core as a voter. A disk identity that has voted and has lost its slot must never become a voter again, since
+     * its state lacks the changes made meanwhile; this core replaces such an identity first.
      */
     private void join(final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
         if (context.acceptor().mayHaveVoted()) {
--- a/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
+++ b/spokestall/src/main/java/spokestall/membership/ReconfigurationPlanner.java
@@ -8,18 +8,18 @@
 import spokestall.consensus.VoterSet;
 
 /**
- * Chooses the one voter that the next epoch changes. It only plans: {@link Reconfiguration} has the voter set agreed.
+ * Plans the voter set of the next epoch, which changes one voter; {@link Reconfiguration} proposes it.
  *
- * <p>A voter counts as silent or as removable only when a majority of the voters report it so under the very same voter set.
- * Statuses are passed by the name of the core, those received of late and this core's own. Stateless but for its constructor's
- * values; all calls on the node's event loop.
+ * <p>A voter counts as silent or removable only if a majority of the voters report it as such under the same voter set. The status
+ * maps are keyed by core name and contain the current statuses of the peers and this core's own. Immutable; all calls on the
+ * node's event loop.
  */
 final class ReconfigurationPlanner {
-    /** How a joining core treats voters without a current status. */
+    /** Whether a joining core still waits for voters without a current status. */
     enum JoinWait {
-        /** It waits for them, since one of them may turn out silent and leave its slot. */
+        /** The core waits, since one of these voters may be reported silent, and the core can then take its slot. */
         WAIT_FOR_UNREPORTED_VOTERS,
-        /** It has waited so long that the others would have reported them silent. */
+        /** The core has waited long enough for the other voters to have reported these voters as silent. */
         WAIT_EXPIRED
     }
 
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns the voter set with this core in it, or empty while it should wait. In this order it takes the slot of its own name,
-     * that of its own address, that of a silent voter, or else a new one.
+     * Returns the next voter set with this core as a voter, or empty while the core should wait. The core takes the slot with its
+     * own name, else the slot with its own address, else the slot of a silent voter, else a new slot.
      */
     Optional<VoterSet> withLocalVoter(
             final VoterSet voterSet,
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Whether the voter set survives the tolerated loss with this voter, or with it and all cores that wait to join, or does not
-     * survive it now anyway. Adding a third of four voters in one region, for example, would make that region's loss the loss
-     * of the majority.
+     * Whether the voter set survives the tolerated loss with this voter added, or with this voter and all other waiting cores
+     * added, or does not survive it even now. For example, if three regions have one voter each and a region may be lost, a second
+     * voter in one region would make the loss of that region the loss of the majority.
      */
     private boolean isAdditionSafe(
             final VoterSet voterSet,
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Returns the voter set without its first removable voter, or empty if this core should not propose that. A set of odd size
-     * keeps it: with one voter silent it needs as many votes as the set of even size below it.
+     * Returns the voter set without its first removable voter, or empty if this core should not propose a removal. A voter set of
+     * odd size keeps a silent voter: the even-sized set without that voter would need just as many votes for a majority.
      */
     Optional<VoterSet> withoutRemovableVoter(
             final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
@@ -116,7 +116,7 @@
         return voters.size() - toleratedLoss.maxVotersLost(voters) >= voterSet.majority();
     }
 
-    /** Only the first voting core by name proposes a removal, so that they do not all propose the same at once. */
+    /** Whether this core is the first voting core by name. Only that core proposes a removal, to avoid concurrent proposals. */
     private boolean isFirstVotingCore(
             final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
         for (final MembershipMessage.VoterStatus status : statuses.values()) {
@@ -127,7 +127,7 @@
         return false;
     }
 
-    /** A core that waits to join takes the slot of the removable voter. */
+    /** Whether a core is waiting to join. It can take the slot of the removable voter, so no removal is proposed. */
     private static boolean isJoinerWaiting(
             final VoterSet voterSet, final Map<String, MembershipMessage.VoterStatus> statuses) {
         return statuses.values().stream()
--- a/spokestall/src/main/java/spokestall/membership/RecoveryElectorate.java
+++ b/spokestall/src/main/java/spokestall/membership/RecoveryElectorate.java
@@ -1,7 +1,7 @@
 package spokestall.membership;
 
 /**
- * The cores that vote on the next generation: the voters of the set that it ends. Before the first generation of a fleet whose
+ * The cores that vote on the next generation: the voters of the current voter set. Before the first generation of a fleet whose
  * number of cores is configured, every core votes. Not thread-safe; all calls on the node's event loop.
  */
 final class RecoveryElectorate {
@@ -11,19 +11,19 @@
         this.context = context;
     }
 
-    /** How many cores may vote. */
+    /** Returns the number of cores that may vote. */
     int size() {
         return context.voterSet() == null
                 ? context.settings().configuredCores()
                 : context.voterSet().voters().size();
     }
 
-    /** How many votes decide. */
+    /** Returns the number of votes that decide. */
     int majority() {
         return size() / 2 + 1;
     }
 
-    /** Whether the core of this name may vote. */
+    /** Whether the core with this name may vote. */
     boolean contains(final String core) {
         return context.voterSet() == null
                 ? context.settings().configuredCores() != 0
--- a/spokestall/src/main/java/spokestall/membership/ToleratedLoss.java
+++ b/spokestall/src/main/java/spokestall/membership/ToleratedLoss.java
@@ -6,6 +6,6 @@
 /** The largest simultaneous loss that the fleet is configured to survive. */
 @FunctionalInterface
 public interface ToleratedLoss {
-    /** Returns how many of these voters that loss can take at the most. */
+    /** Returns the maximum number of these voters that this loss can affect. */
     int maxVotersLost(List<Voter> voters);
 }
--- a/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
+++ b/spokestall/src/main/java/spokestall/membership/VoterStatusExchange.java
@@ -11,26 +11,27 @@
 import spokestall.message.Fingerprints;
 
 /**
- * Sends this core's status to the others and keeps the last status received from each of them.
+ * Sends this core's status to the other cores and keeps the last status received from each of them.
  *
- * <p>Each status says how far the sender's disk is written and how far it knows the recipient's disk to be. A core whose disk was
- * restored to an older state therefore finds out from the first peer that remembers more ({@link #provesDiskRollback}); until enough
- * peers have spoken to exclude that, {@link #isDiskVerified} is false and the node gives no vote. All of it is kept in memory.
+ * <p>Each status contains the highest sequence number synced to the sender's disk and the highest one that the sender has seen for
+ * the recipient's disk. A core whose disk was restored to an older state therefore learns this from the first peer that has seen a
+ * higher number ({@link #provesDiskRollback}). Until enough peers have reported to rule out a rollback, {@link #isDiskVerified} is
+ * false and the node does not vote. All statuses are kept in memory only.
  *
- * <p>Not thread-safe; all calls on the node's event loop. At most {@link #PEERS_MAX} peers are kept.
+ * <p>Not thread-safe; all calls on the node's event loop. Keeps at most {@link #PEERS_MAX} peers.
  */
 final class VoterStatusExchange {
-    /** What a received status was to this core. */
+    /** How a received status was handled. */
     enum ReceiveResult {
-        /** The maximum number of peers is kept already; the status was not recorded. */
+        /** The status was not recorded, because the maximum number of peers is kept already. */
         REJECTED,
-        /** The first status of this peer, or the first after a pause. */
+        /** The status is the first of this peer, or the first after its previous status was no longer fresh. */
         NEW_OR_RETURNED,
-        /** The peer's last status is still fresh. */
+        /** The peer's previous status was still fresh. */
         KNOWN
     }
 
-    /** Last status of a peer, and the highest sequence number it reported of its present disk. */
+    /** Last status of a peer, and the highest sequence number that it has reported for its current disk. */
     private record PeerStatus(MembershipMessage.VoterStatus status, long receivedMillis, long writtenMax) {
         private PeerStatus next(final MembershipMessage.VoterStatus newer, final long nowMillis) {
             final boolean sameDisk = status.diskId().equals(newer.diskId());
@@ -39,7 +40,7 @@
     }
 
     private static final int PEERS_MAX = 4 * VoterSet.VOTERS_MAX;
-    /** After so many unchanged status intervals a core sends its status once an interval instead of on every tick. */
+    /** Number of status intervals without a change after which a core sends one status per interval instead of one per tick. */
     private static final int UNCHANGED_INTERVALS_TO_SETTLE = 3;
 
     private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
@@ -53,7 +54,7 @@
     private long lastAnnouncedMillis = NEVER_MILLIS;
     private long statusChangedMillis;
 
-    /** Creates an exchange without any peer; {@code bootstrapCandidate}: this core may be a voter of the first generation. */
+    /** Creates an exchange without peers; {@code bootstrapCandidate} is true if this core may join the first voter set. */
     VoterStatusExchange(
             final MembershipContext context,
             final MembershipEnvironment environment,
@@ -64,7 +65,7 @@
         this.liveness = new PeerLiveness(context.timeouts().statusIntervalMillis());
     }
 
-    /** This core's status, with its voter set and without progress of disks. */
+    /** Returns this core's status with its voter set, but without the write progress of disks. */
     MembershipMessage.VoterStatus localStatus() {
         final Acceptor acceptor = context.acceptor();
         return new MembershipMessage.VoterStatus(
@@ -109,7 +110,7 @@
         return previous == null || !isFresh(previous) ? ReceiveResult.NEW_OR_RETURNED : ReceiveResult.KNOWN;
     }
 
-    /** Whether the sender knows that this core's disk was once written further than it is now. */
+    /** Whether the sender has seen a higher sequence number from this core's disk than the disk has now. */
     boolean provesDiskRollback(final MembershipMessage.VoterStatus status) {
         return status.provesDiskRollback(
                         context.acceptor().diskId(), context.acceptor().syncedSeq())
@@ -117,8 +118,8 @@
     }
 
     /**
-     * Whether so many other voters have reported in this incarnation that any majority includes one of them: had this disk been
-     * written further than it is, one of them would have reported it.
+     * Whether enough other voters have reported in this incarnation to form a majority together with this core. If this disk had
+     * been restored to an older state, one of them would have reported the higher sequence number.
      */
     boolean isDiskVerified() {
         final VoterSet voterSet = context.voterSet();
@@ -136,7 +137,7 @@
         return context.nowMillis() - peer.receivedMillis <= context.timeouts().statusFreshMillis();
     }
 
-    /** The statuses received of late, and this core's own, by name in ascending order. */
+    /** Returns the fresh statuses of peers and this core's own status, in ascending order of names. */
     Map<String, MembershipMessage.VoterStatus> freshStatuses() {
         final Map<String, MembershipMessage.VoterStatus> fresh = new TreeMap<>();
         peers.forEach((name, peer) -> {
@@ -149,8 +150,8 @@
     }
 
     /**
-     * Sends the status to the cores, less often while nothing changes; to edges too while this core knows no voter set, since
-     * theirs may be the last there is.
+     * Sends this core's status to the other cores, less often while nothing changes. While this core knows no voter set, also sends
+     * the status to edges once per interval, since an edge may be the only node that still knows the voter set.
      */
     void onTick(final GenerationRecovery.Phase recoveryPhase) {
         if (context.voterSet() != null) {
@@ -196,7 +197,7 @@
         }
     }
 
-    /** Sends the status, with the voter set, to one peer outside the regular interval. */
+    /** Sends this core's status, with the voter set, to one peer immediately. */
     void sendLocalStatus(final String to) {
         send(to, localStatus());
     }
