--- a/spokestall/src/test/java/spokestall/membership/BootstrapAcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/membership/BootstrapAcceptorTest.java
@@ -10,7 +10,7 @@
 import spokestall.consensus.Voter;
 import spokestall.consensus.VoterSet;
 
-/** Three edges are the seeds. */
+/** Tests the acceptors of three edges, which are the seeds. */
 class BootstrapAcceptorTest {
     private static final List<String> SEEDS = List.of("s0", "s1", "s2");
     private static final ProposalNumber NUMBER_OF_A = new ProposalNumber(1, "a");
@@ -20,7 +20,7 @@
     private static final InitialState STATE_OF_B =
             new InitialState(new VoterSet(8, 1, List.of(new Voter("b", "b", "y"))), List.of());
 
-    /** An edge that knows no voter set and has no disk to mark. */
+    /** Environment of an edge that knows no voter set and has no disk to mark. */
     private static final class EdgeEnvironment implements BootstrapAcceptor.Environment {
         @Override
         public VoterSet voterSet() {
@@ -60,7 +60,7 @@
         acceptors.get(seed).onMessage(new BootstrapMessage.Accept(from, SEEDS, number, state));
     }
 
-    /** A's proposal is accepted by seeds 0 and 1, which are a majority. */
+    /** Has seeds 0 and 1, a majority, accept the proposal of A. */
     private void acceptProposalOfA() {
         prepare(0, "a", NUMBER_OF_A);
         prepare(1, "a", NUMBER_OF_A);
@@ -81,7 +81,7 @@
         accept(1, "b", NUMBER_OF_B, STATE_OF_B);
         accept(2, "b", NUMBER_OF_B, STATE_OF_B);
         assertThat(sent)
-                .as("one seed of three")
+                .as("promises of the one remaining eligible seed")
                 .filteredOn(message -> message instanceof BootstrapMessage.Promise)
                 .hasSize(1);
         assertThat(sent)
@@ -89,7 +89,7 @@
                 .hasSize(1);
     }
 
-    /** The seed that restarted votes no more, so B's majority would need seed 0, which reports what it accepted. */
+    /** The restarted seed no longer votes, so the majority of B needs seed 0, which reports the state it has accepted. */
     @Test
     void aPromiseIncludesThePreviouslyAcceptedState() {
         acceptProposalOfA();
--- a/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
+++ b/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.consensus.Acceptor;
 
-/** The first generation of simulated fleets whose number of cores is not configured. */
+/** Tests the first generation in simulated fleets whose number of cores is not configured. */
 class BootstrapProposerTest {
     private static final int RANDOM_FLEETS = 200;
     private static final int RESTARTING_FLEETS = 60;
@@ -16,7 +16,7 @@
         return fleet.startedGenerations.getOrDefault(0L, Set.of());
     }
 
-    /** Nodes start late and restart while messages are lost. */
+    /** Nodes start at different times and restart while messages are lost. */
     @Test
     void noFleetHasTwoFirstGenerations() {
         int bootstrapped = 0;
@@ -56,7 +56,10 @@
         }
     }
 
-    /** Restarted incarnations that are wrongly configured as first are the fault that the check of two generations must find. */
+    /**
+     * Injects a fault: each restarted incarnation is wrongly configured as first, and edges do not store their votes. The check for
+     * two first generations must detect this.
+     */
     @Test
     void detectsSeedsThatForgetTheirPromises() {
         int fleetsWithTwoGenerations = 0;
@@ -81,7 +84,7 @@
         assertThat(fleetsWithTwoGenerations).isPositive();
     }
 
-    /** A core that is wrongly configured as first on each restart has a disk that contradicts it. */
+    /** Cores are wrongly configured as first on each restart, but their disks are no longer blank. */
     @Test
     void aSeedWithADiskVotesInOnlyOneIncarnation() {
         for (int seed = 0; seed < RESTARTING_FLEETS; seed++) {
--- a/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.Test;
 import spokestall.consensus.Acceptor;
 
-/** New generations in simulated fleets that lost the disks of a majority. */
+/** Tests new generations in simulated fleets that have lost the disks of a majority. */
 class GenerationRecoveryTest {
     private static final int RANDOM_FLEETS = 60;
     private static final int SLOW_FLEETS = 10;
     private static final int INTERRUPTED_FLEETS = 20;
 
-    /** Cores c0 to c5 vote; the first three are lost below. */
+    /** Starts a fleet in which cores c0 to c5 vote. */
     private static MembershipTestFleet sixCores(final long seed) {
         final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 6, 2, 1);
         fleet.startAll();
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Most disks are lost, perhaps all, while cores under new names start. */
+    /** Random cores, up to all of them, lose their disks or stop, while cores with new names start. */
     @Test
     void aGenerationHasOnlyOneSuccessorWhileVotersAreAdded() {
         int recovered = 0;
@@ -83,7 +83,7 @@
         assertThat(fleet.allCoresVote()).as(fleet.describe()).isTrue();
     }
 
-    /** Half of the disks are lost; the other half's are slow, but no state is left out. */
+    /** Half of the disks are lost and the other half are slow, but the recovery merges the state of each slow disk. */
     @Test
     void recoveryWaitsForACoreWithStateWhoseDiskIsSlow() {
         for (int seed = 0; seed < SLOW_FLEETS; seed++) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** The proposer is lost after the others promised: they have resigned, and the next proposer needs their state. */
+    /** The proposer stops after other cores have promised and resigned, and the next proposer needs their state. */
     @Test
     void anInterruptedRecoveryMergesAllSurvivingState() {
         for (int seed = 0; seed < INTERRUPTED_FLEETS; seed++) {
--- a/spokestall/src/test/java/spokestall/membership/GracefulHandoverTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GracefulHandoverTest.java
@@ -14,7 +14,7 @@
     private static final int FLEETS = 20;
     private static final int VALUES = 20;
 
-    /** Values are accepted by four of six voters only, one of which leaves gracefully. */
+    /** Only four of six voters accept the values, and one of the four then leaves gracefully. */
     @Test
     void theRemainingMajorityHoldsAllAcceptedValuesAfterAHandover() {
         for (int seed = 0; seed < FLEETS; seed++) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Returns the values that were confirmed, filled as the fleet runs. */
+    /** Proposes the values and returns a map of the confirmed ones, which fills while the fleet runs. */
     private static Map<String, String> writeValues(final MembershipTestFleet fleet) {
         final Map<String, String> confirmed = new TreeMap<>();
         for (int i = 0; i < VALUES; i++) {
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
@@ -15,15 +15,16 @@
 import spokestall.consensus.VoterSet;
 
 /**
- * One run of a fleet in three regions through losses drawn from a seed, never more of them at once than must be tolerated (a
- * region): disks wiped, nodes replaced with and without a handover, twice over, killed, cut off, all killed. Two proposers at a time
- * write each value once.
+ * One run of a fleet in three regions through random losses, which depend on a seed. Each loss stays within the tolerated loss of
+ * one region, except that all cores may stop at once and keep their disks. Disks are wiped, nodes are replaced with and without a
+ * handover, replacements are replaced again, and nodes are killed or partitioned. Two proposers concurrently propose different
+ * values for each key, which may be written only once.
  *
- * <p>Checks that no value is confirmed twice differently, that each is on enough disks after every step, that no second generation
- * is ever started, and that all cores vote by the time the next loss may come.
+ * <p>Checks that no key is confirmed with two different values, that enough disks hold each confirmed value after every step, that
+ * no second generation ever starts, and that all voters that are up vote before the next loss.
  */
 final class MembershipModelRun {
-    /** What a run without a violation found. */
+    /** Result of a run without a violation. */
     record Summary(int confirmed, int fewestCopies, int fewestCopiesWhenSettled) {}
 
     private enum Loss {
@@ -36,7 +37,7 @@
     }
 
     private static final int CATCH_UP_MILLIS = 4000;
-    /** As long with one message in twelve lost, which transports would have sent again. */
+    /** Catch-up time while up to one message in twelve is lost, which real transports would retransmit. */
     private static final int CATCH_UP_LOSSY_MILLIS = 6000;
 
     private static final int CORES = 6;
@@ -54,7 +55,7 @@
     private int fewestCopiesWhenSettled = Integer.MAX_VALUE;
     private int fewestCopies = Integer.MAX_VALUE;
 
-    /** Starts the fleet; the fault is injected once it has settled. */
+    /** Starts the fleet, and injects the fault once the fleet has settled. */
     MembershipModelRun(final long seed, final Consumer<MembershipTestFleet> injectedFault) {
         this.seed = seed;
         fleet = new MembershipTestFleet(seed);
@@ -113,7 +114,7 @@
         fewestCopies = Math.min(fewestCopies, copies.fewest());
     }
 
-    /** Runs on, with writes, and with checks of the copies now and then and at the end. */
+    /** Advances the fleet with concurrent writes, and checks the copies at random times and at the end. */
     private void runWithWrites(final long spanMillis) {
         final long untilMillis = fleet.nowMs() + spanMillis;
         while (fleet.nowMs() < untilMillis) {
@@ -126,7 +127,7 @@
         checkCopies();
     }
 
-    /** The span after which whoever came back or is new no longer counts as lost. */
+    /** Runs until restarted and new cores have had time to catch up, after which they no longer count as lost. */
     private void settle() {
         runWithWrites(fleet.loss == 0 ? CATCH_UP_MILLIS : CATCH_UP_LOSSY_MILLIS);
         assertThat(survivesNextLoss()).as(describe()).isTrue();
@@ -137,7 +138,7 @@
                 Math.min(fewestCopiesWhenSettled, fleet.countCopies(confirmed).fewest());
     }
 
-    /** Whether every voter that is up votes, and whichever region is lost next, a majority of the voters still does. */
+    /** Whether every voter that is up votes, and a majority of the voters remains after the loss of any one region. */
     private boolean survivesNextLoss() {
         final VoterSet voterSet = fleet.newestVoterSet();
         final List<MembershipTestNode> voters = fleet.cores().stream()
@@ -153,7 +154,7 @@
         return survives;
     }
 
-    /** Cores of one region, one or several or all of them. */
+    /** Returns a random non-empty subset of the cores of one region. */
     private List<MembershipTestNode> randomCoresIn(final int region) {
         final List<MembershipTestNode> all = new ArrayList<>(
                 fleet.cores().stream().filter(core -> core.region() == region).toList());
@@ -187,7 +188,11 @@
         }
     }
 
-    /** Each is removed for good and a blank one starts, itself perhaps lost again during catch-up, with the rest of the region. */
+    /**
+     * Removes cores of the region permanently and starts a blank successor for each. At random, one successor is removed and
+     * replaced during its catch-up, and at random, disks of the region are wiped once its newest core votes or two seconds have
+     * passed.
+     */
     private void replace(final int region) {
         final List<MembershipTestNode> cores = randomCoresIn(region);
         cores.forEach(MembershipTestNode::removeForGood);
@@ -215,7 +220,7 @@
         checkCopies();
     }
 
-    /** The new core starts first, then the old one hands over and leaves. */
+    /** Replaces cores one by one: starts the new core first, then the old core hands over and leaves. */
     private void replaceGracefully(final int region) {
         for (final MembershipTestNode old : randomCoresIn(region)) {
             addCore(region).start();
@@ -225,7 +230,7 @@
         }
     }
 
-    /** Cut off in one direction or both, from all nodes or from cores only, perhaps restarted meanwhile. */
+    /** Partitions cores of the region in one direction or both, from all nodes or from cores only, and may restart them meanwhile. */
     private void partition(final int region) {
         final List<MembershipTestNode> cores = randomCoresIn(region);
         final int directions = 1 + random(3);
@@ -244,7 +249,7 @@
             cores.forEach(MembershipTestNode::start);
         }
         if (random(3) == 0) {
-            // A core starts while the others are silent, and may take the slot of one of them.
+            // A core starts while the partitioned cores are silent, and may take the slot of one of them.
             addCore(region).start();
             runWithWrites(random(9000));
             cores.get(0).removeForGood();
@@ -255,7 +260,7 @@
         }
     }
 
-    /** Cores that were away long enough to lose their slots, perhaps, restart again and again as they join anew. */
+    /** Restarts cores repeatedly while they rejoin. They may have been partitioned long enough to lose their slots. */
     private void restartWhileRejoining(final List<MembershipTestNode> cores) {
         final List<MembershipTestNode> remaining =
                 cores.stream().filter(core -> !core.removed).toList();
@@ -288,7 +293,7 @@
         }
     }
 
-    /** Runs through all losses; throws an AssertionError at the first violation. */
+    /** Runs all losses; throws an {@link AssertionError} at the first violation. */
     Summary run() {
         settle();
         for (int i = 0; i < LOSSES; i++) {
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** {@link MembershipModelRun}s of several seeds, without and with an injected fault. */
+/** Runs {@link MembershipModelRun} with several seeds, without and with an injected fault. */
 class MembershipModelTest {
     private static final int SEEDS = Integer.getInteger("seeds", 12);
     private static final int FAULTY_SEEDS = 4;
@@ -20,12 +20,13 @@
             confirmed += summary.confirmed();
             fewestCopies = Math.min(fewestCopies, summary.fewestCopies());
             assertThat(summary.fewestCopiesWhenSettled())
-                    .as("copies in calm times, seed " + seed)
+                    .as("copies after settling, seed " + seed)
                     .isGreaterThanOrEqualTo(COPIES_WHEN_SETTLED_MIN);
         }
         assertThat(confirmed).isGreaterThan(SEEDS * CONFIRMED_WRITES_PER_SEED_MIN);
         assertThat(fewestCopies).isPositive();
-        System.out.printf("%d seeds, %d confirmed, %d copies at the least%n", SEEDS, confirmed, fewestCopies);
+        System.out.printf(
+                "%d seeds, %d confirmed values, at least %d copies of each%n", SEEDS, confirmed, fewestCopies);
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestFleet.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestFleet.java
@@ -23,8 +23,9 @@
 import spokestall.time.EventClock;
 
 /**
- * A fleet of unknown size in virtual time: cores and edges that start late, restart and lose disks, with messages delayed, lost and
- * duplicated. After every event it checks that no two nodes have different voter sets for one epoch.
+ * A simulated fleet in virtual time whose number of cores is not configured. Cores and edges can start late, restart and lose
+ * disks, and messages are delayed, lost and duplicated. After every event the fleet checks that no two nodes have different voter
+ * sets for the same epoch.
  */
 final class MembershipTestFleet {
     private static final int DELAY_MAX_MILLIS = 60;
@@ -33,22 +34,22 @@
     final Random random;
     final Map<String, MembershipTestNode> nodes = new TreeMap<>();
     final List<String> seeds = new ArrayList<>();
-    /** Generations seen in any voter set, by the generation that they ended; the first generations by 0. */
+    /** Generations of all voter sets seen, by the generation that they succeed; first generations are under key 0. */
     final Map<Long, Set<Long>> startedGenerations = new TreeMap<>();
-    /** Pairs of nodes, as "from>to", between which no message passes. */
+    /** Links that deliver no messages, as "from>to". */
     final Set<String> blockedLinks = new HashSet<>();
-    /** Whose state each generation that was proposed was merged from, by the generation. */
+    /** Names of the nodes whose state was merged into each proposed generation, by that generation. */
     final Map<Long, Set<String>> mergedStateSources = new HashMap<>();
 
     /** Probability that a message is lost or duplicated. */
     double loss;
 
     boolean everyIncarnationIsFirst;
-    /** Injected fault: whoever catches up is told that there is nothing to read. */
+    /** Injected fault: the catch-up responses that a core receives contain no entries. */
     boolean injectEmptyCatchUp;
-    /** The tolerated loss is a whole region, else one node. */
+    /** Whether the tolerated loss is a whole region instead of one node. */
     boolean wholeRegionMayFail;
-    /** Edges receive no feed. */
+    /** Whether edges receive no feed. */
     boolean edgeFeedDisabled;
 
     long messages;
@@ -62,7 +63,10 @@
         random = new Random(seed);
     }
 
-    /** A fleet of cores c0.. and edges e0.., some of which are seeds; each is configured as first with the given probability. */
+    /**
+     * Creates a fleet of cores c0, c1, ... and edges e0, e1, ..., up to three of which are seeds. Each node is configured as first
+     * with the given probability.
+     */
     static MembershipTestFleet fleet(
             final long seed, final int cores, final int edges, final double configuredAsFirst) {
         final MembershipTestFleet fleet = new MembershipTestFleet(seed);
@@ -99,7 +103,7 @@
         nodes.values().forEach(MembershipTestNode::start);
     }
 
-    /** Every proposed generation has a number of its own, so that two of them can be told apart. */
+    /** Creates an initial state with a unique generation number, so that the checks can distinguish proposed generations. */
     InitialState initialState(final long baseGeneration, final List<Voter> voters) {
         final long generation = Math.max(baseGeneration, lastGeneration) + 1;
         lastGeneration = generation;
@@ -107,7 +111,7 @@
         return new InitialState(new VoterSet(generation, 1, voters), List.of());
     }
 
-    /** Merges nothing, but records whose state would have been merged. */
+    /** Merges no registers, but records the nodes whose state would have been merged. */
     InitialState merge(final long baseGeneration, final List<SurvivingState> survivors, final List<Voter> voters) {
         final InitialState initialState = initialState(baseGeneration, voters);
         final Set<String> withState = new HashSet<>();
@@ -127,7 +131,7 @@
         return Math.max(inRegion[0], Math.max(inRegion[1], inRegion[2]));
     }
 
-    /** The newest voter set that any node took. */
+    /** Returns the newest voter set that any node has adopted. */
     VoterSet newestVoterSet() {
         return newestVoterSet;
     }
@@ -174,7 +178,7 @@
             final List<Voter> known =
                     votersByEpoch.putIfAbsent(voterSet.generation() + "/" + voterSet.epoch(), voterSet.voters());
             assertThat(known == null || known.equals(voterSet.voters()))
-                    .as("one voter set of an epoch, at %s, %s: %s, %s", node.name, nowMs(), known, voterSet)
+                    .as("one voter set per epoch, at node %s, time %s: %s, %s", node.name, nowMs(), known, voterSet)
                     .isTrue();
             assertThat(voterSet.voters().stream().map(Voter::name).distinct().count())
                     .isEqualTo(voterSet.voters().size());
@@ -184,7 +188,7 @@
         }
     }
 
-    /** What a voter of the newest set has on its disk, synced; empty if its disk is lost or has not caught up. */
+    /** Returns the synced records of a voter of the newest set, or empty if its disk is lost or has not caught up. */
     private Optional<Map<String, byte[]>> storedState(final Voter voter) {
         final MembershipTestNode node = node(voter.name());
         final Map<String, byte[]> stored = node.removed ? Map.of() : node.syncedRecords();
@@ -197,15 +201,15 @@
         return value == null ? "" : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** On how many disks of voters of the newest set the values are. */
+    /** Number of voters, of voter disks with state, and of copies of the value that has the fewest copies. */
     record Copies(int voters, int withState, int fewest, String fewestKey) {
-        /** The copies that there have to be: a majority, less the voters whose disks are lost or still catch up. */
+        /** Returns the minimum number of copies: a majority, less the voters whose disks are lost or still catching up. */
         int required() {
             return voters / 2 + 1 - (voters - withState);
         }
     }
 
-    /** Counts the copies of values, by key, that are synced on disks of voters. */
+    /** Counts the copies of each value, by key, that are synced to disks of voters. */
     Copies countCopies(final Map<String, String> values) {
         final List<Map<String, byte[]>> states = newestVoterSet.voters().stream()
                 .map(this::storedState)
@@ -231,12 +235,12 @@
                         text(MessageCodec.decodeRecord(register, Register.class).value()));
     }
 
-    /** The cores that are up. */
+    /** Returns the cores that are up. */
     List<MembershipTestNode> cores() {
         return nodes.values().stream().filter(node -> node.core && node.up).toList();
     }
 
-    /** Whether every core that is up votes, all by one voter set that each is in. */
+    /** Whether every core that is up votes, and all of them are members of the same voter set and have adopted it. */
     boolean allCoresVote() {
         final List<MembershipTestNode> cores = cores();
         final VoterSet voterSet = cores.get(0).proposer.voterSet();
@@ -247,7 +251,7 @@
                                 && voterSet.voter(core.name) != null);
     }
 
-    /** The fleet in text, for messages of assertions. */
+    /** Describes the fleet for assertion messages. */
     String describe() {
         final StringBuilder out = new StringBuilder("at " + nowMs() + " seeds " + seeds);
         nodes.forEach((name, node) -> out.append("\n")
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -15,7 +15,7 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.Clock;
 
-/** One node of a {@link MembershipTestFleet}, a core or an edge, over all its incarnations. */
+/** One node of a {@link MembershipTestFleet}, a core or an edge, through all of its incarnations. */
 final class MembershipTestNode {
     /** Whether a node may be a voter. */
     enum Role {
@@ -30,17 +30,17 @@
 
     private static final int TICK_MILLIS = 250;
     private static final int FEED_POLL_MILLIS = 400;
-    /** The gossip view of a node is complete after this at the latest. */
+    /** Time after which a node's gossip view is complete. */
     private static final int GOSSIP_SPREAD_MILLIS = 1500;
 
     final String name;
     final boolean core;
     boolean up;
-    /** Its first incarnation is configured as the fleet's first. */
+    /** Whether the first incarnation of this node is configured as the fleet's first. */
     boolean configuredAsFirst;
 
     int incarnations;
-    /** Removed for good, and its disk with it. */
+    /** Whether the node and its disk are removed permanently. */
     boolean removed;
 
     Acceptor acceptor;
@@ -64,7 +64,10 @@
         return new DelayedSegmentStore(8, 1 << 15, fleet.clock, () -> 1 + fleet.random.nextInt(8));
     }
 
-    /** Begins an incarnation. Only the first may be the fleet's first, unless the context injects just that fault. */
+    /**
+     * Starts an incarnation. Only a node's first incarnation may be configured as the fleet's first, unless the fleet injects the
+     * fault that every incarnation is.
+     */
     void start() {
         incarnations++;
         up = true;
@@ -154,7 +157,7 @@
         coordinator.onTick();
     }
 
-    /** An edge learns of voter sets by the feed that it requests from all cores. */
+    /** Polls the feed of all cores, from which an edge learns voter sets. */
     private void pollFeed(final Clock clock) {
         clock.after(FEED_POLL_MILLIS, () -> pollFeed(clock));
         for (final MembershipTestNode other : fleet.nodes.values()) {
@@ -172,7 +175,7 @@
         return name + "/" + fleet.random.nextInt(1 << 30);
     }
 
-    /** The nodes that this one knows; names spread in a second or two, as by gossip. */
+    /** Returns the known nodes. A new node becomes known after a delay of up to {@link #GOSSIP_SPREAD_MILLIS}, as with gossip. */
     private List<String> knownNodes(final Predicate<MembershipTestNode> wanted) {
         final List<String> known = new ArrayList<>();
         fleet.nodes.forEach((otherName, other) -> {
@@ -195,40 +198,40 @@
         return new SurvivingState(name, generation, 0, null, 0, acceptor.hasStateOnDisk(), registers);
     }
 
-    /** Ends the incarnation as by a loss of power. */
+    /** Ends the incarnation like a power loss. */
     void stop() {
         up = false;
         disk.losePower();
     }
 
-    /** Ends the incarnation and replaces the disk by a blank one. */
+    /** Ends the incarnation and replaces the disk with a blank one. */
     void wipe() {
         stop();
         disk = blankDisk();
     }
 
-    /** Hands over, then never comes back. */
+    /** Hands over, then removes the node permanently. */
     void leaveGracefullyForGood() {
         handover.begin(this::removeForGood);
     }
 
-    /** Ends the incarnation; the node never comes back. */
+    /** Ends the incarnation and removes the node permanently. */
     void removeForGood() {
         stop();
         removed = true;
     }
 
-    /** Makes each write take so much longer. */
+    /** Adds this delay to each write. */
     void slowDisk(final long byMillis) {
         disk.slowBy(byMillis);
     }
 
-    /** What its disk has, synced. */
+    /** Returns the records that are synced to the disk. */
     Map<String, byte[]> syncedRecords() {
         return new SegmentedLog(disk).table();
     }
 
-    /** One of three regions, by the number in its name. */
+    /** Returns the node's region, one of three, which depends on the number in its name. */
     int region() {
         return Integer.parseInt(name.replaceAll("[^0-9]", "")) % 3;
     }
@@ -314,7 +317,7 @@
         }
     }
 
-    /** Drops no registers but those of voter sets that were agreed. */
+    /** Prunes only registers that decide voter sets, except the one for the next epoch. */
     private final class VoterSetRegisterGuard implements RegisterGuard {
         @Override
         public boolean ready() {
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -10,7 +10,7 @@
 import spokestall.consensus.ProposalOutcome;
 import spokestall.consensus.RegisterEdit;
 
-/** Changes of single voters in simulated fleets that keep a majority. */
+/** Tests changes of single voters in simulated fleets that keep a majority. */
 class ReconfigurationTest {
     private static final int RANDOM_FLEETS = 40;
 
@@ -25,7 +25,7 @@
         return fleet;
     }
 
-    /** Cores join under new names and lose disks while a counter is incremented. */
+    /** Cores join with new names and lose disks while edges increment a counter. */
     @Test
     void committedIncrementsSurviveWhileVotersAreAddedAndReplaced() {
         long increments = 0;
@@ -50,7 +50,7 @@
             assertThat(fleet.allCoresVote()).as(seed + " " + fleet.describe()).isTrue();
             assertThat(fleet.startedGenerations).as(seed + " one generation").hasSize(1);
             assertThat(confirmed)
-                    .as("no number stands for two increments, seed " + seed)
+                    .as("each increment commits a different number, seed " + seed)
                     .doesNotHaveDuplicates();
             increments += confirmed.size();
         }
@@ -79,7 +79,7 @@
                 });
     }
 
-    /** Wipes only when all cores vote, so that a majority with state remains. */
+    /** Wipes a disk only if all cores vote, so that a majority with state remains. */
     private static void wipeOneDisk(final MembershipTestFleet fleet) {
         final List<MembershipTestNode> cores = fleet.cores();
         final MembershipTestNode core = cores.get(fleet.random.nextInt(cores.size()));
@@ -103,7 +103,7 @@
         assertThat(fleet.nowMs() - receivedMillis).isLessThan(1000);
     }
 
-    /** Six cores are removed for good one after another, each followed by a blank one under another name and address. */
+    /** Six cores are removed one after another. After each removal, a blank core with another name and address starts. */
     @Test
     void coresReplacedAfterTheirRemovalLeaveNoExtraVoter() {
         final MembershipTestFleet fleet = startedFleet(6, 2);
@@ -118,7 +118,7 @@
         assertThat(fleet.startedGenerations).hasSize(1);
     }
 
-    /** Each new core starts before the old one is removed: that costs one more voter, and not more than that. */
+    /** Each new core starts before the old one is removed, which adds one voter slot in total and not one per core. */
     @Test
     void coresReplacedAfterTheirSuccessorsStartedLeaveOneExtraVoter() {
         final MembershipTestFleet fleet = startedFleet(6, 2);
@@ -140,7 +140,9 @@
         final String disk = away.acceptor.diskId();
         away.stop();
         fleet.runFor(28_000);
-        assertThat(fleet.newestVoterSet().voters()).as("not yet").hasSize(6);
+        assertThat(fleet.newestVoterSet().voters())
+                .as("before the removal timeout")
+                .hasSize(6);
         fleet.runFor(6000);
         assertThat(fleet.newestVoterSet().voters()).hasSize(5);
         assertThat(fleet.newestVoterSet().voter("c2")).isNull();
@@ -152,7 +154,7 @@
                 .isNotEqualTo(disk);
     }
 
-    /** Of four voters one could be removed if one loss had to be tolerated, but c0 and c3 are in one region. */
+    /** If only one node could fail, one of the four voters could be removed, but c0 and c3 are in the same region. */
     @Test
     void noVoterIsRemovedIfTheToleratedLossCouldThenTakeTheMajority() {
         final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, 4, 2, 1);
--- a/spokestall/src/test/java/spokestall/membership/StoredRecords.java
+++ b/spokestall/src/test/java/spokestall/membership/StoredRecords.java
@@ -2,16 +2,16 @@
 
 import spokestall.consensus.ProposalNumber;
 
-/** Names to tests of other packages the stored records that only this package knows. */
+/** Gives tests of other packages access to the package-private stored records of this package. */
 public final class StoredRecords {
     private StoredRecords() {}
 
-    /** What a core keeps about the proposal number for a new generation. */
+    /** Returns the type of a core's stored vote on a new generation. */
     public static Class<? extends Record> generationVote() {
         return GenerationAcceptor.Vote.class;
     }
 
-    /** A proposal number in which nothing was accepted yet. */
+    /** Returns a stored vote with a promise and no accepted state. */
     public static Record generationVote(final long baseGeneration, final ProposalNumber promised) {
         return new GenerationAcceptor.Vote(baseGeneration, promised, ProposalNumber.NONE, null);
     }
--- a/spokestall/src/test/java/spokestall/membership/VoterStatusExchangeTest.java
+++ b/spokestall/src/test/java/spokestall/membership/VoterStatusExchangeTest.java
@@ -8,7 +8,7 @@
     private static final int CORES = 6;
     private static final int STATUSES_TO_EACH_PEER_MAX = 11;
 
-    /** Cores that have settled send at most one status a second to each other, without their voter set. */
+    /** Cores whose status no longer changes send each other at most one status per second, without the voter set. */
     @Test
     void aSettledFleetSendsFewStatusesAndNoVoterSets() {
         final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, CORES, 6, 1);
