--- a/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
@@ -53,7 +53,7 @@
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /** Number of timed-out rounds in which the proposer waits for every reachable core with state to promise. */
-    private static final int TIMED_OUT_ROUNDS_WAITING_FOR_STATE_MAX = 4;
+    private static final int STATE_WAIT_ROUNDS_MAX = 4;
 
     private static final long UNSET = -1;
 
@@ -185,7 +185,7 @@
      * it may vote in the old generation for a value that no other core has. False after too many rounds have timed out.
      */
     private boolean isWaitingForPromiseWithState(final Map<String, MembershipMessage.VoterStatus> statuses) {
-        return timedOutRounds < TIMED_OUT_ROUNDS_WAITING_FOR_STATE_MAX
+        return timedOutRounds < STATE_WAIT_ROUNDS_MAX
                 && survivors.values().stream()
                         .anyMatch(survivor -> survivor.hasState()
                                 && survivor.generation() == baseGeneration
--- a/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
+++ b/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
@@ -22,10 +22,10 @@
         int bootstrapped = 0;
         for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
             final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 1 + seed % 7, 1 + seed % 3, 0.85);
-            fleet.loss = 0.1 * (seed % 5);
+            fleet.messageLoss = 0.1 * (seed % 5);
             startAndRestartAtRandom(fleet);
             fleet.run(12_000);
-            fleet.loss = 0;
+            fleet.messageLoss = 0;
             fleet.run(30_000);
             assertThat(firstGenerations(fleet))
                     .as(seed + " " + fleet.describe())
@@ -69,7 +69,7 @@
             fleet.seeds.addAll(List.of("e0", "e1", "e2"));
             fleet.everyIncarnationIsFirst = true;
             fleet.edgeFeedDisabled = true;
-            fleet.loss = 0.4;
+            fleet.messageLoss = 0.4;
             fleet.startAll();
             for (int at = 2000; at < 9000; at += 100) {
                 final MembershipTestNode edge = fleet.node("e" + fleet.random.nextInt(3));
@@ -92,7 +92,7 @@
             fleet.seeds.clear();
             fleet.seeds.addAll(List.of("c0", "c1", "c2"));
             fleet.everyIncarnationIsFirst = true;
-            fleet.loss = 0.4;
+            fleet.messageLoss = 0.4;
             fleet.startAll();
             for (int at = 0; at < 9000; at += 400) {
                 final MembershipTestNode core = fleet.node("c" + fleet.random.nextInt(3));
--- a/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
@@ -37,7 +37,7 @@
             final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 2 + seed % 4, 2, 1);
             fleet.startAll();
             fleet.run(8000);
-            fleet.loss = 0.1 * (seed % 4);
+            fleet.messageLoss = 0.1 * (seed % 4);
             for (int i = 0; i < 4; i++) {
                 final MembershipTestNode joining = fleet.addCore("n" + i);
                 fleet.clock.after(fleet.random.nextInt(8000), joining::start);
@@ -46,7 +46,7 @@
                 fleet.clock.after(times * 5000 + fleet.random.nextInt(5000), () -> loseSomeCores(fleet));
             }
             fleet.runFor(14_000);
-            fleet.loss = 0;
+            fleet.messageLoss = 0;
             fleet.runFor(25_000);
             final String description = seed + " " + fleet.describe() + " " + fleet.startedGenerations;
             assertThat(fleet.startedGenerations.values())
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
@@ -70,7 +70,7 @@
         fleet.startAll();
         fleet.run(12_000);
         injectedFault.accept(fleet);
-        fleet.loss = 0.04 * (seed % 3);
+        fleet.messageLoss = 0.04 * (seed % 3);
     }
 
     private MembershipTestNode addCore(final int region) {
@@ -129,7 +129,7 @@
 
     /** Runs until restarted and new cores have had time to catch up, after which they no longer count as lost. */
     private void settle() {
-        runWithWrites(fleet.loss == 0 ? CATCH_UP_MILLIS : CATCH_UP_LOSSY_MILLIS);
+        runWithWrites(fleet.messageLoss == 0 ? CATCH_UP_MILLIS : CATCH_UP_LOSSY_MILLIS);
         assertThat(survivesNextLoss()).as(describe()).isTrue();
         assertThat(fleet.newestVoterSet().voters().size())
                 .as(describe())
@@ -148,8 +148,9 @@
                 .allMatch(core -> core.acceptor.state() == Acceptor.State.VOTING
                         && core.acceptor.voterSet().hasEpoch(voterSet.generation(), voterSet.epoch()));
         for (int region = 0; region < REGIONS; region++) {
-            final int lost = region;
-            survives &= voters.stream().filter(core -> core.region() != lost).count() >= voterSet.majority();
+            final int lostRegion = region;
+            survives &=
+                    voters.stream().filter(core -> core.region() != lostRegion).count() >= voterSet.majority();
         }
         return survives;
     }
@@ -300,7 +301,7 @@
             injectLoss();
             settle();
         }
-        fleet.loss = 0;
+        fleet.messageLoss = 0;
         settle();
         verifyConfirmedValues();
         assertThat(fleet.startedGenerations).as(describe()).hasSize(1);
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestFleet.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestFleet.java
@@ -42,7 +42,7 @@
     final Map<Long, Set<String>> mergedStateSources = new HashMap<>();
 
     /** Probability that a message is lost or duplicated. */
-    double loss;
+    double messageLoss;
 
     boolean everyIncarnationIsFirst;
     /** Injected fault: the catch-up responses that a core receives contain no entries. */
@@ -52,7 +52,7 @@
     /** Whether edges receive no feed. */
     boolean edgeFeedDisabled;
 
-    long messages;
+    long messagesSent;
     long voterSetsSent;
     private final Map<Long, Long> baseGenerationOf = new HashMap<>();
     private final Map<String, List<Voter>> votersByEpoch = new HashMap<>();
@@ -154,12 +154,12 @@
         if (blockedLinks.contains(from + ">" + to)) {
             return;
         }
-        messages++;
+        messagesSent++;
         final boolean withVoterSet =
                 message instanceof MembershipMessage.VoterStatus status && status.voterSet() != null
                         || message instanceof ConsensusMessage.VoterSetUpdate;
         voterSetsSent += withVoterSet ? 1 : 0;
-        final int copies = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
+        final int copies = random.nextDouble() < messageLoss ? random.nextInt(2) * 2 : 1;
         final MembershipTestNode target = node(to);
         for (int i = 0; target != null && i < copies; i++) {
             final int incarnation = target.incarnations;
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -165,7 +165,7 @@
                     && other.core
                     && other.up
                     && other.proposer.voterSet() != null
-                    && fleet.random.nextDouble() >= fleet.loss) {
+                    && fleet.random.nextDouble() >= fleet.messageLoss) {
                 proposer.updateVoterSet(other.proposer.voterSet());
             }
         }
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -34,7 +34,7 @@
             fleet.startAll();
             fleet.run(8000);
             assertThat(fleet.allCoresVote()).as(seed + " " + fleet.describe()).isTrue();
-            fleet.loss = 0.05 * (seed % 4);
+            fleet.messageLoss = 0.05 * (seed % 4);
             final List<Long> confirmed = new ArrayList<>();
             scheduleIncrements(fleet, confirmed);
             for (int i = 0; i < 5; i++) {
@@ -45,7 +45,7 @@
                 fleet.clock.after(14_000 + i * 6000, () -> wipeOneDisk(fleet));
             }
             fleet.runFor(32_000);
-            fleet.loss = 0;
+            fleet.messageLoss = 0;
             fleet.runFor(8000);
             assertThat(fleet.allCoresVote()).as(seed + " " + fleet.describe()).isTrue();
             assertThat(fleet.startedGenerations).as(seed + " one generation").hasSize(1);
--- a/spokestall/src/test/java/spokestall/membership/VoterStatusExchangeTest.java
+++ b/spokestall/src/test/java/spokestall/membership/VoterStatusExchangeTest.java
@@ -14,10 +14,10 @@
         final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, CORES, 6, 1);
         fleet.startAll();
         fleet.run(15_000);
-        final long messages = fleet.messages;
+        final long messages = fleet.messagesSent;
         final long voterSets = fleet.voterSetsSent;
         fleet.run(25_000);
-        assertThat(fleet.messages - messages).isLessThanOrEqualTo(CORES * (CORES - 1) * STATUSES_TO_EACH_PEER_MAX);
+        assertThat(fleet.messagesSent - messages).isLessThanOrEqualTo(CORES * (CORES - 1) * STATUSES_TO_EACH_PEER_MAX);
         assertThat(fleet.voterSetsSent - voterSets).isZero();
     }
 }
