--- a/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
+++ b/spokestall/src/main/java/spokestall/membership/BootstrapAcceptor.java
@@ -10,8 +10,8 @@
  * Acceptor of the vote on the first generation. It runs on every seed, which may be a core or an edge.
  *
  * <p>Promises and the accepted state are kept in memory only. That is sufficient because only an incarnation that is configured as
- * the fleet's first, and whose disk, if it has one, was blank, ever votes: no later incarnation can vote and contradict promises
- * that were lost with the memory. For the same reason this class sends a reply only after the disk, if there is one, is durably
+ * the fleet's first, and whose disk, if it has one, was blank, ever votes: no later incarnation can vote and so contradict promises
+ * that a restart has lost. For the same reason this class sends a reply only after the disk, if there is one, is durably
  * marked as used.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
--- a/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
+++ b/spokestall/src/main/java/spokestall/membership/MembershipCoordinator.java
@@ -138,8 +138,7 @@
             return;
         }
         if (statusExchange.provesDiskRollback(status)) {
-            // The disk may lack promises that this core has made, so the core must not vote again under the same disk
-            // identity.
+            // The disk may lack promises that this core has made, so the core must not vote again as the same voter.
             LOG.atSevere().log(
                     "event=disk_older node=%s written=%s knownWritten=%s reportedBy=%s",
                     context.local().name(), context.acceptor().syncedSeq(), status.recipientWritten(), status.name());
--- a/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipModelRun.java
@@ -231,7 +231,10 @@
         }
     }
 
-    /** Partitions cores of the region in one direction or both, from all nodes or from cores only, and may restart them meanwhile. */
+    /**
+     * Partitions cores of the region in one direction or both, from all nodes or from cores only. At random, the cores restart or a
+     * new core starts during the partition, and the cores restart repeatedly after it.
+     */
     private void partition(final int region) {
         final List<MembershipTestNode> cores = randomCoresIn(region);
         final int directions = 1 + random(3);
