--- a/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
@@ -177,6 +177,6 @@
             return true;
         }
         final long onTheWayMs = answeredMs - now.timestampMs();
-        return WarmUpTimes.same(known.warmUpUntilMs(), now.warmUpUntilMs() - onTheWayMs, now.warmUpUntilMs());
+        return WarmUpTimes.isSame(known.warmUpUntilMs(), now.warmUpUntilMs() - onTheWayMs, now.warmUpUntilMs());
     }
 }
--- a/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
@@ -143,7 +143,7 @@
                 registry.observation(endpoint.instance(), self.name()).orElse(null);
         final boolean unchanged = last != null
                 && last.status() == status
-                && WarmUpTimes.same(
+                && WarmUpTimes.isSame(
                         last.readySinceMs(), readySinceMs - (fleetClock.nowMs() - requestedMs), readySinceMs);
         if (unchanged && requestedMs - last.timestampMs() < parameters.repeatMs()) {
             return;
--- a/spokestall/src/main/java/spokestall/discovery/WarmUpTimes.java
+++ b/spokestall/src/main/java/spokestall/discovery/WarmUpTimes.java
@@ -9,7 +9,7 @@
     /** By how much a reading may be later than what is kept: the rounding of two readings, and small steps of the fleet's clock. */
     private static final long JITTER_MS = 20;
     /** A reading that is earlier than what is kept by less than this isn't worth a message to all nodes. */
-    private static final long GAIN_MS = 1000;
+    private static final long MIN_CORRECTION_MS = 1000;
 
     private WarmUpTimes() {}
 
@@ -21,7 +21,7 @@
      * @param earliestMs the newer reading, as if it was made when it was requested
      * @param latestMs the newer reading, as if it was made when its answer arrived
      */
-    static boolean same(final long keptMs, final long earliestMs, final long latestMs) {
-        return earliestMs <= keptMs + JITTER_MS && keptMs - latestMs < GAIN_MS;
+    static boolean isSame(final long keptMs, final long earliestMs, final long latestMs) {
+        return earliestMs <= keptMs + JITTER_MS && keptMs - latestMs < MIN_CORRECTION_MS;
     }
 }
--- a/spokestall/src/main/java/spokestall/gossip/PartialView.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -25,7 +25,7 @@
  */
 public final class PartialView {
     /** On which ticks a seed is contacted although enough members are known: once in so many. */
-    private static final int TICKS_PER_SEED = 16;
+    private static final int TICKS_PER_SEED_CONTACT = 16;
     /** Far enough before any reading of the clock, and far enough from the least long to be subtracted from. */
     private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
@@ -140,8 +140,8 @@
             sendSample(candidates.get(0).address(), false, 0);
         }
         final boolean few = candidates.size() < parameters.sampleSize();
-        if (few || turn % TICKS_PER_SEED == 0) {
-            sendSample(seeds.get(turn / (few ? 1 : TICKS_PER_SEED) % seeds.size()), false, 0);
+        if (few || turn % TICKS_PER_SEED_CONTACT == 0) {
+            sendSample(seeds.get(turn / (few ? 1 : TICKS_PER_SEED_CONTACT) % seeds.size()), false, 0);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
@@ -20,7 +20,7 @@
         }
         headers.add(new Header("Spokestall-Service", attempt.service()));
         headers.add(new Header("Spokestall-Instance", attempt.instance()));
-        headers.add(new Header("Spokestall-Deadline-Ms", Long.toString(attempt.waitMs())));
+        headers.add(new Header("Spokestall-Deadline-Ms", Long.toString(attempt.timeoutMs())));
         return headers;
     }
 
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -139,7 +139,7 @@
             final AdmissionController edge,
             final RequestHead came,
             final long cameMs) {
-        final RequestHead head = came.later(System.nanoTime() / 1_000_000 - cameMs);
+        final RequestHead head = came.afterWaiting(System.nanoTime() / 1_000_000 - cameMs);
         final AdmissionResult admission =
                 edge.admit(head, a -> exchange.getIoThread().execute(() -> answer(exchange, a)));
         if (admission instanceof AdmissionResult.Rejected rejected) {
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -81,7 +81,7 @@
     }
 
     private Reply edgesFor(final JsonNode params, final Tenant tenant) {
-        final List<NodeInfo> selected = EdgeSelector.elect(
+        final List<NodeInfo> selected = EdgeSelector.select(
                 params.get("client").asText(),
                 knownEdges.forClients(),
                 tenant.homeRegions(),
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -53,7 +53,7 @@
         final TreeMap<String, Register> newest = newestRegisters(baseGeneration, survivors);
         final List<ConsensusMessage.Entry> entries = new ArrayList<>();
         newest.forEach((key, register) -> {
-            if (IdempotencyClaim.isKey(key) || key.startsWith(USAGE_KEYS)) {
+            if (IdempotencyClaim.isClaimKey(key) || key.startsWith(USAGE_KEYS)) {
                 entries.add(entry(key, register.value()));
             } else if (key.startsWith(LEASE_KEYS) && !key.equals(FLOOR)) {
                 entries.add(entry(key, MessageCodec.encodeRecord(withoutHold(register.value()))));
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -147,12 +147,12 @@
 
     @Override
     public void rejectNew() {
-        admissionController.leave();
+        admissionController.stopAdmitting();
     }
 
     @Override
     public int abort() {
-        return admissionController.giveUp();
+        return admissionController.abortInFlight();
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -78,7 +78,7 @@
     /** Claims come in large numbers and versions may be large, so they must leave capacity for what keeps the fleet going. */
     @Override
     public boolean hasCapacityFor(final String key) {
-        final boolean bulk = IdempotencyClaim.isKey(key) || ConfigurationKeys.versionOf(key) >= 0;
+        final boolean bulk = IdempotencyClaim.isClaimKey(key) || ConfigurationKeys.versionOf(key) >= 0;
         return !bulk || core.logFill() < BULK_FILL_RATIO;
     }
 
@@ -90,7 +90,7 @@
     /** A claim whose ticket is too old is not accepted: the claim that it repeats may be dropped already. */
     @Override
     public boolean accepts(final String key, final byte[] value) {
-        if (!IdempotencyClaim.isKey(key) || value == null) {
+        if (!IdempotencyClaim.isClaimKey(key) || value == null) {
             return true;
         }
         final IdempotencyClaim claim = MessageCodec.decodeRecord(value, IdempotencyClaim.class);
@@ -99,7 +99,7 @@
 
     /** Returns whether a register may be dropped now: nothing that is still accepted can refer to it. */
     boolean expired(final String key, final byte[] value) {
-        if (!IdempotencyClaim.isKey(key)) {
+        if (!IdempotencyClaim.isClaimKey(key)) {
             return isPruned(key);
         }
         if (value == null) {
--- a/spokestall/src/main/java/spokestall/proxy/AdaptiveLimit.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdaptiveLimit.java
@@ -7,45 +7,45 @@
  */
 final class AdaptiveLimit {
     /** The limit before anything is known of an upstream. */
-    static final int FIRST = 4;
+    static final int INITIAL_LIMIT = 4;
 
-    private static final double MOST = 256;
-    private double most = FIRST;
+    private static final double MAX_LIMIT = 256;
+    private double limit = INITIAL_LIMIT;
     private int open;
-    private long cutMs = Long.MIN_VALUE / 2;
+    private long lastDecreaseMs = Long.MIN_VALUE / 2;
 
     int open() {
         return open;
     }
 
     /** Returns how many more attempts may be opened. */
-    int room() {
-        return Math.max(0, (int) most - open);
+    int available() {
+        return Math.max(0, (int) limit - open);
     }
 
-    boolean idle() {
+    boolean isIdle() {
         return open == 0;
     }
 
-    void begun() {
+    void onStarted() {
         open++;
     }
 
     /** Records that an attempt was broken off, which says nothing of the upstream. */
-    void cancelled() {
+    void onCancelled() {
         assert open > 0 : "ended more than begun";
         open--;
     }
 
     /** Records that an attempt ended: whether it was answered, how long that took, and how long it should take at most. */
-    void ended(final boolean answered, final long spentMs, final long slowMs, final long nowMs) {
+    void onEnded(final boolean answered, final long durationMs, final long targetMs, final long nowMs) {
         assert open > 0 : "ended more than begun";
-        if (answered && spentMs <= slowMs) {
-            most = open >= (int) most - 1 ? Math.min(MOST, most + 1 / most) : most;
-        } else if (nowMs - cutMs >= slowMs) {
+        if (answered && durationMs <= targetMs) {
+            limit = open >= (int) limit - 1 ? Math.min(MAX_LIMIT, limit + 1 / limit) : limit;
+        } else if (nowMs - lastDecreaseMs >= targetMs) {
             // Attempts begun before the last decrease say nothing about it.
-            cutMs = nowMs;
-            most = Math.max(1, most * (answered ? 0.8 : 0.5));
+            lastDecreaseMs = nowMs;
+            limit = Math.max(1, limit * (answered ? 0.8 : 0.5));
         }
         open--;
     }
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -36,12 +36,12 @@
     private final ProxyContext context;
     private ProxyLimits limits;
     private final ConcurrencyLimiter limiter;
-    private final Map<String, RetryBudget> budgets = new HashMap<>();
+    private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
     private final Map<Long, Consumer<HandoffMessage.FetchResult>> storedResponseFetches = new HashMap<>();
     private final Map<ResultCode, Long> resultCounts = new EnumMap<>(ResultCode.class);
-    private final Map<ResultCode, Long> loggedMs = new EnumMap<>(ResultCode.class);
+    private final Map<ResultCode, Long> lastLoggedMs = new EnumMap<>(ResultCode.class);
     private final Set<RequestExecution> inFlight = new HashSet<>();
-    private boolean leaving;
+    private boolean draining;
     private long nextFetchId = 1;
 
     public AdmissionController(final ProxyContext context, final ProxyLimits limits) {
@@ -79,14 +79,14 @@
     }
 
     /** Admits nothing from now on. */
-    public void leave() {
-        leaving = true;
+    public void stopAdmitting() {
+        draining = true;
     }
 
     /** Ends all requests in flight, and returns their number; those that may have run end as undecided. */
-    public int giveUp() {
+    public int abortInFlight() {
         final List<RequestExecution> ended = List.copyOf(inFlight);
-        ended.forEach(RequestExecution::giveUp);
+        ended.forEach(RequestExecution::abort);
         return ended.size();
     }
 
@@ -100,17 +100,17 @@
         if (!(RequestTarget.of(head.target()) instanceof RequestTarget.Good target)) {
             return rejected(ResultCode.BAD_TARGET, unproven);
         }
-        final ResultCode unready = unreadiness();
+        final ResultCode unready = notReadyReason();
         if (unready != null) {
             return rejected(unready, unproven);
         }
         final Configuration configuration = context.configurationStore().configuration();
-        if (leaving || isOwnZoneDrained(configuration)) {
+        if (draining || isOwnZoneDrained(configuration)) {
             return rejected(ResultCode.HELD, unproven);
         }
         final String keyHash = head.key() == null ? null : KeyHash.of(head.key());
         final Configuration.Found found = configuration.find(head.host(), target.path(), keyHash);
-        final ResultCode unauthorized = unauthorized(found);
+        final ResultCode unauthorized = authorizationFailure(found);
         if (unauthorized != null) {
             return rejected(unauthorized, unproven);
         }
@@ -126,7 +126,7 @@
                 found.tenant(),
                 route,
                 service,
-                context.clock().nowMs() + spanMs(head, route));
+                context.clock().nowMs() + timeoutMs(head, route));
         return admit(grant, unproven, responded);
     }
 
@@ -134,20 +134,20 @@
         return limits.conventions().keyed() && head.key() == null
                 || head.requestId() == null
                 || !REQUEST_ID.matcher(head.requestId()).matches()
-                || head.spanMs() == Long.MIN_VALUE
+                || head.remainingMs() == Long.MIN_VALUE
                 || NOT_PROXIED.contains(head.method());
     }
 
     /** Why this edge can admit nothing now, or null. */
-    private ResultCode unreadiness() {
-        if (!context.follower().isFresh() || !context.fleet().settled()) {
+    private ResultCode notReadyReason() {
+        if (!context.feedClient().isFresh() || !context.fleetClock().settled()) {
             return ResultCode.NOT_FRESH;
         }
-        return context.counter().mayStart() ? null : ResultCode.UNCOUNTED;
+        return context.usageCounter().mayStart() ? null : ResultCode.UNCOUNTED;
     }
 
     /** Why whoever sent the request may not, or null. */
-    private ResultCode unauthorized(final Configuration.Found found) {
+    private ResultCode authorizationFailure(final Configuration.Found found) {
         final boolean keyLacks =
                 limits.conventions().keyed() ? found.tenant() == null : found.route() != null && found.keyMissing();
         if (keyLacks) {
@@ -165,7 +165,7 @@
         if (claims && !grant.hasTicket()) {
             return rejected(ResultCode.TICKET_MISSING, unproven);
         }
-        if (head.spanMs() <= 0) {
+        if (head.remainingMs() <= 0) {
             return rejected(ResultCode.DEADLINE, unproven);
         }
         if (head.bodyBytes() > service.requestMaxBytes()) {
@@ -179,7 +179,7 @@
         // The longest that both bodies may be is kept free for the request from here on.
         final long heldBytes = (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes())
                 + (long) service.responseMaxBytes();
-        if (!limiter.take(grant.tenantName(), heldBytes)) {
+        if (!limiter.tryAcquire(grant.tenantName(), heldBytes)) {
             return rejected(ResultCode.BUSY, unproven);
         }
         final RequestExecution request = new RequestExecution(this, context, grant, heldBytes, responded);
@@ -190,8 +190,8 @@
         return new AdmissionResult.Admitted(request);
     }
 
-    private long spanMs(final RequestHead head, final Route route) {
-        final long spanMs = Math.min(head.spanMs(), limits.spanMaxMs());
+    private long timeoutMs(final RequestHead head, final Route route) {
+        final long spanMs = Math.min(head.remainingMs(), limits.requestTimeoutMaxMs());
         return route.timeoutMillis() > 0 ? Math.min(spanMs, route.timeoutMillis()) : spanMs;
     }
 
@@ -230,9 +230,9 @@
     /** Logs one line a second for each reason at most; {@link #resultCounts} has the counts. */
     private void logRejected(final ResultCode reason, final Tenant tenant, final Route route) {
         final long nowMs = context.clock().nowMs();
-        final Long lastMs = loggedMs.get(reason);
+        final Long lastMs = lastLoggedMs.get(reason);
         if (lastMs == null || nowMs - lastMs >= 1000) {
-            loggedMs.put(reason, nowMs);
+            lastLoggedMs.put(reason, nowMs);
             LOG.atInfo().log(
                     "event=request_rejected node=%s code=%s tenant=%s homes=%s route=%s regions=%s",
                     context.self().name(),
@@ -256,17 +256,17 @@
         return new Response(result, status, null, null, attempts, waitMs);
     }
 
-    void onEnded(final RequestExecution request, final String tenant, final ResultCode result) {
+    void onRequestEnded(final RequestExecution request, final String tenant, final ResultCode result) {
         inFlight.remove(request);
-        limiter.leave(tenant);
+        limiter.release(tenant);
         resultCounts.merge(result, 1L, Long::sum);
     }
 
-    RetryBudget budget(final ServiceLimits service) {
-        return budgets.computeIfAbsent(
+    RetryBudget retryBudget(final ServiceLimits service) {
+        return retryBudgets.computeIfAbsent(
                 service.name(),
                 name -> new RetryBudget(
-                        () -> limits.retryShare(),
+                        () -> limits.retryRatio(),
                         () -> limits.retryAllowance() / context.sharingEdges().getAsInt()));
     }
 
@@ -303,9 +303,10 @@
             }
         });
         for (final String core : cores) {
-            context.post().send(core, new HandoffMessage.Fetch(context.self().address(), id, key, digest));
+            context.messageSender()
+                    .send(core, new HandoffMessage.Fetch(context.self().address(), id, key, digest));
         }
-        context.clock().after(limits.handWaitMs(), () -> {
+        context.clock().after(limits.storedResponseTimeoutMs(), () -> {
             if (storedResponseFetches.remove(id) != null) {
                 done.accept(null);
             }
--- a/spokestall/src/main/java/spokestall/proxy/Attempt.java
+++ b/spokestall/src/main/java/spokestall/proxy/Attempt.java
@@ -24,6 +24,6 @@
         String target,
         List<Header> headers,
         byte[] body,
-        long waitMs,
-        int answerMaxBytes,
-        boolean repeatable) {}
+        long timeoutMs,
+        int responseMaxBytes,
+        boolean idempotent) {}
--- a/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
@@ -7,43 +7,43 @@
  */
 final class AttemptBudget {
     /** The maximum also where unsent attempts are free. */
-    static final int MOST = 6;
+    static final int MAX_ATTEMPTS = 6;
 
     private final boolean unsentFree;
-    private int begun;
+    private int started;
     private int ended;
     private int unsent;
-    private boolean unsentLast;
+    private boolean lastUnsent;
 
     AttemptBudget(final boolean unsentFree) {
         this.unsentFree = unsentFree;
     }
 
-    int begun() {
-        return begun;
+    int started() {
+        return started;
     }
 
     /** Records that an attempt begins; returns whether it is the first. */
-    boolean begin() {
-        return begun++ == 0;
+    boolean onStarted() {
+        return started++ == 0;
     }
 
     /** Returns the number of attempts in flight. */
-    int open() {
-        return begun - ended;
+    int inFlight() {
+        return started - ended;
     }
 
     /** Records that an attempt ended; it may have arrived if any of it was sent. */
     void ended(final boolean mayHaveArrived) {
         ended++;
-        unsentLast = !mayHaveArrived;
+        lastUnsent = !mayHaveArrived;
         unsent += mayHaveArrived ? 0 : 1;
     }
 
     /** Returns whether one more attempt may begin, and takes it from the budget. */
-    boolean again(final int most, final RetryBudget budget) {
-        return (unsentFree ? begun - unsent : begun) < most
-                && begun < MOST
-                && (unsentFree && open() == 0 && unsentLast || budget.spend());
+    boolean tryAcquire(final int maxAttempts, final RetryBudget budget) {
+        return (unsentFree ? started - unsent : started) < maxAttempts
+                && started < MAX_ATTEMPTS
+                && (unsentFree && inFlight() == 0 && lastUnsent || budget.tryAcquire());
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
@@ -41,10 +41,10 @@
         if (context.clock().nowMs() >= grant.deadlineMs()) {
             return ResultCode.DEADLINE;
         }
-        if (!context.follower().isFresh()) {
+        if (!context.feedClient().isFresh()) {
             return ResultCode.NOT_FRESH;
         }
-        if (!context.counter().mayStart()) {
+        if (!context.usageCounter().mayStart()) {
             return ResultCode.UNCOUNTED;
         }
         final Configuration configuration = context.configurationStore().configuration();
@@ -59,7 +59,7 @@
         }
         if (found.route() == null
                 || found.route().runOnce() != grant.route().runOnce()
-                || !follow(configuration, found.route())) {
+                || !followRoute(configuration, found.route())) {
             return ResultCode.NO_BINDING;
         }
         return admission.isOwnZoneDrained(configuration) ? ResultCode.HELD : null;
@@ -70,7 +70,7 @@
         return admission.allows(route, grant.tenant(), upstream);
     }
 
-    private boolean follow(final Configuration configuration, final Route newest) {
+    private boolean followRoute(final Configuration configuration, final Route newest) {
         if (!newest.equals(route)) {
             route = newest;
             if (!newest.sendsTo(service.name())) {
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -53,7 +53,7 @@
         context.proposer()
                 .propose(
                         key,
-                        Math.min(limits.claimWaitMs(), waitMs),
+                        Math.min(limits.claimTimeoutMs(), waitMs),
                         stored -> {
                             final IdempotencyClaim now = read(stored);
                             if (now != null && now.claimId().equals(mine.claimId())) {
@@ -74,7 +74,7 @@
                 context.self().name() + "/" + Long.toHexString(context.random().nextLong()),
                 digest,
                 ticket.issuedMs(),
-                context.fleet().nowMs(),
+                context.fleetClock().nowMs(),
                 IdempotencyClaim.State.OPEN,
                 0,
                 "",
@@ -84,11 +84,11 @@
     /** Checked again in each round: a generation may begin between two of them. */
     private boolean isExpired(final RequestTicket ticket) {
         final Proposer proposer = context.proposer();
-        final long ageMs = context.fleet().nowMs() - ticket.issuedMs();
+        final long ageMs = context.fleetClock().nowMs() - ticket.issuedMs();
         return proposer.voterSet() == null
                 || ticket.generation() != proposer.voterSet().generation()
                 || ageMs > limits.claimKeepMs()
-                || -ageMs > limits.ticketAheadMs();
+                || -ageMs > limits.ticketMaxAheadMs();
     }
 
     private ClaimResult result(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
@@ -117,20 +117,21 @@
 
     /** Records that nothing was sent under the claim; {@code done} receives whether a majority has stored that. */
     void releaseUnused(final IdempotencyClaim mine, final Consumer<Boolean> done) {
-        end(mine, mine.ended(IdempotencyClaim.State.NOT_RUN, 0, "", ""), done);
+        recordOutcome(mine, mine.withOutcome(IdempotencyClaim.State.NOT_RUN, 0, "", ""), done);
     }
 
     /** Records that the request ran, and with which response. */
     void recordExecuted(
             final IdempotencyClaim mine, final int status, final String answerDigest, final String instance) {
-        end(mine, mine.ended(IdempotencyClaim.State.RAN, status, answerDigest, instance), proven -> {});
+        recordOutcome(mine, mine.withOutcome(IdempotencyClaim.State.RAN, status, answerDigest, instance), proven -> {});
     }
 
-    private void end(final IdempotencyClaim mine, final IdempotencyClaim ended, final Consumer<Boolean> done) {
+    private void recordOutcome(
+            final IdempotencyClaim mine, final IdempotencyClaim ended, final Consumer<Boolean> done) {
         context.proposer()
                 .propose(
                         key,
-                        limits.claimWaitMs(),
+                        limits.claimTimeoutMs(),
                         stored -> {
                             final IdempotencyClaim now = read(stored);
                             final boolean own = now != null
--- a/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
@@ -9,14 +9,14 @@
  * stays free for one more. Not thread-safe.
  */
 final class ConcurrencyLimiter {
-    private static final class Use {
+    private static final class Usage {
         private int requests;
         private long bytes;
     }
 
     private final int requestsMax;
     private final long bytesMax;
-    private final Map<String, Use> uses = new HashMap<>();
+    private final Map<String, Usage> usageByTenant = new HashMap<>();
     private int requests;
     private long bytes;
 
@@ -33,37 +33,37 @@
         return bytes;
     }
 
-    boolean take(final String tenant, final long more) {
-        final Use use = uses.getOrDefault(tenant, new Use());
+    boolean tryAcquire(final String tenant, final long more) {
+        final Usage use = usageByTenant.getOrDefault(tenant, new Usage());
         if (use.requests >= requestsMax - requests || use.bytes + more > bytesMax - bytes) {
             return false;
         }
-        uses.put(tenant, use);
+        usageByTenant.put(tenant, use);
         use.requests++;
         requests++;
-        hold(tenant, more);
+        adjustHeldBytes(tenant, more);
         return true;
     }
 
     /** Changes the bytes held for a tenant by a difference. */
-    void hold(final String tenant, final long more) {
-        uses.get(tenant).bytes += more;
+    void adjustHeldBytes(final String tenant, final long more) {
+        usageByTenant.get(tenant).bytes += more;
         bytes += more;
-        tidy(tenant);
+        removeIfUnused(tenant);
     }
 
-    void leave(final String tenant) {
-        uses.get(tenant).requests--;
+    void release(final String tenant) {
+        usageByTenant.get(tenant).requests--;
         requests--;
-        tidy(tenant);
+        removeIfUnused(tenant);
     }
 
-    private void tidy(final String tenant) {
-        final Use use = uses.get(tenant);
+    private void removeIfUnused(final String tenant) {
+        final Usage use = usageByTenant.get(tenant);
         assert use.requests >= 0 && use.bytes >= 0 && requests <= requestsMax
                 : tenant + " holds " + use.requests + " and " + use.bytes;
         if (use.requests == 0 && use.bytes == 0) {
-            uses.remove(tenant);
+            usageByTenant.remove(tenant);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
@@ -13,7 +13,7 @@
 
     /** Replaces the edges; a list that names the same ones leaves the published object as it is. */
     public void publish(final Collection<NodeInfo> now) {
-        if (!same(now)) {
+        if (!sameEdges(now)) {
             edges = List.copyOf(now);
         }
     }
@@ -23,20 +23,20 @@
         return edges;
     }
 
-    private boolean same(final Collection<NodeInfo> now) {
+    private boolean sameEdges(final Collection<NodeInfo> now) {
         if (now.size() != edges.size()) {
             return false;
         }
         int i = 0;
         for (final NodeInfo member : now) {
-            if (!same(member, edges.get(i++))) {
+            if (!sameEdges(member, edges.get(i++))) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean same(final NodeInfo one, final NodeInfo other) {
+    private static boolean sameEdges(final NodeInfo one, final NodeInfo other) {
         return one.httpAddress().equals(other.httpAddress())
                 && one.zone().equals(other.zone())
                 && one.region().equals(other.region())
--- a/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
@@ -12,40 +12,40 @@
     private EdgeSelector() {}
 
     /** Selects up to {@code most} edges, in the home regions and outside drained zones. */
-    public static List<NodeInfo> elect(
+    public static List<NodeInfo> select(
             final String client,
             final Collection<NodeInfo> edges,
             final Set<String> homeRegions,
-            final Set<String> holds,
-            final int most) {
-        final List<NodeInfo> fit = new ArrayList<>();
+            final Set<String> drainedZones,
+            final int maxEdges) {
+        final List<NodeInfo> eligible = new ArrayList<>();
         for (final NodeInfo edge : edges) {
-            if (!edge.leaving() && homeRegions.contains(edge.region()) && !holds.contains(edge.zone())) {
-                fit.add(edge);
+            if (!edge.leaving() && homeRegions.contains(edge.region()) && !drainedZones.contains(edge.zone())) {
+                eligible.add(edge);
             }
         }
-        fit.sort(Comparator.comparingLong((NodeInfo e) -> weight(client, e.name()))
+        eligible.sort(Comparator.comparingLong((NodeInfo e) -> weight(client, e.name()))
                 .thenComparing(NodeInfo::name));
-        return fit.subList(0, Math.min(most, fit.size()));
+        return eligible.subList(0, Math.min(maxEdges, eligible.size()));
     }
 
     /** The edges of the zone; of the region where the zone has only one; or all where the region has none. */
-    public static List<NodeInfo> near(final Collection<NodeInfo> edges, final String region, final String zone) {
-        final List<NodeInfo> here = new ArrayList<>();
-        final List<NodeInfo> around = new ArrayList<>();
+    public static List<NodeInfo> nearest(final Collection<NodeInfo> edges, final String region, final String zone) {
+        final List<NodeInfo> sameZone = new ArrayList<>();
+        final List<NodeInfo> sameRegion = new ArrayList<>();
         final List<NodeInfo> all = new ArrayList<>();
         for (final NodeInfo edge : edges) {
             if (!edge.leaving()) {
                 all.add(edge);
                 if (edge.region().equals(region)) {
-                    around.add(edge);
+                    sameRegion.add(edge);
                     if (edge.zone().equals(zone)) {
-                        here.add(edge);
+                        sameZone.add(edge);
                     }
                 }
             }
         }
-        return here.size() > 1 ? here : around.isEmpty() ? all : around;
+        return sameZone.size() > 1 ? sameZone : sameRegion.isEmpty() ? all : sameRegion;
     }
 
     private static long weight(final String client, final String edge) {
--- a/spokestall/src/main/java/spokestall/proxy/EdgeShares.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeShares.java
@@ -24,7 +24,7 @@
      *
      * @param total how many permits the fleet has for this upstream, not negative
      */
-    default int part(final int total, final String instance, final String region) {
+    default int share(final int total, final String instance, final String region) {
         final int remainder = total % edges();
         final int even = total / edges();
         return remainder > 0 && rank(instance, region) < remainder ? even + 1 : even;
--- a/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
+++ b/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
@@ -33,11 +33,11 @@
     }
 
     /** Whether a register key is a claim's. */
-    public static boolean isKey(final String key) {
+    public static boolean isClaimKey(final String key) {
         return key.startsWith("once/");
     }
 
-    IdempotencyClaim ended(final State to, final int endStatus, final String digestOfAnswer, final String by) {
+    IdempotencyClaim withOutcome(final State to, final int endStatus, final String digestOfAnswer, final String by) {
         return new IdempotencyClaim(claimId, digest, ticketMs, claimedMs, to, endStatus, digestOfAnswer, by);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/LatencyTracker.java
+++ b/spokestall/src/main/java/spokestall/proxy/LatencyTracker.java
@@ -6,22 +6,22 @@
 
 /** The latency of each upstream relative to the others of its service: a moving mean of its response time over theirs. */
 final class LatencyTracker {
-    private static final double SHARE = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.1;
     private final Map<String, Double> services = new HashMap<>();
     private final Map<String, Double> instances = new HashMap<>();
 
-    void took(final String service, final String instance, final long spentMs) {
+    void onResponse(final String service, final String instance, final long spentMs) {
         final double ms = Math.max(1, spentMs);
-        move(services, service, ms);
-        move(instances, instance, ms / services.get(service));
+        updateMean(services, service, ms);
+        updateMean(instances, instance, ms / services.get(service));
     }
 
-    private static void move(final Map<String, Double> means, final String of, final double value) {
-        means.merge(of, value, (mean, v) -> mean + SHARE * (v - mean));
+    private static void updateMean(final Map<String, Double> means, final String of, final double value) {
+        means.merge(of, value, (mean, v) -> mean + SMOOTHING_FACTOR * (v - mean));
     }
 
     /** Returns the relative latency: one while nothing is known; two means twice as slow as the others. */
-    double of(final String service, final String instance) {
+    double relativeLatency(final String service, final String instance) {
         return instances.getOrDefault(instance, 1.0);
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
@@ -135,13 +135,13 @@
     }
 
     private double latencyFactor(final ServiceLimits service, final Upstream upstream) {
-        final double relative = latencyTracker.of(service.name(), upstream.instance());
+        final double relative = latencyTracker.relativeLatency(service.name(), upstream.instance());
         return Math.max(MIN_LATENCY_FACTOR, Math.min(MAX_LATENCY_FACTOR, relative));
     }
 
     private int freeSlots(final Upstream upstream) {
         final AdaptiveLimit limit = concurrencyLimits.get(upstream.instance());
-        return limit == null ? AdaptiveLimit.FIRST : limit.room();
+        return limit == null ? AdaptiveLimit.INITIAL_LIMIT : limit.available();
     }
 
     /**
@@ -190,7 +190,7 @@
 
     /** Notified when an attempt begins. */
     public void onAttemptStarted(final String instance) {
-        concurrencyLimits.computeIfAbsent(instance, i -> new AdaptiveLimit()).begun();
+        concurrencyLimits.computeIfAbsent(instance, i -> new AdaptiveLimit()).onStarted();
     }
 
     /**
@@ -209,13 +209,13 @@
             final long durationMs,
             final long targetMs) {
         if (outcome == AttemptOutcome.CANCELLED) {
-            concurrencyLimits.get(instance).cancelled();
+            concurrencyLimits.get(instance).onCancelled();
             return;
         }
         final boolean responded = outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.REJECTED;
-        concurrencyLimits.get(instance).ended(responded, durationMs, targetMs, clock.nowMs());
+        concurrencyLimits.get(instance).onEnded(responded, durationMs, targetMs, clock.nowMs());
         if (outcome == AttemptOutcome.ANSWERED) {
-            latencyTracker.took(service, instance, durationMs);
+            latencyTracker.onResponse(service, instance, durationMs);
             ejector.onAnswer(instance);
         } else {
             ejector.onFailure(instance, outcome, clock.nowMs());
@@ -235,6 +235,6 @@
         concurrencyLimits
                 .entrySet()
                 .removeIf(entry ->
-                        !instances.contains(entry.getKey()) && entry.getValue().idle());
+                        !instances.contains(entry.getKey()) && entry.getValue().isIdle());
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -25,7 +25,7 @@
  * <p>Not thread-safe; all calls are made on the node's event loop.
  */
 final class RequestExecution implements AdmittedRequest {
-    private enum Stage {
+    private enum State {
         READING_BODY,
         CLAIMING,
         ATTEMPTING,
@@ -33,10 +33,10 @@
     }
 
     /** The part of a latency target after which an idempotent request is hedged at a second upstream. */
-    private static final double HEDGE_AFTER = 0.6;
+    private static final double HEDGE_DELAY_RATIO = 0.6;
 
     /** What an upstream client says of an attempt that {@link AttemptPermission} stopped in the last moment. */
-    private static final String STOPPED_HERE = "barred";
+    private static final String SEND_DENIED = "barred";
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final AdmissionController admission;
@@ -51,7 +51,7 @@
 
     private final Set<String> attemptedInstances = new HashSet<>();
     private final Set<AttemptHandle> openAttempts = new HashSet<>();
-    private Stage stage = Stage.READING_BODY;
+    private State state = State.READING_BODY;
     private byte[] body;
     private IdempotencyClaim claim;
     private boolean mayHaveRun;
@@ -78,7 +78,7 @@
                 admission.limiter(), context.loadBalancer(), grant.service(), grant.tenantName(), heldBytes);
         this.attempts = new AttemptBudget(admission.limits().conventions().unsentFree());
         this.claimManager = needsClaim() ? claimManager() : null;
-        context.clock().after(Math.max(0, remainingMs()), () -> endWith(ResultCode.DEADLINE));
+        context.clock().after(Math.max(0, remainingMs()), () -> completeWith(ResultCode.DEADLINE));
     }
 
     private boolean needsClaim() {
@@ -96,9 +96,9 @@
         return grant.deadlineMs() - context.clock().nowMs();
     }
 
-    private void transitionTo(final Stage next) {
-        assert next.ordinal() > stage.ordinal() : stage + " to " + next;
-        stage = next;
+    private void transitionTo(final State next) {
+        assert next.ordinal() > state.ordinal() : state + " to " + next;
+        state = next;
     }
 
     @Override
@@ -108,21 +108,21 @@
 
     @Override
     public void onBody(final byte[] complete) {
-        if (stage != Stage.READING_BODY) {
+        if (state != State.READING_BODY) {
             return;
         }
         body = complete;
         reservation.holdBytes(complete.length + (long) grant.service().responseMaxBytes());
         final ResultCode refusal = refusal();
         if (refusal != null) {
-            endWith(refusal);
+            completeWith(refusal);
         } else if (!reserveCapacity()) {
-            endWith(ResultCode.NO_UPSTREAM);
+            completeWith(ResultCode.NO_UPSTREAM);
         } else if (claimManager == null) {
-            transitionTo(Stage.ATTEMPTING);
-            attempt();
+            transitionTo(State.ATTEMPTING);
+            startAttempt();
         } else {
-            transitionTo(Stage.CLAIMING);
+            transitionTo(State.CLAIMING);
             claimManager.claim(
                     RequestTicket.of(grant.head().requestId()),
                     body,
@@ -134,8 +134,8 @@
 
     @Override
     public void onBodyFailed(final ResultCode reason) {
-        if (stage == Stage.READING_BODY) {
-            endWith(reason);
+        if (state == State.READING_BODY) {
+            completeWith(reason);
         }
     }
 
@@ -149,18 +149,18 @@
 
     /** Nobody waits for the response any more: what may be repeated is ended; what must run once runs to its end. */
     private void cancelAttempts() {
-        if (stage != Stage.ATTEMPTING || grant.route().runOnce()) {
+        if (state != State.ATTEMPTING || grant.route().runOnce()) {
             return;
         }
         attemptsCancelled = true;
-        endWith(ResultCode.DEADLINE);
+        completeWith(ResultCode.DEADLINE);
         List.copyOf(openAttempts).forEach(AttemptHandle::cancel);
     }
 
     @Override
     public void onResponseWritten() {
         responseWritten = true;
-        if (stage == Stage.ENDED) {
+        if (state == State.ENDED) {
             reservation.holdBytes(0);
         }
     }
@@ -182,49 +182,49 @@
     }
 
     /** Ends the request with what is known of it, because this node shuts down. */
-    void giveUp() {
-        if (stage != Stage.ENDED) {
-            endUnsent(ResultCode.HELD);
+    void abort() {
+        if (state != State.ENDED) {
+            completeUnsent(ResultCode.HELD);
         }
     }
 
-    private void end(final Response response) {
-        if (stage == Stage.ENDED) {
+    private void complete(final Response response) {
+        if (state == State.ENDED) {
             return;
         }
-        transitionTo(Stage.ENDED);
+        transitionTo(State.ENDED);
         reservation.end();
         reservation.holdBytes(
                 responseWritten || response.content() == null
                         ? 0
                         : response.content().body().length);
-        admission.onEnded(this, grant.tenantName(), response.result());
+        admission.onRequestEnded(this, grant.tenantName(), response.result());
         body = null;
         responded.accept(response);
     }
 
     /** Ends the request with a result of this node's own; "not run" only if no attempt may have run it, or may yet. */
-    private void endWith(final ResultCode result) {
-        final boolean undecided = claimManager != null || grant.hasTicket() || mayHaveRun || attempts.open() > 0;
-        end(admission.reject(
-                result, undecided ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN, attempts.begun()));
+    private void completeWith(final ResultCode result) {
+        final boolean undecided = claimManager != null || grant.hasTicket() || mayHaveRun || attempts.inFlight() > 0;
+        complete(admission.reject(
+                result, undecided ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN, attempts.started()));
     }
 
     /** Sends nothing more. A claim that was not used is first released in its register, then the client is answered. */
-    private void endUnsent(final ResultCode reason) {
+    private void completeUnsent(final ResultCode reason) {
         if (claim != null && !mayHaveRun) {
             claimManager.releaseUnused(
                     claim,
-                    proven -> end(admission.reject(
-                            reason, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, attempts.begun())));
+                    proven -> complete(admission.reject(
+                            reason, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, attempts.started())));
         } else {
-            endWith(reason);
+            completeWith(reason);
         }
     }
 
     /** Why nothing may be sent now, or null if an attempt may begin. */
     private ResultCode refusal() {
-        return stage == Stage.ENDED || clientDisconnected ? ResultCode.DEADLINE : permission.refusal();
+        return state == State.ENDED || clientDisconnected ? ResultCode.DEADLINE : permission.refusal();
     }
 
     private void onClaimResult(final ClaimResult result) {
@@ -235,7 +235,7 @@
                     grant.tenant(),
                     claimManager.key(),
                     earlier.claim().answerDigest(),
-                    content -> end(new Response(
+                    content -> complete(new Response(
                             content != null ? ResultCode.REPEATED : ResultCode.RAN_ANSWER_GONE,
                             ExecutionStatus.RAN,
                             content,
@@ -244,21 +244,21 @@
                             0)));
         } else if (result instanceof ClaimResult.Refused refused) {
             final ResultCode refusal = refused.reason() == ResultCode.UNCLEAR ? refusal() : null;
-            endWith(refusal != null ? refusal : refused.reason());
+            completeWith(refusal != null ? refusal : refused.reason());
         }
     }
 
     private void onClaimGranted(final IdempotencyClaim granted) {
         claim = granted;
-        if (stage == Stage.ENDED) {
+        if (state == State.ENDED) {
             claimManager.releaseUnused(claim, proven -> {});
             return;
         }
-        transitionTo(Stage.ATTEMPTING);
-        attempt();
+        transitionTo(State.ATTEMPTING);
+        startAttempt();
     }
 
-    private void attempt() {
+    private void startAttempt() {
         final ResultCode refusal = refusal();
         final Upstream upstream = refusal != null
                 ? null
@@ -269,21 +269,21 @@
             onNoUpstream(refusal);
             return;
         }
-        if (attempts.begin()) {
+        if (attempts.onStarted()) {
             // Retries are a share of the requests that reached an upstream, not of those that were admitted.
-            admission.budget(permission.service()).asked();
+            admission.retryBudget(permission.service()).onRequest();
         }
         attemptedInstances.add(upstream.instance());
-        final Attempt attempt = attemptAt(upstream);
+        final Attempt attempt = newAttempt(upstream);
         final long begunMs = context.clock().nowMs();
         context.loadBalancer().onAttemptStarted(upstream.instance());
         reservation.release();
         scheduleHedge(upstream);
         final LongSupplier sendableUntilMs = () -> refusal() != null
                 ? Long.MIN_VALUE
-                : Math.min(grant.deadlineMs(), context.follower().lease().expiresMs());
+                : Math.min(grant.deadlineMs(), context.feedClient().lease().expiresMs());
         final AttemptHandle[] handle = new AttemptHandle[1];
-        handle[0] = context.upstreams().attempt(attempt, sendableUntilMs, this::onAttemptSent, result -> {
+        handle[0] = context.upstreamClient().attempt(attempt, sendableUntilMs, this::onAttemptSent, result -> {
             openAttempts.remove(handle[0]);
             onAttemptEnded(upstream, result, begunMs);
         });
@@ -291,19 +291,19 @@
     }
 
     private void onNoUpstream(final ResultCode refusal) {
-        if (attempts.open() > 0) {
+        if (attempts.inFlight() > 0) {
             return;
         }
         if (failedResponse != null) {
-            end(failedResponse);
+            complete(failedResponse);
         } else if (refusal != null) {
-            endUnsent(refusal);
+            completeUnsent(refusal);
         } else {
-            endUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
+            completeUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
     }
 
-    private Attempt attemptAt(final Upstream upstream) {
+    private Attempt newAttempt(final Upstream upstream) {
         final RequestHead head = grant.head();
         return new Attempt(
                 head.requestId(),
@@ -323,23 +323,25 @@
     private void scheduleHedge(final Upstream upstream) {
         final long latencyTargetMs = permission.route().latencyTargetMs();
         if (latencyTargetMs > 0 && !grant.route().runOnce()) {
-            final int number = attempts.begun();
+            final int number = attempts.started();
             context.clock()
-                    .after(Math.max(1, (long) (HEDGE_AFTER * latencyTargetMs)), () -> onHedgeDue(upstream, number));
+                    .after(
+                            Math.max(1, (long) (HEDGE_DELAY_RATIO * latencyTargetMs)),
+                            () -> onHedgeDue(upstream, number));
         }
     }
 
     /** An idempotent request is sent to a second upstream as well, once and paid for; the first complete answer counts. */
-    private void onHedgeDue(final Upstream silent, final int number) {
-        if (stage == Stage.ATTEMPTING && attempts.open() == 1 && attempts.begun() == number) {
-            context.loadBalancer().onAttemptLate(silent.instance());
+    private void onHedgeDue(final Upstream slowUpstream, final int number) {
+        if (state == State.ATTEMPTING && attempts.inFlight() == 1 && attempts.started() == number) {
+            context.loadBalancer().onAttemptLate(slowUpstream.instance());
             retry();
         }
     }
 
     private void onAttemptSent() {
         if (grant.tenant() != null) {
-            context.counter().onStarted(grant.tenantName());
+            context.usageCounter().onStarted(grant.tenantName());
         }
     }
 
@@ -372,7 +374,7 @@
             return AttemptOutcome.CANCELLED;
         }
         if (result instanceof AttemptResult.NotSent unsent) {
-            return unsent.why().equals(STOPPED_HERE) ? AttemptOutcome.ANSWERED : AttemptOutcome.UNREACHABLE;
+            return unsent.why().equals(SEND_DENIED) ? AttemptOutcome.ANSWERED : AttemptOutcome.UNREACHABLE;
         }
         return result instanceof AttemptResult.NotRun ? AttemptOutcome.REJECTED : AttemptOutcome.LOST;
     }
@@ -382,15 +384,15 @@
             recordExecuted(upstream, answered);
         }
         final Response response = new Response(
-                ResultCode.OK, ExecutionStatus.RAN, answered.content(), upstream.instance(), attempts.begun(), 0);
+                ResultCode.OK, ExecutionStatus.RAN, answered.content(), upstream.instance(), attempts.started(), 0);
         final boolean failed = isFailure(answered.content().status());
-        if (claim == null && failed && !grant.route().runOnce() && stage != Stage.ENDED) {
+        if (claim == null && failed && !grant.route().runOnce() && state != State.ENDED) {
             failedResponse = response;
-            if (attempts.open() > 0 || retry()) {
+            if (attempts.inFlight() > 0 || retry()) {
                 return;
             }
         }
-        end(response);
+        complete(response);
     }
 
     private boolean isFailure(final int status) {
@@ -403,27 +405,27 @@
         LOG.atFine().log(
                 "event=attempt_failed node=%s instance=%s request=%s result=%s",
                 context.self().name(), upstream.instance(), grant.head().requestId(), result);
-        if (stage == Stage.ENDED) {
+        if (state == State.ENDED) {
             if (claim != null && !mayHaveRun) {
                 claimManager.releaseUnused(claim, proven -> {});
             }
         } else if (grant.route().runOnce() && mayHaveRun) {
-            endWith(ResultCode.LOST);
-        } else if (attempts.open() == 0) {
+            completeWith(ResultCode.LOST);
+        } else if (attempts.inFlight() == 0) {
             retryOrEnd();
         }
     }
 
     private void retryOrEnd() {
         if (failedResponse != null) {
-            end(failedResponse);
+            complete(failedResponse);
             return;
         }
         final ResultCode refusal = refusal();
         if (refusal != null) {
-            endUnsent(refusal);
+            completeUnsent(refusal);
         } else if (!retry()) {
-            endUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
+            completeUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
     }
 
@@ -433,12 +435,12 @@
         final int attemptsMax = configuredMax > 0
                 ? Math.min(configuredMax, admission.limits().attemptsMax())
                 : admission.limits().attemptsMax();
-        if (stage == Stage.ENDED
+        if (state == State.ENDED
                 || refusal() != null
-                || !attempts.again(attemptsMax, admission.budget(permission.service()))) {
+                || !attempts.tryAcquire(attemptsMax, admission.retryBudget(permission.service()))) {
             return false;
         }
-        attempt();
+        startAttempt();
         return true;
     }
 
@@ -448,7 +450,7 @@
                 claimManager.key(), KeyHash.hex(MessageCodec.encodeRecord(answered.content())), answered.content());
         context.responseCache().put(stored);
         for (final String core : context.homeCores().apply(grant.tenant().homeRegions())) {
-            context.post().send(core, stored);
+            context.messageSender().send(core, stored);
         }
         claimManager.recordExecuted(claim, answered.content().status(), stored.digest(), upstream.instance());
     }
--- a/spokestall/src/main/java/spokestall/proxy/RequestHead.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestHead.java
@@ -20,13 +20,13 @@
         String target,
         String key,
         String requestId,
-        long spanMs,
+        long remainingMs,
         long bodyBytes,
         List<Header> headers) {
     /** The same head after it has waited; less remains until its deadline. */
-    public RequestHead later(final long waitedMs) {
-        return spanMs == Long.MIN_VALUE
+    public RequestHead afterWaiting(final long waitedMs) {
+        return remainingMs == Long.MIN_VALUE
                 ? this
-                : new RequestHead(method, host, target, key, requestId, spanMs - waitedMs, bodyBytes, headers);
+                : new RequestHead(method, host, target, key, requestId, remainingMs - waitedMs, bodyBytes, headers);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/RequestReservation.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestReservation.java
@@ -35,7 +35,7 @@
         if (bytes == heldBytes) {
             return;
         }
-        limiter.hold(tenant, bytes - heldBytes);
+        limiter.adjustHeldBytes(tenant, bytes - heldBytes);
         heldBytes = bytes;
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/RetryBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/RetryBudget.java
@@ -7,27 +7,27 @@
  * but not spent never exceeds a small allowance. Not thread-safe.
  */
 final class RetryBudget {
-    private final DoubleSupplier share;
+    private final DoubleSupplier ratio;
     private final DoubleSupplier allowance;
-    private double earned;
+    private double balance;
 
     /** The allowance is this edge's part of the fleet's; it shrinks as the fleet grows. */
     RetryBudget(final DoubleSupplier share, final DoubleSupplier allowance) {
-        this.share = share;
+        this.ratio = share;
         this.allowance = allowance;
-        this.earned = allowance.getAsDouble();
+        this.balance = allowance.getAsDouble();
     }
 
-    void asked() {
-        earned = Math.min(allowance.getAsDouble(), earned + share.getAsDouble());
+    void onRequest() {
+        balance = Math.min(allowance.getAsDouble(), balance + ratio.getAsDouble());
     }
 
-    boolean spend() {
-        earned = Math.min(allowance.getAsDouble(), earned);
-        if (earned < 1) {
+    boolean tryAcquire() {
+        balance = Math.min(allowance.getAsDouble(), balance);
+        if (balance < 1) {
             return false;
         }
-        earned -= 1;
+        balance -= 1;
         return true;
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
@@ -12,7 +12,7 @@
 
 /**
  * Limits how much this edge sends to upstreams that are warming up, so that all edges together keep to the upstream's bound in any
- * second. The bound is a whole number of permits a window, and each edge gets a whole number of them ({@link EdgeShares#part}); an
+ * second. The bound is a whole number of permits a window, and each edge gets a whole number of them ({@link EdgeShares#share}); an
  * edge without a permit sends nothing there. Parts of a permit would add up on average only: edges that have each saved up one
  * would all spend it in the same moment.
  *
@@ -30,7 +30,7 @@
     private final FleetClock fleetClock;
     private final Random random;
     private LoadBalancerParameters.SlowStartLimits limits;
-    private final Map<String, SlowStart> slowStarts = new HashMap<>();
+    private final Map<String, SlowStartWindow> slowStarts = new HashMap<>();
     /** Until when instances count as warming up whatever their age, on the monotonic clock. */
     private final Map<String, Long> restartedUntilMs = new HashMap<>();
 
@@ -74,7 +74,7 @@
         }
         final double ratePerS = limits.rampRatio() * service.slowStartPerSecond() * ramp(service, ageMs, restarted)
                 + limits.slackPerS();
-        final int permits = limits.shares().part(permits(ratePerS), upstream.instance(), upstream.region());
+        final int permits = limits.shares().share(permits(ratePerS), upstream.instance(), upstream.region());
         if (permits == 0) {
             return false;
         }
@@ -95,13 +95,13 @@
         return (long) Math.ceil(SECOND_MS / Math.min(1, ratePerS)) + limits.clockErrorMs();
     }
 
-    private SlowStart slowStart(final Upstream upstream, final double ratePerS, final long windowMs) {
-        final SlowStart known = slowStarts.get(upstream.instance());
+    private SlowStartWindow slowStart(final Upstream upstream, final double ratePerS, final long windowMs) {
+        final SlowStartWindow known = slowStarts.get(upstream.instance());
         if (known != null) {
             return known;
         }
         // All edges hear of a new upstream at the same time: their first attempts are spread over a window.
-        final SlowStart begun = new SlowStart(clock.nowMs() + random.nextLong(SECOND_MS));
+        final SlowStartWindow begun = new SlowStartWindow(clock.nowMs() + random.nextLong(SECOND_MS));
         slowStarts.put(upstream.instance(), begun);
         LOG.atInfo().log(
                 "event=slow_start_began instance=%s ratePerS=%.2f windowMs=%s edges=%s rank=%s",
@@ -114,7 +114,7 @@
     }
 
     private void onWarmedUp(final String instance) {
-        final SlowStart ended = slowStarts.remove(instance);
+        final SlowStartWindow ended = slowStarts.remove(instance);
         restartedUntilMs.remove(instance);
         if (ended != null) {
             LOG.atInfo().log("event=slow_start_ended instance=%s attempts=%s", instance, ended.attempts());
--- a/spokestall/src/main/java/spokestall/proxy/SlowStart.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStartWindow.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /** What this edge sent of late to one upstream that is warming up. Not thread-safe. */
-final class SlowStart {
+final class SlowStartWindow {
     private final long notBeforeMs;
     private final Deque<Long> recentMs = new ArrayDeque<>();
     private long attempts;
@@ -14,7 +14,7 @@
      *
      * @param notBeforeMs nothing may be sent before then
      */
-    SlowStart(final long notBeforeMs) {
+    SlowStartWindow(final long notBeforeMs) {
         this.notBeforeMs = notBeforeMs;
     }
 
--- a/spokestall/src/test/java/spokestall/discovery/EndpointListReaderTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointListReaderTest.java
@@ -26,9 +26,9 @@
     private final List<ListedEndpoint> list = new ArrayList<>();
     private final List<NodeInfo> members = new ArrayList<>();
     /** Answers of the platform that are still on their way, if any are held up. */
-    private final List<Runnable> answersUnderWay = new ArrayList<>();
+    private final List<Runnable> delayedResponses = new ArrayList<>();
 
-    private boolean answersHeldUp;
+    private boolean delayResponses;
 
     EndpointListReaderTest() {
         fleet.onPeerReading("p", clock.nowMs(), true, clock.nowMs());
@@ -78,8 +78,8 @@
             @Override
             public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
                 reads.merge(name, 1, Integer::sum);
-                if (answersHeldUp) {
-                    answersUnderWay.add(() -> done.accept(Optional.of(List.copyOf(list))));
+                if (delayResponses) {
+                    delayedResponses.add(() -> done.accept(Optional.of(List.copyOf(list))));
                 } else {
                     done.accept(Optional.of(List.copyOf(list)));
                 }
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void oneCoreReadsTheListForAllAndTheNextOneWhenThatIsDown() {
+    void oneCoreReadsTheListAndTheNextTakesOverWhenItIsDown() {
         list.add(listed("i1", false, 0));
         run(20_000);
         assertThat(reads).containsOnlyKeys("a");
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void withoutProbesListedEndpointsThatAreNotLeavingAreReadyAndWarmUpAsTheListSays() {
+    void withoutProbesReadinessAndWarmUpComeFromTheList() {
         list.add(listed("i1", false, 3000));
         list.add(listed("i2", false, -1));
         run(2000);
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void anEndpointThatAnotherCoreListsAnewKeepsItsFirstListing() {
+    void endpointListedAgainByAnotherCoreKeepsItsFirstListingTime() {
         list.add(listed("i1", false, -1));
         run(2000);
         final long sinceMs =
@@ -165,15 +165,15 @@
     }
 
     @Test
-    void aWarmUpIsNotTakenToEndBeforeItDoesHoweverLongTheAnswerTook() {
-        answersHeldUp = true;
+    void slowListResponseDoesNotShortenAWarmUp() {
+        delayResponses = true;
         run(500);
-        assertThat(answersUnderWay).isNotEmpty();
+        assertThat(delayedResponses).isNotEmpty();
         clock.advance(900);
         // The platform reckons what is left when it answers, just before the answer arrives.
         list.add(listed("i1", false, 3000));
         final long endsMs = fleet.nowMs() + 3000;
-        answersUnderWay.forEach(Runnable::run);
+        delayedResponses.forEach(Runnable::run);
         assertThat(registries
                         .get("edge")
                         .readyUpstreams("s", fleet.nowMs())
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void anUpstreamThatWarmsUpAnewIsKnownToEvenForItsLastMoments() {
+    void restartedWarmUpIsReportedEvenIfItEndsSoon() {
         list.add(listed("i1", false, 0));
         run(3000);
         list.set(0, listed("i1", false, 900));
@@ -196,15 +196,15 @@
     }
 
     @Test
-    void aWarmUpThatASlowAnswerMadeMuchTooLongIsSetRightByAQuickOne() {
-        answersHeldUp = true;
+    void quickListResponseCorrectsAWarmUpEndThatASlowOneOverestimated() {
+        delayResponses = true;
         run(500);
         list.add(listed("i1", false, 6000));
         final long endsMs = fleet.nowMs() + 6000;
         clock.advance(1500);
-        answersUnderWay.forEach(Runnable::run);
+        delayedResponses.forEach(Runnable::run);
         assertThat(warmUpUntilAtEdgeMs()).isGreaterThan(endsMs + 1000);
-        answersHeldUp = false;
+        delayResponses = false;
         list.set(0, listed("i1", false, endsMs - fleet.nowMs()));
         readers.get("a").onTick();
         assertThat(warmUpUntilAtEdgeMs()).isEqualTo(endsMs);
--- a/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void readyUpstreamsFollowEachChangeOfTheList() {
+    void readyUpstreamsReflectEachListChange() {
         unprobed.merge(List.of(endpoint("b", "s", true, false, 1), endpoint("a", "s", true, false, 1)), List.of());
         unprobed.merge(List.of(endpoint("c", "t", true, false, 1)), List.of());
         assertThat(ready(unprobed, "s")).containsExactly("a", "b");
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void theEarliestFirstListingIsKept() {
+    void keepsTheEarliestFirstListingTime() {
         unprobed.merge(List.of(endpoint("a", "s", true, false, 5)), List.of());
         assertThat(unprobed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(5);
         unprobed.merge(List.of(endpoint("a", "s", true, false, 2)), List.of());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void withProbesOnlyFreshObservationsMakeAnUpstreamReady() {
+    void probedUpstreamIsReadyOnlyWithAFreshObservation() {
         probed.merge(List.of(endpoint("a", "s", true, false, 1), endpoint("b", "s", true, false, 1)), List.of());
         assertThat(ready(probed, "s")).isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.READY, 7, NOW_MS)));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void readyUpstreamsAreBuiltOnceForEachVersionOfTheList() {
+    void readyUpstreamsAreCachedPerListVersion() {
         for (int n = 0; n < 50; n++) {
             unprobed.merge(List.of(endpoint("i" + n, "s" + n % 5, true, false, 1)), List.of());
         }
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -31,7 +31,7 @@
     private final Map<String, Integer> probes = new TreeMap<>();
     private Optional<ProbeResult> answer = Optional.of(new ProbeResult("i1", "s", false, 700));
     private boolean answering = true;
-    private final List<Runnable> answersUnderWay = new ArrayList<>();
+    private final List<Runnable> delayedResponses = new ArrayList<>();
 
     private static NodeInfo member(final String name, final boolean core, final String region) {
         return new NodeInfo(name, name, name, core, "d", region, 1, 0, false, 3, 1, false);
@@ -80,7 +80,7 @@
                 if (answering) {
                     done.accept(answer);
                 } else {
-                    answersUnderWay.add(() -> done.accept(answer));
+                    delayedResponses.add(() -> done.accept(answer));
                 }
             }
         };
@@ -112,20 +112,20 @@
     }
 
     @Test
-    void anInstanceIsProbedByTwoCoresThoseOfItsRegionFirst() {
+    void instanceIsProbedByTwoCoresOfItsOwnRegionFirst() {
         tick(4);
         assertThat(probes).containsOnly(Map.entry("a", 4), Map.entry("b", 4));
     }
 
     @Test
-    void noSecondProbeIsSentWhileAnAnswerIsAwaited() {
+    void sendsNoSecondProbeWhileOneIsPending() {
         answering = false;
         tick(4);
         assertThat(probes).containsOnly(Map.entry("a", 1), Map.entry("b", 1));
     }
 
     @Test
-    void aReadyInstanceIsReadySinceItSaysSo() {
+    void readySinceComesFromTheProbeResponse() {
         tick(1);
         final List<Upstream> ready = registries.get("e").readyUpstreams("s", fleetClock.nowMs());
         assertThat(ready).hasSize(1);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void onlyFailuresInARowMakeAnInstanceDown() {
+    void onlyConsecutiveFailuresMarkAnInstanceDown() {
         tick(1);
         answer = Optional.empty();
         tick(FAILURE_THRESHOLD - 1);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void anotherInstanceOrServiceAtTheAddressIsForeign() {
+    void otherInstanceOrServiceAtTheAddressIsForeign() {
         answer = Optional.of(new ProbeResult("i2", "s", false, 700));
         tick(1);
         assertThat(statusAtEdge()).contains(HealthStatus.FOREIGN);
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void changesAreSentToAllNodesAndRepetitionsToCoresOnly() {
+    void sendsChangesToAllNodesAndRepeatsToCoresOnly() {
         tick(1);
         assertThat(sent).containsOnlyKeys("a>b", "a>c", "a>e", "b>a", "b>c", "b>e");
         sent.clear();
@@ -185,19 +185,19 @@
     }
 
     @Test
-    void anInstanceIsNotTakenToBeReadyForLongerThanItIsHoweverLongTheAnswerTook() {
+    void slowProbeResponseDoesNotMakeReadySinceEarlier() {
         answering = false;
         tick(1);
         clock.advance(90);
         // The instance says how long it has been ready when it answers, just before the answer arrives.
         final long readySinceMs = fleetClock.nowMs() - 700;
-        answersUnderWay.forEach(Runnable::run);
+        delayedResponses.forEach(Runnable::run);
         tick(1);
         assertThat(readySinceAtEdgeMs()).isGreaterThanOrEqualTo(readySinceMs);
     }
 
     @Test
-    void anInstanceThatIsReadyAnewWarmsUpAnewHoweverSoonThatIs() {
+    void restartedInstanceGetsANewReadyTimeEvenAfterAShortOutage() {
         tick(1);
         answer = Optional.of(new ProbeResult("i1", "s", false, 300));
         tick(1);
--- a/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
+++ b/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void eachMemberIsDroppedOnceItWasNotHeardFromWithinTheTimeout() {
+    void removesEachMemberNotSeenWithinTheTimeout() {
         receiveShuffle("a");
         clock.advance(400);
         receiveShuffle("b");
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void timeoutOfAMemberLearnedFromASampleCountsFromWhenItWasSeen() {
+    void timeoutOfASampledMemberStartsAtItsLastSeenTime() {
         receiveShuffle("a", member("c", clock.nowMs() - 900));
         assertThat(memberNames()).containsExactly("a", "c");
         clock.advance(101);
--- a/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
@@ -87,7 +87,7 @@
         final RequestHead head = REQUESTS.head("POST", "a.example", "/transfers/17?full=1", fields, 12);
         assertThat(head.key()).isEqualTo("key-1");
         assertThat(head.requestId()).isEqualTo("t1-17-1000.pay-4");
-        assertThat(head.spanMs()).isEqualTo(2500);
+        assertThat(head.remainingMs()).isEqualTo(2500);
         assertThat(head.headers())
                 .as("what is passed on")
                 .containsExactlyInAnyOrder(new Header("Content-Type", "application/json"), new Header("X-Trace", "7"));
--- a/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
@@ -33,8 +33,8 @@
         assertThat(ConfigurationKeys.versionOf("usage/0000000000000000017")).isEqualTo(-1);
         assertThat(SealedWindow.windowOf("usage/0000000000000000345")).isEqualTo(345);
         assertThat(SealedWindow.windowOf("policy/0000000000000000345")).isEqualTo(-1);
-        assertThat(IdempotencyClaim.isKey("once/tenant-1/pay-17")).isTrue();
-        assertThat(IdempotencyClaim.isKey("duty/usage_report")).isFalse();
+        assertThat(IdempotencyClaim.isClaimKey("once/tenant-1/pay-17")).isTrue();
+        assertThat(IdempotencyClaim.isClaimKey("duty/usage_report")).isFalse();
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/node/SharingEdgesTest.java
+++ b/spokestall/src/test/java/spokestall/node/SharingEdgesTest.java
@@ -59,7 +59,7 @@
             for (int upstream = 0; upstream < 20; upstream++) {
                 int sum = 0;
                 for (final SharingEdges edge : all) {
-                    sum += edge.part(total, "i-" + upstream, "r1");
+                    sum += edge.share(total, "i-" + upstream, "r1");
                 }
                 assertThat(sum).isEqualTo(total);
             }
--- a/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
@@ -13,14 +13,14 @@
             final boolean unsentFree, final int most, final RetryBudget budget, final boolean arrives) {
         final AttemptBudget attempts = new AttemptBudget(unsentFree);
         do {
-            assertThat(attempts.begin()).isEqualTo(attempts.begun() == 1);
+            assertThat(attempts.onStarted()).isEqualTo(attempts.started() == 1);
             attempts.ended(arrives);
-        } while (attempts.again(most, budget));
-        return attempts.begun();
+        } while (attempts.tryAcquire(most, budget));
+        return attempts.started();
     }
 
     @Test
-    void eachFurtherGoIsARetryWhetherOrNotTheOneBeforeWasSent() {
+    void countsUnsentAttemptsAsRetriesByDefault() {
         final RetryBudget two = budget(2);
         assertThat(attempts(false, 9, two, false)).isEqualTo(3);
         assertThat(attempts(false, 9, two, false)).as("the budget is spent").isEqualTo(1);
@@ -28,45 +28,49 @@
     }
 
     @Test
-    void eachGoCountsAgainstTheMostWhetherOrNotItWasSent() {
+    void countsUnsentAttemptsAgainstTheMaximumByDefault() {
         assertThat(attempts(false, 3, budget(100), false)).isEqualTo(3);
         assertThat(attempts(false, 3, budget(100), true)).isEqualTo(3);
     }
 
     @Test
-    void whatWasNeverSentIsFreeOnlyWhereThatIsTheHabitAndNotWithoutEnd() {
-        assertThat(attempts(true, 3, budget(0), false)).isEqualTo(AttemptBudget.MOST);
+    void unsentAttemptsAreFreeUpToAFixedMaximumWhenConfigured() {
+        assertThat(attempts(true, 3, budget(0), false)).isEqualTo(AttemptBudget.MAX_ATTEMPTS);
         assertThat(attempts(true, 9, budget(2), true)).isEqualTo(3);
         assertThat(attempts(true, 3, budget(100), true)).isEqualTo(3);
     }
 
     @Test
-    void aGoBesideOneThatIsUnderWayIsAlwaysPaidForAndCounted() {
+    void hedgedAttemptsAlwaysCountAndUseTheRetryBudget() {
         final RetryBudget one = budget(1);
         final AttemptBudget attempts = new AttemptBudget(true);
-        attempts.begin();
-        assertThat(attempts.again(2, one)).isTrue();
-        attempts.begin();
-        assertThat(attempts.open()).isEqualTo(2);
-        assertThat(attempts.again(2, budget(100))).as("both may arrive").isFalse();
-        assertThat(attempts.again(9, one)).as("nothing is left to pay for it").isFalse();
+        attempts.onStarted();
+        assertThat(attempts.tryAcquire(2, one)).isTrue();
+        attempts.onStarted();
+        assertThat(attempts.inFlight()).isEqualTo(2);
+        assertThat(attempts.tryAcquire(2, budget(100))).as("both may arrive").isFalse();
+        assertThat(attempts.tryAcquire(9, one))
+                .as("nothing is left to pay for it")
+                .isFalse();
         attempts.ended(true);
         attempts.ended(true);
-        assertThat(attempts.open()).isZero();
+        assertThat(attempts.inFlight()).isZero();
     }
 
     @Test
-    void aGoAfterOneThatMayHaveArrivedIsPaidForAlsoWhereUnsentOnesAreFree() {
+    void retryAfterASentAttemptUsesTheBudgetEvenIfUnsentAttemptsAreFree() {
         final RetryBudget one = budget(1);
         final AttemptBudget attempts = new AttemptBudget(true);
-        attempts.begin();
+        attempts.onStarted();
         attempts.ended(false);
-        assertThat(attempts.again(3, one)).isTrue();
-        attempts.begin();
+        assertThat(attempts.tryAcquire(3, one)).isTrue();
+        attempts.onStarted();
         attempts.ended(true);
-        assertThat(attempts.again(3, one)).isTrue();
-        attempts.begin();
+        assertThat(attempts.tryAcquire(3, one)).isTrue();
+        attempts.onStarted();
         attempts.ended(true);
-        assertThat(attempts.again(3, one)).as("nothing is left to pay for it").isFalse();
+        assertThat(attempts.tryAcquire(3, one))
+                .as("nothing is left to pay for it")
+                .isFalse();
     }
 }
--- a/spokestall/src/test/java/spokestall/proxy/CapacityReservationsTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/CapacityReservationsTest.java
@@ -8,7 +8,7 @@
     private final CapacityReservations reservations = new CapacityReservations();
 
     @Test
-    void aReservationCountsForAllTenantsOfItsServiceAndAnOpenRequestForItsOwn() {
+    void reservationCountsForAllTenantsAndOpenRequestForItsOwnTenant() {
         reservations.reserve("s", "t1");
         assertThat(reservations.taken("s", "t1")).isEqualTo(2);
         assertThat(reservations.taken("s", "t2")).isEqualTo(1);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void reservationsThatAreEachReleasedAndEndedOnceLeaveNothingInAnyOrder() {
+    void countsReturnToZeroInAnyOrderOfReleaseAndEnd() {
         reservations.reserve("s", "t1");
         reservations.reserve("s", "t2");
         reservations.reserve("s", "t1");
--- a/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
@@ -12,7 +12,7 @@
 
     /** However greedy some are, bounds hold, and one that holds nothing always finds a place. */
     @Test
-    void greedyTenantsLeaveRoomForOneMore() {
+    void greedyTenantsLeaveCapacityForAnotherTenant() {
         final Random random = new Random(3);
         for (int round = 0; round < 200; round++) {
             final int greedy = 1 + random.nextInt(6);
@@ -21,13 +21,13 @@
             for (int i = 0; i < 2000; i++) {
                 final String tenant = "greedy-" + random.nextInt(greedy);
                 final long bytes = random.nextInt(20_000);
-                if (places.take(tenant, bytes)) {
+                if (places.tryAcquire(tenant, bytes)) {
                     held.add(new Held(tenant, bytes));
                 }
                 if (random.nextInt(50) == 0 && !held.isEmpty()) {
                     final Held one = held.remove(random.nextInt(held.size()));
-                    places.leave(one.tenant);
-                    places.hold(one.tenant, -one.bytes);
+                    places.release(one.tenant);
+                    places.adjustHeldBytes(one.tenant, -one.bytes);
                 }
                 assertThat(places.requests()).isEqualTo(held.size()).isLessThanOrEqualTo(100);
                 assertThat(places.bytes())
@@ -35,7 +35,9 @@
                         .isLessThanOrEqualTo(1_000_000);
             }
             assertThat(places.requests()).as("most places are used").isGreaterThan(40);
-            assertThat(places.take("small", 20_000)).as("room beside " + greedy).isTrue();
+            assertThat(places.tryAcquire("small", 20_000))
+                    .as("room beside " + greedy)
+                    .isTrue();
         }
     }
 }
--- a/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void nearUpstreamsArePickedUntilTheyAreFullAndFarOnesOnlyThen() {
+    void prefersNearUpstreamsUntilTheirSlotsAreFull() {
         addUpstream("same-zone", "d1", "r1", 3);
         addUpstream("same-region", "d2", "r1", 3);
         addUpstream("other-region", "d5", "r3", 3);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void twoLossesInARowEjectAnUpstreamAndAnAnswerEndsTheEjection() {
+    void twoConsecutiveLossesEjectAnUpstreamAndAResponseEndsTheEjection() {
         addUpstream("one", "d1", "r1", 3);
         addUpstream("two", "d2", "r1", 3);
         final LoadBalancer loadBalancer = loadBalancer(1, 2);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void allEdgesTogetherSendNoMoreThanTheRampAfterARestartedSlowStart() {
+    void edgesTogetherStayWithinTheRampAfterARestartedSlowStart() {
         addUpstream("warming", "d1", "r1", 3);
         final int edges = 12;
         final List<LoadBalancer> all = new ArrayList<>();
--- a/spokestall/src/test/java/spokestall/proxy/OutlierEjectorTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/OutlierEjectorTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void ejectionsGetTwiceAsLongUpToTheMaximumUntilAnAnswer() {
+    void ejectionTimeDoublesUpToTheMaximumUntilAResponse() {
         ejector.onFailure("i", AttemptOutcome.UNREACHABLE, 0);
         assertEjectedUntil(BASE_MS);
         ejector.onFailure("i", AttemptOutcome.UNREACHABLE, 0);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void oneLostAnswerDoesNotEjectButTwoInARowOrALateOneDo() {
+    void ejectsAfterTwoConsecutiveLostOrLateResponses() {
         ejector.onFailure("i", AttemptOutcome.LOST, 0);
         assertThat(ejector.ejected("i", 0)).isFalse();
         ejector.onAnswer("i");
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void aRejectionEjectsForAQuarterOfTheTime() {
+    void rejectionEjectsForAQuarterOfTheBaseTime() {
         ejector.onFailure("i", AttemptOutcome.REJECTED, 0);
         assertEjectedUntil(BASE_MS / 4);
     }
 
     @Test
-    void instancesThatAreNotRetainedAreForgotten() {
+    void retainRemovesStateOfOtherInstances() {
         ejector.onFailure("i", AttemptOutcome.LOST, 0);
         ejector.retain(Set.of("j"));
         ejector.onFailure("i", AttemptOutcome.LOST, 0);
--- a/spokestall/src/test/java/spokestall/proxy/RetryBudgetTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/RetryBudgetTest.java
@@ -7,7 +7,7 @@
 
 class RetryBudgetTest {
     @Test
-    void inEverySpanRetriesStayWithinTheShareAndTheAllowanceWhileTheFleetGrows() {
+    void retriesStayWithinRatioAndAllowanceInEveryIntervalWhileTheFleetGrows() {
         final Random random = new Random(11);
         for (int round = 0; round < 200; round++) {
             final int[] sharingEdges = {1 + random.nextInt(4)};
@@ -19,9 +19,9 @@
                 requests[n] = requests[n - 1];
                 retries[n] = retries[n - 1];
                 if (random.nextInt(3) > 0) {
-                    budget.asked();
+                    budget.onRequest();
                     requests[n]++;
-                } else if (budget.spend()) {
+                } else if (budget.tryAcquire()) {
                     retries[n]++;
                 }
                 sharingEdges[0] += random.nextInt(50) == 0 ? 1 : 0;
--- a/spokestall/src/test/java/spokestall/proxy/SlowStartLimiterTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/SlowStartLimiterTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void theRateOfAllEdgesGrowsWithTheAgeOfTheUpstreamAndHoldsInAnySecond() {
+    void totalRateFollowsTheRampInAnySecond() {
         for (final int edges : new int[] {1, 2, 5, 30}) {
             final Upstream upstream = upstream(clock.nowMs(), 0);
             final long beganMs = clock.nowMs();
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void withManyEdgesTheBoundHoldsInAnySecondAndIsUsed() {
+    void totalRateStaysWithinTheBoundInAnySecondAndUsesIt() {
         for (final int edges : new int[] {1, 3, 5, 7, 11, 12, 13, 40, 91}) {
             final List<Long> sentMs = sentByAll(allEdges(edges, 4), upstream(clock.nowMs(), 0), WARM_UP_MS);
             for (final long fromMs : sentMs) {
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void theFirstAttemptsOfTheEdgesAreSpread() {
+    void firstAttemptsOfTheEdgesAreSpreadOverTime() {
         final List<Long> sentMs = sentByAll(allEdges(12, 4), upstream(clock.nowMs(), 0), 1000);
         assertThat(sentMs.stream().distinct().count()).isGreaterThan(6);
     }
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void theEndOfTheWarmUpCountsWhereItIsKnown() {
+    void knownWarmUpEndTakesPrecedenceOverReadyTime() {
         final Upstream upstream = upstream(0, clock.nowMs() + WARM_UP_MS / 2);
         assertThat(limiter.tryAcquire(SERVICE, upstream)).isFalse();
         clock.advance(WARM_UP_MS / 2);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aRestartedWarmUpGetsHalfTheRateWhateverTheAge() {
+    void restartedSlowStartGetsHalfTheRateAtAnyAge() {
         final Upstream upstream = upstream(0, 0);
         assertThat(limiter.tryAcquire(SERVICE, upstream)).isTrue();
         limiter.restart("i", 5000);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void theLimitHoldsForLongerThanTheWarmUpByWhatClocksMayDiffer() {
+    void limitOutlastsTheWarmUpByTheClockError() {
         final SlowStartLimiter limiterWithClockError = limiter(2, 0, 0, 110);
         final Upstream upstream = upstream(0, clock.nowMs() + 1000);
         assertThat(acquired(limiterWithClockError, upstream, 1110))
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -212,7 +212,7 @@
         // The body comes a little later than the head.
         mine[0] = ((AdmissionResult.Admitted) opened).request();
         world.asked.get(head.requestId()).admittedMs = world.sim.nowMs();
-        world.asked.get(head.requestId()).spanMs = head.spanMs();
+        world.asked.get(head.requestId()).spanMs = head.remainingMs();
         world.sim.after(1 + random.nextInt(5), () -> edge.run(incarnation, () -> mine[0].onBody(body)));
     }
 
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -251,7 +251,7 @@
             final long way = world.net.wayMs(node.address, attempt.address());
             final boolean[] over = {false};
             final boolean[] sent = {false};
-            back(attempt.waitMs(), () -> {
+            back(attempt.timeoutMs(), () -> {
                 if (!over[0]) {
                     over[0] = true;
                     done.accept(sent[0] ? new AttemptResult.Lost("timeout") : new AttemptResult.NotSent("timeout"));
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -103,7 +103,7 @@
     }
 
     private static int named(final SimulatedNode node) {
-        return EdgeSelector.near(node.node().directory().edges(), node.region, node.zone)
+        return EdgeSelector.nearest(node.node().directory().edges(), node.region, node.zone)
                 .size();
     }
 
