--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -22,13 +22,15 @@
 import spokestall.message.ResponseContent;
 
 /**
- * Admits requests before their bodies are read, and holds what all requests of an edge share: the concurrency limiter, the
- * retry budgets by service, the requests under way and the counts of results. Nothing is admitted without a fresh proof that
- * the configuration here is the newest. Not thread-safe; all calls are made on the node's event loop.
+ * Admits or rejects requests before their bodies are read. Owns the state that all requests of an edge share: the concurrency
+ * limiter, the retry budget of each service, the requests in flight and the result counts. Admits a request only while the
+ * freshness lease proves that this node's configuration is the newest.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 public final class AdmissionController {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Methods that concern the connection, not the resource. */
+    /** HTTP methods that apply to the connection and not to a resource; requests with them are malformed. */
     private static final Set<String> NOT_PROXIED = Set.of("CONNECT", "TRACE");
 
     private static final Pattern REQUEST_ID = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
@@ -50,9 +52,9 @@
         this.limiter = new ConcurrencyLimiter(limits.openRequestsMax(), limits.heldMaxBytes());
     }
 
-    /** Applies other limits from now on; permits and bytes that were taken stay taken. */
-    public void limits(final ProxyLimits newer) {
-        limits = newer;
+    /** Replaces the limits; requests in flight keep their permits and held bytes. */
+    public void limits(final ProxyLimits newLimits) {
+        limits = newLimits;
     }
 
     ProxyLimits limits() {
@@ -68,56 +70,56 @@
         return limiter.requests();
     }
 
-    /** Bytes of bodies that are held here or reserved. */
+    /** The bytes that are held or reserved for request and response bodies. */
     public long heldBytes() {
         return limiter.bytes();
     }
 
-    /** How often each result was given. */
+    /** The number of responses by result. */
     public Map<ResultCode, Long> resultCounts() {
         return resultCounts;
     }
 
-    /** Admits nothing from now on. */
+    /** Rejects all new requests from now on, because this node shuts down. */
     public void stopAdmitting() {
         draining = true;
     }
 
-    /** Ends all requests in flight, and returns their number; those that may have run end as undecided. */
+    /** Ends all requests in flight and returns their number; a request that may have run gets the status "undecided". */
     public int abortInFlight() {
         final List<RequestExecution> ended = List.copyOf(inFlight);
         ended.forEach(RequestExecution::abort);
         return ended.size();
     }
 
-    /** Admits or rejects a request before its body is read; {@code responded} receives an admitted request's response. */
+    /** Admits or rejects a request before its body is read; {@code responded} receives an admitted request's response, once. */
     public AdmissionResult admit(final RequestHead head, final Consumer<Response> responded) {
-        final ExecutionStatus unproven =
+        final ExecutionStatus rejectedStatus =
                 RequestTicket.of(head.requestId()) != null ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN;
         if (isMalformed(head)) {
-            return rejected(ResultCode.MALFORMED, unproven);
+            return rejected(ResultCode.MALFORMED, rejectedStatus);
         }
         if (!(RequestTarget.of(head.target()) instanceof RequestTarget.Good target)) {
-            return rejected(ResultCode.BAD_TARGET, unproven);
+            return rejected(ResultCode.BAD_TARGET, rejectedStatus);
         }
-        final ResultCode unready = notReadyReason();
-        if (unready != null) {
-            return rejected(unready, unproven);
+        final ResultCode notReady = notReadyReason();
+        if (notReady != null) {
+            return rejected(notReady, rejectedStatus);
         }
         final Configuration configuration = context.configurationStore().configuration();
         if (draining || isOwnZoneDrained(configuration)) {
-            return rejected(ResultCode.HELD, unproven);
+            return rejected(ResultCode.HELD, rejectedStatus);
         }
         final String keyHash = head.key() == null ? null : KeyHash.of(head.key());
         final Configuration.Found found = configuration.find(head.host(), target.path(), keyHash);
-        final ResultCode unauthorized = authorizationFailure(found);
-        if (unauthorized != null) {
-            return rejected(unauthorized, unproven);
+        final ResultCode authorizationFailure = authorizationFailure(found);
+        if (authorizationFailure != null) {
+            return rejected(authorizationFailure, rejectedStatus);
         }
         final Route route = found.route();
         final ServiceLimits service = route == null ? null : configuration.service(route.pickService(context.random()));
         if (service == null) {
-            return rejected(ResultCode.NO_BINDING, unproven);
+            return rejected(ResultCode.NO_BINDING, rejectedStatus);
         }
         final AdmissionGrant grant = new AdmissionGrant(
                 head,
@@ -127,7 +129,7 @@
                 route,
                 service,
                 context.clock().nowMs() + timeoutMs(head, route));
-        return admit(grant, unproven, responded);
+        return admit(grant, rejectedStatus, responded);
     }
 
     private boolean isMalformed(final RequestHead head) {
@@ -138,7 +140,7 @@
                 || NOT_PROXIED.contains(head.method());
     }
 
-    /** Why this edge can admit nothing now, or null. */
+    /** Returns why this edge can't admit any request now, or null if it can. */
     private ResultCode notReadyReason() {
         if (!context.feedClient().isFresh() || !context.fleetClock().settled()) {
             return ResultCode.NOT_FRESH;
@@ -146,41 +148,41 @@
         return context.usageCounter().mayStart() ? null : ResultCode.UNCOUNTED;
     }
 
-    /** Why whoever sent the request may not, or null. */
+    /** Returns why the client isn't authorized to send the request here, or null if it is. */
     private ResultCode authorizationFailure(final Configuration.Found found) {
-        final boolean keyLacks =
+        final boolean keyMissing =
                 limits.conventions().keyed() ? found.tenant() == null : found.route() != null && found.keyMissing();
-        if (keyLacks) {
+        if (keyMissing) {
             return ResultCode.BAD_KEY;
         }
         return isHomeOf(found.tenant()) ? null : ResultCode.WRONG_REGION;
     }
 
     private AdmissionResult admit(
-            final AdmissionGrant grant, final ExecutionStatus ticketUnproven, final Consumer<Response> responded) {
+            final AdmissionGrant grant, final ExecutionStatus ticketRejectedStatus, final Consumer<Response> responded) {
         final RequestHead head = grant.head();
         final ServiceLimits service = grant.service();
         final boolean claims = grant.route().runOnce() && limits.conventions().claims();
-        final ExecutionStatus unproven = claims ? ExecutionStatus.UNDECIDED : ticketUnproven;
+        final ExecutionStatus rejectedStatus = claims ? ExecutionStatus.UNDECIDED : ticketRejectedStatus;
         if (claims && !grant.hasTicket()) {
-            return rejected(ResultCode.TICKET_MISSING, unproven);
+            return rejected(ResultCode.TICKET_MISSING, rejectedStatus);
         }
         if (head.remainingMs() <= 0) {
-            return rejected(ResultCode.DEADLINE, unproven);
+            return rejected(ResultCode.DEADLINE, rejectedStatus);
         }
         if (head.bodyBytes() > service.requestMaxBytes()) {
-            return rejected(ResultCode.TOO_LARGE, unproven);
+            return rejected(ResultCode.TOO_LARGE, rejectedStatus);
         }
         if (!context.loadBalancer()
                 .hasCapacity(service, grant.tenantName(), u -> allows(grant.route(), grant.tenant(), u))) {
             logRejected(ResultCode.NO_UPSTREAM, grant.tenant(), grant.route());
-            return rejected(ResultCode.NO_UPSTREAM, unproven);
+            return rejected(ResultCode.NO_UPSTREAM, rejectedStatus);
         }
-        // The longest that both bodies may be is kept free for the request from here on.
+        // Reserves memory for the largest request and response bodies that the service allows.
         final long heldBytes = (head.bodyBytes() < 0 ? service.requestMaxBytes() : head.bodyBytes())
                 + (long) service.responseMaxBytes();
         if (!limiter.tryAcquire(grant.tenantName(), heldBytes)) {
-            return rejected(ResultCode.BUSY, unproven);
+            return rejected(ResultCode.BUSY, rejectedStatus);
         }
         final RequestExecution request = new RequestExecution(this, context, grant, heldBytes, responded);
         inFlight.add(request);
@@ -195,19 +197,19 @@
         return route.timeoutMillis() > 0 ? Math.min(spanMs, route.timeoutMillis()) : spanMs;
     }
 
-    /** Whether an upstream may be picked for a request: in a home region of it, and in no drained zone. */
+    /** Whether a request may go to an upstream: the route and tenant allow its region, and its zone isn't drained. */
     boolean allows(final Route route, final Tenant tenant, final Upstream upstream) {
         return route.allowsRegion(tenant, upstream.region())
                 && !context.configurationStore().configuration().drainedZones().contains(upstream.zone());
     }
 
-    /** Whether this node's own zone is drained and its edges take no requests then. */
+    /** Whether this node rejects requests because its own zone is drained. */
     boolean isOwnZoneDrained(final Configuration configuration) {
         return limits.conventions().holdsEdges()
                 && configuration.drainedZones().contains(context.self().zone());
     }
 
-    /** Whether this node may take the tenant's requests. */
+    /** Whether this node may serve the tenant's requests: its region is a home region, or any region may serve them. */
     boolean isHomeOf(final Tenant tenant) {
         return !limits.conventions().homeEdges()
                 || tenant == null
@@ -219,7 +221,7 @@
         return tenant == null ? "" : tenant.name();
     }
 
-    /** The response when the node's event loop has no room even to admit or reject a request. */
+    /** Returns the response for a request that can't be queued for admission because the node's event loop is overloaded. */
     public Response overloaded(final RequestHead head) {
         return reject(
                 ResultCode.BUSY,
@@ -227,7 +229,7 @@
                 0);
     }
 
-    /** Logs one line a second for each reason at most; {@link #resultCounts} has the counts. */
+    /** Logs a rejection, at most once a second for each reason; {@link #resultCounts} counts all of them. */
     private void logRejected(final ResultCode reason, final Tenant tenant, final Route route) {
         final long nowMs = context.clock().nowMs();
         final Long lastMs = lastLoggedMs.get(reason);
@@ -249,10 +251,14 @@
         return new AdmissionResult.Rejected(reject(result, status, 0));
     }
 
-    /** A response of this node's own; one that may be repeated later says when, at random, so that clients spread out. */
+    /**
+     * Returns a response that this node generates itself. A response with status 503 or 504 contains a retry time with random
+     * jitter, so that rejected clients don't all retry at the same moment.
+     */
     Response reject(final ResultCode result, final ExecutionStatus status, final int attempts) {
-        final boolean later = result.httpStatus() == 503 || result.httpStatus() == 504;
-        final long waitMs = later ? limits.retryAfterMs() + context.random().nextInt((int) limits.retryAfterMs()) : 0;
+        final boolean retryable = result.httpStatus() == 503 || result.httpStatus() == 504;
+        final long waitMs =
+                retryable ? limits.retryAfterMs() + context.random().nextInt((int) limits.retryAfterMs()) : 0;
         return new Response(result, status, null, null, attempts, waitMs);
     }
 
@@ -270,7 +276,7 @@
                         () -> limits.retryAllowance() / context.sharingEdges().getAsInt()));
     }
 
-    /** Receives a stored response, or that another node has none. */
+    /** Receives a core's reply to a {@link #fetchStoredResponse} request; it has no content if the core has no response stored. */
     public void onFetchResult(final HandoffMessage.FetchResult result) {
         final Consumer<HandoffMessage.FetchResult> waiting = storedResponseFetches.remove(result.requestId());
         if (waiting != null) {
@@ -279,8 +285,9 @@
     }
 
     /**
-     * Finds the response of a run-once request that ran before, here or at a core of the tenant's home regions; {@code done}
-     * receives null if none has it in time.
+     * Finds the stored response of a run-once request that has already run, on this node or at a core of the tenant's home
+     * regions. {@code done} receives null if no core returns the response within
+     * {@link ProxyLimits#storedResponseTimeoutMs}.
      */
     void fetchStoredResponse(
             final Tenant tenant, final String key, final String digest, final Consumer<ResponseContent> done) {
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionGrant.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionGrant.java
@@ -6,12 +6,12 @@
 import spokestall.configuration.Tenant;
 
 /**
- * What a request was admitted by.
+ * An admitted request with the configuration that it was admitted under.
  *
- * @param keyHash the hash of its key, null if it came without one
- * @param tenant null on an open route
- * @param service the limits of the service that the route led to at admission
- * @param deadlineMs when it must be answered, on the monotonic clock
+ * @param keyHash the hash of the client's API key, null if the request has none
+ * @param tenant the tenant that owns the key, null on a route without keys
+ * @param service the limits of the service that the route selected at admission
+ * @param deadlineMs the request's deadline on the monotonic clock
  */
 record AdmissionGrant(
         RequestHead head,
@@ -21,12 +21,12 @@
         Route route,
         ServiceLimits service,
         long deadlineMs) {
-    /** The tenant's name, empty on an open route. */
+    /** The tenant's name, empty on a route without keys. */
     String tenantName() {
         return AdmissionController.nameOf(tenant);
     }
 
-    /** Whether the client has tried to have this run-once request sent before, or may have. */
+    /** Whether the request id contains a ticket: the client may have sent this run-once request before. */
     boolean hasTicket() {
         return RequestTicket.of(head.requestId()) != null;
     }
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionResult.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionResult.java
@@ -2,9 +2,9 @@
 
 /** The outcome of admission, before the body is read. */
 public sealed interface AdmissionResult {
-    /** Not admitted; the body is not to be read. */
+    /** The request was rejected; the caller must not read its body. */
     record Rejected(Response response) implements AdmissionResult {}
 
-    /** Admitted; its body may be read, within its service's limits. */
+    /** The request was admitted; the caller may read its body, up to the service's limits. */
     record Admitted(AdmittedRequest request) implements AdmissionResult {}
 }
--- a/spokestall/src/main/java/spokestall/proxy/AdmittedRequest.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmittedRequest.java
@@ -4,22 +4,24 @@
 import spokestall.configuration.ServiceLimits;
 
 /**
- * A request that was admitted and holds its permit. From its admission on its deadline runs, and its final response comes by
- * the callback that was given at admission, once. Not thread-safe; all calls are made on the node's event loop.
+ * An admitted request, which holds a permit of the concurrency limiter. Its deadline timer starts at admission. The callback
+ * given at admission receives its final response, exactly once.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 public interface AdmittedRequest {
-    /** The limits of the service that it goes to. */
+    /** The limits of the service that the request is sent to. */
     ServiceLimits serviceLimits();
 
-    /** The complete body has arrived. */
+    /** Notified when the complete body has arrived. */
     void onBody(byte[] body);
 
-    /** The body can't be read; the request ends with this result. */
+    /** Notified when the body can't be read; ends the request with the given result. */
     void onBodyFailed(ResultCode reason);
 
-    /** The client's connection has closed: what can still be stopped is stopped. */
+    /** Notified when the client's connection has closed; cancels idempotent attempts and lets run-once requests finish. */
     void onClientDisconnected();
 
-    /** The response was written, or can't be written: its bytes count no longer. */
+    /** Notified when the response was written or can't be written; releases the bytes held for it. */
     void onResponseWritten();
 }
--- a/spokestall/src/main/java/spokestall/proxy/Attempt.java
+++ b/spokestall/src/main/java/spokestall/proxy/Attempt.java
@@ -4,15 +4,15 @@
 import spokestall.message.Header;
 
 /**
- * One attempt to have an upstream answer a request.
+ * One attempt to send a request to an upstream.
  *
- * @param requestId the client's id of the request
- * @param tenant null on an open route
- * @param instance the upstream's instance, which must be the one that answers at the address
+ * @param requestId the request id from the client
+ * @param tenant the tenant's name, null on a route without keys
+ * @param instance the id of the upstream's instance, which must be the one that responds at the address
  * @param target the request target as the client sent it
- * @param waitMs how long the attempt may take
- * @param answerMaxBytes how long the response's body may be
- * @param repeatable whether the request is idempotent
+ * @param timeoutMs the attempt's time-out
+ * @param responseMaxBytes the maximum length of the response body
+ * @param idempotent whether the request may be sent more than once
  */
 public record Attempt(
         String requestId,
--- a/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
@@ -1,12 +1,15 @@
 package spokestall.proxy;
 
 /**
- * Counts the attempts of one request and decides whether one more may begin. Each attempt after the first takes one from the
- * retry budget and counts against the maximum. Where unsent attempts are free, only one that may have arrived counts, and the
- * attempt after it takes from the budget; a hedged attempt always does. Not thread-safe.
+ * Counts the attempts of one request and decides whether one more may start. By default each attempt after the first costs
+ * one retry of the service's {@link RetryBudget} and counts against the request's maximum. Where unsent attempts are free, only
+ * attempts that may have reached an upstream count against the maximum, and a retry after an unsent attempt costs nothing. A
+ * hedged attempt always costs one retry.
+ *
+ * <p>Not thread-safe.
  */
 final class AttemptBudget {
-    /** The maximum also where unsent attempts are free. */
+    /** The maximum number of attempts, sent or unsent, of any request. */
     static final int MAX_ATTEMPTS = 6;
 
     private final boolean unsentFree;
@@ -23,7 +26,7 @@
         return started;
     }
 
-    /** Records that an attempt begins; returns whether it is the first. */
+    /** Records that an attempt starts; returns whether it is the first one. */
     boolean onStarted() {
         return started++ == 0;
     }
@@ -33,14 +36,14 @@
         return started - ended;
     }
 
-    /** Records that an attempt ended; it may have arrived if any of it was sent. */
+    /** Records that an attempt ended, and whether it may have reached the upstream: true if any byte of it was sent. */
     void ended(final boolean mayHaveArrived) {
         ended++;
         lastUnsent = !mayHaveArrived;
         unsent += mayHaveArrived ? 0 : 1;
     }
 
-    /** Returns whether one more attempt may begin, and takes it from the budget. */
+    /** Returns whether one more attempt may start; if so, takes its cost from the retry budget. */
     boolean tryAcquire(final int maxAttempts, final RetryBudget budget) {
         return (unsentFree ? started - unsent : started) < maxAttempts
                 && started < MAX_ATTEMPTS
--- a/spokestall/src/main/java/spokestall/proxy/AttemptHandle.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptHandle.java
@@ -1,10 +1,11 @@
 package spokestall.proxy;
 
-/** An attempt that was begun. */
+/** Handle of an attempt that has started. */
 public interface AttemptHandle {
     /**
-     * Breaks the attempt off: its connection is closed, so that the upstream ends its work, and it ends as lost or as not sent. Has
-     * no effect on an attempt that has ended. Called on the event loop; the attempt's end is still notified there, later.
+     * Cancels the attempt by closing its connection, so that the upstream can stop its work. The attempt ends as
+     * {@link AttemptResult.Lost} or {@link AttemptResult.NotSent}; its callback receives that later, on the event loop. Has no
+     * effect on an attempt that has ended. Must be called on the event loop.
      */
     void cancel();
 }
--- a/spokestall/src/main/java/spokestall/proxy/AttemptOutcome.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptOutcome.java
@@ -1,15 +1,15 @@
 package spokestall.proxy;
 
-/** How an attempt ended, as far as its upstream is concerned. */
+/** The outcome of an attempt, as it counts for the upstream's latency, concurrency limit and ejection. */
 public enum AttemptOutcome {
-    /** The upstream answered. */
+    /** The upstream responded. */
     ANSWERED,
     /** The upstream rejected the request without executing it. */
     REJECTED,
-    /** No connection could be had; nothing was sent. */
+    /** No connection could be opened; no byte was sent. */
     UNREACHABLE,
-    /** It was sent, and no answer came. */
+    /** The request was sent, and no complete response arrived. */
     LOST,
-    /** It was broken off here, which says nothing of its upstream. */
+    /** This edge cancelled the attempt, which says nothing about the upstream. */
     CANCELLED
 }
--- a/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptPermission.java
@@ -7,9 +7,11 @@
 import spokestall.discovery.Upstream;
 
 /**
- * Decides, before each attempt and right before its bytes leave, whether an admitted request may still be sent: the
- * configuration is proven fresh, and the request's key, region, route and zone are allowed by the configuration now in
- * force. Follows the route when the configuration changes it. Not thread-safe; all calls are made on the node's event loop.
+ * Decides whether an admitted request may still be sent. The check runs before each attempt and again right before its first
+ * bytes are sent. It requires that the configuration is proven fresh and that the current configuration allows the request's
+ * key, region, route and zone. If the configuration has changed the route, later attempts use the new one.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class AttemptPermission {
     private final AdmissionController admission;
@@ -26,17 +28,17 @@
         this.service = grant.service();
     }
 
-    /** The route that the newest check found. */
+    /** The route that the last check found. */
     Route route() {
         return route;
     }
 
-    /** The limits of the service that the next attempt goes to; null if the newest configuration no longer has it. */
+    /** The limits of the service that the next attempt goes to; null if the current configuration no longer contains it. */
     ServiceLimits service() {
         return service;
     }
 
-    /** Why the request may not be sent now, or null if it may; follows a changed route. */
+    /** Returns why the request may not be sent now, or null if it may. Updates the route and service if they have changed. */
     ResultCode refusal() {
         if (context.clock().nowMs() >= grant.deadlineMs()) {
             return ResultCode.DEADLINE;
@@ -65,7 +67,7 @@
         return admission.isOwnZoneDrained(configuration) ? ResultCode.HELD : null;
     }
 
-    /** Whether an upstream may be picked: it is in a home region of the request and its zone is not drained. */
+    /** Whether the request may go to an upstream: the route and tenant allow its region, and its zone isn't drained. */
     boolean allows(final Upstream upstream) {
         return admission.allows(route, grant.tenant(), upstream);
     }
--- a/spokestall/src/main/java/spokestall/proxy/CapacityReservations.java
+++ b/spokestall/src/main/java/spokestall/proxy/CapacityReservations.java
@@ -4,20 +4,23 @@
 import java.util.Map;
 
 /**
- * Counts of requests that were admitted and have yet to find capacity at an upstream.
+ * Counts the upstream capacity that admitted requests need or use, by service and tenant.
  *
- * <p>Not thread-safe; all calls on the node's event loop. The caller releases and ends each reservation exactly once: more than
- * that isn't noticed, and makes counts negative.
+ * <p>Not thread-safe; all calls on the node's event loop. The caller must release and end each reservation exactly once: a
+ * repeated call is not detected and makes the counts wrong.
  */
 final class CapacityReservations {
     private record TenantService(String tenant, String service) {}
 
-    /** Requests that were admitted and whose first attempt has not begun, by service. */
+    /** Admitted requests whose first attempt hasn't started, by service. */
     private final Map<String, Integer> pending = new HashMap<>();
-    /** Requests that were admitted and have not ended. */
+    /** Admitted requests that haven't ended. */
     private final Map<TenantService, Integer> open = new HashMap<>();
 
-    /** Returns how much of a service's capacity another request of the tenant may not count on. */
+    /**
+     * Returns how much of a service's capacity isn't available to one more request of the tenant: the pending requests of all
+     * tenants and the tenant's own open requests.
+     */
     int taken(final String service, final String tenant) {
         return pending.getOrDefault(service, 0) + open.getOrDefault(new TenantService(tenant, service), 0);
     }
@@ -28,7 +31,7 @@
         open.merge(new TenantService(tenant, service), 1, Integer::sum);
     }
 
-    /** Notified when the first attempt of a request begins, or it is clear that there will be none. */
+    /** Notified when the first attempt of a request starts, or the request ends without an attempt. */
     void release(final String service) {
         decrement(pending, service);
     }
@@ -39,6 +42,6 @@
     }
 
     private static <K> void decrement(final Map<K, Integer> counts, final K key) {
-        counts.merge(key, -1, (count, one) -> count + one <= 0 ? null : count + one);
+        counts.merge(key, -1, (count, change) -> count + change <= 0 ? null : count + change);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -10,9 +10,11 @@
 import spokestall.message.MessageCodec;
 
 /**
- * The claim of one run-once request in its register ({@link IdempotencyClaim}): a majority of acceptors stores it before
- * anything is sent, and its end is recorded once that is known. While a claim is open the request may have run, so nobody
- * else may send it. Not thread-safe; all calls are made on the node's event loop.
+ * Manages the claim of one run-once request in its replicated register ({@link IdempotencyClaim}). A majority of acceptors
+ * stores the claim before any byte of the request is sent, and the outcome once it is known. While a claim is open the request
+ * may have run, so no other node may send it.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class ClaimManager {
     private final ProxyContext context;
@@ -35,10 +37,10 @@
     }
 
     /**
-     * Claims the request for this node, unless it has run, is claimed, or its ticket is too old.
+     * Claims the request for this node, unless it has already run, another claim is open, or its ticket has expired.
      *
-     * @param waitMs how long the claim may take at most
-     * @param maySend whether the request may still be sent; asked again in each round of the register's change
+     * @param waitMs the time-out; {@link ProxyLimits#claimTimeoutMs} applies if it is shorter
+     * @param maySend whether the request may still be sent; evaluated in each round of the proposal
      * @param done receives the result, once
      */
     void claim(
@@ -48,25 +50,25 @@
             final BooleanSupplier maySend,
             final Consumer<ClaimResult> done) {
         final String digest = KeyHash.hex(body);
-        final IdempotencyClaim mine = openClaim(ticket, digest);
-        final byte[] value = MessageCodec.encodeRecord(mine);
+        final IdempotencyClaim ownClaim = openClaim(ticket, digest);
+        final byte[] value = MessageCodec.encodeRecord(ownClaim);
         context.proposer()
                 .propose(
                         key,
                         Math.min(limits.claimTimeoutMs(), waitMs),
                         stored -> {
-                            final IdempotencyClaim now = read(stored);
-                            if (now != null && now.claimId().equals(mine.claimId())) {
+                            final IdempotencyClaim current = read(stored);
+                            if (current != null && current.claimId().equals(ownClaim.claimId())) {
                                 return new RegisterEdit.Set(stored);
                             }
-                            final boolean free = now == null
-                                    || now.state() == IdempotencyClaim.State.NOT_RUN
-                                            && now.digest().equals(digest);
+                            final boolean free = current == null
+                                    || current.state() == IdempotencyClaim.State.NOT_RUN
+                                            && current.digest().equals(digest);
                             return free && !isExpired(ticket) && maySend.getAsBoolean()
                                     ? new RegisterEdit.Set(value)
                                     : RegisterEdit.LEAVE;
                         },
-                        outcome -> done.accept(result(outcome, mine, ticket)));
+                        outcome -> done.accept(result(outcome, ownClaim, ticket)));
     }
 
     private IdempotencyClaim openClaim(final RequestTicket ticket, final String digest) {
@@ -81,7 +83,7 @@
                 "");
     }
 
-    /** Checked again in each round: a generation may begin between two of them. */
+    /** Whether the ticket is no longer valid. Evaluated in each round, because a new generation may begin between two rounds. */
     private boolean isExpired(final RequestTicket ticket) {
         final Proposer proposer = context.proposer();
         final long ageMs = context.fleetClock().nowMs() - ticket.issuedMs();
@@ -91,54 +93,59 @@
                 || -ageMs > limits.ticketMaxAheadMs();
     }
 
-    private ClaimResult result(final ProposalOutcome outcome, final IdempotencyClaim mine, final RequestTicket ticket) {
-        if (!(outcome instanceof ProposalOutcome.Committed done)) {
-            final boolean full =
-                    outcome instanceof ProposalOutcome.NotCommitted n && n.reason() == ProposalOutcome.Reason.REJECTED;
+    private ClaimResult result(
+            final ProposalOutcome outcome, final IdempotencyClaim ownClaim, final RequestTicket ticket) {
+        if (!(outcome instanceof ProposalOutcome.Committed committed)) {
+            final boolean full = outcome instanceof ProposalOutcome.NotCommitted failed
+                    && failed.reason() == ProposalOutcome.Reason.REJECTED;
             if (outcome instanceof ProposalOutcome.Pruned) {
                 return new ClaimResult.Refused(ResultCode.TICKET_OLD);
             }
             return new ClaimResult.Refused(full ? ResultCode.CLAIMS_FULL : ResultCode.UNCLEAR);
         }
-        final IdempotencyClaim now = read(done.value());
-        if (now != null && now.claimId().equals(mine.claimId())) {
-            return new ClaimResult.Granted(now);
+        final IdempotencyClaim current = read(committed.value());
+        if (current != null && current.claimId().equals(ownClaim.claimId())) {
+            return new ClaimResult.Granted(current);
         }
-        if (now == null || now.state() == IdempotencyClaim.State.NOT_RUN) {
+        if (current == null || current.state() == IdempotencyClaim.State.NOT_RUN) {
             return new ClaimResult.Refused(isExpired(ticket) ? ResultCode.TICKET_OLD : ResultCode.UNCLEAR);
         }
-        if (!now.digest().equals(mine.digest())) {
+        if (!current.digest().equals(ownClaim.digest())) {
             return new ClaimResult.Refused(ResultCode.CONFLICT);
         }
-        return now.state() == IdempotencyClaim.State.OPEN
+        return current.state() == IdempotencyClaim.State.OPEN
                 ? new ClaimResult.Refused(ResultCode.CLAIMED)
-                : new ClaimResult.AlreadyRan(now);
+                : new ClaimResult.AlreadyRan(current);
     }
 
-    /** Records that nothing was sent under the claim; {@code done} receives whether a majority has stored that. */
-    void releaseUnused(final IdempotencyClaim mine, final Consumer<Boolean> done) {
-        recordOutcome(mine, mine.withOutcome(IdempotencyClaim.State.NOT_RUN, 0, "", ""), done);
+    /** Records that nothing was sent under the claim; {@code done} receives whether a majority has stored this. */
+    void releaseUnused(final IdempotencyClaim ownClaim, final Consumer<Boolean> done) {
+        recordOutcome(ownClaim, ownClaim.withOutcome(IdempotencyClaim.State.NOT_RUN, 0, "", ""), done);
     }
 
-    /** Records that the request ran, and with which response. */
+    /** Records that the request ran, with the status and digest of its response and the instance that sent it. */
     void recordExecuted(
-            final IdempotencyClaim mine, final int status, final String answerDigest, final String instance) {
-        recordOutcome(mine, mine.withOutcome(IdempotencyClaim.State.RAN, status, answerDigest, instance), proven -> {});
+            final IdempotencyClaim ownClaim, final int status, final String answerDigest, final String instance) {
+        recordOutcome(
+                ownClaim,
+                ownClaim.withOutcome(IdempotencyClaim.State.RAN, status, answerDigest, instance),
+                proven -> {});
     }
 
     private void recordOutcome(
-            final IdempotencyClaim mine, final IdempotencyClaim ended, final Consumer<Boolean> done) {
+            final IdempotencyClaim ownClaim, final IdempotencyClaim ended, final Consumer<Boolean> done) {
         context.proposer()
                 .propose(
                         key,
                         limits.claimTimeoutMs(),
                         stored -> {
-                            final IdempotencyClaim now = read(stored);
-                            final boolean own = now != null
-                                    && now.claimId().equals(mine.claimId())
-                                    && now.state() == IdempotencyClaim.State.OPEN;
+                            final IdempotencyClaim current = read(stored);
+                            final boolean own = current != null
+                                    && current.claimId().equals(ownClaim.claimId())
+                                    && current.state() == IdempotencyClaim.State.OPEN;
                             return own ? new RegisterEdit.Set(MessageCodec.encodeRecord(ended)) : RegisterEdit.LEAVE;
                         },
-                        outcome -> done.accept(outcome instanceof ProposalOutcome.Committed d && d.wrote()));
+                        outcome -> done.accept(
+                                outcome instanceof ProposalOutcome.Committed committed && committed.wrote()));
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ClaimResult.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimResult.java
@@ -4,10 +4,10 @@
 
 /** The outcome of claiming a run-once request. */
 sealed interface ClaimResult {
-    /** The claim is this request's own; it may be sent. */
+    /** This node holds the claim and may send the request. */
     record Granted(IdempotencyClaim claim) implements ClaimResult {}
 
-    /** The request has run before, under the given claim. */
+    /** The request has already run, under the given claim. */
     record AlreadyRan(IdempotencyClaim claim) implements ClaimResult {}
 
     /** The request may not be sent. */
--- a/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
@@ -4,9 +4,11 @@
 import java.util.Map;
 
 /**
- * Limits the requests in flight at an edge and the bytes of bodies that are held for them. A tenant may take a permit, or
- * bytes, only while it holds no more than is free: a tenant alone gets half, and however many tenants want everything, some
- * stays free for one more. Not thread-safe.
+ * Limits the requests in flight at an edge and the bytes held for their bodies. A tenant gets another permit only if it holds
+ * fewer permits than are free, and more bytes only if it then holds no more than were free. A single tenant thus gets half of
+ * each limit, and some capacity stays free for one more tenant no matter how many tenants compete.
+ *
+ * <p>Not thread-safe.
  */
 final class ConcurrencyLimiter {
     private static final class Usage {
@@ -33,25 +35,27 @@
         return bytes;
     }
 
+    /** Takes a permit and the given number of bytes for a tenant, or returns false if the limits don't allow it. */
     boolean tryAcquire(final String tenant, final long more) {
-        final Usage use = usageByTenant.getOrDefault(tenant, new Usage());
-        if (use.requests >= requestsMax - requests || use.bytes + more > bytesMax - bytes) {
+        final Usage usage = usageByTenant.getOrDefault(tenant, new Usage());
+        if (usage.requests >= requestsMax - requests || usage.bytes + more > bytesMax - bytes) {
             return false;
         }
-        usageByTenant.put(tenant, use);
-        use.requests++;
+        usageByTenant.put(tenant, usage);
+        usage.requests++;
         requests++;
         adjustHeldBytes(tenant, more);
         return true;
     }
 
-    /** Changes the bytes held for a tenant by a difference. */
+    /** Changes the number of bytes held for a tenant by {@code more}, which may be negative. */
     void adjustHeldBytes(final String tenant, final long more) {
         usageByTenant.get(tenant).bytes += more;
         bytes += more;
         removeIfUnused(tenant);
     }
 
+    /** Returns a tenant's permit; the bytes that are held stay until {@link #adjustHeldBytes}. */
     void release(final String tenant) {
         usageByTenant.get(tenant).requests--;
         requests--;
@@ -59,10 +63,10 @@
     }
 
     private void removeIfUnused(final String tenant) {
-        final Usage use = usageByTenant.get(tenant);
-        assert use.requests >= 0 && use.bytes >= 0 && requests <= requestsMax
-                : tenant + " holds " + use.requests + " and " + use.bytes;
-        if (use.requests == 0 && use.bytes == 0) {
+        final Usage usage = usageByTenant.get(tenant);
+        assert usage.requests >= 0 && usage.bytes >= 0 && requests <= requestsMax
+                : tenant + " holds " + usage.requests + " requests and " + usage.bytes + " bytes";
+        if (usage.requests == 0 && usage.bytes == 0) {
             usageByTenant.remove(tenant);
         }
     }
--- a/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
@@ -5,38 +5,40 @@
 import spokestall.gossip.NodeInfo;
 
 /**
- * The edges that clients are sent to, as an immutable list. Thread-safe: published by the node's event loop, read by any
- * thread without waiting for it. A response made from a list stays valid for as long as {@link #edges} is the same object.
+ * The edges that the directory names to clients, as an immutable list.
+ *
+ * <p>Thread-safe: the node's event loop publishes the list, and any thread reads it without blocking. A response that was
+ * built from a list stays valid for as long as {@link #edges} returns the same object.
  */
 public final class EdgeDirectory {
     private volatile List<NodeInfo> edges = List.of();
 
-    /** Replaces the edges; a list that names the same ones leaves the published object as it is. */
-    public void publish(final Collection<NodeInfo> now) {
-        if (!sameEdges(now)) {
-            edges = List.copyOf(now);
+    /** Publishes the edges; keeps the published list object if the new list has the same edges in the same order. */
+    public void publish(final Collection<NodeInfo> newEdges) {
+        if (!sameEdges(newEdges)) {
+            edges = List.copyOf(newEdges);
         }
     }
 
-    /** The edges last published. */
+    /** The last published edges. */
     public List<NodeInfo> edges() {
         return edges;
     }
 
-    private boolean sameEdges(final Collection<NodeInfo> now) {
-        if (now.size() != edges.size()) {
+    private boolean sameEdges(final Collection<NodeInfo> newEdges) {
+        if (newEdges.size() != edges.size()) {
             return false;
         }
         int i = 0;
-        for (final NodeInfo member : now) {
-            if (!sameEdges(member, edges.get(i++))) {
+        for (final NodeInfo edge : newEdges) {
+            if (!sameEdge(edge, edges.get(i++))) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean sameEdges(final NodeInfo one, final NodeInfo other) {
+    private static boolean sameEdge(final NodeInfo one, final NodeInfo other) {
         return one.httpAddress().equals(other.httpAddress())
                 && one.zone().equals(other.zone())
                 && one.region().equals(other.region())
--- a/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeSelector.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import spokestall.gossip.NodeInfo;
 
-/** Selects the edges that a client is to use: the same ones for the same client, spread over all edges by rendezvous hashing. */
+/** Selects the edges that a client should use. Rendezvous hashing gives a client the same edges each time and spreads clients. */
 public final class EdgeSelector {
     private EdgeSelector() {}
 
-    /** Selects up to {@code most} edges, in the home regions and outside drained zones. */
+    /** Selects up to {@code maxEdges} edges that are in the home regions, outside drained zones and not leaving. */
     public static List<NodeInfo> select(
             final String client,
             final Collection<NodeInfo> edges,
@@ -29,7 +29,10 @@
         return eligible.subList(0, Math.min(maxEdges, eligible.size()));
     }
 
-    /** The edges of the zone; of the region where the zone has only one; or all where the region has none. */
+    /**
+     * Returns the edges nearest to a zone, without those that are leaving: the zone's edges if it has at least two, else the
+     * region's edges, or all edges if the region has none.
+     */
     public static List<NodeInfo> nearest(final Collection<NodeInfo> edges, final String region, final String zone) {
         final List<NodeInfo> sameZone = new ArrayList<>();
         final List<NodeInfo> sameRegion = new ArrayList<>();
--- a/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
+++ b/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
@@ -1,6 +1,6 @@
 package spokestall.proxy;
 
-/** What is known of whether a request ran. */
+/** Whether a request ran, as far as this node knows. */
 public enum ExecutionStatus {
     RAN("ran"),
     NOT_RUN("not-run"),
@@ -12,7 +12,7 @@
         this.word = word;
     }
 
-    /** The value in the response header. */
+    /** The value in the response header and body. */
     public String word() {
         return word;
     }
--- a/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
+++ b/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
@@ -1,15 +1,16 @@
 package spokestall.proxy;
 
 /**
- * The value of a run-once request's register: who may send it, for which body, and how it ended. Stored by its fields' order.
+ * The value of a run-once request's register: which node may send the request, with which body, and its outcome. Stored by the
+ * order of its components, which must not change. Times are on the fleet's clock.
  *
- * @param claimId names one act of claiming
- * @param digest the body's digest; a repeat must have the same
- * @param ticketMs the fleet's time at which the client's ticket was issued
- * @param claimedMs the fleet's time of the claim
- * @param status the upstream's status, zero unless it ran
- * @param answerDigest the digest of the upstream's response, empty unless it ran
- * @param instance the upstream that ran it, empty unless it ran
+ * @param claimId the unique id of this claim
+ * @param digest the digest of the request body; a repeated request must have the same body
+ * @param ticketMs when the client's ticket was issued
+ * @param claimedMs when the claim was made
+ * @param status the HTTP status of the upstream's response, zero unless the request ran
+ * @param answerDigest the digest of the upstream's response, empty unless the request ran
+ * @param instance the upstream that ran the request, empty unless it ran
  */
 public record IdempotencyClaim(
         String claimId,
@@ -20,19 +21,19 @@
         int status,
         String answerDigest,
         String instance) {
-    /** OPEN: it may have run. RAN: it ran. NOT_RUN: it did not, and may be claimed again. */
+    /** OPEN: the request may have run. RAN: it ran. NOT_RUN: it did not run, and may be claimed again. */
     public enum State {
         OPEN,
         RAN,
         NOT_RUN
     }
 
-    /** The register's key. */
+    /** Returns the key of a request's register. */
     public static String key(final String tenant, final String requestId) {
         return "once/" + tenant + "/" + requestId;
     }
 
-    /** Whether a register key is a claim's. */
+    /** Whether a register key belongs to a claim. */
     public static boolean isClaimKey(final String key) {
         return key.startsWith("once/");
     }
--- a/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
@@ -14,14 +14,14 @@
 import spokestall.time.FleetClock;
 
 /**
- * Picks the upstream of each attempt: the one with the least cost, which is its open attempts over its slots, times its relative
- * latency, plus the distance to it. Costs are varied a little at random, so that equal upstreams share the load. Ejected
- * upstreams are picked only if there is no other, and upstreams that are warming up no faster than their ramp.
+ * Picks the upstream with the lowest cost for each attempt. The cost is the number of open attempts per slot, times the
+ * upstream's relative latency, plus the distance cost. A small random factor spreads the load over equal upstreams. An ejected
+ * upstream is picked only if there is no other, and an upstream in slow start no faster than its ramp allows.
  *
- * <p>Also keeps account of the capacity that admitted requests will need, so that a request is admitted only if an upstream is
- * likely to take it.
+ * <p>Also tracks the capacity that admitted requests will need, so that a request is admitted only if an upstream is likely to
+ * have capacity for it.
  *
- * <p>Not thread-safe; all calls on the node's event loop. Knows of this edge's attempts only.
+ * <p>Not thread-safe; all calls on the node's event loop. Counts only this edge's attempts, not those of other edges.
  */
 public final class LoadBalancer {
     private record Candidate(Upstream upstream, boolean ejected, double cost) {
@@ -30,7 +30,7 @@
         }
     }
 
-    // How much of a difference latency may make at most, so that one slow or quick answer doesn't decide.
+    // Bounds of the latency factor, so that one slow or fast response doesn't dominate the cost.
     private static final double MIN_LATENCY_FACTOR = 0.4;
     private static final double MAX_LATENCY_FACTOR = 3;
     private static final double MIN_RANDOM_FACTOR = 0.95;
@@ -45,18 +45,18 @@
     private final SlowStartLimiter slowStart;
     private final CapacityReservations reservations = new CapacityReservations();
     private final LatencyTracker latencyTracker = new LatencyTracker();
-    /** How many attempts may be open, and are, by instance; none where no attempt was ever begun. */
+    /** Concurrency limits and open attempts by instance; an instance without any attempt has no entry. */
     private final Map<String, AdaptiveLimit> concurrencyLimits = new HashMap<>();
 
     /**
-     * Creates a load balancer that knows nothing of its upstreams yet.
+     * Creates a load balancer without any state of its upstreams.
      *
-     * @param locality where this edge is
+     * @param locality the region and zone of this edge
      * @param upstreams the upstreams to pick from
-     * @param clock measures ejections and rates
-     * @param fleetClock the clock that an upstream's warm-up is given by
-     * @param random varies costs
-     * @param parameters see there
+     * @param clock the monotonic clock for ejections and rates
+     * @param fleetClock the clock that warm-up times of upstreams refer to
+     * @param random the source of the random cost factor and of the spread of first attempts in slow start
+     * @param parameters slow start limits, ejection times and distance costs
      */
     public LoadBalancer(
             final Locality locality,
@@ -74,7 +74,7 @@
         this.slowStart = new SlowStartLimiter(clock, fleetClock, random, parameters.slowStart());
     }
 
-    /** Applies other parameters from now on. */
+    /** Replaces the parameters. */
     public void updateParameters(final LoadBalancerParameters parameters) {
         distanceCosts = parameters.distance();
         ejector.updateTimes(parameters.ejection());
@@ -82,12 +82,13 @@
     }
 
     /**
-     * Picks the upstream for an attempt. One that is warming up is charged for the attempt, which therefore must be made.
+     * Picks the upstream for an attempt. If the upstream is in slow start, the call takes one of its permits, so the caller must
+     * make the attempt.
      *
      * @param service the service's limits
-     * @param eligible which upstreams the request may go to
-     * @param tried instances that are not picked
-     * @return the upstream, or empty if none may take the attempt now
+     * @param eligible the upstreams that the request may go to
+     * @param tried the instances to exclude
+     * @return the upstream, or empty if no upstream can take the attempt now
      */
     public Optional<Upstream> pick(
             final ServiceLimits service, final Predicate<Upstream> eligible, final Set<String> tried) {
@@ -122,12 +123,12 @@
         return cost * (MIN_RANDOM_FACTOR + RANDOM_FACTOR_RANGE * random.nextDouble());
     }
 
-    /** In units of one slot's work: about how long the attempt would wait, and what the way there costs. */
+    /** Returns the cost in units of one slot's work: the expected waiting time plus the distance cost. */
     private double cost(final ServiceLimits service, final Upstream upstream) {
         return utilisation(upstream) * latencyFactor(service, upstream) + locality.costTo(upstream, distanceCosts);
     }
 
-    /** The attempts open there with this one, over its slots; where slots are unknown it is taken to have one. */
+    /** Returns the open attempts per slot, including the new attempt; an unknown number of slots counts as one. */
     private double utilisation(final Upstream upstream) {
         final AdaptiveLimit limit = concurrencyLimits.get(upstream.instance());
         final int open = limit == null ? 0 : limit.open();
@@ -145,8 +146,8 @@
     }
 
     /**
-     * Returns whether upstreams have capacity for one more request of a tenant: more than is reserved for others and than the
-     * tenant's open requests take.
+     * Returns whether the eligible upstreams have capacity for one more request of a tenant: more free slots than the sum of the
+     * pending reservations of the service and the tenant's open requests.
      */
     public boolean hasCapacity(final ServiceLimits service, final String tenant, final Predicate<Upstream> eligible) {
         final int taken = reservations.taken(service.name(), tenant);
@@ -161,46 +162,46 @@
     }
 
     /**
-     * Reserves the capacity that {@link #hasCapacity} found in the same event, until {@link #releaseReservation}; the request
-     * itself counts until {@link #onRequestEnded}.
+     * Reserves capacity for one request until {@link #releaseReservation}. Must be called in the same event as the
+     * {@link #hasCapacity} that found it. The request counts as open until {@link #onRequestEnded}.
      */
     public void reserve(final ServiceLimits service, final String tenant) {
         reservations.reserve(service.name(), tenant);
     }
 
-    /** Releases what was reserved for a request: its first attempt begins now, or there will be none. */
+    /** Releases the reservation of a request, because its first attempt starts now or it ends without an attempt. */
     public void releaseReservation(final ServiceLimits service) {
         reservations.release(service.name());
     }
 
-    /** Notified when a request ends for which capacity was reserved. */
+    /** Notified when a request with reserved capacity ends. */
     public void onRequestEnded(final ServiceLimits service, final String tenant) {
         reservations.end(service.name(), tenant);
     }
 
     /**
-     * Has instances count as warming up for so long, whatever their age: nothing was sent to their zone for a while, say.
+     * Restarts slow start for instances regardless of their age, for example after their zone received no traffic for a while.
      *
-     * @param instances their ids
-     * @param durationMs for how long from now; a time that ends later stays
+     * @param instances the ids of the instances
+     * @param durationMs the duration from now; a slow start that already ends later is not shortened
      */
     public void restartSlowStart(final List<String> instances, final long durationMs) {
         instances.forEach(instance -> slowStart.restart(instance, durationMs));
     }
 
-    /** Notified when an attempt begins. */
+    /** Notified when an attempt starts. */
     public void onAttemptStarted(final String instance) {
         concurrencyLimits.computeIfAbsent(instance, i -> new AdaptiveLimit()).onStarted();
     }
 
     /**
-     * Notified when an attempt ends, once for each that began.
+     * Notified when an attempt ends, exactly once for each attempt that started.
      *
      * @param service the upstream's service
      * @param instance the upstream's id
-     * @param outcome how it ended
-     * @param durationMs how long it took
-     * @param targetMs how long it should have taken at most
+     * @param outcome the attempt's outcome
+     * @param durationMs the attempt's duration
+     * @param targetMs the longest duration that counts as fast
      */
     public void onAttemptEnded(
             final String service,
@@ -222,12 +223,12 @@
         }
     }
 
-    /** Notified when an open attempt takes longer than it should. */
+    /** Notified when an open attempt is so late that its request is hedged. */
     public void onAttemptLate(final String instance) {
         ejector.onLate(instance, clock.nowMs());
     }
 
-    /** Removes what is known of all instances but these, and of those that still have open attempts. */
+    /** Removes the state of all other instances; keeps concurrency limits of instances with open attempts. */
     public void retain(final Set<String> instances) {
         ejector.retain(instances);
         slowStart.retain(instances);
--- a/spokestall/src/main/java/spokestall/proxy/LoadBalancerParameters.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancerParameters.java
@@ -1,25 +1,25 @@
 package spokestall.proxy;
 
-/** How a {@link LoadBalancer} picks; renewed as a whole with the settings. */
+/** Parameters of a {@link LoadBalancer}; a change of the settings replaces all of them. */
 public record LoadBalancerParameters(SlowStartLimits slowStart, EjectionTimes ejection, DistanceCosts distance) {
     /**
-     * How fast all edges together send to an upstream that is warming up.
+     * Rate limit of all edges together for an upstream in slow start.
      *
-     * @param shares how the rate is divided among the edges
-     * @param rampRatio the part of the service's ramp that is used
-     * @param slackPerS what is allowed besides, in attempts a second
-     * @param clockErrorMs by how much the fleet's clock may differ between two nodes: a warm-up is taken to last that much longer
+     * @param shares the division of the rate among the edges
+     * @param rampRatio the ratio of the service's configured ramp that is used
+     * @param slackPerS the rate allowed in addition to the ramp, in attempts per second
+     * @param clockErrorMs the maximum difference of the fleet's clock between two nodes; extends each warm-up by as much
      */
     public record SlowStartLimits(EdgeShares shares, double rampRatio, double slackPerS, long clockErrorMs) {}
 
     /**
-     * For how long an upstream is ejected.
+     * Durations of ejections.
      *
-     * @param baseMs the first time; doubled each time that it fails again without an answer in between
-     * @param maxMs at most
+     * @param baseMs the duration of the first ejection; doubles with each further ejection without a response in between
+     * @param maxMs the maximum duration
      */
     public record EjectionTimes(long baseMs, long maxMs) {}
 
-    /** What it costs to leave the zone and to leave the region, as a part of a slot's work. */
+    /** Costs of sending to another zone and to another region, as fractions of one slot's work. */
     public record DistanceCosts(double otherZone, double otherRegion) {}
 }
--- a/spokestall/src/main/java/spokestall/proxy/Locality.java
+++ b/spokestall/src/main/java/spokestall/proxy/Locality.java
@@ -2,9 +2,9 @@
 
 import spokestall.discovery.Upstream;
 
-/** A place in the fleet: a zone and the region that the zone is in. */
+/** A zone and its region. */
 public record Locality(String region, String zone) {
-    /** Returns what it costs to send from here to an upstream, as a part of a slot's work. */
+    /** Returns the distance cost of sending from this zone to an upstream, as a fraction of one slot's work. */
     double costTo(final Upstream upstream, final LoadBalancerParameters.DistanceCosts costs) {
         if (!upstream.region().equals(region)) {
             return costs.otherRegion();
--- a/spokestall/src/main/java/spokestall/proxy/OutlierEjector.java
+++ b/spokestall/src/main/java/spokestall/proxy/OutlierEjector.java
@@ -5,30 +5,31 @@
 import java.util.Set;
 
 /**
- * Ejects upstreams whose attempts fail: such an upstream is picked only if there is no other. An answer ends the ejection.
+ * Ejects upstreams whose attempts fail. The load balancer picks an ejected upstream only if there is no other. A response ends
+ * the ejection.
  *
  * <p>Not thread-safe; all calls on the node's event loop. Times are on one monotonic clock.
  */
 final class OutlierEjector {
     private record Ejection(long untilMs, int times) {}
 
-    /** One lost answer may be chance; two in a row are not. */
+    /** Number of consecutive lost responses that ejects an upstream. A single lost response may be chance. */
     private static final int LOSSES_TO_EJECT = 2;
-    /** The time doubles no more after so many ejections in a row. */
+    /** Number of consecutive ejections after which the duration stops doubling. */
     private static final int MAX_TIMES = 8;
-    /** An upstream that rejects is alive: it is ejected for this part, as a divisor, of the base time. */
+    /** Divisor of the base duration for an ejection after a rejection, which is short because the upstream is alive. */
     private static final int REJECTED_DIVISOR = 4;
 
     private LoadBalancerParameters.EjectionTimes ejectionTimes;
     private final Map<String, Ejection> ejections = new HashMap<>();
-    /** Lost or late answers in a row, by instance. */
+    /** Number of consecutive lost or late responses by instance. */
     private final Map<String, Integer> losses = new HashMap<>();
 
     OutlierEjector(final LoadBalancerParameters.EjectionTimes ejectionTimes) {
         this.ejectionTimes = ejectionTimes;
     }
 
-    /** Applies other times to ejections from now on. */
+    /** Replaces the durations for later ejections. */
     void updateTimes(final LoadBalancerParameters.EjectionTimes newTimes) {
         ejectionTimes = newTimes;
     }
@@ -38,13 +39,13 @@
         return ejection != null && nowMs < ejection.untilMs;
     }
 
-    /** Ends the instance's ejection. */
+    /** Ends the instance's ejection and resets its failure counts. */
     void onAnswer(final String instance) {
         ejections.remove(instance);
         losses.remove(instance);
     }
 
-    /** Ejects the instance; after a lost answer only if it is not the first in a row. */
+    /** Ejects the instance; a lost response ejects it only if the previous one was lost too. */
     void onFailure(final String instance, final AttemptOutcome outcome, final long nowMs) {
         if (outcome == AttemptOutcome.LOST && losses.merge(instance, 1, Integer::sum) < LOSSES_TO_EJECT) {
             return;
@@ -52,7 +53,7 @@
         eject(instance, outcome, nowMs);
     }
 
-    /** An answer that is late counts like one that is lost. */
+    /** Records a late response, which counts as a lost one. */
     void onLate(final String instance, final long nowMs) {
         onFailure(instance, AttemptOutcome.LOST, nowMs);
     }
@@ -66,7 +67,7 @@
         ejections.put(instance, new Ejection(nowMs + durationMs, times));
     }
 
-    /** Removes what is known of all instances but these. */
+    /** Removes the state of all other instances. */
     void retain(final Set<String> instances) {
         ejections.keySet().retainAll(instances);
         losses.keySet().retainAll(instances);
--- a/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
@@ -16,13 +16,13 @@
 import spokestall.usage.UsageCounter;
 
 /**
- * What the data path of an edge works with.
+ * Dependencies of an edge's data path.
  *
- * @param follower says whether the configuration here is proven fresh
- * @param proposer changes the registers of claims
- * @param counter counts what was sent to upstreams, for the usage report
- * @param sharingEdges how many edges shared bounds are divided among
- * @param homeCores the addresses of the cores in some regions
+ * @param feedClient holds the freshness lease, which proves that this node's configuration is the newest
+ * @param proposer reads and writes the registers of claims
+ * @param usageCounter counts the attempts sent to upstreams, for the usage report
+ * @param sharingEdges returns the number of edges that fleet-wide limits are divided among
+ * @param homeCores returns the addresses of the cores in the given regions
  */
 public record ProxyContext(
         NodeInfo self,
--- a/spokestall/src/main/java/spokestall/proxy/ProxyLimits.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyLimits.java
@@ -1,20 +1,20 @@
 package spokestall.proxy;
 
 /**
- * Bounds of an edge's data path, from the settings.
+ * Limits of an edge's data path, from the settings.
  *
- * @param openRequestsMax requests in flight at most
- * @param heldMaxBytes bytes of request and response bodies held at most
- * @param claimKeepMs for how long a claim is kept, so how old a ticket may be at most
- * @param claimWaitMs how long a change of a claim may take
- * @param handWaitMs how long cores are waited for that may have a stored response
- * @param retryAfterMs the shortest time after which a rejected client may come back; a random part of as much is added
- * @param attemptsMax attempts of one request at most
- * @param retryShare retries earned by each request that reached an upstream
- * @param retryAllowance retries that all edges together may have beyond what was earned
- * @param spanMaxMs the longest time that a request may take
- * @param ticketAheadMs how far a ticket's time may lie ahead of this node's clock
- * @param conventions how the deployment's clients send requests
+ * @param openRequestsMax the maximum number of requests in flight
+ * @param heldMaxBytes the maximum number of bytes held for request and response bodies
+ * @param claimKeepMs how long a claim is kept, and so the maximum age of a ticket
+ * @param claimTimeoutMs the time-out of a claim's proposals
+ * @param storedResponseTimeoutMs the time-out of requests to cores for a stored response
+ * @param retryAfterMs the minimum retry time for a rejected client; a random jitter of up to the same time is added
+ * @param attemptsMax the maximum number of attempts for one request
+ * @param retryRatio the retries that each request that reaches an upstream adds to the retry budget
+ * @param retryAllowance the maximum balance of the retry budgets of all edges together
+ * @param requestTimeoutMaxMs the maximum time-out of a request
+ * @param ticketMaxAheadMs the maximum time by which a ticket's time may be ahead of this node's reading of the fleet's clock
+ * @param conventions request handling options of the deployment
  */
 public record ProxyLimits(
         int openRequestsMax,
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -15,14 +15,14 @@
 import spokestall.message.MessageCodec;
 
 /**
- * One admitted request until its final response: reads its body, claims it if it must run once, attempts it at upstreams,
- * retries and hedges where that is allowed, and responds exactly once.
+ * The execution of one admitted request up to its final response: receives its body, claims it if it must run once, sends
+ * attempts to upstreams, retries and hedges where that is allowed, and responds exactly once.
  *
- * <p>Stages only go forward: {@code READING_BODY}, {@code CLAIMING} (run-once requests with claims), {@code ATTEMPTING},
- * {@code ENDED}; each may go to {@code ENDED} directly. The claim is decided by a majority before the first byte of a
- * run-once request leaves this node. A response says "not run" only when that is proven.
+ * <p>The states follow each other in the order {@code READING_BODY}, {@code CLAIMING} (run-once requests with claims only),
+ * {@code ATTEMPTING}, {@code ENDED}. Each state may go directly to {@code ENDED}. A majority of acceptors stores the claim before
+ * the first byte of a run-once request leaves this node. A response says "not run" only if that is proven.
  *
- * <p>Not thread-safe; all calls are made on the node's event loop.
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class RequestExecution implements AdmittedRequest {
     private enum State {
@@ -32,10 +32,10 @@
         ENDED
     }
 
-    /** The part of a latency target after which an idempotent request is hedged at a second upstream. */
+    /** Fraction of the latency target after which an idempotent request is hedged at a second upstream. */
     private static final double HEDGE_DELAY_RATIO = 0.6;
 
-    /** What an upstream client says of an attempt that {@link AttemptPermission} stopped in the last moment. */
+    /** The reason that an {@link UpstreamClient} returns if {@link AttemptPermission} denied an attempt right before sending. */
     private static final String SEND_DENIED = "barred";
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -55,14 +55,19 @@
     private byte[] body;
     private IdempotencyClaim claim;
     private boolean mayHaveRun;
-    /** A failed upstream response that is passed on if no retry brings a better one. */
+    /** A failed upstream response, which the client gets if no retry succeeds. */
     private Response failedResponse;
 
     private boolean clientDisconnected;
     private boolean attemptsCancelled;
     private boolean responseWritten;
 
-    /** {@code heldBytes} were taken at admission; {@code responded} gets the final response, once. */
+    /**
+     * Creates the execution of an admitted request and starts its deadline timer.
+     *
+     * @param heldBytes the bytes that admission has taken from the limiter
+     * @param responded receives the final response, once
+     */
     RequestExecution(
             final AdmissionController admission,
             final ProxyContext context,
@@ -147,7 +152,7 @@
         onResponseWritten();
     }
 
-    /** Nobody waits for the response any more: what may be repeated is ended; what must run once runs to its end. */
+    /** Cancels the attempts because the client has disconnected; a run-once request continues until its outcome is known. */
     private void cancelAttempts() {
         if (state != State.ATTEMPTING || grant.route().runOnce()) {
             return;
@@ -166,8 +171,8 @@
     }
 
     /**
-     * Reserves the upstream capacity that admission found, for a request without a body. With a body it is reserved once
-     * that has arrived, or clients that send slowly would occupy it.
+     * Reserves the upstream capacity that admission found, for a request without a body. A request with a body reserves its
+     * capacity when the body has arrived, so that clients that send slowly don't block capacity.
      */
     void reserve() {
         reservation.reserve();
@@ -181,7 +186,7 @@
         return reservation.hasCapacity();
     }
 
-    /** Ends the request with what is known of it, because this node shuts down. */
+    /** Ends the request because this node shuts down, with the execution status known so far. */
     void abort() {
         if (state != State.ENDED) {
             completeUnsent(ResultCode.HELD);
@@ -203,14 +208,17 @@
         responded.accept(response);
     }
 
-    /** Ends the request with a result of this node's own; "not run" only if no attempt may have run it, or may yet. */
+    /**
+     * Ends the request with a response that this node generates. The status is "not run" only if no attempt has run the request or
+     * can still run it.
+     */
     private void completeWith(final ResultCode result) {
         final boolean undecided = claimManager != null || grant.hasTicket() || mayHaveRun || attempts.inFlight() > 0;
         complete(admission.reject(
                 result, undecided ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN, attempts.started()));
     }
 
-    /** Sends nothing more. A claim that was not used is first released in its register, then the client is answered. */
+    /** Ends the request without another attempt. Responds after an unused claim has been released in its register. */
     private void completeUnsent(final ResultCode reason) {
         if (claim != null && !mayHaveRun) {
             claimManager.releaseUnused(
@@ -222,7 +230,7 @@
         }
     }
 
-    /** Why nothing may be sent now, or null if an attempt may begin. */
+    /** Returns why no attempt may be sent now, or null if one may. */
     private ResultCode refusal() {
         return state == State.ENDED || clientDisconnected ? ResultCode.DEADLINE : permission.refusal();
     }
@@ -270,12 +278,12 @@
             return;
         }
         if (attempts.onStarted()) {
-            // Retries are a share of the requests that reached an upstream, not of those that were admitted.
+            // The retry ratio refers to requests that reach an upstream, not to all admitted requests.
             admission.retryBudget(permission.service()).onRequest();
         }
         attemptedInstances.add(upstream.instance());
         final Attempt attempt = newAttempt(upstream);
-        final long begunMs = context.clock().nowMs();
+        final long startedMs = context.clock().nowMs();
         context.loadBalancer().onAttemptStarted(upstream.instance());
         reservation.release();
         scheduleHedge(upstream);
@@ -285,7 +293,7 @@
         final AttemptHandle[] handle = new AttemptHandle[1];
         handle[0] = context.upstreamClient().attempt(attempt, sendableUntilMs, this::onAttemptSent, result -> {
             openAttempts.remove(handle[0]);
-            onAttemptEnded(upstream, result, begunMs);
+            onAttemptEnded(upstream, result, startedMs);
         });
         openAttempts.add(handle[0]);
     }
@@ -331,7 +339,10 @@
         }
     }
 
-    /** An idempotent request is sent to a second upstream as well, once and paid for; the first complete answer counts. */
+    /**
+     * Hedges an idempotent request: sends it to a second upstream if the first one hasn't responded in time and the retry budget
+     * allows it. The first complete response is used.
+     */
     private void onHedgeDue(final Upstream slowUpstream, final int number) {
         if (state == State.ATTEMPTING && attempts.inFlight() == 1 && attempts.started() == number) {
             context.loadBalancer().onAttemptLate(slowUpstream.instance());
@@ -345,11 +356,11 @@
         }
     }
 
-    private void onAttemptEnded(final Upstream upstream, final AttemptResult result, final long begunMs) {
+    private void onAttemptEnded(final Upstream upstream, final AttemptResult result, final long startedMs) {
         attempts.ended(!(result instanceof AttemptResult.NotSent));
         mayHaveRun |= result instanceof AttemptResult.Answered || result instanceof AttemptResult.Lost;
         final Route route = permission.route();
-        final long slowMs = route.latencyTargetMs() > 0
+        final long targetMs = route.latencyTargetMs() > 0
                 ? route.latencyTargetMs()
                 : permission.service().attemptTimeoutMs() / 4;
         context.loadBalancer()
@@ -357,8 +368,8 @@
                         upstream.service(),
                         upstream.instance(),
                         outcomeFor(result),
-                        context.clock().nowMs() - begunMs,
-                        slowMs);
+                        context.clock().nowMs() - startedMs,
+                        targetMs);
         if (result instanceof AttemptResult.Answered answered) {
             onAnswered(upstream, answered);
         } else {
@@ -429,7 +440,7 @@
         }
     }
 
-    /** Begins one more attempt if limits and the retry budget allow it. */
+    /** Starts one more attempt if the limits and the retry budget allow it. */
     private boolean retry() {
         final int configuredMax = permission.route().attemptsMax();
         final int attemptsMax = configuredMax > 0
@@ -444,7 +455,10 @@
         return true;
     }
 
-    /** The claim's end and the response go to their stores and to cores of the home regions; the client doesn't wait. */
+    /**
+     * Stores the response in the local cache and at the cores of the home regions, and records the outcome of the claim. The
+     * client's response doesn't wait for this.
+     */
     private void recordExecuted(final Upstream upstream, final AttemptResult.Answered answered) {
         final HandoffMessage.Store stored = new HandoffMessage.Store(
                 claimManager.key(), KeyHash.hex(MessageCodec.encodeRecord(answered.content())), answered.content());
--- a/spokestall/src/main/java/spokestall/proxy/RequestHead.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestHead.java
@@ -4,14 +4,14 @@
 import spokestall.message.Header;
 
 /**
- * What is known of a request before its body is read.
+ * A request without its body.
  *
- * @param host empty where it doesn't count
- * @param target the request target as it came
- * @param key the client's key, null if none came
- * @param requestId the client's id of the request, null if none came
- * @param spanMs what remains until its deadline; {@code Long.MIN_VALUE} if that could not be read
- * @param bodyBytes its body's length, negative if that isn't known yet
+ * @param host the host from the Host header without its port, empty if there is none
+ * @param target the request target as the client sent it
+ * @param key the client's API key, null if the request has none
+ * @param requestId the request id from the client, null if the request has none
+ * @param remainingMs the time until the request's deadline, {@code Long.MIN_VALUE} if the client sent an invalid one
+ * @param bodyBytes the length of the body, negative if it isn't known yet
  * @param headers the end-to-end headers
  */
 public record RequestHead(
@@ -23,7 +23,7 @@
         long remainingMs,
         long bodyBytes,
         List<Header> headers) {
-    /** The same head after it has waited; less remains until its deadline. */
+    /** Returns this head with the remaining time reduced by the time that the request has waited. */
     public RequestHead afterWaiting(final long waitedMs) {
         return remainingMs == Long.MIN_VALUE
                 ? this
--- a/spokestall/src/main/java/spokestall/proxy/RequestReservation.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestReservation.java
@@ -3,9 +3,10 @@
 import spokestall.configuration.ServiceLimits;
 
 /**
- * What one request occupies at its edge: bytes of bodies in the {@link ConcurrencyLimiter}, and capacity at the upstreams of
- * its service, which the {@link LoadBalancer} keeps until the first attempt begins. Not thread-safe; all calls are made on
- * the node's event loop.
+ * The resources that one request holds at its edge: bytes for its bodies in the {@link ConcurrencyLimiter}, and capacity at the
+ * upstreams of its service, which the {@link LoadBalancer} reserves until the first attempt starts.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class RequestReservation {
     private final ConcurrencyLimiter limiter;
@@ -16,7 +17,7 @@
     private boolean counted;
     private boolean reserved;
 
-    /** Takes over {@code heldBytes} that admission has already taken from the limiter. */
+    /** Creates the reservation of a request for which admission has already taken {@code heldBytes} from the limiter. */
     RequestReservation(
             final ConcurrencyLimiter limiter,
             final LoadBalancer loadBalancer,
@@ -39,19 +40,19 @@
         heldBytes = bytes;
     }
 
-    /** Reserves upstream capacity that was found available; it counts until {@link #end}. */
+    /** Reserves upstream capacity, which the caller has checked to be available; the request counts until {@link #end}. */
     void reserve() {
         loadBalancer.reserve(service, tenant);
         counted = true;
         reserved = true;
     }
 
-    /** Whether upstream capacity has been reserved and not been given back by {@link #end}. */
+    /** Whether {@link #reserve} has been called; stays true after {@link #release} and {@link #end}. */
     boolean hasCapacity() {
         return counted;
     }
 
-    /** Releases the reserved capacity, because an attempt takes its place or because none will come. */
+    /** Releases the reserved capacity, because the first attempt starts or the request ends without one. */
     void release() {
         if (reserved) {
             reserved = false;
@@ -59,7 +60,7 @@
         }
     }
 
-    /** The request has ended: its capacity is released and no longer counted. */
+    /** Releases the capacity of a request that has ended and stops counting it. */
     void end() {
         release();
         if (counted) {
--- a/spokestall/src/main/java/spokestall/proxy/Response.java
+++ b/spokestall/src/main/java/spokestall/proxy/Response.java
@@ -6,11 +6,11 @@
 /**
  * The final response to a request.
  *
- * @param ran what is known of whether the request ran
- * @param content the upstream's own response, null when spokestall itself responds
- * @param instance the upstream that ran it, null if none did
- * @param attempts how many attempts were begun
- * @param retryAfterMs when the client may come back, zero if that isn't said
+ * @param ran whether the request ran, as far as this node knows
+ * @param content the upstream's response, null if spokestall itself generated the response
+ * @param instance the upstream that ran the request, null if none did
+ * @param attempts the number of attempts that were started
+ * @param retryAfterMs the time after which the client may retry, zero if the response doesn't say
  */
 public record Response(
         ResultCode result,
--- a/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStartLimiter.java
@@ -11,15 +11,15 @@
 import spokestall.time.FleetClock;
 
 /**
- * Limits how much this edge sends to upstreams that are warming up, so that all edges together keep to the upstream's bound in any
- * second. The bound is a whole number of permits a window, and each edge gets a whole number of them ({@link EdgeShares#share}); an
- * edge without a permit sends nothing there. Parts of a permit would add up on average only: edges that have each saved up one
- * would all spend it in the same moment.
+ * Limits this edge's attempts to upstreams in slow start, so that all edges together stay within the upstream's bound in any
+ * second. The bound is a whole number of permits per window, and each edge gets a whole number of them
+ * ({@link EdgeShares#share}). An edge without a permit sends nothing to that upstream. With fractions of a permit the bound
+ * would hold only on average: several edges could each accumulate a whole permit and use it at the same moment.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class SlowStartLimiter {
-    /** The part of the ramp that an upstream gets while its age says nothing of how far it has warmed up. */
+    /** Fraction of the full rate after a restarted slow start, when the instance's age doesn't show how warm it is. */
     private static final double RESTARTED_RAMP = 0.5;
 
     private static final long SECOND_MS = 1000;
@@ -31,16 +31,16 @@
     private final Random random;
     private LoadBalancerParameters.SlowStartLimits limits;
     private final Map<String, SlowStartWindow> slowStarts = new HashMap<>();
-    /** Until when instances count as warming up whatever their age, on the monotonic clock. */
+    /** End of the restarted slow start of instances, regardless of their age, on the monotonic clock. */
     private final Map<String, Long> restartedUntilMs = new HashMap<>();
 
     /**
-     * Creates a limiter that knows of no upstream.
+     * Creates a limiter without any state of its upstreams.
      *
-     * @param clock measures windows
-     * @param fleetClock the clock that a warm-up is given by
-     * @param random spreads the edges' first attempts
-     * @param limits what all edges together may send
+     * @param clock the monotonic clock for windows
+     * @param fleetClock the clock that warm-up times of upstreams refer to
+     * @param random the source of the spread of the edges' first attempts
+     * @param limits the rate limit of all edges together
      */
     SlowStartLimiter(
             final Clock clock,
@@ -53,17 +53,17 @@
         this.limits = limits;
     }
 
-    /** Applies other limits from now on. */
+    /** Replaces the limits. */
     void updateLimits(final LoadBalancerParameters.SlowStartLimits newLimits) {
         limits = newLimits;
     }
 
-    /** Has an instance count as warming up for so long at least. */
+    /** Restarts slow start for an instance; a restarted slow start that already ends later is not shortened. */
     void restart(final String instance, final long durationMs) {
         restartedUntilMs.merge(instance, clock.nowMs() + durationMs, Math::max);
     }
 
-    /** Returns whether an attempt may go to the upstream now, and counts it if so. */
+    /** Returns whether an attempt may be sent to the upstream now, and counts it if so. */
     boolean tryAcquire(final ServiceLimits service, final Upstream upstream) {
         final long ageMs = warmUpAgeMs(service, upstream);
         final Long untilMs = restartedUntilMs.get(upstream.instance());
@@ -82,14 +82,14 @@
         return slowStart(upstream, ratePerS, windowMs).tryAcquire(clock.nowMs(), permits, windowMs);
     }
 
-    /** How many attempts all edges together may send in a window. */
+    /** Returns the number of attempts that all edges together may send in a window. */
     private static int permits(final double ratePerS) {
         return ratePerS <= 0 ? 0 : (int) Math.max(1, ratePerS);
     }
 
     /**
-     * A second, or longer for a rate below one a second; and longer by how much the time from decision to arrival may vary, for
-     * which the difference of clocks, a round trip, is taken too.
+     * Returns the window length: one second, or longer for a rate below one attempt per second, plus a margin for the variation
+     * of the time from this decision to the attempt's arrival. The clock error, a round trip, also serves as this margin.
      */
     private long windowMs(final double ratePerS) {
         return (long) Math.ceil(SECOND_MS / Math.min(1, ratePerS)) + limits.clockErrorMs();
@@ -100,9 +100,10 @@
         if (known != null) {
             return known;
         }
-        // All edges hear of a new upstream at the same time: their first attempts are spread over a window.
-        final SlowStartWindow begun = new SlowStartWindow(clock.nowMs() + random.nextLong(SECOND_MS));
-        slowStarts.put(upstream.instance(), begun);
+        // All edges learn of a new upstream at the same time; a random delay spreads their first attempts over one
+        // second.
+        final SlowStartWindow created = new SlowStartWindow(clock.nowMs() + random.nextLong(SECOND_MS));
+        slowStarts.put(upstream.instance(), created);
         LOG.atInfo().log(
                 "event=slow_start_began instance=%s ratePerS=%.2f windowMs=%s edges=%s rank=%s",
                 upstream.instance(),
@@ -110,7 +111,7 @@
                 windowMs,
                 limits.shares().edges(),
                 limits.shares().rank(upstream.instance(), upstream.region()));
-        return begun;
+        return created;
     }
 
     private void onWarmedUp(final String instance) {
@@ -121,7 +122,7 @@
         }
     }
 
-    /** How much of the warm-up has passed, by its end if that is known, else by its beginning. */
+    /** Returns the elapsed time of the warm-up, from its end if that is known, else from when the upstream became ready. */
     private long warmUpAgeMs(final ServiceLimits service, final Upstream upstream) {
         final long nowMs = fleetClock.nowMs();
         return Math.max(
@@ -131,7 +132,7 @@
                         : nowMs - upstream.readySinceMs());
     }
 
-    /** The part of the service's full rate at an age; where there is slack the rate doesn't grow with the age. */
+    /** Returns the fraction of the service's full rate at an age; with slack configured it is always 1. */
     private double ramp(final ServiceLimits service, final long ageMs, final boolean restarted) {
         if (limits.slackPerS() > 0) {
             return 1;
@@ -139,7 +140,7 @@
         return restarted ? RESTARTED_RAMP : Math.min(1, (double) ageMs / service.slowStartMs());
     }
 
-    /** Removes what is known of all instances but these. */
+    /** Removes the state of all other instances. */
     void retain(final Set<String> instances) {
         slowStarts.keySet().retainAll(instances);
         restartedUntilMs.keySet().retainAll(instances);
--- a/spokestall/src/main/java/spokestall/proxy/SlowStartWindow.java
+++ b/spokestall/src/main/java/spokestall/proxy/SlowStartWindow.java
@@ -3,25 +3,26 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What this edge sent of late to one upstream that is warming up. Not thread-safe. */
+/** Sliding window of the attempts that this edge sent to one upstream in slow start. Not thread-safe. */
 final class SlowStartWindow {
     private final long notBeforeMs;
     private final Deque<Long> recentMs = new ArrayDeque<>();
     private long attempts;
 
     /**
-     * Creates it with nothing sent.
+     * Creates an empty window.
      *
-     * @param notBeforeMs nothing may be sent before then
+     * @param notBeforeMs the earliest time of the first attempt, on the monotonic clock
      */
     SlowStartWindow(final long notBeforeMs) {
         this.notBeforeMs = notBeforeMs;
     }
 
     /**
-     * Returns whether an attempt may be sent now, and counts it if so: in no span of {@code windowMs} more than {@code permits} are.
+     * Returns whether an attempt may be sent now, and counts it if so. Allows at most {@code permits} attempts in any interval of
+     * {@code windowMs}.
      *
-     * @param nowMs the monotonic time, never less than in an earlier call
+     * @param nowMs the current time on the monotonic clock, never less than in an earlier call
      */
     boolean tryAcquire(final long nowMs, final int permits, final long windowMs) {
         while (!recentMs.isEmpty() && nowMs - recentMs.peekFirst() >= windowMs) {
@@ -35,7 +36,7 @@
         return true;
     }
 
-    /** How many attempts were allowed so far. */
+    /** The number of attempts allowed since the window was created. */
     long attempts() {
         return attempts;
     }
--- a/spokestall/src/main/java/spokestall/proxy/UpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/proxy/UpstreamClient.java
@@ -8,11 +8,11 @@
     /**
      * Sends an attempt.
      *
-     * @param until asked on the event loop when a connection is open: until when, on the monotonic clock, the first bytes may
-     *     leave; checked once more in the moment they do. A time in the past means not at all.
-     * @param sent run on the event loop when the first bytes have left, before {@code done}
-     * @param done receives how the attempt ended, once, on the event loop
-     * @return breaks the attempt off
+     * @param until returns the time on the monotonic clock until which the first bytes may be sent; called on the event loop when
+     *     a connection is open. The time is checked again right before the bytes are sent. If it is in the past, nothing is sent.
+     * @param sent called on the event loop when the first bytes have been sent, before {@code done}
+     * @param done receives the attempt's result, once, on the event loop
+     * @return the handle that cancels the attempt
      */
     AttemptHandle attempt(Attempt attempt, LongSupplier until, Runnable sent, Consumer<AttemptResult> done);
 }
--- a/spokestall/src/main/java/spokestall/proxy/UpstreamSource.java
+++ b/spokestall/src/main/java/spokestall/proxy/UpstreamSource.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import spokestall.discovery.Upstream;
 
-/** Where a {@link LoadBalancer} takes upstreams from. */
+/** Source of the upstreams that a {@link LoadBalancer} picks from. */
 public interface UpstreamSource {
-    /** Returns the upstreams of a service that take requests now, always in the same order. */
+    /** Returns the upstreams of a service that are ready now, in a stable order. */
     List<Upstream> readyUpstreams(String service);
 }
