--- a/spokestall/src/main/java/spokestall/discovery/DiscoveryClient.java
+++ b/spokestall/src/main/java/spokestall/discovery/DiscoveryClient.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the platform's list and probes instances. Each callback runs once, on the node's event loop, at the latest soon after
- * the time-out.
+ * Client for the platform's endpoint list and for probes of instances. Each callback runs exactly once, on the node's event loop,
+ * at the latest shortly after the time-out.
  */
 public interface DiscoveryClient {
-    /** Reads the platform's whole list; the result is empty if it could not be had in time. */
+    /** Reads the platform's complete endpoint list; the result is empty if the read fails or times out. */
     void listEndpoints(long timeoutMillis, Consumer<Optional<List<ListedEndpoint>>> done);
 
-    /** Probes the instance at an address (IP and port); the result is empty if there was no valid answer in time. */
+    /** Probes the instance at an address (IP and port); the result is empty if no valid response arrives before the time-out. */
     void probe(String address, long timeoutMillis, Consumer<Optional<ProbeResult>> done);
 }
--- a/spokestall/src/main/java/spokestall/discovery/DiscoveryMessage.java
+++ b/spokestall/src/main/java/spokestall/discovery/DiscoveryMessage.java
@@ -5,14 +5,15 @@
 import spokestall.message.SinceVersion;
 
 /**
- * Messages by which cores share what they know of upstreams. Idempotent: each may arrive more than once and in any order.
- * Encoded by the order of their components, which must not change.
+ * Messages with which cores share endpoints and health observations. Receivers handle them idempotently: a message may arrive
+ * more than once and in any order. Encoded by the order of their components, which must not change.
  */
 public sealed interface DiscoveryMessage extends Message {
     /**
      * Entries to merge into the receiver's {@link EndpointRegistry}.
      *
-     * @param listReadMs when the platform's list was last read, on the fleet's clock; zero if the message isn't about that
+     * @param listReadMs when the sender last read the platform's list, on the fleet's clock; zero if the message only contains
+     *     observations
      */
     record Push(
             List<Endpoint> endpoints,
--- a/spokestall/src/main/java/spokestall/discovery/Endpoint.java
+++ b/spokestall/src/main/java/spokestall/discovery/Endpoint.java
@@ -3,20 +3,20 @@
 import spokestall.message.SinceVersion;
 
 /**
- * The registry's entry for one instance of a service. Immutable; part of numbered messages, so the order of its components must
+ * The registry's entry for one instance of a service. Immutable. Messages encode it by the order of its components, which must
  * not change. All times are on the fleet's clock.
  *
  * @param instance the instance's id, unique among all services
- * @param service the service that it belongs to
- * @param address IP and port where it takes requests
- * @param zone its zone
- * @param region its region, empty if it isn't known
- * @param present whether the platform lists it; an entry stays for a while after it is no more listed
- * @param leaving whether the platform says that it is shutting down
- * @param timestampMs when the list was read that this entry is from; the newest one of an instance wins
- * @param warmUpUntilMs when its warm-up ends, zero if the platform doesn't say
- * @param firstListedMs when it was first listed, zero in entries of nodes that don't send it
- * @param slots how many requests it works on at a time, zero if the platform doesn't say
+ * @param service the service of the instance
+ * @param address the IP and port where the instance accepts requests
+ * @param zone the instance's zone
+ * @param region the instance's region, empty if unknown
+ * @param present whether the platform lists the instance; its entry is kept for a while after it disappears from the list
+ * @param leaving whether the platform reports that the instance is shutting down
+ * @param timestampMs when the list that this entry comes from was read; the entry with the newest timestamp wins
+ * @param warmUpUntilMs when the instance's warm-up ends, zero if the platform doesn't report it
+ * @param firstListedMs when the instance was first listed, zero in entries from nodes that don't send it
+ * @param slots how many requests the instance processes concurrently, zero if the platform doesn't report it
  */
 public record Endpoint(
         String instance,
@@ -30,7 +30,7 @@
         @SinceVersion(3) long warmUpUntilMs,
         @SinceVersion(3) long firstListedMs,
         @SinceVersion(3) int slots) {
-    /** Returns this entry as no longer listed, by a list that was read then. */
+    /** Returns this entry as absent from a list that was read at the given time. */
     Endpoint absentAt(final long readMs) {
         return new Endpoint(
                 instance,
@@ -46,7 +46,7 @@
                 slots);
     }
 
-    /** Returns this entry as first listed then. */
+    /** Returns this entry with the given time of its first listing. */
     Endpoint firstListedAt(final long listedMs) {
         return new Endpoint(
                 instance,
@@ -62,7 +62,7 @@
                 slots);
     }
 
-    /** Returns the earliest time at which this entry shows the instance to have been listed. */
+    /** Returns the earliest time at which the instance is known to have been listed, according to this entry. */
     long earliestListedMs() {
         return firstListedMs == 0 ? timestampMs : firstListedMs;
     }
--- a/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
@@ -11,28 +11,29 @@
 import spokestall.time.FleetClock;
 
 /**
- * A core's part in reading the platform's list. One core reads for all: each later one in the order of names waits longer
- * before it reads in its place. What changed is sent to every known node, and that the list was read to the other cores.
+ * Reads the platform's endpoint list on a core. Normally a single core reads it for the whole fleet. Each following core, in the
+ * order of names, waits longer before it takes over. The reader sends changed entries to all known nodes; after a read without
+ * changes it sends only the time of the read, to the other cores.
  *
  * <p>Not thread-safe; all calls and callbacks on the node's event loop. Requires that the fleet's clock has settled.
  */
 public final class EndpointListReader {
     /**
-     * When the list is read.
+     * Schedule of the reads.
      *
-     * @param intervalMs how often it is read by the whole fleet
-     * @param timeoutMillis how long reading may take
+     * @param intervalMs the interval between two reads by the whole fleet
+     * @param timeoutMillis the time-out of a read
      */
     public record Schedule(long intervalMs, long timeoutMillis) {}
 
-    /** By which part of the interval each next core waits longer. */
+    /** Additional wait of each following core before it takes over, as a fraction of the interval. */
     private static final double DELAY_RATIO_PER_RANK = 0.7;
-    /** The part of the interval, as a divisor, by which a read may be early: ticks don't fall on its end exactly. */
+    /** Divisor of the interval that gives how early a read may be, because ticks don't coincide exactly with its end. */
     private static final int SLACK_DIVISOR = 32;
-    /** The part of the interval, as a divisor, that a core waits at first for what others know. */
+    /** Divisor of the interval that gives how long a core waits after its start for the entries of other cores. */
     private static final int FIRST_WAIT_DIVISOR = 4;
 
-    /** A read that took longer than this is logged although nothing changed. */
+    /** A read that takes longer than this is logged even if nothing changed. */
     private static final long LOGGED_READ_MS = 500;
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -44,19 +45,19 @@
     private final FleetClock fleetClock;
     private final Schedule schedule;
     private boolean reading;
-    /** Far enough before any reading of the clock, and far enough from the least long to be subtracted. */
+    /** The initial value is before any clock time, and small enough in magnitude that subtracting it doesn't overflow. */
     private long lastAttemptMs = Long.MIN_VALUE / 2;
 
     /**
-     * Creates a reader that has read nothing.
+     * Creates a reader that hasn't read the list yet.
      *
      * @param self this core's name
-     * @param registry what is read is merged into it
+     * @param registry the registry that receives the entries
      * @param client reads the list
-     * @param peers the nodes that are sent what was read
-     * @param sender sends it
-     * @param fleetClock gives entries their timestamps
-     * @param schedule when the list is read
+     * @param peers the nodes that changes are sent to
+     * @param sender sends the messages
+     * @param fleetClock the clock for timestamps of entries
+     * @param schedule the schedule of the reads
      */
     public EndpointListReader(
             final String self,
@@ -78,7 +79,7 @@
     /** Starts reading the list if it is this core's turn. */
     public void onTick() {
         if (registry.lastListReadMs() == 0) {
-            // Entries of the other cores come first, so that what was listed long ago isn't taken for new.
+            // Waits for the entries of the other cores first, so that instances listed long ago don't count as new.
             registry.recordListRead(
                     fleetClock.nowMs() - schedule.intervalMs() + schedule.intervalMs() / FIRST_WAIT_DIVISOR);
         }
@@ -145,9 +146,9 @@
         }
     }
 
-    /** Entries for what differs from the registry: changed or absent ones by instance, then those that are new. */
+    /** Returns the entries that differ from the registry: changed and absent ones sorted by instance, then new ones. */
     private List<Endpoint> changes(final List<ListedEndpoint> list, final long requestedMs, final long answeredMs) {
-        // A HashMap, by whose order of ids new entries are sent.
+        // New entries are sent in this HashMap's iteration order.
         final Map<String, Endpoint> listed = new HashMap<>();
         list.forEach(endpoint -> listed.put(endpoint.instance(), endpoint.toEndpoint(requestedMs, answeredMs)));
         final List<Endpoint> changes = new ArrayList<>();
@@ -171,7 +172,7 @@
                 && sameWarmUp(known, now, answeredMs);
     }
 
-    /** Whether both warm up until about the same time, or neither warms up any more. */
+    /** Whether both entries have about the same end of the warm-up, or both warm-ups have ended. */
     private static boolean sameWarmUp(final Endpoint known, final Endpoint now, final long answeredMs) {
         if (Math.max(known.warmUpUntilMs(), now.warmUpUntilMs()) <= answeredMs) {
             return true;
--- a/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointRegistry.java
@@ -9,14 +9,15 @@
 import java.util.TreeMap;
 
 /**
- * Upstreams as mergeable state: for each instance the newest entry of the platform's list, and the newest observation of each
- * core that probes it. The entry with the newest timestamp wins, so the order and the repetition of merges don't matter.
+ * Registry of endpoints and their health as mergeable state. For each instance it contains the newest entry of the platform's
+ * list and the newest observation of each core that probes it. The entry with the newest timestamp wins, so merges may be
+ * repeated and reordered.
  *
- * <p>Each change gets the next offset in this process's own numbering, which {@link #incarnation()} names, so that a peer can
- * request what is new to it. Offsets are not comparable between nodes or incarnations.
+ * <p>Each change gets the next offset of this process's numbering, which {@link #incarnation()} identifies. A peer uses offsets
+ * to request only the changes that it doesn't have. Offsets are not comparable between nodes or incarnations.
  *
- * <p>Not thread-safe; all calls on the node's event loop. Bounded: no more than {@code maxEndpoints} entries. An entry that was
- * listed no more is kept until {@link #prune}, so that older entries of peers don't bring it back.
+ * <p>Not thread-safe; all calls on the node's event loop. Bounded to {@code maxEndpoints} entries. The entry of an instance that
+ * is no longer listed is kept until {@link #prune}, so that an older entry from a peer doesn't restore it.
  */
 public final class EndpointRegistry {
     private record PeerOffset(long incarnation, long offset) {}
@@ -27,10 +28,10 @@
     private final int maxEndpoints;
     private final long observationTtlMs;
     private final HealthSource healthSource;
-    // Sorted, since the order of entries decides which upstream a random draw picks.
+    // Sorted, because the order of entries determines which upstream a random choice selects.
     private final Map<String, Numbered<Endpoint>> endpoints = new TreeMap<>();
     private final Map<String, Map<String, Numbered<HealthObservation>>> observations = new TreeMap<>();
-    /** The upstreams of each service that are listed and not leaving, by instance; built on demand after a change. */
+    /** Cache of each service's upstreams that are listed and not leaving, sorted by instance; a change of an entry clears it. */
     private final Map<String, List<Upstream>> servingByService = new HashMap<>();
 
     private final Map<String, PeerOffset> peerOffsets = new HashMap<>();
@@ -41,10 +42,10 @@
     /**
      * Creates an empty registry.
      *
-     * @param incarnation names this process's numbering of offsets, not zero
-     * @param maxEndpoints instances beyond these are ignored
-     * @param observationTtlMs how long an observation counts
-     * @param healthSource where it is taken from whether an instance is ready
+     * @param incarnation the id of this process's numbering of offsets, not zero
+     * @param maxEndpoints the maximum number of instances; further ones are ignored
+     * @param observationTtlMs how long an observation is valid
+     * @param healthSource the source that determines whether an instance is ready
      */
     public EndpointRegistry(
             final long incarnation,
@@ -57,22 +58,22 @@
         this.healthSource = healthSource;
     }
 
-    /** Returns the name of this process's numbering of offsets. */
+    /** Returns the id of this process's numbering of offsets. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** Records that some core read the platform's list then, on the fleet's clock; an earlier time has no effect. */
+    /** Records that a core read the platform's list at a time on the fleet's clock; an earlier time than known has no effect. */
     public void recordListRead(final long readMs) {
         lastListReadMs = Math.max(lastListReadMs, readMs);
     }
 
-    /** Returns when any core last read the platform's list, as far as is known here; zero if that isn't known. */
+    /** Returns when a core last read the platform's list, as far as this node knows, or zero if unknown. */
     public long lastListReadMs() {
         return lastListReadMs;
     }
 
-    /** Returns the last observation of an instance by a core, however old. */
+    /** Returns the last observation of an instance by a core, regardless of its age. */
     Optional<HealthObservation> observation(final String instance, final String core) {
         return Optional.ofNullable(observations.getOrDefault(instance, Map.of()).get(core))
                 .map(Numbered::value);
@@ -83,19 +84,19 @@
         return offset;
     }
 
-    /** Returns the incarnation of a peer's registry that was last merged from, zero if there was none. */
+    /** Returns the incarnation of the peer's registry at the last merge from it, or zero if there was none. */
     public long peerIncarnation(final String core) {
         final PeerOffset seen = peerOffsets.get(core);
         return seen == null ? 0 : seen.incarnation;
     }
 
-    /** Returns up to which offset a peer's registry was merged, zero if it wasn't. */
+    /** Returns the offset up to which the peer's registry was merged, or zero if it wasn't. */
     public long peerOffset(final String core) {
         final PeerOffset seen = peerOffsets.get(core);
         return seen == null ? 0 : seen.offset;
     }
 
-    /** Merges a peer's changes up to an offset; an incarnation of zero says that the peer sent none. */
+    /** Merges a peer's changes up to an offset. An incarnation of zero means that the peer sent no changes. */
     public void mergeFrom(
             final String core,
             final long coreIncarnation,
@@ -108,7 +109,7 @@
         }
     }
 
-    /** Merges entries and observations from anywhere. */
+    /** Merges entries and observations of any origin. */
     public void merge(final Collection<Endpoint> newEndpoints, final Collection<HealthObservation> newObservations) {
         newEndpoints.forEach(this::merge);
         newObservations.forEach(this::merge);
@@ -123,7 +124,7 @@
         } else if (endpoint.timestampMs() > known.value.timestampMs()) {
             put(new Numbered<>(++offset, withEarlierListing(endpoint, known.value)));
         } else if (endpoint.earliestListedMs() < known.value.earliestListedMs()) {
-            // The offset stays: that it was listed earlier isn't a change that peers are sent.
+            // The offset stays, because an earlier first listing is not a change to send to peers.
             put(new Numbered<>(known.offset, withEarlierListing(known.value, endpoint)));
         }
     }
@@ -134,7 +135,7 @@
         endpoints.put(endpoint.value.instance(), endpoint);
     }
 
-    /** The later entry, first listed when the earlier one was if the instance was at the same address all the time. */
+    /** Returns the later entry, with the earlier first listing if both entries are present at the same address. */
     private static Endpoint withEarlierListing(final Endpoint later, final Endpoint earlier) {
         return earlier.present()
                         && later.present()
@@ -153,7 +154,7 @@
         }
     }
 
-    /** Removes entries that have been absent, and observations that were made, before a time on the fleet's clock. */
+    /** Removes absent entries and observations with a timestamp before a time on the fleet's clock. */
     public void prune(final long beforeMs) {
         if (endpoints.values().removeIf(e -> !e.value.present() && e.value.timestampMs() < beforeMs)) {
             servingByService.clear();
@@ -162,14 +163,14 @@
         observations.values().forEach(byCore -> byCore.values().removeIf(o -> o.value.timestampMs() < beforeMs));
     }
 
-    /** Returns the entries that changed after an offset of this numbering, by instance. */
+    /** Returns the entries that changed after an offset of this numbering, sorted by instance. */
     public List<Endpoint> endpointsAfter(final long afterOffset) {
         final List<Endpoint> found = new ArrayList<>();
         addAfter(afterOffset, endpoints.values(), found);
         return found;
     }
 
-    /** Returns the observations that changed after an offset of this numbering, by instance and core. */
+    /** Returns the observations that changed after an offset of this numbering, sorted by instance and core. */
     public List<HealthObservation> observationsAfter(final long afterOffset) {
         final List<HealthObservation> found = new ArrayList<>();
         observations.values().forEach(byCore -> addAfter(afterOffset, byCore.values(), found));
@@ -185,17 +186,17 @@
         }
     }
 
-    /** Returns a number that grows with every entry of the list that changes; observations don't count. */
+    /** Returns a version that increases with each changed endpoint entry, but not with observations. */
     public long version() {
         return version;
     }
 
-    /** Returns all entries by instance, those that are no more listed too. */
+    /** Returns all entries sorted by instance, including those that are no longer listed. */
     public List<Endpoint> endpoints() {
         return endpointsAfter(0);
     }
 
-    /** Returns the upstreams of a service that may take requests at a time on the fleet's clock, by instance. */
+    /** Returns the upstreams of a service that are ready at a time on the fleet's clock, sorted by instance. */
     public List<Upstream> readyUpstreams(final String service, final long nowMs) {
         final List<Upstream> serving = servingByService.computeIfAbsent(service, this::serving);
         if (healthSource == HealthSource.PLATFORM_LIST) {
@@ -224,7 +225,7 @@
                         endpoint.region(),
                         endpoint.earliestListedMs(),
                         endpoint.slots(),
-                        // What a probe says of the warm-up is newer.
+                        // A probe reports the warm-up more recently than the list does.
                         healthSource == HealthSource.PROBES ? 0 : endpoint.warmUpUntilMs()));
             }
         }
@@ -232,8 +233,9 @@
     }
 
     /**
-     * Returns what counts of all cores' observations of an instance at a time on the fleet's clock: of those that are not too
-     * old the one whose status {@link HealthStatus#overrides} the others', of equals the newest. Empty if there is none.
+     * Returns the effective health of an instance at a time on the fleet's clock. With probes this is the unexpired observation
+     * of any core whose status {@link HealthStatus#overrides} the others; among equal statuses the newest one. Without probes it
+     * comes from the platform's list. Empty if there is none.
      */
     public Optional<HealthObservation> health(final String instance, final long nowMs) {
         if (healthSource == HealthSource.PLATFORM_LIST) {
@@ -245,7 +247,7 @@
         return Optional.ofNullable(overridingObservation(instance, nowMs));
     }
 
-    /** Null if there is none: this runs for each upstream of a service whenever one is picked. */
+    /** Returns null instead of an Optional, because each pick of an upstream calls this for all upstreams of the service. */
     private HealthObservation overridingObservation(final String instance, final long nowMs) {
         HealthObservation best = null;
         for (final Numbered<HealthObservation> entry :
--- a/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
@@ -11,19 +11,20 @@
 import spokestall.time.FleetClock;
 
 /**
- * A core's part in probing upstreams. Each instance is probed by a few cores, chosen alike by all of them without messages.
- * A status that changed is sent to every known node at once, one that is repeated from time to time to the other cores.
+ * Active health checker of a core. A few cores probe each instance; all cores compute the same assignment without messages. The
+ * checker sends a changed status to all known nodes on the next tick, and repeats an unchanged one periodically to the other
+ * cores.
  *
  * <p>Not thread-safe; all calls and callbacks on the node's event loop. Requires that the fleet's clock has settled.
  */
 public final class HealthChecker {
     /**
-     * How instances are probed.
+     * Parameters of the probes.
      *
-     * @param timeoutMillis how long an answer may take
-     * @param failureThreshold after how many failed probes in a row an instance is {@link HealthStatus#DOWN}
-     * @param coresPerEndpoint how many cores probe each instance
-     * @param repeatMs how often an observation is repeated that didn't change
+     * @param timeoutMillis the time-out of a probe
+     * @param failureThreshold the number of consecutive failed probes after which an instance is {@link HealthStatus#DOWN}
+     * @param coresPerEndpoint the number of cores that probe each instance
+     * @param repeatMs the interval at which an unchanged observation is repeated
      */
     public record ProbeParameters(long timeoutMillis, int failureThreshold, int coresPerEndpoint, long repeatMs) {}
 
@@ -37,24 +38,24 @@
     private final FleetClock fleetClock;
     private final ProbeParameters parameters;
     private final List<HealthObservation> changed = new ArrayList<>();
-    /** Failed probes in a row, by instance. */
+    /** Number of consecutive failed probes by instance. */
     private final Map<String, Integer> failures = new HashMap<>();
-    /** The instances whose answer is awaited: no second probe is sent. */
+    /** The instances with a pending probe; no second probe is sent to them. */
     private final Set<String> probing = new HashSet<>();
 
     private long sentOffset;
     private int tick;
 
     /**
-     * Creates a checker that has probed nothing.
+     * Creates a checker that hasn't probed any instance yet.
      *
      * @param self this core's entry
-     * @param registry gives the instances, and takes the observations
-     * @param client probes them
-     * @param peers the other cores, and the nodes that are sent observations
-     * @param sender sends them
-     * @param fleetClock gives observations their timestamps
-     * @param parameters how instances are probed
+     * @param registry the registry with the instances, which also receives the observations
+     * @param client sends the probes
+     * @param peers the other cores, and the nodes that observations are sent to
+     * @param sender sends the messages
+     * @param fleetClock the clock for timestamps of observations
+     * @param parameters the parameters of the probes
      */
     public HealthChecker(
             final NodeInfo self,
@@ -73,7 +74,7 @@
         this.parameters = parameters;
     }
 
-    /** Probes this core's instances, and sends the observations made since the last tick. */
+    /** Probes the instances assigned to this core and sends the observations made since the last tick. */
     public void onTick() {
         tick++;
         final List<NodeInfo> otherCores = peers.otherCores();
@@ -92,7 +93,7 @@
         }
     }
 
-    /** Rendezvous hashing: the cores with the lowest ranks probe an instance, those of its region before all others. */
+    /** Whether this core probes an instance. Rendezvous hashing selects the cores, those of the instance's region first. */
     private boolean probedHere(final Endpoint endpoint, final List<NodeInfo> otherCores) {
         int coresBefore = 0;
         final long ownRank = RendezvousRank.of(self, endpoint.instance(), endpoint.region());
@@ -134,8 +135,8 @@
     }
 
     /**
-     * Merges an observation unless it is the last one again, too soon. The time since which the instance is ready counts from the
-     * answer, and so is the latest that it can be.
+     * Merges an observation, unless it is unchanged and the interval for repeating it hasn't passed. {@code readySinceMs} is
+     * computed from the arrival of the response, so it is the latest possible time.
      */
     private void observe(
             final Endpoint endpoint, final HealthStatus status, final long readySinceMs, final long requestedMs) {
@@ -163,7 +164,7 @@
         }
     }
 
-    /** Edges get repeated observations with the updates that they request. */
+    /** Sends repeated observations to the other cores; edges receive them with the updates that they request. */
     private void sendRepeated(final List<NodeInfo> otherCores) {
         final List<HealthObservation> repeated = registry.observationsAfter(sentOffset).stream()
                 .filter(observation -> observation.core().equals(self.name()) && !changed.contains(observation))
--- a/spokestall/src/main/java/spokestall/discovery/HealthSource.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthSource.java
@@ -1,9 +1,9 @@
 package spokestall.discovery;
 
-/** Where it is taken from whether a listed instance is ready. */
+/** The source that determines whether a listed instance is ready. */
 public enum HealthSource {
-    /** From the platform's list: what is listed and not leaving is ready. Nothing is probed. */
+    /** The platform's list: an instance that is listed and not leaving is ready. Instances are not probed. */
     PLATFORM_LIST,
-    /** From the cores' probes; what no core has observed of late isn't ready. */
+    /** The cores' probes: an instance without an unexpired observation isn't ready. */
     PROBES
 }
--- a/spokestall/src/main/java/spokestall/discovery/HealthStatus.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthStatus.java
@@ -1,14 +1,14 @@
 package spokestall.discovery;
 
-/** What a probe finds an instance to be. Written by name and by ordinal: neither names nor order may change. */
+/** The health status of an instance. Written by name and by ordinal, so neither names nor order may change. */
 public enum HealthStatus {
-    /** It answers as the expected instance and takes requests. */
+    /** The expected instance responds and accepts requests. */
     READY(1),
-    /** It answers as the expected instance and is shutting down. */
+    /** The expected instance responds and is shutting down. */
     LEAVING(2),
-    /** It didn't answer several probes in a row. */
+    /** Several consecutive probes failed. */
     DOWN(0),
-    /** Another instance, or one of another service, answers at its address. */
+    /** Another instance, or an instance of another service, responds at the address. */
     FOREIGN(3);
 
     private final int precedence;
@@ -18,8 +18,9 @@
     }
 
     /**
-     * Returns whether this counts if another core observed the other status: who saw it ready reached it, so that beats
-     * {@code DOWN}; who saw it leaving or replaced knows something that no unanswered or older probe refutes.
+     * Returns whether this status overrides the status that another core observed. {@code READY} overrides {@code DOWN}, because
+     * that core reached the instance. {@code LEAVING} and {@code FOREIGN} override both, because neither a failed nor an older
+     * probe of another core refutes them.
      */
     boolean overrides(final HealthStatus other) {
         return precedence > other.precedence;
--- a/spokestall/src/main/java/spokestall/discovery/ListedEndpoint.java
+++ b/spokestall/src/main/java/spokestall/discovery/ListedEndpoint.java
@@ -1,16 +1,16 @@
 package spokestall.discovery;
 
 /**
- * An instance as the platform's list gives it.
+ * An instance as an entry of the platform's list.
  *
  * @param instance the instance's id
- * @param service the service that it belongs to
- * @param address IP and port where it takes requests
- * @param zone its zone
- * @param region its region, empty if it isn't known
- * @param leaving whether it is shutting down
- * @param warmUpRemainingMs how long its warm-up still takes, negative if the platform doesn't say
- * @param slots how many requests it works on at a time, zero if the platform doesn't say
+ * @param service the service of the instance
+ * @param address the IP and port where the instance accepts requests
+ * @param zone the instance's zone
+ * @param region the instance's region, empty if unknown
+ * @param leaving whether the instance is shutting down
+ * @param warmUpRemainingMs the remaining duration of the instance's warm-up, negative if the platform doesn't report it
+ * @param slots how many requests the instance processes concurrently, zero if the platform doesn't report it
  */
 public record ListedEndpoint(
         String instance,
@@ -22,11 +22,11 @@
         long warmUpRemainingMs,
         int slots) {
     /**
-     * Returns the registry's entry for it. The rest of the warm-up is counted from the answer: the platform may have reckoned it
-     * as late as that.
+     * Returns the registry's entry for this instance. The remaining warm-up counts from the arrival of the response, because the
+     * platform may have computed it as late as that.
      *
      * @param requestedMs when the list was requested, on the fleet's clock
-     * @param answeredMs when the answer was there
+     * @param answeredMs when the response arrived, on the fleet's clock
      */
     Endpoint toEndpoint(final long requestedMs, final long answeredMs) {
         return new Endpoint(
--- a/spokestall/src/main/java/spokestall/discovery/ProbeResult.java
+++ b/spokestall/src/main/java/spokestall/discovery/ProbeResult.java
@@ -1,11 +1,11 @@
 package spokestall.discovery;
 
 /**
- * What an instance says of itself when it is probed.
+ * The response of an instance to a probe.
  *
- * @param instance the id of the instance that answered, which may be another than was expected at the address
- * @param service the service that it belongs to
- * @param leaving whether it is shutting down
- * @param readyForMs for how long it has been ready, from which its warm-up is counted
+ * @param instance the id of the instance that responded, which may differ from the one expected at the address
+ * @param service the service of the instance
+ * @param leaving whether the instance is shutting down
+ * @param readyForMs how long the instance has been ready, which is the elapsed time of its warm-up
  */
 public record ProbeResult(String instance, String service, boolean leaving, long readyForMs) {}
--- a/spokestall/src/main/java/spokestall/discovery/RendezvousRank.java
+++ b/spokestall/src/main/java/spokestall/discovery/RendezvousRank.java
@@ -2,15 +2,15 @@
 
 import spokestall.gossip.NodeInfo;
 
-/** An order of nodes for each instance, the same wherever it is computed: those of its region come first. */
+/** Rendezvous hashing of nodes for an instance. Each node computes the same order; nodes of the instance's region come first. */
 public final class RendezvousRank {
-    /** Spreads the instances over the nodes: 2^32 over the golden ratio. */
+    /** Fibonacci hashing constant, 2^32 divided by the golden ratio, which spreads the instances over the nodes. */
     private static final int HASH_MULTIPLIER = 0x9e3779b1;
 
     private RendezvousRank() {}
 
     /**
-     * Returns a number by which a node is placed in the order for an instance, lowest first.
+     * Returns the sort key of a node in the order for an instance; the lowest key comes first.
      *
      * @param instance the instance's id
      * @param region the instance's region
--- a/spokestall/src/main/java/spokestall/discovery/Upstream.java
+++ b/spokestall/src/main/java/spokestall/discovery/Upstream.java
@@ -1,16 +1,16 @@
 package spokestall.discovery;
 
 /**
- * An instance that may be picked for a request. Times are on the fleet's clock.
+ * An instance that can receive requests. Times are on the fleet's clock.
  *
  * @param instance the instance's id
- * @param service the service that it belongs to
- * @param address IP and port where it takes requests
- * @param zone its zone
- * @param region its region
- * @param readySinceMs since when it has been ready, as far as is known
- * @param slots how many requests it works on at a time, zero if that isn't known
- * @param warmUpUntilMs when its warm-up ends; zero if only {@code readySinceMs} is known
+ * @param service the service of the instance
+ * @param address the IP and port where the instance accepts requests
+ * @param zone the instance's zone
+ * @param region the instance's region
+ * @param readySinceMs when the instance became ready, as far as known
+ * @param slots how many requests the instance processes concurrently, zero if unknown
+ * @param warmUpUntilMs when the instance's warm-up ends, zero if only {@code readySinceMs} is known
  */
 public record Upstream(
         String instance,
@@ -21,7 +21,7 @@
         long readySinceMs,
         int slots,
         long warmUpUntilMs) {
-    /** Returns the same upstream, ready since then. */
+    /** Returns this upstream with the given start of readiness. */
     Upstream withReadySince(final long sinceMs) {
         return new Upstream(instance, service, address, zone, region, sinceMs, slots, warmUpUntilMs);
     }
--- a/spokestall/src/main/java/spokestall/discovery/package-info.java
+++ b/spokestall/src/main/java/spokestall/discovery/package-info.java
@@ -1,17 +1,17 @@
 /**
- * Service discovery, and the health of upstreams.
+ * Service discovery and health checks of upstreams.
  *
- * <p>Owns: what the platform's list and the cores' probes say of each instance ({@link spokestall.discovery.EndpointRegistry}), a
- * core's part in reading the list ({@link spokestall.discovery.EndpointListReader}) and in probing
- * ({@link spokestall.discovery.HealthChecker}), and the interface by which both reach the outside
+ * <p>Owns: the registry of endpoints and health observations ({@link spokestall.discovery.EndpointRegistry}), the reader of the
+ * platform's endpoint list ({@link spokestall.discovery.EndpointListReader}), the active health checker
+ * ({@link spokestall.discovery.HealthChecker}), and the client interface for both
  * ({@link spokestall.discovery.DiscoveryClient}).
  *
- * <p>Invariants: the entry with the newest timestamp wins, so the order and the repetition of messages don't matter. An instance
- * that any core saw leaving is not offered, whatever others say that saw it ready. The list is read by one core for all as long
- * as that core does it. Nothing is read or probed before the fleet's clock has settled.
+ * <p>Invariants: the entry with the newest timestamp wins, so messages may be repeated and reordered. An instance that any core
+ * observed as leaving gets no requests, even if other cores observed it as ready. One core reads the list for the whole fleet as
+ * long as it keeps reading. A core neither reads the list nor probes before the fleet's clock has settled.
  *
  * <p>Callers: {@code node.DiscoveryComponent} ticks the reader and the checker and merges what other cores send;
- * {@code configuration.feed.FeedClient} merges what it fetched; {@code proxy.LoadBalancer} takes ready upstreams. All of it runs
- * on the node's event loop.
+ * {@code configuration.feed.FeedClient} merges the updates that it fetches; {@code proxy.LoadBalancer} picks from the ready
+ * upstreams. All calls on the node's event loop.
  */
 package spokestall.discovery;
--- a/spokestall/src/main/java/spokestall/gossip/NodeInfo.java
+++ b/spokestall/src/main/java/spokestall/gossip/NodeInfo.java
@@ -3,21 +3,21 @@
 import spokestall.message.SinceVersion;
 
 /**
- * What nodes exchange about one node: its addresses, role and failure domain, and when it was last seen. Immutable; part of
- * numbered messages, so the order of its components must not change.
+ * Membership entry of one node: its addresses, role and failure domain, and when it was last seen. Immutable. Messages encode it
+ * by the order of its components, which must not change.
  *
  * @param name the node's name, unique in the fleet
- * @param address where it receives messages of other nodes
- * @param httpAddress where it answers clients, if it does
- * @param core whether it has a disk and may vote
- * @param zone its zone
- * @param region its region
- * @param incarnation number of its process, larger after each restart
- * @param lastSeenMs when it was last heard from, on the fleet's clock
- * @param leaving whether it is shutting down
- * @param cores how many cores it is configured with, zero if it did not say
- * @param edges how many edges it is configured with, zero if it did not say
- * @param alsoEdge whether a core answers clients too
+ * @param address the address for messages from other nodes
+ * @param httpAddress the address for client requests, if the node serves clients
+ * @param core whether the node has a disk and may vote
+ * @param zone the node's zone
+ * @param region the node's region
+ * @param incarnation the number of the node's process, larger after each restart
+ * @param lastSeenMs when the node was last seen alive, on the fleet's clock
+ * @param leaving whether the node is shutting down
+ * @param cores the number of cores in the node's settings, zero if the node didn't report it
+ * @param edges the number of edges in the node's settings, zero if the node didn't report it
+ * @param alsoEdge whether the node is a core that also serves clients
  */
 public record NodeInfo(
         String name,
@@ -32,12 +32,12 @@
         @SinceVersion(2) int cores,
         @SinceVersion(2) int edges,
         @SinceVersion(3) boolean alsoEdge) {
-    /** Returns whether the node answers clients. */
+    /** Returns whether the node serves clients. */
     public boolean servesClients() {
         return !core || alsoEdge;
     }
 
-    /** Returns this entry as last seen at a time on the fleet's clock, with its state of leaving at that time. */
+    /** Returns this entry with the time when the node was last seen, on the fleet's clock, and whether it was leaving then. */
     public NodeInfo seenAt(final long seenMs, final boolean isLeaving) {
         return new NodeInfo(
                 name, address, httpAddress, core, zone, region, incarnation, seenMs, isLeaving, cores, edges, alsoEdge);
--- a/spokestall/src/main/java/spokestall/gossip/PartialView.java
+++ b/spokestall/src/main/java/spokestall/gossip/PartialView.java
@@ -16,17 +16,17 @@
 import spokestall.time.FleetClock;
 
 /**
- * A bounded, partial list of the other nodes, exchanged with one peer at a time (a shuffle). A member that was not heard from
- * for {@link ViewParameters#memberTimeoutMs()} is dropped; the seeds are contacted again at intervals, so that parts of a
- * split fleet find each other.
+ * Bounded partial view of the fleet's members. The node exchanges samples of its view with one peer at a time (a shuffle) and
+ * removes a member that nobody has seen for {@link ViewParameters#memberTimeoutMs()}. It contacts the seeds periodically, so that
+ * the parts of a partitioned fleet find each other again.
  *
- * <p>Not thread-safe; all calls on the node's event loop. Two nodes with the same random seed and the same calls send the same
- * messages.
+ * <p>Not thread-safe; all calls on the node's event loop. Deterministic: views with the same random seed and the same calls send
+ * the same messages.
  */
 public final class PartialView {
-    /** On which ticks a seed is contacted although enough members are known: once in so many. */
+    /** Number of ticks between contacts to a seed while enough members are known. */
     private static final int TICKS_PER_SEED_CONTACT = 16;
-    /** Far enough before any reading of the clock, and far enough from the least long to be subtracted from. */
+    /** Before any clock time, and small enough in magnitude that subtracting it doesn't overflow. */
     private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private final NodeInfo self;
@@ -36,9 +36,10 @@
     private final FleetClock fleetClock;
     private final Random random;
     private final ViewParameters parameters;
-    /** Sorted, since the order of members decides what the random draws pick. */
+    /** Sorted, because the order of members determines which ones the random choices select. */
     private final Map<String, NodeInfo> membersByName = new TreeMap<>();
-    // These outlive a member that was evicted for want of room until members() next drops one that timed out.
+    // Entries of a member that was evicted because the view was full stay until members() next removes a timed-out
+    // member.
     private final Map<String, Long> lastSeenMs = new HashMap<>();
     private final Map<String, Long> joinedMs = new HashMap<>();
     private final Map<String, Long> contactedMs = new HashMap<>();
@@ -46,18 +47,18 @@
     private int tick;
     private long changedMs;
     private long version;
-    /** No member times out before then: spares {@link #members()} looking through them. */
+    /** No member times out before this time, so {@link #members()} needs no scan until then. */
     private long nextTimeoutMs;
 
     /**
      * Creates a view without members.
      *
      * @param self this node's entry
-     * @param seeds addresses that are contacted while few members are known, not empty
+     * @param seeds the addresses to contact periodically, and on each shuffle while few members are known; not empty
      * @param sender sends shuffles
-     * @param clock the monotonic clock that time-outs are measured by
-     * @param fleetClock receives the readings of peers
-     * @param random picks samples and peers
+     * @param clock the monotonic clock for time-outs
+     * @param fleetClock receives the clock readings of peers
+     * @param random the source of random choices of samples and peers
      * @param parameters sizes and time-outs
      */
     public PartialView(
@@ -78,7 +79,7 @@
         this.changedMs = clock.nowMs();
     }
 
-    /** Returns this node's own entry, as of now. */
+    /** Returns this node's own entry, with the current time as its last-seen time. */
     public NodeInfo self() {
         return self.seenAt(fleetClock.nowMs(), leaving);
     }
@@ -88,14 +89,14 @@
         seeds = List.copyOf(newSeeds);
     }
 
-    /** Marks this node as leaving in all that is sent from now on. */
+    /** Marks this node as leaving in all messages sent from now on. */
     public void markLeaving() {
         leaving = true;
     }
 
     /**
-     * Returns the members that have not timed out, in the order of their names, without this node. The collection is a live
-     * view: copy it before the next call that may change it.
+     * Returns the members that haven't timed out, sorted by name, without this node. The collection is a live view; the caller
+     * must copy it before the next call that may change it.
      */
     public Collection<NodeInfo> members() {
         final long nowMs = clock.nowMs();
@@ -116,7 +117,7 @@
         membersByName.keySet().forEach(name -> nextTimeoutMs = Math.min(nextTimeoutMs, timeoutMillis(name)));
     }
 
-    /** Returns a number that grows with each member that is new or that starts or stops serving clients. */
+    /** Returns a version that increases when a member is added, or starts or stops serving clients. */
     public long version() {
         return version;
     }
@@ -125,7 +126,7 @@
         return lastSeenMs.getOrDefault(name, 0L) + parameters.memberTimeoutMs();
     }
 
-    /** Sends a sample to the member that was neither heard from nor contacted for longest, and at intervals to a seed. */
+    /** Sends a sample to the member with the oldest contact in either direction, and periodically to a seed. */
     public void onTick() {
         final List<NodeInfo> candidates = new ArrayList<>(members());
         final int turn = tick++;
@@ -133,7 +134,7 @@
             return;
         }
         if (!candidates.isEmpty()) {
-            // Shuffled before the stable sort, so that equals are picked at random.
+            // The shuffle before the stable sort makes the choice among equal members random.
             Collections.shuffle(candidates, random);
             candidates.sort(Comparator.comparingLong(this::lastContactMs));
             contactedMs.put(candidates.get(0).name(), clock.nowMs());
@@ -153,7 +154,7 @@
         return clock.nowMs() - changedMs < parameters.eagerMs();
     }
 
-    /** Sends a sample to every seed and to these addresses at once, so that a node that has just started is soon known. */
+    /** Sends a sample to all seeds and the given addresses at once, so that other nodes soon know a node that has just started. */
     public void announce(final List<String> addresses) {
         final Set<String> all = new TreeSet<>(seeds);
         all.addAll(addresses);
@@ -177,7 +178,7 @@
                         sampleFor(to)));
     }
 
-    /** Random members without the receiver, those that joined of late first. */
+    /** Returns random members without the receiver; members that joined recently come first. */
     private List<NodeInfo> sampleFor(final String to) {
         final long nowMs = clock.nowMs();
         final List<NodeInfo> sample = new ArrayList<>(membersByName.values());
@@ -189,7 +190,7 @@
         return List.copyOf(sample.subList(0, Math.min(sample.size(), size)));
     }
 
-    /** Merges a peer's sample into the view and answers it, unless it is a reply itself. */
+    /** Merges a peer's sample into the view, and replies with an own sample unless the message is itself a reply. */
     public void onMessage(final GossipMessage message) {
         final GossipMessage.Shuffle shuffle = (GossipMessage.Shuffle) message;
         merge(shuffle.self(), 0);
@@ -203,7 +204,7 @@
         }
     }
 
-    /** Takes over an entry that is newer than what is known; ageMs is how long ago the node was seen by whoever saw it. */
+    /** Merges an entry if it is newer than the known one; {@code ageMs} is the time since any node last saw the member. */
     private void merge(final NodeInfo entry, final long ageMs) {
         if (entry.name().equals(self.name()) || ageMs > parameters.memberTimeoutMs()) {
             return;
--- a/spokestall/src/main/java/spokestall/gossip/ViewParameters.java
+++ b/spokestall/src/main/java/spokestall/gossip/ViewParameters.java
@@ -3,10 +3,10 @@
 /**
  * Sizes and time-outs of a {@link PartialView}.
  *
- * @param viewSize how many members are kept at most
- * @param sampleSize how many members an eager view puts into a {@link GossipMessage.Shuffle}; one that isn't sends half
- * @param memberTimeoutMs after how long a member that was not heard from is dropped
- * @param eagerMs for how long a view is eager after its members changed: it shuffles on each tick, not on every other, and
- *     prefers members that are new
+ * @param viewSize the maximum number of members
+ * @param sampleSize the number of members that an eager view puts into a {@link GossipMessage.Shuffle}; otherwise it is half
+ * @param memberTimeoutMs the time after which a member that nobody has seen is removed
+ * @param eagerMs how long a view is eager after a change of its members, and how long a member counts as new. An eager view
+ *     shuffles on each tick and not on every other one. Samples contain new members first.
  */
 public record ViewParameters(int viewSize, int sampleSize, long memberTimeoutMs, long eagerMs) {}
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -159,7 +159,9 @@
     }
 
     private AdmissionResult admit(
-            final AdmissionGrant grant, final ExecutionStatus ticketRejectedStatus, final Consumer<Response> responded) {
+            final AdmissionGrant grant,
+            final ExecutionStatus ticketRejectedStatus,
+            final Consumer<Response> responded) {
         final RequestHead head = grant.head();
         final ServiceLimits service = grant.service();
         final boolean claims = grant.route().runOnce() && limits.conventions().claims();
--- a/spokestall/src/test/java/spokestall/discovery/EndpointListReaderTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointListReaderTest.java
@@ -14,7 +14,7 @@
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
 
-/** Three cores and an edge whose messages arrive at once; the platform's list is what the test sets. */
+/** Tests three cores and an edge with immediate message delivery and a platform list that the test sets. */
 class EndpointListReaderTest {
     private static final long LIST_MS = 1000;
     private final ManualClock clock = new ManualClock(5_000_000);
@@ -25,7 +25,7 @@
     private final Map<String, Integer> received = new TreeMap<>();
     private final List<ListedEndpoint> list = new ArrayList<>();
     private final List<NodeInfo> members = new ArrayList<>();
-    /** Answers of the platform that are still on their way, if any are held up. */
+    /** Responses of the platform that haven't been delivered yet, if the test delays them. */
     private final List<Runnable> delayedResponses = new ArrayList<>();
 
     private boolean delayResponses;
@@ -88,7 +88,7 @@
             @Override
             public void probe(
                     final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
-                throw new AssertionError("nothing is probed");
+                throw new AssertionError("the list reader must not probe instances");
             }
         };
     }
@@ -113,7 +113,7 @@
         run(20_000);
         assertThat(reads).containsOnlyKeys("a");
         assertThat(reads.get("a")).isBetween(18, 21);
-        assertThat(received.get("edge")).as("edges are sent changes only").isEqualTo(1);
+        assertThat(received.get("edge")).as("edges receive changes only").isEqualTo(1);
         run(20_000, "a");
         assertThat(reads).containsOnlyKeys("a", "b");
         assertThat(reads.get("b")).isBetween(10, 13);
@@ -170,16 +170,16 @@
         run(500);
         assertThat(delayedResponses).isNotEmpty();
         clock.advance(900);
-        // The platform reckons what is left when it answers, just before the answer arrives.
+        // The platform computes the remaining warm-up when it responds, just before the response arrives.
         list.add(listed("i1", false, 3000));
-        final long endsMs = fleet.nowMs() + 3000;
+        final long warmUpEndMs = fleet.nowMs() + 3000;
         delayedResponses.forEach(Runnable::run);
         assertThat(registries
                         .get("edge")
                         .readyUpstreams("s", fleet.nowMs())
                         .get(0)
                         .warmUpUntilMs())
-                .isGreaterThanOrEqualTo(endsMs);
+                .isGreaterThanOrEqualTo(warmUpEndMs);
     }
 
     private long warmUpUntilAtEdgeMs() {
@@ -200,13 +200,13 @@
         delayResponses = true;
         run(500);
         list.add(listed("i1", false, 6000));
-        final long endsMs = fleet.nowMs() + 6000;
+        final long warmUpEndMs = fleet.nowMs() + 6000;
         clock.advance(1500);
         delayedResponses.forEach(Runnable::run);
-        assertThat(warmUpUntilAtEdgeMs()).isGreaterThan(endsMs + 1000);
+        assertThat(warmUpUntilAtEdgeMs()).isGreaterThan(warmUpEndMs + 1000);
         delayResponses = false;
-        list.set(0, listed("i1", false, endsMs - fleet.nowMs()));
+        list.set(0, listed("i1", false, warmUpEndMs - fleet.nowMs()));
         readers.get("a").onTick();
-        assertThat(warmUpUntilAtEdgeMs()).isEqualTo(endsMs);
+        assertThat(warmUpUntilAtEdgeMs()).isEqualTo(warmUpEndMs);
     }
 }
--- a/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
@@ -29,11 +29,13 @@
         unprobed.merge(List.of(endpoint("d", "s", true, false, 2)), List.of());
         assertThat(ready(unprobed, "s")).containsExactly("a", "b", "d");
         unprobed.merge(List.of(endpoint("a", "s", true, true, 3)), List.of());
-        assertThat(ready(unprobed, "s")).as("one is leaving").containsExactly("b", "d");
+        assertThat(ready(unprobed, "s")).as("instance a is leaving").containsExactly("b", "d");
         unprobed.merge(List.of(endpoint("b", "s", false, false, 3)), List.of());
-        assertThat(ready(unprobed, "s")).as("one is no more listed").containsExactly("d");
+        assertThat(ready(unprobed, "s")).as("instance b is no longer listed").containsExactly("d");
         unprobed.merge(List.of(endpoint("d", "t", true, false, 4)), List.of());
-        assertThat(ready(unprobed, "s")).as("one serves another service").isEmpty();
+        assertThat(ready(unprobed, "s"))
+                .as("instance d moved to another service")
+                .isEmpty();
         assertThat(ready(unprobed, "t")).containsExactly("c", "d");
         unprobed.prune(NOW_MS);
         assertThat(ready(unprobed, "t")).containsExactly("c", "d");
@@ -55,7 +57,7 @@
         assertThat(ready(probed, "s")).containsExactly("a");
         assertThat(probed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(7);
         assertThat(probed.readyUpstreams("s", NOW_MS + 1001))
-                .as("the observation is too old")
+                .as("the observation has expired")
                 .isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.LEAVING, 7, NOW_MS + 1)));
         assertThat(ready(probed, "s")).isEmpty();
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -14,7 +14,7 @@
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
 
-/** Three cores, one in another region, and an edge; probes are answered at once as the test sets it. */
+/** Tests three cores, one of them in another region, and an edge; probes return the response that the test sets. */
 class HealthCheckerTest {
     private static final long REPEAT_MS = 1000;
     private static final long TICK_MS = 500;
@@ -25,7 +25,7 @@
             member("a", true, "near"), member("b", true, "near"), member("c", true, "far"), member("e", false, "near"));
     private final Map<String, EndpointRegistry> registries = new TreeMap<>();
     private final Map<String, HealthChecker> checkers = new TreeMap<>();
-    /** Which core sent what to whom, as "a>e". */
+    /** Number of messages by sender and receiver, such as "a>e". */
     private final Map<String, Integer> sent = new TreeMap<>();
 
     private final Map<String, Integer> probes = new TreeMap<>();
@@ -69,7 +69,7 @@
         return new DiscoveryClient() {
             @Override
             public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
-                throw new AssertionError("the list is not read");
+                throw new AssertionError("the health checker must not read the list");
             }
 
             @Override
@@ -165,7 +165,7 @@
         tick(1);
         assertThat(sent).containsOnlyKeys("a>b", "a>c", "a>e", "b>a", "b>c", "b>e");
         sent.clear();
-        // Each probe finds a warm-up that began when it was before.
+        // Each probe reports the same start of readiness as the previous one.
         final List<Integer> received = new ArrayList<>();
         for (long readyForMs = 700 + TICK_MS; received.size() < 4; readyForMs += TICK_MS) {
             answer = Optional.of(new ProbeResult("i1", "s", false, readyForMs));
@@ -173,7 +173,9 @@
             received.add(sent.getOrDefault("a>b", 0));
         }
         assertThat(sent).containsOnlyKeys("a>b", "a>c", "b>a", "b>c");
-        assertThat(received).as("repeated once in two ticks").containsExactly(0, 1, 1, 2);
+        assertThat(received)
+                .as("messages by tick, each observation repeated every two ticks")
+                .containsExactly(0, 1, 1, 2);
     }
 
     private long readySinceAtEdgeMs() {
@@ -189,7 +191,7 @@
         answering = false;
         tick(1);
         clock.advance(90);
-        // The instance says how long it has been ready when it answers, just before the answer arrives.
+        // The instance computes how long it has been ready when it responds, just before the response arrives.
         final long readySinceMs = fleetClock.nowMs() - 700;
         delayedResponses.forEach(Runnable::run);
         tick(1);
--- a/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
+++ b/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
@@ -47,7 +47,7 @@
         receiveShuffle("b");
         assertThat(memberNames()).containsExactly("a", "b");
         clock.advance(600);
-        assertThat(memberNames()).as("a was seen the time-out ago, not longer").containsExactly("a", "b");
+        assertThat(memberNames()).as("a was last seen exactly one time-out ago").containsExactly("a", "b");
         clock.advance(1);
         assertThat(memberNames()).containsExactly("b");
         clock.advance(400);
@@ -62,6 +62,6 @@
         assertThat(memberNames()).containsExactly("a");
         receiveShuffle("a");
         clock.advance(900);
-        assertThat(memberNames()).as("seen again").containsExactly("a");
+        assertThat(memberNames()).as("a was seen again").containsExactly("a");
     }
 }
--- a/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
@@ -10,12 +10,12 @@
     }
 
     private static int attempts(
-            final boolean unsentFree, final int most, final RetryBudget budget, final boolean arrives) {
+            final boolean unsentFree, final int maxAttempts, final RetryBudget budget, final boolean sent) {
         final AttemptBudget attempts = new AttemptBudget(unsentFree);
         do {
             assertThat(attempts.onStarted()).isEqualTo(attempts.started() == 1);
-            attempts.ended(arrives);
-        } while (attempts.tryAcquire(most, budget));
+            attempts.ended(sent);
+        } while (attempts.tryAcquire(maxAttempts, budget));
         return attempts.started();
     }
 
@@ -23,7 +23,9 @@
     void countsUnsentAttemptsAsRetriesByDefault() {
         final RetryBudget two = budget(2);
         assertThat(attempts(false, 9, two, false)).isEqualTo(3);
-        assertThat(attempts(false, 9, two, false)).as("the budget is spent").isEqualTo(1);
+        assertThat(attempts(false, 9, two, false))
+                .as("the retry budget is exhausted")
+                .isEqualTo(1);
         assertThat(attempts(false, 9, budget(2), true)).isEqualTo(3);
     }
 
@@ -48,7 +50,9 @@
         assertThat(attempts.tryAcquire(2, one)).isTrue();
         attempts.onStarted();
         assertThat(attempts.inFlight()).isEqualTo(2);
-        assertThat(attempts.tryAcquire(2, budget(100))).as("both may arrive").isFalse();
+        assertThat(attempts.tryAcquire(2, budget(100)))
+                .as("both attempts count, because both may arrive")
+                .isFalse();
         assertThat(attempts.tryAcquire(9, one))
                 .as("nothing is left to pay for it")
                 .isFalse();
--- a/spokestall/src/test/java/spokestall/proxy/CapacityReservationsTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/CapacityReservationsTest.java
@@ -40,7 +40,7 @@
         assertThat(reservations.taken("s", "t1")).isZero();
         reservations.reserve("s", "t1");
         assertThat(reservations.taken("s", "t1"))
-                .as("counts begin at zero again")
+                .as("the counts start at zero again")
                 .isEqualTo(2);
     }
 }
--- a/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
@@ -10,33 +10,33 @@
 class ConcurrencyLimiterTest {
     private record Held(String tenant, long bytes) {}
 
-    /** However greedy some are, bounds hold, and one that holds nothing always finds a place. */
+    /** Tenants that compete for all capacity never exceed the limits and leave capacity for a tenant that holds none. */
     @Test
     void greedyTenantsLeaveCapacityForAnotherTenant() {
         final Random random = new Random(3);
         for (int round = 0; round < 200; round++) {
             final int greedy = 1 + random.nextInt(6);
-            final ConcurrencyLimiter places = new ConcurrencyLimiter(100, 1_000_000);
+            final ConcurrencyLimiter limiter = new ConcurrencyLimiter(100, 1_000_000);
             final List<Held> held = new ArrayList<>();
             for (int i = 0; i < 2000; i++) {
                 final String tenant = "greedy-" + random.nextInt(greedy);
                 final long bytes = random.nextInt(20_000);
-                if (places.tryAcquire(tenant, bytes)) {
+                if (limiter.tryAcquire(tenant, bytes)) {
                     held.add(new Held(tenant, bytes));
                 }
                 if (random.nextInt(50) == 0 && !held.isEmpty()) {
                     final Held one = held.remove(random.nextInt(held.size()));
-                    places.release(one.tenant);
-                    places.adjustHeldBytes(one.tenant, -one.bytes);
+                    limiter.release(one.tenant);
+                    limiter.adjustHeldBytes(one.tenant, -one.bytes);
                 }
-                assertThat(places.requests()).isEqualTo(held.size()).isLessThanOrEqualTo(100);
-                assertThat(places.bytes())
+                assertThat(limiter.requests()).isEqualTo(held.size()).isLessThanOrEqualTo(100);
+                assertThat(limiter.bytes())
                         .isEqualTo(held.stream().mapToLong(Held::bytes).sum())
                         .isLessThanOrEqualTo(1_000_000);
             }
-            assertThat(places.requests()).as("most places are used").isGreaterThan(40);
-            assertThat(places.tryAcquire("small", 20_000))
-                    .as("room beside " + greedy)
+            assertThat(limiter.requests()).as("permits in use").isGreaterThan(40);
+            assertThat(limiter.tryAcquire("small", 20_000))
+                    .as("capacity beside " + greedy + " greedy tenants")
                     .isTrue();
         }
     }
--- a/spokestall/src/test/java/spokestall/proxy/FixedEdgeShares.java
+++ b/spokestall/src/test/java/spokestall/proxy/FixedEdgeShares.java
@@ -1,6 +1,6 @@
 package spokestall.proxy;
 
-/** Shares of an edge whose rank is the same for each upstream. */
+/** Shares of an edge with the same rank for all upstreams. */
 record FixedEdgeShares(int edges, int fixedRank) implements EdgeShares {
     @Override
     public int rank(final String instance, final String region) {
--- a/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
@@ -19,7 +19,7 @@
     private final List<Upstream> upstreams = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
 
-    /** The seed is the edge's rank too. */
+    /** Returns the load balancer of one of {@code edges} edges; the random seed also gives the edge's rank. */
     private LoadBalancer loadBalancer(final int edges, final int seed) {
         return new LoadBalancer(
                 new Locality("r1", "d1"),
@@ -49,7 +49,7 @@
             loadBalancer.onAttemptStarted(to.instance());
             open.merge(to.instance(), 1, Integer::sum);
             assertThat(open.getOrDefault("other-region", 0))
-                    .as("while others have free slots: " + open)
+                    .as("other upstreams have free slots: " + open)
                     .isLessThanOrEqualTo(Math.max(0, n - 3));
         }
         assertThat(open.get("same-zone")).isGreaterThanOrEqualTo(open.getOrDefault("same-region", 0));
@@ -72,7 +72,7 @@
                     .contains("two");
         }
         assertThat(loadBalancer.pick(SERVICE, u -> u.instance().equals("one"), Set.of()))
-                .as("better than none")
+                .as("an ejected upstream is picked if there is no other")
                 .isPresent();
         loadBalancer.onAttemptStarted("one");
         loadBalancer.onAttemptEnded("s", "one", AttemptOutcome.ANSWERED, 10, 500);
@@ -101,7 +101,7 @@
             final long within = sentMs.stream()
                     .filter(ms -> ms >= fromMs && ms < fromMs + 1000)
                     .count();
-            assertThat(within).as("in the second from " + fromMs).isLessThanOrEqualTo((long) (1.2 * 5.8 + 4));
+            assertThat(within).as("attempts in the second from " + fromMs).isLessThanOrEqualTo((long) (1.2 * 5.8 + 4));
         }
         assertThat(sentMs).isNotEmpty();
         clock.advance(200);
--- a/spokestall/src/test/java/spokestall/proxy/OutlierEjectorTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/OutlierEjectorTest.java
@@ -54,7 +54,9 @@
         ejector.onFailure("i", AttemptOutcome.LOST, 0);
         ejector.retain(Set.of("j"));
         ejector.onFailure("i", AttemptOutcome.LOST, 0);
-        assertThat(ejector.ejected("i", 0)).as("the first loss again").isFalse();
+        assertThat(ejector.ejected("i", 0))
+                .as("the loss counts as the first one")
+                .isFalse();
         ejector.onFailure("i", AttemptOutcome.LOST, 0);
         ejector.retain(Set.of("i"));
         assertEjectedUntil(BASE_MS);
--- a/spokestall/src/test/java/spokestall/proxy/SlowStartLimiterTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/SlowStartLimiterTest.java
@@ -17,7 +17,7 @@
     private final ManualClock clock = new ManualClock(1_000_000);
     private final SlowStartLimiter limiter = limiter(0);
 
-    /** One of two edges, the first in rank. */
+    /** Returns the limiter of the first of two edges. */
     private SlowStartLimiter limiter(final double slackPerS) {
         return limiter(2, 0, slackPerS, 0);
     }
@@ -55,15 +55,15 @@
     void totalRateFollowsTheRampInAnySecond() {
         for (final int edges : new int[] {1, 2, 5, 30}) {
             final Upstream upstream = upstream(clock.nowMs(), 0);
-            final long beganMs = clock.nowMs();
+            final long startedMs = clock.nowMs();
             final List<Long> sentMs = sentByAll(allEdges(edges, 0), upstream, WARM_UP_MS);
             for (final long fromMs : sentMs) {
-                final double rampPerS = SERVICE.slowStartPerSecond() * (fromMs + 1000 - beganMs) / WARM_UP_MS;
+                final double rampPerS = SERVICE.slowStartPerSecond() * (fromMs + 1000 - startedMs) / WARM_UP_MS;
                 assertThat(sentMs.stream().filter(ms -> ms >= fromMs && ms < fromMs + 1000))
-                        .as("%s edges, in the second from %s", edges, fromMs - beganMs)
+                        .as("%s edges, attempts in the second from %s", edges, fromMs - startedMs)
                         .hasSizeLessThanOrEqualTo((int) Math.max(1, rampPerS));
             }
-            assertThat(sentMs).as("of 40 that the ramp allows").hasSizeBetween(28, 40);
+            assertThat(sentMs).as("attempts out of 40 that the ramp allows").hasSizeBetween(28, 40);
         }
     }
 
@@ -76,7 +76,7 @@
                         .as("%s edges", edges)
                         .hasSizeLessThanOrEqualTo(12);
             }
-            assertThat(sentMs).as("of 120").hasSizeGreaterThan(100);
+            assertThat(sentMs).as("attempts out of 120 that the bound allows").hasSizeGreaterThan(100);
         }
     }
 
@@ -109,7 +109,7 @@
     @Test
     void slackIsAddedToTheFullRate() {
         assertThat(acquired(limiter(4), upstream(clock.nowMs(), 0), 5000))
-                .as("5 s at 6 a second, less up to a second at first")
+                .as("attempts in 5 s at 6 per second, after an initial delay of up to 1 s")
                 .isBetween(24, 30);
     }
 
@@ -119,8 +119,10 @@
         assertThat(limiter.tryAcquire(SERVICE, upstream)).isTrue();
         limiter.restart("i", 5000);
         limiter.restart("i", 1000);
-        assertThat(acquired(limiter, upstream, 5000)).as("5 s at 2 a second").isBetween(8, 10);
-        assertThat(acquired(limiter, upstream, 1000)).as("without a limit").isEqualTo(100);
+        assertThat(acquired(limiter, upstream, 5000))
+                .as("attempts in 5 s at 2 per second")
+                .isBetween(8, 10);
+        assertThat(acquired(limiter, upstream, 1000)).as("unlimited").isEqualTo(100);
     }
 
     @Test
@@ -128,10 +130,10 @@
         final SlowStartLimiter limiterWithClockError = limiter(2, 0, 0, 110);
         final Upstream upstream = upstream(0, clock.nowMs() + 1000);
         assertThat(acquired(limiterWithClockError, upstream, 1110))
-                .as("at most 4 in a second")
+                .as("attempts at 4 per second")
                 .isBetween(3, 5);
         assertThat(acquired(limiterWithClockError, upstream, 100))
-                .as("without a limit")
+                .as("unlimited")
                 .isEqualTo(10);
     }
 }
