--- a/spokestall/src/main/java/spokestall/discovery/DiscoveryMessage.java
+++ b/spokestall/src/main/java/spokestall/discovery/DiscoveryMessage.java
@@ -12,8 +12,8 @@
     /**
      * Entries to merge into the receiver's {@link EndpointRegistry}.
      *
-     * @param listReadMs when the sender last read the platform's list, on the fleet's clock; zero if the message only contains
-     *     observations
+     * @param listReadMs when the sender last read the platform's list, on the fleet's clock; zero if the message doesn't report a
+     *     read
      */
     record Push(
             List<Endpoint> endpoints,
--- a/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
@@ -54,7 +54,7 @@
                 .as("both attempts count, because both may arrive")
                 .isFalse();
         assertThat(attempts.tryAcquire(9, one))
-                .as("nothing is left to pay for it")
+                .as("the retry budget is exhausted")
                 .isFalse();
         attempts.ended(true);
         attempts.ended(true);
@@ -74,7 +74,7 @@
         attempts.onStarted();
         attempts.ended(true);
         assertThat(attempts.tryAcquire(3, one))
-                .as("nothing is left to pay for it")
+                .as("the retry budget is exhausted")
                 .isFalse();
     }
 }
