--- a/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
@@ -65,7 +65,7 @@
     private void removeIfUnused(final String tenant) {
         final Usage usage = usageByTenant.get(tenant);
         assert usage.requests >= 0 && usage.bytes >= 0 && requests <= requestsMax
-                : tenant + " holds " + usage.requests + " requests and " + usage.bytes + " bytes";
+                : tenant + " holds " + usage.requests + " requests; bytes held: " + usage.bytes;
         if (usage.requests == 0 && usage.bytes == 0) {
             usageByTenant.remove(tenant);
         }
--- a/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/ConcurrencyLimiterTest.java
@@ -36,7 +36,7 @@
             }
             assertThat(limiter.requests()).as("permits in use").isGreaterThan(40);
             assertThat(limiter.tryAcquire("small", 20_000))
-                    .as("capacity beside " + greedy + " greedy tenants")
+                    .as("capacity for another tenant; greedy tenants: " + greedy)
                     .isTrue();
         }
     }
