--- a/spokestall/src/main/java/spokestall/usage/WindowReport.java
+++ b/spokestall/src/main/java/spokestall/usage/WindowReport.java
@@ -58,7 +58,7 @@
         return stage;
     }
 
-    /** The counts as the register holds them; null before {@link State#SEALED}. */
+    /** The counts as the register holds them; null before {@link Stage#SEALED}. */
     SealedWindow sealed() {
         return sealed;
     }
