--- a/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
@@ -83,12 +83,12 @@
             registry.recordListRead(
                     fleetClock.nowMs() - schedule.intervalMs() + schedule.intervalMs() / FIRST_WAIT_DIVISOR);
         }
-        if (due(peers.otherCores())) {
-            read();
+        if (isDue(peers.otherCores())) {
+            startRead();
         }
     }
 
-    private boolean due(final List<NodeInfo> otherCores) {
+    private boolean isDue(final List<NodeInfo> otherCores) {
         final long nowMs = fleetClock.nowMs();
         final long rank = otherCores.stream()
                 .filter(core -> core.name().compareTo(self) < 0)
@@ -100,7 +100,7 @@
                 && nowMs - registry.lastListReadMs() >= waitMs - slackMs;
     }
 
-    private void read() {
+    private void startRead() {
         reading = true;
         final long requestedMs = fleetClock.nowMs();
         lastAttemptMs = requestedMs;
--- a/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
+++ b/spokestall/src/main/java/spokestall/discovery/HealthChecker.java
@@ -79,7 +79,7 @@
         tick++;
         final List<NodeInfo> otherCores = peers.otherCores();
         for (final Endpoint endpoint : registry.endpoints()) {
-            if (endpoint.present() && probedHere(endpoint, otherCores) && probing.add(endpoint.instance())) {
+            if (endpoint.present() && isAssigned(endpoint, otherCores) && probing.add(endpoint.instance())) {
                 probe(endpoint);
             }
         }
@@ -94,7 +94,7 @@
     }
 
     /** Whether this core probes an instance. Rendezvous hashing selects the cores, those of the instance's region first. */
-    private boolean probedHere(final Endpoint endpoint, final List<NodeInfo> otherCores) {
+    private boolean isAssigned(final Endpoint endpoint, final List<NodeInfo> otherCores) {
         int coresBefore = 0;
         final long ownRank = RendezvousRank.of(self, endpoint.instance(), endpoint.region());
         for (final NodeInfo core : otherCores) {
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
@@ -46,7 +46,7 @@
     @Override
     public void headers(final Response a, final HeaderMap headers) {
         headers.put(new HttpString("Spokestall-Code"), a.result().number());
-        headers.put(new HttpString("Spokestall-Outcome"), a.ran().word());
+        headers.put(new HttpString("Spokestall-Outcome"), a.executionStatus().wireName());
         headers.put(new HttpString("Spokestall-Goes"), a.attempts());
         if (a.instance() != null) {
             headers.put(new HttpString("Spokestall-Instance"), a.instance());
@@ -65,7 +65,7 @@
                 .createObjectNode()
                 .put("code", a.result().number())
                 .put("text", a.result().text())
-                .put("outcome", a.ran().word());
+                .put("outcome", a.executionStatus().wireName());
         return out.toString().getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -49,7 +49,7 @@
     public AdmissionController(final ProxyContext context, final ProxyLimits limits) {
         this.context = context;
         this.limits = limits;
-        this.limiter = new ConcurrencyLimiter(limits.openRequestsMax(), limits.heldMaxBytes());
+        this.limiter = new ConcurrencyLimiter(limits.requestsInFlightMax(), limits.heldMaxBytes());
     }
 
     /** Replaces the limits; requests in flight keep their permits and held bytes. */
--- a/spokestall/src/main/java/spokestall/proxy/CapacityReservations.java
+++ b/spokestall/src/main/java/spokestall/proxy/CapacityReservations.java
@@ -21,7 +21,7 @@
      * Returns how much of a service's capacity isn't available to one more request of the tenant: the pending requests of all
      * tenants and the tenant's own open requests.
      */
-    int taken(final String service, final String tenant) {
+    int unavailableSlots(final String service, final String tenant) {
         return pending.getOrDefault(service, 0) + open.getOrDefault(new TenantService(tenant, service), 0);
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -89,7 +89,7 @@
         final long ageMs = context.fleetClock().nowMs() - ticket.issuedMs();
         return proposer.voterSet() == null
                 || ticket.generation() != proposer.voterSet().generation()
-                || ageMs > limits.claimKeepMs()
+                || ageMs > limits.claimRetentionMs()
                 || -ageMs > limits.ticketMaxAheadMs();
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
+++ b/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
@@ -6,14 +6,14 @@
     NOT_RUN("not-run"),
     UNDECIDED("undecided");
 
-    private final String word;
+    private final String wireName;
 
     ExecutionStatus(final String word) {
-        this.word = word;
+        this.wireName = word;
     }
 
     /** The value in the response header and body. */
-    public String word() {
-        return word;
+    public String wireName() {
+        return wireName;
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
+++ b/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
@@ -19,7 +19,7 @@
         long claimedMs,
         State state,
         int status,
-        String answerDigest,
+        String responseDigest,
         String instance) {
     /** OPEN: the request may have run. RAN: it ran. NOT_RUN: it did not run, and may be claimed again. */
     public enum State {
--- a/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
+++ b/spokestall/src/main/java/spokestall/proxy/LoadBalancer.java
@@ -150,11 +150,11 @@
      * pending reservations of the service and the tenant's open requests.
      */
     public boolean hasCapacity(final ServiceLimits service, final String tenant, final Predicate<Upstream> eligible) {
-        final int taken = reservations.taken(service.name(), tenant);
+        final int unavailable = reservations.unavailableSlots(service.name(), tenant);
         int free = 0;
         for (final Upstream upstream : upstreams.readyUpstreams(service.name())) {
             free += eligible.test(upstream) ? freeSlots(upstream) : 0;
-            if (free > taken) {
+            if (free > unavailable) {
                 return true;
             }
         }
--- a/spokestall/src/main/java/spokestall/proxy/ProxyLimits.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyLimits.java
@@ -17,9 +17,9 @@
  * @param conventions request handling options of the deployment
  */
 public record ProxyLimits(
-        int openRequestsMax,
+        int requestsInFlightMax,
         long heldMaxBytes,
-        long claimKeepMs,
+        long claimRetentionMs,
         long claimTimeoutMs,
         long storedResponseTimeoutMs,
         long retryAfterMs,
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -242,7 +242,7 @@
             admission.fetchStoredResponse(
                     grant.tenant(),
                     claimManager.key(),
-                    earlier.claim().answerDigest(),
+                    earlier.claim().responseDigest(),
                     content -> complete(new Response(
                             content != null ? ResultCode.REPEATED : ResultCode.RAN_ANSWER_GONE,
                             ExecutionStatus.RAN,
--- a/spokestall/src/main/java/spokestall/proxy/Response.java
+++ b/spokestall/src/main/java/spokestall/proxy/Response.java
@@ -14,7 +14,7 @@
  */
 public record Response(
         ResultCode result,
-        ExecutionStatus ran,
+        ExecutionStatus executionStatus,
         ResponseContent content,
         String instance,
         int attempts,
--- a/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
+++ b/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
@@ -105,7 +105,7 @@
                 .containsExactly("OPEN", "FULL", "REFUSING", "BROKEN");
         assertThat(Stream.of(LeaseManager.State.values()).map(LeaseManager.State::name))
                 .containsExactly("WATCHING", "ACQUIRING", "HOLDING", "RELEASING", "STOPPED");
-        assertThat(Stream.of(ExecutionStatus.values()).map(ExecutionStatus::word))
+        assertThat(Stream.of(ExecutionStatus.values()).map(ExecutionStatus::wireName))
                 .containsExactly("ran", "not-run", "undecided");
     }
 
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -29,8 +29,8 @@
     private final Map<String, Integer> sent = new TreeMap<>();
 
     private final Map<String, Integer> probes = new TreeMap<>();
-    private Optional<ProbeResult> answer = Optional.of(new ProbeResult("i1", "s", false, 700));
-    private boolean answering = true;
+    private Optional<ProbeResult> probeResponse = Optional.of(new ProbeResult("i1", "s", false, 700));
+    private boolean respondImmediately = true;
     private final List<Runnable> delayedResponses = new ArrayList<>();
 
     private static NodeInfo member(final String name, final boolean core, final String region) {
@@ -77,10 +77,10 @@
                     final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
                 assertThat(address).isEqualTo("10.0.0.1:80");
                 probes.merge(name, 1, Integer::sum);
-                if (answering) {
-                    done.accept(answer);
+                if (respondImmediately) {
+                    done.accept(probeResponse);
                 } else {
-                    delayedResponses.add(() -> done.accept(answer));
+                    delayedResponses.add(() -> done.accept(probeResponse));
                 }
             }
         };
@@ -119,7 +119,7 @@
 
     @Test
     void sendsNoSecondProbeWhileOneIsPending() {
-        answering = false;
+        respondImmediately = false;
         tick(4);
         assertThat(probes).containsOnly(Map.entry("a", 1), Map.entry("b", 1));
     }
@@ -135,12 +135,12 @@
     @Test
     void onlyConsecutiveFailuresMarkAnInstanceDown() {
         tick(1);
-        answer = Optional.empty();
+        probeResponse = Optional.empty();
         tick(FAILURE_THRESHOLD - 1);
         assertThat(statusAtEdge()).contains(HealthStatus.READY);
-        answer = Optional.of(new ProbeResult("i1", "s", false, 700));
+        probeResponse = Optional.of(new ProbeResult("i1", "s", false, 700));
         tick(1);
-        answer = Optional.empty();
+        probeResponse = Optional.empty();
         tick(FAILURE_THRESHOLD - 1);
         assertThat(statusAtEdge()).contains(HealthStatus.READY);
         tick(1);
@@ -149,13 +149,13 @@
 
     @Test
     void otherInstanceOrServiceAtTheAddressIsForeign() {
-        answer = Optional.of(new ProbeResult("i2", "s", false, 700));
+        probeResponse = Optional.of(new ProbeResult("i2", "s", false, 700));
         tick(1);
         assertThat(statusAtEdge()).contains(HealthStatus.FOREIGN);
-        answer = Optional.of(new ProbeResult("i1", "s", true, 700));
+        probeResponse = Optional.of(new ProbeResult("i1", "s", true, 700));
         tick(1);
         assertThat(statusAtEdge()).contains(HealthStatus.LEAVING);
-        answer = Optional.of(new ProbeResult("i1", "t", true, 700));
+        probeResponse = Optional.of(new ProbeResult("i1", "t", true, 700));
         tick(1);
         assertThat(statusAtEdge()).contains(HealthStatus.FOREIGN);
     }
@@ -168,7 +168,7 @@
         // Each probe reports the same start of readiness as the previous one.
         final List<Integer> received = new ArrayList<>();
         for (long readyForMs = 700 + TICK_MS; received.size() < 4; readyForMs += TICK_MS) {
-            answer = Optional.of(new ProbeResult("i1", "s", false, readyForMs));
+            probeResponse = Optional.of(new ProbeResult("i1", "s", false, readyForMs));
             tick(1);
             received.add(sent.getOrDefault("a>b", 0));
         }
@@ -188,7 +188,7 @@
 
     @Test
     void slowProbeResponseDoesNotMakeReadySinceEarlier() {
-        answering = false;
+        respondImmediately = false;
         tick(1);
         clock.advance(90);
         // The instance computes how long it has been ready when it responds, just before the response arrives.
@@ -201,7 +201,7 @@
     @Test
     void restartedInstanceGetsANewReadyTimeEvenAfterAShortOutage() {
         tick(1);
-        answer = Optional.of(new ProbeResult("i1", "s", false, 300));
+        probeResponse = Optional.of(new ProbeResult("i1", "s", false, 300));
         tick(1);
         assertThat(readySinceAtEdgeMs()).isEqualTo(fleetClock.nowMs() - 300);
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -227,14 +227,15 @@
         world.told.add(new SimulatedWorld.Told(
                 asked.requestId,
                 answer.result().number(),
-                answer.ran(),
+                answer.executionStatus(),
                 answer.instance(),
                 answer.content(),
                 world.sim.nowMs()));
-        asked.ran |= answer.ran() == ExecutionStatus.RAN;
-        asked.answeredMs =
-                answer.ran() == ExecutionStatus.RAN && asked.answeredMs < 0 ? world.sim.nowMs() : asked.answeredMs;
-        if (answer.ran() != ExecutionStatus.RAN) {
+        asked.ran |= answer.executionStatus() == ExecutionStatus.RAN;
+        asked.answeredMs = answer.executionStatus() == ExecutionStatus.RAN && asked.answeredMs < 0
+                ? world.sim.nowMs()
+                : asked.answeredMs;
+        if (answer.executionStatus() != ExecutionStatus.RAN) {
             if (!who.endsWith("7") || turn > 0) {
                 places.remove(who + "/" + kind.key());
             }
