--- a/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
+++ b/spokestall/src/main/java/spokestall/discovery/EndpointListReader.java
@@ -116,9 +116,9 @@
     }
 
     private void onList(final List<ListedEndpoint> list, final long requestedMs) {
-        final long answeredMs = fleetClock.nowMs();
-        final List<Endpoint> changes = changes(list, requestedMs, answeredMs);
-        logRead(list.size(), changes, requestedMs, answeredMs - requestedMs);
+        final long respondedMs = fleetClock.nowMs();
+        final List<Endpoint> changes = changes(list, requestedMs, respondedMs);
+        logRead(list.size(), changes, requestedMs, respondedMs - requestedMs);
         registry.merge(changes, List.of());
         registry.recordListRead(requestedMs);
         final DiscoveryMessage.Push push = new DiscoveryMessage.Push(changes, List.of(), requestedMs);
@@ -147,37 +147,38 @@
     }
 
     /** Returns the entries that differ from the registry: changed and absent ones sorted by instance, then new ones. */
-    private List<Endpoint> changes(final List<ListedEndpoint> list, final long requestedMs, final long answeredMs) {
+    private List<Endpoint> changes(final List<ListedEndpoint> list, final long requestedMs, final long respondedMs) {
         // New entries are sent in this HashMap's iteration order.
         final Map<String, Endpoint> listed = new HashMap<>();
-        list.forEach(endpoint -> listed.put(endpoint.instance(), endpoint.toEndpoint(requestedMs, answeredMs)));
+        list.forEach(endpoint -> listed.put(endpoint.instance(), endpoint.toEndpoint(requestedMs, respondedMs)));
         final List<Endpoint> changes = new ArrayList<>();
         for (final Endpoint known : registry.endpoints()) {
-            final Endpoint now = listed.remove(known.instance());
-            if (now == null && known.present()) {
+            final Endpoint current = listed.remove(known.instance());
+            if (current == null && known.present()) {
                 changes.add(known.absentAt(requestedMs));
-            } else if (now != null && !unchanged(known, now, answeredMs)) {
-                changes.add(now);
+            } else if (current != null && !unchanged(known, current, respondedMs)) {
+                changes.add(current);
             }
         }
         changes.addAll(listed.values());
         return changes;
     }
 
-    private static boolean unchanged(final Endpoint known, final Endpoint now, final long answeredMs) {
+    private static boolean unchanged(final Endpoint known, final Endpoint current, final long respondedMs) {
         return known.present()
-                && known.leaving() == now.leaving()
-                && known.address().equals(now.address())
-                && known.service().equals(now.service())
-                && sameWarmUp(known, now, answeredMs);
+                && known.leaving() == current.leaving()
+                && known.address().equals(current.address())
+                && known.service().equals(current.service())
+                && sameWarmUp(known, current, respondedMs);
     }
 
     /** Whether both entries have about the same end of the warm-up, or both warm-ups have ended. */
-    private static boolean sameWarmUp(final Endpoint known, final Endpoint now, final long answeredMs) {
-        if (Math.max(known.warmUpUntilMs(), now.warmUpUntilMs()) <= answeredMs) {
+    private static boolean sameWarmUp(final Endpoint known, final Endpoint current, final long respondedMs) {
+        if (Math.max(known.warmUpUntilMs(), current.warmUpUntilMs()) <= respondedMs) {
             return true;
         }
-        final long onTheWayMs = answeredMs - now.timestampMs();
-        return WarmUpTimes.isSame(known.warmUpUntilMs(), now.warmUpUntilMs() - onTheWayMs, now.warmUpUntilMs());
+        final long roundTripMs = respondedMs - current.timestampMs();
+        return WarmUpTimes.isSame(
+                known.warmUpUntilMs(), current.warmUpUntilMs() - roundTripMs, current.warmUpUntilMs());
     }
 }
--- a/spokestall/src/main/java/spokestall/discovery/ListedEndpoint.java
+++ b/spokestall/src/main/java/spokestall/discovery/ListedEndpoint.java
@@ -26,9 +26,9 @@
      * platform may have computed it as late as that.
      *
      * @param requestedMs when the list was requested, on the fleet's clock
-     * @param answeredMs when the response arrived, on the fleet's clock
+     * @param respondedMs when the response arrived, on the fleet's clock
      */
-    Endpoint toEndpoint(final long requestedMs, final long answeredMs) {
+    Endpoint toEndpoint(final long requestedMs, final long respondedMs) {
         return new Endpoint(
                 instance,
                 service,
@@ -38,15 +38,15 @@
                 true,
                 leaving,
                 requestedMs,
-                warmUpUntilMs(requestedMs, answeredMs),
+                warmUpUntilMs(requestedMs, respondedMs),
                 requestedMs,
                 slots);
     }
 
-    private long warmUpUntilMs(final long requestedMs, final long answeredMs) {
+    private long warmUpUntilMs(final long requestedMs, final long respondedMs) {
         if (warmUpRemainingMs < 0) {
             return 0;
         }
-        return warmUpRemainingMs == 0 ? requestedMs : answeredMs + warmUpRemainingMs;
+        return warmUpRemainingMs == 0 ? requestedMs : respondedMs + warmUpRemainingMs;
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
+++ b/spokestall/src/main/java/spokestall/proxy/ClaimManager.java
@@ -125,10 +125,10 @@
 
     /** Records that the request ran, with the status and digest of its response and the instance that sent it. */
     void recordExecuted(
-            final IdempotencyClaim ownClaim, final int status, final String answerDigest, final String instance) {
+            final IdempotencyClaim ownClaim, final int status, final String responseDigest, final String instance) {
         recordOutcome(
                 ownClaim,
-                ownClaim.withOutcome(IdempotencyClaim.State.RAN, status, answerDigest, instance),
+                ownClaim.withOutcome(IdempotencyClaim.State.RAN, status, responseDigest, instance),
                 proven -> {});
     }
 
--- a/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeDirectory.java
@@ -38,10 +38,10 @@
         return true;
     }
 
-    private static boolean sameEdge(final NodeInfo one, final NodeInfo other) {
-        return one.httpAddress().equals(other.httpAddress())
-                && one.zone().equals(other.zone())
-                && one.region().equals(other.region())
-                && one.leaving() == other.leaving();
+    private static boolean sameEdge(final NodeInfo edge, final NodeInfo other) {
+        return edge.httpAddress().equals(other.httpAddress())
+                && edge.zone().equals(other.zone())
+                && edge.region().equals(other.region())
+                && edge.leaving() == other.leaving();
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/EdgeShares.java
+++ b/spokestall/src/main/java/spokestall/proxy/EdgeShares.java
@@ -14,7 +14,7 @@
      * region come first.
      *
      * @param instance the upstream's id
-     * @param region its region
+     * @param region the region of the upstream
      */
     int rank(String instance, String region);
 
--- a/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
+++ b/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
@@ -8,8 +8,8 @@
 
     private final String wireName;
 
-    ExecutionStatus(final String word) {
-        this.wireName = word;
+    ExecutionStatus(final String wireName) {
+        this.wireName = wireName;
     }
 
     /** The value in the response header and body. */
--- a/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
+++ b/spokestall/src/main/java/spokestall/proxy/IdempotencyClaim.java
@@ -9,7 +9,7 @@
  * @param ticketMs when the client's ticket was issued
  * @param claimedMs when the claim was made
  * @param status the HTTP status of the upstream's response, zero unless the request ran
- * @param answerDigest the digest of the upstream's response, empty unless the request ran
+ * @param responseDigest the digest of the upstream's response, empty unless the request ran
  * @param instance the upstream that ran the request, empty unless it ran
  */
 public record IdempotencyClaim(
@@ -38,7 +38,8 @@
         return key.startsWith("once/");
     }
 
-    IdempotencyClaim withOutcome(final State to, final int endStatus, final String digestOfAnswer, final String by) {
-        return new IdempotencyClaim(claimId, digest, ticketMs, claimedMs, to, endStatus, digestOfAnswer, by);
+    IdempotencyClaim withOutcome(
+            final State to, final int endStatus, final String digestOfResponse, final String ranAt) {
+        return new IdempotencyClaim(claimId, digest, ticketMs, claimedMs, to, endStatus, digestOfResponse, ranAt);
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ProxyLimits.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyLimits.java
@@ -3,9 +3,9 @@
 /**
  * Limits of an edge's data path, from the settings.
  *
- * @param openRequestsMax the maximum number of requests in flight
+ * @param requestsInFlightMax the maximum number of requests in flight
  * @param heldMaxBytes the maximum number of bytes held for request and response bodies
- * @param claimKeepMs how long a claim is kept, and so the maximum age of a ticket
+ * @param claimRetentionMs how long a claim is kept, and so the maximum age of a ticket
  * @param claimTimeoutMs the time-out of a claim's proposals
  * @param storedResponseTimeoutMs the time-out of requests to cores for a stored response
  * @param retryAfterMs the minimum retry time for a rejected client; a random jitter of up to the same time is added
--- a/spokestall/src/main/java/spokestall/proxy/Response.java
+++ b/spokestall/src/main/java/spokestall/proxy/Response.java
@@ -6,7 +6,7 @@
 /**
  * The final response to a request.
  *
- * @param ran whether the request ran, as far as this node knows
+ * @param executionStatus whether the request ran, as far as this node knows
  * @param content the upstream's response, null if spokestall itself generated the response
  * @param instance the upstream that ran the request, null if none did
  * @param attempts the number of attempts that were started
