--- a/spokestall/src/main/java/spokestall/api/CallRegistry.java
+++ b/spokestall/src/main/java/spokestall/api/CallRegistry.java
@@ -53,7 +53,7 @@
 
     /** Registers the handler of a method; throws IllegalStateException if the schema file has no such method. */
     public void register(final String method, final CallHandler handler) {
-        if (!known(method)) {
+        if (!isKnownMethod(method)) {
             throw new IllegalStateException(method + " is not in the schema file");
         }
         handlers.put(method, handler);
@@ -66,7 +66,7 @@
     public void call(final String method, final JsonNode params, final Consumer<Reply> done) {
         final CallHandler handler = handlers.get(method);
         if (handler == null) {
-            final ResultCode result = known(method) ? ResultCode.NOT_READY : ResultCode.UNKNOWN_METHOD;
+            final ResultCode result = isKnownMethod(method) ? ResultCode.NOT_READY : ResultCode.UNKNOWN_METHOD;
             done.accept(Reply.of(result, null));
             return;
         }
@@ -87,7 +87,7 @@
         return fields;
     }
 
-    private boolean known(final String method) {
+    private boolean isKnownMethod(final String method) {
         return schema.path("methods").has(method);
     }
 
--- a/spokestall/src/main/java/spokestall/message/RecordDecoder.java
+++ b/spokestall/src/main/java/spokestall/message/RecordDecoder.java
@@ -38,7 +38,7 @@
             final long lengthPlusOne = VarInts.read(in);
             return lengthPlusOne == 0 ? null : readBytes(in, type, lengthPlusOne - 1);
         }
-        return in.readBoolean() ? readPresent(in, (Class<?>) type, version) : null;
+        return in.readBoolean() ? readNonNull(in, (Class<?>) type, version) : null;
     }
 
     private static int toInt(final long value) throws IOException {
@@ -81,7 +81,7 @@
         return (int) size;
     }
 
-    private static Object readPresent(final DataInputStream in, final Class<?> type, final int version)
+    private static Object readNonNull(final DataInputStream in, final Class<?> type, final int version)
             throws IOException {
         if (type == String.class || type == byte[].class) {
             return readBytes(in, type, in.readInt());
--- a/spokestall/src/main/java/spokestall/message/RecordEncoder.java
+++ b/spokestall/src/main/java/spokestall/message/RecordEncoder.java
@@ -33,7 +33,7 @@
         } else {
             out.writeBoolean(value != null);
             if (value != null) {
-                writePresent(out, (Class<?>) type, value, version);
+                writeNonNull(out, (Class<?>) type, value, version);
             }
         }
     }
@@ -96,7 +96,7 @@
         return type == Long.class ? long.class : type == Integer.class ? int.class : type;
     }
 
-    private static void writePresent(
+    private static void writeNonNull(
             final DataOutputStream out, final Class<?> type, final Object value, final int version) throws IOException {
         if (type == String.class) {
             final byte[] utf8 = ((String) value).getBytes(StandardCharsets.UTF_8);
--- a/spokestall/src/main/java/spokestall/message/RecordLayout.java
+++ b/spokestall/src/main/java/spokestall/message/RecordLayout.java
@@ -22,8 +22,8 @@
         }
     };
 
-    /** One field: {@code absent} is its value where a message's version lacks it. */
-    private record Field(Method accessor, Type type, int sinceVersion, Object absent) {}
+    /** One field: {@code defaultValue} is its value where a message's version lacks it. */
+    private record Field(Method accessor, Type type, int sinceVersion, Object defaultValue) {}
 
     private final Field[] fields;
     private final Constructor<?> constructor;
@@ -39,8 +39,8 @@
             types[i] = components[i].getType();
             final Method accessor = components[i].getAccessor();
             accessor.setAccessible(true);
-            fields[i] =
-                    new Field(accessor, components[i].getGenericType(), sinceVersion(components[i]), absent(types[i]));
+            fields[i] = new Field(
+                    accessor, components[i].getGenericType(), sinceVersion(components[i]), defaultValue(types[i]));
         }
         try {
             constructor = type.getDeclaredConstructor(types);
@@ -60,7 +60,7 @@
         return since == null ? MessageCodec.OLDEST_VERSION : since.value();
     }
 
-    private static Object absent(final Class<?> type) {
+    private static Object defaultValue(final Class<?> type) {
         return type == boolean.class
                 ? (Object) false
                 : type == int.class ? (Object) 0 : type == long.class ? (Object) 0L : null;
@@ -112,7 +112,7 @@
         final Object[] values = new Object[fields.length];
         for (int i = 0; i < fields.length; i++) {
             values[i] = fields[i].sinceVersion > version
-                    ? fields[i].absent
+                    ? fields[i].defaultValue
                     : RecordDecoder.read(in, fields[i].type, version);
         }
         return values;
--- a/spokestall/src/main/java/spokestall/message/VarInts.java
+++ b/spokestall/src/main/java/spokestall/message/VarInts.java
@@ -28,12 +28,12 @@
 
     /** Writes a value, taken as unsigned, in one to ten bytes. */
     static void write(final DataOutputStream out, final long value) throws IOException {
-        long rest = value;
-        while ((rest & ~(long) VALUE_BITS) != 0) {
-            out.writeByte((int) (rest & VALUE_BITS | CONTINUATION_BIT));
-            rest >>>= BITS_PER_BYTE;
+        long remaining = value;
+        while ((remaining & ~(long) VALUE_BITS) != 0) {
+            out.writeByte((int) (remaining & VALUE_BITS | CONTINUATION_BIT));
+            remaining >>>= BITS_PER_BYTE;
         }
-        out.writeByte((int) rest);
+        out.writeByte((int) remaining);
     }
 
     /** Reads a value; throws {@link IOException} if it has more than ten bytes. */
--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -38,7 +38,7 @@
 
     /** Records what was decided since the last tick; entries carry the fleet's time, so it must be known. */
     void onTick() {
-        if (context.fleet.settled()) {
+        if (context.fleetClock.settled()) {
             auditor.recordVoters(proposer.voterSet());
             auditor.recordConfiguration();
             auditor.recordLease(leaseManager.observedLease());
--- a/spokestall/src/main/java/spokestall/node/ChangeHost.java
+++ b/spokestall/src/main/java/spokestall/node/ChangeHost.java
@@ -20,7 +20,7 @@
 
     @Override
     public long fleetMs() {
-        return context.fleet.settled() ? context.fleet.nowMs() : 0;
+        return context.fleetClock.settled() ? context.fleetClock.nowMs() : 0;
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -23,7 +23,7 @@
     static final int VERSIONS_KEPT = 1024;
 
     /** The key of the mark that this disk took part in a bootstrap, among the acceptor's local records. */
-    static final String BOOTSTRAP_ACCEPTOR = "~council";
+    static final String BOOTSTRAP_MARK_KEY = "~council";
     /** The ratio of {@code claimKeepMs} for which a claim is kept beyond it, against clocks that differ. */
     private static final double CLAIM_MARGIN_RATIO = 0.2;
 
@@ -49,9 +49,10 @@
                         context.settings().integer("claimKeepMs"),
                         context.settings().fractionOf("claimKeepMs", CLAIM_MARGIN_RATIO),
                         context.timings().windowMs()),
-                context.fleet,
+                context.fleetClock,
                 new RetentionState(voterSet, ready));
-        this.acceptor = new Acceptor(context.name, segmentedLog, context.post, retention, context.freshDiskId());
+        this.acceptor =
+                new Acceptor(context.name, segmentedLog, context.messageSender, retention, context.freshDiskId());
         this.snapshots = new SnapshotStore(acceptor, configurationStore, VERSIONS_KEPT, segmentedLog.capacityBytes());
     }
 
@@ -101,8 +102,8 @@
     }
 
     /** Marks the disk as one that took part in a bootstrap; {@code then} runs once that is synced, and not if it fails. */
-    void mark(final Runnable then) {
-        acceptor.putLocalRecord(BOOTSTRAP_ACCEPTOR, new byte[0], synced -> {
+    void markBootstrapped(final Runnable then) {
+        acceptor.putLocalRecord(BOOTSTRAP_MARK_KEY, new byte[0], synced -> {
             if (synced) {
                 then.run();
             }
@@ -130,7 +131,7 @@
 
     /** Drops the registers that nothing refers to any more; needs the fleet's time, by which claims and windows expire. */
     void pruneRegisters() {
-        if (acceptor.state() != Acceptor.State.VOTING || !context.fleet.settled()) {
+        if (acceptor.state() != Acceptor.State.VOTING || !context.fleetClock.settled()) {
             return;
         }
         final List<String> expired = new ArrayList<>();
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -27,9 +27,9 @@
  */
 final class DirectoryCall {
     /** How many edges one answer names: the client's own and one to fail over to. */
-    private static final int EDGES_NAMED = 2;
+    private static final int EDGES_PER_REPLY = 2;
     /** For how many leave bounds the client may use the answer. */
-    private static final double VALID_LEAVE_BOUNDS = 0.4;
+    private static final double REPLY_VALIDITY_LEAVE_BOUNDS = 0.4;
 
     private final NodeContext context;
     private final ConfigurationStore configurationStore;
@@ -86,7 +86,7 @@
                 knownEdges.forClients(),
                 tenant.homeRegions(),
                 configurationStore.configuration().drainedZones(),
-                EDGES_NAMED);
+                EDGES_PER_REPLY);
         if (selected.isEmpty()) {
             return Reply.of(ResultCode.NO_UPSTREAM, null);
         }
@@ -96,9 +96,9 @@
                 .put("name", edge.name())
                 .put("address", edge.httpAddress())
                 .put("region", edge.region()));
-        fields.put("forMs", context.settings().fractionOf("leaveBoundMs", VALID_LEAVE_BOUNDS));
+        fields.put("forMs", context.settings().fractionOf("leaveBoundMs", REPLY_VALIDITY_LEAVE_BOUNDS));
         final VoterSet voterSet = proposer.voterSet();
-        fields.put("ticket", new RequestTicket(voterSet.generation(), context.fleet.nowMs()).text());
+        fields.put("ticket", new RequestTicket(voterSet.generation(), context.fleetClock.nowMs()).text());
         return Reply.of(ResultCode.OK, fields);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
+++ b/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
@@ -18,11 +18,11 @@
  */
 final class DiscoveryComponent {
     /** The key of the stored list; part of the disk's format. */
-    static final String KEPT = "~listed";
+    static final String ENDPOINT_LIST_KEY = "~listed";
 
     private static final int MAX_ENDPOINTS = 8192;
     /** For how many leave bounds an entry is kept that is no more listed. */
-    private static final int BOUNDS_KEPT_ABSENT = 30;
+    private static final int ABSENT_ENTRY_LEAVE_BOUNDS = 30;
 
     private final NodeContext context;
     private final HealthSource healthSource;
@@ -48,20 +48,20 @@
                 endpointRegistry,
                 client,
                 peers,
-                context.post,
-                context.fleet,
+                context.messageSender,
+                context.fleetClock,
                 context.timings().endpointList());
         healthChecker = new HealthChecker(
                 context.self(),
                 endpointRegistry,
                 client,
                 peers,
-                context.post,
-                context.fleet,
+                context.messageSender,
+                context.fleetClock,
                 context.timings().probes());
         storedList = new PersistedState(
                 acceptor,
-                KEPT,
+                ENDPOINT_LIST_KEY,
                 endpointRegistry::version,
                 () -> new DiscoveryMessage.Push(endpointRegistry.endpoints(), List.of(), 0));
         final DiscoveryMessage.Push stored = storedList.read(DiscoveryMessage.Push.class);
@@ -72,7 +72,7 @@
 
     /** On a core: reads the list and probes, once the fleet's clock has settled. */
     void onTick() {
-        if (!context.fleet.settled()) {
+        if (!context.fleetClock.settled()) {
             return;
         }
         listReader.onTick();
@@ -89,12 +89,12 @@
     /** Removes entries that have not been listed for long, and old observations. */
     void prune() {
         endpointRegistry.prune(
-                context.fleet.nowMs() - context.settings().fractionOf("leaveBoundMs", BOUNDS_KEPT_ABSENT));
+                context.fleetClock.nowMs() - context.settings().fractionOf("leaveBoundMs", ABSENT_ENTRY_LEAVE_BOUNDS));
     }
 
     /** Merges what another core sent. A time of reading that lies in the future would keep this core from reading. */
     void onMessage(final DiscoveryMessage.Push push) {
         endpointRegistry.merge(push.endpoints(), push.observations());
-        endpointRegistry.recordListRead(Math.min(push.listReadMs(), context.fleet.nowMs()));
+        endpointRegistry.recordListRead(Math.min(push.listReadMs(), context.fleetClock.nowMs()));
     }
 }
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -31,12 +31,12 @@
  */
 final class GenerationMerger implements InitialStateMerger {
     /** Register of the fleet time at which the generation began, in milliseconds as decimal text. Part of the stored format. */
-    static final String FLOOR = "duty/floor";
+    static final String GENERATION_START_KEY = "duty/floor";
 
     private static final String LEASE_KEYS = "duty/";
     private static final String USAGE_KEYS = "usage/";
     private static final String CHANGE_ID_PREFIX = "founding-";
-    private static final ProposalNumber INITIAL = new ProposalNumber(1, "found");
+    private static final ProposalNumber INITIAL_PROPOSAL = new ProposalNumber(1, "found");
     private static final int MILLIS_PER_SECOND = 1000;
 
     private final FleetClock fleetClock;
@@ -55,11 +55,12 @@
         newest.forEach((key, register) -> {
             if (IdempotencyClaim.isKey(key) || key.startsWith(USAGE_KEYS)) {
                 entries.add(entry(key, register.value()));
-            } else if (key.startsWith(LEASE_KEYS) && !key.equals(FLOOR)) {
-                entries.add(entry(key, MessageCodec.encodeRecord(withoutHold(register.value()))));
+            } else if (key.startsWith(LEASE_KEYS) && !key.equals(GENERATION_START_KEY)) {
+                entries.add(entry(key, MessageCodec.encodeRecord(released(register.value()))));
             }
         });
-        entries.add(entry(FLOOR, Long.toString(fleetClock.nowMs()).getBytes(StandardCharsets.UTF_8)));
+        entries.add(
+                entry(GENERATION_START_KEY, Long.toString(fleetClock.nowMs()).getBytes(StandardCharsets.UTF_8)));
         entries.add(entry(
                 ConfigurationKeys.keyOf(voterSet.firstNumber()), configurationChange(survivors, newest, generation)));
         return new InitialState(voterSet, entries);
@@ -76,13 +77,13 @@
         return generation;
     }
 
-    private static Lease withoutHold(final byte[] value) {
+    private static Lease released(final byte[] value) {
         final Lease lease = MessageCodec.decodeRecord(value, Lease.class);
         return new Lease(lease.owner(), lease.holder(), lease.renewal(), lease.fencingToken(), lease.spanMs(), false);
     }
 
     private static ConsensusMessage.Entry entry(final String key, final byte[] value) {
-        return new ConsensusMessage.Entry(key, new Register(INITIAL, INITIAL, value));
+        return new ConsensusMessage.Entry(key, new Register(INITIAL_PROPOSAL, INITIAL_PROPOSAL, value));
     }
 
     /** Each register as accepted under the highest proposal number, from all voters with state of the base generation. */
--- a/spokestall/src/main/java/spokestall/node/SharingEdges.java
+++ b/spokestall/src/main/java/spokestall/node/GossipEdgeShares.java
@@ -14,16 +14,16 @@
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
-final class SharingEdges implements EdgeShares {
+final class GossipEdgeShares implements EdgeShares {
     private final PartialView view;
-    private final boolean selfServes;
+    private final boolean selfServesClients;
     private final IntSupplier configuredEdges;
     /** The other edges by name, those seen last at the end. */
-    private final Map<String, NodeInfo> others = new LinkedHashMap<>();
+    private final Map<String, NodeInfo> otherEdges = new LinkedHashMap<>();
 
-    private int mostOthersSeen;
+    private int maxOthersSeen;
     /** The version of the view that was last looked at. */
-    private long seenVersion = -1;
+    private long lastViewVersion = -1;
 
     /**
      * Creates it with no other edge seen.
@@ -32,9 +32,9 @@
      * @param selfServes whether this node serves clients
      * @param configuredEdges how many edges the settings name, zero if they don't
      */
-    SharingEdges(final PartialView view, final boolean selfServes, final IntSupplier configuredEdges) {
+    GossipEdgeShares(final PartialView view, final boolean selfServes, final IntSupplier configuredEdges) {
         this.view = view;
-        this.selfServes = selfServes;
+        this.selfServesClients = selfServes;
         this.configuredEdges = configuredEdges;
     }
 
@@ -44,7 +44,7 @@
             return configuredEdges.getAsInt();
         }
         refresh();
-        return Math.max(1, others.size() + (selfServes ? 1 : 0));
+        return Math.max(1, otherEdges.size() + (selfServesClients ? 1 : 0));
     }
 
     @Override
@@ -52,28 +52,28 @@
         refresh();
         final long ownRank = RendezvousRank.of(view.self(), instance, region);
         int before = 0;
-        for (final NodeInfo edge : others.values()) {
+        for (final NodeInfo edge : otherEdges.values()) {
             before += RendezvousRank.of(edge, instance, region) < ownRank ? 1 : 0;
         }
         return before;
     }
 
     private void refresh() {
-        if (view.version() == seenVersion) {
+        if (view.version() == lastViewVersion) {
             return;
         }
-        seenVersion = view.version();
+        lastViewVersion = view.version();
         int seen = 0;
         for (final NodeInfo member : view.members()) {
             if (member.servesClients()) {
                 seen++;
-                others.remove(member.name());
-                others.put(member.name(), member);
+                otherEdges.remove(member.name());
+                otherEdges.put(member.name(), member);
             }
         }
-        mostOthersSeen = Math.max(mostOthersSeen, seen);
-        while (others.size() > mostOthersSeen) {
-            others.remove(others.keySet().iterator().next());
+        maxOthersSeen = Math.max(maxOthersSeen, seen);
+        while (otherEdges.size() > maxOthersSeen) {
+            otherEdges.remove(otherEdges.keySet().iterator().next());
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
+++ b/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
@@ -99,7 +99,7 @@
     private final Clock clock;
     private final Timing timing;
     private final Listener listener;
-    private final long begunMs;
+    private final long startedMs;
     private Phase phase = Phase.SERVING;
     private int abortedRequests;
 
@@ -115,7 +115,7 @@
         this.clock = clock;
         this.timing = timing;
         this.listener = listener;
-        this.begunMs = clock.nowMs();
+        this.startedMs = clock.nowMs();
     }
 
     /** Begins the shutdown. Called once. */
@@ -125,7 +125,7 @@
     }
 
     private void onTick() {
-        final long elapsedMs = clock.nowMs() - begunMs;
+        final long elapsedMs = clock.nowMs() - startedMs;
         // A connection may be accepted at the very moment that the port closes, so quiet counts from the next check on.
         final boolean accepting = phase == Phase.SERVING;
         if (phase == Phase.SERVING && elapsedMs >= timing.stopAcceptingMs()) {
@@ -140,13 +140,13 @@
             transitionTo(Phase.CLOSING_IDLE);
             connections.closeIdle();
         }
-        final boolean quiet = !accepting && connections.open() == 0 && !requests.inFlight();
-        if (phase == Phase.CLOSING_IDLE && !quiet && elapsedMs >= timing.abortMs()) {
+        final boolean drained = !accepting && connections.open() == 0 && !requests.inFlight();
+        if (phase == Phase.CLOSING_IDLE && !drained && elapsedMs >= timing.abortMs()) {
             transitionTo(Phase.ABORTED);
             abortedRequests = requests.abort();
             listener.onRequestsEnded();
         }
-        if (quiet || elapsedMs >= timing.maxMs()) {
+        if (drained || elapsedMs >= timing.maxMs()) {
             end(elapsedMs);
         } else {
             clock.after(timing.checkMs(), this::onTick);
@@ -169,7 +169,7 @@
     private void transitionTo(final Phase next) {
         assert next == Phase.ENDED && phase != Phase.ENDED || next.ordinal() == phase.ordinal() + 1
                 : phase + " to " + next;
-        LOG.atFine().log("event=shutdown_phase from=%s to=%s elapsedMs=%s", phase, next, clock.nowMs() - begunMs);
+        LOG.atFine().log("event=shutdown_phase from=%s to=%s elapsedMs=%s", phase, next, clock.nowMs() - startedMs);
         phase = next;
     }
 }
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -25,7 +25,7 @@
     }
 
     private static final int HINTS_PER_VOTER = 16_384;
-    private static final int VALUES_PER_HANDOVER = 512;
+    private static final int VALUES_PER_STATUS = 512;
     /** How many cores an edge has keep a hint. */
     private static final int CORES_PER_HINT = 2;
 
@@ -53,14 +53,14 @@
         }
         int sent = 0;
         for (final Voter other : voterSet.get().voters()) {
-            if (sent < CORES_PER_HINT && !other.name().equals(voter) && live(other)) {
-                context.post.send(other.address(), new HandoffMessage.Hint(voter, key));
+            if (sent < CORES_PER_HINT && !other.name().equals(voter) && isLive(other)) {
+                context.messageSender.send(other.address(), new HandoffMessage.Hint(voter, key));
                 sent++;
             }
         }
     }
 
-    private boolean live(final Voter voter) {
+    private boolean isLive(final Voter voter) {
         return liveness.sinceLastAnswerMs(voter.name()) < context.settings().peerTimeoutMillis();
     }
 
@@ -68,16 +68,17 @@
      * Sends a voter that is back the values of registers that it missed, a bounded number for each of its status messages. The
      * voter treats them like any chosen value that arrives late.
      */
-    void onVoterBack(final MembershipMessage.VoterStatus back, final Acceptor acceptor) {
-        if (acceptor.state() != Acceptor.State.VOTING || !voterSet.get().hasEpoch(back.generation(), back.epoch())) {
+    void replayHints(final MembershipMessage.VoterStatus status, final Acceptor acceptor) {
+        if (acceptor.state() != Acceptor.State.VOTING
+                || !voterSet.get().hasEpoch(status.generation(), status.epoch())) {
             return;
         }
         final VoterSet voters = voterSet.get();
-        for (final String key : hints.remove(back.name(), VALUES_PER_HANDOVER)) {
+        for (final String key : hints.remove(status.name(), VALUES_PER_STATUS)) {
             final Register register = acceptor.registers().get(key);
             if (register != null && register.value() != null) {
-                context.post.send(
-                        back.address(),
+                context.messageSender.send(
+                        status.address(),
                         new ConsensusMessage.Chosen(
                                 voters.generation(), voters.epoch(), key, register.accepted(), register.value()));
             }
@@ -98,7 +99,7 @@
     }
 
     private void onFetch(final HandoffMessage.Fetch request) {
-        context.post.send(
+        context.messageSender.send(
                 request.from(),
                 new HandoffMessage.FetchResult(
                         request.requestId(),
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -19,7 +19,7 @@
  */
 final class KnownEdges {
     /** For how many leave bounds the edges last named are kept while no core answers. */
-    private static final int BOUNDS_WITHOUT_CORES = 2;
+    private static final int LEAVE_BOUNDS_WITHOUT_CORES = 2;
 
     private final NodeContext context;
     private final PartialView view;
@@ -58,7 +58,7 @@
      */
     Collection<NodeInfo> forClients() {
         final Map<String, NodeInfo> edges = new TreeMap<>();
-        reported().forEach(edge -> edges.put(edge.name(), edge));
+        reportedEdges().forEach(edge -> edges.put(edge.name(), edge));
         if (ready.getAsBoolean() && (!edges.isEmpty() || !justStarted())) {
             // If this node is the only one, it is named only after others had time to report, else all clients would
             // move here.
@@ -66,7 +66,7 @@
         }
         if (edges.isEmpty()) {
             feedClient
-                    .edgesReportedWithin(context.settings().fractionOf("leaveBoundMs", BOUNDS_WITHOUT_CORES))
+                    .edgesReportedWithin(context.settings().fractionOf("leaveBoundMs", LEAVE_BOUNDS_WITHOUT_CORES))
                     .forEach(edge -> edges.put(edge.name(), edge));
         }
         if (view.self().leaving()) {
@@ -76,7 +76,7 @@
     }
 
     /** A core that has just started, or that no edge contacts since it isn't a voter, uses what another core reports too. */
-    private Collection<NodeInfo> reported() {
+    private Collection<NodeInfo> reportedEdges() {
         final long freshMs = context.settings().peerTimeoutMillis();
         if (!context.core) {
             return feedClient.edgesReportedWithin(freshMs);
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -62,7 +62,11 @@
         this.fencingTokens = fencingTokens;
         final BootstrapAcceptor.Eligibility eligibility = bootstrapEligibility(storage);
         this.bootstrapAcceptor = new BootstrapAcceptor(
-                context.address, context.settings().seeds(), eligibility, context.post, bootstrapEnvironment(storage));
+                context.address,
+                context.settings().seeds(),
+                eligibility,
+                context.messageSender,
+                bootstrapEnvironment(storage));
         this.bootstrapProposer = storage != null && eligibility == BootstrapAcceptor.Eligibility.FIRST_INCARNATION
                 ? Optional.of(bootstrapProposer())
                 : Optional.empty();
@@ -96,18 +100,18 @@
                 if (storage == null) {
                     action.run();
                 } else {
-                    storage.mark(action);
+                    storage.markBootstrapped(action);
                 }
             }
         };
     }
 
     private BootstrapProposer bootstrapProposer() {
-        final InitialStateMerger merger = new GenerationMerger(context.fleet);
+        final InitialStateMerger merger = new GenerationMerger(context.fleetClock);
         return new BootstrapProposer(
                 localNode(),
                 context.settings().seeds(),
-                context.post,
+                context.messageSender,
                 context.clock,
                 context.timings().bootstrapProposer(),
                 voters -> merger.merge(0, List.of(survivingState()), voters));
@@ -119,17 +123,17 @@
                         localNode(),
                         acceptor,
                         proposer,
-                        context.post,
+                        context.messageSender,
                         context.clock,
                         context.timings().membership()),
                 environment(peers),
-                new GenerationMerger(context.fleet),
+                new GenerationMerger(context.fleetClock),
                 toleratedLoss,
                 bootstrapProposer);
         final GracefulHandover handover = new GracefulHandover(
                 localNode(),
                 acceptor,
-                context.post,
+                context.messageSender,
                 context.clock,
                 context.timings().handover());
         return new CoreRole(acceptor, coordinator, handover);
@@ -159,7 +163,7 @@
 
             @Override
             public boolean isFleetClockSettled() {
-                return context.fleet.settled();
+                return context.fleetClock.settled();
             }
         };
     }
@@ -211,7 +215,7 @@
     /** Handles a core's message about membership. */
     void onMessage(final MembershipMessage message) {
         if (message instanceof MembershipMessage.SurvivingStateRequest request) {
-            context.post.send(request.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
+            context.messageSender.send(request.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
         } else if (coreRole.isPresent()) {
             coreRole.get().coordinator().onMessage(message);
         } else if (message instanceof MembershipMessage.VoterStatus status) {
@@ -224,7 +228,7 @@
         if (status.voterSet() != null && status.voterSet().newerThan(proposer.voterSet())) {
             proposer.updateVoterSet(status.voterSet());
         } else if (status.lacks(proposer.voterSet())) {
-            context.post.send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
+            context.messageSender.send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
+++ b/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
@@ -67,7 +67,7 @@
     private void onMembershipMessage(final MembershipMessage message) {
         components.membership.onMessage(message);
         if (core != null && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
-            components.handoff.onVoterBack(voterStatus, core.storage.acceptor);
+            components.handoff.replayHints(voterStatus, core.storage.acceptor);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -205,7 +205,7 @@
 
     /** Returns the fleet's time as this node knows it, in milliseconds since the epoch. */
     public long fleetMs() {
-        return context.fleet.nowMs();
+        return context.fleetClock.nowMs();
     }
 
     /** Returns the edges that clients are directed to. Thread-safe. */
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -72,7 +72,7 @@
         this.view = partialView();
         this.peerDirectory = new PeerDirectory(context, view, this::voterSet);
         this.discovery = new DiscoveryComponent(context);
-        this.handoff = new HandoffComponent(context, this::voterSet, this::sinceHeardMs);
+        this.handoff = new HandoffComponent(context, this::voterSet, this::sinceLastResponseMs);
         this.proposer = proposer();
         this.storage = core ? coreStorage() : null;
         this.feedServer = feedServer();
@@ -80,7 +80,7 @@
         this.membership = membershipComponent();
         this.feedClient = feedClient();
         this.knownEdges = new KnownEdges(context, view, feedClient, feedServer, this::ready);
-        this.proxy = context.serves ? proxyComponent() : null;
+        this.proxy = context.servesClients ? proxyComponent() : null;
         this.changeCoordinator = changeCoordinator(format);
         this.audit = core ? auditComponent() : null;
         if (core) {
@@ -100,9 +100,9 @@
         return new PartialView(
                 context.self(),
                 context.settings().seeds(),
-                context.post,
+                context.messageSender,
                 context.clock,
-                context.fleet,
+                context.fleetClock,
                 context.random,
                 context.timings().partialView());
     }
@@ -111,7 +111,7 @@
         return new Proposer(
                 context.proposerId(),
                 context.address,
-                context.post,
+                context.messageSender,
                 context.clock,
                 context.random,
                 context.timings().proposer(),
@@ -146,9 +146,9 @@
                         discovery.endpointRegistry,
                         view,
                         storage == null ? null : storage.acceptor),
-                context.post,
+                context.messageSender,
                 context.clock,
-                context.fleet,
+                context.fleetClock,
                 new FeedServerOptions(context));
     }
 
@@ -157,7 +157,7 @@
         return new FeedClient(
                 binding,
                 new FeedReplica(configurationStore, discovery.endpointRegistry, proposer),
-                context.post,
+                context.messageSender,
                 context.clock,
                 context.timings().feedClient(),
                 binding);
@@ -188,7 +188,7 @@
     }
 
     private AuditComponent auditComponent() {
-        final Auditor auditor = new Auditor(environment.audit(), configurationStore, context.fleet::nowMs);
+        final Auditor auditor = new Auditor(environment.audit(), configurationStore, context.fleetClock::nowMs);
         return new AuditComponent(context, auditor, proposer, usage.leaseManager);
     }
 
@@ -244,15 +244,15 @@
 
     /** Returns whether this node serves clients now. */
     boolean ready() {
-        return proxy != null && !view.self().leaving() && feedClient.isFresh() && context.fleet.settled();
+        return proxy != null && !view.self().leaving() && feedClient.isFresh() && context.fleetClock.settled();
     }
 
     /** A core's voter waits for the fleet's time, and until it knows that its disk is not an older state of itself. */
     private boolean mayVote() {
-        return context.fleet.settled() && membership.isDiskVerified();
+        return context.fleetClock.settled() && membership.isDiskVerified();
     }
 
-    private long sinceHeardMs(final String core) {
+    private long sinceLastResponseMs(final String core) {
         return feedClient.sinceResponseMs(core);
     }
 
--- a/spokestall/src/main/java/spokestall/node/NodeContext.java
+++ b/spokestall/src/main/java/spokestall/node/NodeContext.java
@@ -25,16 +25,16 @@
     /** Whether the node has a disk and may vote. */
     final boolean core;
     /** Whether the node serves clients: each edge does, and a core that is configured to. */
-    final boolean serves;
+    final boolean servesClients;
     /** Differs for each start of the node and rises over them, as long as the machine's clock does. */
     final long incarnation;
 
     final Clock clock;
     final Random random;
     /** The fleet's common time. */
-    final FleetClock fleet;
+    final FleetClock fleetClock;
     /** Sends messages to any node by its address, this one included. */
-    final MessageSender post;
+    final MessageSender messageSender;
 
     private Settings settings;
 
@@ -48,12 +48,12 @@
         this.core = core;
         this.name = settings.text("name");
         this.address = settings.text("address");
-        this.serves = !core || settings.integer("alsoEdge") == 1;
+        this.servesClients = !core || settings.integer("alsoEdge") == 1;
         this.clock = environment.clock();
         this.random = environment.random();
         this.incarnation = clock.wallMs() << INCARNATION_RANDOM_BITS | random.nextInt(1 << INCARNATION_RANDOM_BITS);
-        this.fleet = new FleetClock(clock, settings.fractionOf("farMs", 2));
-        this.post = (to, message) -> {
+        this.fleetClock = new FleetClock(clock, settings.fractionOf("farMs", 2));
+        this.messageSender = (to, message) -> {
             if (to.equals(address)) {
                 clock.after(0, () -> ownReceiver.accept(message));
             } else {
@@ -101,6 +101,6 @@
                 false,
                 (int) settings.integer("cores"),
                 (int) settings.integer("edges"),
-                core && serves);
+                core && servesClients);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -51,7 +51,7 @@
             ticker.every(settings.integer("countPushMs"), proxy::onCountTick);
             ticker.every(settings.fractionOf("leaveBoundMs", 1), proxy::onRetainTick);
         }
-        ticker.every(settings.fractionOf("leaveBoundMs", 2), this::warnOfOtherCounts);
+        ticker.every(settings.fractionOf("leaveBoundMs", 2), this::warnOfDifferingCounts);
         ticker.every(settings.fractionOf("leaveBoundMs", 2), components.discovery::prune);
     }
 
@@ -78,8 +78,8 @@
     }
 
     /** Bounds shared by all edges are divided by the configured counts, so nodes must agree on them. */
-    private void warnOfOtherCounts() {
-        final List<String> differing = components.peerDirectory.peersWithOtherCounts();
+    private void warnOfDifferingCounts() {
+        final List<String> differing = components.peerDirectory.peersWithDifferingCounts();
         if (!differing.isEmpty()) {
             LOG.atWarning().log(
                     "event=counts_differ node=%s cores=%s edges=%s from=%s",
@@ -92,7 +92,7 @@
 
     /** Sends requests without waiting for the periods, until this node has what it needs to serve. */
     private void fastStart(final long untilMs, final int attempt) {
-        if (ticker.stopped() || mayServe() || context.clock.nowMs() >= untilMs) {
+        if (ticker.stopped() || startupComplete() || context.clock.nowMs() >= untilMs) {
             return;
         }
         final boolean votersKnown = components.voterSet() != null;
@@ -108,8 +108,8 @@
                 () -> fastStart(untilMs, attempt + 1));
     }
 
-    private boolean mayServe() {
-        return context.fleet.settled()
+    private boolean startupComplete() {
+        return context.fleetClock.settled()
                 && components.feedClient.isFresh()
                 && (components.proxy == null
                         || !components.discovery.endpointRegistry.endpoints().isEmpty());
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -25,15 +25,15 @@
     private final NodeContext context;
     private final PartialView view;
     private final Supplier<VoterSet> voterSet;
-    private final SharingEdges sharingEdges;
+    private final GossipEdgeShares edgeShares;
 
     /** Creates the directory; voterSet returns the current voters, null before there are any. */
     PeerDirectory(final NodeContext context, final PartialView view, final Supplier<VoterSet> voterSet) {
         this.context = context;
         this.view = view;
         this.voterSet = voterSet;
-        this.sharingEdges = new SharingEdges(
-                view, context.serves, () -> (int) context.settings().integer("edges"));
+        this.edgeShares = new GossipEdgeShares(
+                view, context.servesClients, () -> (int) context.settings().integer("edges"));
     }
 
     /** Returns how far the node at an address is: 0 is this node's zone, 1 its region, 2 any other place or unknown. */
@@ -113,11 +113,11 @@
 
     /** Returns the edges among which limits of the whole fleet are divided. */
     EdgeShares edgeShares() {
-        return sharingEdges;
+        return edgeShares;
     }
 
     /** Returns the names of members configured with other counts of cores or edges than this node: limits are divided by them. */
-    List<String> peersWithOtherCounts() {
+    List<String> peersWithDifferingCounts() {
         final NodeInfo self = view.self();
         if (self.edges() == 0) {
             return List.of();
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -60,8 +60,8 @@
                 new EdgeIdentity(context.name, context.address, context.incarnation),
                 context.timings().usageCounter(),
                 context.clock,
-                context.fleet,
-                context.post,
+                context.fleetClock,
+                context.messageSender,
                 peerDirectory::coreAddresses);
         this.admissionController = admissionController(sources);
     }
@@ -69,9 +69,9 @@
     private LoadBalancer loadBalancer() {
         return new LoadBalancer(
                 new Locality(context.settings().region(), context.settings().text("district")),
-                service -> endpointRegistry.readyUpstreams(service, context.fleet.nowMs()),
+                service -> endpointRegistry.readyUpstreams(service, context.fleetClock.nowMs()),
                 context.clock,
-                context.fleet,
+                context.fleetClock,
                 context.random,
                 context.timings().loadBalancer(peerDirectory.edgeShares()));
     }
@@ -87,9 +87,9 @@
                         sources.upstreams(),
                         usageCounter,
                         sources.responseCache(),
-                        context.post,
+                        context.messageSender,
                         context.clock,
-                        context.fleet,
+                        context.fleetClock,
                         context.random,
                         peerDirectory.edgeShares()::edges,
                         peerDirectory::coreAddressesIn),
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -16,7 +16,7 @@
  */
 final class RegisterRetention implements RegisterGuard {
     /** Up to this fill of the log claims and configuration versions may take new registers; the rest is for all else. */
-    private static final double BULK_FILL_RATIO = 0.7;
+    private static final double BULK_MAX_LOG_FILL = 0.7;
 
     /**
      * How long registers are kept.
@@ -79,7 +79,7 @@
     @Override
     public boolean hasCapacityFor(final String key) {
         final boolean bulk = IdempotencyClaim.isKey(key) || ConfigurationKeys.versionOf(key) >= 0;
-        return !bulk || core.logFill() < BULK_FILL_RATIO;
+        return !bulk || core.logFill() < BULK_MAX_LOG_FILL;
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -69,7 +69,7 @@
     }
 
     /** Marks an answer as this node's own view: by which version, how old its proof is, and whether that still counts. */
-    private void addOwnView(final ObjectNode fields) {
+    private void addLocalView(final ObjectNode fields) {
         fields.put("local", true)
                 .put("version", configurationStore.configuration().version())
                 .put("proofAgeMs", feedClient.lease().ageMs())
@@ -78,11 +78,11 @@
 
     private ObjectNode upstreams() {
         final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
-        addOwnView(fields);
+        addLocalView(fields);
         final ArrayNode upstreams = fields.putArray("upstreams");
         for (final Endpoint endpoint : endpointRegistry.endpoints()) {
             final Optional<HealthObservation> health =
-                    endpointRegistry.health(endpoint.instance(), context.fleet.nowMs());
+                    endpointRegistry.health(endpoint.instance(), context.fleetClock.nowMs());
             upstreams
                     .addObject()
                     .put("instance", endpoint.instance())
@@ -103,10 +103,10 @@
         final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
         fields.put("node", context.name)
                 .put("role", context.core ? "core" : "edge")
-                .put("fleetMs", context.fleet.nowMs());
-        addOwnView(fields);
+                .put("fleetMs", context.fleetClock.nowMs());
+        addLocalView(fields);
         addNodes(fields.putObject("nodes"));
-        peerDirectory.peersWithOtherCounts().forEach(fields.putArray("differing")::add);
+        peerDirectory.peersWithDifferingCounts().forEach(fields.putArray("differing")::add);
         if (proposer.voterSet() != null) {
             addVoters(proposer.voterSet(), fields.putObject("voters"));
         }
@@ -123,7 +123,7 @@
                     .put("http", member.httpAddress())
                     .put("district", member.zone())
                     .put("leaving", member.leaving())
-                    .put("heardMs", context.fleet.nowMs() - member.lastSeenMs());
+                    .put("heardMs", context.fleetClock.nowMs() - member.lastSeenMs());
         }
     }
 
@@ -132,11 +132,11 @@
         final long timeoutMillis = Math.max(
                 context.settings().integer("leaveBoundMs"), context.settings().peerTimeoutMillis());
         for (final Voter voter : voterSet.voters()) {
-            final FeedClient.CoreReport last = feedClient.coreReports().get(voter.name());
-            final boolean heard = last != null && feedClient.sinceResponseMs(voter.name()) < timeoutMillis;
+            final FeedClient.CoreReport lastReport = feedClient.coreReports().get(voter.name());
+            final boolean reporting = lastReport != null && feedClient.sinceResponseMs(voter.name()) < timeoutMillis;
             voters.putObject(voter.name())
-                    .put("state", !heard ? "unheard" : last.voting() ? "voting" : "blank")
-                    .put("applied", heard ? last.appliedVersion() : 0);
+                    .put("state", !reporting ? "unheard" : lastReport.voting() ? "voting" : "blank")
+                    .put("applied", reporting ? lastReport.appliedVersion() : 0);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -27,9 +27,9 @@
  */
 final class Timings {
     /** Used for a count of nodes that is not configured, where a bound is needed. */
-    private static final int UNCONFIGURED_COUNT = VoterSet.VOTERS_MAX;
+    private static final int DEFAULT_NODE_COUNT = VoterSet.VOTERS_MAX;
     /** The version of messages since which a response may omit what the requester has. */
-    private static final int OMISSIONS_SINCE = 3;
+    private static final int OMISSIONS_SINCE_VERSION = 3;
 
     /** How many members a gossip message names at most. */
     private static final int GOSSIP_SAMPLE = 6;
@@ -38,13 +38,13 @@
     /** How many requests for a proof of freshness may be open at once. */
     private static final int OPEN_FRESHNESS_REQUESTS = 32;
     /** Every so many requests for updates one goes to a core that is not the nearest. */
-    private static final int CORE_ROVE_REQUESTS = 8;
+    private static final int CORE_REMOTE_REQUEST_INTERVAL = 8;
 
-    private static final int EDGE_ROVE_REQUESTS = 64;
+    private static final int EDGE_REMOTE_REQUEST_INTERVAL = 64;
     /** After how many failed health checks in a row an upstream is down. */
-    private static final int FAILED_CHECKS = 2;
+    private static final int FAILED_CHECKS_UNTIL_DOWN = 2;
     /** How many cores check each upstream. */
-    private static final int CHECKING_CORES = 2;
+    private static final int CORES_PER_HEALTH_CHECK = 2;
 
     private static final int USAGE_WINDOWS_KEPT = 3;
     /** How many attempts a client's request has at most. */
@@ -63,8 +63,8 @@
         this.core = core;
     }
 
-    private int countOrBound(final String count) {
-        return settings.integer(count) == 0 ? UNCONFIGURED_COUNT : (int) settings.integer(count);
+    private int countOrDefault(final String count) {
+        return settings.integer(count) == 0 ? DEFAULT_NODE_COUNT : (int) settings.integer(count);
     }
 
     /**
@@ -88,7 +88,7 @@
     /** Returns the parameters of the partial view: sizes, and after which time a silent member is removed. */
     ViewParameters partialView() {
         return new ViewParameters(
-                2 * (countOrBound("cores") + countOrBound("edges")),
+                2 * (countOrDefault("cores") + countOrDefault("edges")),
                 GOSSIP_SAMPLE,
                 settings.fractionOf("leaveBoundMs", 4),
                 settings.fractionOf("leaveBoundMs", 1));
@@ -106,8 +106,8 @@
                 settings.integer("freshMs"),
                 OPEN_FRESHNESS_REQUESTS,
                 3 * settings.integer("proofMs"),
-                core ? CORE_ROVE_REQUESTS : EDGE_ROVE_REQUESTS,
-                settings.integer("noteVersion") < OMISSIONS_SINCE);
+                core ? CORE_REMOTE_REQUEST_INTERVAL : EDGE_REMOTE_REQUEST_INTERVAL,
+                settings.integer("noteVersion") < OMISSIONS_SINCE_VERSION);
     }
 
     /** Returns the parameters of the fleet's first start. */
@@ -122,7 +122,7 @@
     MembershipSettings membership() {
         return new MembershipSettings(
                 (int) settings.integer("cores"),
-                settings.integer("noteVersion") < OMISSIONS_SINCE
+                settings.integer("noteVersion") < OMISSIONS_SINCE_VERSION
                         ? MembershipSettings.VoterSetInStatus.ALWAYS
                         : MembershipSettings.VoterSetInStatus.WHEN_RECIPIENT_MAY_LACK_IT,
                 new MembershipTimeouts(
@@ -149,8 +149,8 @@
     HealthChecker.ProbeParameters probes() {
         return new HealthChecker.ProbeParameters(
                 settings.fractionOf("leaveBoundMs", 0.25),
-                FAILED_CHECKS,
-                CHECKING_CORES,
+                FAILED_CHECKS_UNTIL_DOWN,
+                CORES_PER_HEALTH_CHECK,
                 settings.fractionOf("leaveBoundMs", 0.25));
     }
 
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -50,7 +50,7 @@
         this.acceptor = acceptor;
         final Timings timings = context.timings();
         final long windowMs = timings.windowMs();
-        this.table = new UsageTable(() -> context.fleet.nowMs() / windowMs, WINDOWS_KEPT);
+        this.table = new UsageTable(() -> context.fleetClock.nowMs() / windowMs, WINDOWS_KEPT);
         this.persistedCounts = new PersistedState(
                 acceptor,
                 COUNTS_KEY,
@@ -58,7 +58,12 @@
                 () -> new UsageMessage.Counts(context.address, 0, table.allCounts()));
         this.reporter = new UsageReporter(
                 new ReporterContext(
-                        context.name, context.address, proposer, context.post, context.clock, context.fleet),
+                        context.name,
+                        context.address,
+                        proposer,
+                        context.messageSender,
+                        context.clock,
+                        context.fleetClock),
                 timings.reporter(),
                 platform,
                 new ReportSources(table, peers::coreAddresses, edges, this::reportFloorMs));
@@ -99,7 +104,7 @@
      */
     void tickLease(final boolean draining) {
         final boolean mayAcquire = acceptor.state() == Acceptor.State.VOTING && !draining;
-        if (context.fleet.settled() && (leaseManager.state() == LeaseManager.State.HOLDING || mayAcquire)) {
+        if (context.fleetClock.settled() && (leaseManager.state() == LeaseManager.State.HOLDING || mayAcquire)) {
             leaseManager.onTick();
         }
     }
@@ -111,7 +116,7 @@
 
     /** Merges the counts from disk, once the fleet's time is known, by which their windows are numbered. */
     void mergeCountsFromDisk() {
-        if (!countsFromDisk.isEmpty() && context.fleet.settled()) {
+        if (!countsFromDisk.isEmpty() && context.fleetClock.settled()) {
             countsFromDisk.forEach(table::merge);
             countsFromDisk = List.of();
         }
@@ -121,11 +126,11 @@
     void onMessage(final UsageMessage message) {
         if (message instanceof UsageMessage.Counts push) {
             push.counts().forEach(table::merge);
-            context.post.send(
+            context.messageSender.send(
                     push.sender(),
                     new UsageMessage.CountsAcknowledged(context.name, push.pushId(), context.incarnation));
         } else if (message instanceof UsageMessage.CountsRequest request) {
-            context.post.send(
+            context.messageSender.send(
                     request.sender(),
                     new UsageMessage.CountsResponse(context.name, request.window(), table.counts(request.window())));
         } else if (message instanceof UsageMessage.CountsResponse response) {
@@ -146,9 +151,9 @@
     }
 
     private long reportFloorMs() {
-        final Register floor = acceptor.registers().get(GenerationMerger.FLOOR);
+        final Register floor = acceptor.registers().get(GenerationMerger.GENERATION_START_KEY);
         return floor == null || floor.value() == null
-                ? context.fleet.nowMs()
+                ? context.fleetClock.nowMs()
                 : Long.parseLong(new String(floor.value(), StandardCharsets.UTF_8));
     }
 }
--- a/spokestall/src/test/java/spokestall/ArchitectureTest.java
+++ b/spokestall/src/test/java/spokestall/ArchitectureTest.java
@@ -40,7 +40,7 @@
     };
 
     @Test
-    void stateMachinesKnowNoSocketsFilesClocksThreads() {
+    void stateMachinesUseNoSocketsFilesClocksOrThreads() {
         noSockets(STATE_MACHINES).check(PRODUCT);
         noFiles(STATE_MACHINES).check(PRODUCT);
         noClockAndNoThread(STATE_MACHINES).check(PRODUCT);
@@ -49,14 +49,14 @@
 
     /** The same rules find what the package for input and output does, so they do look. */
     @Test
-    void theRulesFindSocketsFilesClocksThreadsWhereTheyAre() {
-        assertThat(broken(noSockets(INPUT_AND_OUTPUT))).contains("HttpClient");
-        assertThat(broken(noFiles(INPUT_AND_OUTPUT))).contains("AuditFiles");
-        assertThat(broken(noClockAndNoThread(INPUT_AND_OUTPUT))).contains("SystemClock");
-        assertThat(broken(noInputAndOutput(COMMANDS))).contains("NodeProcess");
+    void rulesDetectSocketsFilesClocksAndThreads() {
+        assertThat(violations(noSockets(INPUT_AND_OUTPUT))).contains("HttpClient");
+        assertThat(violations(noFiles(INPUT_AND_OUTPUT))).contains("AuditFiles");
+        assertThat(violations(noClockAndNoThread(INPUT_AND_OUTPUT))).contains("SystemClock");
+        assertThat(violations(noInputAndOutput(COMMANDS))).contains("NodeProcess");
     }
 
-    private static String broken(final ArchRule rule) {
+    private static String violations(final ArchRule rule) {
         return rule.evaluate(PRODUCT).getFailureReport().toString();
     }
 
@@ -113,7 +113,7 @@
 
     /** The log itself is driven by the simulator too; two classes touch files: its own, and the sync of folders. */
     @Test
-    void twoClassesOfTheLogTouchFiles() {
+    void onlyTwoStorageClassesAccessFiles() {
         classes()
                 .that()
                 .resideInAPackage("spokestall.storage..")
@@ -127,7 +127,7 @@
 
     /** The node is wired from state machines alone, so that the simulator can run it. */
     @Test
-    void aNodeKnowsNoSocketsAndNoFiles() {
+    void nodeUsesNoSocketsOrFiles() {
         noClasses()
                 .that()
                 .resideInAPackage(NODE)
@@ -145,13 +145,13 @@
 
     /** No package needs another that needs it. */
     @Test
-    void noPackagesNeedEachOther() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching("spokestall.(**)").should().beFreeOfCycles().check(PRODUCT);
     }
 
     /** The rule above looks at every package: none of the product's lies outside its pattern. */
     @Test
-    void everyPackageIsLookedAt() {
+    void cycleRuleCoversEveryPackage() {
         assertThat(PRODUCT.stream().map(type -> type.getPackageName()).distinct())
                 .contains("spokestall.node", "spokestall.cli", "spokestall.configuration.feed", "spokestall.io.http")
                 .allMatch(name -> name.startsWith("spokestall."));
--- a/spokestall/src/test/java/spokestall/PagesTest.java
+++ b/spokestall/src/test/java/spokestall/PagesTest.java
@@ -29,20 +29,20 @@
         }
     }
 
-    private static boolean isNamed(final Path file, final Matcher name) throws IOException {
+    private static boolean matches(final Path file, final Matcher name) throws IOException {
         return file.getFileName().toString().equals(name.group(2) + ".java")
                 && (name.group(1) == null || file.getParent().endsWith(name.group(1)))
                 && (name.group(3) == null || Files.readString(file).contains(name.group(3)));
     }
 
-    private static List<String> unknown(final String page) throws IOException {
+    private static List<String> unknownNames(final String page) throws IOException {
         final List<String> found = new ArrayList<>();
         final List<Path> sources = sources();
         final Matcher name = NAME.matcher(page);
         while (name.find()) {
             boolean known = false;
             for (final Path file : sources) {
-                known |= isNamed(file, name);
+                known |= matches(file, name);
             }
             if (!known) {
                 found.add(name.group());
@@ -52,13 +52,15 @@
     }
 
     @Test
-    void everyClassThatIsNamedExists() throws IOException {
+    void classesNamedInDocsExist() throws IOException {
         assertThat(
-                        unknown(
+                        unknownNames(
                                 "`proxy.RequestExecution`, `RequestExecution.late`, `Node.start`, `usage.RequestExecution`, `Gone`, `Node.gone2`"))
                 .containsExactly("`usage.RequestExecution`", "`Gone`", "`Node.gone2`");
         for (final String page : List.of("docs/architecture.md", "docs/glossary.md")) {
-            assertThat(unknown(Files.readString(ROOT.resolve(page)))).as(page).isEmpty();
+            assertThat(unknownNames(Files.readString(ROOT.resolve(page))))
+                    .as(page)
+                    .isEmpty();
         }
     }
 
@@ -72,7 +74,7 @@
     }
 
     @Test
-    void everyLogEventIsOnTheOperatorsPage() throws IOException {
+    void everyLogEventIsDocumented() throws IOException {
         final String page = Files.readString(ROOT.resolve("docs/operating.md"));
         assertThat(eventsOf("log(\"event=one node=%s\"); log(\"event=an_other\")"))
                 .containsExactly("one", "an_other");
--- a/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
+++ b/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
@@ -28,7 +28,7 @@
         return replies.get(0);
     }
 
-    private static String described(final String name, final JsonNode params) {
+    private static String signature(final String name, final JsonNode params) {
         final List<String> required = new ArrayList<>();
         params.path("required").forEach(each -> required.add(each.asText()));
         final StringBuilder line = new StringBuilder(name);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void everyResultHasItsNumberStatusNameAndText() {
+    void resultCodesAreStable() {
         final List<String> found = Stream.of(ResultCode.values())
                 .map(result -> result.number() + " " + result.httpStatus() + " " + result.name() + " " + result.text())
                 .toList();
@@ -47,19 +47,19 @@
     }
 
     @Test
-    void everyCallHasItsNameAndParameters() {
+    void callNamesAndParametersAreStable() {
         final List<String> found = new ArrayList<>();
         new CallRegistry()
                 .schema()
                 .path("methods")
                 .fields()
                 .forEachRemaining(method ->
-                        found.add(described(method.getKey(), method.getValue().path("params"))));
+                        found.add(signature(method.getKey(), method.getValue().path("params"))));
         assertThat(found).isEqualTo(GoldenFile.lines("calls.txt"));
     }
 
     @Test
-    void theSchemaFileSaysWhichSchemaItIsOf() {
+    void schemaFileDeclaresItsDialect() {
         final JsonNode file = new CallRegistry().schema();
         final List<String> parts = new ArrayList<>();
         file.fieldNames().forEachRemaining(parts::add);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aReplyIsACodeATextAndAResult() {
+    void repliesHaveCodeTextAndResult() {
         assertThat(Reply.of(ResultCode.OK, GoldenFile.parsed("{\"version\":18}"))
                         .json()
                         .toString())
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void parametersThatDoNotFitAreToldByTheirPlaces() {
+    void invalidParametersAreReportedWithTheirLocation() {
         final List<String> replies = new ArrayList<>();
         final CallRegistry calls = new CallRegistry();
         calls.register("usage.get", (params, done) -> done.accept(Reply.of(ResultCode.OK, null)));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void theStatesThatRepliesTellHaveTheirWords() {
+    void stateNamesInRepliesAreStable() {
         assertThat(Stream.of(HealthStatus.values()).map(HealthStatus::name))
                 .containsExactly("READY", "LEAVING", "DOWN", "FOREIGN");
         assertThat(Stream.of(Acceptor.State.values()).map(Acceptor.State::name))
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aTicketIsWrittenAndReadAsOneText() {
+    void ticketsRoundTripAsText() {
         assertThat(new RequestTicket(17, 1000).text()).isEqualTo("t1-17-1000");
         assertThat(RequestTicket.of("t1-17-1000.pay-4")).isEqualTo(new RequestTicket(17, 1000));
     }
--- a/spokestall/src/test/java/spokestall/api/ResultCodeTest.java
+++ b/spokestall/src/test/java/spokestall/api/ResultCodeTest.java
@@ -9,7 +9,7 @@
 
 class ResultCodeTest {
     @Test
-    void theTableInTheDocsIsTheTableInTheCode() throws Exception {
+    void docsTableMatchesTheEnum() throws Exception {
         final String doc = Files.readString(Path.of("..", "docs", "result-codes.md"));
         assertThat(doc.lines().filter(l -> l.matches("\\| \\d+ .*")))
                 .containsExactlyElementsOf(Arrays.stream(ResultCode.values())
--- a/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -18,12 +18,12 @@
  * The bytes of every numbered message in every version that is read, against literal bytes. Numbers, the order of fields and
  * the ordinals of enums are the format; Java names are not, so a renaming must leave the resource as it is.
  */
-@ExtendWith(RestoredNumbers.class)
+@ExtendWith(RestoreMessageNumbersExtension.class)
 class FormatStabilityTest {
     private static final HexFormat HEX = HexFormat.of();
 
     /** The messages of production code; other tests number their own kinds in the same table. */
-    private static Map<Integer, Class<? extends Record>> messages() {
+    private static Map<Integer, Class<? extends Record>> productionMessages() {
         NumberedMessages.register();
         final CodeSource production = MessageCodec.class.getProtectionDomain().getCodeSource();
         final Map<Integer, Class<? extends Record>> messages = new TreeMap<>(MessageRegistry.copy());
@@ -32,9 +32,9 @@
         return messages;
     }
 
-    private static Map<String, String> built() {
+    private static Map<String, String> encodedSamples() {
         final Map<String, String> lines = new TreeMap<>();
-        messages().forEach((number, type) -> {
+        productionMessages().forEach((number, type) -> {
             for (int version = MessageCodec.OLDEST_VERSION; version <= MessageCodec.CURRENT_VERSION; version++) {
                 final String which = number + " v" + version;
                 lines.put(
@@ -49,19 +49,20 @@
     }
 
     @Test
-    void everyMessageHasLinesInEveryVersion() throws Exception {
-        assertThat(messages()).isNotEmpty();
-        assertThat(GoldenLines.read("messages.txt")).containsOnlyKeys(built().keySet());
+    void goldenFileCoversEveryMessageInEveryVersion() throws Exception {
+        assertThat(productionMessages()).isNotEmpty();
+        assertThat(GoldenLines.read("messages.txt"))
+                .containsOnlyKeys(encodedSamples().keySet());
     }
 
     @Test
-    void aMessageThatIsBuiltNowEncodesToTheLiteralBytes() throws Exception {
-        assertThat(built()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("messages.txt"));
+    void messagesEncodeToGoldenBytes() throws Exception {
+        assertThat(encodedSamples()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("messages.txt"));
     }
 
     @Test
-    void literalBytesDecodeToTheirMessageAndEncodeToThemselves() throws Exception {
-        final Map<Integer, Class<? extends Record>> messages = messages();
+    void goldenBytesRoundTrip() throws Exception {
+        final Map<Integer, Class<? extends Record>> messages = productionMessages();
         for (final Map.Entry<String, String> line :
                 GoldenLines.read("messages.txt").entrySet()) {
             final String[] which = line.getKey().split(" ", -1);
@@ -75,7 +76,7 @@
     }
 
     @Test
-    void constantsOfEnumsKeepTheirOrdinals() {
+    void enumOrdinalsAreStable() {
         assertThat(ConsensusMessage.Reply.values())
                 .containsExactly(
                         ConsensusMessage.Reply.OK,
--- a/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
@@ -24,27 +24,27 @@
     }
 
     @Test
-    void decodesOlderVersionsAndNamesTheVersionOrTypeThatIsUnknown() throws Exception {
+    void decodesOlderVersionsAndReportsUnknownVersionsAndTypes() throws Exception {
         assertThat(MessageCodec.decode(MessageCodec.encode(tick(3, true), 2))).isEqualTo(tick(3, true));
         assertThat(MessageCodec.decode(MessageCodec.encode(tick(3, true), 1))).isEqualTo(tick(0, false));
         final byte[] first = MessageCodec.encode(tick(3, true), 1);
         assertThat(first[0])
                 .as("the first version begins with its type's number")
                 .isZero();
-        final byte[] later = MessageCodec.encode(tick(3, true), 2);
-        later[0] = MessageCodec.CURRENT_VERSION + 1;
-        assertThatThrownBy(() -> MessageCodec.decode(later))
+        final byte[] unknownVersion = MessageCodec.encode(tick(3, true), 2);
+        unknownVersion[0] = MessageCodec.CURRENT_VERSION + 1;
+        assertThatThrownBy(() -> MessageCodec.decode(unknownVersion))
                 .isInstanceOf(UnknownMessageException.class)
                 .hasMessage("version " + (MessageCodec.CURRENT_VERSION + 1));
-        final byte[] strange = MessageCodec.encode(tick(3, true), 2);
-        strange[2] ^= 0x40;
-        assertThatThrownBy(() -> MessageCodec.decode(strange))
+        final byte[] unknownType = MessageCodec.encode(tick(3, true), 2);
+        unknownType[2] ^= 0x40;
+        assertThatThrownBy(() -> MessageCodec.decode(unknownType))
                 .isInstanceOf(UnknownMessageException.class)
                 .hasMessageStartingWith("kind ");
     }
 
     @Test
-    void aStoredRecordHasItsLaterFieldsLastAndIsDecodedWithoutThem() {
+    void storedRecordsEndWithLaterFieldsAndDecodeWithoutThem() {
         final Tick written = tick(3, true);
         final byte[] bytes = MessageCodec.encodeRecord(written);
         final Tick read = MessageCodec.decodeRecord(bytes, Tick.class);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void versionThreeEncodesNumbersInVariableLength() throws Exception {
+    void versionThreeEncodesIntegersAsVarInts() throws Exception {
         for (final int n : new int[] {0, 1, -1, 63, 64, -65, 1 << 20, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
             for (final long at : new long[] {0, -1, 1L << 40, Long.MAX_VALUE, Long.MIN_VALUE}) {
                 final Tick one = new Tick(at, List.of(new Inner(null, n), new Inner("", n)), true, "\u00fc");
--- a/spokestall/src/test/java/spokestall/message/MessageRegistryTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageRegistryTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-@ExtendWith(RestoredNumbers.class)
+@ExtendWith(RestoreMessageNumbersExtension.class)
 class MessageRegistryTest {
     record First() implements Message {}
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void numbersOutOfBoundsTakenNumbersAndUnregisteredTypesAreRefused() {
+    void rejectsNumbersOutOfRangeOrInUseAndUnregisteredTypes() {
         MessageRegistry.register(252, First.class);
         assertThatThrownBy(() -> MessageRegistry.register(252, Second.class)).isInstanceOf(IllegalStateException.class);
         assertThatThrownBy(() -> MessageRegistry.register(0, Second.class)).isInstanceOf(IllegalStateException.class);
--- a/spokestall/src/test/java/spokestall/message/RestoredNumbers.java
+++ b/spokestall/src/test/java/spokestall/message/RestoreMessageNumbersExtension.java
@@ -9,7 +9,7 @@
  * Restores the registry of message numbers after a test class: other tests in the process register types of their own and rely
  * on no others being there.
  */
-public final class RestoredNumbers implements BeforeAllCallback, AfterAllCallback {
+public final class RestoreMessageNumbersExtension implements BeforeAllCallback, AfterAllCallback {
     private Map<Integer, Class<? extends Record>> before = Map.of();
 
     @Override
--- a/spokestall/src/test/java/spokestall/message/SampleRecords.java
+++ b/spokestall/src/test/java/spokestall/message/SampleRecords.java
@@ -53,7 +53,7 @@
         if (type instanceof ParameterizedType many) {
             return many.getRawType() == List.class ? list(many) : map(many);
         } else if (type == long.class || type == Long.class) {
-            return full ? wholeNumber() : 0L;
+            return full ? longValue() : 0L;
         } else if (type == int.class || type == Integer.class) {
             return full ? 100_000 + position : 0;
         } else if (type == boolean.class) {
@@ -63,7 +63,7 @@
     }
 
     /** Large and negative in turn. */
-    private long wholeNumber() {
+    private long longValue() {
         return position % 2 == 0 ? (1L << 60) + position : -(1L << 40) - position;
     }
 
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -35,14 +35,14 @@
     private static final Map<String, Class<? extends Record>> STORED_BY_OLDER_PROGRAMS =
             Map.of("policy-snapshot", ConfigurationSnapshot.class, "policy-change", ConfigurationChange.class);
 
-    private static Map<String, String> built() {
+    private static Map<String, String> encodedSamples() {
         final Map<String, String> lines = new TreeMap<>();
         STORED.forEach((name, type) -> {
             lines.put(name + " full", HEX.formatHex(MessageCodec.encodeRecord(SampleRecords.full(type))));
             lines.put(name + " empty", HEX.formatHex(MessageCodec.encodeRecord(SampleRecords.empty(type))));
         });
         STORED_BY_OLDER_PROGRAMS.forEach((name, type) -> {
-            final byte[] older = older(MessageCodec.encodeRecord(SampleRecords.full(type)), type);
+            final byte[] older = withoutLaterFields(MessageCodec.encodeRecord(SampleRecords.full(type)), type);
             lines.put(name + " older", HEX.formatHex(older));
             lines.put(
                     name + " older-written-again",
@@ -52,7 +52,7 @@
     }
 
     /** Later fields may be absent, so the shortest beginning that can be read has none of them. */
-    private static byte[] older(final byte[] whole, final Class<? extends Record> type) {
+    private static byte[] withoutLaterFields(final byte[] whole, final Class<? extends Record> type) {
         for (int length = 1; length < whole.length; length++) {
             final byte[] beginning = Arrays.copyOf(whole, length);
             if (readable(beginning, type)) {
@@ -71,12 +71,12 @@
     }
 
     @Test
-    void aRecordThatIsBuiltNowEncodesToTheLiteralBytes() throws Exception {
-        assertThat(built()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("records.txt"));
+    void recordsEncodeToGoldenBytes() throws Exception {
+        assertThat(encodedSamples()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("records.txt"));
     }
 
     @Test
-    void literalBytesDecodeAndEncodeToThemselves() throws Exception {
+    void goldenBytesRoundTrip() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
         lines.forEach((which, hex) -> {
             final Record record =
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void whatAnOlderProgramWroteIsReadWithoutTheLaterFields() throws Exception {
+    void recordsOfOlderProgramsDecodeWithoutLaterFields() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
         final ConfigurationChange change =
                 MessageCodec.decodeRecord(HEX.parseHex(lines.get("policy-change older")), ConfigurationChange.class);
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -31,7 +31,7 @@
 import spokestall.lease.Lease;
 import spokestall.membership.StoredRecords;
 import spokestall.message.MessageCodec;
-import spokestall.message.RestoredNumbers;
+import spokestall.message.RestoreMessageNumbersExtension;
 import spokestall.proxy.IdempotencyClaim;
 import spokestall.storage.FileSegmentStore;
 import spokestall.storage.InMemorySegmentStore;
@@ -43,18 +43,18 @@
  * there, and writes the same bytes where nothing is by chance. The audit's key and signatures are, so the audit is only read
  * and gone on with. The key in the resource signs nothing else.
  */
-@ExtendWith(RestoredNumbers.class)
+@ExtendWith(RestoreMessageNumbersExtension.class)
 class CoreDataStabilityTest {
     private static final Path RESOURCE = Path.of("src", "test", "resources", "golden", "data");
 
     @TempDir
-    private Path folder;
+    private Path dataDirectory;
 
     @BeforeEach
-    void copyTheFolder() throws IOException {
+    void copyDataDirectory() throws IOException {
         try (Stream<Path> all = Files.walk(RESOURCE)) {
             for (final Path from : all.filter(Files::isRegularFile).toList()) {
-                final Path to = folder.resolve(RESOURCE.relativize(from).toString());
+                final Path to = dataDirectory.resolve(RESOURCE.relativize(from).toString());
                 Files.createDirectories(to.getParent());
                 Files.copy(from, to);
             }
@@ -64,7 +64,7 @@
     private Acceptor acceptor() throws IOException {
         return SampleCore.open(
                 FileSegmentStore.open(
-                        folder.resolve("ring"),
+                        dataDirectory.resolve("ring"),
                         SampleCore.SEGMENTS,
                         SampleCore.SEGMENT_BYTES,
                         Runnable::run,
@@ -73,14 +73,14 @@
     }
 
     @Test
-    void theFolderBelongsToItsNode(@TempDir final Path fresh) throws Exception {
-        assertThat(DataDirectory.open(folder, "d1-core")).isNull();
+    void ownerFileFormatIsStable(@TempDir final Path fresh) throws Exception {
+        assertThat(DataDirectory.open(dataDirectory, "d1-core")).isNull();
         assertThat(DataDirectory.open(fresh.resolve("data"), "d1-core")).isNull();
         assertThat(fresh.resolve("data").resolve("owner")).hasSameBinaryContentAs(RESOURCE.resolve("owner"));
     }
 
     @Test
-    void theLogIsWrittenAsTheLiteralBytes() throws Exception {
+    void logIsWrittenWithGoldenBytes() throws Exception {
         final InMemorySegmentStore segments = new InMemorySegmentStore(SampleCore.SEGMENTS, SampleCore.SEGMENT_BYTES);
         SampleCore.run(segments);
         for (int i = 0; i < SampleCore.SEGMENTS; i++) {
@@ -91,12 +91,12 @@
     }
 
     @Test
-    void theAcceptorIsWhatItWas() throws Exception {
+    void acceptorStateIsRestored() throws Exception {
         final Acceptor acceptor = acceptor();
         assertThat(acceptor.openedBlank()).isFalse();
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
         assertThat(acceptor.diskId()).isEqualTo("d1-core/1f");
-        assertThat(acceptor.voterSet()).isEqualTo(SampleCore.TABLE);
+        assertThat(acceptor.voterSet()).isEqualTo(SampleCore.VOTER_SET);
         assertThat(acceptor.versionFloor()).isEqualTo(7_340_032);
         assertThat(acceptor.registers())
                 .containsOnlyKeys(
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void registersHaveTheirRanksAndValues() throws Exception {
+    void registersKeepProposalNumbersAndValues() throws Exception {
         final Map<String, Register> registers = acceptor().registers();
         final Register lease = registers.get("duty/usage_report");
         assertThat(lease.promised()).isEqualTo(new ProposalNumber(10, "d3-core/b2"));
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void theConfigurationIsReadFromTheSnapshotAndTheChange() throws Exception {
+    void configurationIsReadFromSnapshotAndChange() throws Exception {
         final Acceptor acceptor = acceptor();
         final ConfigurationSnapshot snapshot =
                 MessageCodec.decodeRecord(acceptor.localRecord("~policy"), ConfigurationSnapshot.class);
@@ -150,50 +150,50 @@
     }
 
     @Test
-    void aCoresOwnRecordsAreRead() throws Exception {
+    void localRecordsAreRead() throws Exception {
         MessageNumbers.register();
         final Acceptor acceptor = acceptor();
         assertThat(acceptor.localRecord("~council")).isEmpty();
         assertThat(MessageCodec.decodeRecord(acceptor.localRecord("~form"), StoredRecords.coordinatorProposal()))
-                .isEqualTo(StoredRecords.coordinatorProposal(6, SampleCore.CAST));
+                .isEqualTo(StoredRecords.coordinatorProposal(6, SampleCore.PROPOSAL));
         assertThat(MessageCodec.decode(acceptor.localRecord("~usage")))
                 .isEqualTo(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(SampleCore.COUNT)));
         assertThat(MessageCodec.decode(acceptor.localRecord("~listed")))
-                .isEqualTo(new DiscoveryMessage.Push(List.of(SampleCore.LISTED), List.of(), 0));
+                .isEqualTo(new DiscoveryMessage.Push(List.of(SampleCore.ENDPOINT), List.of(), 0));
     }
 
     private List<String> auditLines() throws IOException {
         final List<String> lines = new ArrayList<>();
-        for (final Path file : AuditFiles.files(folder.resolve("audit"))) {
+        for (final Path file : AuditFiles.files(dataDirectory.resolve("audit"))) {
             lines.addAll(Files.readAllLines(file, StandardCharsets.US_ASCII));
         }
         return lines;
     }
 
     private ECKey publicKey() throws Exception {
-        return ECKey.parse(Files.readString(folder.resolve("audit").resolve("public.jwk")));
+        return ECKey.parse(Files.readString(dataDirectory.resolve("audit").resolve("public.jwk")));
     }
 
     @Test
-    void theAuditVerifiesAndIsGoneOnWith() throws Exception {
-        assertThat(AuditFiles.files(folder.resolve("audit"))).hasSize(2);
+    void auditVerifiesAndAcceptsFurtherEntries() throws Exception {
+        assertThat(AuditFiles.files(dataDirectory.resolve("audit"))).hasSize(2);
         assertThat(AuditChain.check(publicKey(), auditLines(), true)).isEqualTo(new AuditChain.Verdict.Good(1, 10, 10));
-        final String audit = folder.resolve("audit").toString();
-        final String key = folder.resolve("audit").resolve("public.jwk").toString();
+        final String audit = dataDirectory.resolve("audit").toString();
+        final String key = dataDirectory.resolve("audit").resolve("public.jwk").toString();
         assertThat(AuditVerifier.run(new String[] {"--check", audit, "--key", key}))
                 .isZero();
-        AuditFiles.open(folder.resolve("audit"), "d1-core", 8, 1 << 20, Runnable::run);
+        AuditFiles.open(dataDirectory.resolve("audit"), "d1-core", 8, 1 << 20, Runnable::run);
         assertThat(AuditChain.check(publicKey(), auditLines(), true)).isEqualTo(new AuditChain.Verdict.Good(1, 11, 11));
     }
 
     @Test
-    void theAuditIsWrittenNowWithTheSameEntries(@TempDir final Path fresh) throws Exception {
-        final List<String> before = entries(auditLines());
+    void newAuditHasTheSameEntries(@TempDir final Path fresh) throws Exception {
+        final List<String> golden = entries(auditLines());
         SampleCore.recordAudit(AuditFiles.open(fresh.resolve("audit"), "d1-core", 8, 1 << 20, Runnable::run));
-        final List<String> now =
+        final List<String> written =
                 Files.readAllLines(AuditFiles.files(fresh.resolve("audit")).get(0));
-        assertThat(entries(now)).isEqualTo(before);
-        assertThat(before.get(0))
+        assertThat(entries(written)).isEqualTo(golden);
+        assertThat(golden.get(0))
                 .isEqualTo("spokestall-audit ES256 {\"n\":1,\"before\":\"\",\"kind\":\"start\",\"node\":\"d1-core\""
                         + ",\"tornBytes\":0}");
     }
@@ -203,8 +203,9 @@
         final List<String> entries = new ArrayList<>();
         for (final String line : lines) {
             final JWSObject entry = JWSObject.parse(line);
-            final String said = entry.getPayload().toString().replaceFirst("\"before\":\"[^\"]+\"", "\"before\":\"*\"");
-            entries.add(entry.getHeader().getType() + " " + entry.getHeader().getAlgorithm() + " " + said);
+            final String payload =
+                    entry.getPayload().toString().replaceFirst("\"before\":\"[^\"]+\"", "\"before\":\"*\"");
+            entries.add(entry.getHeader().getType() + " " + entry.getHeader().getAlgorithm() + " " + payload);
         }
         return entries;
     }
--- a/spokestall/src/test/java/spokestall/node/SharingEdgesTest.java
+++ b/spokestall/src/test/java/spokestall/node/GossipEdgeSharesTest.java
@@ -14,7 +14,7 @@
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
 
-class SharingEdgesTest {
+class GossipEdgeSharesTest {
     private static final int EDGES = 12;
     private static final long MEMBER_TIMEOUT_MS = 1000;
     private final ManualClock clock = new ManualClock(1_000_000);
@@ -35,30 +35,30 @@
                 new ViewParameters(100, 6, MEMBER_TIMEOUT_MS, 500));
     }
 
-    private void see(final PartialView view, final int from, final int until) {
+    private void receiveGossipFrom(final PartialView view, final int from, final int until) {
         for (int i = from; i < until; i++) {
             view.onMessage(new GossipMessage.Shuffle(
                     i + ":1", edge(i), clock.nowMs(), true, clock.nowMs(), clock.nowMs(), true, List.of()));
         }
     }
 
-    private List<SharingEdges> allThatSeeAll() {
-        final List<SharingEdges> all = new ArrayList<>();
+    private List<GossipEdgeShares> edgesThatKnowEachOther() {
+        final List<GossipEdgeShares> all = new ArrayList<>();
         for (int self = 0; self < EDGES; self++) {
             final PartialView view = viewOf(self);
-            see(view, 0, EDGES);
-            all.add(new SharingEdges(view, true, () -> 0));
+            receiveGossipFrom(view, 0, EDGES);
+            all.add(new GossipEdgeShares(view, true, () -> 0));
         }
         return all;
     }
 
     @Test
-    void partsOfAllEdgesAddUpToTheTotalForEachUpstream() {
-        final List<SharingEdges> all = allThatSeeAll();
+    void sharesOfAllEdgesAddUpToTheTotalForEachUpstream() {
+        final List<GossipEdgeShares> all = edgesThatKnowEachOther();
         for (int total = 0; total <= 3 * EDGES; total++) {
             for (int upstream = 0; upstream < 20; upstream++) {
                 int sum = 0;
-                for (final SharingEdges edge : all) {
+                for (final GossipEdgeShares edge : all) {
                     sum += edge.part(total, "i-" + upstream, "r1");
                 }
                 assertThat(sum).isEqualTo(total);
@@ -67,8 +67,8 @@
     }
 
     @Test
-    void edgesOfTheUpstreamsRegionComeFirst() {
-        final List<SharingEdges> all = allThatSeeAll();
+    void edgesInTheUpstreamsRegionRankFirst() {
+        final List<GossipEdgeShares> all = edgesThatKnowEachOther();
         final TreeSet<Integer> ranks = new TreeSet<>();
         for (int i = 0; i < EDGES; i++) {
             final int rank = all.get(i).rank("i-1", "r2");
@@ -79,25 +79,25 @@
     }
 
     @Test
-    void anEdgeOutOfSightKeepsItsPartUntilAnotherTakesItsPlace() {
+    void anEdgeThatLeftTheViewKeepsItsShareUntilAnotherReplacesIt() {
         final PartialView view = viewOf(0);
-        final SharingEdges edges = new SharingEdges(view, true, () -> 0);
-        see(view, 1, EDGES);
+        final GossipEdgeShares edges = new GossipEdgeShares(view, true, () -> 0);
+        receiveGossipFrom(view, 1, EDGES);
         assertThat(edges.edges()).isEqualTo(EDGES);
         final int rank = edges.rank("i-1", "r0");
         clock.advance(MEMBER_TIMEOUT_MS + 1);
         assertThat(view.members()).isEmpty();
-        see(view, 1, 2);
+        receiveGossipFrom(view, 1, 2);
         assertThat(edges.edges()).isEqualTo(EDGES);
         assertThat(edges.rank("i-1", "r0")).isEqualTo(rank);
-        see(view, 2, EDGES + 1);
+        receiveGossipFrom(view, 2, EDGES + 1);
         clock.advance(MEMBER_TIMEOUT_MS + 1);
-        see(view, 2, EDGES + 1);
+        receiveGossipFrom(view, 2, EDGES + 1);
         assertThat(edges.edges()).as("edge 12 is in edge 1's place").isEqualTo(EDGES);
     }
 
     @Test
-    void aConfiguredCountIsUsedAsItIs() {
-        assertThat(new SharingEdges(viewOf(0), true, () -> 7).edges()).isEqualTo(7);
+    void aConfiguredEdgeCountOverridesTheView() {
+        assertThat(new GossipEdgeShares(viewOf(0), true, () -> 7).edges()).isEqualTo(7);
     }
 }
--- a/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
+++ b/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void usesAllItsTimeWhileAConnectionIsOpen() {
+    void takesTheMaximumTimeWhileAConnectionStaysOpen() {
         connections = 1;
         shutDown();
         assertThat(steps)
@@ -89,14 +89,14 @@
     }
 
     @Test
-    void endsOnceNothingIsOpenAndNothingMoreCanArrive() {
+    void endsEarlyOnceNoConnectionIsOpenAndNoneCanBeAccepted() {
         shutDown();
         assertThat(steps)
                 .containsExactly("closeAfterResponses@0", "stopAccepting@200", "requestsEnded@220", "done@220");
     }
 
     @Test
-    void waitsForAConnectionThatWasAcceptedAsThePortClosed() {
+    void waitsForAConnectionAcceptedWhileThePortCloses() {
         clock.after(205, () -> connections = 1);
         clock.after(405, () -> connections = 0);
         shutDown();
@@ -117,7 +117,7 @@
 
     /** A large response on a narrow link takes a while to be written; its request is no longer in flight. */
     @Test
-    void aResponseThatIsBeingWrittenWhenTheRestIsAbortedIsCompleted() {
+    void aResponseBeingWrittenAtTheAbortIsCompleted() {
         connections = 1;
         clock.after(1200, () -> connections = 0);
         shutDown();
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void newRequestsAreRejectedEarlyAndThoseInFlightHaveNearlyAllOfTheTime() {
+    void newRequestsAreRejectedEarlyAndRequestsInFlightAreAbortedLate() {
         for (final long maxMs : List.of(5580L, 9300L)) {
             final GracefulShutdown.Timing timing = GracefulShutdown.Timing.within(maxMs, 20);
             assertThat(timing.rejectMs()).as("of %s", maxMs).isLessThan(3000).isGreaterThan(timing.stopAcceptingMs());
--- a/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
+++ b/spokestall/src/test/java/spokestall/node/RegisterRetentionTest.java
@@ -52,21 +52,21 @@
             });
 
     @Test
-    void versionsUpToTheFloorMustNotBeCreatedAnew() {
+    void versionsUpToTheFloorArePruned() {
         assertThat(retention.isPruned(ConfigurationKeys.keyOf(VERSION_FLOOR))).isTrue();
         assertThat(retention.isPruned(ConfigurationKeys.keyOf(VERSION_FLOOR + 1)))
                 .isFalse();
     }
 
     @Test
-    void usageWindowsAreKeptAsLongAsClaimsBeyondTheirEnd() {
+    void usageWindowsAreKeptForTheClaimPeriodAfterTheirEnd() {
         final long newestExpired = (fleetClock.nowMs() - CLAIM_KEEP_MS - 1) / WINDOW_MS - 1;
         assertThat(retention.isPruned(SealedWindow.key(newestExpired))).isTrue();
         assertThat(retention.isPruned(SealedWindow.key(newestExpired + 1))).isFalse();
     }
 
     @Test
-    void onlyTheNextEpochsRegisterOfVotersIsKept() {
+    void onlyTheVoterSetRegisterOfTheNextEpochIsKept() {
         assertThat(retention.isPruned(VoterSet.key(0, 3))).isTrue();
         assertThat(retention.isPruned(VoterSet.key(0, 4))).isFalse();
         assertThat(retention.isPruned(VoterSet.key(0, 5))).isTrue();
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void theSnapshotHoldsWhatIsNotNewerThanIt() {
+    void snapshotContainsVersionsUpToItsOwn() {
         assertThat(retention.hasSnapshotUpTo(SNAPSHOT_VERSION)).isTrue();
         assertThat(retention.hasSnapshotUpTo(SNAPSHOT_VERSION + 1)).isFalse();
     }
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -41,7 +41,7 @@
     /** The version of messages in which the sample's kept messages are written. */
     static final int MESSAGE_VERSION = 4;
 
-    static final VoterSet TABLE = new VoterSet(
+    static final VoterSet VOTER_SET = new VoterSet(
             7,
             1,
             List.of(
@@ -49,9 +49,9 @@
                     new Voter("d2-core", "10.0.0.2:7000", "d2-core/2f"),
                     new Voter("d3-core", "10.0.0.3:7000", "d3-core/3f")));
     static final long FIRST_VERSION = 7_340_032;
-    static final ProposalNumber FOUND = new ProposalNumber(1, "found");
-    static final ProposalNumber CAST = new ProposalNumber(3, "d2-core/a1");
-    static final ProposalNumber CAST_LATER = new ProposalNumber(9, "d3-core/b2");
+    static final ProposalNumber INITIAL_PROPOSAL = new ProposalNumber(1, "found");
+    static final ProposalNumber PROPOSAL = new ProposalNumber(3, "d2-core/a1");
+    static final ProposalNumber LATER_PROPOSAL = new ProposalNumber(9, "d3-core/b2");
     static final Lease FIRST_LEASE = new Lease("d2-core/77", "d2-core", 0, FIRST_VERSION + 1, 3000, false);
     static final Lease LEASE = new Lease("d2-core/77", "d2-core", 4, FIRST_VERSION + 1, 3000, true);
     static final SealedWindow WINDOW =
@@ -59,62 +59,70 @@
     static final IdempotencyClaim CLAIM = new IdempotencyClaim(
             "d4-edge/5", "digest-1", 1_000, 1_200, IdempotencyClaim.State.NOT_RUN, 503, "digest-2", "instance-1");
     static final UsageMessage.Count COUNT = new UsageMessage.Count("d4-edge", -5, 346, Map.of("tenant-1", 12L), false);
-    static final Endpoint LISTED =
+    static final Endpoint ENDPOINT =
             new Endpoint("instance-1", "records", "10.0.1.1:80", "d1", "r1", true, false, 5_000, 6_000, 4_000, 3);
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private static final RegisterGuard KEEPS_ALL = new PermissiveGuard();
+    private static final RegisterGuard PERMISSIVE_GUARD = new PermissiveGuard();
 
     private SampleCore() {}
 
     /** Reads a disk as a core that starts does; the fresh identity is for a blank one. */
     static Acceptor open(final SegmentStore segments, final String freshDiskId) {
-        return new Acceptor(NAME, new SegmentedLog(segments), (address, message) -> {}, KEEPS_ALL, freshDiskId);
+        return new Acceptor(NAME, new SegmentedLog(segments), (address, message) -> {}, PERMISSIVE_GUARD, freshDiskId);
     }
 
     /** Two lives of a core on a blank disk. */
     static void run(final SegmentStore segments) {
         firstIncarnation(open(segments, DISK_ID));
-        accept(open(segments, "unused"), Lease.key("usage_report"), CAST_LATER, MessageCodec.encodeRecord(LEASE));
+        accept(open(segments, "unused"), Lease.key("usage_report"), LATER_PROPOSAL, MessageCodec.encodeRecord(LEASE));
     }
 
     private static void firstIncarnation(final Acceptor acceptor) {
         acceptor.startGeneration(
-                TABLE,
+                VOTER_SET,
                 List.of(
-                        founded("duty/floor", "12345".getBytes(StandardCharsets.UTF_8)),
-                        founded("duty/usage_report", MessageCodec.encodeRecord(FIRST_LEASE)),
-                        founded(ConfigurationKeys.keyOf(FIRST_VERSION), MessageCodec.encodeRecord(firstChange()))));
-        accept(acceptor, ConfigurationKeys.keyOf(FIRST_VERSION + 1), CAST, MessageCodec.encodeRecord(secondChange()));
-        accept(acceptor, SealedWindow.key(344), CAST, MessageCodec.encodeRecord(WINDOW));
-        accept(acceptor, SealedWindow.key(345), CAST, MessageCodec.encodeRecord(WINDOW));
-        accept(acceptor, IdempotencyClaim.key("tenant-1", "pay-17"), CAST, MessageCodec.encodeRecord(CLAIM));
+                        initialEntry("duty/floor", "12345".getBytes(StandardCharsets.UTF_8)),
+                        initialEntry("duty/usage_report", MessageCodec.encodeRecord(FIRST_LEASE)),
+                        initialEntry(
+                                ConfigurationKeys.keyOf(FIRST_VERSION), MessageCodec.encodeRecord(firstChange()))));
+        accept(
+                acceptor,
+                ConfigurationKeys.keyOf(FIRST_VERSION + 1),
+                PROPOSAL,
+                MessageCodec.encodeRecord(secondChange()));
+        accept(acceptor, SealedWindow.key(344), PROPOSAL, MessageCodec.encodeRecord(WINDOW));
+        accept(acceptor, SealedWindow.key(345), PROPOSAL, MessageCodec.encodeRecord(WINDOW));
+        accept(acceptor, IdempotencyClaim.key("tenant-1", "pay-17"), PROPOSAL, MessageCodec.encodeRecord(CLAIM));
         acceptor.onMessage(
-                new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", CAST, false),
+                new ConsensusMessage.Prepare(5, "10.0.0.2:7000", 7, 1, "once/tenant-1/pay-18", PROPOSAL, false),
                 "10.0.0.1:7000");
-        keepOwnRecords(acceptor);
+        putLocalRecords(acceptor);
         acceptor.raiseVersionFloor(
                 FIRST_VERSION, () -> acceptor.removeRegister(ConfigurationKeys.keyOf(FIRST_VERSION)));
         acceptor.removeRegister(SealedWindow.key(344));
     }
 
-    private static void keepOwnRecords(final Acceptor acceptor) {
+    private static void putLocalRecords(final Acceptor acceptor) {
         MessageNumbers.register();
-        keep(acceptor, "~policy", MessageCodec.encodeRecord(configurationStore().snapshot()));
-        keep(acceptor, "~council", new byte[0]);
-        keep(acceptor, "~form", MessageCodec.encodeRecord(StoredRecords.coordinatorProposal(6, CAST)));
-        keep(
+        putLocalRecord(
+                acceptor,
+                "~policy",
+                MessageCodec.encodeRecord(configurationStore().snapshot()));
+        putLocalRecord(acceptor, "~council", new byte[0]);
+        putLocalRecord(acceptor, "~form", MessageCodec.encodeRecord(StoredRecords.coordinatorProposal(6, PROPOSAL)));
+        putLocalRecord(
                 acceptor,
                 "~usage",
                 MessageCodec.encode(new UsageMessage.Counts("10.0.0.1:7000", 0, List.of(COUNT)), MESSAGE_VERSION));
-        keep(
+        putLocalRecord(
                 acceptor,
                 "~listed",
-                MessageCodec.encode(new DiscoveryMessage.Push(List.of(LISTED), List.of(), 0), MESSAGE_VERSION));
+                MessageCodec.encode(new DiscoveryMessage.Push(List.of(ENDPOINT), List.of(), 0), MESSAGE_VERSION));
     }
 
-    private static void keep(final Acceptor acceptor, final String key, final byte[] value) {
+    private static void putLocalRecord(final Acceptor acceptor, final String key, final byte[] value) {
         acceptor.putLocalRecord(key, value, ok -> {
             if (!ok) {
                 throw new IllegalStateException("no room for " + key);
@@ -122,8 +130,8 @@
         });
     }
 
-    private static ConsensusMessage.Entry founded(final String key, final byte[] value) {
-        return new ConsensusMessage.Entry(key, new Register(FOUND, FOUND, value));
+    private static ConsensusMessage.Entry initialEntry(final String key, final byte[] value) {
+        return new ConsensusMessage.Entry(key, new Register(INITIAL_PROPOSAL, INITIAL_PROPOSAL, value));
     }
 
     private static void accept(
@@ -157,7 +165,7 @@
     static void recordAudit(final AuditSink audit) {
         final LongSupplier fleetMs = () -> 5_000;
         final Auditor auditor = new Auditor(audit, configurationStore(), fleetMs);
-        auditor.recordVoters(TABLE);
+        auditor.recordVoters(VOTER_SET);
         auditor.recordConfiguration();
         auditor.recordLease(LEASE);
         auditor.recordWindow(WINDOW);
--- a/spokestall/src/test/java/spokestall/node/TickerTest.java
+++ b/spokestall/src/test/java/spokestall/node/TickerTest.java
@@ -17,7 +17,7 @@
     private final List<Long> ticksMs = new ArrayList<>();
 
     @Test
-    void firstTickComesWithinThePeriodAndTheOthersAPeriodApart() {
+    void firstTickIsWithinOnePeriodAndLaterTicksAreOnePeriodApart() {
         ticker.every(PERIOD_MS, () -> ticksMs.add(clock.nowMs()));
         clock.runUntil(START_MS + 10 * PERIOD_MS, () -> {});
         assertThat(ticksMs).hasSize(10);
