--- a/spokestall/src/main/java/spokestall/node/AuditComponent.java
+++ b/spokestall/src/main/java/spokestall/node/AuditComponent.java
@@ -8,7 +8,7 @@
 import spokestall.usage.SealedWindow;
 
 /**
- * Records in a core's audit log what the fleet decided, as far as this core knows it.
+ * Records the fleet's decisions that this core observes in its audit log.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -29,14 +29,19 @@
         this.leaseManager = leaseManager;
     }
 
-    /** Records a usage window once its report is stored here as sent. */
+    /**
+     * Records a usage window in the audit log once this core's acceptor stores the window as reported to the platform.
+     */
     void onRegisterStored(final String key, final Register register) {
         if (register.value() != null && SealedWindow.windowOf(key) >= 0) {
             auditor.recordWindow(MessageCodec.decodeRecord(register.value(), SealedWindow.class));
         }
     }
 
-    /** Records what was decided since the last tick; entries carry the fleet's time, so it must be known. */
+    /**
+     * Records the current voters, configuration and lease if they changed since the last tick. Does nothing until the
+     * fleet clock has settled, because every entry carries the fleet's time.
+     */
     void onTick() {
         if (context.fleetClock.settled()) {
             auditor.recordVoters(proposer.voterSet());
--- a/spokestall/src/main/java/spokestall/node/ChangeHost.java
+++ b/spokestall/src/main/java/spokestall/node/ChangeHost.java
@@ -3,7 +3,10 @@
 import spokestall.configuration.change.ChangeCoordinator;
 import spokestall.configuration.feed.FeedServer;
 
-/** Binds the change coordinator to its node, which announces what commits. */
+/**
+ * Connects the change coordinator to its node: supplies the node's name and the fleet's time, and announces committed
+ * versions to the other nodes.
+ */
 final class ChangeHost implements ChangeCoordinator.Host {
     private final NodeContext context;
     private final FeedServer feedServer;
--- a/spokestall/src/main/java/spokestall/node/ClientConnections.java
+++ b/spokestall/src/main/java/spokestall/node/ClientConnections.java
@@ -1,18 +1,20 @@
 package spokestall.node;
 
 /**
- * The connections of clients to a node, as far as its graceful shutdown is concerned. Implemented by the listeners.
+ * The client connections of a node, as its graceful shutdown controls them. Implemented by the listeners.
  *
- * <p>Called on the node's event loop; implementations pass on to their own I/O threads.
+ * <p>Called on the node's event loop; implementations forward the calls to their own I/O threads.
  */
 public interface ClientConnections {
-    /** From now on each response is the last one on its connection, and says so. */
+    /**
+     * Makes each further response the last one on its connection; the response announces that the connection closes.
+     */
     void closeAfterResponses();
 
-    /** Accepts no more connections; those that are open continue. */
+    /** Stops accepting connections; open connections continue. */
     void stopAccepting();
 
-    /** Closes each connection that has no request in flight; what arrives from then on is not read. */
+    /** Closes each connection that has no request in flight; bytes that arrive on it afterwards are not read. */
     void closeIdle();
 
     /** Returns the number of connections on which a request is in flight or may still arrive. */
--- a/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
+++ b/spokestall/src/main/java/spokestall/node/ConfigurationCalls.java
@@ -15,9 +15,11 @@
 import spokestall.configuration.feed.FeedClient;
 
 /**
- * The calls that read and change the configuration: all of it, a part of it, a tenant's keys, or the zones that are drained.
+ * The calls that read and change the configuration: the whole configuration, a part of it, a tenant's keys, or the
+ * evacuated zones.
  *
- * <p>Not thread-safe; all calls on the node's event loop. A change is answered once it is known whether it was committed.
+ * <p>Not thread-safe; all calls on the node's event loop. The reply to a change is sent once the outcome of the change
+ * is known.
  */
 final class ConfigurationCalls {
     private final NodeContext context;
@@ -31,12 +33,12 @@
         this.feedClient = feedClient;
     }
 
-    /** Registers the calls that any node answers. */
+    /** Registers the calls that every node answers. */
     void registerReads(final CallRegistry calls) {
         calls.register("policy.get", (params, done) -> getConfiguration(done));
     }
 
-    /** Registers the calls that only a core answers. */
+    /** Registers the calls that only cores answer. */
     void registerWrites(final CallRegistry calls) {
         calls.register(
                 "policy.put",
@@ -61,7 +63,10 @@
                 "hold.clear", (params, done) -> changeEvacuation(params, ConfigurationStore.JSON.nullNode(), done));
     }
 
-    /** Answers with a configuration that was proved newest after the call was received. */
+    /**
+     * Replies with the newest configuration. A read that starts after the call was received proves that no newer one is
+     * committed.
+     */
     private void getConfiguration(final Consumer<Reply> done) {
         changeCoordinator.readNewest(context.settings().integer("policyBoundMs"), newest -> {
             if (newest.isEmpty()) {
@@ -85,7 +90,7 @@
         return tree -> new ChangeDraft.Drafted.Write(kind, json);
     }
 
-    /** Adds the key, or withdraws it where the value is a JSON null. */
+    /** Adds the key, or removes it if the value is a JSON null. */
     private void changeKey(final JsonNode params, final JsonNode value, final Consumer<Reply> done) {
         final String cell = params.get("cell").asText();
         final String tenant = params.get("tenant").asText();
@@ -109,7 +114,7 @@
         change(params, draft, done);
     }
 
-    /** Evacuates the zone, or ends its evacuation where the value is a JSON null. */
+    /** Starts the evacuation of the zone, or ends it if the value is a JSON null. */
     private void changeEvacuation(final JsonNode params, final JsonNode value, final Consumer<Reply> done) {
         final ObjectNode patch = ConfigurationStore.JSON.createObjectNode();
         patch.putObject("holds").set(params.get("district").asText(), value);
--- a/spokestall/src/main/java/spokestall/node/CoreStatus.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStatus.java
@@ -5,8 +5,8 @@
 import spokestall.configuration.feed.TrackedEdge;
 
 /**
- * A core's part of {@code status}: its voter and disk, the usage report's lease, the hints that it stores for other voters, and
- * the edges that request the feed from it.
+ * The fields of {@code status} that only a core has: the states of its voter and its disk, the lease on reporting
+ * usage, the hints stored for other voters, and the edges that request the feed from this core.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -58,7 +58,7 @@
         lease.put("lastSealed", usage.reporter.lastSealed()).put("missed", usage.reporter.missed());
     }
 
-    /** The zone is evacuated once no edge in it has a request in flight. */
+    /** Adds the number of requests in flight at the zone's edges; the zone is empty once there are none. */
     @Override
     public void describeEvacuation(final String zone, final ObjectNode drainStatus) {
         int open = 0;
--- a/spokestall/src/main/java/spokestall/node/CoreStorage.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStorage.java
@@ -14,17 +14,23 @@
 import spokestall.storage.SegmentedLog;
 
 /**
- * A core's disk: the log, the acceptor whose registers are in it, which of these are retained, and the configuration's snapshot.
+ * A core's disk: the log, the acceptor whose registers are stored in the log, the retention of these registers, and the
+ * snapshot of the configuration.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class CoreStorage {
-    /** How many of the newest versions a feed client can catch up on one by one. */
+    /**
+     * How many of the newest configuration versions are kept, so that a feed client that is behind can fetch them one
+     * by one.
+     */
     static final int VERSIONS_KEPT = 1024;
 
-    /** The key of the mark that this disk took part in a bootstrap, among the acceptor's local records. */
+    /**
+     * The acceptor's local record that marks this disk as one that took part in a bootstrap. Part of the stored format.
+     */
     static final String BOOTSTRAP_MARK_KEY = "~council";
-    /** The ratio of {@code claimKeepMs} for which a claim is kept beyond it, against clocks that differ. */
+    /** Claims are kept for this ratio of {@code claimKeepMs} longer, to tolerate clock differences between nodes. */
     private static final double CLAIM_MARGIN_RATIO = 0.2;
 
     private final NodeContext context;
@@ -34,7 +40,12 @@
     final SegmentedLog segmentedLog;
     final Acceptor acceptor;
 
-    /** {@code ready} returns whether this core knows enough of the fleet to vote, if its acceptor does. */
+    /**
+     * Creates the storage of a core.
+     *
+     * @param voterSet returns the voters in force
+     * @param ready returns whether this core knows enough of the fleet to vote, provided that its acceptor may vote
+     */
     CoreStorage(
             final NodeContext context,
             final SegmentStore segments,
@@ -91,7 +102,7 @@
         }
     }
 
-    /** Reads the configuration that this core's disk has. */
+    /** Loads the configuration from this core's disk. */
     void open() {
         snapshots.load();
     }
@@ -101,7 +112,10 @@
         return acceptor.state() == Acceptor.State.VOTING && retention.ready();
     }
 
-    /** Marks the disk as one that took part in a bootstrap; {@code then} runs once that is synced, and not if it fails. */
+    /**
+     * Marks the disk as one that took part in a bootstrap. Runs {@code then} once the mark is synced, and never if
+     * writing it fails.
+     */
     void markBootstrapped(final Runnable then) {
         acceptor.putLocalRecord(BOOTSTRAP_MARK_KEY, new byte[0], synced -> {
             if (synced) {
@@ -110,12 +124,15 @@
         });
     }
 
-    /** Stores the configuration in force. */
+    /** Stores the current configuration on disk. */
     void onConfigurationApplied() {
         snapshots.onConfigurationApplied();
     }
 
-    /** Applies the first version of a new generation, which is chosen by being in the generation's initial state. */
+    /**
+     * Applies the first configuration version of a new generation. This version is chosen because it is part of the
+     * generation's initial state.
+     */
     void applyFirstVersion(final FeedClient feedClient) {
         final VoterSet voterSet = acceptor.voterSet();
         if (voterSet == null
@@ -129,7 +146,10 @@
         }
     }
 
-    /** Drops the registers that nothing refers to any more; needs the fleet's time, by which claims and windows expire. */
+    /**
+     * Removes the registers that nothing can refer to any more. Does nothing until the fleet clock has settled, because
+     * claims and usage windows expire by the fleet's time.
+     */
     void pruneRegisters() {
         if (acceptor.state() != Acceptor.State.VOTING || !context.fleetClock.settled()) {
             return;
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -20,15 +20,17 @@
 import spokestall.proxy.RequestTicket;
 
 /**
- * The call {@code where}: names the edges that a client is to send its requests to, and gives it a ticket.
+ * The call {@code where}: returns the edges to which a client should send its requests, and a ticket for these
+ * requests.
  *
- * <p>Not thread-safe; all calls on the node's event loop. A key is rejected only by a configuration that was proved newest
- * after the call was received; a known key needs no more than a fresh one.
+ * <p>Not thread-safe; all calls on the node's event loop. A key is rejected only if it is missing from a configuration
+ * that a read proved to be the newest after the call was received. To accept a known key, a fresh configuration is
+ * enough.
  */
 final class DirectoryCall {
-    /** How many edges one answer names: the client's own and one to fail over to. */
+    /** How many edges one reply lists: the client's primary edge and one for failover. */
     private static final int EDGES_PER_REPLY = 2;
-    /** For how many leave bounds the client may use the answer. */
+    /** How long a client may use the reply, as a ratio of {@code leaveBoundMs}. */
     private static final double REPLY_VALIDITY_LEAVE_BOUNDS = 0.4;
 
     private final NodeContext context;
@@ -53,7 +55,7 @@
         this.knownEdges = knownEdges;
     }
 
-    /** Registers the call, which any node answers. */
+    /** Registers the call, which every node answers. */
     void register(final CallRegistry calls) {
         calls.register("where", this::locateEdges);
     }
--- a/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
+++ b/spokestall/src/main/java/spokestall/node/DiscoveryComponent.java
@@ -11,23 +11,26 @@
 import spokestall.discovery.HealthSource;
 
 /**
- * What this node knows of upstreams. A core also reads the platform's list, probes, and stores the list on its disk, so that
- * it knows the upstreams again as soon as it starts.
+ * The upstream endpoints that this node knows. A core also reads the platform's endpoint list, probes the endpoints,
+ * and stores the list on its disk, so that it knows the upstreams immediately after a restart.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class DiscoveryComponent {
-    /** The key of the stored list; part of the disk's format. */
+    /** The acceptor's local record of the endpoint list. Part of the stored format. */
     static final String ENDPOINT_LIST_KEY = "~listed";
 
     private static final int MAX_ENDPOINTS = 8192;
-    /** For how many leave bounds an entry is kept that is no more listed. */
+    /**
+     * How long an endpoint is kept after it disappeared from the platform's list, as a multiple of {@code
+     * leaveBoundMs}.
+     */
     private static final int ABSENT_ENTRY_LEAVE_BOUNDS = 30;
 
     private final NodeContext context;
     private final HealthSource healthSource;
     final EndpointRegistry endpointRegistry;
-    // Null before open, which is called on cores only.
+    // Null until open() is called, which happens on cores only.
     private EndpointListReader listReader;
     private HealthChecker healthChecker;
     private PersistedState storedList;
@@ -41,7 +44,10 @@
                 context.incarnation, MAX_ENDPOINTS, context.settings().integer("leaveBoundMs"), healthSource);
     }
 
-    /** Prepares a core, once, before its first tick: loads the stored list and creates what reads and probes. */
+    /**
+     * Loads the stored list and creates the list reader and the health checker. Called once, on cores only, before the
+     * first tick.
+     */
     void open(final DiscoveryPeers peers, final Acceptor acceptor, final DiscoveryClient client) {
         listReader = new EndpointListReader(
                 context.self().name(),
@@ -70,7 +76,7 @@
         }
     }
 
-    /** On a core: reads the list and probes, once the fleet's clock has settled. */
+    /** Reads the platform's list and probes the endpoints once the fleet clock has settled. Called on cores only. */
     void onTick() {
         if (!context.fleetClock.settled()) {
             return;
@@ -81,18 +87,23 @@
         }
     }
 
-    /** On a core: stores the list if it changed. */
+    /** Stores the endpoint list if it changed. Called on cores only. */
     void onStoreTick() {
         storedList.tick();
     }
 
-    /** Removes entries that have not been listed for long, and old observations. */
+    /**
+     * Removes endpoints that have been absent from the platform's list for too long, and outdated health observations.
+     */
     void prune() {
         endpointRegistry.prune(
                 context.fleetClock.nowMs() - context.settings().fractionOf("leaveBoundMs", ABSENT_ENTRY_LEAVE_BOUNDS));
     }
 
-    /** Merges what another core sent. A time of reading that lies in the future would keep this core from reading. */
+    /**
+     * Merges the endpoints and observations that another core sent. The reported time of the last list read is capped
+     * at the present time: a time in the future would keep this core from reading the list itself.
+     */
     void onMessage(final DiscoveryMessage.Push push) {
         endpointRegistry.merge(push.endpoints(), push.observations());
         endpointRegistry.recordListRead(Math.min(push.listReadMs(), context.fleetClock.nowMs()));
--- a/spokestall/src/main/java/spokestall/node/EdgeStatus.java
+++ b/spokestall/src/main/java/spokestall/node/EdgeStatus.java
@@ -4,7 +4,8 @@
 import spokestall.proxy.AdmissionController;
 
 /**
- * An edge's part of {@code status}: its requests in flight and the results that it gave its clients.
+ * The fields of {@code status} that only an edge has: its requests in flight and how often it returned each result to
+ * its clients.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -26,6 +27,6 @@
 
     @Override
     public void describeEvacuation(final String zone, final ObjectNode evacuation) {
-        // An edge knows only its own requests, so it can't say when a zone is empty.
+        // An edge knows only its own requests, so it can't tell whether the whole zone is empty.
     }
 }
--- a/spokestall/src/main/java/spokestall/node/FeedBinding.java
+++ b/spokestall/src/main/java/spokestall/node/FeedBinding.java
@@ -6,7 +6,10 @@
 import spokestall.consensus.VoterSet;
 import spokestall.gossip.NodeInfo;
 
-/** Binds the feed client to its node: how it describes the node, and what the node does with what it learned. */
+/**
+ * Connects the feed client to its node: describes the node to the feed client, and applies the voter sets and
+ * configurations that the client receives.
+ */
 final class FeedBinding implements FeedNode, FeedListener {
     private final NodeComponents components;
     private final NodeComponents.Listener listener;
--- a/spokestall/src/main/java/spokestall/node/FeedServerOptions.java
+++ b/spokestall/src/main/java/spokestall/node/FeedServerOptions.java
@@ -2,7 +2,7 @@
 
 import spokestall.configuration.feed.FeedServer;
 
-/** The feed server's options, from the settings in force. */
+/** The feed server's options, read from the current settings at each call. */
 final class FeedServerOptions implements FeedServer.Options {
     private final NodeContext context;
 
--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -22,15 +22,21 @@
 import spokestall.time.FleetClock;
 
 /**
- * Merges the initial state of a new generation from what survived of the old one.
+ * Merges the initial state of a new generation from the surviving state of the previous one.
  *
- * <p>The generation is numbered above every generation, fencing token and configuration version that anyone has seen, so that
- * none of them occurs twice. It keeps idempotency claims, usage, leases (not held any more) and the newest configuration. Every
- * entry is written under the same proposal number, below that of any later proposal. Not thread-safe; all calls on the node's
- * event loop.
+ * <p>The new generation's number is greater than every generation that any survivor has seen, and than the generation
+ * part of every fencing token and configuration version that any survivor has seen, so that none of these numbers is
+ * used twice. The initial state contains the idempotency claims, the usage windows, the leases (released) and the
+ * newest configuration. All entries are written under the same proposal number, which is lower than that of any later
+ * proposal.
+ *
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class GenerationMerger implements InitialStateMerger {
-    /** Register of the fleet time at which the generation began, in milliseconds as decimal text. Part of the stored format. */
+    /**
+     * Key of the register with the fleet time at which the generation began, in milliseconds as decimal text. Part of
+     * the stored format.
+     */
     static final String GENERATION_START_KEY = "duty/floor";
 
     private static final String LEASE_KEYS = "duty/";
@@ -66,7 +72,10 @@
         return new InitialState(voterSet, entries);
     }
 
-    /** Above all numbers that survived, and not below the fleet's time in seconds, in case higher ones were lost. */
+    /**
+     * Returns a generation above all numbers that survived. It is at least the fleet's time in seconds, in case that
+     * higher numbers were lost with the voters that did not survive.
+     */
     private long nextGeneration(final long baseGeneration, final List<SurvivingState> survivors) {
         long generation = Math.max(baseGeneration + 1, fleetClock.nowMs() / MILLIS_PER_SECOND);
         for (final SurvivingState survivor : survivors) {
@@ -86,7 +95,10 @@
         return new ConsensusMessage.Entry(key, new Register(INITIAL_PROPOSAL, INITIAL_PROPOSAL, value));
     }
 
-    /** Each register as accepted under the highest proposal number, from all voters with state of the base generation. */
+    /**
+     * Returns each register as it was accepted under the highest proposal number by any voter that has state of the
+     * base generation.
+     */
     private static TreeMap<String, Register> newestRegisters(
             final long baseGeneration, final List<SurvivingState> survivors) {
         final TreeMap<String, Register> newest = new TreeMap<>();
@@ -106,8 +118,9 @@
     }
 
     /**
-     * The newest configuration that anyone has, with the changes on top of it that were accepted and may have been acknowledged,
-     * and with the ids of the changes that made it, since clients may send those again.
+     * Returns the change that sets the new generation's first configuration: the newest configuration that any survivor
+     * has, plus the accepted changes on top of it, because these may have been acknowledged. Includes the ids of the
+     * changes that led to this configuration, because clients may retry them.
      */
     private byte[] configurationChange(
             final List<SurvivingState> survivors, final TreeMap<String, Register> newest, final long generation) {
--- a/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
+++ b/spokestall/src/main/java/spokestall/node/GracefulShutdown.java
@@ -4,33 +4,37 @@
 import spokestall.time.Clock;
 
 /**
- * Ends a node's service to its clients: it serves on while connections are open, each response closing its connection; then
- * accepts no more connections; then rejects new requests, which have not run; then closes idle connections; then answers what
- * is still in flight as failed, and at last ends, when responses that are being written had the rest of its time. It ends
- * sooner once no connection is open.
+ * Shuts down a node's service to its clients in phases. The node first continues to serve while each response closes
+ * its connection; then it stops accepting connections; then it rejects new requests, which have not run; then it closes
+ * idle connections; then it answers the remaining requests in flight as failed. After that, responses that are still
+ * being written have the remaining time to complete. The shutdown ends early once no connection is open and no request
+ * is in flight.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class GracefulShutdown {
     /**
-     * When each phase begins, in milliseconds after {@link #begin}, in rising order.
+     * The start of each phase, in milliseconds after {@link #begin}, in ascending order.
      *
-     * @param stopAcceptingMs when no more connections are accepted
-     * @param rejectMs when new requests are rejected
-     * @param closeIdleMs when idle connections are closed
-     * @param abortMs when what is still in flight is answered as failed
-     * @param maxMs when it ends, whatever is still being written
-     * @param checkMs how often the connections are checked
+     * @param stopAcceptingMs when the node stops accepting connections
+     * @param rejectMs when the node starts to reject new requests
+     * @param closeIdleMs when the node closes idle connections
+     * @param abortMs when the node answers the requests in flight as failed
+     * @param maxMs when the shutdown ends, even if responses are still being written
+     * @param checkMs the interval between checks of the connections
      */
     record Timing(long stopAcceptingMs, long rejectMs, long closeIdleMs, long abortMs, long maxMs, long checkMs) {
         private static final double STOP_ACCEPTING_RATIO = 0.17;
         private static final double REJECT_RATIO = 0.45;
         private static final double CLOSE_IDLE_AFTER_REJECT_RATIO = 0.13;
         private static final double ABORT_RATIO = 0.94;
-        /** However long a stop may take: by then clients had time to learn of it, and a request may take all the rest. */
+        /**
+         * The latest start of rejecting, however long the shutdown may take: clients have had time to learn of the
+         * shutdown by then, and a request in flight may need all the remaining time.
+         */
         private static final long REJECT_MAX_MS = 2600;
 
-        /** Returns the phases of a shutdown that may take so long in all. */
+        /** Returns the phases of a shutdown that takes at most {@code maxMs}. */
         static Timing within(final long maxMs, final long checkMs) {
             final long rejectMs = Math.min(ratio(maxMs, REJECT_RATIO), REJECT_MAX_MS);
             return new Timing(
@@ -47,24 +51,26 @@
         }
     }
 
-    /** The clients' requests at this node. */
+    /** The client requests of this node. */
     interface Requests {
-        /** Rejects all requests from now on; those in flight continue. */
+        /** Rejects all further requests; requests in flight continue. */
         void rejectNew();
 
-        /** Answers all that is in flight, as failed, and returns how many requests that were. */
+        /** Answers all requests in flight as failed, and returns their number. */
         int abort();
 
         /** Returns whether any request is in flight. */
         boolean inFlight();
     }
 
-    /** Is notified of the shutdown's progress; each method is called once. */
+    /** Receives the progress of the shutdown; each method is called once. */
     interface Listener {
-        /** No request is in flight any more; responses may still be written. Never called after {@link #onEnded}. */
+        /**
+         * Called when no request is in flight any more, before {@link #onEnded}; responses may still be being written.
+         */
         void onRequestsEnded();
 
-        /** The shutdown has ended. */
+        /** Called when the shutdown has ended. */
         void onEnded();
     }
 
@@ -126,7 +132,8 @@
 
     private void onTick() {
         final long elapsedMs = clock.nowMs() - startedMs;
-        // A connection may be accepted at the very moment that the port closes, so quiet counts from the next check on.
+        // A connection may be accepted while the port closes, so an empty node counts as drained only from the next
+        // check on.
         final boolean accepting = phase == Phase.SERVING;
         if (phase == Phase.SERVING && elapsedMs >= timing.stopAcceptingMs()) {
             transitionTo(Phase.NOT_ACCEPTING);
@@ -165,7 +172,7 @@
         listener.onEnded();
     }
 
-    /** Phases follow in their order; any of them may be the last before the end. */
+    /** Changes the phase. Phases follow each other in their declared order; ENDED may follow any of them. */
     private void transitionTo(final Phase next) {
         assert next == Phase.ENDED && phase != Phase.ENDED || next.ordinal() == phase.ordinal() + 1
                 : phase + " to " + next;
--- a/spokestall/src/main/java/spokestall/node/HandoffComponent.java
+++ b/spokestall/src/main/java/spokestall/node/HandoffComponent.java
@@ -13,20 +13,21 @@
 import spokestall.proxy.AdmissionController;
 
 /**
- * What this node keeps for others: keys of registers that a voter missed, and responses of idempotent requests.
+ * Data that this node stores for other nodes: hints, which are the keys of register changes that a voter missed, and
+ * the responses of idempotent requests.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class HandoffComponent {
-    /** How recently a core answered this node. */
+    /** Reports how recently each core answered this node. */
     interface CoreLiveness {
-        /** Returns the time since the core's last answer, {@link Long#MAX_VALUE} if there was none. */
+        /** Returns the time since the core's last answer, {@link Long#MAX_VALUE} if it never answered. */
         long sinceLastAnswerMs(String core);
     }
 
     private static final int HINTS_PER_VOTER = 16_384;
     private static final int VALUES_PER_STATUS = 512;
-    /** How many cores an edge has keep a hint. */
+    /** How many cores an edge asks to store a hint. */
     private static final int CORES_PER_HINT = 2;
 
     private static final int CORE_CACHE_BYTES = 16 << 20;
@@ -37,7 +38,11 @@
     final HintStore hints = new HintStore(HINTS_PER_VOTER);
     final ResponseCache responseCache;
 
-    /** Creates the component without hints or responses; voterSet is called whenever the current voters are needed. */
+    /**
+     * Creates the component without hints or responses.
+     *
+     * @param voterSet returns the current voters; called each time they are needed
+     */
     HandoffComponent(final NodeContext context, final Supplier<VoterSet> voterSet, final CoreLiveness liveness) {
         this.context = context;
         this.voterSet = voterSet;
@@ -45,7 +50,10 @@
         this.responseCache = new ResponseCache(context.core ? CORE_CACHE_BYTES : EDGE_CACHE_BYTES);
     }
 
-    /** Notified when a voter missed a register's change: a core keeps the key itself, an edge has two live cores keep it. */
+    /**
+     * Called when a voter missed a register's change. A core stores the hint itself; an edge sends it to two live
+     * cores.
+     */
     void onMissedChange(final String voter, final String key) {
         if (context.core) {
             hints.add(voter, key);
@@ -65,8 +73,8 @@
     }
 
     /**
-     * Sends a voter that is back the values of registers that it missed, a bounded number for each of its status messages. The
-     * voter treats them like any chosen value that arrives late.
+     * Sends a voter that votes again the values of registers that it missed, at most {@value #VALUES_PER_STATUS} for
+     * each of its status messages. The voter treats them like any chosen value that arrives late.
      */
     void replayHints(final MembershipMessage.VoterStatus status, final Acceptor acceptor) {
         if (acceptor.state() != Acceptor.State.VOTING
@@ -85,7 +93,11 @@
         }
     }
 
-    /** Handles a message; the admission controller is null if this node doesn't answer clients. */
+    /**
+     * Handles a message.
+     *
+     * @param admission the admission controller, or null if this node doesn't serve clients
+     */
     void onMessage(final HandoffMessage message, final AdmissionController admission) {
         if (message instanceof HandoffMessage.Hint hint) {
             hints.add(hint.voter(), hint.key());
--- a/spokestall/src/main/java/spokestall/node/KnownEdges.java
+++ b/spokestall/src/main/java/spokestall/node/KnownEdges.java
@@ -13,12 +13,12 @@
 import spokestall.proxy.EdgeDirectory;
 
 /**
- * Decides which edges are named to clients, and publishes them to the {@link EdgeDirectory}.
+ * Selects the edges that are listed to clients, and publishes them to the {@link EdgeDirectory}.
  *
- * <p>Not thread-safe; all calls on the node's event loop. The directory itself may be read by any thread.
+ * <p>Not thread-safe; all calls on the node's event loop. The directory may be read by any thread.
  */
 final class KnownEdges {
-    /** For how many leave bounds the edges last named are kept while no core answers. */
+    /** How long the last listed edges are kept while no core answers, as a multiple of {@code leaveBoundMs}. */
     private static final int LEAVE_BOUNDS_WITHOUT_CORES = 2;
 
     private final NodeContext context;
@@ -30,12 +30,12 @@
     final EdgeDirectory directory = new EdgeDirectory();
 
     /**
-     * Creates it with an empty directory.
+     * Creates an instance with an empty directory.
      *
-     * @param view gives this node's own entry
-     * @param feedClient gives the edges that a core last named
-     * @param feedServer gives the edges that requested updates of this node, if it is a core
-     * @param ready whether this node answers clients now
+     * @param view returns this node's own entry
+     * @param feedClient returns the edges that a core last listed
+     * @param feedServer returns the edges that requested updates from this node, if it is a core
+     * @param ready returns whether this node serves clients now
      */
     KnownEdges(
             final NodeContext context,
@@ -52,16 +52,16 @@
     }
 
     /**
-     * Returns the edges to name to clients, in the order of their names: those that reported of late that they are fresh, and
-     * this node if it is ready; those last named while no core answers. An edge that is known but didn't report isn't named: it
-     * would reject a client that left a working edge for it.
+     * Returns the edges to list to clients, ordered by name. These are the edges that recently reported to be fresh,
+     * and this node if it is ready. While no core answers, they are the edges that were last listed. A known edge that
+     * did not report is not listed: it would reject a client that left a working edge for it.
      */
     Collection<NodeInfo> forClients() {
         final Map<String, NodeInfo> edges = new TreeMap<>();
         reportedEdges().forEach(edge -> edges.put(edge.name(), edge));
         if (ready.getAsBoolean() && (!edges.isEmpty() || !justStarted())) {
-            // If this node is the only one, it is named only after others had time to report, else all clients would
-            // move here.
+            // A node that is alone is listed only after other edges had time to report; otherwise all clients would
+            // move to this node.
             edges.put(context.name, view.self());
         }
         if (edges.isEmpty()) {
@@ -75,7 +75,10 @@
         return edges.values();
     }
 
-    /** A core that has just started, or that no edge contacts since it isn't a voter, uses what another core reports too. */
+    /**
+     * Returns the edges that reported recently. A core that has just started, or that receives no reports because it
+     * isn't a voter, also uses the edges that another core reports.
+     */
     private Collection<NodeInfo> reportedEdges() {
         final long freshMs = context.settings().peerTimeoutMillis();
         if (!context.core) {
@@ -86,17 +89,17 @@
             return reportedHere;
         }
         final List<NodeInfo> all = new ArrayList<>(feedClient.edgesReportedWithin(freshMs));
-        // Later entries replace earlier ones of the same name: this node's own knowledge wins.
+        // Later entries replace earlier ones of the same name, so this node's own observation takes precedence.
         all.addAll(reportedHere);
         return all;
     }
 
-    /** Whether edges may not have had time to report yet. */
+    /** Returns whether edges may not have had time to report to this node yet. */
     private boolean justStarted() {
         return context.clock.nowMs() - startedMs < context.settings().peerTimeoutMillis();
     }
 
-    /** Publishes the edges that are named to clients from now on. */
+    /** Publishes the current list of edges for clients. */
     void publish() {
         directory.publish(forClients());
     }
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -23,20 +23,22 @@
 import spokestall.message.MessageCodec;
 
 /**
- * Consensus and membership on one node: passes their messages on, and provides what this node contributes to a new generation.
+ * Consensus and membership on one node: dispatches their messages, and provides the state that this node contributes to
+ * a new generation.
  *
- * <p>A core has an acceptor, a {@link MembershipCoordinator} and a {@link GracefulHandover}. An edge has none of them: it follows
- * the voter set, and if it is a seed it votes on the first generation. Not thread-safe; all calls on the node's event loop.
+ * <p>A core has an acceptor, a {@link MembershipCoordinator} and a {@link GracefulHandover}. An edge has none of them:
+ * it follows the voter set, and if it is a seed it votes on the first generation. Not thread-safe; all calls on the
+ * node's event loop.
  */
 final class MembershipComponent {
-    /** Where the highest fencing token that this node has stored is read. */
+    /** Returns the highest fencing token that this node has stored. */
     @FunctionalInterface
     interface FencingTokenSource {
-        /** Returns the highest token stored, or 0 on a node that stores none. */
+        /** Returns the highest stored token, or 0 on a node that stores none. */
         long highestStored();
     }
 
-    /** What only a core has. */
+    /** The parts that only a core has. */
     private record CoreRole(Acceptor acceptor, MembershipCoordinator coordinator, GracefulHandover handover) {}
 
     private final NodeContext context;
@@ -78,7 +80,10 @@
         return new LocalNode(context.name, context.address, context.proposerId());
     }
 
-    /** The first incarnation is the one that is configured as such and whose disk, if it has one, does not contradict it. */
+    /**
+     * Returns FIRST_INCARNATION if the settings say that this is the node's first start and the disk, if there is one,
+     * was blank when it was opened.
+     */
     private BootstrapAcceptor.Eligibility bootstrapEligibility(final CoreStorage storage) {
         final boolean first = context.settings().integer("cores") == 0
                 && context.settings().integer("bootstrap") == 1
@@ -168,7 +173,7 @@
         };
     }
 
-    /** Brings the voter set on this core's disk, if there is one, into force. */
+    /** Adopts the voter set on this core's disk, if there is one. */
     void open() {
         coreRole.map(role -> role.acceptor().voterSet()).ifPresent(proposer::updateVoterSet);
     }
@@ -178,17 +183,20 @@
         coreRole.ifPresent(role -> role.coordinator().onTick());
     }
 
-    /** Whether enough other voters have reported to exclude that this core's disk is an older state of itself. */
+    /**
+     * Returns whether enough other voters have reported to rule out that this core's disk was restored to an older
+     * state.
+     */
     boolean isDiskVerified() {
         return coreRole.isPresent() && coreRole.get().coordinator().isDiskVerified();
     }
 
-    /** Brings a voter set into force if it is newer than the present one. */
+    /** Adopts a voter set if it is newer than the current one. */
     void adopt(final VoterSet voterSet) {
         coreRole.ifPresentOrElse(role -> role.coordinator().adopt(voterSet), () -> proposer.updateVoterSet(voterSet));
     }
 
-    /** Handles a message of a proposer or of a voter. */
+    /** Handles a message from a proposer or a voter. */
     void onMessage(final ConsensusMessage message) {
         if (message instanceof ConsensusMessage.VoterSetUpdate newer) {
             adopt(newer.voterSet());
@@ -201,7 +209,7 @@
         }
     }
 
-    /** Begins the handover of a core that shuts down; {@code whenComplete} runs once, within a bounded time. */
+    /** Begins the handover of a core that shuts down. Runs {@code whenComplete} once, within a bounded time. */
     void handOver(final Runnable whenComplete) {
         coreRole.orElseThrow().handover().begin(whenComplete);
     }
@@ -223,7 +231,7 @@
         }
     }
 
-    /** An edge and a core send each other the newer voter set. */
+    /** Adopts the core's voter set if it is newer, or sends the core this edge's voter set if that is newer. */
     private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
         if (status.voterSet() != null && status.voterSet().newerThan(proposer.voterSet())) {
             proposer.updateVoterSet(status.voterSet());
@@ -232,7 +240,7 @@
         }
     }
 
-    /** Reads what this node could contribute to a new generation at this moment. */
+    /** Returns the state that this node could contribute to a new generation now. */
     private SurvivingState survivingState() {
         final List<ConsensusMessage.Entry> registers = new ArrayList<>();
         final boolean hasState =
--- a/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
+++ b/spokestall/src/main/java/spokestall/node/MessageDispatcher.java
@@ -14,8 +14,8 @@
 import spokestall.usage.UsageMessage;
 
 /**
- * Passes each message from another node to the component that handles it. A message that this node's role has no component
- * for is dropped: the sender's knowledge of roles may be out of date.
+ * Dispatches each message from another node to the component that handles it. Drops a message for which this node's
+ * role has no component: the sender may have outdated knowledge of this node's role.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -35,7 +35,12 @@
     private final CoreComponents core;
     private final ProxyComponent proxy;
 
-    /** The core components are null on an edge, the proxy is null on a node that serves no clients. */
+    /**
+     * Creates the dispatcher.
+     *
+     * @param core null on an edge
+     * @param proxy null on a node that serves no clients
+     */
     MessageDispatcher(final Components components, final CoreComponents core, final ProxyComponent proxy) {
         this.components = components;
         this.core = core;
@@ -63,7 +68,7 @@
         }
     }
 
-    /** A voter that votes again is sent the hints that were stored for it, after its status was taken in. */
+    /** Processes the message, then replays the hints stored for a voter whose status says that it votes. */
     private void onMembershipMessage(final MembershipMessage message) {
         components.membership.onMessage(message);
         if (core != null && message instanceof MembershipMessage.VoterStatus voterStatus && voterStatus.voting()) {
@@ -71,7 +76,10 @@
         }
     }
 
-    /** Requests are for cores, responses and updates for all. */
+    /**
+     * Dispatches to the feed server on a core, and to the feed client on every node: only cores answer requests, while
+     * any node handles responses and updates.
+     */
     private void onFeedMessage(final FeedMessage message) {
         if (core != null) {
             core.feedServer.onMessage(message);
--- a/spokestall/src/main/java/spokestall/node/MessageNumbers.java
+++ b/spokestall/src/main/java/spokestall/node/MessageNumbers.java
@@ -11,13 +11,13 @@
 import spokestall.usage.UsageMessage;
 
 /**
- * The numbers by which messages are written. They are part of the wire format and of stored state: a number never changes, and
- * that of a removed message is never used again.
+ * The numbers that identify message types in frames. They are part of the wire format and of stored state: a number
+ * never changes, and the number of a removed message is never reused.
  */
 final class MessageNumbers {
     private MessageNumbers() {}
 
-    /** Registers all numbers with the codec. May be called again; it then has no effect. */
+    /** Registers all numbers with the codec. Idempotent. */
     static void register() {
         MessageRegistry.register(1, GossipMessage.Shuffle.class);
         MessageRegistry.register(10, ConsensusMessage.Prepare.class);
--- a/spokestall/src/main/java/spokestall/node/Node.java
+++ b/spokestall/src/main/java/spokestall/node/Node.java
@@ -22,8 +22,8 @@
 /**
  * One node of the fleet, a core or an edge: its lifecycle, and access to its components.
  *
- * <p>Not thread-safe; all calls on the node's event loop, but for {@link #directory}. Time, randomness, network and disk are
- * passed in as a {@link NodeEnvironment}, so that a process and the simulator run the same node.
+ * <p>Not thread-safe; all calls on the node's event loop, except {@link #directory}. Time, randomness, network and disk
+ * are passed in as a {@link NodeEnvironment}, so that a process and the simulator run the same node.
  */
 public final class Node {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -38,12 +38,16 @@
     private final Ticker ticker;
     private Consumer<Configuration> configurationListener = configuration -> {};
 
-    /** Creates a node with configurations in spokestall's own format; a core reads back what its disk has. */
+    /** Creates a node that uses spokestall's own configuration format. A core loads the state on its disk. */
     public Node(final Settings settings, final boolean core, final NodeEnvironment environment) {
         this(settings, core, environment, null);
     }
 
-    /** Creates a node with configurations in another format than spokestall's own. */
+    /**
+     * Creates a node that uses a foreign configuration format. A core loads the state on its disk.
+     *
+     * @param foreignFormat the format, or null for spokestall's own
+     */
     public Node(
             final Settings settings,
             final boolean core,
@@ -64,7 +68,7 @@
         @Override
         public void onConfigurationApplied() {
             configurationListener.accept(components.configurationStore.configuration());
-            // The coordinator may propose anew, which must not happen inside the feed client's own step.
+            // The coordinator may start another proposal, which must not happen within the feed client's own event.
             context.clock.after(0, components.changeCoordinator::onConfigurationApplied);
             if (components.proxy != null) {
                 components.proxy.onConfigurationApplied();
@@ -75,7 +79,7 @@
         }
     }
 
-    /** Begins the node's periodic work. Called once. */
+    /** Starts the node's periodic tasks. Called once. */
     public void start() {
         LOG.atInfo().log(
                 "event=start node=%s role=%s address=%s zone=%s region=%s incarnation=%s",
@@ -88,7 +92,7 @@
         new NodeSchedule(components, ticker).start();
     }
 
-    /** Handles a message from another node, or from this one; ignored once the node has stopped. */
+    /** Handles a message from another node or from this one. Ignores messages after the node has stopped. */
     public void onMessage(final Message message) {
         if (!ticker.stopped()) {
             dispatcher.onMessage(message);
@@ -96,8 +100,8 @@
     }
 
     /**
-     * Applies those of the newer settings that a running node can change, and returns the settings now in force. A bootstrap
-     * in progress keeps the seeds that it began with.
+     * Applies those of the newer settings that can change while a node runs, and returns the settings now in force. A
+     * bootstrap in progress keeps the seeds with which it began.
      */
     public Settings applySettings(final Settings newer) {
         final SettingsUpdate update = SettingsUpdate.of(context.settings(), newer, context.core);
@@ -112,21 +116,24 @@
         return update.settings();
     }
 
-    /** Calls the listener with the configuration in force, now and each time a newer one is applied. Replaces a former listener. */
+    /**
+     * Calls the listener with the current configuration, now and each time a newer one is applied. Replaces the
+     * previous listener.
+     */
     public void listenToConfiguration(final Consumer<Configuration> listener) {
         configurationListener = listener;
         configurationListener.accept(components.configurationStore.configuration());
     }
 
-    /** Runs a call of the schema file; {@code done} receives the reply, perhaps before this method returns. */
+    /** Runs an API call. {@code done} receives the reply, possibly before this method returns. */
     public void call(final String method, final JsonNode params, final Consumer<Reply> done) {
         components.calls.call(method, params, done);
     }
 
     /**
-     * Leaves the fleet in order: the directory names this node no more, then requests end, then, while the last responses are
-     * written, a core releases the lease and sees a majority without itself hold what it accepted. {@code done} runs at the end
-     * of all that.
+     * Shuts the node down in order: the edge directory stops listing this node, then requests end. While the last
+     * responses are written, a core releases its lease and makes sure that a majority without itself stores what it
+     * accepted. {@code done} runs after the last step.
      */
     public void shutDown(final ClientConnections connections, final Runnable done) {
         LOG.atInfo().log("event=shutdown_started node=%s", context.name);
@@ -144,7 +151,7 @@
                 .begin();
     }
 
-    /** Stops the node once its connections have ended and its roles are released. */
+    /** Stops the node once its connections have ended and {@link #releaseRoles} has completed. */
     private final class ShutdownListener implements GracefulShutdown.Listener {
         private final Runnable done;
         private boolean connectionsEnded;
@@ -175,7 +182,11 @@
         }
     }
 
-    /** The lease is released last: what edges count until their end must still be reported by whoever holds it. */
+    /**
+     * Stops the usage counting, then releases the lease, then hands over the voter state. The lease is not released
+     * before the requests have ended, because its holder must still report the requests that edges count until they
+     * stop.
+     */
     private void releaseRoles(final Runnable released) {
         if (components.proxy != null) {
             components.proxy.stop();
@@ -208,12 +219,12 @@
         return context.fleetClock.nowMs();
     }
 
-    /** Returns the edges that clients are directed to. Thread-safe. */
+    /** Returns the directory of edges to which clients are directed. Thread-safe. */
     public EdgeDirectory directory() {
         return components.knownEdges.directory;
     }
 
-    /** Returns the configuration in force here. */
+    /** Returns the store with the current configuration of this node. */
     public ConfigurationStore configurationStore() {
         return components.configurationStore;
     }
@@ -228,17 +239,17 @@
         return components.changeCoordinator;
     }
 
-    /** Returns the upstream endpoints known here. */
+    /** Returns the registry of known upstream endpoints. */
     public EndpointRegistry endpointRegistry() {
         return components.discovery.endpointRegistry;
     }
 
-    /** Returns the admission of clients' requests, or null on a core that serves no clients. */
+    /** Returns the admission controller, or null on a core that serves no clients. */
     public AdmissionController admissionController() {
         return components.proxy == null ? null : components.proxy.admissionController;
     }
 
-    /** Returns the counter of requests that upstreams began, or null on a core that serves no clients. */
+    /** Returns the counter of requests that upstreams began to run, or null on a core that serves no clients. */
     public UsageCounter usageCounter() {
         return components.proxy == null ? null : components.proxy.usageCounter;
     }
@@ -248,17 +259,19 @@
         return components.storage == null ? null : components.storage.acceptor;
     }
 
-    /** Returns whether this core's acceptor may promise and accept now. Only on a core. */
+    /** Returns whether this core's acceptor may promise and accept now. Must only be called on a core. */
     public boolean votes() {
         return components.storage.votes();
     }
 
-    /** Returns how full this core's log is, as a ratio; at 1 nothing more can be stored. Only on a core. */
+    /**
+     * Returns the fill ratio of this core's log; at 1 the log accepts no more entries. Must only be called on a core.
+     */
     public double logFill() {
         return components.storage.segmentedLog.fill();
     }
 
-    /** Returns the manager of the usage report's lease, or null on an edge. */
+    /** Returns the manager of the lease on reporting usage, or null on an edge. */
     public LeaseManager leaseManager() {
         return components.usage == null ? null : components.usage.leaseManager;
     }
--- a/spokestall/src/main/java/spokestall/node/NodeComponents.java
+++ b/spokestall/src/main/java/spokestall/node/NodeComponents.java
@@ -17,18 +17,19 @@
 import spokestall.settings.Settings;
 
 /**
- * Creates the components of one node and passes them to each other. Holds no state of its own.
+ * Creates the components of one node and wires them together. Holds no state of its own.
  *
- * <p>The order of construction is part of the contract: components draw from the node's random source when they are created,
- * and a simulation must repeat. A component gets another one that is created after it only as a function to call later.
+ * <p>The order of construction is part of the contract: components draw from the node's random source when they are
+ * created, and a simulation must be repeatable. A component that needs one created after it receives a function that it
+ * calls later.
  */
 final class NodeComponents {
-    /** What the components report to the node that they are part of. */
+    /** Receives the events that the components report to their node. */
     interface Listener {
         /** Handles a message that this node sent to its own address. */
         void onMessage(Message message);
 
-        /** Called each time a newer configuration is in force here. */
+        /** Called each time a newer configuration takes effect on this node. */
         void onConfigurationApplied();
     }
 
@@ -57,7 +58,11 @@
     private final NodeEnvironment environment;
     private final Listener listener;
 
-    /** Creates all components; a core also reads back what its disk has. A null format is spokestall's own. */
+    /**
+     * Creates all components; a core loads the state on its disk.
+     *
+     * @param foreignFormat the configuration format, or null for spokestall's own
+     */
     NodeComponents(
             final Settings settings,
             final boolean core,
@@ -229,7 +234,7 @@
         }
     }
 
-    /** Creates the dispatcher of messages from other nodes to these components. */
+    /** Creates the dispatcher that passes messages from other nodes to these components. */
     MessageDispatcher dispatcher() {
         return new MessageDispatcher(
                 new MessageDispatcher.Components(view, membership, feedClient, discovery, handoff),
@@ -237,7 +242,7 @@
                 proxy);
     }
 
-    /** Returns the voters in force here, or null while none are known. */
+    /** Returns the voters in force, or null while this node knows none. */
     VoterSet voterSet() {
         return proposer.voterSet();
     }
@@ -247,7 +252,10 @@
         return proxy != null && !view.self().leaving() && feedClient.isFresh() && context.fleetClock.settled();
     }
 
-    /** A core's voter waits for the fleet's time, and until it knows that its disk is not an older state of itself. */
+    /**
+     * Returns whether a core's acceptor may vote: the fleet clock has settled, and other voters have ruled out that the
+     * disk was restored to an older state.
+     */
     private boolean mayVote() {
         return context.fleetClock.settled() && membership.isDiskVerified();
     }
@@ -256,7 +264,7 @@
         return feedClient.sinceResponseMs(core);
     }
 
-    /** Returns how many client requests this node has in flight. */
+    /** Returns the number of client requests in flight on this node. */
     int openRequests() {
         return proxy == null ? 0 : proxy.openRequests();
     }
--- a/spokestall/src/main/java/spokestall/node/NodeContext.java
+++ b/spokestall/src/main/java/spokestall/node/NodeContext.java
@@ -10,35 +10,41 @@
 import spokestall.time.FleetClock;
 
 /**
- * What every component of one node is created with: the node's identity and settings, and its access to time, randomness and
- * the network.
+ * The identity, settings, time, randomness and network access that all components of one node share.
  *
- * <p>Not thread-safe; all calls on the node's event loop. The settings in force may change while the node runs; all else is
- * fixed for one incarnation.
+ * <p>Not thread-safe; all calls on the node's event loop. The settings may change while the node runs; everything else
+ * is fixed for one incarnation.
  */
 final class NodeContext {
-    /** Random low bits of an incarnation, in case that a node starts twice within a millisecond. */
+    /** Random low bits of an incarnation number, in case the node starts twice within one millisecond. */
     private static final int INCARNATION_RANDOM_BITS = 10;
 
     final String name;
     final String address;
     /** Whether the node has a disk and may vote. */
     final boolean core;
-    /** Whether the node serves clients: each edge does, and a core that is configured to. */
+    /** Whether the node serves clients: every edge does, and a core if its settings say so. */
     final boolean servesClients;
-    /** Differs for each start of the node and rises over them, as long as the machine's clock does. */
+    /**
+     * The incarnation number: unique for each start of the node, and increasing from start to start as long as the
+     * machine's clock does.
+     */
     final long incarnation;
 
     final Clock clock;
     final Random random;
     /** The fleet's common time. */
     final FleetClock fleetClock;
-    /** Sends messages to any node by its address, this one included. */
+    /** Sends messages to any node by its address, including this node. */
     final MessageSender messageSender;
 
     private Settings settings;
 
-    /** Messages to the node's own address are passed to {@code ownReceiver}, each as an event of its own on the event loop. */
+    /**
+     * Creates the context.
+     *
+     * @param ownReceiver receives messages to the node's own address, each as a separate event on the event loop
+     */
     NodeContext(
             final Settings settings,
             final boolean core,
@@ -67,27 +73,27 @@
         return settings;
     }
 
-    /** Puts newer settings in force. */
+    /** Replaces the settings in force. */
     void applySettings(final Settings newer) {
         settings = newer;
     }
 
-    /** Returns the periods and bounds that follow from the settings in force. */
+    /** Returns the periods and bounds derived from the settings in force. */
     Timings timings() {
         return new Timings(settings, core);
     }
 
-    /** Returns this incarnation's name as a proposer, which no other incarnation of any node has. */
+    /** Returns this incarnation's proposer id, which is unique among all incarnations of all nodes. */
     String proposerId() {
         return name + "#" + Long.toHexString(incarnation);
     }
 
-    /** Returns a new random identity for a disk that has none yet. */
+    /** Returns a new random id for a blank disk. */
     String freshDiskId() {
         return name + "/" + Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
     }
 
-    /** Returns this node as it describes itself to others. */
+    /** Returns this node's description of itself for other nodes. */
     NodeInfo self() {
         return new NodeInfo(
                 name,
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -5,20 +5,27 @@
 import spokestall.settings.Settings;
 
 /**
- * The periodic work of a node, and the faster requests of its first moments.
+ * Schedules the periodic tasks of a node, and the more frequent requests during its startup.
  *
- * <p>Not thread-safe; all calls on the node's event loop. Periods are read once, at the start. The order in which the tasks are
- * begun is part of the contract, since each draws its first delay from the node's random source.
+ * <p>Not thread-safe; all calls on the node's event loop. Periods are read from the settings once, at startup. The
+ * order in which the tasks are scheduled is part of the contract, because each task draws its first delay from the
+ * node's random source.
  */
 final class NodeSchedule {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** How many feed requests a starting node sends at once before it slows down, and the unit of the slower ones. */
+    /**
+     * While no voters are known, a starting node sends feed requests on its first {@value} attempts, then only on every
+     * attempt that is a multiple of twice this number.
+     */
     private static final int FAST_ATTEMPTS = 4;
-    /** For how many leave bounds a starting node sends requests faster than by its periods, and how often. */
+    /**
+     * How long a starting node sends requests more often than its regular periods, and the interval between these
+     * requests, as ratios of {@code leaveBoundMs}.
+     */
     private static final double FAST_START_LEAVE_BOUNDS = 1.5;
 
     private static final double FAST_PERIOD_LEAVE_BOUNDS = 0.03;
-    /** For how many leave bounds an edge that sends no request stays known to a core. */
+    /** How long a core keeps an edge that sends no request, as a multiple of {@code leaveBoundMs}. */
     private static final int EDGE_KEPT_LEAVE_BOUNDS = 2;
 
     private final NodeComponents components;
@@ -31,7 +38,7 @@
         this.ticker = ticker;
     }
 
-    /** Begins all periodic work; it ends when the ticker is stopped. */
+    /** Starts all periodic tasks; they end when the ticker is stopped. */
     void start() {
         final Settings settings = context.settings();
         fastStart(context.clock.nowMs() + settings.fractionOf("leaveBoundMs", FAST_START_LEAVE_BOUNDS), 0);
@@ -77,7 +84,10 @@
         components.storage.pruneRegisters();
     }
 
-    /** Bounds shared by all edges are divided by the configured counts, so nodes must agree on them. */
+    /**
+     * Warns if other nodes are configured with different counts of cores or edges: limits of the whole fleet are
+     * divided by these counts, so nodes must agree on them.
+     */
     private void warnOfDifferingCounts() {
         final List<String> differing = components.peerDirectory.peersWithDifferingCounts();
         if (!differing.isEmpty()) {
@@ -90,7 +100,10 @@
         }
     }
 
-    /** Sends requests without waiting for the periods, until this node has what it needs to serve. */
+    /**
+     * Sends requests at a higher rate than the regular periods, until this node has the state that it needs to serve or
+     * {@code untilMs} has passed.
+     */
     private void fastStart(final long untilMs, final int attempt) {
         if (ticker.stopped() || startupComplete() || context.clock.nowMs() >= untilMs) {
             return;
@@ -98,7 +111,8 @@
         final boolean votersKnown = components.voterSet() != null;
         components.view.announce(votersKnown ? components.peerDirectory.coreAddresses() : List.of());
         components.knownEdges.publish();
-        // Before there are voters nothing can be proved, and bootstrap takes seconds, so requests become rarer then.
+        // Without voters no freshness can be proved, and bootstrap takes seconds, so requests become less frequent
+        // then.
         final boolean proofPossible = votersKnown && !components.feedClient.isFresh();
         if (proofPossible || attempt < FAST_ATTEMPTS || attempt % (2 * FAST_ATTEMPTS) == 0) {
             components.feedClient.onTick();
--- a/spokestall/src/main/java/spokestall/node/PeerDirectory.java
+++ b/spokestall/src/main/java/spokestall/node/PeerDirectory.java
@@ -14,7 +14,8 @@
 import spokestall.proxy.EdgeShares;
 
 /**
- * The other nodes as this one knows them: by its gossip view, which may be incomplete, and by the voter set once there is one.
+ * The other nodes that this node knows, from its gossip view, which may be incomplete, and from the voter set once
+ * there is one.
  *
  * <p>Not thread-safe; all calls on the node's event loop. Lists are copies in a fixed order (by name or by address).
  */
@@ -27,7 +28,11 @@
     private final Supplier<VoterSet> voterSet;
     private final GossipEdgeShares edgeShares;
 
-    /** Creates the directory; voterSet returns the current voters, null before there are any. */
+    /**
+     * Creates the directory.
+     *
+     * @param voterSet returns the current voters, or null before there are any
+     */
     PeerDirectory(final NodeContext context, final PartialView view, final Supplier<VoterSet> voterSet) {
         this.context = context;
         this.view = view;
@@ -36,7 +41,10 @@
                 view, context.servesClients, () -> (int) context.settings().integer("edges"));
     }
 
-    /** Returns how far the node at an address is: 0 is this node's zone, 1 its region, 2 any other place or unknown. */
+    /**
+     * Returns the distance to the node at an address: 0 for this node's zone, 1 for another zone of its region, 2 for
+     * another region or an unknown address.
+     */
     int distance(final String address) {
         for (final NodeInfo member : view.members()) {
             if (member.address().equals(address)) {
@@ -58,13 +66,19 @@
         return view.members().stream().filter(NodeInfo::core).toList();
     }
 
-    /** Returns all nodes in the view; unlike the other lists a live collection, see {@link PartialView#members}. */
+    /**
+     * Returns all nodes in the view. Unlike the other lists, this is a live collection; see {@link
+     * PartialView#members}.
+     */
     @Override
     public Collection<NodeInfo> otherNodes() {
         return view.members();
     }
 
-    /** Returns the voters' addresses; before there are voters, those of the known cores, this node included if it is one. */
+    /**
+     * Returns the addresses of the voters. Before there are voters, returns the addresses of the known cores, including
+     * this node if it is a core.
+     */
     List<String> coreAddresses() {
         if (voterSet.get() != null) {
             return voterSet.get().voters().stream().map(Voter::address).toList();
@@ -111,12 +125,15 @@
         return voter == null ? core : voter.address();
     }
 
-    /** Returns the edges among which limits of the whole fleet are divided. */
+    /** Returns the division of fleet-wide limits among the edges. */
     EdgeShares edgeShares() {
         return edgeShares;
     }
 
-    /** Returns the names of members configured with other counts of cores or edges than this node: limits are divided by them. */
+    /**
+     * Returns the names of nodes configured with different counts of cores or edges than this node. Limits are divided
+     * by these counts.
+     */
     List<String> peersWithDifferingCounts() {
         final NodeInfo self = view.self();
         if (self.edges() == 0) {
--- a/spokestall/src/main/java/spokestall/node/PersistedState.java
+++ b/spokestall/src/main/java/spokestall/node/PersistedState.java
@@ -9,9 +9,10 @@
 import spokestall.message.MessageCodec;
 
 /**
- * State in a core's memory that is also written to its disk, so that a core that restarts need not wait for the others. Stored
- * as one message under one key, in the newest version of messages; it is written at most once a tick, with one write in
- * flight. State of more than {@value #MAX_BYTES} bytes is not written, and the older state stays.
+ * State in a core's memory that is also written to its disk, so that a restarted core need not wait for the other
+ * nodes. The state is stored as one message under one key, in the newest message version. It is written at most once
+ * per tick, with at most one write in flight. State of more than {@value #MAX_BYTES} bytes is not written; the older
+ * state on disk remains.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -25,7 +26,11 @@
     private long writtenChangeCount;
     private boolean writing;
 
-    /** {@code changeCount} returns a number that differs whenever {@code currentState} does. */
+    /**
+     * Creates the persisted state of one component.
+     *
+     * @param changeCount returns a number that differs whenever {@code currentState} returns a different state
+     */
     PersistedState(
             final Acceptor acceptor,
             final String key,
@@ -37,7 +42,10 @@
         this.currentState = currentState;
     }
 
-    /** Returns the state on this disk, or null if there is none or it can't be read; the core then learns it from others. */
+    /**
+     * Returns the state on this disk, or null if there is none or it can't be decoded; the core then obtains the state
+     * from other nodes.
+     */
     <T extends Message> T read(final Class<T> type) {
         final byte[] stored = acceptor.localRecord(key);
         try {
@@ -48,7 +56,7 @@
         }
     }
 
-    /** Writes the state if it changed since it was last written. */
+    /** Writes the state if it changed since the last successful write. */
     void tick() {
         final long changes = changeCount.getAsLong();
         if (writing || changes == writtenChangeCount) {
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -22,13 +22,16 @@
 import spokestall.usage.UsageMessage;
 
 /**
- * The component that serves clients: admission and execution of their requests, the choice of upstreams, and the count of
- * requests that upstreams began.
+ * Serves clients: the admission and execution of their requests, load balancing over the upstreams, and the usage count
+ * of requests that upstreams began to run.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class ProxyComponent implements GracefulShutdown.Requests {
-    /** For how many leave bounds beyond its own time an upstream warms up after its zone's evacuation ended. */
+    /**
+     * How much longer than the service's slow start an upstream warms up after its zone's evacuation ended, as a ratio
+     * of {@code leaveBoundMs}.
+     */
     private static final double WARMUP_MARGIN_LEAVE_BOUNDS = 0.5;
 
     private final NodeContext context;
@@ -40,7 +43,7 @@
     final AdmissionController admissionController;
     final UsageCounter usageCounter;
 
-    /** The other components of the node that this one uses. */
+    /** The components of the node that the proxy uses. */
     record Sources(
             NodeInfo self,
             ConfigurationStore configurationStore,
@@ -96,29 +99,32 @@
                 context.timings().proxy());
     }
 
-    /** Applies the node's newer settings. */
+    /** Applies the node's current settings to the load balancer and the admission controller. */
     void applySettings() {
         loadBalancer.updateParameters(context.timings().loadBalancer(peerDirectory.edgeShares()));
         admissionController.limits(context.timings().proxy());
     }
 
-    /** Sends counts that are due. */
+    /** Sends the counts that are due. */
     void onCountTick() {
         usageCounter.onTick();
     }
 
-    /** Removes the load balancer's state of endpoints that are no longer listed. */
+    /** Removes the load balancer's state of endpoints that are no longer known. */
     void onRetainTick() {
         loadBalancer.retain(
                 endpointRegistry.endpoints().stream().map(Endpoint::instance).collect(Collectors.toUnmodifiableSet()));
     }
 
-    /** Takes a core's acknowledgement of counts. */
+    /** Handles a core's acknowledgement of counts. */
     void onCountsAcknowledged(final UsageMessage.CountsAcknowledged message) {
         usageCounter.onMessage(message, peerDirectory.voterAddress(message.core()));
     }
 
-    /** Upstreams of a zone whose evacuation ended received nothing meanwhile, so their slow start begins again. */
+    /**
+     * Restarts the slow start of upstreams in zones whose evacuation has ended, because they received no requests
+     * during the evacuation.
+     */
     void onConfigurationApplied() {
         final Configuration configuration = configurationStore.configuration();
         final Set<String> evacuatedNow = configuration.drainedZones();
@@ -140,7 +146,7 @@
         }
     }
 
-    /** Returns the number of clients' requests in flight. */
+    /** Returns the number of client requests in flight. */
     int openRequests() {
         return admissionController.requestsInFlight();
     }
@@ -160,7 +166,7 @@
         return openRequests() > 0;
     }
 
-    /** Ends the counting of requests. */
+    /** Stops the usage counting. */
     void stop() {
         usageCounter.stop();
     }
--- a/spokestall/src/main/java/spokestall/node/RecordCalls.java
+++ b/spokestall/src/main/java/spokestall/node/RecordCalls.java
@@ -14,7 +14,7 @@
 import spokestall.usage.SealedWindow;
 
 /**
- * The calls that read what was recorded: the usage of a window, from the cores' registers, and this core's audit log.
+ * The calls that read records: the usage of a window, from the cores' registers, and this core's audit log.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -31,12 +31,12 @@
         this.audit = audit;
     }
 
-    /** Registers the call that any node answers. */
+    /** Registers the call that every node answers. */
     void registerUsage(final CallRegistry calls) {
         calls.register("usage.get", this::getUsage);
     }
 
-    /** Registers the call that only a core answers. */
+    /** Registers the call that only cores answer. */
     void registerAudit(final CallRegistry calls) {
         calls.register("audit.get", this::getAudit);
     }
--- a/spokestall/src/main/java/spokestall/node/RegisterRetention.java
+++ b/spokestall/src/main/java/spokestall/node/RegisterRetention.java
@@ -9,39 +9,42 @@
 import spokestall.usage.SealedWindow;
 
 /**
- * Decides which registers a core's acceptor keeps, and for how long. A register that was dropped must not be created anew, or
- * what it had decided could be decided again.
+ * Decides which registers a core's acceptor keeps, and for how long. A removed register must never be created again,
+ * because a different value could then be chosen for it.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class RegisterRetention implements RegisterGuard {
-    /** Up to this fill of the log claims and configuration versions may take new registers; the rest is for all else. */
+    /**
+     * Claims and configuration versions may create new registers only below this fill ratio of the log. The remaining
+     * capacity is reserved for all other registers.
+     */
     private static final double BULK_MAX_LOG_FILL = 0.7;
 
     /**
      * How long registers are kept.
      *
-     * @param claimKeepMs for how long a claim answers a repeated request
-     * @param marginMs for how much longer it is kept, against clocks that differ
+     * @param claimKeepMs how long a claim answers repeated requests
+     * @param marginMs how much longer a claim is kept, to tolerate clock differences between nodes
      * @param windowMs the length of a usage window
      */
     record Periods(long claimKeepMs, long marginMs, long windowMs) {}
 
     /** The state of the core that retention depends on. */
     interface CoreState {
-        /** Returns whether this core knows enough of the fleet for the answers to be relied on. */
+        /** Returns whether this core knows enough of the fleet for its other answers to be reliable. */
         boolean ready();
 
         /** Returns the voters in force. */
         VoterSet voterSet();
 
-        /** Returns the version up to which this core needs no registers of versions. */
+        /** Returns the version floor: this core needs no registers of versions up to it. */
         long versionFloor();
 
-        /** Returns the version of the configuration snapshot on this disk, 0 if there is none. */
+        /** Returns the version of the configuration snapshot on this disk, or 0 if there is none. */
         long snapshotVersion();
 
-        /** Returns how full the log is, as a ratio. */
+        /** Returns the fill ratio of the log. */
         double logFill();
     }
 
@@ -75,7 +78,10 @@
                 && !key.equals(VoterSet.key(voterSet.generation(), voterSet.epoch() + 1));
     }
 
-    /** Claims come in large numbers and versions may be large, so they must leave capacity for what keeps the fleet going. */
+    /**
+     * Returns whether the log has capacity for a new register. Claims are numerous and configuration versions may be
+     * large, so both must leave capacity for the registers that keep the fleet working.
+     */
     @Override
     public boolean hasCapacityFor(final String key) {
         final boolean bulk = IdempotencyClaim.isKey(key) || ConfigurationKeys.versionOf(key) >= 0;
@@ -87,7 +93,7 @@
         return core.snapshotVersion() >= floor;
     }
 
-    /** A claim whose ticket is too old is not accepted: the claim that it repeats may be dropped already. */
+    /** Rejects a claim whose ticket is too old: an earlier claim of the same request may already have been removed. */
     @Override
     public boolean accepts(final String key, final byte[] value) {
         if (!IdempotencyClaim.isKey(key) || value == null) {
@@ -97,7 +103,7 @@
         return claim.ticketMs() + periods.claimKeepMs + periods.marginMs / 2 >= fleetClock.nowMs();
     }
 
-    /** Returns whether a register may be dropped now: nothing that is still accepted can refer to it. */
+    /** Returns whether a register may be removed now, because no request that is still accepted can refer to it. */
     boolean expired(final String key, final byte[] value) {
         if (!IdempotencyClaim.isKey(key)) {
             return isPruned(key);
