--- a/spokestall/src/main/java/spokestall/api/CallRegistry.java
+++ b/spokestall/src/main/java/spokestall/api/CallRegistry.java
@@ -18,40 +18,47 @@
 import java.util.function.Consumer;
 
 /**
- * The calls of the schema file that a node answers. The parameters of each call are checked against the schema before the call
- * is run.
+ * The API calls that a node answers. The parameters of each call are validated against the schema file before the call
+ * runs.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 public final class CallRegistry {
-    /** Runs one method's calls. */
+    /** Handles the calls of one method. */
     @FunctionalInterface
     public interface CallHandler {
-        /** Runs a call whose parameters fit the schema; {@code done} receives its reply once, now or later. */
+        /**
+         * Runs a call whose parameters match the schema. {@code done} receives the reply once, immediately or later.
+         */
         void onCall(JsonNode params, Consumer<Reply> done);
     }
 
     private final JsonNode schema;
-    /** Created with a method's first call: a program that is called by another protocol needs none. */
+    /**
+     * Schemas of parameters, each compiled at its method's first call: a program whose callers use another protocol
+     * needs none.
+     */
     private final Map<String, JsonSchema> paramsSchemas = new HashMap<>();
 
     private final Map<String, CallHandler> handlers = new TreeMap<>();
 
-    /** Creates a registry without handlers; reads the schema file that is a resource of the program. */
+    /** Creates a registry without handlers; reads the schema file from the program's resources. */
     public CallRegistry() {
         try (InputStream in = CallRegistry.class.getResourceAsStream("/spokestall.schema.json")) {
             schema = new ObjectMapper().readTree(in);
         } catch (final IOException e) {
-            throw new IllegalStateException("the schema file can't be read", e);
+            throw new IllegalStateException("failed to read the schema file", e);
         }
     }
 
-    /** Returns the schema file. */
+    /** Returns the schema file's content. */
     public JsonNode schema() {
         return schema;
     }
 
-    /** Registers the handler of a method; throws IllegalStateException if the schema file has no such method. */
+    /**
+     * Registers the handler of a method; throws IllegalStateException if the schema file doesn't contain the method.
+     */
     public void register(final String method, final CallHandler handler) {
         if (!isKnownMethod(method)) {
             throw new IllegalStateException(method + " is not in the schema file");
@@ -60,8 +67,9 @@
     }
 
     /**
-     * Checks and runs a call. The reply is {@link ResultCode#UNKNOWN_METHOD} if the schema file has no such method, {@link
-     * ResultCode#NOT_READY} if this node does not answer it, {@link ResultCode#BAD_PARAMS} if its parameters don't fit.
+     * Validates and runs a call. The reply is {@link ResultCode#UNKNOWN_METHOD} if the schema file doesn't contain the
+     * method, {@link ResultCode#NOT_READY} if this node has no handler for it, and {@link ResultCode#BAD_PARAMS} if the
+     * parameters don't match the schema.
      */
     public void call(final String method, final JsonNode params, final Consumer<Reply> done) {
         final CallHandler handler = handlers.get(method);
--- a/spokestall/src/main/java/spokestall/api/Reply.java
+++ b/spokestall/src/main/java/spokestall/api/Reply.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The reply to a call. Immutable, as long as nobody changes its fields.
+ * The reply to a call. Immutable, as long as nobody modifies {@code fields}.
  *
- * @param result the numbered result
+ * @param result the result code
  * @param fields the result's fields, or null if it has none
  */
 public record Reply(ResultCode result, JsonNode fields) {
@@ -16,7 +16,7 @@
         return new Reply(result, fields);
     }
 
-    /** Returns the reply as it is sent to its caller. */
+    /** Returns the reply in the JSON format that is sent to the caller. */
     public ObjectNode json() {
         final ObjectNode json = JsonNodeFactory.instance.objectNode();
         json.put("code", result.number());
--- a/spokestall/src/main/java/spokestall/api/ResultCode.java
+++ b/spokestall/src/main/java/spokestall/api/ResultCode.java
@@ -1,9 +1,9 @@
 package spokestall.api;
 
 /**
- * The numbered results of requests and calls: 1xxx a request ran, 2xxx it has not run, 3xxx it is not known whether it ran, 4xxx
- * and 5xxx are results of calls. Names, numbers and texts are an interface; docs/result-codes.md has the same table, which a
- * test compares.
+ * The numbered results of requests and calls. 1xxx: the request ran; 2xxx: the request did not run; 3xxx: it is unknown
+ * whether the request ran; 4xxx and 5xxx: results of calls. Names, numbers and texts are a public interface;
+ * docs/result-codes.md contains the same table, and a test compares the two.
  */
 public enum ResultCode {
     OK(1000, 200, "done"),
@@ -47,12 +47,12 @@
         this.text = text;
     }
 
-    /** Returns the number, which never changes its meaning. */
+    /** Returns the number, whose meaning never changes. */
     public int number() {
         return number;
     }
 
-    /** Returns the status of an HTTP response with this result. */
+    /** Returns the HTTP status code of a response with this result. */
     public int httpStatus() {
         return httpStatus;
     }
--- a/spokestall/src/main/java/spokestall/message/Fingerprints.java
+++ b/spokestall/src/main/java/spokestall/message/Fingerprints.java
@@ -1,8 +1,9 @@
 package spokestall.message;
 
 /**
- * 64-bit fingerprints of texts, so that messages can compare long texts by one number. They are part of messages, so their
- * values must stay. Not for untrusted input: equal fingerprints of different texts are easy to construct.
+ * 64-bit fingerprints of strings, so that messages can compare long strings by one number. Fingerprints are part of
+ * messages, so their values must not change. Not for untrusted input: different strings with equal fingerprints are
+ * easy to construct.
  */
 public final class Fingerprints {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -10,7 +11,10 @@
 
     private Fingerprints() {}
 
-    /** Returns a text's fingerprint, FNV-1a over its UTF-16 code units with the upper half folded in; never zero. */
+    /**
+     * Returns a string's fingerprint: FNV-1a over its UTF-16 code units, with the upper half folded into the lower.
+     * Never zero.
+     */
     public static long of(final String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
--- a/spokestall/src/main/java/spokestall/message/Header.java
+++ b/spokestall/src/main/java/spokestall/message/Header.java
@@ -1,4 +1,4 @@
 package spokestall.message;
 
-/** One HTTP header field, its name in the case in which it was received. */
+/** One HTTP header field, with its name in the case in which it was received. */
 public record Header(String name, String value) {}
--- a/spokestall/src/main/java/spokestall/message/MessageCodec.java
+++ b/spokestall/src/main/java/spokestall/message/MessageCodec.java
@@ -7,26 +7,30 @@
 import java.io.IOException;
 
 /**
- * Encodes and decodes numbered messages, which nodes send to each other, and stored records, which a node keeps on disk or
- * inside a message's byte fields.
+ * Encodes and decodes messages, which nodes send to each other, and stored records, which a node keeps on disk or in
+ * byte fields of messages.
  *
- * <p>Format of a message: one byte with the version, two bytes with the type's number in {@link MessageRegistry}, then the
- * record. Version 1 has no version byte; a frame of version 1 is recognised by the upper byte of its number, which is zero.
- * Format of a stored record: the record in the encoding and with the fields of version 1, then its later fields (see {@link
- * SinceVersion}), which older programs leave unread. A record is one byte that says whether it is present, then its fields in
- * the order of their declaration: field names are not part of the format; field order, field types and the ordinals of enum
- * constants are. From version 3 on, integers and lengths of messages have a variable length ({@link VarInts}).
+ * <p>Format of a message: one byte with the version, two bytes with the type's number in {@link MessageRegistry}, then
+ * the record. Version 1 has no version byte; a frame of version 1 is recognized by the upper byte of its type number,
+ * which is zero.
  *
- * <p>A program decodes every version from {@link #OLDEST_VERSION} to {@link #CURRENT_VERSION} and encodes in any of them.
+ * <p>Format of a stored record: the record with the encoding and the fields of version 1, followed by its later fields
+ * (see {@link SinceVersion}), which older programs don't read. A record is one byte that says whether it is present,
+ * followed by its fields in declaration order. Field names are not part of the format; field order, field types and the
+ * ordinals of enum constants are. Since version 3, integers and lengths in messages have a variable length ({@link
+ * VarInts}).
  *
- * <p>Thread-safe: it has no state of its own. Records and the lists inside them must not change while they are encoded.
+ * <p>A program decodes every version from {@link #OLDEST_VERSION} to {@link #CURRENT_VERSION} and can encode in any of
+ * them.
+ *
+ * <p>Thread-safe and stateless. Records and the collections in them must not change while they are encoded.
  */
 public final class MessageCodec {
-    /** Largest length of a text, byte array, list or map that is decoded, in bytes or entries. */
+    /** Maximum length of a string, byte array, list or map that is decoded, in bytes or entries. */
     public static final int MAX_FIELD_BYTES = 32 << 20;
-    /** Newest version of messages that this program encodes and decodes. */
+    /** Newest message version that this program encodes and decodes. */
     public static final int CURRENT_VERSION = 4;
-    /** Oldest version of messages that this program encodes and decodes. */
+    /** Oldest message version that this program encodes and decodes. */
     public static final int OLDEST_VERSION = 1;
 
     /** First version in which integers and lengths are {@link VarInts}. */
@@ -39,8 +43,8 @@
     /**
      * Encodes a message.
      *
-     * @param version from {@link #OLDEST_VERSION} to {@link #CURRENT_VERSION}; fields of later versions are left out
-     * @throws IllegalStateException if the message's type has no number
+     * @param version from {@link #OLDEST_VERSION} to {@link #CURRENT_VERSION}; fields of later versions are omitted
+     * @throws IllegalStateException if the message's type is not registered
      */
     public static byte[] encode(final Message message, final int version) {
         final int number = MessageRegistry.number(message.getClass());
@@ -59,11 +63,11 @@
     }
 
     /**
-     * Decodes a message from a complete frame of at least two bytes, in whichever version it is encoded. Fields of later
-     * versions are zero, false or null.
+     * Decodes a message of any known version from a complete frame of at least two bytes. Fields of later versions are
+     * zero, false or null.
      *
-     * @throws UnknownMessageException if the frame's version or type is not known to this program
-     * @throws IOException if the frame is not a correct encoding of its type
+     * @throws UnknownMessageException if this program doesn't know the frame's version or type
+     * @throws IOException if the frame is not a valid encoding of its type
      */
     public static Message decode(final byte[] frame) throws IOException {
         final DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame));
@@ -77,16 +81,16 @@
         final int number = in.readShort();
         final Class<? extends Record> type = MessageRegistry.type(number);
         if (type == null) {
-            throw new UnknownMessageException("kind " + number + " of version " + version);
+            throw new UnknownMessageException("type " + number + " of version " + version);
         }
         final Message message = (Message) RecordDecoder.read(in, type, version);
         if (in.available() > 0) {
-            throw new IOException("bytes left over after " + type.getSimpleName());
+            throw new IOException("trailing bytes after " + type.getSimpleName());
         }
         return message;
     }
 
-    /** Encodes a record to be stored. */
+    /** Encodes a record for storage. */
     public static byte[] encodeRecord(final Record record) {
         try {
             final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
@@ -100,18 +104,18 @@
     }
 
     /**
-     * Decodes a stored record. Later fields that an older program did not write are zero, false or null; bytes behind the last
-     * known field are ignored, because a newer program may have written them.
+     * Decodes a stored record. Later fields that an older program did not write are zero, false or null. Bytes after
+     * the last known field are ignored, because a newer program may have written them.
      *
-     * @return null if the encoding says that there is no record
-     * @throws IllegalArgumentException if the bytes are not a correct encoding of the type
+     * @return null if the bytes encode an absent record
+     * @throws IllegalArgumentException if the bytes are not a valid encoding of the type
      */
     public static <T extends Record> T decodeRecord(final byte[] bytes, final Class<T> type) {
         try {
             final DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
             return in.readBoolean() ? type.cast(RecordLayout.of(type).readStored(in)) : null;
         } catch (final IOException e) {
-            throw new IllegalArgumentException("not a " + type.getSimpleName(), e);
+            throw new IllegalArgumentException("not a valid " + type.getSimpleName(), e);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/message/RecordDecoder.java
+++ b/spokestall/src/main/java/spokestall/message/RecordDecoder.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 
 /**
- * Reads the values that {@link RecordEncoder} writes. The input is not trusted: a length beyond {@link
- * MessageCodec#MAX_FIELD_BYTES} or beyond what is left of the input is refused with an {@link IOException} before anything of
- * that size is allocated. Thread-safe.
+ * Reads the values that {@link RecordEncoder} writes. The input is not trusted: a length above {@link
+ * MessageCodec#MAX_FIELD_BYTES} or above the remaining input is rejected with an {@link IOException} before any memory
+ * of that size is allocated. Thread-safe.
  */
 final class RecordDecoder {
-    /** Capacity that a list is given before its elements are read. */
+    /** Maximum initial capacity of a list whose elements have not been read yet. */
     private static final int MAX_INITIAL_CAPACITY = 1024;
 
     private RecordDecoder() {}
@@ -43,7 +43,7 @@
 
     private static int toInt(final long value) throws IOException {
         if (value != (int) value) {
-            throw new IOException("number " + value);
+            throw new IOException("integer out of range: " + value);
         }
         return (int) value;
     }
@@ -73,10 +73,10 @@
         return map;
     }
 
-    /** Every entry takes at least one byte, so a size that is larger than the rest of the input can't be right. */
+    /** Checks a length. Every entry takes at least one byte, so a length larger than the remaining input is invalid. */
     private static int checkedSize(final DataInputStream in, final long size) throws IOException {
         if (size < 0 || size > MessageCodec.MAX_FIELD_BYTES || size > in.available()) {
-            throw new IOException("field of " + size + " bytes or entries");
+            throw new IOException("invalid field length: " + size + " bytes or entries");
         }
         return (int) size;
     }
@@ -89,7 +89,7 @@
             final int ordinal = in.readUnsignedByte();
             final Object[] constants = type.getEnumConstants();
             if (ordinal >= constants.length) {
-                throw new IOException("no such " + type.getSimpleName());
+                throw new IOException("unknown constant of " + type.getSimpleName());
             }
             return constants[ordinal];
         }
--- a/spokestall/src/main/java/spokestall/message/RecordEncoder.java
+++ b/spokestall/src/main/java/spokestall/message/RecordEncoder.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes values of the types that fields of records may have. {@link RecordDecoder} is its counterpart. Thread-safe. */
+/** Writes values of the types that record fields may have. {@link RecordDecoder} is the counterpart. Thread-safe. */
 final class RecordEncoder {
     private RecordEncoder() {}
 
     /**
-     * Writes a value: long, int, double, boolean, a list or map of such types, a text, a byte array, an enum constant or a
-     * record. Only the last four may be null.
+     * Writes a value: a long, int, double or boolean, a list or map of supported types, a string, a byte array, an enum
+     * constant or a record. Only the last four may be null.
      */
     static void write(final DataOutputStream out, final Type type, final Object value, final int version)
             throws IOException {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** A text or byte array with its length plus one before it; a length of zero stands for null. */
+    /** Writes a string or byte array, preceded by its length plus one; a length field of zero stands for null. */
     private static void writeBytes(final DataOutputStream out, final Object value) throws IOException {
         final byte[] bytes = value instanceof String text ? text.getBytes(StandardCharsets.UTF_8) : (byte[]) value;
         VarInts.write(out, bytes == null ? 0 : bytes.length + 1L);
@@ -91,7 +91,10 @@
         }
     }
 
-    /** Elements of collections are never null, so boxed numbers are written like primitive ones. */
+    /**
+     * Returns the primitive type of a boxed number. Elements of collections are never null, so boxed numbers are
+     * encoded like primitive ones.
+     */
     static Type unboxed(final Type type) {
         return type == Long.class ? long.class : type == Integer.class ? int.class : type;
     }
--- a/spokestall/src/main/java/spokestall/message/RecordLayout.java
+++ b/spokestall/src/main/java/spokestall/message/RecordLayout.java
@@ -9,10 +9,10 @@
 import java.lang.reflect.Type;
 
 /**
- * The order and types of a record type's fields, as read once by reflection. Writes and reads the fields of one record; the
- * byte that says whether the record is present is the caller's.
+ * The order and types of a record type's fields, read once by reflection. Writes and reads the fields of one record;
+ * the caller handles the byte that says whether the record is present.
  *
- * <p>Thread-safe: immutable.
+ * <p>Immutable and thread-safe.
  */
 final class RecordLayout {
     private static final ClassValue<RecordLayout> LAYOUTS = new ClassValue<>() {
@@ -22,7 +22,7 @@
         }
     };
 
-    /** One field: {@code defaultValue} is its value where a message's version lacks it. */
+    /** One field; {@code defaultValue} is its decoded value if the message's version doesn't have the field. */
     private record Field(Method accessor, Type type, int sinceVersion, Object defaultValue) {}
 
     private final Field[] fields;
@@ -31,7 +31,7 @@
     private RecordLayout(final Class<?> type) {
         final RecordComponent[] components = type.getRecordComponents();
         if (components == null) {
-            throw new IllegalStateException(type + " is no record");
+            throw new IllegalStateException(type + " is not a record");
         }
         final Class<?>[] types = new Class<?>[components.length];
         fields = new Field[components.length];
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Returns a record type's layout; throws {@link IllegalStateException} if the type is no record. */
+    /** Returns a record type's layout; throws {@link IllegalStateException} if the type is not a record. */
     static RecordLayout of(final Class<?> type) {
         return LAYOUTS.get(type);
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Writes the fields that the oldest version lacks, as they follow the others in a stored record. */
+    /** Writes the fields that the oldest version lacks. In a stored record they follow all other fields. */
     void writeLaterFields(final DataOutputStream out, final Object record) throws IOException {
         try {
             for (final Field field : fields) {
@@ -92,12 +92,12 @@
         }
     }
 
-    /** Reads a record from the fields that a version has. */
+    /** Reads a record that has the fields of a version. */
     Object read(final DataInputStream in, final int version) throws IOException {
         return construct(values(in, version));
     }
 
-    /** Reads a stored record, whose later fields are missing from some field on if an older program wrote it. */
+    /** Reads a stored record. If an older program wrote it, some or all later fields are missing at its end. */
     Object readStored(final DataInputStream in) throws IOException {
         final Object[] values = values(in, MessageCodec.OLDEST_VERSION);
         for (int i = 0; i < fields.length; i++) {
@@ -122,7 +122,7 @@
         try {
             return constructor.newInstance(values);
         } catch (final ReflectiveOperationException e) {
-            throw new IOException("bad " + constructor.getDeclaringClass().getSimpleName(), e);
+            throw new IOException("invalid " + constructor.getDeclaringClass().getSimpleName(), e);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/message/SinceVersion.java
+++ b/spokestall/src/main/java/spokestall/message/SinceVersion.java
@@ -6,13 +6,13 @@
 import java.lang.annotation.Target;
 
 /**
- * Marks a field that a record did not have in the first version. Messages of older versions lack it, and it is decoded as zero,
- * false or null: its type is long, int, boolean or one that may be null. In a stored record such fields follow all others, where
- * older programs don't read.
+ * Marks a record field that the first message version doesn't have. Messages of older versions lack the field, and it
+ * is decoded as zero, false or null; so its type must be long, int, boolean or a nullable type. In a stored record such
+ * fields follow all others, beyond the bytes that older programs read.
  */
 @Target(ElementType.RECORD_COMPONENT)
 @Retention(RetentionPolicy.RUNTIME)
 public @interface SinceVersion {
-    /** The first version of messages that has the field. */
+    /** The first message version that has the field. */
     int value();
 }
--- a/spokestall/src/main/java/spokestall/message/VarInts.java
+++ b/spokestall/src/main/java/spokestall/message/VarInts.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 
 /**
- * Integers of variable length (LEB128): seven bits a byte, the lowest first; the upper bit says that another byte follows.
- * Signed values are zigzag-coded first, so that small negative ones are short too.
+ * Variable-length integers (LEB128): seven bits per byte, the lowest bits first; the top bit of a byte says that
+ * another byte follows. Signed values are zigzag-encoded first, so that small negative values are short too.
  */
 final class VarInts {
     private static final int MAX_BYTES = 10;
@@ -16,7 +16,7 @@
 
     private VarInts() {}
 
-    /** Maps 0, -1, 1, -2, ... to 0, 1, 2, 3, ... */
+    /** Zigzag-encodes a value: maps 0, -1, 1, -2, ... to 0, 1, 2, 3, ... */
     static long zigZag(final long value) {
         return value << 1 ^ value >> 63;
     }
@@ -26,7 +26,7 @@
         return value >>> 1 ^ -(value & 1);
     }
 
-    /** Writes a value, taken as unsigned, in one to ten bytes. */
+    /** Writes a value, interpreted as unsigned, in one to ten bytes. */
     static void write(final DataOutputStream out, final long value) throws IOException {
         long remaining = value;
         while ((remaining & ~(long) VALUE_BITS) != 0) {
@@ -36,7 +36,7 @@
         out.writeByte((int) remaining);
     }
 
-    /** Reads a value; throws {@link IOException} if it has more than ten bytes. */
+    /** Reads a value; throws {@link IOException} if it is longer than ten bytes. */
     static long read(final DataInputStream in) throws IOException {
         long value = 0;
         for (int i = 0; i < MAX_BYTES; i++) {
@@ -46,6 +46,6 @@
                 return value;
             }
         }
-        throw new IOException("number without an end");
+        throw new IOException("integer has more than ten bytes");
     }
 }
--- a/spokestall/src/main/java/spokestall/node/GossipEdgeShares.java
+++ b/spokestall/src/main/java/spokestall/node/GossipEdgeShares.java
@@ -9,8 +9,9 @@
 import spokestall.proxy.EdgeShares;
 
 /**
- * The edges among which limits of the whole fleet are divided: as many as are configured, else the most that this node has known at
- * a time. An edge that is out of sight for a while, cut off or restarting, keeps its place, so that the others' parts don't grow.
+ * Divides fleet-wide limits among the edges. The number of edges is the configured count, or else the largest number of
+ * edges that the gossip view has contained at any one time. An edge that leaves the view temporarily, because it is
+ * partitioned or restarting, keeps its share, so that the other edges' shares don't grow.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
@@ -18,19 +19,19 @@
     private final PartialView view;
     private final boolean selfServesClients;
     private final IntSupplier configuredEdges;
-    /** The other edges by name, those seen last at the end. */
+    /** The other edges by name, ordered by when the view last contained them, the most recent last. */
     private final Map<String, NodeInfo> otherEdges = new LinkedHashMap<>();
 
     private int maxOthersSeen;
-    /** The version of the view that was last looked at. */
+    /** The version of the view that was last read. */
     private long lastViewVersion = -1;
 
     /**
-     * Creates it with no other edge seen.
+     * Creates an instance that knows no other edge.
      *
      * @param view the other nodes
-     * @param selfServes whether this node serves clients
-     * @param configuredEdges how many edges the settings name, zero if they don't
+     * @param selfServesClients whether this node serves clients
+     * @param configuredEdges the number of edges in the settings, or zero if it is not set
      */
     GossipEdgeShares(final PartialView view, final boolean selfServes, final IntSupplier configuredEdges) {
         this.view = view;
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -14,8 +14,9 @@
 final class NodeSchedule {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /**
-     * While no voters are known, a starting node sends feed requests on its first {@value} attempts, then only on every
-     * attempt that is a multiple of twice this number.
+     * How many feed requests a starting node sends on its first attempts, one each. After that it sends one on every
+     * attempt that is a multiple of twice this number, and on all others only if the voters are known and freshness is
+     * not proved yet.
      */
     private static final int FAST_ATTEMPTS = 4;
     /**
--- a/spokestall/src/main/java/spokestall/node/SnapshotStore.java
+++ b/spokestall/src/main/java/spokestall/node/SnapshotStore.java
@@ -7,22 +7,23 @@
 import spokestall.message.MessageCodec;
 
 /**
- * Stores a snapshot of the configuration on a core's own disk, so that a core that restarts need not read each version since
- * from the others first. Versions that the snapshot contains need no registers of their own, so these are dropped.
+ * Stores a snapshot of the configuration on a core's own disk, so that a restarted core need not first fetch every
+ * version from other cores. Versions that the snapshot contains need no registers of their own, so their registers are
+ * removed.
  *
- * <p>Not thread-safe; all calls on the node's event loop. One write is in flight at most; a register is dropped only once the
- * snapshot that contains its version is synced.
+ * <p>Not thread-safe; all calls on the node's event loop. At most one write is in flight; a register is removed only
+ * after the snapshot that contains its version is synced.
  */
 final class SnapshotStore {
-    /** The key of the snapshot among the acceptor's local records. */
+    /** The acceptor's local record of the snapshot. Part of the stored format. */
     static final String KEY = "~policy";
-    /** The ratio of the log that registers of versions that are in the snapshot may take. */
+    /** The part of the log that registers of versions contained in the snapshot may occupy, as a ratio. */
     private static final double VERSIONS_RATIO = 0.1;
 
     private enum State {
         IDLE,
         WRITING,
-        /** A newer configuration was applied since the write in flight began. */
+        /** A newer configuration was applied after the write in flight began. */
         WRITING_OUTDATED
     }
 
@@ -33,7 +34,10 @@
     private State state = State.IDLE;
     private long storedVersion;
 
-    /** Keeps the registers of at most {@code versionsKept} versions, for feed clients that are not far behind. */
+    /**
+     * Creates a store that keeps the registers of at most {@code versionsKept} versions, for feed clients that are only
+     * slightly behind.
+     */
     SnapshotStore(
             final Acceptor acceptor,
             final ConfigurationStore configurationStore,
@@ -45,7 +49,7 @@
         this.versionsMaxBytes = (long) (logCapacityBytes * VERSIONS_RATIO);
     }
 
-    /** Loads the configuration that this disk has, if any. */
+    /** Loads the configuration from this disk, if there is one. */
     void load() {
         final byte[] stored = acceptor.localRecord(KEY);
         if (stored != null) {
@@ -56,12 +60,12 @@
         }
     }
 
-    /** Returns the version of the newest snapshot that is synced, 0 before the first. */
+    /** Returns the version of the newest synced snapshot, or 0 before the first. */
     long storedVersion() {
         return storedVersion;
     }
 
-    /** Writes the configuration as often as the disk takes it. */
+    /** Writes the current configuration, or marks the write in flight as outdated so that another one follows it. */
     void onConfigurationApplied() {
         if (state == State.IDLE) {
             write();
@@ -80,7 +84,7 @@
     private void onWritten(final long version, final boolean synced) {
         final boolean outdated = state == State.WRITING_OUTDATED;
         transitionTo(State.IDLE);
-        // After a failed write the disk is tried again with the next configuration.
+        // After a failed write the store writes again when the next configuration is applied.
         if (synced) {
             storedVersion = version;
             raiseFloor();
@@ -102,7 +106,7 @@
                 this::dropVersions);
     }
 
-    /** Below the floor a register is not needed: what it decided is in the snapshot on this disk. */
+    /** Removes the registers up to the version floor: the snapshot on this disk contains the values chosen for them. */
     private void dropVersions() {
         ConfigurationKeys.keysUpTo(acceptor.registers(), acceptor.versionFloor())
                 .forEach(acceptor::removeRegister);
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -19,21 +19,22 @@
 import spokestall.gossip.PartialView;
 
 /**
- * The calls {@code status} and {@code upstreams}: this node's own view, which may be older than other nodes' views.
+ * The calls {@code status} and {@code upstreams}, which return this node's local view. It may be older than the views
+ * of other nodes.
  *
- * <p>Not thread-safe; all calls on the node's event loop. Both answer at once and never fail.
+ * <p>Not thread-safe; all calls on the node's event loop. Both calls reply immediately and never fail.
  */
 final class StatusCalls {
-    /** The part of a status that depends on the node's role. */
+    /** The part of {@code status} that depends on the node's role. */
     interface RoleStatus {
         /** Adds this role's fields to the status. */
         void describe(ObjectNode status);
 
-        /** Adds to an evacuated zone's entry what this role knows about its progress. */
+        /** Adds the progress of an evacuation, as far as this role knows it, to the zone's entry. */
         void describeEvacuation(String zone, ObjectNode evacuation);
     }
 
-    /** The components whose state is shown, on a node of any role. */
+    /** The components whose state {@code status} and {@code upstreams} show, on a node of any role. */
     record Sources(
             PartialView view,
             PeerDirectory peerDirectory,
@@ -62,13 +63,16 @@
         this.roleStatus = roleStatus;
     }
 
-    /** Registers both calls, which any node answers. */
+    /** Registers both calls, which every node answers. */
     void register(final CallRegistry calls) {
         calls.register("status", (params, done) -> done.accept(Reply.of(ResultCode.OK, status())));
         calls.register("upstreams", (params, done) -> done.accept(Reply.of(ResultCode.OK, upstreams())));
     }
 
-    /** Marks an answer as this node's own view: by which version, how old its proof is, and whether that still counts. */
+    /**
+     * Marks a reply as this node's local view, and adds the configuration's version, the age of its last proof of
+     * freshness, and whether this proof is still valid.
+     */
     private void addLocalView(final ObjectNode fields) {
         fields.put("local", true)
                 .put("version", configurationStore.configuration().version())
--- a/spokestall/src/main/java/spokestall/node/Ticker.java
+++ b/spokestall/src/main/java/spokestall/node/Ticker.java
@@ -7,20 +7,20 @@
 /**
  * Runs a node's periodic tasks until it is stopped.
  *
- * <p>Not thread-safe; all calls and all tasks run on the node's event loop. Each task's first run comes after a random part of
- * its period, so that nodes that start together don't tick together. A task that runs late shows that events wait on the loop: that
- * is logged, once a second at most.
+ * <p>Not thread-safe; all calls and all tasks run on the node's event loop. Each task first runs after a random part of
+ * its period, so that nodes that start together don't tick together. A task that runs late means that events wait on
+ * the event loop; the ticker logs such delays, at most once per second.
  */
 final class Ticker {
     /** One periodic task. */
     @FunctionalInterface
     interface Task {
-        /** Runs once in each period. */
+        /** Runs the task; called once in each period. */
         void onTick();
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Tasks later than this are logged. */
+    /** Tasks that run later than this are logged. */
     private static final long LATE_MS = 250;
 
     private static final long LOG_PERIOD_MS = 1000;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Ends all tasks; none runs after this call. */
+    /** Stops all tasks; none runs after this call. */
     void stop() {
         stopped = true;
     }
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -20,36 +20,36 @@
 import spokestall.usage.ReportSchedule;
 
 /**
- * Derives each component's periods, time-outs and bounds from the settings. The settings give a few bounds that operators care
- * about; all else is a ratio of these, so that one setting scales everything that depends on it.
+ * Derives each component's periods, timeouts and bounds from the settings. The settings contain only a few bounds that
+ * matter to operators; all other values are ratios of these, so that one setting scales everything that depends on it.
  *
- * <p>Immutable; a node creates a new one whenever its settings change.
+ * <p>Immutable; a node creates a new instance whenever its settings change.
  */
 final class Timings {
-    /** Used for a count of nodes that is not configured, where a bound is needed. */
+    /** The number of nodes assumed where a bound needs a count that is not configured. */
     private static final int DEFAULT_NODE_COUNT = VoterSet.VOTERS_MAX;
-    /** The version of messages since which a response may omit what the requester has. */
+    /** The first message version in which a response may omit data that the requester already has. */
     private static final int OMISSIONS_SINCE_VERSION = 3;
 
-    /** How many members a gossip message names at most. */
+    /** The maximum number of members in one gossip message. */
     private static final int GOSSIP_SAMPLE = 6;
-    /** How many attempts a proposal has at most. */
+    /** The maximum number of attempts of one proposal. */
     private static final int PROPOSAL_ATTEMPTS = 64;
-    /** How many requests for a proof of freshness may be open at once. */
+    /** The maximum number of unanswered requests for a proof of freshness. */
     private static final int OPEN_FRESHNESS_REQUESTS = 32;
-    /** Every so many requests for updates one goes to a core that is not the nearest. */
+    /** One in so many requests for updates goes to a core that is not the nearest one. */
     private static final int CORE_REMOTE_REQUEST_INTERVAL = 8;
 
     private static final int EDGE_REMOTE_REQUEST_INTERVAL = 64;
-    /** After how many failed health checks in a row an upstream is down. */
+    /** The number of consecutive failed health checks after which an upstream is down. */
     private static final int FAILED_CHECKS_UNTIL_DOWN = 2;
-    /** How many cores check each upstream. */
+    /** The number of cores that check each upstream. */
     private static final int CORES_PER_HEALTH_CHECK = 2;
 
     private static final int USAGE_WINDOWS_KEPT = 3;
-    /** How many attempts a client's request has at most. */
+    /** The maximum number of attempts of one client request. */
     private static final int REQUEST_ATTEMPTS = 3;
-    /** The ratio of the setting {@code retryShare} that is used. */
+    /** The ratio of the setting {@code retryShare} that the proxy uses. */
     private static final double RETRY_SHARE_RATIO = 0.9;
 
     private static final long SHUTDOWN_CHECK_MS = 20;
@@ -68,24 +68,24 @@
     }
 
     /**
-     * Returns the largest size of a configuration in bytes: one must fit into a record of the cores' logs, together with all else
-     * of a new generation's initial state.
+     * Returns the maximum size of a configuration in bytes. A configuration must fit into one record of the cores'
+     * logs, together with the rest of a new generation's initial state.
      */
     int configurationMaxBytes() {
         return (int) Math.min(settings.integer("policyMaxBytes"), settings.integer("ringSegmentBytes") / 2);
     }
 
-    /** Returns the length of a usage window, whose counts are reported together. */
+    /** Returns the length of a usage window in milliseconds. The counts of one window are reported together. */
     long windowMs() {
         return settings.integer("reportWindowS") * MILLIS_PER_SECOND;
     }
 
-    /** Returns for how long a change to the configuration may take before it is answered. */
+    /** Returns the time within which a change to the configuration is answered. */
     long changeMs() {
         return settings.fractionOf("policyBoundMs", 0.8);
     }
 
-    /** Returns the parameters of the partial view: sizes, and after which time a silent member is removed. */
+    /** Returns the parameters of the partial view: its sizes, and the time after which a silent member is removed. */
     ViewParameters partialView() {
         return new ViewParameters(
                 2 * (countOrDefault("cores") + countOrDefault("edges")),
@@ -94,7 +94,7 @@
                 settings.fractionOf("leaveBoundMs", 1));
     }
 
-    /** Returns the parameters of proposals; a round waits for some round trips between the farthest nodes. */
+    /** Returns the parameters of proposals. One round waits for several round trips between the most distant nodes. */
     Proposer.Timing proposer() {
         final long farMs = settings.integer("farMs");
         return new Proposer.Timing(4 * farMs, Math.max(1, farMs / 2), PROPOSAL_ATTEMPTS);
@@ -110,7 +110,7 @@
                 settings.integer("noteVersion") < OMISSIONS_SINCE_VERSION);
     }
 
-    /** Returns the parameters of the fleet's first start. */
+    /** Returns the parameters of the fleet's bootstrap. */
     BootstrapProposer.Timeouts bootstrapProposer() {
         return new BootstrapProposer.Timeouts(
                 settings.fractionOf("leaveBoundMs", 0.5),
@@ -118,7 +118,7 @@
                 8 * settings.integer("farMs"));
     }
 
-    /** Returns the parameters of changes of the voters. */
+    /** Returns the parameters of voter set changes. */
     MembershipSettings membership() {
         return new MembershipSettings(
                 (int) settings.integer("cores"),
@@ -154,7 +154,7 @@
                 settings.fractionOf("leaveBoundMs", 0.25));
     }
 
-    /** Returns the parameters of the counting of requests. */
+    /** Returns the parameters of usage counting. */
     CounterLimits usageCounter() {
         return new CounterLimits(
                 windowMs(),
@@ -165,7 +165,7 @@
                 settings.integer("farMs") / 2);
     }
 
-    /** Returns the parameters of the usage report, as ratios of the time by which it is due. */
+    /** Returns the parameters of the usage report, as ratios of the time by which a report is due. */
     ReportSchedule reporter() {
         return new ReportSchedule(
                 windowMs(),
@@ -178,7 +178,7 @@
                 settings.number("dutiesPerS"));
     }
 
-    /** Returns the parameters of the usage report's lease. */
+    /** Returns the parameters of the lease on reporting usage. */
     LeaseTimeouts lease() {
         return new LeaseTimeouts(
                 settings.integer("leaseMs"),
@@ -190,7 +190,7 @@
                 settings.integer("restMs"));
     }
 
-    /** Returns the parameters of the load balancer; shared bounds are divided by the number of edges. */
+    /** Returns the parameters of the load balancer; fleet-wide bounds are divided by the number of edges. */
     LoadBalancerParameters loadBalancer(final EdgeShares shares) {
         return new LoadBalancerParameters(
                 new LoadBalancerParameters.SlowStartLimits(
@@ -201,7 +201,7 @@
                         settings.number("districtCost"), settings.number("regionCost")));
     }
 
-    /** Returns the parameters of the admission and execution of clients' requests. */
+    /** Returns the parameters of the admission and execution of client requests. */
     ProxyLimits proxy() {
         return new ProxyLimits(
                 (int) settings.integer("askOpenMax"),
@@ -224,7 +224,7 @@
                         settings.integer("any500") == 1));
     }
 
-    /** Returns the phases of the graceful shutdown, as parts of the longest time that it may take. */
+    /** Returns the phases of the graceful shutdown, as ratios of its maximum duration. */
     GracefulShutdown.Timing gracefulShutdown() {
         return GracefulShutdown.Timing.within(settings.integer("stopWaitMs"), SHUTDOWN_CHECK_MS);
     }
--- a/spokestall/src/main/java/spokestall/node/ToleratedVoterLoss.java
+++ b/spokestall/src/main/java/spokestall/node/ToleratedVoterLoss.java
@@ -12,12 +12,15 @@
 import spokestall.settings.Settings;
 
 /**
- * The largest loss that the settings require the fleet to survive: so many cores, zones or regions at once.
+ * The largest simultaneous loss that the settings require the fleet to survive: a number of cores, zones or regions.
  *
- * <p>Zones and regions of the voters are taken from the gossip view. Not thread-safe; all calls on the node's event loop.
+ * <p>The voters' zones and regions come from the gossip view. Not thread-safe; all calls on the node's event loop.
  */
 final class ToleratedVoterLoss implements ToleratedLoss {
-    /** Before the name of a voter whose place is unknown, so that the name can't be taken for a place's. */
+    /**
+     * Prefix of a voter's name where it stands for the voter's unknown place, so that the name can't collide with a
+     * zone or region.
+     */
     private static final String UNKNOWN_PLACE_PREFIX = "?";
 
     private final Settings settings;
@@ -36,7 +39,10 @@
         return Math.max(byCores, Math.max(byZones, byRegions));
     }
 
-    /** Counts the voters in the {@code places} with the most of them. A core whose place is unknown is a place of its own. */
+    /**
+     * Returns the number of voters in the {@code places} zones or regions with the most voters. A core whose place is
+     * unknown counts as a place of its own.
+     */
     private int votersInLargestPlaces(
             final List<Voter> voters, final Function<NodeInfo, String> placeOf, final int places) {
         final Map<String, String> placeByName = new HashMap<>();
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -19,12 +19,12 @@
 import spokestall.usage.UsageTable;
 
 /**
- * A core's part in reporting usage: the table of all edges' counts, the lease on reporting them, and the reporter.
+ * A core's part in reporting usage: the table of all edges' counts, the lease on reporting, and the reporter.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class UsageComponent {
-    // The role and the keys are stored and part of replies: they must not change.
+    // The role and the keys are stored and appear in replies, so they must not change.
     private static final String ROLE = "usage_report";
     static final String LEASE_KEY = Lease.key(ROLE);
     static final String COUNTS_KEY = "~usage";
@@ -74,7 +74,7 @@
                 this::leaseReplica);
     }
 
-    /** Reads the counts and the fencing token that this core's disk has from an earlier incarnation. */
+    /** Loads the counts and the fencing token that an earlier incarnation left on this core's disk. */
     void open() {
         final UsageMessage.Counts stored = persistedCounts.read(UsageMessage.Counts.class);
         if (stored != null) {
@@ -83,7 +83,7 @@
         acceptor.registers().forEach(this::onRegisterStored);
     }
 
-    /** Notes the fencing token of the lease whenever this core's acceptor stores it. */
+    /** Records the fencing token of the lease each time this core's acceptor stores it. */
     void onRegisterStored(final String key, final Register register) {
         if (key.equals(LEASE_KEY) && register.value() != null) {
             highestFencingToken = Math.max(
@@ -92,15 +92,15 @@
         }
     }
 
-    /** The highest fencing token that was stored here; 0 if none was. */
+    /** Returns the highest fencing token stored on this core, or 0 if none was stored. */
     long highestFencingToken() {
         return highestFencingToken;
     }
 
     /**
-     * Ticks the lease if this core holds it or may acquire it. A core that is draining acquires no lease, and keeps one that it holds
-     * until its last request is answered. Nor does a core acquire it that doesn't vote: without the registers it can't tell which
-     * windows it may report.
+     * Ticks the lease manager if this core holds the lease or may acquire it. A core that is draining doesn't acquire
+     * the lease, but keeps one that it holds until its last request is answered. A core that doesn't vote doesn't
+     * acquire the lease either: without the registers it can't tell which windows it may report.
      */
     void tickLease(final boolean draining) {
         final boolean mayAcquire = acceptor.state() == Acceptor.State.VOTING && !draining;
@@ -109,12 +109,15 @@
         }
     }
 
-    /** Stores the counts if they changed. */
+    /** Writes the counts to disk if they changed. */
     void tickPersistedCounts() {
         persistedCounts.tick();
     }
 
-    /** Merges the counts from disk, once the fleet's time is known, by which their windows are numbered. */
+    /**
+     * Merges the counts loaded from disk once the fleet clock has settled, because windows are numbered by the fleet's
+     * time.
+     */
     void mergeCountsFromDisk() {
         if (!countsFromDisk.isEmpty() && context.fleetClock.settled()) {
             countsFromDisk.forEach(table::merge);
@@ -122,7 +125,9 @@
         }
     }
 
-    /** Merges counts that are pushed, answers requests for counts, and passes answers to the reporter. */
+    /**
+     * Merges pushed counts and acknowledges them, answers requests for counts, and passes responses to the reporter.
+     */
     void onMessage(final UsageMessage message) {
         if (message instanceof UsageMessage.Counts push) {
             push.counts().forEach(table::merge);
@@ -138,12 +143,15 @@
         }
     }
 
-    /** Gives up the lease; {@code done} runs once its release has ended. */
+    /**
+     * Stops the lease manager for good. {@code done} runs once the lease is released, or at once if there is nothing to
+     * release.
+     */
     void stop(final Runnable done) {
         leaseManager.stop(done);
     }
 
-    /** This voter's copy of the lease's register, or null while it doesn't vote. */
+    /** Returns this voter's replica of the lease's register, or null while this core doesn't vote. */
     private Register leaseReplica() {
         return acceptor.state() == Acceptor.State.VOTING
                 ? acceptor.registers().getOrDefault(LEASE_KEY, NO_LEASE)
--- a/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
@@ -40,7 +40,7 @@
         unknownType[2] ^= 0x40;
         assertThatThrownBy(() -> MessageCodec.decode(unknownType))
                 .isInstanceOf(UnknownMessageException.class)
-                .hasMessageStartingWith("kind ");
+                .hasMessageStartingWith("type ");
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/message/VarIntsTest.java
+++ b/spokestall/src/test/java/spokestall/message/VarIntsTest.java
@@ -48,6 +48,6 @@
         Arrays.fill(endless, (byte) 0xff);
         assertThatThrownBy(() -> decode(endless))
                 .isInstanceOf(IOException.class)
-                .hasMessage("number without an end");
+                .hasMessage("integer has more than ten bytes");
     }
 }
