--- a/spokestall/src/main/java/spokestall/node/CoreStatus.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStatus.java
@@ -60,11 +60,11 @@
 
     /** Adds the number of requests in flight at the zone's edges; the zone is empty once there are none. */
     @Override
-    public void describeEvacuation(final String zone, final ObjectNode drainStatus) {
-        int open = 0;
+    public void describeEvacuation(final String zone, final ObjectNode evacuation) {
+        int openRequests = 0;
         for (final TrackedEdge edge : feedServer.edges().values()) {
-            open += edge.info().zone().equals(zone) ? edge.openRequests() : 0;
+            openRequests += edge.info().zone().equals(zone) ? edge.openRequests() : 0;
         }
-        drainStatus.put("open", open).put("empty", open == 0);
+        evacuation.put("open", openRequests).put("empty", openRequests == 0);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/GossipEdgeShares.java
+++ b/spokestall/src/main/java/spokestall/node/GossipEdgeShares.java
@@ -33,9 +33,9 @@
      * @param selfServesClients whether this node serves clients
      * @param configuredEdges the number of edges in the settings, or zero if it is not set
      */
-    GossipEdgeShares(final PartialView view, final boolean selfServes, final IntSupplier configuredEdges) {
+    GossipEdgeShares(final PartialView view, final boolean selfServesClients, final IntSupplier configuredEdges) {
         this.view = view;
-        this.selfServesClients = selfServes;
+        this.selfServesClients = selfServesClients;
         this.configuredEdges = configuredEdges;
     }
 
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -38,9 +38,9 @@
     /** The maximum number of unanswered requests for a proof of freshness. */
     private static final int OPEN_FRESHNESS_REQUESTS = 32;
     /** One in so many requests for updates goes to a core that is not the nearest one. */
-    private static final int CORE_REMOTE_REQUEST_INTERVAL = 8;
+    private static final int CORE_SOURCE_PROBE_INTERVAL = 8;
 
-    private static final int EDGE_REMOTE_REQUEST_INTERVAL = 64;
+    private static final int EDGE_SOURCE_PROBE_INTERVAL = 64;
     /** The number of consecutive failed health checks after which an upstream is down. */
     private static final int FAILED_CHECKS_UNTIL_DOWN = 2;
     /** The number of cores that check each upstream. */
@@ -106,7 +106,7 @@
                 settings.integer("freshMs"),
                 OPEN_FRESHNESS_REQUESTS,
                 3 * settings.integer("proofMs"),
-                core ? CORE_REMOTE_REQUEST_INTERVAL : EDGE_REMOTE_REQUEST_INTERVAL,
+                core ? CORE_SOURCE_PROBE_INTERVAL : EDGE_SOURCE_PROBE_INTERVAL,
                 settings.integer("noteVersion") < OMISSIONS_SINCE_VERSION);
     }
 
--- a/spokestall/src/test/java/spokestall/PagesTest.java
+++ b/spokestall/src/test/java/spokestall/PagesTest.java
@@ -36,7 +36,7 @@
     }
 
     private static List<String> unknownNames(final String page) throws IOException {
-        final List<String> found = new ArrayList<>();
+        final List<String> unknown = new ArrayList<>();
         final List<Path> sources = sources();
         final Matcher name = NAME.matcher(page);
         while (name.find()) {
@@ -45,10 +45,10 @@
                 known |= matches(file, name);
             }
             if (!known) {
-                found.add(name.group());
+                unknown.add(name.group());
             }
         }
-        return found;
+        return unknown;
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
+++ b/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
@@ -40,30 +40,30 @@
 
     @Test
     void resultCodesAreStable() {
-        final List<String> found = Stream.of(ResultCode.values())
+        final List<String> lines = Stream.of(ResultCode.values())
                 .map(result -> result.number() + " " + result.httpStatus() + " " + result.name() + " " + result.text())
                 .toList();
-        assertThat(found).isEqualTo(GoldenFile.lines("results.txt"));
+        assertThat(lines).isEqualTo(GoldenFile.lines("results.txt"));
     }
 
     @Test
     void callNamesAndParametersAreStable() {
-        final List<String> found = new ArrayList<>();
+        final List<String> signatures = new ArrayList<>();
         new CallRegistry()
                 .schema()
                 .path("methods")
                 .fields()
-                .forEachRemaining(method ->
-                        found.add(signature(method.getKey(), method.getValue().path("params"))));
-        assertThat(found).isEqualTo(GoldenFile.lines("calls.txt"));
+                .forEachRemaining(method -> signatures.add(
+                        signature(method.getKey(), method.getValue().path("params"))));
+        assertThat(signatures).isEqualTo(GoldenFile.lines("calls.txt"));
     }
 
     @Test
     void schemaFileDeclaresItsDialect() {
         final JsonNode file = new CallRegistry().schema();
-        final List<String> parts = new ArrayList<>();
-        file.fieldNames().forEachRemaining(parts::add);
-        assertThat(parts).containsExactly("$schema", "title", "methods", "$defs");
+        final List<String> topLevelFields = new ArrayList<>();
+        file.fieldNames().forEachRemaining(topLevelFields::add);
+        assertThat(topLevelFields).containsExactly("$schema", "title", "methods", "$defs");
         assertThat(file.path("$schema").asText()).isEqualTo("https://json-schema.org/draft/2020-12/schema");
         assertThat(file.at("/$defs/policy/$schema").asText()).isEqualTo("https://json-schema.org/draft/2020-12/schema");
     }
--- a/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -36,12 +36,12 @@
         final Map<String, String> lines = new TreeMap<>();
         productionMessages().forEach((number, type) -> {
             for (int version = MessageCodec.OLDEST_VERSION; version <= MessageCodec.CURRENT_VERSION; version++) {
-                final String which = number + " v" + version;
+                final String lineName = number + " v" + version;
                 lines.put(
-                        which + " full",
+                        lineName + " full",
                         HEX.formatHex(MessageCodec.encode((Message) SampleRecords.full(type), version)));
                 lines.put(
-                        which + " empty",
+                        lineName + " empty",
                         HEX.formatHex(MessageCodec.encode((Message) SampleRecords.empty(type), version)));
             }
         });
@@ -65,10 +65,10 @@
         final Map<Integer, Class<? extends Record>> messages = productionMessages();
         for (final Map.Entry<String, String> line :
                 GoldenLines.read("messages.txt").entrySet()) {
-            final String[] which = line.getKey().split(" ", -1);
+            final String[] nameParts = line.getKey().split(" ", -1);
             final Message message = MessageCodec.decode(HEX.parseHex(line.getValue()));
-            final int version = Integer.parseInt(which[1].substring(1));
-            assertThat(message).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(which[0])));
+            final int version = Integer.parseInt(nameParts[1].substring(1));
+            assertThat(message).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(nameParts[0])));
             assertThat(HEX.formatHex(MessageCodec.encode(message, version)))
                     .as(line.getKey())
                     .isEqualTo(line.getValue());
--- a/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
@@ -58,8 +58,8 @@
     void versionThreeEncodesIntegersAsVarInts() throws Exception {
         for (final int n : new int[] {0, 1, -1, 63, 64, -65, 1 << 20, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
             for (final long at : new long[] {0, -1, 1L << 40, Long.MAX_VALUE, Long.MIN_VALUE}) {
-                final Tick one = new Tick(at, List.of(new Inner(null, n), new Inner("", n)), true, "\u00fc");
-                assertThat(MessageCodec.decode(MessageCodec.encode(one, 3))).isEqualTo(one);
+                final Tick message = new Tick(at, List.of(new Inner(null, n), new Inner("", n)), true, "\u00fc");
+                assertThat(MessageCodec.decode(MessageCodec.encode(message, 3))).isEqualTo(message);
             }
         }
         assertThat(MessageCodec.encode(tick(3, true), 3).length)
@@ -75,12 +75,12 @@
             for (int n = 1 + random.nextInt(4); n > 0; n--) {
                 frame[random.nextInt(frame.length)] = (byte) random.nextInt();
             }
-            final byte[] cut =
+            final byte[] received =
                     random.nextInt(3) == 0 ? Arrays.copyOf(frame, 2 + random.nextInt(frame.length - 2)) : frame;
             try {
-                assertThat(MessageCodec.decode(cut)).isInstanceOf(Tick.class);
-            } catch (final IOException bad) {
-                assertThat(bad).isNotNull();
+                assertThat(MessageCodec.decode(received)).isInstanceOf(Tick.class);
+            } catch (final IOException expected) {
+                assertThat(expected).isNotNull();
             }
         }
     }
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -52,11 +52,11 @@
     }
 
     /** Later fields may be absent, so the shortest beginning that can be read has none of them. */
-    private static byte[] withoutLaterFields(final byte[] whole, final Class<? extends Record> type) {
-        for (int length = 1; length < whole.length; length++) {
-            final byte[] beginning = Arrays.copyOf(whole, length);
-            if (readable(beginning, type)) {
-                return beginning;
+    private static byte[] withoutLaterFields(final byte[] complete, final Class<? extends Record> type) {
+        for (int length = 1; length < complete.length; length++) {
+            final byte[] prefix = Arrays.copyOf(complete, length);
+            if (readable(prefix, type)) {
+                return prefix;
             }
         }
         throw new IllegalStateException("nothing later in " + type);
@@ -65,7 +65,7 @@
     private static boolean readable(final byte[] bytes, final Class<? extends Record> type) {
         try {
             return MessageCodec.decodeRecord(bytes, type) != null;
-        } catch (final IllegalArgumentException cut) {
+        } catch (final IllegalArgumentException truncated) {
             return false;
         }
     }
@@ -78,13 +78,13 @@
     @Test
     void goldenBytesRoundTrip() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
-        lines.forEach((which, hex) -> {
-            final Record record =
-                    MessageCodec.decodeRecord(HEX.parseHex(hex), STORED.get(which.substring(0, which.indexOf(' '))));
-            final String again = lines.getOrDefault(which + "-written-again", hex);
+        lines.forEach((lineName, hex) -> {
+            final Record record = MessageCodec.decodeRecord(
+                    HEX.parseHex(hex), STORED.get(lineName.substring(0, lineName.indexOf(' '))));
+            final String expectedHex = lines.getOrDefault(lineName + "-written-again", hex);
             assertThat(HEX.formatHex(MessageCodec.encodeRecord(record)))
-                    .as(which)
-                    .isEqualTo(again);
+                    .as(lineName)
+                    .isEqualTo(expectedHex);
         });
     }
 
--- a/spokestall/src/test/java/spokestall/message/VarIntsTest.java
+++ b/spokestall/src/test/java/spokestall/message/VarIntsTest.java
@@ -44,9 +44,9 @@
 
     @Test
     void rejectsAValueOfMoreThanTenBytes() {
-        final byte[] endless = new byte[11];
-        Arrays.fill(endless, (byte) 0xff);
-        assertThatThrownBy(() -> decode(endless))
+        final byte[] unterminated = new byte[11];
+        Arrays.fill(unterminated, (byte) 0xff);
+        assertThatThrownBy(() -> decode(unterminated))
                 .isInstanceOf(IOException.class)
                 .hasMessage("integer has more than ten bytes");
     }
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -169,10 +169,10 @@
         auditor.recordConfiguration();
         auditor.recordLease(LEASE);
         auditor.recordWindow(WINDOW);
-        IntStream.range(0, 3).forEach(i -> audit.append("sample", numbered(i)));
+        IntStream.range(0, 3).forEach(i -> audit.append("sample", numberedEntry(i)));
     }
 
-    private static ObjectNode numbered(final int number) {
+    private static ObjectNode numberedEntry(final int number) {
         return JSON.createObjectNode().put("number", number);
     }
 }
