--- a/spokestall/src/test/java/spokestall/ArchitectureTest.java
+++ b/spokestall/src/test/java/spokestall/ArchitectureTest.java
@@ -14,7 +14,7 @@
 import spokestall.storage.DirectorySync;
 import spokestall.storage.FileSegmentStore;
 
-/** Which package may use what. docs/architecture.md shows the same picture. */
+/** Checks the allowed dependencies between packages. docs/architecture.md shows the same structure. */
 class ArchitectureTest {
     private static final JavaClasses PRODUCT = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -24,7 +24,7 @@
     private static final String NODE = "spokestall.node..";
     private static final String COMMANDS = "spokestall.cli..";
 
-    /** State machines: time, chance, network and disk come in from outside. */
+    /** State machines, which receive time, randomness, network and disk from outside. */
     private static final String[] STATE_MACHINES = {
         "spokestall.audit..",
         "spokestall.configuration..",
@@ -47,7 +47,10 @@
         noInputAndOutput(STATE_MACHINES).check(PRODUCT);
     }
 
-    /** The same rules find what the package for input and output does, so they do look. */
+    /**
+     * Proves that the rules detect violations: they must fail for the packages that do use sockets, files, clocks and
+     * threads.
+     */
     @Test
     void rulesDetectSocketsFilesClocksAndThreads() {
         assertThat(violations(noSockets(INPUT_AND_OUTPUT))).contains("HttpClient");
@@ -111,7 +114,10 @@
                 .belongToAnyOf(FileSegmentStore.class, DirectorySync.class);
     }
 
-    /** The log itself is driven by the simulator too; two classes touch files: its own, and the sync of folders. */
+    /**
+     * Only two storage classes access files: the log's file store and the directory sync. The simulator runs all other
+     * storage classes.
+     */
     @Test
     void onlyTwoStorageClassesAccessFiles() {
         classes()
@@ -125,7 +131,7 @@
                 .check(PRODUCT);
     }
 
-    /** The node is wired from state machines alone, so that the simulator can run it. */
+    /** A node consists of state machines only, so that the simulator can run it. */
     @Test
     void nodeUsesNoSocketsOrFiles() {
         noClasses()
@@ -143,13 +149,13 @@
                 .check(PRODUCT);
     }
 
-    /** No package needs another that needs it. */
+    /** Packages must not depend on each other in a cycle. */
     @Test
     void packagesHaveNoCyclicDependencies() {
         slices().matching("spokestall.(**)").should().beFreeOfCycles().check(PRODUCT);
     }
 
-    /** The rule above looks at every package: none of the product's lies outside its pattern. */
+    /** The cycle rule covers every package: no package lies outside its pattern. */
     @Test
     void cycleRuleCoversEveryPackage() {
         assertThat(PRODUCT.stream().map(type -> type.getPackageName()).distinct())
--- a/spokestall/src/test/java/spokestall/PagesTest.java
+++ b/spokestall/src/test/java/spokestall/PagesTest.java
@@ -12,11 +12,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The pages for newcomers name classes that exist, in the packages that they name; the page for operators has every log event. */
+/**
+ * Checks that classes named in the pages for newcomers exist in the packages given there, and that the operators' page
+ * lists every log event.
+ */
 class PagesTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
-    /** A package's last part if given, a class, and a nested class or a member of it if given. */
+    /** The last part of a package if given, a class, and a nested class or member if given. */
     private static final Pattern NAME = Pattern.compile("`(?:([a-z]+)\\.)?([A-Z]\\w+)(?:\\.(\\w+))?`");
 
     private static final Pattern EVENT = Pattern.compile("\"event=([a-zA-Z_]+)");
--- a/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
+++ b/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
@@ -15,7 +15,7 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.testsupport.GoldenFile;
 
-/** The calls of operators as they are sent and answered: their names and parameters, and the words of the replies. */
+/** Guards the wire format of the API calls: the names and parameters of calls, and the names and texts in replies. */
 class RepliesFormatTest {
     private static String reply(final String method, final String params) {
         final List<String> replies = new ArrayList<>();
@@ -91,7 +91,7 @@
                         + "\"result\":{\"troubles\":[{\"pointer\":\"$.window\","
                         + "\"reason\":\"$.window: must have a minimum value of 0\"}]}}");
         assertThat(reply("usage.get", "{}"))
-                .as("a call that nobody carries out here")
+                .as("a call without a handler on this node")
                 .isEqualTo("{\"code\":4006,\"text\":\"this node can't do that now\",\"result\":{}}");
     }
 
--- a/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -15,14 +15,15 @@
 import spokestall.proxy.IdempotencyClaim;
 
 /**
- * The bytes of every numbered message in every version that is read, against literal bytes. Numbers, the order of fields and
- * the ordinals of enums are the format; Java names are not, so a renaming must leave the resource as it is.
+ * Guards the bytes of every message in every supported version against a golden file. Numbers, field order and enum
+ * ordinals are the format; Java names are not, so renaming types or fields must not require a change to the golden
+ * file.
  */
 @ExtendWith(RestoreMessageNumbersExtension.class)
 class FormatStabilityTest {
     private static final HexFormat HEX = HexFormat.of();
 
-    /** The messages of production code; other tests number their own kinds in the same table. */
+    /** Returns the messages of production code only; other tests register types of their own in the same registry. */
     private static Map<Integer, Class<? extends Record>> productionMessages() {
         NumberedMessages.register();
         final CodeSource production = MessageCodec.class.getProtectionDomain().getCodeSource();
--- a/spokestall/src/test/java/spokestall/message/GoldenLines.java
+++ b/spokestall/src/test/java/spokestall/message/GoldenLines.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads test resources of lines that end with literal bytes in hex: {@code <which instance> <hex>}. */
+/** Reads golden files whose lines have a name followed by bytes in hex: {@code <name> <hex>}. */
 final class GoldenLines {
     private GoldenLines() {}
 
-    /** What stands before the hex, with the hex. */
+    /** Returns the hex bytes by name. */
     static Map<String, String> read(final String resource) throws IOException {
         final Map<String, String> lines = new TreeMap<>();
         text(resource)
@@ -19,7 +19,7 @@
                 .forEach(line -> {
                     final int at = line.lastIndexOf(' ');
                     if (lines.put(line.substring(0, at), line.substring(at + 1)) != null) {
-                        throw new IllegalStateException("two lines for " + line.substring(0, at));
+                        throw new IllegalStateException("duplicate line for " + line.substring(0, at));
                     }
                 });
         return lines;
@@ -28,7 +28,7 @@
     private static String text(final String resource) throws IOException {
         try (InputStream in = GoldenLines.class.getResourceAsStream("/golden/" + resource)) {
             if (in == null) {
-                throw new IOException("no resource golden/" + resource);
+                throw new IOException("missing resource golden/" + resource);
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
+++ b/spokestall/src/test/java/spokestall/message/MessageCodecTest.java
@@ -29,7 +29,7 @@
         assertThat(MessageCodec.decode(MessageCodec.encode(tick(3, true), 1))).isEqualTo(tick(0, false));
         final byte[] first = MessageCodec.encode(tick(3, true), 1);
         assertThat(first[0])
-                .as("the first version begins with its type's number")
+                .as("version 1 has no version byte, so the upper byte of the type number comes first")
                 .isZero();
         final byte[] unknownVersion = MessageCodec.encode(tick(3, true), 2);
         unknownVersion[0] = MessageCodec.CURRENT_VERSION + 1;
--- a/spokestall/src/test/java/spokestall/message/RestoreMessageNumbersExtension.java
+++ b/spokestall/src/test/java/spokestall/message/RestoreMessageNumbersExtension.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Restores the registry of message numbers after a test class: other tests in the process register types of their own and rely
- * on no others being there.
+ * Restores the registry of message numbers after a test class, because other tests in the same process register types
+ * of their own and require that no others are registered.
  */
 public final class RestoreMessageNumbersExtension implements BeforeAllCallback, AfterAllCallback {
     private Map<Integer, Class<? extends Record>> before = Map.of();
--- a/spokestall/src/test/java/spokestall/message/SampleRecords.java
+++ b/spokestall/src/test/java/spokestall/message/SampleRecords.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * Builds instances of record types for tests of the format. A value depends only on its position in the walk through the
- * fields and on its kind, never on the name of a type or field, so that renaming changes no byte.
+ * Builds sample instances of record types for tests of the format. A value depends only on its position in the
+ * traversal of the fields and on its type's kind, never on the name of a type or field, so that renaming changes no
+ * bytes.
  */
 final class SampleRecords {
     private final boolean full;
@@ -21,12 +22,15 @@
         this.full = full;
     }
 
-    /** All fields set, each to another value: lists and maps of two, the last constant of an enum. */
+    /**
+     * Returns a record with all fields set, each to a different value. Lists and maps have two entries; an enum field
+     * has the last constant.
+     */
     static Record full(final Class<? extends Record> type) {
         return (Record) new SampleRecords(true).record(type);
     }
 
-    /** Null where a field may be null, else zero, false or an empty collection. */
+    /** Returns a record whose fields are null where they may be null, else zero, false or an empty collection. */
     static Record empty(final Class<? extends Record> type) {
         return (Record) new SampleRecords(false).record(type);
     }
@@ -62,7 +66,7 @@
         return full ? reference((Class<?>) type) : null;
     }
 
-    /** Large and negative in turn. */
+    /** Returns large positive and negative values alternately. */
     private long longValue() {
         return position % 2 == 0 ? (1L << 60) + position : -(1L << 40) - position;
     }
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -17,8 +17,8 @@
 import spokestall.usage.SealedWindow;
 
 /**
- * The bytes of every record that is stored (in a register, under a key of a voter's own, or as the bytes a digest is made
- * of), against literal bytes, also as an older program wrote it: without the later fields at its end.
+ * Guards the bytes of every stored record (in a register, in a voter's local record, or as input of a digest) against a
+ * golden file, including records as an older program wrote them, without the later fields at the end.
  */
 class StoredFormatTest {
     private static final HexFormat HEX = HexFormat.of();
@@ -51,7 +51,10 @@
         return lines;
     }
 
-    /** Later fields may be absent, so the shortest beginning that can be read has none of them. */
+    /**
+     * Returns the record as an older program wrote it. Later fields may be missing, so the shortest readable prefix has
+     * none of them.
+     */
     private static byte[] withoutLaterFields(final byte[] complete, final Class<? extends Record> type) {
         for (int length = 1; length < complete.length; length++) {
             final byte[] prefix = Arrays.copyOf(complete, length);
@@ -59,7 +62,7 @@
                 return prefix;
             }
         }
-        throw new IllegalStateException("nothing later in " + type);
+        throw new IllegalStateException("no later fields in " + type);
     }
 
     private static boolean readable(final byte[] bytes, final Class<? extends Record> type) {
--- a/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/CoreDataStabilityTest.java
@@ -39,9 +39,10 @@
 import spokestall.usage.UsageMessage;
 
 /**
- * A core's data folder as it was written once and is kept as a test resource: the present program finds in it what was put
- * there, and writes the same bytes where nothing is by chance. The audit's key and signatures are, so the audit is only read
- * and gone on with. The key in the resource signs nothing else.
+ * Guards the stored format of a core's data directory against a golden copy in the test resources: the current program
+ * reads the expected state from the copy, and writes the same bytes wherever its output is deterministic. The audit
+ * log's key and signatures are random, so the tests only read the golden audit log and append to it. The key in the
+ * resource signs nothing else.
  */
 @ExtendWith(RestoreMessageNumbersExtension.class)
 class CoreDataStabilityTest {
@@ -198,7 +199,10 @@
                         + ",\"tornBytes\":0}");
     }
 
-    /** What the lines say, but for the digest of the line before, which has a signature in it. */
+    /**
+     * Returns the type, algorithm and payload of each line, with the digest of the previous line masked, because the
+     * digest covers a random signature.
+     */
     private static List<String> entries(final List<String> lines) throws Exception {
         final List<String> entries = new ArrayList<>();
         for (final String line : lines) {
--- a/spokestall/src/test/java/spokestall/node/GossipEdgeSharesTest.java
+++ b/spokestall/src/test/java/spokestall/node/GossipEdgeSharesTest.java
@@ -75,7 +75,7 @@
             ranks.add(rank);
             assertThat(rank < EDGES / 3).as("edge " + i).isEqualTo(i % 3 == 2);
         }
-        assertThat(ranks).as("each once").hasSize(EDGES);
+        assertThat(ranks).as("each rank once").hasSize(EDGES);
     }
 
     @Test
@@ -93,7 +93,7 @@
         receiveGossipFrom(view, 2, EDGES + 1);
         clock.advance(MEMBER_TIMEOUT_MS + 1);
         receiveGossipFrom(view, 2, EDGES + 1);
-        assertThat(edges.edges()).as("edge 12 is in edge 1's place").isEqualTo(EDGES);
+        assertThat(edges.edges()).as("edge 12 replaces edge 1").isEqualTo(EDGES);
     }
 
     @Test
--- a/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
+++ b/spokestall/src/test/java/spokestall/node/GracefulShutdownTest.java
@@ -115,7 +115,7 @@
                 .containsExactly("closeAfterResponses@0", "stopAccepting@200", "requestsEnded@520", "done@520");
     }
 
-    /** A large response on a narrow link takes a while to be written; its request is no longer in flight. */
+    /** Writing a large response over a slow link takes a while; its request is no longer in flight. */
     @Test
     void aResponseBeingWrittenAtTheAbortIsCompleted() {
         connections = 1;
--- a/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/node/KeyStabilityTest.java
@@ -12,7 +12,10 @@
 import spokestall.proxy.RequestTicket;
 import spokestall.usage.SealedWindow;
 
-/** Keys of registers and of a core's own records, and texts that are sent or kept, against their literals. */
+/**
+ * Guards the keys of registers and of a core's local records, and strings that are sent or stored, by comparing them
+ * with literals.
+ */
 class KeyStabilityTest {
     @Test
     void registerKeysAreStable() {
--- a/spokestall/src/test/java/spokestall/node/NumberedMessages.java
+++ b/spokestall/src/test/java/spokestall/node/NumberedMessages.java
@@ -1,6 +1,6 @@
 package spokestall.node;
 
-/** Registers the messages' numbers for tests of other packages, without a node. */
+/** Registers the message numbers for tests in other packages, which then need no node. */
 public final class NumberedMessages {
     private NumberedMessages() {}
 
--- a/spokestall/src/test/java/spokestall/node/SampleCore.java
+++ b/spokestall/src/test/java/spokestall/node/SampleCore.java
@@ -31,14 +31,16 @@
 import spokestall.usage.SealedWindow;
 import spokestall.usage.UsageMessage;
 
-/** What a core has on its disk after a short run that is the same each time: it votes, keeps records of its own, starts
- * again and votes once more. */
+/**
+ * The deterministic disk contents of a core after a short run: the core votes, writes local records, restarts and votes
+ * once more.
+ */
 final class SampleCore {
     static final String NAME = "d1-core";
     static final String DISK_ID = "d1-core/1f";
     static final int SEGMENTS = 6;
     static final int SEGMENT_BYTES = 2048;
-    /** The version of messages in which the sample's kept messages are written. */
+    /** The message version of the sample's stored messages. */
     static final int MESSAGE_VERSION = 4;
 
     static final VoterSet VOTER_SET = new VoterSet(
@@ -68,12 +70,12 @@
 
     private SampleCore() {}
 
-    /** Reads a disk as a core that starts does; the fresh identity is for a blank one. */
+    /** Opens a disk as a starting core does; {@code freshDiskId} is the id given to a blank disk. */
     static Acceptor open(final SegmentStore segments, final String freshDiskId) {
         return new Acceptor(NAME, new SegmentedLog(segments), (address, message) -> {}, PERMISSIVE_GUARD, freshDiskId);
     }
 
-    /** Two lives of a core on a blank disk. */
+    /** Runs two incarnations of a core on a blank disk. */
     static void run(final SegmentStore segments) {
         firstIncarnation(open(segments, DISK_ID));
         accept(open(segments, "unused"), Lease.key("usage_report"), LATER_PROPOSAL, MessageCodec.encodeRecord(LEASE));
@@ -125,7 +127,7 @@
     private static void putLocalRecord(final Acceptor acceptor, final String key, final byte[] value) {
         acceptor.putLocalRecord(key, value, ok -> {
             if (!ok) {
-                throw new IllegalStateException("no room for " + key);
+                throw new IllegalStateException("failed to store " + key);
             }
         });
     }
@@ -153,7 +155,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The configuration after both changes. */
+    /** Returns the configuration after both changes. */
     static ConfigurationStore configurationStore() {
         final ConfigurationStore configurationStore = new ConfigurationStore(16);
         configurationStore.apply(FIRST_VERSION, firstChange());
@@ -161,7 +163,7 @@
         return configurationStore;
     }
 
-    /** Has everything that was decided written down, and some entries more, so that it takes two files. */
+    /** Records every kind of decision, and further entries so that the audit log takes two files. */
     static void recordAudit(final AuditSink audit) {
         final LongSupplier fleetMs = () -> 5_000;
         final Auditor auditor = new Auditor(audit, configurationStore(), fleetMs);
