--- a/spokestall/src/main/java/spokestall/node/GenerationMerger.java
+++ b/spokestall/src/main/java/spokestall/node/GenerationMerger.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Returns a generation above all numbers that survived. It is at least the fleet's time in seconds, in case that
-     * higher numbers were lost with the voters that did not survive.
+     * Returns a generation above all numbers that survived. It is at least the fleet's time in seconds, in case higher
+     * numbers were lost with the voters that did not survive.
      */
     private long nextGeneration(final long baseGeneration, final List<SurvivingState> survivors) {
         long generation = Math.max(baseGeneration + 1, fleetClock.nowMs() / MILLIS_PER_SECOND);
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -49,7 +49,11 @@
     private final Optional<BootstrapProposer> bootstrapProposer;
     private final Optional<CoreRole> coreRole;
 
-    /** Creates the component; {@code storage} is null on an edge. */
+    /**
+     * Creates the component.
+     *
+     * @param storage this core's storage, or null on an edge
+     */
     MembershipComponent(
             final NodeContext context,
             final PeerDirectory peers,
@@ -214,13 +218,13 @@
         coreRole.orElseThrow().handover().begin(whenComplete);
     }
 
-    /** Handles a message of the vote on the first generation. */
+    /** Handles a message of the bootstrap vote, which decides the first generation. */
     void onMessage(final BootstrapMessage message) {
         bootstrapAcceptor.onMessage(message);
         bootstrapProposer.ifPresent(proposing -> proposing.onMessage(message));
     }
 
-    /** Handles a core's message about membership. */
+    /** Handles a membership message from a core. */
     void onMessage(final MembershipMessage message) {
         if (message instanceof MembershipMessage.SurvivingStateRequest request) {
             context.messageSender.send(request.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
--- a/spokestall/src/main/java/spokestall/node/NodeSchedule.java
+++ b/spokestall/src/main/java/spokestall/node/NodeSchedule.java
@@ -14,9 +14,9 @@
 final class NodeSchedule {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     /**
-     * How many feed requests a starting node sends on its first attempts, one each. After that it sends one on every
-     * attempt that is a multiple of twice this number, and on all others only if the voters are known and freshness is
-     * not proved yet.
+     * A starting node sends a feed request on each of its first attempts, up to this number. After that it sends one on
+     * every attempt while the voters are known and freshness is not yet proved, else only on every attempt that is a
+     * multiple of twice this number.
      */
     private static final int FAST_ATTEMPTS = 4;
     /**
--- a/spokestall/src/main/java/spokestall/node/Timings.java
+++ b/spokestall/src/main/java/spokestall/node/Timings.java
@@ -140,7 +140,7 @@
         return new GracefulHandover.Timeouts(2 * settings.integer("farMs"), 6 * settings.integer("farMs"));
     }
 
-    /** Returns how often the platform's endpoint list is read. */
+    /** Returns the schedule for reading the platform's endpoint list. */
     EndpointListReader.Schedule endpointList() {
         return new EndpointListReader.Schedule(settings.integer("listMs"), settings.fractionOf("leaveBoundMs", 0.5));
     }
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Stops the lease manager for good. {@code done} runs once the lease is released, or at once if there is nothing to
-     * release.
+     * Stops the lease manager for good. {@code done} runs once the attempt to release the lease has ended, or at once
+     * if there is nothing to release.
      */
     void stop(final Runnable done) {
         leaseManager.stop(done);
