--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -15,37 +15,39 @@
 /**
  * Acquires, renews and releases the lease of one singleton role.
  *
- * <p>The lease is the value of a register, changed by consensus only: an acquisition, a renewal and a release each compare the
- * owner that they know with the register's and set it in the same change.
+ * <p>The lease is the value of a consensus register ("the store" below). An acquisition, a renewal and a release are each a
+ * compare-and-set on the lease's owner.
  *
  * <ul>
- *   <li><b>No common clock.</b> A register does not expire by itself. A rival acquires a lease only after it saw the same owner and
- *       renewal unchanged for the lease's span and a margin on its own monotonic clock, and only if the store still names that
- *       owner and renewal when it acquires. No lease at all is watched as long. The holder's deadline counts from before it
- *       requested the change and ends a margin earlier, so it has passed by then.
- *   <li><b>Stored before valid.</b> A session begins only once a majority has stored its owner value, and only if the answer came
- *       within the store's wait. After a late or unknown outcome nothing is done under that owner value.
- *   <li><b>Never revived.</b> A renewal that failed, came late or whose outcome is unknown ends the session for good.
- *   <li><b>Fencing.</b> Each acquisition stores a token above the register's own and above the first number of the voter set's
- *       generation, in the same change as the owner; so tokens rise with each acquisition, also when the register was lost.
- *   <li><b>Release.</b> It is written only while no call made under the session may still arrive; otherwise the lease is left to
- *       expire.
+ *   <li><b>No common clock.</b> A register does not expire by itself. A rival acquires a lease only after it has observed the same
+ *       owner and renewal for the lease's span plus a safety margin on its own monotonic clock, and only if the store still has
+ *       that owner and renewal when the acquisition is applied. A rival watches an absent lease for the same time. The holder's
+ *       deadline counts from before it requested its last change and is a safety margin earlier, so the deadline has passed by
+ *       then.
+ *   <li><b>Stored before valid.</b> A session starts only once a majority has stored its owner value, and only if the outcome
+ *       arrives within the store timeout. After a late or unknown outcome, no task ever acts under that owner value.
+ *   <li><b>No revival.</b> A renewal that fails, is late or has an unknown outcome ends the session permanently.
+ *   <li><b>Fencing.</b> Each acquisition stores a token higher than the register's current one and higher than the first number of
+ *       the voter set's generation, in the same change as the owner. Tokens therefore increase with each acquisition, even after
+ *       the register was lost.
+ *   <li><b>Release.</b> The holder releases the lease only if no call made under the session may still arrive; otherwise the lease
+ *       expires.
  * </ul>
  *
- * <p>Not thread-safe; all calls on the node's event loop, and so are the calls to the {@link LeasedTask}.
+ * <p>Not thread-safe; all calls, including those to the {@link LeasedTask}, run on the node's event loop.
  */
 public final class LeaseManager {
-    /** What the manager is doing. The names are part of the operators' status reply. */
+    /** The states of a manager. The status reply to operators contains these names. */
     public enum State {
-        /** Observing the lease of a rival, or that there is none. */
+        /** Observes the lease of another node, or its absence. */
         WATCHING,
-        /** The change that acquires the lease was requested and its outcome is not known. */
+        /** Has requested the change that acquires the lease and waits for its outcome. */
         ACQUIRING,
-        /** A session of this node is under way. */
+        /** Holds the lease in a session of this node. */
         HOLDING,
-        /** The session was cancelled; the change that releases its lease may be under way. */
+        /** Has cancelled the session; the change that releases its lease may be in flight. */
         RELEASING,
-        /** The role was given up for good. */
+        /** Has given up the role permanently. */
         STOPPED;
 
         private Set<State> next() {
@@ -54,7 +56,7 @@
                 case ACQUIRING -> EnumSet.of(HOLDING, WATCHING, STOPPED);
                 case HOLDING -> EnumSet.of(RELEASING);
                 case RELEASING -> EnumSet.of(WATCHING, STOPPED);
-                // The outcome of an acquisition that was under way at the stop still arrives, and stop may be called
+                // The outcome of an acquisition that was in flight at the stop still arrives, and stop may be called
                 // again.
                 case STOPPED -> EnumSet.of(HOLDING, WATCHING, STOPPED);
             };
@@ -70,7 +72,7 @@
     private final LeasedTask task;
     private final LeaseReplica replica;
     private final LeaseWatch watch;
-    private final AcquisitionRule rule;
+    private final AcquisitionRule acquisitionRule;
     private State state = State.WATCHING;
     private boolean readInFlight;
     private boolean renewalInFlight;
@@ -96,49 +98,49 @@
         this.task = task;
         this.replica = replica;
         this.watch = new LeaseWatch(context.clock());
-        this.rule = new AcquisitionRule(context, timeouts, task);
+        this.acquisitionRule = new AcquisitionRule(context, timeouts, task);
     }
 
-    /** What the manager is doing now. */
+    /** Returns the state. */
     public State state() {
         return state;
     }
 
-    /** The lease as last observed in the store, or null. */
+    /** Returns the lease as last observed in the store, or null if it was absent or has not been observed. */
     public Lease observedLease() {
         return watch.observed();
     }
 
-    /** The session under way, or the one that is being released; else null. */
+    /** Returns the current session, or the one whose lease is being released; null if there is neither. */
     public LeaseSession session() {
         return session;
     }
 
-    /** Observes the lease while watching; checks and renews the session while holding. */
+    /** Observes the lease in state WATCHING; checks and renews the session in state HOLDING. */
     public void onTick() {
         switch (state) {
             case WATCHING -> observe();
-            case HOLDING -> keep();
+            case HOLDING -> renewOrEnd();
             case ACQUIRING, RELEASING, STOPPED -> {}
         }
     }
 
     /**
-     * Gives the role up for good. A session is cancelled at once and its lease released if that is possible.
+     * Gives up the role permanently. Cancels the session at once and releases its lease if no call is in flight.
      *
-     * @param done runs once the release has ended, or at once if there is nothing to release
+     * @param done runs once the release has ended, successfully or not, or at once if there is no session
      */
     public void stop(final Runnable done) {
         onStopped = done;
         if (state == State.HOLDING) {
             release("stop");
         } else if (state != State.RELEASING) {
-            transition(State.STOPPED, "stop");
+            transitionTo(State.STOPPED, "stop");
             done.run();
         }
     }
 
-    private void transition(final State to, final String reason) {
+    private void transitionTo(final State to, final String reason) {
         assert state.next().contains(to) : "lease of " + context.role() + " from " + state + " to " + to;
         LOG.atInfo().log(
                 "event=lease_state_changed node=%s role=%s from=%s to=%s reason=%s sessionId=%s fencingToken=%s",
@@ -158,20 +160,20 @@
         }
         final Register copy = replica.current();
         if (copy != null) {
-            watch.onReplica(lease(copy.value()));
+            watch.onReplica(decodeLease(copy.value()));
         }
-        if (copy != null && !watch.needsStoreRead() && !rule.mayAcquire(watch)) {
+        if (copy != null && !watch.needsStoreRead() && !acquisitionRule.mayAcquire(watch)) {
             return;
         }
         readInFlight = true;
-        proposer.read(key, timeouts.storeWaitMs(), this::onRead);
+        proposer.read(key, timeouts.storeTimeoutMs(), this::onRead);
     }
 
     private void onRead(final ProposalOutcome outcome) {
         readInFlight = false;
-        if (state == State.WATCHING && outcome instanceof ProposalOutcome.Committed done) {
-            watch.onStoreRead(lease(done.value()));
-            if (rule.mayAcquire(watch)) {
+        if (state == State.WATCHING && outcome instanceof ProposalOutcome.Committed committed) {
+            watch.onStoreRead(decodeLease(committed.value()));
+            if (acquisitionRule.mayAcquire(watch)) {
                 acquire();
             }
         }
@@ -184,34 +186,34 @@
                 context.node() + "/" + Long.toHexString(context.random().nextLong());
         final String sessionId = Long.toHexString(context.random().nextLong());
         session = null;
-        transition(State.ACQUIRING, whyFree(expired));
+        transitionTo(State.ACQUIRING, acquisitionReason(expired));
         proposer.propose(
                 key,
-                timeouts.storeWaitMs(),
-                value -> acquisition(value, owner, expired),
+                timeouts.storeTimeoutMs(),
+                value -> acquisitionEdit(value, owner, expired),
                 outcome -> onAcquired(outcome, owner, sessionId, requestedMs));
     }
 
-    /** Sets this owner if the lease is free: absent, released, or still the one that was watched until it expired. */
-    private RegisterEdit acquisition(final byte[] value, final String owner, final Lease expired) {
-        final Lease now = lease(value);
-        if (now != null && now.owner().equals(owner)) {
+    /** Sets this owner if the lease is free: absent, released, or unchanged since it was observed to expire. */
+    private RegisterEdit acquisitionEdit(final byte[] value, final String owner, final Lease expired) {
+        final Lease current = decodeLease(value);
+        if (current != null && current.owner().equals(owner)) {
             return new RegisterEdit.Set(value);
         }
-        final boolean asWatched = now != null
+        final boolean unchangedSinceObserved = current != null
                 && expired != null
-                && now.owner().equals(expired.owner())
-                && now.renewal() == expired.renewal();
-        if (now != null && !now.released() && !asWatched) {
+                && current.owner().equals(expired.owner())
+                && current.renewal() == expired.renewal();
+        if (current != null && !current.released() && !unchangedSinceObserved) {
             return RegisterEdit.LEAVE;
         }
-        final long first = proposer.voterSet().firstNumber();
-        final long fencingToken = Math.max(now == null ? 0 : now.fencingToken(), first) + 1;
+        final long firstNumber = proposer.voterSet().firstNumber();
+        final long fencingToken = Math.max(current == null ? 0 : current.fencingToken(), firstNumber) + 1;
         return new RegisterEdit.Set(MessageCodec.encodeRecord(
                 new Lease(owner, context.node(), 0, fencingToken, timeouts.leaseMs(), false)));
     }
 
-    private String whyFree(final Lease expired) {
+    private String acquisitionReason(final Lease expired) {
         if (expired == null) {
             return "no_lease";
         }
@@ -225,87 +227,91 @@
             final ProposalOutcome outcome, final String owner, final String sessionId, final long requestedMs) {
         final long nowMs = clock.nowMs();
         watch.reset();
-        if (outcome instanceof ProposalOutcome.Committed done && done.value() != null) {
-            final Lease now = lease(done.value());
-            watch.restart(now);
-            if (done.wrote() && now.owner().equals(owner) && nowMs - requestedMs <= timeouts.storeWaitMs()) {
+        if (outcome instanceof ProposalOutcome.Committed committed && committed.value() != null) {
+            final Lease current = decodeLease(committed.value());
+            watch.restart(current);
+            if (committed.wrote()
+                    && current.owner().equals(owner)
+                    && nowMs - requestedMs <= timeouts.storeTimeoutMs()) {
                 session = new LeaseSession(
                         sessionId,
                         owner,
-                        now.fencingToken(),
+                        current.fencingToken(),
                         timeouts.deadlineMs(requestedMs),
-                        requestedMs + timeouts.maxRunMs());
+                        requestedMs + timeouts.maxSessionMs());
                 renewalRequestedMs = nowMs;
-                transition(State.HOLDING, "acquired");
+                transitionTo(State.HOLDING, "acquired");
                 task.onSessionStarted(session);
                 return;
             }
         }
-        // Rejected, late or unknown: no session begins. If it was stored all the same, the next read finds it and
-        // the watch begins again from there.
-        transition(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "not_acquired" : "outcome_unknown");
+        // No session starts after a rejected, late or unknown outcome. If the acquisition was stored nevertheless, the
+        // next
+        // read returns it and the watch starts again from there.
+        transitionTo(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "not_acquired" : "outcome_unknown");
     }
 
-    /** Renews the session in time, or ends it once it is no longer valid. */
-    private void keep() {
+    /** Ends the session if it is no longer valid; otherwise renews its lease when the renewal interval has passed. */
+    private void renewOrEnd() {
         final long nowMs = clock.nowMs();
         final Optional<LeaseSession.EndReason> endReason = session.endReason(nowMs);
         if (endReason.isPresent()) {
             release(endReason.get().name());
-        } else if (!renewalInFlight && nowMs - renewalRequestedMs >= timeouts.renewMs()) {
+        } else if (!renewalInFlight && nowMs - renewalRequestedMs >= timeouts.renewIntervalMs()) {
             renew(session);
         }
     }
 
-    private void renew(final LeaseSession renewed) {
+    private void renew(final LeaseSession renewedSession) {
         renewalInFlight = true;
         final long requestedMs = clock.nowMs();
         renewalRequestedMs = requestedMs;
         proposer.propose(
                 key,
-                timeouts.storeWaitMs(),
-                value -> ifOwned(value, renewed, now -> now.renewed(timeouts.leaseMs())),
-                outcome -> onRenewed(renewed, outcome, requestedMs));
+                timeouts.storeTimeoutMs(),
+                value -> editIfOwned(value, renewedSession, now -> now.renewed(timeouts.leaseMs())),
+                outcome -> onRenewed(renewedSession, outcome, requestedMs));
     }
 
-    private void onRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
+    private void onRenewed(final LeaseSession renewedSession, final ProposalOutcome outcome, final long requestedMs) {
         renewalInFlight = false;
-        final boolean extended = isRenewed(renewed, outcome, requestedMs);
-        if (renewed != session || state != State.HOLDING) {
+        final boolean extended = isRenewed(renewedSession, outcome, requestedMs);
+        if (renewedSession != session || state != State.HOLDING) {
             return;
         }
         if (extended) {
-            renewed.extend(timeouts.deadlineMs(requestedMs));
+            renewedSession.extend(timeouts.deadlineMs(requestedMs));
         } else {
-            renewed.markUncertain();
+            renewedSession.markUncertain();
             release("renewal_failed");
         }
     }
 
-    /** Whether the renewal is stored, its answer came in time, and some of the gained time is left. */
-    private boolean isRenewed(final LeaseSession renewed, final ProposalOutcome outcome, final long requestedMs) {
+    /** Returns whether the renewal is stored, its outcome arrived in time, and the new deadline has not passed yet. */
+    private boolean isRenewed(
+            final LeaseSession renewedSession, final ProposalOutcome outcome, final long requestedMs) {
         final long nowMs = clock.nowMs();
-        final boolean stored = outcome instanceof ProposalOutcome.Committed done
-                && done.wrote()
-                && lease(done.value()).owner().equals(renewed.owner());
-        final boolean timely = nowMs - requestedMs <= timeouts.storeWaitMs() && renewed.isValid(nowMs);
+        final boolean stored = outcome instanceof ProposalOutcome.Committed committed
+                && committed.wrote()
+                && decodeLease(committed.value()).owner().equals(renewedSession.owner());
+        final boolean timely = nowMs - requestedMs <= timeouts.storeTimeoutMs() && renewedSession.isValid(nowMs);
         return stored && timely && timeouts.deadlineMs(requestedMs) > nowMs;
     }
 
-    /** Ends the session. Its lease is released only if no call of the task may still arrive, else left to expire. */
+    /** Ends the session. Releases its lease if no call of the task may still arrive; otherwise the lease expires. */
     private void release(final String reason) {
-        final LeaseSession ended = session;
-        ended.cancel();
-        rule.onSessionEnded(ended);
-        transition(State.RELEASING, reason);
+        final LeaseSession endedSession = session;
+        endedSession.cancel();
+        acquisitionRule.onSessionEnded(endedSession);
+        transitionTo(State.RELEASING, reason);
         if (!task.isQuiescent()) {
             onReleaseEnded("calls_in_flight");
             return;
         }
         proposer.propose(
                 key,
-                timeouts.storeWaitMs(),
-                value -> ifOwned(value, ended, Lease::release),
+                timeouts.storeTimeoutMs(),
+                value -> editIfOwned(value, endedSession, Lease::release),
                 outcome ->
                         onReleaseEnded(outcome instanceof ProposalOutcome.Committed ? "released" : "outcome_unknown"));
     }
@@ -313,22 +319,22 @@
     private void onReleaseEnded(final String reason) {
         watch.reset();
         final boolean stopping = onStopped != null;
-        transition(stopping ? State.STOPPED : State.WATCHING, reason);
+        transitionTo(stopping ? State.STOPPED : State.WATCHING, reason);
         session = null;
         if (stopping) {
             onStopped.run();
         }
     }
 
-    /** Changes the lease only while it is this session's and not released. */
-    private static RegisterEdit ifOwned(
+    /** Applies the change if the lease still belongs to this session and is not released; otherwise leaves it unchanged. */
+    private static RegisterEdit editIfOwned(
             final byte[] value, final LeaseSession session, final UnaryOperator<Lease> change) {
-        final Lease now = lease(value);
-        final boolean owned = now != null && now.owner().equals(session.owner()) && !now.released();
-        return owned ? new RegisterEdit.Set(MessageCodec.encodeRecord(change.apply(now))) : RegisterEdit.LEAVE;
+        final Lease current = decodeLease(value);
+        final boolean owned = current != null && current.owner().equals(session.owner()) && !current.released();
+        return owned ? new RegisterEdit.Set(MessageCodec.encodeRecord(change.apply(current))) : RegisterEdit.LEAVE;
     }
 
-    private static Lease lease(final byte[] value) {
+    private static Lease decodeLease(final byte[] value) {
         return value == null ? null : MessageCodec.decodeRecord(value, Lease.class);
     }
 }
--- a/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
+++ b/spokestall/src/main/java/spokestall/membership/GenerationRecovery.java
@@ -13,19 +13,19 @@
 /**
  * Proposes a new generation after so many disks were lost that no majority of the voters has state.
  *
- * <p>First it collects what any node still has, then it runs a two-phase vote among the {@link RecoveryElectorate}, whose members
- * answer through their {@link GenerationAcceptor}s. Transitions:
+ * <p>The proposer first collects surviving state from all nodes, then runs a two-phase vote among the {@link RecoveryElectorate},
+ * whose members reply through their {@link GenerationAcceptor}s. Transitions:
  *
  * <pre>
- * IDLE -> COLLECTING       recovery was required for long enough
- * COLLECTING -> PREPARING  after the settle time
- * PREPARING -> ACCEPTING   a majority promised, and every core with state did or was waited for
+ * IDLE -> COLLECTING       recovery has been required for long enough
+ * COLLECTING -> PREPARING  the settle time has passed
+ * PREPARING -> ACCEPTING   a majority promised, and so did every reachable core with state unless the wait for it is over
  * ACCEPTING -> IDLE        a majority accepted: the generation is chosen
- * any -> IDLE              the round timed out, or a newer voter set was adopted
+ * any -> IDLE              a vote round timed out, a newer voter set was adopted, or this core started a new generation
  * </pre>
  *
- * <p>It stores nothing: a proposer id is used by one incarnation only, and what acceptors stored is found again by the next
- * proposal. Not thread-safe; all calls on the node's event loop.
+ * <p>The proposer stores nothing on disk: each proposer id is used by one incarnation only, and the next proposal finds any state
+ * that acceptors have stored. Not thread-safe; all calls on the node's event loop.
  */
 final class GenerationRecovery {
     /** Phases of the proposer. */
@@ -36,26 +36,26 @@
         ACCEPTING
     }
 
-    /** What a tick found. */
+    /** Whether a tick found that a recovery is required. */
     enum TickResult {
-        /** A majority with state is there or can be. */
+        /** A majority with state is available or may become available. */
         NOT_REQUIRED,
-        /** A recovery is in progress or about to begin; the voter set must not be changed meanwhile. */
+        /** A recovery is in progress or about to start; no reconfiguration may start until it ends. */
         IN_PROGRESS
     }
 
-    /** Is notified of a generation that this core's proposal made chosen. */
+    /** Receives the generation that was chosen through this core's proposal. */
     @FunctionalInterface
     interface GenerationListener {
-        /** Called once, after the other voters were sent the initial state. */
+        /** Called once, after this core has sent the initial state to the other voters. */
         void onGenerationChosen(InitialState initialState);
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** For so many timed-out rounds a proposal waits for a reachable core that has state but does not promise. */
-    private static final int ROUNDS_TO_WAIT_FOR_STATE = 4;
+    /** Number of timed-out rounds in which the proposer waits for every reachable core with state to promise. */
+    private static final int STATE_WAIT_ROUNDS_MAX = 4;
 
-    private static final long NOT_REQUIRED = -1;
+    private static final long UNSET = -1;
 
     private final MembershipContext context;
     private final MembershipEnvironment environment;
@@ -68,12 +68,12 @@
     private final Map<String, MembershipMessage.GenerationPromise> promises = new TreeMap<>();
     private final Set<String> acceptedBy = new HashSet<>();
     private Phase phase = Phase.IDLE;
-    private long phaseSinceMillis;
-    private long requiredSinceMillis = NOT_REQUIRED;
+    private long phaseStartedMillis;
+    private long requiredSinceMillis = UNSET;
     private int timedOutRounds;
     private long baseGeneration;
     private ProposalNumber proposalNumber = ProposalNumber.NONE;
-    private long highestCount;
+    private long highestSeenCount;
     private InitialState proposed;
 
     GenerationRecovery(
@@ -104,22 +104,22 @@
                     context.local().name(), phase, next, reason, baseGeneration, proposalNumber);
         }
         phase = next;
-        phaseSinceMillis = context.nowMillis();
+        phaseStartedMillis = context.nowMillis();
     }
 
-    /** Abandons a proposal that a newer voter set has overtaken. */
+    /** Abandons the proposal, since a newer voter set was adopted. */
     void onNewVoterSet() {
         transitionTo(Phase.IDLE, "new_voter_set");
     }
 
-    /** Ends the recovery after this core began the new generation. */
+    /** Ends the recovery after this core has started the new generation. */
     void onGenerationStarted() {
-        requiredSinceMillis = NOT_REQUIRED;
+        requiredSinceMillis = UNSET;
         timedOutRounds = 0;
         transitionTo(Phase.IDLE, "generation_started");
     }
 
-    /** Begins or advances a recovery, given the current statuses by name. */
+    /** Starts or advances a recovery if one is required. {@code statuses} are the current statuses by core name. */
     TickResult onTick(final Map<String, MembershipMessage.VoterStatus> statuses) {
         if (phase != Phase.IDLE) {
             advance(statuses);
@@ -129,14 +129,17 @@
             beginIfSettled(statuses);
             return TickResult.IN_PROGRESS;
         }
-        requiredSinceMillis = NOT_REQUIRED;
+        requiredSinceMillis = UNSET;
         return TickResult.NOT_REQUIRED;
     }
 
-    /** Waits longer while voters are unheard, and one round longer for each core whose name is lower. */
+    /**
+     * Starts collecting once recovery has been required for the settle time, or for longer while some voter has no current status.
+     * Waits one more round for each reachable core with a lower name, so that cores do not propose concurrently.
+     */
     private void beginIfSettled(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final long nowMillis = context.nowMillis();
-        if (requiredSinceMillis == NOT_REQUIRED) {
+        if (requiredSinceMillis == UNSET) {
             requiredSinceMillis = nowMillis;
         }
         final MembershipTimeouts timeouts = context.timeouts();
@@ -162,27 +165,27 @@
 
     private void advance(final Map<String, MembershipMessage.VoterStatus> statuses) {
         final MembershipTimeouts timeouts = context.timeouts();
-        final long elapsedMillis = context.nowMillis() - phaseSinceMillis;
+        final long elapsedMillis = context.nowMillis() - phaseStartedMillis;
         if (phase == Phase.COLLECTING && elapsedMillis >= timeouts.settleMillis()) {
             prepare(statuses);
         } else if (phase == Phase.PREPARING
                 && promises.size() >= electorate.majority()
-                && !isStateOutstanding(statuses)
+                && !isWaitingForPromiseWithState(statuses)
                 && (promises.size() >= statuses.size() || elapsedMillis >= timeouts.settleMillis())) {
             accept();
         } else if (phase != Phase.COLLECTING && elapsedMillis >= 2 * timeouts.roundMillis()) {
-            requiredSinceMillis = NOT_REQUIRED;
+            requiredSinceMillis = UNSET;
             timedOutRounds++;
             transitionTo(Phase.IDLE, "round_timed_out");
         }
     }
 
     /**
-     * Whether a core that reported state and is still reachable has not promised yet: it is slow, and until it promises it may vote in
-     * the old generation for a value that no other core has.
+     * Whether a core that reported state and is still reachable has not promised yet. Such a core is slow, and until it promises,
+     * it may vote in the old generation for a value that no other core has. False after too many rounds have timed out.
      */
-    private boolean isStateOutstanding(final Map<String, MembershipMessage.VoterStatus> statuses) {
-        return timedOutRounds < ROUNDS_TO_WAIT_FOR_STATE
+    private boolean isWaitingForPromiseWithState(final Map<String, MembershipMessage.VoterStatus> statuses) {
+        return timedOutRounds < STATE_WAIT_ROUNDS_MAX
                 && survivors.values().stream()
                         .anyMatch(survivor -> survivor.hasState()
                                 && survivor.generation() == baseGeneration
@@ -192,8 +195,8 @@
     }
 
     private void prepare(final Map<String, MembershipMessage.VoterStatus> statuses) {
-        highestCount = Math.max(highestCount, localAcceptor.promisedCount()) + 1;
-        proposalNumber = new ProposalNumber(highestCount, context.local().proposerId());
+        highestSeenCount = Math.max(highestSeenCount, localAcceptor.promisedCount()) + 1;
+        proposalNumber = new ProposalNumber(highestSeenCount, context.local().proposerId());
         promises.clear();
         acceptedBy.clear();
         transitionTo(Phase.PREPARING, "collected");
@@ -208,14 +211,14 @@
         }
     }
 
-    /** Records what a node still has, while it is being collected. */
+    /** Records the surviving state of a node, in phase COLLECTING only. */
     void onSurvivingState(final SurvivingState survivor) {
         if (phase == Phase.COLLECTING) {
             survivors.put(survivor.name(), survivor);
         }
     }
 
-    /** Records a promise, or the number that outranks this proposal. */
+    /** Records a promise, or the higher proposal number of a rejection. */
     void onPromise(final MembershipMessage.GenerationPromise promise) {
         if (phase != Phase.PREPARING
                 || !isForThisProposal(promise.baseGeneration(), promise.proposalNumber(), promise.name())) {
@@ -224,7 +227,7 @@
         if (promise.granted()) {
             promises.put(promise.name(), promise);
         } else {
-            highestCount = Math.max(highestCount, promise.promised().count());
+            highestSeenCount = Math.max(highestSeenCount, promise.promised().count());
         }
     }
 
@@ -244,7 +247,7 @@
         }
     }
 
-    /** The cores that promised, with their present disks, and the other voters of the old set, each without a disk. */
+    /** Returns the cores that promised, with their current disks, and the other voters of the old set, each without a disk. */
     private List<Voter> nextVoters() {
         final List<Voter> voters = new ArrayList<>();
         for (final MembershipMessage.GenerationPromise promise : promises.values()) {
@@ -260,7 +263,10 @@
         return voters;
     }
 
-    /** What was accepted under the highest number, which may be chosen already; else all that survived, merged. */
+    /**
+     * Returns the state that was accepted under the highest proposal number, since it may be chosen already; if there is none,
+     * merges all surviving state.
+     */
     private InitialState stateToPropose(final List<Voter> voters) {
         MembershipMessage.GenerationPromise highest = null;
         final List<SurvivingState> allSurvivors = new ArrayList<>(survivors.values());
@@ -274,14 +280,14 @@
         return highest != null ? highest.initialState() : merger.merge(baseGeneration, allSurvivors, voters);
     }
 
-    /** Records an acceptance; with a majority of them the generation is chosen. */
+    /** Records an acceptance. Once a majority has accepted, the generation is chosen. */
     void onAccepted(final MembershipMessage.GenerationAccepted reply) {
         if (phase != Phase.ACCEPTING
                 || !isForThisProposal(reply.baseGeneration(), reply.proposalNumber(), reply.name())) {
             return;
         }
         if (!reply.granted()) {
-            highestCount = Math.max(highestCount, reply.promised().count());
+            highestSeenCount = Math.max(highestSeenCount, reply.promised().count());
             return;
         }
         acceptedBy.add(reply.name());
--- a/spokestall/src/main/java/spokestall/node/DirectoryCall.java
+++ b/spokestall/src/main/java/spokestall/node/DirectoryCall.java
@@ -20,16 +20,18 @@
 import spokestall.proxy.RequestTicket;
 
 /**
- * The call {@code where}: names the edges that a client is to send its requests to, and gives it a ticket.
+ * The call {@code where}: returns the edges to which a client should send its requests, and a ticket for these
+ * requests.
  *
- * <p>Not thread-safe; all calls on the node's event loop. A key is rejected only by a configuration that was proved newest
- * after the call was received; a known key needs no more than a fresh one.
+ * <p>Not thread-safe; all calls on the node's event loop. A key is rejected only if it is missing from a configuration
+ * that a read proved to be the newest after the call was received. To accept a known key, a fresh configuration is
+ * enough.
  */
 final class DirectoryCall {
-    /** How many edges one answer names: the client's own and one to fail over to. */
-    private static final int EDGES_NAMED = 2;
-    /** For how many leave bounds the client may use the answer. */
-    private static final double VALID_LEAVE_BOUNDS = 0.4;
+    /** How many edges one reply lists: the client's primary edge and one for failover. */
+    private static final int EDGES_PER_REPLY = 2;
+    /** How long a client may use the reply, as a ratio of {@code leaveBoundMs}. */
+    private static final double REPLY_VALIDITY_LEAVE_BOUNDS = 0.4;
 
     private final NodeContext context;
     private final ConfigurationStore configurationStore;
@@ -53,7 +55,7 @@
         this.knownEdges = knownEdges;
     }
 
-    /** Registers the call, which any node answers. */
+    /** Registers the call, which every node answers. */
     void register(final CallRegistry calls) {
         calls.register("where", this::locateEdges);
     }
@@ -81,12 +83,12 @@
     }
 
     private Reply edgesFor(final JsonNode params, final Tenant tenant) {
-        final List<NodeInfo> selected = EdgeSelector.elect(
+        final List<NodeInfo> selected = EdgeSelector.select(
                 params.get("client").asText(),
                 knownEdges.forClients(),
                 tenant.homeRegions(),
                 configurationStore.configuration().drainedZones(),
-                EDGES_NAMED);
+                EDGES_PER_REPLY);
         if (selected.isEmpty()) {
             return Reply.of(ResultCode.NO_UPSTREAM, null);
         }
@@ -96,9 +98,9 @@
                 .put("name", edge.name())
                 .put("address", edge.httpAddress())
                 .put("region", edge.region()));
-        fields.put("forMs", context.settings().fractionOf("leaveBoundMs", VALID_LEAVE_BOUNDS));
+        fields.put("forMs", context.settings().fractionOf("leaveBoundMs", REPLY_VALIDITY_LEAVE_BOUNDS));
         final VoterSet voterSet = proposer.voterSet();
-        fields.put("ticket", new RequestTicket(voterSet.generation(), context.fleet.nowMs()).text());
+        fields.put("ticket", new RequestTicket(voterSet.generation(), context.fleetClock.nowMs()).text());
         return Reply.of(ResultCode.OK, fields);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/MembershipComponent.java
+++ b/spokestall/src/main/java/spokestall/node/MembershipComponent.java
@@ -23,20 +23,22 @@
 import spokestall.message.MessageCodec;
 
 /**
- * Consensus and membership on one node: passes their messages on, and provides what this node contributes to a new generation.
+ * Consensus and membership on one node: dispatches their messages, and provides the state that this node contributes to
+ * a new generation.
  *
- * <p>A core has an acceptor, a {@link MembershipCoordinator} and a {@link GracefulHandover}. An edge has none of them: it follows
- * the voter set, and if it is a seed it votes on the first generation. Not thread-safe; all calls on the node's event loop.
+ * <p>A core has an acceptor, a {@link MembershipCoordinator} and a {@link GracefulHandover}. An edge has none of them:
+ * it follows the voter set, and if it is a seed it votes on the first generation. Not thread-safe; all calls on the
+ * node's event loop.
  */
 final class MembershipComponent {
-    /** Where the highest fencing token that this node has stored is read. */
+    /** Returns the highest fencing token that this node has stored. */
     @FunctionalInterface
     interface FencingTokenSource {
-        /** Returns the highest token stored, or 0 on a node that stores none. */
+        /** Returns the highest stored token, or 0 on a node that stores none. */
         long highestStored();
     }
 
-    /** What only a core has. */
+    /** The parts that only a core has. */
     private record CoreRole(Acceptor acceptor, MembershipCoordinator coordinator, GracefulHandover handover) {}
 
     private final NodeContext context;
@@ -47,7 +49,11 @@
     private final Optional<BootstrapProposer> bootstrapProposer;
     private final Optional<CoreRole> coreRole;
 
-    /** Creates the component; {@code storage} is null on an edge. */
+    /**
+     * Creates the component.
+     *
+     * @param storage this core's storage, or null on an edge
+     */
     MembershipComponent(
             final NodeContext context,
             final PeerDirectory peers,
@@ -62,7 +68,11 @@
         this.fencingTokens = fencingTokens;
         final BootstrapAcceptor.Eligibility eligibility = bootstrapEligibility(storage);
         this.bootstrapAcceptor = new BootstrapAcceptor(
-                context.address, context.settings().seeds(), eligibility, context.post, bootstrapEnvironment(storage));
+                context.address,
+                context.settings().seeds(),
+                eligibility,
+                context.messageSender,
+                bootstrapEnvironment(storage));
         this.bootstrapProposer = storage != null && eligibility == BootstrapAcceptor.Eligibility.FIRST_INCARNATION
                 ? Optional.of(bootstrapProposer())
                 : Optional.empty();
@@ -74,7 +84,10 @@
         return new LocalNode(context.name, context.address, context.proposerId());
     }
 
-    /** The first incarnation is the one that is configured as such and whose disk, if it has one, does not contradict it. */
+    /**
+     * Returns FIRST_INCARNATION if the settings say that this is the node's first start and the disk, if there is one,
+     * was blank when it was opened.
+     */
     private BootstrapAcceptor.Eligibility bootstrapEligibility(final CoreStorage storage) {
         final boolean first = context.settings().integer("cores") == 0
                 && context.settings().integer("bootstrap") == 1
@@ -96,18 +109,18 @@
                 if (storage == null) {
                     action.run();
                 } else {
-                    storage.mark(action);
+                    storage.markBootstrapped(action);
                 }
             }
         };
     }
 
     private BootstrapProposer bootstrapProposer() {
-        final InitialStateMerger merger = new GenerationMerger(context.fleet);
+        final InitialStateMerger merger = new GenerationMerger(context.fleetClock);
         return new BootstrapProposer(
                 localNode(),
                 context.settings().seeds(),
-                context.post,
+                context.messageSender,
                 context.clock,
                 context.timings().bootstrapProposer(),
                 voters -> merger.merge(0, List.of(survivingState()), voters));
@@ -119,17 +132,17 @@
                         localNode(),
                         acceptor,
                         proposer,
-                        context.post,
+                        context.messageSender,
                         context.clock,
                         context.timings().membership()),
                 environment(peers),
-                new GenerationMerger(context.fleet),
+                new GenerationMerger(context.fleetClock),
                 toleratedLoss,
                 bootstrapProposer);
         final GracefulHandover handover = new GracefulHandover(
                 localNode(),
                 acceptor,
-                context.post,
+                context.messageSender,
                 context.clock,
                 context.timings().handover());
         return new CoreRole(acceptor, coordinator, handover);
@@ -159,12 +172,12 @@
 
             @Override
             public boolean isFleetClockSettled() {
-                return context.fleet.settled();
+                return context.fleetClock.settled();
             }
         };
     }
 
-    /** Brings the voter set on this core's disk, if there is one, into force. */
+    /** Adopts the voter set on this core's disk, if there is one. */
     void open() {
         coreRole.map(role -> role.acceptor().voterSet()).ifPresent(proposer::updateVoterSet);
     }
@@ -174,17 +187,20 @@
         coreRole.ifPresent(role -> role.coordinator().onTick());
     }
 
-    /** Whether enough other voters have reported to exclude that this core's disk is an older state of itself. */
+    /**
+     * Returns whether enough other voters have reported to rule out that this core's disk was restored to an older
+     * state.
+     */
     boolean isDiskVerified() {
         return coreRole.isPresent() && coreRole.get().coordinator().isDiskVerified();
     }
 
-    /** Brings a voter set into force if it is newer than the present one. */
+    /** Adopts a voter set if it is newer than the current one. */
     void adopt(final VoterSet voterSet) {
         coreRole.ifPresentOrElse(role -> role.coordinator().adopt(voterSet), () -> proposer.updateVoterSet(voterSet));
     }
 
-    /** Handles a message of a proposer or of a voter. */
+    /** Handles a message from a proposer or a voter. */
     void onMessage(final ConsensusMessage message) {
         if (message instanceof ConsensusMessage.VoterSetUpdate newer) {
             adopt(newer.voterSet());
@@ -197,21 +213,21 @@
         }
     }
 
-    /** Begins the handover of a core that shuts down; {@code whenComplete} runs once, within a bounded time. */
+    /** Begins the handover of a core that shuts down. Runs {@code whenComplete} once, within a bounded time. */
     void handOver(final Runnable whenComplete) {
         coreRole.orElseThrow().handover().begin(whenComplete);
     }
 
-    /** Handles a message of the vote on the first generation. */
+    /** Handles a message of the bootstrap vote, which decides the first generation. */
     void onMessage(final BootstrapMessage message) {
         bootstrapAcceptor.onMessage(message);
         bootstrapProposer.ifPresent(proposing -> proposing.onMessage(message));
     }
 
-    /** Handles a core's message about membership. */
+    /** Handles a membership message from a core. */
     void onMessage(final MembershipMessage message) {
         if (message instanceof MembershipMessage.SurvivingStateRequest request) {
-            context.post.send(request.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
+            context.messageSender.send(request.from(), new MembershipMessage.SurvivingStateResponse(survivingState()));
         } else if (coreRole.isPresent()) {
             coreRole.get().coordinator().onMessage(message);
         } else if (message instanceof MembershipMessage.VoterStatus status) {
@@ -219,16 +235,16 @@
         }
     }
 
-    /** An edge and a core send each other the newer voter set. */
+    /** Adopts the core's voter set if it is newer, or sends the core this edge's voter set if that is newer. */
     private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
         if (status.voterSet() != null && status.voterSet().newerThan(proposer.voterSet())) {
             proposer.updateVoterSet(status.voterSet());
-        } else if (status.lacks(proposer.voterSet())) {
-            context.post.send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
+        } else if (status.lacksVoterSet(proposer.voterSet())) {
+            context.messageSender.send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         }
     }
 
-    /** Reads what this node could contribute to a new generation at this moment. */
+    /** Returns the state that this node could contribute to a new generation now. */
     private SurvivingState survivingState() {
         final List<ConsensusMessage.Entry> registers = new ArrayList<>();
         final boolean hasState =
--- a/spokestall/src/main/java/spokestall/node/StatusCalls.java
+++ b/spokestall/src/main/java/spokestall/node/StatusCalls.java
@@ -19,21 +19,22 @@
 import spokestall.gossip.PartialView;
 
 /**
- * The calls {@code status} and {@code upstreams}: this node's own view, which may be older than other nodes' views.
+ * The calls {@code status} and {@code upstreams}, which return this node's local view. It may be older than the views
+ * of other nodes.
  *
- * <p>Not thread-safe; all calls on the node's event loop. Both answer at once and never fail.
+ * <p>Not thread-safe; all calls on the node's event loop. Both calls reply immediately and never fail.
  */
 final class StatusCalls {
-    /** The part of a status that depends on the node's role. */
+    /** The part of {@code status} that depends on the node's role. */
     interface RoleStatus {
         /** Adds this role's fields to the status. */
         void describe(ObjectNode status);
 
-        /** Adds to an evacuated zone's entry what this role knows about its progress. */
+        /** Adds the progress of an evacuation, as far as this role knows it, to the zone's entry. */
         void describeEvacuation(String zone, ObjectNode evacuation);
     }
 
-    /** The components whose state is shown, on a node of any role. */
+    /** The components whose state {@code status} and {@code upstreams} show, on a node of any role. */
     record Sources(
             PartialView view,
             PeerDirectory peerDirectory,
@@ -62,14 +63,17 @@
         this.roleStatus = roleStatus;
     }
 
-    /** Registers both calls, which any node answers. */
+    /** Registers both calls, which every node answers. */
     void register(final CallRegistry calls) {
         calls.register("status", (params, done) -> done.accept(Reply.of(ResultCode.OK, status())));
         calls.register("upstreams", (params, done) -> done.accept(Reply.of(ResultCode.OK, upstreams())));
     }
 
-    /** Marks an answer as this node's own view: by which version, how old its proof is, and whether that still counts. */
-    private void addOwnView(final ObjectNode fields) {
+    /**
+     * Marks a reply as this node's local view, and adds the configuration's version, the age of its last proof of
+     * freshness, and whether this proof is still valid.
+     */
+    private void addLocalView(final ObjectNode fields) {
         fields.put("local", true)
                 .put("version", configurationStore.configuration().version())
                 .put("proofAgeMs", feedClient.lease().ageMs())
@@ -78,11 +82,11 @@
 
     private ObjectNode upstreams() {
         final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
-        addOwnView(fields);
+        addLocalView(fields);
         final ArrayNode upstreams = fields.putArray("upstreams");
         for (final Endpoint endpoint : endpointRegistry.endpoints()) {
             final Optional<HealthObservation> health =
-                    endpointRegistry.health(endpoint.instance(), context.fleet.nowMs());
+                    endpointRegistry.health(endpoint.instance(), context.fleetClock.nowMs());
             upstreams
                     .addObject()
                     .put("instance", endpoint.instance())
@@ -103,10 +107,10 @@
         final ObjectNode fields = ConfigurationStore.JSON.createObjectNode();
         fields.put("node", context.name)
                 .put("role", context.core ? "core" : "edge")
-                .put("fleetMs", context.fleet.nowMs());
-        addOwnView(fields);
+                .put("fleetMs", context.fleetClock.nowMs());
+        addLocalView(fields);
         addNodes(fields.putObject("nodes"));
-        peerDirectory.peersWithOtherCounts().forEach(fields.putArray("differing")::add);
+        peerDirectory.peersWithDifferingCounts().forEach(fields.putArray("differing")::add);
         if (proposer.voterSet() != null) {
             addVoters(proposer.voterSet(), fields.putObject("voters"));
         }
@@ -123,7 +127,7 @@
                     .put("http", member.httpAddress())
                     .put("district", member.zone())
                     .put("leaving", member.leaving())
-                    .put("heardMs", context.fleet.nowMs() - member.lastSeenMs());
+                    .put("heardMs", context.fleetClock.nowMs() - member.lastSeenMs());
         }
     }
 
@@ -132,11 +136,11 @@
         final long timeoutMillis = Math.max(
                 context.settings().integer("leaveBoundMs"), context.settings().peerTimeoutMillis());
         for (final Voter voter : voterSet.voters()) {
-            final FeedClient.CoreReport last = feedClient.coreReports().get(voter.name());
-            final boolean heard = last != null && feedClient.sinceResponseMs(voter.name()) < timeoutMillis;
+            final FeedClient.CoreReport lastReport = feedClient.coreReports().get(voter.name());
+            final boolean reporting = lastReport != null && feedClient.sinceResponseMs(voter.name()) < timeoutMillis;
             voters.putObject(voter.name())
-                    .put("state", !heard ? "unheard" : last.voting() ? "voting" : "blank")
-                    .put("applied", heard ? last.appliedVersion() : 0);
+                    .put("state", !reporting ? "unheard" : lastReport.voting() ? "voting" : "blank")
+                    .put("applied", reporting ? lastReport.appliedVersion() : 0);
         }
     }
 
--- a/spokestall/src/main/java/spokestall/node/UsageComponent.java
+++ b/spokestall/src/main/java/spokestall/node/UsageComponent.java
@@ -19,12 +19,12 @@
 import spokestall.usage.UsageTable;
 
 /**
- * A core's part in reporting usage: the table of all edges' counts, the lease on reporting them, and the reporter.
+ * A core's part in reporting usage: the table of all edges' counts, the lease on reporting, and the reporter.
  *
  * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class UsageComponent {
-    // The role and the keys are stored and part of replies: they must not change.
+    // The role and the keys are stored and appear in replies, so they must not change.
     private static final String ROLE = "usage_report";
     static final String LEASE_KEY = Lease.key(ROLE);
     static final String COUNTS_KEY = "~usage";
@@ -50,7 +50,7 @@
         this.acceptor = acceptor;
         final Timings timings = context.timings();
         final long windowMs = timings.windowMs();
-        this.table = new UsageTable(() -> context.fleet.nowMs() / windowMs, WINDOWS_KEPT);
+        this.table = new UsageTable(() -> context.fleetClock.nowMs() / windowMs, WINDOWS_KEPT);
         this.persistedCounts = new PersistedState(
                 acceptor,
                 COUNTS_KEY,
@@ -58,7 +58,12 @@
                 () -> new UsageMessage.Counts(context.address, 0, table.allCounts()));
         this.reporter = new UsageReporter(
                 new ReporterContext(
-                        context.name, context.address, proposer, context.post, context.clock, context.fleet),
+                        context.name,
+                        context.address,
+                        proposer,
+                        context.messageSender,
+                        context.clock,
+                        context.fleetClock),
                 timings.reporter(),
                 platform,
                 new ReportSources(table, peers::coreAddresses, edges, this::reportFloorMs));
@@ -69,7 +74,7 @@
                 this::leaseReplica);
     }
 
-    /** Reads the counts and the fencing token that this core's disk has from an earlier incarnation. */
+    /** Loads the counts and the fencing token that an earlier incarnation left on this core's disk. */
     void open() {
         final UsageMessage.Counts stored = persistedCounts.read(UsageMessage.Counts.class);
         if (stored != null) {
@@ -78,7 +83,7 @@
         acceptor.registers().forEach(this::onRegisterStored);
     }
 
-    /** Notes the fencing token of the lease whenever this core's acceptor stores it. */
+    /** Records the fencing token of the lease each time this core's acceptor stores it. */
     void onRegisterStored(final String key, final Register register) {
         if (key.equals(LEASE_KEY) && register.value() != null) {
             highestFencingToken = Math.max(
@@ -87,45 +92,50 @@
         }
     }
 
-    /** The highest fencing token that was stored here; 0 if none was. */
+    /** Returns the highest fencing token stored on this core, or 0 if none was stored. */
     long highestFencingToken() {
         return highestFencingToken;
     }
 
     /**
-     * Ticks the lease if this core holds it or may acquire it. A core that is draining acquires no lease, and keeps one that it holds
-     * until its last request is answered. Nor does a core acquire it that doesn't vote: without the registers it can't tell which
-     * windows it may report.
+     * Ticks the lease manager if this core holds the lease or may acquire it. A core that is draining doesn't acquire
+     * the lease, but keeps one that it holds until its last request is answered. A core that doesn't vote doesn't
+     * acquire the lease either: without the registers it can't tell which windows it may report.
      */
     void tickLease(final boolean draining) {
         final boolean mayAcquire = acceptor.state() == Acceptor.State.VOTING && !draining;
-        if (context.fleet.settled() && (leaseManager.state() == LeaseManager.State.HOLDING || mayAcquire)) {
+        if (context.fleetClock.settled() && (leaseManager.state() == LeaseManager.State.HOLDING || mayAcquire)) {
             leaseManager.onTick();
         }
     }
 
-    /** Stores the counts if they changed. */
+    /** Writes the counts to disk if they changed. */
     void tickPersistedCounts() {
         persistedCounts.tick();
     }
 
-    /** Merges the counts from disk, once the fleet's time is known, by which their windows are numbered. */
+    /**
+     * Merges the counts loaded from disk once the fleet clock has settled, because windows are numbered by the fleet's
+     * time.
+     */
     void mergeCountsFromDisk() {
-        if (!countsFromDisk.isEmpty() && context.fleet.settled()) {
+        if (!countsFromDisk.isEmpty() && context.fleetClock.settled()) {
             countsFromDisk.forEach(table::merge);
             countsFromDisk = List.of();
         }
     }
 
-    /** Merges counts that are pushed, answers requests for counts, and passes answers to the reporter. */
+    /**
+     * Merges pushed counts and acknowledges them, answers requests for counts, and passes responses to the reporter.
+     */
     void onMessage(final UsageMessage message) {
         if (message instanceof UsageMessage.Counts push) {
             push.counts().forEach(table::merge);
-            context.post.send(
+            context.messageSender.send(
                     push.sender(),
                     new UsageMessage.CountsAcknowledged(context.name, push.pushId(), context.incarnation));
         } else if (message instanceof UsageMessage.CountsRequest request) {
-            context.post.send(
+            context.messageSender.send(
                     request.sender(),
                     new UsageMessage.CountsResponse(context.name, request.window(), table.counts(request.window())));
         } else if (message instanceof UsageMessage.CountsResponse response) {
@@ -133,12 +143,15 @@
         }
     }
 
-    /** Gives up the lease; {@code done} runs once its release has ended. */
+    /**
+     * Stops the lease manager for good. {@code done} runs once the attempt to release the lease has ended, or at once
+     * if there is nothing to release.
+     */
     void stop(final Runnable done) {
         leaseManager.stop(done);
     }
 
-    /** This voter's copy of the lease's register, or null while it doesn't vote. */
+    /** Returns this voter's replica of the lease's register, or null while this core doesn't vote. */
     private Register leaseReplica() {
         return acceptor.state() == Acceptor.State.VOTING
                 ? acceptor.registers().getOrDefault(LEASE_KEY, NO_LEASE)
@@ -146,9 +159,9 @@
     }
 
     private long reportFloorMs() {
-        final Register floor = acceptor.registers().get(GenerationMerger.FLOOR);
+        final Register floor = acceptor.registers().get(GenerationMerger.GENERATION_START_KEY);
         return floor == null || floor.value() == null
-                ? context.fleet.nowMs()
+                ? context.fleetClock.nowMs()
                 : Long.parseLong(new String(floor.value(), StandardCharsets.UTF_8));
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
+++ b/spokestall/src/main/java/spokestall/proxy/ConcurrencyLimiter.java
@@ -4,19 +4,21 @@
 import java.util.Map;
 
 /**
- * Limits the requests in flight at an edge and the bytes of bodies that are held for them. A tenant may take a permit, or
- * bytes, only while it holds no more than is free: a tenant alone gets half, and however many tenants want everything, some
- * stays free for one more. Not thread-safe.
+ * Limits the requests in flight at an edge and the bytes held for their bodies. A tenant gets another permit only if it holds
+ * fewer permits than are free, and more bytes only if it then holds no more than were free. A single tenant thus gets half of
+ * each limit, and some capacity stays free for one more tenant no matter how many tenants compete.
+ *
+ * <p>Not thread-safe.
  */
 final class ConcurrencyLimiter {
-    private static final class Use {
+    private static final class Usage {
         private int requests;
         private long bytes;
     }
 
     private final int requestsMax;
     private final long bytesMax;
-    private final Map<String, Use> uses = new HashMap<>();
+    private final Map<String, Usage> usageByTenant = new HashMap<>();
     private int requests;
     private long bytes;
 
@@ -33,37 +35,39 @@
         return bytes;
     }
 
-    boolean take(final String tenant, final long more) {
-        final Use use = uses.getOrDefault(tenant, new Use());
-        if (use.requests >= requestsMax - requests || use.bytes + more > bytesMax - bytes) {
+    /** Takes a permit and the given number of bytes for a tenant, or returns false if the limits don't allow it. */
+    boolean tryAcquire(final String tenant, final long more) {
+        final Usage usage = usageByTenant.getOrDefault(tenant, new Usage());
+        if (usage.requests >= requestsMax - requests || usage.bytes + more > bytesMax - bytes) {
             return false;
         }
-        uses.put(tenant, use);
-        use.requests++;
+        usageByTenant.put(tenant, usage);
+        usage.requests++;
         requests++;
-        hold(tenant, more);
+        adjustHeldBytes(tenant, more);
         return true;
     }
 
-    /** Changes the bytes held for a tenant by a difference. */
-    void hold(final String tenant, final long more) {
-        uses.get(tenant).bytes += more;
+    /** Changes the number of bytes held for a tenant by {@code more}, which may be negative. */
+    void adjustHeldBytes(final String tenant, final long more) {
+        usageByTenant.get(tenant).bytes += more;
         bytes += more;
-        tidy(tenant);
+        removeIfUnused(tenant);
     }
 
-    void leave(final String tenant) {
-        uses.get(tenant).requests--;
+    /** Returns a tenant's permit; the bytes that are held stay until {@link #adjustHeldBytes}. */
+    void release(final String tenant) {
+        usageByTenant.get(tenant).requests--;
         requests--;
-        tidy(tenant);
+        removeIfUnused(tenant);
     }
 
-    private void tidy(final String tenant) {
-        final Use use = uses.get(tenant);
-        assert use.requests >= 0 && use.bytes >= 0 && requests <= requestsMax
-                : tenant + " holds " + use.requests + " and " + use.bytes;
-        if (use.requests == 0 && use.bytes == 0) {
-            uses.remove(tenant);
+    private void removeIfUnused(final String tenant) {
+        final Usage usage = usageByTenant.get(tenant);
+        assert usage.requests >= 0 && usage.bytes >= 0 && requests <= requestsMax
+                : tenant + " holds " + usage.requests + " requests; bytes held: " + usage.bytes;
+        if (usage.requests == 0 && usage.bytes == 0) {
+            usageByTenant.remove(tenant);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
+++ b/spokestall/src/main/java/spokestall/proxy/ExecutionStatus.java
@@ -1,19 +1,19 @@
 package spokestall.proxy;
 
-/** What is known of whether a request ran. */
+/** Whether a request ran, as far as this node knows. */
 public enum ExecutionStatus {
     RAN("ran"),
     NOT_RUN("not-run"),
     UNDECIDED("undecided");
 
-    private final String word;
+    private final String wireName;
 
-    ExecutionStatus(final String word) {
-        this.word = word;
+    ExecutionStatus(final String wireName) {
+        this.wireName = wireName;
     }
 
-    /** The value in the response header. */
-    public String word() {
-        return word;
+    /** The value in the response header and body. */
+    public String wireName() {
+        return wireName;
     }
 }
--- a/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
+++ b/spokestall/src/main/java/spokestall/proxy/ProxyContext.java
@@ -16,26 +16,26 @@
 import spokestall.usage.UsageCounter;
 
 /**
- * What the data path of an edge works with.
+ * Dependencies of an edge's data path.
  *
- * @param follower says whether the configuration here is proven fresh
- * @param proposer changes the registers of claims
- * @param counter counts what was sent to upstreams, for the usage report
- * @param sharingEdges how many edges shared bounds are divided among
- * @param homeCores the addresses of the cores in some regions
+ * @param feedClient holds the freshness lease, which proves that this node's configuration is the newest
+ * @param proposer reads and writes the registers of claims
+ * @param usageCounter counts the attempts sent to upstreams, for the usage report
+ * @param sharingEdges returns the number of edges that fleet-wide limits are divided among
+ * @param homeCores returns the addresses of the cores in the given regions
  */
 public record ProxyContext(
         NodeInfo self,
         ConfigurationStore configurationStore,
-        FeedClient follower,
+        FeedClient feedClient,
         Proposer proposer,
         LoadBalancer loadBalancer,
-        UpstreamClient upstreams,
-        UsageCounter counter,
+        UpstreamClient upstreamClient,
+        UsageCounter usageCounter,
         ResponseCache responseCache,
-        MessageSender post,
+        MessageSender messageSender,
         Clock clock,
-        FleetClock fleet,
+        FleetClock fleetClock,
         Random random,
         IntSupplier sharingEdges,
         Function<Set<String>, List<String>> homeCores) {}
--- a/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
+++ b/spokestall/src/main/java/spokestall/proxy/RequestExecution.java
@@ -15,28 +15,28 @@
 import spokestall.message.MessageCodec;
 
 /**
- * One admitted request until its final response: reads its body, claims it if it must run once, attempts it at upstreams,
- * retries and hedges where that is allowed, and responds exactly once.
+ * The execution of one admitted request up to its final response: receives its body, claims it if it must run once, sends
+ * attempts to upstreams, retries and hedges where that is allowed, and responds exactly once.
  *
- * <p>Stages only go forward: {@code READING_BODY}, {@code CLAIMING} (run-once requests with claims), {@code ATTEMPTING},
- * {@code ENDED}; each may go to {@code ENDED} directly. The claim is decided by a majority before the first byte of a
- * run-once request leaves this node. A response says "not run" only when that is proven.
+ * <p>The states follow each other in the order {@code READING_BODY}, {@code CLAIMING} (run-once requests with claims only),
+ * {@code ATTEMPTING}, {@code ENDED}. Each state may go directly to {@code ENDED}. A majority of acceptors stores the claim before
+ * the first byte of a run-once request leaves this node. A response says "not run" only if that is proven.
  *
- * <p>Not thread-safe; all calls are made on the node's event loop.
+ * <p>Not thread-safe; all calls on the node's event loop.
  */
 final class RequestExecution implements AdmittedRequest {
-    private enum Stage {
+    private enum State {
         READING_BODY,
         CLAIMING,
         ATTEMPTING,
         ENDED
     }
 
-    /** The part of a latency target after which an idempotent request is hedged at a second upstream. */
-    private static final double HEDGE_AFTER = 0.6;
+    /** Fraction of the latency target after which an idempotent request is hedged at a second upstream. */
+    private static final double HEDGE_DELAY_RATIO = 0.6;
 
-    /** What an upstream client says of an attempt that {@link AttemptPermission} stopped in the last moment. */
-    private static final String STOPPED_HERE = "barred";
+    /** The reason that an {@link UpstreamClient} returns if {@link AttemptPermission} denied an attempt right before sending. */
+    private static final String SEND_DENIED = "barred";
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final AdmissionController admission;
@@ -51,18 +51,23 @@
 
     private final Set<String> attemptedInstances = new HashSet<>();
     private final Set<AttemptHandle> openAttempts = new HashSet<>();
-    private Stage stage = Stage.READING_BODY;
+    private State state = State.READING_BODY;
     private byte[] body;
     private IdempotencyClaim claim;
     private boolean mayHaveRun;
-    /** A failed upstream response that is passed on if no retry brings a better one. */
+    /** A failed upstream response, which the client gets if no retry succeeds. */
     private Response failedResponse;
 
     private boolean clientDisconnected;
     private boolean attemptsCancelled;
     private boolean responseWritten;
 
-    /** {@code heldBytes} were taken at admission; {@code responded} gets the final response, once. */
+    /**
+     * Creates the execution of an admitted request and starts its deadline timer.
+     *
+     * @param heldBytes the bytes that admission has taken from the limiter
+     * @param responded receives the final response, once
+     */
     RequestExecution(
             final AdmissionController admission,
             final ProxyContext context,
@@ -78,7 +83,7 @@
                 admission.limiter(), context.loadBalancer(), grant.service(), grant.tenantName(), heldBytes);
         this.attempts = new AttemptBudget(admission.limits().conventions().unsentFree());
         this.claimManager = needsClaim() ? claimManager() : null;
-        context.clock().after(Math.max(0, remainingMs()), () -> endWith(ResultCode.DEADLINE));
+        context.clock().after(Math.max(0, remainingMs()), () -> completeWith(ResultCode.DEADLINE));
     }
 
     private boolean needsClaim() {
@@ -96,9 +101,9 @@
         return grant.deadlineMs() - context.clock().nowMs();
     }
 
-    private void transitionTo(final Stage next) {
-        assert next.ordinal() > stage.ordinal() : stage + " to " + next;
-        stage = next;
+    private void transitionTo(final State next) {
+        assert next.ordinal() > state.ordinal() : state + " to " + next;
+        state = next;
     }
 
     @Override
@@ -108,21 +113,21 @@
 
     @Override
     public void onBody(final byte[] complete) {
-        if (stage != Stage.READING_BODY) {
+        if (state != State.READING_BODY) {
             return;
         }
         body = complete;
         reservation.holdBytes(complete.length + (long) grant.service().responseMaxBytes());
         final ResultCode refusal = refusal();
         if (refusal != null) {
-            endWith(refusal);
+            completeWith(refusal);
         } else if (!reserveCapacity()) {
-            endWith(ResultCode.NO_UPSTREAM);
+            completeWith(ResultCode.NO_UPSTREAM);
         } else if (claimManager == null) {
-            transitionTo(Stage.ATTEMPTING);
-            attempt();
+            transitionTo(State.ATTEMPTING);
+            startAttempt();
         } else {
-            transitionTo(Stage.CLAIMING);
+            transitionTo(State.CLAIMING);
             claimManager.claim(
                     RequestTicket.of(grant.head().requestId()),
                     body,
@@ -134,8 +139,8 @@
 
     @Override
     public void onBodyFailed(final ResultCode reason) {
-        if (stage == Stage.READING_BODY) {
-            endWith(reason);
+        if (state == State.READING_BODY) {
+            completeWith(reason);
         }
     }
 
@@ -147,27 +152,27 @@
         onResponseWritten();
     }
 
-    /** Nobody waits for the response any more: what may be repeated is ended; what must run once runs to its end. */
+    /** Cancels the attempts because the client has disconnected; a run-once request continues until its outcome is known. */
     private void cancelAttempts() {
-        if (stage != Stage.ATTEMPTING || grant.route().runOnce()) {
+        if (state != State.ATTEMPTING || grant.route().runOnce()) {
             return;
         }
         attemptsCancelled = true;
-        endWith(ResultCode.DEADLINE);
+        completeWith(ResultCode.DEADLINE);
         List.copyOf(openAttempts).forEach(AttemptHandle::cancel);
     }
 
     @Override
     public void onResponseWritten() {
         responseWritten = true;
-        if (stage == Stage.ENDED) {
+        if (state == State.ENDED) {
             reservation.holdBytes(0);
         }
     }
 
     /**
-     * Reserves the upstream capacity that admission found, for a request without a body. With a body it is reserved once
-     * that has arrived, or clients that send slowly would occupy it.
+     * Reserves the upstream capacity that admission found, for a request without a body. A request with a body reserves its
+     * capacity when the body has arrived, so that clients that send slowly don't block capacity.
      */
     void reserve() {
         reservation.reserve();
@@ -181,50 +186,53 @@
         return reservation.hasCapacity();
     }
 
-    /** Ends the request with what is known of it, because this node shuts down. */
-    void giveUp() {
-        if (stage != Stage.ENDED) {
-            endUnsent(ResultCode.HELD);
+    /** Ends the request because this node shuts down, with the execution status known so far. */
+    void abort() {
+        if (state != State.ENDED) {
+            completeUnsent(ResultCode.HELD);
         }
     }
 
-    private void end(final Response response) {
-        if (stage == Stage.ENDED) {
+    private void complete(final Response response) {
+        if (state == State.ENDED) {
             return;
         }
-        transitionTo(Stage.ENDED);
+        transitionTo(State.ENDED);
         reservation.end();
         reservation.holdBytes(
                 responseWritten || response.content() == null
                         ? 0
                         : response.content().body().length);
-        admission.onEnded(this, grant.tenantName(), response.result());
+        admission.onRequestEnded(this, grant.tenantName(), response.result());
         body = null;
         responded.accept(response);
     }
 
-    /** Ends the request with a result of this node's own; "not run" only if no attempt may have run it, or may yet. */
-    private void endWith(final ResultCode result) {
-        final boolean undecided = claimManager != null || grant.hasTicket() || mayHaveRun || attempts.open() > 0;
-        end(admission.reject(
-                result, undecided ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN, attempts.begun()));
+    /**
+     * Ends the request with a response that this node generates. The status is "not run" only if no attempt has run the request or
+     * can still run it.
+     */
+    private void completeWith(final ResultCode result) {
+        final boolean undecided = claimManager != null || grant.hasTicket() || mayHaveRun || attempts.inFlight() > 0;
+        complete(admission.reject(
+                result, undecided ? ExecutionStatus.UNDECIDED : ExecutionStatus.NOT_RUN, attempts.started()));
     }
 
-    /** Sends nothing more. A claim that was not used is first released in its register, then the client is answered. */
-    private void endUnsent(final ResultCode reason) {
+    /** Ends the request without another attempt. Responds after an unused claim has been released in its register. */
+    private void completeUnsent(final ResultCode reason) {
         if (claim != null && !mayHaveRun) {
             claimManager.releaseUnused(
                     claim,
-                    proven -> end(admission.reject(
-                            reason, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, attempts.begun())));
+                    proven -> complete(admission.reject(
+                            reason, proven ? ExecutionStatus.NOT_RUN : ExecutionStatus.UNDECIDED, attempts.started())));
         } else {
-            endWith(reason);
+            completeWith(reason);
         }
     }
 
-    /** Why nothing may be sent now, or null if an attempt may begin. */
+    /** Returns why no attempt may be sent now, or null if one may. */
     private ResultCode refusal() {
-        return stage == Stage.ENDED || clientDisconnected ? ResultCode.DEADLINE : permission.refusal();
+        return state == State.ENDED || clientDisconnected ? ResultCode.DEADLINE : permission.refusal();
     }
 
     private void onClaimResult(final ClaimResult result) {
@@ -234,8 +242,8 @@
             admission.fetchStoredResponse(
                     grant.tenant(),
                     claimManager.key(),
-                    earlier.claim().answerDigest(),
-                    content -> end(new Response(
+                    earlier.claim().responseDigest(),
+                    content -> complete(new Response(
                             content != null ? ResultCode.REPEATED : ResultCode.RAN_ANSWER_GONE,
                             ExecutionStatus.RAN,
                             content,
@@ -244,21 +252,21 @@
                             0)));
         } else if (result instanceof ClaimResult.Refused refused) {
             final ResultCode refusal = refused.reason() == ResultCode.UNCLEAR ? refusal() : null;
-            endWith(refusal != null ? refusal : refused.reason());
+            completeWith(refusal != null ? refusal : refused.reason());
         }
     }
 
     private void onClaimGranted(final IdempotencyClaim granted) {
         claim = granted;
-        if (stage == Stage.ENDED) {
+        if (state == State.ENDED) {
             claimManager.releaseUnused(claim, proven -> {});
             return;
         }
-        transitionTo(Stage.ATTEMPTING);
-        attempt();
+        transitionTo(State.ATTEMPTING);
+        startAttempt();
     }
 
-    private void attempt() {
+    private void startAttempt() {
         final ResultCode refusal = refusal();
         final Upstream upstream = refusal != null
                 ? null
@@ -269,41 +277,41 @@
             onNoUpstream(refusal);
             return;
         }
-        if (attempts.begin()) {
-            // Retries are a share of the requests that reached an upstream, not of those that were admitted.
-            admission.budget(permission.service()).asked();
+        if (attempts.onStarted()) {
+            // The retry ratio refers to requests that reach an upstream, not to all admitted requests.
+            admission.retryBudget(permission.service()).onRequest();
         }
         attemptedInstances.add(upstream.instance());
-        final Attempt attempt = attemptAt(upstream);
-        final long begunMs = context.clock().nowMs();
+        final Attempt attempt = newAttempt(upstream);
+        final long startedMs = context.clock().nowMs();
         context.loadBalancer().onAttemptStarted(upstream.instance());
         reservation.release();
         scheduleHedge(upstream);
         final LongSupplier sendableUntilMs = () -> refusal() != null
                 ? Long.MIN_VALUE
-                : Math.min(grant.deadlineMs(), context.follower().lease().expiresMs());
+                : Math.min(grant.deadlineMs(), context.feedClient().lease().expiresMs());
         final AttemptHandle[] handle = new AttemptHandle[1];
-        handle[0] = context.upstreams().attempt(attempt, sendableUntilMs, this::onAttemptSent, result -> {
+        handle[0] = context.upstreamClient().attempt(attempt, sendableUntilMs, this::onAttemptSent, result -> {
             openAttempts.remove(handle[0]);
-            onAttemptEnded(upstream, result, begunMs);
+            onAttemptEnded(upstream, result, startedMs);
         });
         openAttempts.add(handle[0]);
     }
 
     private void onNoUpstream(final ResultCode refusal) {
-        if (attempts.open() > 0) {
+        if (attempts.inFlight() > 0) {
             return;
         }
         if (failedResponse != null) {
-            end(failedResponse);
+            complete(failedResponse);
         } else if (refusal != null) {
-            endUnsent(refusal);
+            completeUnsent(refusal);
         } else {
-            endUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
+            completeUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
     }
 
-    private Attempt attemptAt(final Upstream upstream) {
+    private Attempt newAttempt(final Upstream upstream) {
         final RequestHead head = grant.head();
         return new Attempt(
                 head.requestId(),
@@ -323,31 +331,36 @@
     private void scheduleHedge(final Upstream upstream) {
         final long latencyTargetMs = permission.route().latencyTargetMs();
         if (latencyTargetMs > 0 && !grant.route().runOnce()) {
-            final int number = attempts.begun();
+            final int number = attempts.started();
             context.clock()
-                    .after(Math.max(1, (long) (HEDGE_AFTER * latencyTargetMs)), () -> onHedgeDue(upstream, number));
+                    .after(
+                            Math.max(1, (long) (HEDGE_DELAY_RATIO * latencyTargetMs)),
+                            () -> onHedgeDue(upstream, number));
         }
     }
 
-    /** An idempotent request is sent to a second upstream as well, once and paid for; the first complete answer counts. */
-    private void onHedgeDue(final Upstream silent, final int number) {
-        if (stage == Stage.ATTEMPTING && attempts.open() == 1 && attempts.begun() == number) {
-            context.loadBalancer().onAttemptLate(silent.instance());
+    /**
+     * Hedges an idempotent request: sends it to a second upstream if the first one hasn't responded in time and the retry budget
+     * allows it. The first complete response is used.
+     */
+    private void onHedgeDue(final Upstream slowUpstream, final int number) {
+        if (state == State.ATTEMPTING && attempts.inFlight() == 1 && attempts.started() == number) {
+            context.loadBalancer().onAttemptLate(slowUpstream.instance());
             retry();
         }
     }
 
     private void onAttemptSent() {
         if (grant.tenant() != null) {
-            context.counter().onStarted(grant.tenantName());
+            context.usageCounter().onStarted(grant.tenantName());
         }
     }
 
-    private void onAttemptEnded(final Upstream upstream, final AttemptResult result, final long begunMs) {
+    private void onAttemptEnded(final Upstream upstream, final AttemptResult result, final long startedMs) {
         attempts.ended(!(result instanceof AttemptResult.NotSent));
         mayHaveRun |= result instanceof AttemptResult.Answered || result instanceof AttemptResult.Lost;
         final Route route = permission.route();
-        final long slowMs = route.latencyTargetMs() > 0
+        final long targetMs = route.latencyTargetMs() > 0
                 ? route.latencyTargetMs()
                 : permission.service().attemptTimeoutMs() / 4;
         context.loadBalancer()
@@ -355,8 +368,8 @@
                         upstream.service(),
                         upstream.instance(),
                         outcomeFor(result),
-                        context.clock().nowMs() - begunMs,
-                        slowMs);
+                        context.clock().nowMs() - startedMs,
+                        targetMs);
         if (result instanceof AttemptResult.Answered answered) {
             onAnswered(upstream, answered);
         } else {
@@ -372,7 +385,7 @@
             return AttemptOutcome.CANCELLED;
         }
         if (result instanceof AttemptResult.NotSent unsent) {
-            return unsent.why().equals(STOPPED_HERE) ? AttemptOutcome.ANSWERED : AttemptOutcome.UNREACHABLE;
+            return unsent.why().equals(SEND_DENIED) ? AttemptOutcome.ANSWERED : AttemptOutcome.UNREACHABLE;
         }
         return result instanceof AttemptResult.NotRun ? AttemptOutcome.REJECTED : AttemptOutcome.LOST;
     }
@@ -382,15 +395,15 @@
             recordExecuted(upstream, answered);
         }
         final Response response = new Response(
-                ResultCode.OK, ExecutionStatus.RAN, answered.content(), upstream.instance(), attempts.begun(), 0);
+                ResultCode.OK, ExecutionStatus.RAN, answered.content(), upstream.instance(), attempts.started(), 0);
         final boolean failed = isFailure(answered.content().status());
-        if (claim == null && failed && !grant.route().runOnce() && stage != Stage.ENDED) {
+        if (claim == null && failed && !grant.route().runOnce() && state != State.ENDED) {
             failedResponse = response;
-            if (attempts.open() > 0 || retry()) {
+            if (attempts.inFlight() > 0 || retry()) {
                 return;
             }
         }
-        end(response);
+        complete(response);
     }
 
     private boolean isFailure(final int status) {
@@ -403,52 +416,55 @@
         LOG.atFine().log(
                 "event=attempt_failed node=%s instance=%s request=%s result=%s",
                 context.self().name(), upstream.instance(), grant.head().requestId(), result);
-        if (stage == Stage.ENDED) {
+        if (state == State.ENDED) {
             if (claim != null && !mayHaveRun) {
                 claimManager.releaseUnused(claim, proven -> {});
             }
         } else if (grant.route().runOnce() && mayHaveRun) {
-            endWith(ResultCode.LOST);
-        } else if (attempts.open() == 0) {
+            completeWith(ResultCode.LOST);
+        } else if (attempts.inFlight() == 0) {
             retryOrEnd();
         }
     }
 
     private void retryOrEnd() {
         if (failedResponse != null) {
-            end(failedResponse);
+            complete(failedResponse);
             return;
         }
         final ResultCode refusal = refusal();
         if (refusal != null) {
-            endUnsent(refusal);
+            completeUnsent(refusal);
         } else if (!retry()) {
-            endUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
+            completeUnsent(mayHaveRun ? ResultCode.LOST : ResultCode.NO_UPSTREAM);
         }
     }
 
-    /** Begins one more attempt if limits and the retry budget allow it. */
+    /** Starts one more attempt if the limits and the retry budget allow it. */
     private boolean retry() {
         final int configuredMax = permission.route().attemptsMax();
         final int attemptsMax = configuredMax > 0
                 ? Math.min(configuredMax, admission.limits().attemptsMax())
                 : admission.limits().attemptsMax();
-        if (stage == Stage.ENDED
+        if (state == State.ENDED
                 || refusal() != null
-                || !attempts.again(attemptsMax, admission.budget(permission.service()))) {
+                || !attempts.tryAcquire(attemptsMax, admission.retryBudget(permission.service()))) {
             return false;
         }
-        attempt();
+        startAttempt();
         return true;
     }
 
-    /** The claim's end and the response go to their stores and to cores of the home regions; the client doesn't wait. */
+    /**
+     * Stores the response in the local cache and at the cores of the home regions, and records the outcome of the claim. The
+     * client's response doesn't wait for this.
+     */
     private void recordExecuted(final Upstream upstream, final AttemptResult.Answered answered) {
         final HandoffMessage.Store stored = new HandoffMessage.Store(
                 claimManager.key(), KeyHash.hex(MessageCodec.encodeRecord(answered.content())), answered.content());
         context.responseCache().put(stored);
         for (final String core : context.homeCores().apply(grant.tenant().homeRegions())) {
-            context.post().send(core, stored);
+            context.messageSender().send(core, stored);
         }
         claimManager.recordExecuted(claim, answered.content().status(), stored.digest(), upstream.instance());
     }
--- a/spokestall/src/main/java/spokestall/proxy/RetryBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/RetryBudget.java
@@ -3,31 +3,40 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Keeps retries below a ratio of requests in every span of time: each request earns a fraction of a retry, and what is earned
- * but not spent never exceeds a small allowance. Not thread-safe.
+ * Limits retries to a ratio of requests in any time interval. Each request adds a fraction of a retry to the balance, and the
+ * balance never exceeds a small allowance.
+ *
+ * <p>Not thread-safe.
  */
 final class RetryBudget {
-    private final DoubleSupplier share;
+    private final DoubleSupplier ratio;
     private final DoubleSupplier allowance;
-    private double earned;
+    private double balance;
 
-    /** The allowance is this edge's part of the fleet's; it shrinks as the fleet grows. */
-    RetryBudget(final DoubleSupplier share, final DoubleSupplier allowance) {
-        this.share = share;
+    /**
+     * Creates a budget whose balance is the full allowance.
+     *
+     * @param ratio the retries that each request adds
+     * @param allowance this edge's share of the fleet's allowance, which shrinks as the fleet grows
+     */
+    RetryBudget(final DoubleSupplier ratio, final DoubleSupplier allowance) {
+        this.ratio = ratio;
         this.allowance = allowance;
-        this.earned = allowance.getAsDouble();
+        this.balance = allowance.getAsDouble();
     }
 
-    void asked() {
-        earned = Math.min(allowance.getAsDouble(), earned + share.getAsDouble());
+    /** Notified once for each request that reaches an upstream. */
+    void onRequest() {
+        balance = Math.min(allowance.getAsDouble(), balance + ratio.getAsDouble());
     }
 
-    boolean spend() {
-        earned = Math.min(allowance.getAsDouble(), earned);
-        if (earned < 1) {
+    /** Takes one retry from the balance, or returns false if less than one is left. */
+    boolean tryAcquire() {
+        balance = Math.min(allowance.getAsDouble(), balance);
+        if (balance < 1) {
             return false;
         }
-        earned -= 1;
+        balance -= 1;
         return true;
     }
 }
--- a/spokestall/src/test/java/spokestall/ArchitectureTest.java
+++ b/spokestall/src/test/java/spokestall/ArchitectureTest.java
@@ -14,7 +14,7 @@
 import spokestall.storage.DirectorySync;
 import spokestall.storage.FileSegmentStore;
 
-/** Which package may use what. docs/architecture.md shows the same picture. */
+/** Checks the allowed dependencies between packages. docs/architecture.md shows the same structure. */
 class ArchitectureTest {
     private static final JavaClasses PRODUCT = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -24,7 +24,7 @@
     private static final String NODE = "spokestall.node..";
     private static final String COMMANDS = "spokestall.cli..";
 
-    /** State machines: time, chance, network and disk come in from outside. */
+    /** State machines, which receive time, randomness, network and disk from outside. */
     private static final String[] STATE_MACHINES = {
         "spokestall.audit..",
         "spokestall.configuration..",
@@ -40,23 +40,26 @@
     };
 
     @Test
-    void stateMachinesKnowNoSocketsFilesClocksThreads() {
+    void stateMachinesUseNoSocketsFilesClocksOrThreads() {
         noSockets(STATE_MACHINES).check(PRODUCT);
         noFiles(STATE_MACHINES).check(PRODUCT);
         noClockAndNoThread(STATE_MACHINES).check(PRODUCT);
         noInputAndOutput(STATE_MACHINES).check(PRODUCT);
     }
 
-    /** The same rules find what the package for input and output does, so they do look. */
+    /**
+     * Proves that the rules detect violations: they must fail for the packages that do use sockets, files, clocks and
+     * threads.
+     */
     @Test
-    void theRulesFindSocketsFilesClocksThreadsWhereTheyAre() {
-        assertThat(broken(noSockets(INPUT_AND_OUTPUT))).contains("HttpClient");
-        assertThat(broken(noFiles(INPUT_AND_OUTPUT))).contains("AuditFiles");
-        assertThat(broken(noClockAndNoThread(INPUT_AND_OUTPUT))).contains("SystemClock");
-        assertThat(broken(noInputAndOutput(COMMANDS))).contains("NodeProcess");
+    void rulesDetectSocketsFilesClocksAndThreads() {
+        assertThat(violations(noSockets(INPUT_AND_OUTPUT))).contains("HttpClient");
+        assertThat(violations(noFiles(INPUT_AND_OUTPUT))).contains("AuditFiles");
+        assertThat(violations(noClockAndNoThread(INPUT_AND_OUTPUT))).contains("SystemClock");
+        assertThat(violations(noInputAndOutput(COMMANDS))).contains("NodeProcess");
     }
 
-    private static String broken(final ArchRule rule) {
+    private static String violations(final ArchRule rule) {
         return rule.evaluate(PRODUCT).getFailureReport().toString();
     }
 
@@ -111,9 +114,12 @@
                 .belongToAnyOf(FileSegmentStore.class, DirectorySync.class);
     }
 
-    /** The log itself is driven by the simulator too; two classes touch files: its own, and the sync of folders. */
+    /**
+     * Only two storage classes access files: the log's file store and the directory sync. The simulator runs all other
+     * storage classes.
+     */
     @Test
-    void twoClassesOfTheLogTouchFiles() {
+    void onlyTwoStorageClassesAccessFiles() {
         classes()
                 .that()
                 .resideInAPackage("spokestall.storage..")
@@ -125,9 +131,9 @@
                 .check(PRODUCT);
     }
 
-    /** The node is wired from state machines alone, so that the simulator can run it. */
+    /** A node consists of state machines only, so that the simulator can run it. */
     @Test
-    void aNodeKnowsNoSocketsAndNoFiles() {
+    void nodeUsesNoSocketsOrFiles() {
         noClasses()
                 .that()
                 .resideInAPackage(NODE)
@@ -143,15 +149,15 @@
                 .check(PRODUCT);
     }
 
-    /** No package needs another that needs it. */
+    /** Packages must not depend on each other in a cycle. */
     @Test
-    void noPackagesNeedEachOther() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching("spokestall.(**)").should().beFreeOfCycles().check(PRODUCT);
     }
 
-    /** The rule above looks at every package: none of the product's lies outside its pattern. */
+    /** The cycle rule covers every package: no package lies outside its pattern. */
     @Test
-    void everyPackageIsLookedAt() {
+    void cycleRuleCoversEveryPackage() {
         assertThat(PRODUCT.stream().map(type -> type.getPackageName()).distinct())
                 .contains("spokestall.node", "spokestall.cli", "spokestall.configuration.feed", "spokestall.io.http")
                 .allMatch(name -> name.startsWith("spokestall."));
--- a/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
+++ b/spokestall/src/test/java/spokestall/api/RepliesFormatTest.java
@@ -15,7 +15,7 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.testsupport.GoldenFile;
 
-/** The calls of operators as they are sent and answered: their names and parameters, and the words of the replies. */
+/** Guards the wire format of the API calls: the names and parameters of calls, and the names and texts in replies. */
 class RepliesFormatTest {
     private static String reply(final String method, final String params) {
         final List<String> replies = new ArrayList<>();
@@ -28,7 +28,7 @@
         return replies.get(0);
     }
 
-    private static String described(final String name, final JsonNode params) {
+    private static String signature(final String name, final JsonNode params) {
         final List<String> required = new ArrayList<>();
         params.path("required").forEach(each -> required.add(each.asText()));
         final StringBuilder line = new StringBuilder(name);
@@ -39,37 +39,37 @@
     }
 
     @Test
-    void everyResultHasItsNumberStatusNameAndText() {
-        final List<String> found = Stream.of(ResultCode.values())
+    void resultCodesAreStable() {
+        final List<String> lines = Stream.of(ResultCode.values())
                 .map(result -> result.number() + " " + result.httpStatus() + " " + result.name() + " " + result.text())
                 .toList();
-        assertThat(found).isEqualTo(GoldenFile.lines("results.txt"));
+        assertThat(lines).isEqualTo(GoldenFile.lines("results.txt"));
     }
 
     @Test
-    void everyCallHasItsNameAndParameters() {
-        final List<String> found = new ArrayList<>();
+    void callNamesAndParametersAreStable() {
+        final List<String> signatures = new ArrayList<>();
         new CallRegistry()
                 .schema()
                 .path("methods")
                 .fields()
-                .forEachRemaining(method ->
-                        found.add(described(method.getKey(), method.getValue().path("params"))));
-        assertThat(found).isEqualTo(GoldenFile.lines("calls.txt"));
+                .forEachRemaining(method -> signatures.add(
+                        signature(method.getKey(), method.getValue().path("params"))));
+        assertThat(signatures).isEqualTo(GoldenFile.lines("calls.txt"));
     }
 
     @Test
-    void theSchemaFileSaysWhichSchemaItIsOf() {
+    void schemaFileDeclaresItsDialect() {
         final JsonNode file = new CallRegistry().schema();
-        final List<String> parts = new ArrayList<>();
-        file.fieldNames().forEachRemaining(parts::add);
-        assertThat(parts).containsExactly("$schema", "title", "methods", "$defs");
+        final List<String> topLevelFields = new ArrayList<>();
+        file.fieldNames().forEachRemaining(topLevelFields::add);
+        assertThat(topLevelFields).containsExactly("$schema", "title", "methods", "$defs");
         assertThat(file.path("$schema").asText()).isEqualTo("https://json-schema.org/draft/2020-12/schema");
         assertThat(file.at("/$defs/policy/$schema").asText()).isEqualTo("https://json-schema.org/draft/2020-12/schema");
     }
 
     @Test
-    void aReplyIsACodeATextAndAResult() {
+    void repliesHaveCodeTextAndResult() {
         assertThat(Reply.of(ResultCode.OK, GoldenFile.parsed("{\"version\":18}"))
                         .json()
                         .toString())
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void parametersThatDoNotFitAreToldByTheirPlaces() {
+    void invalidParametersAreReportedWithTheirLocation() {
         final List<String> replies = new ArrayList<>();
         final CallRegistry calls = new CallRegistry();
         calls.register("usage.get", (params, done) -> done.accept(Reply.of(ResultCode.OK, null)));
@@ -91,12 +91,12 @@
                         + "\"result\":{\"troubles\":[{\"pointer\":\"$.window\","
                         + "\"reason\":\"$.window: must have a minimum value of 0\"}]}}");
         assertThat(reply("usage.get", "{}"))
-                .as("a call that nobody carries out here")
+                .as("a call without a handler on this node")
                 .isEqualTo("{\"code\":4006,\"text\":\"this node can't do that now\",\"result\":{}}");
     }
 
     @Test
-    void theStatesThatRepliesTellHaveTheirWords() {
+    void stateNamesInRepliesAreStable() {
         assertThat(Stream.of(HealthStatus.values()).map(HealthStatus::name))
                 .containsExactly("READY", "LEAVING", "DOWN", "FOREIGN");
         assertThat(Stream.of(Acceptor.State.values()).map(Acceptor.State::name))
@@ -105,12 +105,12 @@
                 .containsExactly("OPEN", "FULL", "REFUSING", "BROKEN");
         assertThat(Stream.of(LeaseManager.State.values()).map(LeaseManager.State::name))
                 .containsExactly("WATCHING", "ACQUIRING", "HOLDING", "RELEASING", "STOPPED");
-        assertThat(Stream.of(ExecutionStatus.values()).map(ExecutionStatus::word))
+        assertThat(Stream.of(ExecutionStatus.values()).map(ExecutionStatus::wireName))
                 .containsExactly("ran", "not-run", "undecided");
     }
 
     @Test
-    void aTicketIsWrittenAndReadAsOneText() {
+    void ticketsRoundTripAsText() {
         assertThat(new RequestTicket(17, 1000).text()).isEqualTo("t1-17-1000");
         assertThat(RequestTicket.of("t1-17-1000.pay-4")).isEqualTo(new RequestTicket(17, 1000));
     }
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorKeyStabilityTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 import spokestall.membership.GenerationAcceptor;
 
-/** Keys of the records that an acceptor stores beside its registers, against their literals. */
+/** Guards the keys of node-local records against changes, since the disks of running fleets contain them. */
 class AcceptorKeyStabilityTest {
     @Test
-    void keysOfAnAcceptorsLocalRecordsAreTheLiteralOnes() {
+    void localRecordKeysAreStable() {
         assertThat(AcceptorStorage.VOTER_SET_KEY).isEqualTo("~voters");
         assertThat(AcceptorStorage.CAUGHT_UP_KEY).isEqualTo("~caught");
         assertThat(AcceptorStorage.DISK_ID_KEY).isEqualTo("~disk");
--- a/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/AcceptorTest.java
@@ -11,9 +11,9 @@
 import spokestall.storage.SegmentStore;
 import spokestall.storage.SegmentedLog;
 
-/** Transitions of the acceptor, and what it needs before it votes. */
+/** State transitions of an acceptor, and the conditions under which it votes. */
 class AcceptorTest {
-    /** Keeps what versions decided in a snapshot of its own. */
+    /** Guard of an acceptor whose node keeps a snapshot of the decided versions. */
     private static final class SnapshotGuard extends PermissiveGuard {
         private long syncedSnapshotVersion;
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aNewVoterVotesOnlyAfterItHasReadAnIntersectingQuorum() {
+    void aNewVoterVotesOnlyAfterCatchingUpFromAnIntersectingQuorum() {
         for (int voters = 2; voters <= VoterSet.VOTERS_MAX; voters++) {
             final VoterSet voterSet = voterSet(voters);
             assertThat(voterSet.intersectingQuorum() + voterSet.majority()).isGreaterThan(voters);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aNewVoterTakesTheHighestVersionFloorOfItsQuorumAndKeepsItThroughARestart() {
+    void aNewVoterAdoptsTheHighestVersionFloorOfItsQuorumAndKeepsItAfterARestart() {
         final SegmentStore disk = disk();
         final Acceptor acceptor = open(disk);
         acceptor.updateVoterSet(voterSet(5));
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aNewVoterDoesNotVoteBeforeItsSnapshotCoversTheVersionsThatTheOthersPruned() {
+    void aNewVoterDoesNotVoteUntilItsSnapshotCoversAllPrunedVersions() {
         final SnapshotGuard guard = new SnapshotGuard();
         guard.syncedSnapshotVersion = 39;
         final Acceptor acceptor = new Acceptor("v0", new SegmentedLog(disk()), (to, message) -> {}, guard, "disk-0");
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void theVersionFloorKeepsTheNewestVersionAndAtMostSoManyVersionsAndBytes() {
+    void theRetentionFloorKeepsTheNewestVersionAndObeysTheVersionAndByteLimits() {
         final TreeMap<String, Register> registers = new TreeMap<>();
         for (int version = 1; version <= 100; version++) {
             final byte[] value = new byte[version == 90 ? 5000 : 10];
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aVoterThatResignedFromAGenerationVotesInNoneOfItsEpochs() {
+    void aResignedVoterDoesNotVoteInLaterEpochsOfItsGeneration() {
         final Acceptor acceptor = newVoter();
         acceptor.startGeneration(voterSet(3), List.of());
         assertThat(acceptor.state()).isEqualTo(Acceptor.State.VOTING);
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aVoterThatResignedDoesNotCatchUpInALaterEpoch() {
+    void aResignedVoterDoesNotCatchUpInALaterEpoch() {
         final PausableSegmentStore disk = new PausableSegmentStore();
         final Acceptor acceptor = open(disk);
         acceptor.startGeneration(voterSet(3), List.of());
@@ -160,9 +160,12 @@
         assertThat(acceptor.hasState()).isFalse();
     }
 
-    /** Two new voters that had each caught up when the other's voter set arrived would otherwise wait for each other for ever. */
+    /**
+     * Guards against a deadlock of two new voters: each has caught up when the voter set that adds the other one arrives. If that
+     * voter set made them catch up again, each would wait forever for pages that the other one doesn't send before it votes.
+     */
     @Test
-    void aVoterThatHasCaughtUpWhenAVoterSetArrivesVotesOnceThatIsSynced() {
+    void aCaughtUpVoterThatReceivesAVoterSetVotesOnceTheVoterSetIsSynced() {
         final PausableSegmentStore disk = new PausableSegmentStore();
         final Acceptor acceptor = open(disk);
         acceptor.updateVoterSet(voterSet(3));
--- a/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
+++ b/spokestall/src/test/java/spokestall/consensus/ProposerTest.java
@@ -10,7 +10,7 @@
 import spokestall.message.Message;
 import spokestall.time.EventClock;
 
-/** Outcomes of proposals and reads, as one order of changes whatever is lost on the way, and phase by phase. */
+/** Outcomes of proposals and reads: their total order despite message and power loss, and single protocol phases. */
 class ProposerTest {
     private static final String KEY = "count";
     private static final byte[] VALUE = {1};
@@ -19,10 +19,10 @@
     private static final VoterSet VOTERS = new VoterSet(
             1, 1, List.of(new Voter("v0", "v0", "d0"), new Voter("v1", "v1", "d1"), new Voter("v2", "v2", "d2")));
 
-    /** A register that counts the changes made to it, with the outcomes that its proposers and readers received in one run. */
+    /** A simulated run in which proposers increment a register, and the outcomes that proposers and readers received. */
     private static final class Counter {
         private static final int PROPOSERS = 4;
-        private static final int CHANGES_EACH = 8;
+        private static final int CHANGES_PER_PROPOSER = 8;
         private final ConsensusTestContext context;
         private final List<String> committed = new ArrayList<>();
         private long newestNumber;
@@ -44,7 +44,7 @@
         void run() {
             for (int p = 0; p < PROPOSERS; p++) {
                 final Proposer proposer = context.proposer("p" + p);
-                for (int i = 0; i < CHANGES_EACH; i++) {
+                for (int i = 0; i < CHANGES_PER_PROPOSER; i++) {
                     final String changeId = "p" + p + "." + i;
                     context.clock.after(context.random.nextInt(6000), () -> increment(proposer, changeId));
                     context.clock.after(context.random.nextInt(9000), () -> read(proposer));
@@ -70,7 +70,7 @@
             });
         }
 
-        /** A change that finds its own value, proposed in an earlier attempt, does not count itself again. */
+        /** Returns the incremented value, or the current one if an earlier attempt of this change has already set it. */
         private static RegisterEdit next(final byte[] current, final String changeId) {
             final boolean own = current != null && text(current).endsWith(" " + changeId);
             return new RegisterEdit.Set(
@@ -82,7 +82,7 @@
             proposer.read(KEY, 3000, outcome -> {
                 if (outcome instanceof ProposalOutcome.Committed c) {
                     assertThat(number(c.value()))
-                            .as("a read that began after the commit")
+                            .as("value of a read that started after the commit")
                             .isGreaterThanOrEqualTo(newestBefore);
                     newestNumber = Math.max(newestNumber, number(c.value()));
                 }
@@ -90,16 +90,18 @@
         }
     }
 
-    /** Every committed change is visible to all that begin after it, and none is made twice or lost. */
+    /**
+     * Checks that every committed change is visible to all later changes and reads, and that no change is lost or applied twice.
+     */
     @Test
-    void changesOfOneRegisterStandInOneOrderWhateverTheNetworkAndPowerDo() {
+    void changesOfARegisterAreTotallyOrderedDespiteMessageAndPowerLoss() {
         long committedChanges = 0;
         long otherOutcomes = 0;
         for (int seed = 0; seed < 40; seed++) {
             final Counter counter = new Counter(seed);
             counter.run();
             assertThat(counter.committed)
-                    .as("no number stands for two changes")
+                    .as("numbers of committed changes")
                     .extracting(value -> value.split(" ")[0])
                     .doesNotHaveDuplicates();
             committedChanges += counter.committedChanges;
@@ -122,11 +124,11 @@
             TIMING,
             (voter, key) -> missedVoters.add(voter));
 
-    private void set() {
+    private void proposeValue() {
         proposer.propose(KEY, TIMEOUT_MILLIS, current -> new RegisterEdit.Set(VALUE), outcomes::add);
     }
 
-    /** Replies to the newest request of this type on behalf of a voter that has accepted nothing before. */
+    /** Replies to the last request sent, on behalf of a voter that has not accepted any value before. */
     private void reply(final int voter, final ConsensusMessage.Reply reply) {
         final String name = "v" + voter;
         final String diskId = "d" + voter;
@@ -141,7 +143,7 @@
     }
 
     private void commit() {
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.OK);
         reply(1, ConsensusMessage.Reply.OK);
         assertThat(sent).last().isInstanceOf(ConsensusMessage.Accept.class);
@@ -150,17 +152,17 @@
     }
 
     @Test
-    void theNextChangeOfACommittedRegisterNeedsNoPreparePhase() {
+    void aSecondChangeByTheSameProposerSkipsThePreparePhase() {
         proposer.updateVoterSet(VOTERS);
         commit();
         assertThat(outcomes).singleElement().isEqualTo(new ProposalOutcome.Committed(VALUE, true));
         sent.clear();
-        set();
+        proposeValue();
         assertThat(sent).hasSize(3).allMatch(message -> message instanceof ConsensusMessage.Accept);
     }
 
     @Test
-    void aVoterThatAcknowledgesNoChosenValueWithinOneAttemptTimeoutIsReportedAsMissed() {
+    void aVoterThatDoesNotAcknowledgeAChosenValueWithinTheAttemptTimeoutIsReported() {
         proposer.updateVoterSet(VOTERS);
         commit();
         assertThat(sent).last().isInstanceOf(ConsensusMessage.Chosen.class);
@@ -168,13 +170,13 @@
         assertThat(missedVoters).isEmpty();
         clock.runUntil(TIMING.attemptTimeoutMillis(), () -> {});
         assertThat(missedVoters).containsExactly("v2");
-        assertThat(proposer.roundsInFlight()).isZero();
+        assertThat(proposer.attemptsInFlight()).isZero();
     }
 
     @Test
-    void aMajorityThatRejectsThePrepareMakesTheProposalNotCommitted() {
+    void aProposalIsNotCommittedIfAMajorityRejectsItsPrepare() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.REJECTED);
         assertThat(outcomes).isEmpty();
         reply(1, ConsensusMessage.Reply.REJECTED);
@@ -182,17 +184,17 @@
     }
 
     @Test
-    void aMajorityThatHasPrunedTheRegisterMakesTheProposalPruned() {
+    void aProposalEndsAsPrunedIfAMajorityHasPrunedTheRegister() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.PRUNED);
         reply(1, ConsensusMessage.Reply.PRUNED);
         assertThat(outcomes).containsExactly(new ProposalOutcome.Pruned());
     }
 
     @Test
-    void aProposalWithoutAVoterSetIsNotCommittedAtItsDeadline() {
-        set();
+    void aProposalWithoutAVoterSetEndsAsNotCommittedAtItsDeadline() {
+        proposeValue();
         clock.runAll();
         assertThat(sent).isEmpty();
         assertThat(outcomes)
@@ -200,9 +202,9 @@
     }
 
     @Test
-    void aProposalWhoseValueWasSentAndNotAcceptedInTimeIsIndeterminate() {
+    void aProposalIsIndeterminateIfItsValueIsSentButNotAcceptedInTime() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         reply(0, ConsensusMessage.Reply.OK);
         reply(1, ConsensusMessage.Reply.OK);
         assertThat(sent).last().isInstanceOf(ConsensusMessage.Accept.class);
@@ -213,7 +215,7 @@
     @Test
     void aReplyFromADiskWithoutTheVoterSlotIsNotCounted() {
         proposer.updateVoterSet(VOTERS);
-        set();
+        proposeValue();
         final ConsensusMessage.Prepare prepare = (ConsensusMessage.Prepare) sent.get(0);
         reply(0, ConsensusMessage.Reply.OK);
         proposer.onMessage(new ConsensusMessage.Promise(
--- a/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/EndpointRegistryTest.java
@@ -22,25 +22,27 @@
     }
 
     @Test
-    void readyUpstreamsFollowEachChangeOfTheList() {
+    void readyUpstreamsReflectEachListChange() {
         unprobed.merge(List.of(endpoint("b", "s", true, false, 1), endpoint("a", "s", true, false, 1)), List.of());
         unprobed.merge(List.of(endpoint("c", "t", true, false, 1)), List.of());
         assertThat(ready(unprobed, "s")).containsExactly("a", "b");
         unprobed.merge(List.of(endpoint("d", "s", true, false, 2)), List.of());
         assertThat(ready(unprobed, "s")).containsExactly("a", "b", "d");
         unprobed.merge(List.of(endpoint("a", "s", true, true, 3)), List.of());
-        assertThat(ready(unprobed, "s")).as("one is leaving").containsExactly("b", "d");
+        assertThat(ready(unprobed, "s")).as("instance a is leaving").containsExactly("b", "d");
         unprobed.merge(List.of(endpoint("b", "s", false, false, 3)), List.of());
-        assertThat(ready(unprobed, "s")).as("one is no more listed").containsExactly("d");
+        assertThat(ready(unprobed, "s")).as("instance b is no longer listed").containsExactly("d");
         unprobed.merge(List.of(endpoint("d", "t", true, false, 4)), List.of());
-        assertThat(ready(unprobed, "s")).as("one serves another service").isEmpty();
+        assertThat(ready(unprobed, "s"))
+                .as("instance d moved to another service")
+                .isEmpty();
         assertThat(ready(unprobed, "t")).containsExactly("c", "d");
         unprobed.prune(NOW_MS);
         assertThat(ready(unprobed, "t")).containsExactly("c", "d");
     }
 
     @Test
-    void theEarliestFirstListingIsKept() {
+    void keepsTheEarliestFirstListingTime() {
         unprobed.merge(List.of(endpoint("a", "s", true, false, 5)), List.of());
         assertThat(unprobed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(5);
         unprobed.merge(List.of(endpoint("a", "s", true, false, 2)), List.of());
@@ -48,21 +50,21 @@
     }
 
     @Test
-    void withProbesOnlyFreshObservationsMakeAnUpstreamReady() {
+    void probedUpstreamIsReadyOnlyWithAFreshObservation() {
         probed.merge(List.of(endpoint("a", "s", true, false, 1), endpoint("b", "s", true, false, 1)), List.of());
         assertThat(ready(probed, "s")).isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.READY, 7, NOW_MS)));
         assertThat(ready(probed, "s")).containsExactly("a");
         assertThat(probed.readyUpstreams("s", NOW_MS).get(0).readySinceMs()).isEqualTo(7);
         assertThat(probed.readyUpstreams("s", NOW_MS + 1001))
-                .as("the observation is too old")
+                .as("the observation has expired")
                 .isEmpty();
         probed.merge(List.of(), List.of(new HealthObservation("a", "core", HealthStatus.LEAVING, 7, NOW_MS + 1)));
         assertThat(ready(probed, "s")).isEmpty();
     }
 
     @Test
-    void readyUpstreamsAreBuiltOnceForEachVersionOfTheList() {
+    void readyUpstreamsAreCachedPerListVersion() {
         for (int n = 0; n < 50; n++) {
             unprobed.merge(List.of(endpoint("i" + n, "s" + n % 5, true, false, 1)), List.of());
         }
--- a/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
+++ b/spokestall/src/test/java/spokestall/discovery/HealthCheckerTest.java
@@ -14,7 +14,7 @@
 import spokestall.time.FleetClock;
 import spokestall.time.ManualClock;
 
-/** Three cores, one in another region, and an edge; probes are answered at once as the test sets it. */
+/** Tests three cores, one of them in another region, and an edge; probes return the response that the test sets. */
 class HealthCheckerTest {
     private static final long REPEAT_MS = 1000;
     private static final long TICK_MS = 500;
@@ -25,13 +25,13 @@
             member("a", true, "near"), member("b", true, "near"), member("c", true, "far"), member("e", false, "near"));
     private final Map<String, EndpointRegistry> registries = new TreeMap<>();
     private final Map<String, HealthChecker> checkers = new TreeMap<>();
-    /** Which core sent what to whom, as "a>e". */
+    /** Number of messages by sender and receiver, such as "a>e". */
     private final Map<String, Integer> sent = new TreeMap<>();
 
     private final Map<String, Integer> probes = new TreeMap<>();
-    private Optional<ProbeResult> answer = Optional.of(new ProbeResult("i1", "s", false, 700));
-    private boolean answering = true;
-    private final List<Runnable> answersUnderWay = new ArrayList<>();
+    private Optional<ProbeResult> probeResponse = Optional.of(new ProbeResult("i1", "s", false, 700));
+    private boolean respondImmediately = true;
+    private final List<Runnable> delayedResponses = new ArrayList<>();
 
     private static NodeInfo member(final String name, final boolean core, final String region) {
         return new NodeInfo(name, name, name, core, "d", region, 1, 0, false, 3, 1, false);
@@ -69,7 +69,7 @@
         return new DiscoveryClient() {
             @Override
             public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
-                throw new AssertionError("the list is not read");
+                throw new AssertionError("the health checker must not read the list");
             }
 
             @Override
@@ -77,10 +77,10 @@
                     final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
                 assertThat(address).isEqualTo("10.0.0.1:80");
                 probes.merge(name, 1, Integer::sum);
-                if (answering) {
-                    done.accept(answer);
+                if (respondImmediately) {
+                    done.accept(probeResponse);
                 } else {
-                    answersUnderWay.add(() -> done.accept(answer));
+                    delayedResponses.add(() -> done.accept(probeResponse));
                 }
             }
         };
@@ -112,20 +112,20 @@
     }
 
     @Test
-    void anInstanceIsProbedByTwoCoresThoseOfItsRegionFirst() {
+    void instanceIsProbedByTwoCoresOfItsOwnRegionFirst() {
         tick(4);
         assertThat(probes).containsOnly(Map.entry("a", 4), Map.entry("b", 4));
     }
 
     @Test
-    void noSecondProbeIsSentWhileAnAnswerIsAwaited() {
-        answering = false;
+    void sendsNoSecondProbeWhileOneIsPending() {
+        respondImmediately = false;
         tick(4);
         assertThat(probes).containsOnly(Map.entry("a", 1), Map.entry("b", 1));
     }
 
     @Test
-    void aReadyInstanceIsReadySinceItSaysSo() {
+    void readySinceComesFromTheProbeResponse() {
         tick(1);
         final List<Upstream> ready = registries.get("e").readyUpstreams("s", fleetClock.nowMs());
         assertThat(ready).hasSize(1);
@@ -133,14 +133,14 @@
     }
 
     @Test
-    void onlyFailuresInARowMakeAnInstanceDown() {
+    void onlyConsecutiveFailuresMarkAnInstanceDown() {
         tick(1);
-        answer = Optional.empty();
+        probeResponse = Optional.empty();
         tick(FAILURE_THRESHOLD - 1);
         assertThat(statusAtEdge()).contains(HealthStatus.READY);
-        answer = Optional.of(new ProbeResult("i1", "s", false, 700));
+        probeResponse = Optional.of(new ProbeResult("i1", "s", false, 700));
         tick(1);
-        answer = Optional.empty();
+        probeResponse = Optional.empty();
         tick(FAILURE_THRESHOLD - 1);
         assertThat(statusAtEdge()).contains(HealthStatus.READY);
         tick(1);
@@ -148,32 +148,34 @@
     }
 
     @Test
-    void anotherInstanceOrServiceAtTheAddressIsForeign() {
-        answer = Optional.of(new ProbeResult("i2", "s", false, 700));
+    void otherInstanceOrServiceAtTheAddressIsForeign() {
+        probeResponse = Optional.of(new ProbeResult("i2", "s", false, 700));
         tick(1);
         assertThat(statusAtEdge()).contains(HealthStatus.FOREIGN);
-        answer = Optional.of(new ProbeResult("i1", "s", true, 700));
+        probeResponse = Optional.of(new ProbeResult("i1", "s", true, 700));
         tick(1);
         assertThat(statusAtEdge()).contains(HealthStatus.LEAVING);
-        answer = Optional.of(new ProbeResult("i1", "t", true, 700));
+        probeResponse = Optional.of(new ProbeResult("i1", "t", true, 700));
         tick(1);
         assertThat(statusAtEdge()).contains(HealthStatus.FOREIGN);
     }
 
     @Test
-    void changesAreSentToAllNodesAndRepetitionsToCoresOnly() {
+    void sendsChangesToAllNodesAndRepeatsToCoresOnly() {
         tick(1);
         assertThat(sent).containsOnlyKeys("a>b", "a>c", "a>e", "b>a", "b>c", "b>e");
         sent.clear();
-        // Each probe finds a warm-up that began when it was before.
+        // Each probe reports the same start of readiness as the previous one.
         final List<Integer> received = new ArrayList<>();
         for (long readyForMs = 700 + TICK_MS; received.size() < 4; readyForMs += TICK_MS) {
-            answer = Optional.of(new ProbeResult("i1", "s", false, readyForMs));
+            probeResponse = Optional.of(new ProbeResult("i1", "s", false, readyForMs));
             tick(1);
             received.add(sent.getOrDefault("a>b", 0));
         }
         assertThat(sent).containsOnlyKeys("a>b", "a>c", "b>a", "b>c");
-        assertThat(received).as("repeated once in two ticks").containsExactly(0, 1, 1, 2);
+        assertThat(received)
+                .as("messages by tick, each observation repeated every two ticks")
+                .containsExactly(0, 1, 1, 2);
     }
 
     private long readySinceAtEdgeMs() {
@@ -185,21 +187,21 @@
     }
 
     @Test
-    void anInstanceIsNotTakenToBeReadyForLongerThanItIsHoweverLongTheAnswerTook() {
-        answering = false;
+    void slowProbeResponseDoesNotMakeReadySinceEarlier() {
+        respondImmediately = false;
         tick(1);
         clock.advance(90);
-        // The instance says how long it has been ready when it answers, just before the answer arrives.
+        // The instance computes how long it has been ready when it responds, just before the response arrives.
         final long readySinceMs = fleetClock.nowMs() - 700;
-        answersUnderWay.forEach(Runnable::run);
+        delayedResponses.forEach(Runnable::run);
         tick(1);
         assertThat(readySinceAtEdgeMs()).isGreaterThanOrEqualTo(readySinceMs);
     }
 
     @Test
-    void anInstanceThatIsReadyAnewWarmsUpAnewHoweverSoonThatIs() {
+    void restartedInstanceGetsANewReadyTimeEvenAfterAShortOutage() {
         tick(1);
-        answer = Optional.of(new ProbeResult("i1", "s", false, 300));
+        probeResponse = Optional.of(new ProbeResult("i1", "s", false, 300));
         tick(1);
         assertThat(readySinceAtEdgeMs()).isEqualTo(fleetClock.nowMs() - 300);
     }
--- a/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
+++ b/spokestall/src/test/java/spokestall/gossip/PartialViewTest.java
@@ -41,13 +41,13 @@
     }
 
     @Test
-    void eachMemberIsDroppedOnceItWasNotHeardFromWithinTheTimeout() {
+    void removesEachMemberNotSeenWithinTheTimeout() {
         receiveShuffle("a");
         clock.advance(400);
         receiveShuffle("b");
         assertThat(memberNames()).containsExactly("a", "b");
         clock.advance(600);
-        assertThat(memberNames()).as("a was seen the time-out ago, not longer").containsExactly("a", "b");
+        assertThat(memberNames()).as("a was last seen exactly one time-out ago").containsExactly("a", "b");
         clock.advance(1);
         assertThat(memberNames()).containsExactly("b");
         clock.advance(400);
@@ -55,13 +55,13 @@
     }
 
     @Test
-    void timeoutOfAMemberLearnedFromASampleCountsFromWhenItWasSeen() {
+    void timeoutOfASampledMemberStartsAtItsLastSeenTime() {
         receiveShuffle("a", member("c", clock.nowMs() - 900));
         assertThat(memberNames()).containsExactly("a", "c");
         clock.advance(101);
         assertThat(memberNames()).containsExactly("a");
         receiveShuffle("a");
         clock.advance(900);
-        assertThat(memberNames()).as("seen again").containsExactly("a");
+        assertThat(memberNames()).as("a was seen again").containsExactly("a");
     }
 }
--- a/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
+++ b/spokestall/src/test/java/spokestall/lease/LeaseManagerTest.java
@@ -17,51 +17,57 @@
 class LeaseManagerTest {
     private static final LeaseTimeouts TIMEOUTS = new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 0);
     private static final long CHECKED_SPAN_MS = 3000;
-    /** Rivals acquire one after another, in turns of the six voters. */
-    private static final long TURNS_MAX_MS = 6 * TIMEOUTS.turnMs();
+    /** The longest time until the last of six voters attempts an acquisition. */
+    private static final long STAGGER_MAX_MS = 6 * TIMEOUTS.staggerMs();
 
-    /** Managers on a lossy network, each frozen now and then while voters restart: one valid session at most, tokens rise. */
+    /**
+     * Checks mutual exclusion with managers that are paused at random times, on a lossy network with restarting voters: at most one
+     * session is valid at any time, and fencing tokens increase.
+     */
     @Test
     void atMostOneSessionIsValidAndFencingTokensRise() {
-        assertThat(sessionsWith(false)).isGreaterThan(60);
+        assertThat(countSessions(false)).isGreaterThan(60);
     }
 
-    /** The same with replicas of the register: one current, one late, one that never changes, one that is sometimes missing. */
+    /**
+     * Checks the same with local replicas of the register: one is current, one is late, one never changes and one is sometimes
+     * missing.
+     */
     @Test
     void staleReplicasNeverLeadToTwoValidSessions() {
-        assertThat(sessionsWith(true)).isGreaterThan(60);
+        assertThat(countSessions(true)).isGreaterThan(60);
     }
 
     private static LeaseReplica replica(final ConsensusTestContext context, final int number) {
         final Proposer reader = context.proposer("r" + number);
-        final ArrayDeque<Register> late = new ArrayDeque<>(List.of(register(null)));
-        final Runnable look = new Runnable() {
+        final ArrayDeque<Register> copies = new ArrayDeque<>(List.of(register(null)));
+        final Runnable readRegister = new Runnable() {
             @Override
             public void run() {
                 context.clock.after(200, this);
                 reader.read(Lease.key("usage_report"), 300, outcome -> {
-                    if (number != 2 && outcome instanceof ProposalOutcome.Committed done) {
-                        late.add(register(done.value()));
-                        if (late.size() > (number == 1 ? 5 : 1)) {
-                            late.poll();
+                    if (number != 2 && outcome instanceof ProposalOutcome.Committed committed) {
+                        copies.add(register(committed.value()));
+                        if (copies.size() > (number == 1 ? 5 : 1)) {
+                            copies.poll();
                         }
                     }
                 });
             }
         };
-        context.clock.after(1, look);
-        return () -> number == 3 && context.random.nextInt(10) == 0 ? null : late.peek();
+        context.clock.after(1, readRegister);
+        return () -> number == 3 && context.random.nextInt(10) == 0 ? null : copies.peek();
     }
 
     private static Register register(final byte[] value) {
         return new Register(ProposalNumber.NONE, ProposalNumber.NONE, value);
     }
 
-    private static int sessionsWith(final boolean replicas) {
-        int held = 0;
+    private static int countSessions(final boolean replicas) {
+        int sessionCount = 0;
         for (int seed = 0; seed < 20; seed++) {
             final ConsensusTestContext context = new ConsensusTestContext(seed, 0.1);
-            final List<LeaseSession> all = new ArrayList<>();
+            final List<LeaseSession> sessions = new ArrayList<>();
             final long[] frozenUntilMs = new long[4];
             for (int k = 0; k < 4; k++) {
                 final int number = k;
@@ -70,11 +76,11 @@
                                 "usage_report", "k" + k, context.proposer("k" + k), context.clock, context.random),
                         TIMEOUTS,
                         session -> {
-                            assertThat(all).allSatisfy(e -> {
+                            assertThat(sessions).allSatisfy(e -> {
                                 assertThat(e.fencingToken()).isLessThan(session.fencingToken());
                                 assertThat(e.owner()).isNotEqualTo(session.owner());
                             });
-                            all.add(session);
+                            sessions.add(session);
                         },
                         replicas ? replica(context, k) : LeaseReplica.NONE);
                 final Runnable tick = new Runnable() {
@@ -99,16 +105,20 @@
             for (long atMs = 200; atMs < 60_000; atMs += 20) {
                 context.run(atMs);
                 final long nowMs = context.clock.nowMs();
-                assertThat(all.stream().filter(e -> e.isValid(nowMs)).count()).isLessThanOrEqualTo(1);
+                assertThat(sessions.stream().filter(e -> e.isValid(nowMs)).count())
+                        .isLessThanOrEqualTo(1);
             }
-            held += all.size();
+            sessionCount += sessions.size();
         }
-        return held;
+        return sessionCount;
     }
 
-    /** A holder that renews is watched by the replica alone; once it stops, the store is read before the lease is acquired. */
+    /**
+     * A rival watches a holder that renews through the local replica alone. Once the holder stops renewing, the rival reads the
+     * lease from the store before it acquires it.
+     */
     @Test
-    void theStoreIsReadOnlyOnceTheReplicaWasUnchangedForTheWholeSpan() {
+    void theStoreIsReadOnlyAfterTheReplicaIsUnchangedForTheWholeLeaseSpan() {
         final ConsensusTestContext context = new ConsensusTestContext(2, 0);
         final Proposer writer = context.proposer("w");
         final byte[][] copy = {null};
@@ -125,11 +135,11 @@
                 });
         renew.run();
         context.run(context.clock.nowMs() + 300);
-        final long[] begunMs = {-1};
+        final long[] acquiredMs = {-1};
         final LeaseManager leaseManager = new LeaseManager(
                 new LeaseContext("usage_report", "k", context.proposer("k"), context.clock, context.random),
                 TIMEOUTS,
-                session -> begunMs[0] = context.clock.nowMs(),
+                session -> acquiredMs[0] = context.clock.nowMs(),
                 () -> register(copy[0]));
         for (int i = 0; i < 100; i++) {
             if (i % 4 == 0) {
@@ -137,38 +147,41 @@
             }
             leaseManager.onTick();
             context.run(context.clock.nowMs() + 100);
-            assertThat(begunMs[0]).isNegative();
+            assertThat(acquiredMs[0]).isNegative();
         }
         final long stoppedMs = renewedMs[0];
-        while (begunMs[0] < 0 && context.clock.nowMs() < stoppedMs + 6000) {
+        while (acquiredMs[0] < 0 && context.clock.nowMs() < stoppedMs + 6000) {
             leaseManager.onTick();
             context.run(context.clock.nowMs() + 50);
         }
         assertThat(leaseManager.observedLease().fencingToken()).isGreaterThan(1);
-        assertThat(begunMs[0] - stoppedMs).isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs(), 2 * TIMEOUTS.leaseMs());
+        assertThat(acquiredMs[0] - stoppedMs)
+                .isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
-    /** A lease that is not there may have been lost with its disks while its holder still works. */
+    /** An absent lease may have been lost with the disks that stored it while its holder still acts under it. */
     @Test
-    void anAbsentLeaseIsWatchedForTheWholeSpanBeforeItIsAcquired() {
+    void anAbsentLeaseIsWatchedForTheWholeLeaseSpanBeforeItIsAcquired() {
         final ConsensusTestContext context = new ConsensusTestContext(1, 0);
-        final long[] begunMs = {-1};
+        final long[] acquiredMs = {-1};
         final LeaseManager leaseManager = new LeaseManager(
                 new LeaseContext("usage_report", "k", context.proposer("k"), context.clock, context.random),
                 TIMEOUTS,
-                session -> begunMs[0] = context.clock.nowMs(),
+                session -> acquiredMs[0] = context.clock.nowMs(),
                 LeaseReplica.NONE);
         final long fromMs = context.clock.nowMs();
         for (long atMs = fromMs; atMs < fromMs + 6000; atMs += 50) {
             context.run(atMs);
             leaseManager.onTick();
         }
-        assertThat(begunMs[0] - fromMs).isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs(), 2 * TIMEOUTS.leaseMs());
+        assertThat(acquiredMs[0] - fromMs)
+                .isBetween(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs(), 2 * TIMEOUTS.leaseMs());
     }
 
-    private static final LeaseTimeouts TIMEOUTS_WITH_REST = new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 3600);
+    private static final LeaseTimeouts TIMEOUTS_WITH_COOLDOWN =
+            new LeaseTimeouts(2000, 400, 800, 200, 100, 20_000, 3600);
 
-    /** One incarnation of a node: its manager and the sessions that it began. */
+    /** One incarnation of a node, with its lease manager and the sessions that it started. */
     private static final class Incarnation implements LeasedTask {
         private final ConsensusTestContext context;
         private final String name;
@@ -203,15 +216,18 @@
         }
     }
 
-    /** Ticks all of these until the awaited one begins a session; returns how long that took, the full span if it did not. */
+    /**
+     * Ticks all given incarnations until the awaited one starts a session. Returns the elapsed time, which is the full span if it
+     * started none.
+     */
     private static long msUntilSessionOf(
             final ConsensusTestContext context,
             final long spanMs,
             final Incarnation awaited,
             final Incarnation... others) {
         final long fromMs = context.clock.nowMs();
-        final int before = awaited.sessions.size();
-        while (awaited.sessions.size() == before && context.clock.nowMs() < fromMs + spanMs) {
+        final int sessionsBefore = awaited.sessions.size();
+        while (awaited.sessions.size() == sessionsBefore && context.clock.nowMs() < fromMs + spanMs) {
             awaited.leaseManager.onTick();
             for (final Incarnation other : others) {
                 other.leaseManager.onTick();
@@ -221,22 +237,24 @@
         return context.clock.nowMs() - fromMs;
     }
 
-    /** A holder restarted before anyone else acquired: nothing is done under its old lease. An acquisition whose outcome came too
-     * late looks the same. */
+    /**
+     * If a holder restarts before another node acquires the lease, no task acts under its old lease any more, so a wait for the
+     * expiry would only lose time. A lease from an acquisition with a late outcome looks the same.
+     */
     @Test
-    void aHolderThatRestartsAcquiresItsOwnLeaseWithoutWaitingForItsExpiry() {
+    void aRestartedHolderAcquiresItsOwnLeaseWithoutWaitingForExpiry() {
         final ConsensusTestContext context = new ConsensusTestContext(3, 0);
-        final Incarnation before = new Incarnation(context, "k", 1, TIMEOUTS_WITH_REST);
+        final Incarnation before = new Incarnation(context, "k", 1, TIMEOUTS_WITH_COOLDOWN);
         msUntilSessionOf(context, 10_000, before);
-        final Incarnation after = new Incarnation(context, "k", 2, TIMEOUTS_WITH_REST);
+        final Incarnation after = new Incarnation(context, "k", 2, TIMEOUTS_WITH_COOLDOWN);
         assertThat(msUntilSessionOf(context, 10_000, after)).isLessThan(TIMEOUTS.leaseMs() / 2);
         assertThat(after.sessions.get(0).fencingToken())
                 .isGreaterThan(before.sessions.get(0).fencingToken());
     }
 
-    /** A lease of an older generation may have been acquired by another since, which was lost with the disks. */
+    /** Another node may have acquired the lease since, and that change may have been lost with the disks of the old generation. */
     @Test
-    void aLeaseOfAnOlderGenerationIsWatchedByItsOwnHolderToo() {
+    void aRestartedHolderWaitsForExpiryOfItsLeaseFromAnOlderGeneration() {
         final ConsensusTestContext context = new ConsensusTestContext(4, 0);
         context.proposer("w")
                 .propose(
@@ -247,59 +265,65 @@
                         outcome -> {});
         context.run(context.clock.nowMs() + 500);
         assertThat(msUntilSessionOf(context, 10_000, new Incarnation(context, "k", 1, TIMEOUTS)))
-                .isGreaterThanOrEqualTo(TIMEOUTS.leaseMs() + TIMEOUTS.marginMs());
+                .isGreaterThanOrEqualTo(TIMEOUTS.leaseMs() + TIMEOUTS.safetyMarginMs());
     }
 
-    /** A graceful shutdown hands the lease over: once released it is acquired at once, but not by a recent holder. */
+    /**
+     * After a graceful shutdown another node acquires the released lease at once, but a recent holder first waits for its
+     * cooldown.
+     */
     @Test
-    void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsRest() {
+    void aReleasedLeaseIsAcquiredAtOnceButNotByAFormerHolderWithinItsCooldown() {
         final ConsensusTestContext context = new ConsensusTestContext(6, 0);
-        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_REST);
-        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_REST);
-        msUntilSessionOf(context, 10_000, one);
-        msUntilSessionOf(context, TIMEOUTS_WITH_REST.restMs(), two, one);
+        final Incarnation first = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
+        final Incarnation second = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
+        msUntilSessionOf(context, 10_000, first);
+        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), second, first);
         final long stoppedMs = context.clock.nowMs();
-        one.leaseManager.stop(() -> {});
-        assertThat(msUntilSessionOf(context, 10_000, two)).isLessThan(TURNS_MAX_MS + TIMEOUTS.leaseMs() / 2);
-        final Incarnation oneAgain = new Incarnation(context, "k1", 2, TIMEOUTS_WITH_REST);
-        msUntilSessionOf(context, 500, oneAgain, two);
-        two.leaseManager.stop(() -> {});
-        msUntilSessionOf(context, 10_000, oneAgain);
-        assertThat(oneAgain.sessions).hasSize(1);
-        assertThat(context.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(TIMEOUTS_WITH_REST.restMs());
+        first.leaseManager.stop(() -> {});
+        assertThat(msUntilSessionOf(context, 10_000, second)).isLessThan(STAGGER_MAX_MS + TIMEOUTS.leaseMs() / 2);
+        final Incarnation firstRestarted = new Incarnation(context, "k1", 2, TIMEOUTS_WITH_COOLDOWN);
+        msUntilSessionOf(context, 500, firstRestarted, second);
+        second.leaseManager.stop(() -> {});
+        msUntilSessionOf(context, 10_000, firstRestarted);
+        assertThat(firstRestarted.sessions).hasSize(1);
+        assertThat(context.clock.nowMs() - stoppedMs).isGreaterThanOrEqualTo(TIMEOUTS_WITH_COOLDOWN.cooldownMs());
     }
 
-    /** A call that may still arrive keeps the lease from being released: it expires instead. */
+    /** A holder doesn't release its lease while one of its calls may still arrive; the lease expires instead. */
     @Test
     void aHolderWithACallInFlightLeavesItsLeaseToExpire() {
         final ConsensusTestContext context = new ConsensusTestContext(7, 0);
-        final Incarnation one = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_REST);
-        final Incarnation two = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_REST);
-        msUntilSessionOf(context, 10_000, one);
-        msUntilSessionOf(context, TIMEOUTS_WITH_REST.restMs(), two, one);
-        one.callInFlight = true;
-        one.leaseManager.stop(() -> {});
-        assertThat(msUntilSessionOf(context, 10_000, two)).isGreaterThan(TIMEOUTS.leaseMs() - TIMEOUTS.renewMs());
+        final Incarnation holder = new Incarnation(context, "k1", 1, TIMEOUTS_WITH_COOLDOWN);
+        final Incarnation rival = new Incarnation(context, "k2", 1, TIMEOUTS_WITH_COOLDOWN);
+        msUntilSessionOf(context, 10_000, holder);
+        msUntilSessionOf(context, TIMEOUTS_WITH_COOLDOWN.cooldownMs(), rival, holder);
+        holder.callInFlight = true;
+        holder.leaseManager.stop(() -> {});
+        assertThat(msUntilSessionOf(context, 10_000, rival))
+                .isGreaterThan(TIMEOUTS.leaseMs() - TIMEOUTS.renewIntervalMs());
     }
 
-    /** Holders that restart and hand over at any moment: one acts at a time, and none acts again after its successor within the
-     * span in which the order of holders is checked. */
+    /**
+     * Checks holders that restart or release the lease at random times: only one acts at a time, and none acts again after its
+     * successor within the span in which the order of holders is checked.
+     */
     @Test
-    void noFormerHolderActsAgainWithinTheCheckedSpan() {
-        int held = 0;
+    void aFormerHolderDoesNotActAgainWithinTheCheckedSpan() {
+        int holderChanges = 0;
         for (int seed = 0; seed < 30; seed++) {
-            held += holdersIn(seed);
+            holderChanges += countHolderChanges(seed);
         }
-        assertThat(held).isGreaterThan(100);
+        assertThat(holderChanges).isGreaterThan(100);
     }
 
-    private static int holdersIn(final long seed) {
+    private static int countHolderChanges(final long seed) {
         final ConsensusTestContext context = new ConsensusTestContext(seed, 0.05);
         final List<Incarnation> incarnations = new ArrayList<>();
         final List<String> actors = new ArrayList<>();
         final List<Long> lastActMs = new ArrayList<>();
         for (int k = 0; k < 4; k++) {
-            incarnations.add(new Incarnation(context, "k" + k, 0, TIMEOUTS_WITH_REST));
+            incarnations.add(new Incarnation(context, "k" + k, 0, TIMEOUTS_WITH_COOLDOWN));
         }
         int number = 1;
         for (int tick = 0; tick < 8000; tick++) {
@@ -309,8 +333,8 @@
             assertThat(acting).hasSizeLessThanOrEqualTo(1);
             for (final Incarnation incarnation : acting) {
                 if (actors.isEmpty() || !actors.get(actors.size() - 1).equals(incarnation.name)) {
-                    final int before = actors.lastIndexOf(incarnation.name);
-                    assertThat(before < 0 ? Long.MAX_VALUE : nowMs - lastActMs.get(before))
+                    final int previousIndex = actors.lastIndexOf(incarnation.name);
+                    assertThat(previousIndex < 0 ? Long.MAX_VALUE : nowMs - lastActMs.get(previousIndex))
                             .isGreaterThanOrEqualTo(CHECKED_SPAN_MS);
                     actors.add(incarnation.name);
                     lastActMs.add(nowMs);
@@ -318,14 +342,14 @@
                 lastActMs.set(lastActMs.size() - 1, nowMs);
             }
             if (context.random.nextInt(200) == 0) {
-                final int of = acting.isEmpty() || context.random.nextInt(3) == 0
+                final int index = acting.isEmpty() || context.random.nextInt(3) == 0
                         ? context.random.nextInt(incarnations.size())
                         : incarnations.indexOf(acting.get(0));
-                final Incarnation old = incarnations.get(of);
+                final Incarnation replaced = incarnations.get(index);
                 if (context.random.nextBoolean()) {
-                    old.leaseManager.stop(() -> {});
+                    replaced.leaseManager.stop(() -> {});
                 }
-                incarnations.set(of, new Incarnation(context, old.name, number++, TIMEOUTS_WITH_REST));
+                incarnations.set(index, new Incarnation(context, replaced.name, number++, TIMEOUTS_WITH_COOLDOWN));
             }
             for (int k = 0; k < incarnations.size(); k++) {
                 if ((tick + k) % 10 == 0) {
--- a/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
+++ b/spokestall/src/test/java/spokestall/membership/BootstrapProposerTest.java
@@ -7,25 +7,25 @@
 import org.junit.jupiter.api.Test;
 import spokestall.consensus.Acceptor;
 
-/** The first generation of simulated fleets whose number of cores is not configured. */
+/** Tests the first generation in simulated fleets whose number of cores is not configured. */
 class BootstrapProposerTest {
     private static final int RANDOM_FLEETS = 200;
     private static final int RESTARTING_FLEETS = 60;
 
-    private static Set<Long> firstGenerations(final MembershipTestContext fleet) {
+    private static Set<Long> firstGenerations(final MembershipTestFleet fleet) {
         return fleet.startedGenerations.getOrDefault(0L, Set.of());
     }
 
-    /** Nodes start late and restart while messages are lost. */
+    /** Nodes start at different times and restart while messages are lost. */
     @Test
     void noFleetHasTwoFirstGenerations() {
         int bootstrapped = 0;
         for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 1 + seed % 7, 1 + seed % 3, 0.85);
-            fleet.loss = 0.1 * (seed % 5);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 1 + seed % 7, 1 + seed % 3, 0.85);
+            fleet.messageLoss = 0.1 * (seed % 5);
             startAndRestartAtRandom(fleet);
             fleet.run(12_000);
-            fleet.loss = 0;
+            fleet.messageLoss = 0;
             fleet.run(30_000);
             assertThat(firstGenerations(fleet))
                     .as(seed + " " + fleet.describe())
@@ -40,7 +40,7 @@
         assertThat(bootstrapped).isGreaterThan(100);
     }
 
-    private static void startAndRestartAtRandom(final MembershipTestContext fleet) {
+    private static void startAndRestartAtRandom(final MembershipTestFleet fleet) {
         for (final MembershipTestNode node : fleet.nodes.values()) {
             fleet.clock.after(fleet.random.nextInt(fleet.random.nextBoolean() ? 500 : 6000), node::start);
         }
@@ -56,17 +56,20 @@
         }
     }
 
-    /** Restarted incarnations that are wrongly configured as first are the fault that the check of two generations must find. */
+    /**
+     * Injects a fault: each restarted incarnation is wrongly configured as first, and edges do not store their votes. The check for
+     * two first generations must detect this.
+     */
     @Test
-    void seedsThatForgetTheirPromisesWouldBeDetected() {
-        int twice = 0;
+    void detectsSeedsThatForgetTheirPromises() {
+        int fleetsWithTwoGenerations = 0;
         for (int seed = 0; seed < RESTARTING_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 4, 3, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 4, 3, 1);
             fleet.seeds.clear();
             fleet.seeds.addAll(List.of("e0", "e1", "e2"));
             fleet.everyIncarnationIsFirst = true;
-            fleet.edgesWithoutFeed = true;
-            fleet.loss = 0.4;
+            fleet.edgeFeedDisabled = true;
+            fleet.messageLoss = 0.4;
             fleet.startAll();
             for (int at = 2000; at < 9000; at += 100) {
                 final MembershipTestNode edge = fleet.node("e" + fleet.random.nextInt(3));
@@ -76,20 +79,20 @@
                 });
             }
             fleet.run(12_000);
-            twice += firstGenerations(fleet).size() > 1 ? 1 : 0;
+            fleetsWithTwoGenerations += firstGenerations(fleet).size() > 1 ? 1 : 0;
         }
-        assertThat(twice).isPositive();
+        assertThat(fleetsWithTwoGenerations).isPositive();
     }
 
-    /** A core that is wrongly configured as first on each restart has a disk that contradicts it. */
+    /** Cores are wrongly configured as first on each restart, but their disks are no longer blank. */
     @Test
-    void aSeedWithADiskVotesInOneIncarnationOnlyWhateverItsSettingsSay() {
+    void aSeedWithADiskVotesInOnlyOneIncarnation() {
         for (int seed = 0; seed < RESTARTING_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 5, 1, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 5, 1, 1);
             fleet.seeds.clear();
             fleet.seeds.addAll(List.of("c0", "c1", "c2"));
             fleet.everyIncarnationIsFirst = true;
-            fleet.loss = 0.4;
+            fleet.messageLoss = 0.4;
             fleet.startAll();
             for (int at = 0; at < 9000; at += 400) {
                 final MembershipTestNode core = fleet.node("c" + fleet.random.nextInt(3));
@@ -107,7 +110,7 @@
 
     @Test
     void coresThatAreNotConfiguredAsFirstWaitForAVoterSet() {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(3, 3, 2, 0);
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(3, 3, 2, 0);
         fleet.startAll();
         fleet.run(60_000);
         assertThat(fleet.startedGenerations).isEmpty();
--- a/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
+++ b/spokestall/src/test/java/spokestall/membership/GenerationRecoveryTest.java
@@ -9,35 +9,35 @@
 import org.junit.jupiter.api.Test;
 import spokestall.consensus.Acceptor;
 
-/** New generations in simulated fleets that lost the disks of a majority. */
+/** Tests new generations in simulated fleets that have lost the disks of a majority. */
 class GenerationRecoveryTest {
     private static final int RANDOM_FLEETS = 60;
     private static final int SLOW_FLEETS = 10;
     private static final int INTERRUPTED_FLEETS = 20;
 
-    /** Cores c0 to c5 vote; the first three are lost below. */
-    private static MembershipTestContext sixCores(final long seed) {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 6, 2, 1);
+    /** Starts a fleet in which cores c0 to c5 vote. */
+    private static MembershipTestFleet sixCores(final long seed) {
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 6, 2, 1);
         fleet.startAll();
         fleet.run(15_000);
         return fleet;
     }
 
-    private static void forFirstThree(final MembershipTestContext fleet, final Consumer<MembershipTestNode> action) {
+    private static void forFirstThreeCores(final MembershipTestFleet fleet, final Consumer<MembershipTestNode> action) {
         for (int i = 0; i < 3; i++) {
             action.accept(fleet.node("c" + i));
         }
     }
 
-    /** Most disks are lost, perhaps all, while cores under new names start. */
+    /** Random cores, up to all of them, lose their disks or stop, while cores with new names start. */
     @Test
-    void aGenerationIsFollowedByOnlyOneWhileVotersAreAdded() {
+    void aGenerationHasOnlyOneSuccessorWhileVotersAreAdded() {
         int recovered = 0;
         for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 2 + seed % 4, 2, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 2 + seed % 4, 2, 1);
             fleet.startAll();
             fleet.run(8000);
-            fleet.loss = 0.1 * (seed % 4);
+            fleet.messageLoss = 0.1 * (seed % 4);
             for (int i = 0; i < 4; i++) {
                 final MembershipTestNode joining = fleet.addCore("n" + i);
                 fleet.clock.after(fleet.random.nextInt(8000), joining::start);
@@ -46,7 +46,7 @@
                 fleet.clock.after(times * 5000 + fleet.random.nextInt(5000), () -> loseSomeCores(fleet));
             }
             fleet.runFor(14_000);
-            fleet.loss = 0;
+            fleet.messageLoss = 0;
             fleet.runFor(25_000);
             final String description = seed + " " + fleet.describe() + " " + fleet.startedGenerations;
             assertThat(fleet.startedGenerations.values())
@@ -58,7 +58,7 @@
         assertThat(recovered).isGreaterThan(20);
     }
 
-    private static void loseSomeCores(final MembershipTestContext fleet) {
+    private static void loseSomeCores(final MembershipTestFleet fleet) {
         final List<MembershipTestNode> cores = new ArrayList<>(fleet.cores());
         Collections.shuffle(cores, fleet.random);
         for (final MembershipTestNode core : cores.subList(0, 1 + fleet.random.nextInt(cores.size()))) {
@@ -75,36 +75,36 @@
         }
     }
 
-    private static void assertMergedFromAllWithState(final MembershipTestContext fleet, final int seed) {
+    private static void assertMergedFromAllWithState(final MembershipTestFleet fleet, final int seed) {
         final long first = fleet.startedGenerations.get(0L).iterator().next();
         assertThat(fleet.startedGenerations.get(first)).as(fleet.describe()).hasSize(1);
         final long second = fleet.startedGenerations.get(first).iterator().next();
-        assertThat(fleet.mergedStateOf.get(second)).as("seed " + seed).containsExactlyInAnyOrder("c3", "c4", "c5");
+        assertThat(fleet.mergedStateSources.get(second)).as("seed " + seed).containsExactlyInAnyOrder("c3", "c4", "c5");
         assertThat(fleet.allCoresVote()).as(fleet.describe()).isTrue();
     }
 
-    /** Half of the disks are lost; the other half's are slow, but no state is left out. */
+    /** Half of the disks are lost and the other half are slow, but the recovery merges the state of each slow disk. */
     @Test
     void recoveryWaitsForACoreWithStateWhoseDiskIsSlow() {
         for (int seed = 0; seed < SLOW_FLEETS; seed++) {
-            final MembershipTestContext fleet = sixCores(seed);
+            final MembershipTestFleet fleet = sixCores(seed);
             for (int i = 0; i < 3; i++) {
                 fleet.node("c" + i).wipe();
                 fleet.node("c" + (i + 3)).slowDisk(700 + 150 * i);
             }
             fleet.runFor(1000);
-            forFirstThree(fleet, MembershipTestNode::start);
+            forFirstThreeCores(fleet, MembershipTestNode::start);
             fleet.runFor(30_000);
             assertMergedFromAllWithState(fleet, seed);
         }
     }
 
-    /** The proposer is lost after the others promised: they have resigned, and the next proposer needs their state. */
+    /** The proposer stops after other cores have promised and resigned, and the next proposer needs their state. */
     @Test
-    void anInterruptedRecoveryLeavesNoStateOut() {
+    void anInterruptedRecoveryMergesAllSurvivingState() {
         for (int seed = 0; seed < INTERRUPTED_FLEETS; seed++) {
-            final MembershipTestContext fleet = sixCores(seed);
-            forFirstThree(fleet, core -> {
+            final MembershipTestFleet fleet = sixCores(seed);
+            forFirstThreeCores(fleet, core -> {
                 core.wipe();
                 core.start();
             });
@@ -113,21 +113,21 @@
                 fleet.runFor(5);
             }
             fleet.runFor(fleet.random.nextInt(150));
-            forFirstThree(fleet, MembershipTestNode::stop);
+            forFirstThreeCores(fleet, MembershipTestNode::stop);
             fleet.runFor(fleet.random.nextInt(4000));
-            forFirstThree(fleet, MembershipTestNode::start);
+            forFirstThreeCores(fleet, MembershipTestNode::start);
             fleet.runFor(20_000);
             assertMergedFromAllWithState(fleet, seed);
         }
     }
 
     @Test
-    void recoveryDoesNotWaitForeverForACoreWithStateWhoseDiskHasStopped() {
-        final MembershipTestContext fleet = sixCores(1);
-        forFirstThree(fleet, MembershipTestNode::wipe);
+    void recoveryDoesNotWaitForeverForACoreWithAStalledDisk() {
+        final MembershipTestFleet fleet = sixCores(1);
+        forFirstThreeCores(fleet, MembershipTestNode::wipe);
         fleet.node("c3").slowDisk(1_000_000);
         fleet.runFor(1000);
-        forFirstThree(fleet, MembershipTestNode::start);
+        forFirstThreeCores(fleet, MembershipTestNode::start);
         fleet.runFor(30_000);
         assertThat(fleet.startedGenerations).as(fleet.describe()).hasSizeGreaterThan(1);
     }
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestContext.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestFleet.java
@@ -23,49 +23,53 @@
 import spokestall.time.EventClock;
 
 /**
- * A fleet of unknown size in virtual time: cores and edges that start late, restart and lose disks, with messages delayed, lost and
- * duplicated. After every event it checks that no two nodes have different voter sets for one epoch.
+ * A simulated fleet in virtual time whose number of cores is not configured. Cores and edges can start late, restart and lose
+ * disks, and messages are delayed, lost and duplicated. After every event the fleet checks that no two nodes have different voter
+ * sets for the same epoch.
  */
-final class MembershipTestContext {
+final class MembershipTestFleet {
     private static final int DELAY_MAX_MILLIS = 60;
 
     final EventClock clock = new EventClock(0);
     final Random random;
     final Map<String, MembershipTestNode> nodes = new TreeMap<>();
     final List<String> seeds = new ArrayList<>();
-    /** Generations seen in any voter set, by the generation that they ended; the first generations by 0. */
+    /** Generations of all voter sets seen, by the generation that they succeed; first generations are under key 0. */
     final Map<Long, Set<Long>> startedGenerations = new TreeMap<>();
-    /** Pairs of nodes, as "from>to", between which no message passes. */
-    final Set<String> cut = new HashSet<>();
-    /** Whose state each generation that was proposed was merged from, by the generation. */
-    final Map<Long, Set<String>> mergedStateOf = new HashMap<>();
+    /** Links that deliver no messages, as "from>to". */
+    final Set<String> blockedLinks = new HashSet<>();
+    /** Names of the nodes whose state was merged into each proposed generation, by that generation. */
+    final Map<Long, Set<String>> mergedStateSources = new HashMap<>();
 
     /** Probability that a message is lost or duplicated. */
-    double loss;
+    double messageLoss;
 
     boolean everyIncarnationIsFirst;
-    /** Injected fault: whoever catches up is told that there is nothing to read. */
+    /** Injected fault: the catch-up responses that a core receives contain no entries. */
     boolean injectEmptyCatchUp;
-    /** The tolerated loss is a whole region, else one node. */
+    /** Whether the tolerated loss is a whole region instead of one node. */
     boolean wholeRegionMayFail;
-    /** Edges receive no feed. */
-    boolean edgesWithoutFeed;
+    /** Whether edges receive no feed. */
+    boolean edgeFeedDisabled;
 
-    long messages;
+    long messagesSent;
     long voterSetsSent;
     private final Map<Long, Long> baseGenerationOf = new HashMap<>();
     private final Map<String, List<Voter>> votersByEpoch = new HashMap<>();
-    private long generations = 1;
-    private VoterSet newest;
+    private long lastGeneration = 1;
+    private VoterSet newestVoterSet;
 
-    MembershipTestContext(final long seed) {
+    MembershipTestFleet(final long seed) {
         random = new Random(seed);
     }
 
-    /** A fleet of cores c0.. and edges e0.., some of which are seeds; each is configured as first with the given probability. */
-    static MembershipTestContext fleet(
+    /**
+     * Creates a fleet of cores c0, c1, ... and edges e0, e1, ..., up to three of which are seeds. Each node is configured as first
+     * with the given probability.
+     */
+    static MembershipTestFleet fleet(
             final long seed, final int cores, final int edges, final double configuredAsFirst) {
-        final MembershipTestContext fleet = new MembershipTestContext(seed);
+        final MembershipTestFleet fleet = new MembershipTestFleet(seed);
         for (int i = 0; i < cores; i++) {
             fleet.addCore("c" + i).configuredAsFirst = fleet.random.nextDouble() < configuredAsFirst;
         }
@@ -99,26 +103,26 @@
         nodes.values().forEach(MembershipTestNode::start);
     }
 
-    /** Every proposed generation has a number of its own, so that two of them can be told apart. */
+    /** Creates an initial state with a unique generation number, so that the checks can distinguish proposed generations. */
     InitialState initialState(final long baseGeneration, final List<Voter> voters) {
-        final long generation = Math.max(baseGeneration, generations) + 1;
-        generations = generation;
+        final long generation = Math.max(baseGeneration, lastGeneration) + 1;
+        lastGeneration = generation;
         baseGenerationOf.put(generation, baseGeneration);
         return new InitialState(new VoterSet(generation, 1, voters), List.of());
     }
 
-    /** Merges nothing, but records whose state would have been merged. */
+    /** Merges no registers, but records the nodes whose state would have been merged. */
     InitialState merge(final long baseGeneration, final List<SurvivingState> survivors, final List<Voter> voters) {
         final InitialState initialState = initialState(baseGeneration, voters);
         final Set<String> withState = new HashSet<>();
         survivors.stream()
                 .filter(survivor -> survivor.hasState() && survivor.generation() == baseGeneration)
                 .forEach(survivor -> withState.add(survivor.name()));
-        mergedStateOf.put(initialState.voterSet().generation(), withState);
+        mergedStateSources.put(initialState.voterSet().generation(), withState);
         return initialState;
     }
 
-    int votersLost(final List<Voter> voters) {
+    int maxVotersLost(final List<Voter> voters) {
         if (!wholeRegionMayFail) {
             return 1;
         }
@@ -127,9 +131,9 @@
         return Math.max(inRegion[0], Math.max(inRegion[1], inRegion[2]));
     }
 
-    /** The newest voter set that any node took. */
-    VoterSet newest() {
-        return newest;
+    /** Returns the newest voter set that any node has adopted. */
+    VoterSet newestVoterSet() {
+        return newestVoterSet;
     }
 
     private Message withInjectedFault(final Message message) {
@@ -138,7 +142,7 @@
                         page.name(),
                         page.generation(),
                         page.epoch(),
-                        page.after(),
+                        page.afterKey(),
                         List.of(),
                         true,
                         page.versionFloor())
@@ -147,17 +151,17 @@
 
     void send(final String from, final String to, final Message original) {
         final Message message = withInjectedFault(original);
-        if (cut.contains(from + ">" + to)) {
+        if (blockedLinks.contains(from + ">" + to)) {
             return;
         }
-        messages++;
+        messagesSent++;
         final boolean withVoterSet =
                 message instanceof MembershipMessage.VoterStatus status && status.voterSet() != null
                         || message instanceof ConsensusMessage.VoterSetUpdate;
         voterSetsSent += withVoterSet ? 1 : 0;
-        final int times = random.nextDouble() < loss ? random.nextInt(2) * 2 : 1;
+        final int copies = random.nextDouble() < messageLoss ? random.nextInt(2) * 2 : 1;
         final MembershipTestNode target = node(to);
-        for (int i = 0; target != null && i < times; i++) {
+        for (int i = 0; target != null && i < copies; i++) {
             final int incarnation = target.incarnations;
             clock.after(1 + random.nextInt(DELAY_MAX_MILLIS), () -> {
                 if (target.up && target.incarnations == incarnation) {
@@ -170,11 +174,11 @@
     private void checkVoterSet(final MembershipTestNode node) {
         final VoterSet voterSet = node.up ? node.proposer.voterSet() : null;
         if (voterSet != null) {
-            newest = voterSet.newerThan(newest) ? voterSet : newest;
+            newestVoterSet = voterSet.newerThan(newestVoterSet) ? voterSet : newestVoterSet;
             final List<Voter> known =
                     votersByEpoch.putIfAbsent(voterSet.generation() + "/" + voterSet.epoch(), voterSet.voters());
             assertThat(known == null || known.equals(voterSet.voters()))
-                    .as("one voter set of an epoch, at %s, %s: %s, %s", node.name, nowMs(), known, voterSet)
+                    .as("one voter set per epoch, at node %s, time %s: %s, %s", node.name, nowMs(), known, voterSet)
                     .isTrue();
             assertThat(voterSet.voters().stream().map(Voter::name).distinct().count())
                     .isEqualTo(voterSet.voters().size());
@@ -184,12 +188,12 @@
         }
     }
 
-    /** What a voter of the newest set has on its disk, synced; empty if its disk is lost or has not caught up. */
+    /** Returns the synced records of a voter of the newest set, or empty if its disk is lost or has not caught up. */
     private Optional<Map<String, byte[]>> storedState(final Voter voter) {
         final MembershipTestNode node = node(voter.name());
-        final Map<String, byte[]> stored = node.removed ? Map.of() : node.synced();
+        final Map<String, byte[]> stored = node.removed ? Map.of() : node.syncedRecords();
         final boolean sameDisk = voter.diskId().equals(text(stored.get("~disk")));
-        final String caughtUp = voter.diskId() + "/" + newest.generation();
+        final String caughtUp = voter.diskId() + "/" + newestVoterSet.generation();
         return sameDisk && caughtUp.equals(text(stored.get("~caught"))) ? Optional.of(stored) : Optional.empty();
     }
 
@@ -197,17 +201,17 @@
         return value == null ? "" : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** On how many disks of voters of the newest set the values are. */
+    /** Number of voters, of voter disks with state, and of copies of the value that has the fewest copies. */
     record Copies(int voters, int withState, int fewest, String fewestKey) {
-        /** The copies that there have to be: a majority, less the voters whose disks are lost or still catch up. */
+        /** Returns the minimum number of copies: a majority, less the voters whose disks are lost or still catching up. */
         int required() {
             return voters / 2 + 1 - (voters - withState);
         }
     }
 
-    /** Counts the copies of values, by key, that are synced on disks of voters. */
+    /** Counts the copies of each value, by key, that are synced to disks of voters. */
     Copies countCopies(final Map<String, String> values) {
-        final List<Map<String, byte[]>> states = newest.voters().stream()
+        final List<Map<String, byte[]>> states = newestVoterSet.voters().stream()
                 .map(this::storedState)
                 .flatMap(Optional::stream)
                 .toList();
@@ -222,7 +226,7 @@
                 fewestKey = value.getKey();
             }
         }
-        return new Copies(newest.voters().size(), states.size(), fewest, fewestKey);
+        return new Copies(newestVoterSet.voters().size(), states.size(), fewest, fewestKey);
     }
 
     private static boolean holds(final byte[] register, final String value) {
@@ -231,12 +235,12 @@
                         text(MessageCodec.decodeRecord(register, Register.class).value()));
     }
 
-    /** The cores that are up. */
+    /** Returns the cores that are up. */
     List<MembershipTestNode> cores() {
         return nodes.values().stream().filter(node -> node.core && node.up).toList();
     }
 
-    /** Whether every core that is up votes, all by one voter set that each is in. */
+    /** Whether every core that is up votes, and all of them are members of the same voter set and have adopted it. */
     boolean allCoresVote() {
         final List<MembershipTestNode> cores = cores();
         final VoterSet voterSet = cores.get(0).proposer.voterSet();
@@ -247,7 +251,7 @@
                                 && voterSet.voter(core.name) != null);
     }
 
-    /** The fleet in text, for messages of assertions. */
+    /** Describes the fleet for assertion messages. */
     String describe() {
         final StringBuilder out = new StringBuilder("at " + nowMs() + " seeds " + seeds);
         nodes.forEach((name, node) -> out.append("\n")
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -15,7 +15,7 @@
 import spokestall.storage.SegmentedLog;
 import spokestall.time.Clock;
 
-/** One node of a {@link MembershipTestContext}, a core or an edge, over all its incarnations. */
+/** One node of a {@link MembershipTestFleet}, a core or an edge, through all of its incarnations. */
 final class MembershipTestNode {
     /** Whether a node may be a voter. */
     enum Role {
@@ -29,23 +29,23 @@
             new MembershipTimeouts(2400, 600, 3000, 880, 1000, 2000, 32_000));
 
     private static final int TICK_MILLIS = 250;
-    private static final int FEED_MILLIS = 400;
-    /** The gossip view of a node is complete after this at the latest. */
-    private static final int VIEW_SPREAD_MILLIS = 1500;
+    private static final int FEED_POLL_MILLIS = 400;
+    /** Time after which a node's gossip view is complete. */
+    private static final int GOSSIP_SPREAD_MILLIS = 1500;
 
     final String name;
     final boolean core;
     boolean up;
-    /** Its first incarnation is configured as the fleet's first. */
+    /** Whether the first incarnation of this node is configured as the fleet's first. */
     boolean configuredAsFirst;
 
     int incarnations;
-    /** Removed for good, and its disk with it. */
+    /** Whether the node and its disk are removed permanently. */
     boolean removed;
 
     Acceptor acceptor;
     Proposer proposer;
-    private final MembershipTestContext fleet;
+    private final MembershipTestFleet fleet;
     private DelayedSegmentStore disk;
     private MembershipCoordinator coordinator;
     private GracefulHandover handover;
@@ -53,7 +53,7 @@
     private Optional<BootstrapProposer> bootstrapProposer = Optional.empty();
     private long startedMillis;
 
-    MembershipTestNode(final MembershipTestContext fleet, final String name, final Role role) {
+    MembershipTestNode(final MembershipTestFleet fleet, final String name, final Role role) {
         this.fleet = fleet;
         this.name = name;
         this.core = role == Role.CORE;
@@ -64,7 +64,10 @@
         return new DelayedSegmentStore(8, 1 << 15, fleet.clock, () -> 1 + fleet.random.nextInt(8));
     }
 
-    /** Begins an incarnation. Only the first may be the fleet's first, unless the context injects just that fault. */
+    /**
+     * Starts an incarnation. Only a node's first incarnation may be configured as the fleet's first, unless the fleet injects the
+     * fault that every incarnation is.
+     */
     void start() {
         incarnations++;
         up = true;
@@ -116,7 +119,7 @@
                 new MembershipContext(local, acceptor, proposer, this::send, clock, SETTINGS),
                 new CoreEnvironment(),
                 fleet::merge,
-                fleet::votersLost,
+                fleet::maxVotersLost,
                 bootstrapProposer);
         handover = new GracefulHandover(local, acceptor, this::send, clock, new GracefulHandover.Timeouts(220, 900));
         if (acceptor.voterSet() != null) {
@@ -154,15 +157,15 @@
         coordinator.onTick();
     }
 
-    /** An edge learns of voter sets by the feed that it requests from all cores. */
+    /** Polls the feed of all cores, from which an edge learns voter sets. */
     private void pollFeed(final Clock clock) {
-        clock.after(FEED_MILLIS, () -> pollFeed(clock));
+        clock.after(FEED_POLL_MILLIS, () -> pollFeed(clock));
         for (final MembershipTestNode other : fleet.nodes.values()) {
-            if (!fleet.edgesWithoutFeed
+            if (!fleet.edgeFeedDisabled
                     && other.core
                     && other.up
                     && other.proposer.voterSet() != null
-                    && fleet.random.nextDouble() >= fleet.loss) {
+                    && fleet.random.nextDouble() >= fleet.messageLoss) {
                 proposer.updateVoterSet(other.proposer.voterSet());
             }
         }
@@ -172,7 +175,7 @@
         return name + "/" + fleet.random.nextInt(1 << 30);
     }
 
-    /** The nodes that this one knows; names spread in a second or two, as by gossip. */
+    /** Returns the known nodes. A new node becomes known after a delay of up to {@link #GOSSIP_SPREAD_MILLIS}, as with gossip. */
     private List<String> knownNodes(final Predicate<MembershipTestNode> wanted) {
         final List<String> known = new ArrayList<>();
         fleet.nodes.forEach((otherName, other) -> {
@@ -180,7 +183,7 @@
                     && other.incarnations > 0
                     && wanted.test(other)
                     && fleet.nowMs() - Math.max(startedMillis, other.startedMillis)
-                            > (name + otherName).hashCode() % VIEW_SPREAD_MILLIS) {
+                            > (name + otherName).hashCode() % GOSSIP_SPREAD_MILLIS) {
                 known.add(otherName);
             }
         });
@@ -195,40 +198,40 @@
         return new SurvivingState(name, generation, 0, null, 0, acceptor.hasStateOnDisk(), registers);
     }
 
-    /** Ends the incarnation as by a loss of power. */
+    /** Ends the incarnation like a power loss. */
     void stop() {
         up = false;
         disk.losePower();
     }
 
-    /** Ends the incarnation and replaces the disk by a blank one. */
+    /** Ends the incarnation and replaces the disk with a blank one. */
     void wipe() {
         stop();
         disk = blankDisk();
     }
 
-    /** Hands over, then never comes back. */
+    /** Hands over, then removes the node permanently. */
     void leaveGracefullyForGood() {
         handover.begin(this::removeForGood);
     }
 
-    /** Ends the incarnation; the node never comes back. */
+    /** Ends the incarnation and removes the node permanently. */
     void removeForGood() {
         stop();
         removed = true;
     }
 
-    /** Makes each write take so much longer. */
+    /** Adds this delay to each write. */
     void slowDisk(final long byMillis) {
         disk.slowBy(byMillis);
     }
 
-    /** What its disk has, synced. */
-    Map<String, byte[]> synced() {
+    /** Returns the records that are synced to the disk. */
+    Map<String, byte[]> syncedRecords() {
         return new SegmentedLog(disk).table();
     }
 
-    /** One of three regions, by the number in its name. */
+    /** Returns the node's region, one of three, which depends on the number in its name. */
     int region() {
         return Integer.parseInt(name.replaceAll("[^0-9]", "")) % 3;
     }
@@ -264,7 +267,7 @@
     }
 
     private void onVoterStatusAtEdge(final MembershipMessage.VoterStatus status) {
-        if (status.lacks(proposer.voterSet())) {
+        if (status.lacksVoterSet(proposer.voterSet())) {
             send(status.address(), new ConsensusMessage.VoterSetUpdate(proposer.voterSet()));
         } else if (status.voterSet() != null) {
             proposer.updateVoterSet(status.voterSet());
@@ -314,7 +317,7 @@
         }
     }
 
-    /** Drops no registers but those of voter sets that were agreed. */
+    /** Prunes only registers that decide voter sets, except the one for the next epoch. */
     private final class VoterSetRegisterGuard implements RegisterGuard {
         @Override
         public boolean ready() {
--- a/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
+++ b/spokestall/src/test/java/spokestall/membership/ReconfigurationTest.java
@@ -10,31 +10,31 @@
 import spokestall.consensus.ProposalOutcome;
 import spokestall.consensus.RegisterEdit;
 
-/** Changes of single voters in simulated fleets that keep a majority. */
+/** Tests changes of single voters in simulated fleets that keep a majority. */
 class ReconfigurationTest {
     private static final int RANDOM_FLEETS = 40;
 
-    private static long number(final byte[] value) {
+    private static long parseNumber(final byte[] value) {
         return value == null ? 0 : Long.parseLong(new String(value, UTF_8));
     }
 
-    private static MembershipTestContext startedFleet(final int cores, final int edges) {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(1, cores, edges, 1);
+    private static MembershipTestFleet startedFleet(final int cores, final int edges) {
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, cores, edges, 1);
         fleet.startAll();
         fleet.run(15_000);
         return fleet;
     }
 
-    /** Cores join under new names and lose disks while a counter is incremented. */
+    /** Cores join with new names and lose disks while edges increment a counter. */
     @Test
-    void whatWasAgreedStandsWhileVotersAreAddedAndSwapped() {
+    void committedIncrementsSurviveWhileVotersAreAddedAndReplaced() {
         long increments = 0;
         for (int seed = 0; seed < RANDOM_FLEETS; seed++) {
-            final MembershipTestContext fleet = MembershipTestContext.fleet(seed, 2 + seed % 3, 2, 1);
+            final MembershipTestFleet fleet = MembershipTestFleet.fleet(seed, 2 + seed % 3, 2, 1);
             fleet.startAll();
             fleet.run(8000);
             assertThat(fleet.allCoresVote()).as(seed + " " + fleet.describe()).isTrue();
-            fleet.loss = 0.05 * (seed % 4);
+            fleet.messageLoss = 0.05 * (seed % 4);
             final List<Long> confirmed = new ArrayList<>();
             scheduleIncrements(fleet, confirmed);
             for (int i = 0; i < 5; i++) {
@@ -45,19 +45,19 @@
                 fleet.clock.after(14_000 + i * 6000, () -> wipeOneDisk(fleet));
             }
             fleet.runFor(32_000);
-            fleet.loss = 0;
+            fleet.messageLoss = 0;
             fleet.runFor(8000);
             assertThat(fleet.allCoresVote()).as(seed + " " + fleet.describe()).isTrue();
             assertThat(fleet.startedGenerations).as(seed + " one generation").hasSize(1);
             assertThat(confirmed)
-                    .as("no number stands for two increments, seed " + seed)
+                    .as("each increment commits a different number, seed " + seed)
                     .doesNotHaveDuplicates();
             increments += confirmed.size();
         }
         assertThat(increments).isGreaterThan(2000);
     }
 
-    private static void scheduleIncrements(final MembershipTestContext fleet, final List<Long> confirmed) {
+    private static void scheduleIncrements(final MembershipTestFleet fleet, final List<Long> confirmed) {
         for (int at = 0; at < 30_000; at += 350) {
             final MembershipTestNode proposing = fleet.node("e" + fleet.random.nextInt(2));
             fleet.clock.after(at, () -> increment(proposing, confirmed));
@@ -69,18 +69,18 @@
         proposing.proposer.propose(
                 "count",
                 2500,
-                current ->
-                        new RegisterEdit.Set(Long.toString(number(current) + 1).getBytes(UTF_8)),
+                current -> new RegisterEdit.Set(
+                        Long.toString(parseNumber(current) + 1).getBytes(UTF_8)),
                 outcome -> {
                     if (outcome instanceof ProposalOutcome.Committed done && done.wrote()) {
-                        assertThat(number(done.value())).isGreaterThan(highest);
-                        confirmed.add(number(done.value()));
+                        assertThat(parseNumber(done.value())).isGreaterThan(highest);
+                        confirmed.add(parseNumber(done.value()));
                     }
                 });
     }
 
-    /** Wipes only when all cores vote, so that a majority with state remains. */
-    private static void wipeOneDisk(final MembershipTestContext fleet) {
+    /** Wipes a disk only if all cores vote, so that a majority with state remains. */
+    private static void wipeOneDisk(final MembershipTestFleet fleet) {
         final List<MembershipTestNode> cores = fleet.cores();
         final MembershipTestNode core = cores.get(fleet.random.nextInt(cores.size()));
         if (fleet.allCoresVote() && cores.size() > 2) {
@@ -91,7 +91,7 @@
 
     @Test
     void aCoreUnderANewNameVotesWithinASecondOfReceivingTheVoterSet() {
-        final MembershipTestContext fleet = startedFleet(3, 1);
+        final MembershipTestFleet fleet = startedFleet(3, 1);
         final MembershipTestNode joining = fleet.addCore("n0");
         joining.start();
         long receivedMillis = -1;
@@ -103,64 +103,66 @@
         assertThat(fleet.nowMs() - receivedMillis).isLessThan(1000);
     }
 
-    /** Six cores are removed for good one after another, each followed by a blank one under another name and address. */
+    /** Six cores are removed one after another. After each removal, a blank core with another name and address starts. */
     @Test
-    void replacedCoresLeaveNoVoterBehind() {
-        final MembershipTestContext fleet = startedFleet(6, 2);
+    void coresReplacedAfterTheirRemovalLeaveNoExtraVoter() {
+        final MembershipTestFleet fleet = startedFleet(6, 2);
         for (int i = 0; i < 6; i++) {
             fleet.node("c" + i).removeForGood();
             fleet.runFor(1000);
             fleet.addCore("n" + i).start();
             fleet.runFor(4000);
             assertThat(fleet.allCoresVote()).as(i + " " + fleet.describe()).isTrue();
-            assertThat(fleet.newest().voters()).hasSize(6);
+            assertThat(fleet.newestVoterSet().voters()).hasSize(6);
         }
         assertThat(fleet.startedGenerations).hasSize(1);
     }
 
-    /** Each new core starts before the old one is removed: that costs one more voter, and not more than that. */
+    /** Each new core starts before the old one is removed, which adds one voter slot in total and not one per core. */
     @Test
-    void coresReplacedAfterTheirSuccessorsStartedLeaveOneVoterBehind() {
-        final MembershipTestContext fleet = startedFleet(6, 2);
+    void coresReplacedAfterTheirSuccessorsStartedLeaveOneExtraVoter() {
+        final MembershipTestFleet fleet = startedFleet(6, 2);
         for (int i = 0; i < 6; i++) {
             fleet.addCore("n" + i).start();
             fleet.runFor(4000);
             assertThat(fleet.allCoresVote()).as(i + " " + fleet.describe()).isTrue();
             fleet.node("c" + i).removeForGood();
             fleet.runFor(4000);
-            assertThat(fleet.newest().voters()).hasSize(7);
+            assertThat(fleet.newestVoterSet().voters()).hasSize(7);
         }
         assertThat(fleet.startedGenerations).hasSize(1);
     }
 
     @Test
-    void aVoterLongSilentIsRemovedAndItsDiskHasNoVoteWhenItIsBack() {
-        final MembershipTestContext fleet = startedFleet(6, 2);
+    void aLongSilentVoterIsRemovedAndItsOldDiskNeverVotesAgain() {
+        final MembershipTestFleet fleet = startedFleet(6, 2);
         final MembershipTestNode away = fleet.node("c2");
         final String disk = away.acceptor.diskId();
         away.stop();
         fleet.runFor(28_000);
-        assertThat(fleet.newest().voters()).as("not yet").hasSize(6);
+        assertThat(fleet.newestVoterSet().voters())
+                .as("before the removal timeout")
+                .hasSize(6);
         fleet.runFor(6000);
-        assertThat(fleet.newest().voters()).hasSize(5);
-        assertThat(fleet.newest().voter("c2")).isNull();
+        assertThat(fleet.newestVoterSet().voters()).hasSize(5);
+        assertThat(fleet.newestVoterSet().voter("c2")).isNull();
         away.start();
         fleet.runFor(4000);
         assertThat(fleet.allCoresVote()).as(fleet.describe()).isTrue();
-        assertThat(fleet.newest().voter("c2").diskId())
+        assertThat(fleet.newestVoterSet().voter("c2").diskId())
                 .isEqualTo(away.acceptor.diskId())
                 .isNotEqualTo(disk);
     }
 
-    /** Of four voters one could be removed if one loss had to be tolerated, but c0 and c3 are in one region. */
+    /** If only one node could fail, one of the four voters could be removed, but c0 and c3 are in the same region. */
     @Test
     void noVoterIsRemovedIfTheToleratedLossCouldThenTakeTheMajority() {
-        final MembershipTestContext fleet = MembershipTestContext.fleet(1, 4, 2, 1);
+        final MembershipTestFleet fleet = MembershipTestFleet.fleet(1, 4, 2, 1);
         fleet.wholeRegionMayFail = true;
         fleet.startAll();
         fleet.run(15_000);
         fleet.node("c1").stop();
         fleet.runFor(60_000);
-        assertThat(fleet.newest().voters()).hasSize(4);
+        assertThat(fleet.newestVoterSet().voters()).hasSize(4);
     }
 }
--- a/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
+++ b/spokestall/src/test/java/spokestall/message/FormatStabilityTest.java
@@ -15,15 +15,16 @@
 import spokestall.proxy.IdempotencyClaim;
 
 /**
- * The bytes of every numbered message in every version that is read, against literal bytes. Numbers, the order of fields and
- * the ordinals of enums are the format; Java names are not, so a renaming must leave the resource as it is.
+ * Guards the bytes of every message in every supported version against a golden file. Numbers, field order and enum
+ * ordinals are the format; Java names are not, so renaming types or fields must not require a change to the golden
+ * file.
  */
-@ExtendWith(RestoredNumbers.class)
+@ExtendWith(RestoreMessageNumbersExtension.class)
 class FormatStabilityTest {
     private static final HexFormat HEX = HexFormat.of();
 
-    /** The messages of production code; other tests number their own kinds in the same table. */
-    private static Map<Integer, Class<? extends Record>> messages() {
+    /** Returns the messages of production code only; other tests register types of their own in the same registry. */
+    private static Map<Integer, Class<? extends Record>> productionMessages() {
         NumberedMessages.register();
         final CodeSource production = MessageCodec.class.getProtectionDomain().getCodeSource();
         final Map<Integer, Class<? extends Record>> messages = new TreeMap<>(MessageRegistry.copy());
@@ -32,16 +33,16 @@
         return messages;
     }
 
-    private static Map<String, String> built() {
+    private static Map<String, String> encodedSamples() {
         final Map<String, String> lines = new TreeMap<>();
-        messages().forEach((number, type) -> {
+        productionMessages().forEach((number, type) -> {
             for (int version = MessageCodec.OLDEST_VERSION; version <= MessageCodec.CURRENT_VERSION; version++) {
-                final String which = number + " v" + version;
+                final String lineName = number + " v" + version;
                 lines.put(
-                        which + " full",
+                        lineName + " full",
                         HEX.formatHex(MessageCodec.encode((Message) SampleRecords.full(type), version)));
                 lines.put(
-                        which + " empty",
+                        lineName + " empty",
                         HEX.formatHex(MessageCodec.encode((Message) SampleRecords.empty(type), version)));
             }
         });
@@ -49,25 +50,26 @@
     }
 
     @Test
-    void everyMessageHasLinesInEveryVersion() throws Exception {
-        assertThat(messages()).isNotEmpty();
-        assertThat(GoldenLines.read("messages.txt")).containsOnlyKeys(built().keySet());
+    void goldenFileCoversEveryMessageInEveryVersion() throws Exception {
+        assertThat(productionMessages()).isNotEmpty();
+        assertThat(GoldenLines.read("messages.txt"))
+                .containsOnlyKeys(encodedSamples().keySet());
     }
 
     @Test
-    void aMessageThatIsBuiltNowEncodesToTheLiteralBytes() throws Exception {
-        assertThat(built()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("messages.txt"));
+    void messagesEncodeToGoldenBytes() throws Exception {
+        assertThat(encodedSamples()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("messages.txt"));
     }
 
     @Test
-    void literalBytesDecodeToTheirMessageAndEncodeToThemselves() throws Exception {
-        final Map<Integer, Class<? extends Record>> messages = messages();
+    void goldenBytesRoundTrip() throws Exception {
+        final Map<Integer, Class<? extends Record>> messages = productionMessages();
         for (final Map.Entry<String, String> line :
                 GoldenLines.read("messages.txt").entrySet()) {
-            final String[] which = line.getKey().split(" ", -1);
+            final String[] nameParts = line.getKey().split(" ", -1);
             final Message message = MessageCodec.decode(HEX.parseHex(line.getValue()));
-            final int version = Integer.parseInt(which[1].substring(1));
-            assertThat(message).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(which[0])));
+            final int version = Integer.parseInt(nameParts[1].substring(1));
+            assertThat(message).as(line.getKey()).isInstanceOf(messages.get(Integer.valueOf(nameParts[0])));
             assertThat(HEX.formatHex(MessageCodec.encode(message, version)))
                     .as(line.getKey())
                     .isEqualTo(line.getValue());
@@ -75,7 +77,7 @@
     }
 
     @Test
-    void constantsOfEnumsKeepTheirOrdinals() {
+    void enumOrdinalsAreStable() {
         assertThat(ConsensusMessage.Reply.values())
                 .containsExactly(
                         ConsensusMessage.Reply.OK,
--- a/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
+++ b/spokestall/src/test/java/spokestall/message/StoredFormatTest.java
@@ -17,15 +17,15 @@
 import spokestall.usage.SealedWindow;
 
 /**
- * The bytes of every record that is stored (in a register, under a key of a voter's own, or as the bytes a digest is made
- * of), against literal bytes, also as an older program wrote it: without the later fields at its end.
+ * Guards the bytes of every stored record (in a register, in a voter's local record, or as input of a digest) against a
+ * golden file, including records as an older program wrote them, without the later fields at the end.
  */
 class StoredFormatTest {
     private static final HexFormat HEX = HexFormat.of();
     private static final Map<String, Class<? extends Record>> STORED = Map.of(
             "register", Register.class,
             "voters", VoterSet.class,
-            "formation-ballot", StoredRecords.coordinatorProposal(),
+            "formation-ballot", StoredRecords.generationVote(),
             "policy-snapshot", ConfigurationSnapshot.class,
             "policy-change", ConfigurationChange.class,
             "lease", Lease.class,
@@ -35,14 +35,14 @@
     private static final Map<String, Class<? extends Record>> STORED_BY_OLDER_PROGRAMS =
             Map.of("policy-snapshot", ConfigurationSnapshot.class, "policy-change", ConfigurationChange.class);
 
-    private static Map<String, String> built() {
+    private static Map<String, String> encodedSamples() {
         final Map<String, String> lines = new TreeMap<>();
         STORED.forEach((name, type) -> {
             lines.put(name + " full", HEX.formatHex(MessageCodec.encodeRecord(SampleRecords.full(type))));
             lines.put(name + " empty", HEX.formatHex(MessageCodec.encodeRecord(SampleRecords.empty(type))));
         });
         STORED_BY_OLDER_PROGRAMS.forEach((name, type) -> {
-            final byte[] older = older(MessageCodec.encodeRecord(SampleRecords.full(type)), type);
+            final byte[] older = withoutLaterFields(MessageCodec.encodeRecord(SampleRecords.full(type)), type);
             lines.put(name + " older", HEX.formatHex(older));
             lines.put(
                     name + " older-written-again",
@@ -51,45 +51,48 @@
         return lines;
     }
 
-    /** Later fields may be absent, so the shortest beginning that can be read has none of them. */
-    private static byte[] older(final byte[] whole, final Class<? extends Record> type) {
-        for (int length = 1; length < whole.length; length++) {
-            final byte[] beginning = Arrays.copyOf(whole, length);
-            if (readable(beginning, type)) {
-                return beginning;
+    /**
+     * Returns the record as an older program wrote it. Later fields may be missing, so the shortest readable prefix has
+     * none of them.
+     */
+    private static byte[] withoutLaterFields(final byte[] complete, final Class<? extends Record> type) {
+        for (int length = 1; length < complete.length; length++) {
+            final byte[] prefix = Arrays.copyOf(complete, length);
+            if (readable(prefix, type)) {
+                return prefix;
             }
         }
-        throw new IllegalStateException("nothing later in " + type);
+        throw new IllegalStateException("no later fields in " + type);
     }
 
     private static boolean readable(final byte[] bytes, final Class<? extends Record> type) {
         try {
             return MessageCodec.decodeRecord(bytes, type) != null;
-        } catch (final IllegalArgumentException cut) {
+        } catch (final IllegalArgumentException truncated) {
             return false;
         }
     }
 
     @Test
-    void aRecordThatIsBuiltNowEncodesToTheLiteralBytes() throws Exception {
-        assertThat(built()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("records.txt"));
+    void recordsEncodeToGoldenBytes() throws Exception {
+        assertThat(encodedSamples()).containsExactlyInAnyOrderEntriesOf(GoldenLines.read("records.txt"));
     }
 
     @Test
-    void literalBytesDecodeAndEncodeToThemselves() throws Exception {
+    void goldenBytesRoundTrip() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
-        lines.forEach((which, hex) -> {
-            final Record record =
-                    MessageCodec.decodeRecord(HEX.parseHex(hex), STORED.get(which.substring(0, which.indexOf(' '))));
-            final String again = lines.getOrDefault(which + "-written-again", hex);
+        lines.forEach((lineName, hex) -> {
+            final Record record = MessageCodec.decodeRecord(
+                    HEX.parseHex(hex), STORED.get(lineName.substring(0, lineName.indexOf(' '))));
+            final String expectedHex = lines.getOrDefault(lineName + "-written-again", hex);
             assertThat(HEX.formatHex(MessageCodec.encodeRecord(record)))
-                    .as(which)
-                    .isEqualTo(again);
+                    .as(lineName)
+                    .isEqualTo(expectedHex);
         });
     }
 
     @Test
-    void whatAnOlderProgramWroteIsReadWithoutTheLaterFields() throws Exception {
+    void recordsOfOlderProgramsDecodeWithoutLaterFields() throws Exception {
         final Map<String, String> lines = GoldenLines.read("records.txt");
         final ConfigurationChange change =
                 MessageCodec.decodeRecord(HEX.parseHex(lines.get("policy-change older")), ConfigurationChange.class);
--- a/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/LoadBalancerTest.java
@@ -19,7 +19,7 @@
     private final List<Upstream> upstreams = new ArrayList<>();
     private final ManualClock clock = new ManualClock(1_000_000);
 
-    /** The seed is the edge's rank too. */
+    /** Returns the load balancer of one of {@code edges} edges; the random seed also gives the edge's rank. */
     private LoadBalancer loadBalancer(final int edges, final int seed) {
         return new LoadBalancer(
                 new Locality("r1", "d1"),
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void nearUpstreamsArePickedUntilTheyAreFullAndFarOnesOnlyThen() {
+    void prefersNearUpstreamsUntilTheirSlotsAreFull() {
         addUpstream("same-zone", "d1", "r1", 3);
         addUpstream("same-region", "d2", "r1", 3);
         addUpstream("other-region", "d5", "r3", 3);
@@ -49,7 +49,7 @@
             loadBalancer.onAttemptStarted(to.instance());
             open.merge(to.instance(), 1, Integer::sum);
             assertThat(open.getOrDefault("other-region", 0))
-                    .as("while others have free slots: " + open)
+                    .as("other upstreams have free slots: " + open)
                     .isLessThanOrEqualTo(Math.max(0, n - 3));
         }
         assertThat(open.get("same-zone")).isGreaterThanOrEqualTo(open.getOrDefault("same-region", 0));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void twoLossesInARowEjectAnUpstreamAndAnAnswerEndsTheEjection() {
+    void twoConsecutiveLossesEjectAnUpstreamAndAResponseEndsTheEjection() {
         addUpstream("one", "d1", "r1", 3);
         addUpstream("two", "d2", "r1", 3);
         final LoadBalancer loadBalancer = loadBalancer(1, 2);
@@ -72,7 +72,7 @@
                     .contains("two");
         }
         assertThat(loadBalancer.pick(SERVICE, u -> u.instance().equals("one"), Set.of()))
-                .as("better than none")
+                .as("an ejected upstream is picked if there is no other")
                 .isPresent();
         loadBalancer.onAttemptStarted("one");
         loadBalancer.onAttemptEnded("s", "one", AttemptOutcome.ANSWERED, 10, 500);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void allEdgesTogetherSendNoMoreThanTheRampAfterARestartedSlowStart() {
+    void edgesTogetherStayWithinTheRampAfterARestartedSlowStart() {
         addUpstream("warming", "d1", "r1", 3);
         final int edges = 12;
         final List<LoadBalancer> all = new ArrayList<>();
@@ -101,7 +101,7 @@
             final long within = sentMs.stream()
                     .filter(ms -> ms >= fromMs && ms < fromMs + 1000)
                     .count();
-            assertThat(within).as("in the second from " + fromMs).isLessThanOrEqualTo((long) (1.2 * 5.8 + 4));
+            assertThat(within).as("attempts in the second from " + fromMs).isLessThanOrEqualTo((long) (1.2 * 5.8 + 4));
         }
         assertThat(sentMs).isNotEmpty();
         clock.advance(200);
