--- a/spokestall/src/main/java/spokestall/cli/CommandHttpClient.java
+++ b/spokestall/src/main/java/spokestall/cli/CommandHttpClient.java
@@ -51,7 +51,7 @@
             final int responseMaxBytes,
             final Consumer<HttpResult> done) {
         send(
-                HttpCall.plain(
+                HttpCall.withoutGate(
                         address,
                         "POST",
                         "/rpc/" + method,
--- a/spokestall/src/main/java/spokestall/cli/EdgeLookup.java
+++ b/spokestall/src/main/java/spokestall/cli/EdgeLookup.java
@@ -63,7 +63,7 @@
     }
 
     private static Optional<Edges> read(final HttpResult result) {
-        if (!(result instanceof HttpResult.Whole response) || response.status() != 200) {
+        if (!(result instanceof HttpResult.Complete response) || response.status() != 200) {
             return Optional.empty();
         }
         try {
--- a/spokestall/src/main/java/spokestall/cli/LoadClient.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadClient.java
@@ -80,7 +80,7 @@
         final boolean runOnce = request.kind().runOnce();
         final String body = runOnce ? "{\"do\":\"" + request.id() + "\"}" : "";
         httpClient.send(
-                HttpCall.plain(
+                HttpCall.withoutGate(
                         edge,
                         runOnce ? "POST" : "GET",
                         request.kind().path(),
@@ -92,7 +92,7 @@
     }
 
     private void onResult(final LoadRequest request, final String edge, final HttpResult result) {
-        if (result instanceof HttpResult.Whole response) {
+        if (result instanceof HttpResult.Complete response) {
             onResponse(request, edge, response);
         } else if (result instanceof HttpResult.NotSent || !request.kind().runOnce()) {
             lookup.invalidate(request);
@@ -102,7 +102,7 @@
         }
     }
 
-    private void onResponse(final LoadRequest request, final String edge, final HttpResult.Whole response) {
+    private void onResponse(final LoadRequest request, final String edge, final HttpResult.Complete response) {
         final String outcome = response.header("Spokestall-Outcome");
         final String code = response.header("Spokestall-Code");
         if (options.record() != null) {
@@ -123,7 +123,7 @@
         }
     }
 
-    private String resultOf(final LoadRequest request, final HttpResult.Whole response) {
+    private String resultOf(final LoadRequest request, final HttpResult.Complete response) {
         if (options.echo() && response.status() == 200 && !echoes(response.body(), request.name())) {
             return LoadReport.WRONG_ANSWER;
         }
--- a/spokestall/src/main/java/spokestall/cli/Main.java
+++ b/spokestall/src/main/java/spokestall/cli/Main.java
@@ -99,7 +99,9 @@
             return ExitCode.USAGE;
         }
         final Settings settings = ((SettingsResult.Valid) read).settings();
-        return flags.check ? ExitCode.OK : new NodeProcess(settings, source, core, ProtocolAdapter.own()).run();
+        return flags.check
+                ? ExitCode.OK
+                : new NodeProcess(settings, source, core, ProtocolAdapter.nativeAdapter()).run();
     }
 
     /** A later value of a key replaces an earlier one. */
--- a/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
+++ b/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
@@ -75,7 +75,7 @@
         } catch (final ExecutionException e) {
             throw new IllegalStateException("the response is only ever completed with a result", e);
         }
-        if (result instanceof HttpResult.Whole received) {
+        if (result instanceof HttpResult.Complete received) {
             final JsonNode reply = ConfigurationStore.JSON.readTree(received.body());
             System.out.println(
                     ConfigurationStore.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(reply));
--- a/spokestall/src/main/java/spokestall/io/http/ClientConnection.java
+++ b/spokestall/src/main/java/spokestall/io/http/ClientConnection.java
@@ -21,12 +21,12 @@
  */
 final class ClientConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
     /** What holds for all connections at a port, as it is now. */
-    interface Terms {
+    interface Limits {
         /** From the first byte of a request's head until it is whole. */
-        long headWaitMs();
+        long headTimeoutMs();
 
         /** From one answer to the next request. */
-        long restMaxMs();
+        long idleTimeoutMs();
 
         /** Monotonic. */
         long nowMs();
@@ -37,17 +37,17 @@
     private static final long LINGER_MS = 1000;
 
     /** How often a request that is under way is looked at for whether its client is still there. */
-    private static final long WATCH_MS = 200;
+    private static final long END_OF_INPUT_CHECK_MS = 200;
 
     private static final int READ_AHEAD_BYTES = 512;
 
-    private static final String TIMED_OUT =
+    private static final String TIMEOUT_RESPONSE =
             "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     private final StreamConnection connection;
-    private final Terms terms;
+    private final Limits limits;
     private final int headMaxBytes;
     private HttpServerConnection http;
-    private long restSinceMs;
+    private long idleSinceMs;
     private long headSinceMs = NONE;
     private boolean busy;
     private boolean ended;
@@ -60,14 +60,14 @@
 
     private HttpServerExchange watched;
     private long watchedSinceMs;
-    private boolean watching;
+    private boolean checkScheduled;
 
-    ClientConnection(final StreamConnection connection, final Terms terms, final int headMaxBytes) {
+    ClientConnection(final StreamConnection connection, final Limits limits, final int headMaxBytes) {
         super(connection.getSourceChannel().getConduit());
         this.connection = connection;
-        this.terms = terms;
+        this.limits = limits;
         this.headMaxBytes = headMaxBytes;
-        this.restSinceMs = terms.nowMs();
+        this.idleSinceMs = limits.nowMs();
     }
 
     /** The connection that a request came on. */
@@ -85,18 +85,18 @@
     public int read(final ByteBuffer into) throws IOException {
         final int bytes = readAhead.hasRemaining() ? takeReadAhead(into) : super.read(into);
         if (bytes >= 0) {
-            came(bytes);
+            onRead(bytes);
         }
         return bytes;
     }
 
     /** A head that came whole is taken before more is read; one of which nothing more is there now must be waited for. */
-    private synchronized void came(final int bytes) {
+    private synchronized void onRead(final int bytes) {
         if (busy || ended) {
             return;
         }
         if (bytes > 0 && headSinceMs == NONE) {
-            headSinceMs = terms.nowMs();
+            headSinceMs = limits.nowMs();
         } else if (bytes == 0 && headSinceMs != NONE) {
             arm();
         }
@@ -127,26 +127,28 @@
     synchronized void onEndOfInput(final HttpServerExchange exchange, final Runnable task) {
         watched = exchange;
         onEndOfInput = task;
-        watchedSinceMs = terms.nowMs();
-        if (!watching) {
-            watchLater();
+        watchedSinceMs = limits.nowMs();
+        if (!checkScheduled) {
+            scheduleEndOfInputCheck();
         }
     }
 
-    private void watchLater() {
-        watching = true;
-        after(WATCH_MS, this::watch);
+    private void scheduleEndOfInputCheck() {
+        checkScheduled = true;
+        after(END_OF_INPUT_CHECK_MS, this::checkEndOfInput);
     }
 
-    private void watch() {
+    private void checkEndOfInput() {
         final Runnable task;
         synchronized (this) {
-            watching = false;
+            checkScheduled = false;
             if (onEndOfInput == null || ended) {
                 return;
             }
-            if (terms.nowMs() - watchedSinceMs < WATCH_MS || !watched.isRequestComplete() || !inputEnded()) {
-                watchLater();
+            if (limits.nowMs() - watchedSinceMs < END_OF_INPUT_CHECK_MS
+                    || !watched.isRequestComplete()
+                    || !inputEnded()) {
+                scheduleEndOfInputCheck();
                 return;
             }
             task = onEndOfInput;
@@ -173,46 +175,46 @@
     }
 
     /** Its bounds count from now on. */
-    synchronized void opened() {
+    synchronized void onOpened() {
         arm();
     }
 
     /** A request's head is whole. */
-    synchronized void begun(final HttpServerExchange exchange) {
+    synchronized void onRequest(final HttpServerExchange exchange) {
         http = (HttpServerConnection) exchange.getConnection();
         busy = true;
         headSinceMs = NONE;
     }
 
     /** A request's answer is written. */
-    synchronized void completed(final boolean last) {
+    synchronized void onResponseWritten(final boolean last) {
         busy = false;
         onEndOfInput = null;
         ended |= last;
         headSinceMs = NONE;
-        restSinceMs = terms.nowMs();
+        idleSinceMs = limits.nowMs();
         arm();
     }
 
-    synchronized void closed() {
+    synchronized void onClosed() {
         ended = true;
         disarm();
     }
 
     /** Whether a request is under way here or may still come. */
-    synchronized boolean open() {
+    synchronized boolean isOpen() {
         return !ended;
     }
 
     /** Ends it if no request is under way; one whose head has come in part is answered as not run. */
-    synchronized void endUnlessUnderWay() {
+    synchronized void closeUnlessBusy() {
         if (busy || ended || http != null && http.getExtraBytes() != null) {
             return;
         }
         if (headSinceMs != NONE) {
-            timedOut();
+            rejectWithTimeout();
         } else {
-            end();
+            shutDownGracefully();
         }
     }
 
@@ -227,7 +229,7 @@
         }
         if (timer == null) {
             timerMs = dueMs;
-            timer = after(Math.max(1, dueMs - terms.nowMs()), this::fired);
+            timer = after(Math.max(1, dueMs - limits.nowMs()), this::onTimer);
         }
     }
 
@@ -239,25 +241,25 @@
     }
 
     private long dueMs() {
-        return headSinceMs != NONE ? headSinceMs + terms.headWaitMs() : restSinceMs + terms.restMaxMs();
+        return headSinceMs != NONE ? headSinceMs + limits.headTimeoutMs() : idleSinceMs + limits.idleTimeoutMs();
     }
 
-    private synchronized void fired() {
+    private synchronized void onTimer() {
         timer = null;
         if (busy || ended) {
             return;
         }
-        if (terms.nowMs() < dueMs()) {
+        if (limits.nowMs() < dueMs()) {
             arm();
         } else {
-            endUnlessUnderWay();
+            closeUnlessBusy();
         }
     }
 
-    private void timedOut() {
+    private void rejectWithTimeout() {
         ended = true;
         connection.getSourceChannel().suspendReads();
-        new StringWriteChannelListener(TIMED_OUT) {
+        new StringWriteChannelListener(TIMEOUT_RESPONSE) {
             @Override
             protected void writeDone(final StreamSinkChannel channel) {
                 ConnectionUtils.cleanClose(connection);
@@ -265,7 +267,7 @@
         }.setup(connection.getSinkChannel());
     }
 
-    private void end() {
+    private void shutDownGracefully() {
         ended = true;
         disarm();
         connection.getSourceChannel().suspendReads();
@@ -279,8 +281,8 @@
         timer = after(LINGER_MS, () -> IoUtils.safeClose(connection));
     }
 
-    private XnioExecutor.Key after(final long waitMs, final Runnable task) {
-        return connection.getIoThread().executeAfter(task, waitMs, TimeUnit.MILLISECONDS);
+    private XnioExecutor.Key after(final long delayMs, final Runnable task) {
+        return connection.getIoThread().executeAfter(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
     /** Runs a task where this connection is read and written. */
--- a/spokestall/src/main/java/spokestall/io/http/HeaderFields.java
+++ b/spokestall/src/main/java/spokestall/io/http/HeaderFields.java
@@ -13,7 +13,7 @@
 /** Header fields between wires: which ones go on, and whether they frame a message in one way only. */
 public final class HeaderFields {
     /** Fields that speak of one wire, or that each wire is given anew. */
-    private static final Set<HttpString> OF_THE_WIRE = Set.of(
+    private static final Set<HttpString> HOP_BY_HOP = Set.of(
             Headers.CONNECTION,
             new HttpString("Keep-Alive"),
             new HttpString("Proxy-Connection"),
@@ -28,63 +28,63 @@
             Headers.HOST,
             Headers.CONTENT_LENGTH);
 
-    private static final String OWN = "spokestall-";
-    private static final String NOT_IN_NAMES = "\"(),/:;<=>?@[\\]{}";
-    private static final int LENGTH_DIGITS = 18;
+    private static final String OWN_PREFIX = "spokestall-";
+    private static final String NAME_DELIMITERS = "\"(),/:;<=>?@[\\]{}";
+    private static final int MAX_LENGTH_DIGITS = 18;
 
     private HeaderFields() {}
 
     /** The end-to-end fields: none of the wire's, none that Connection names, none of spokestall's own. */
     public static List<Header> endToEnd(final HeaderMap from) {
-        final Set<HttpString> named = new HashSet<>();
+        final Set<HttpString> connectionNamed = new HashSet<>();
         final HeaderValues connection = from.get(Headers.CONNECTION);
         if (connection != null) {
             for (final String line : connection) {
-                for (final String one : line.split(",")) {
-                    named.add(new HttpString(one.trim()));
+                for (final String name : line.split(",")) {
+                    connectionNamed.add(new HttpString(name.trim()));
                 }
             }
         }
-        final List<Header> found = new ArrayList<>();
+        final List<Header> endToEnd = new ArrayList<>();
         for (final HeaderValues values : from) {
             final HttpString field = values.getHeaderName();
             final String name = field.toString();
-            if (!OF_THE_WIRE.contains(field) && !named.contains(field) && !own(name)) {
+            if (!HOP_BY_HOP.contains(field) && !connectionNamed.contains(field) && !isOwn(name)) {
                 for (final String value : values) {
-                    found.add(new Header(name, value));
+                    endToEnd.add(new Header(name, value));
                 }
             }
         }
-        return found;
+        return endToEnd;
     }
 
-    private static boolean own(final String name) {
-        return name.regionMatches(true, 0, OWN, 0, OWN.length());
+    private static boolean isOwn(final String name) {
+        return name.regionMatches(true, 0, OWN_PREFIX, 0, OWN_PREFIX.length());
     }
 
-    public static void put(final HeaderMap into, final List<Header> headers) {
+    public static void addAll(final HeaderMap into, final List<Header> headers) {
         headers.forEach(h -> into.add(new HttpString(h.name()), h.value()));
     }
 
     /** What is odd about the fields of a message, or null: names and values that could be read as something else, a
      * length given twice or beside chunks, any coding but chunks alone. */
-    public static String odd(final HeaderMap headers) {
+    public static String invalidReason(final HeaderMap headers) {
         for (final HeaderValues values : headers) {
             final String name = values.getHeaderName().toString();
             for (int i = 0; i < name.length(); i++) {
-                if (name.charAt(i) <= ' ' || name.charAt(i) >= 0x7f || NOT_IN_NAMES.indexOf(name.charAt(i)) >= 0) {
+                if (name.charAt(i) <= ' ' || name.charAt(i) >= 0x7f || NAME_DELIMITERS.indexOf(name.charAt(i)) >= 0) {
                     return "a field's name";
                 }
             }
             for (final String value : values) {
-                if (!plain(value)) {
+                if (!isFieldValue(value)) {
                     return "a field's value";
                 }
             }
         }
         final HeaderValues length = headers.get(Headers.CONTENT_LENGTH);
         final HeaderValues coding = headers.get(Headers.TRANSFER_ENCODING);
-        if (length != null && (length.size() != 1 || coding != null || !digits(length.getFirst()))) {
+        if (length != null && (length.size() != 1 || coding != null || !isLength(length.getFirst()))) {
             return "Content-Length";
         }
         if (coding != null && (coding.size() != 1 || !coding.getFirst().equalsIgnoreCase("chunked"))) {
@@ -93,7 +93,7 @@
         return null;
     }
 
-    private static boolean plain(final String value) {
+    private static boolean isFieldValue(final String value) {
         for (int i = 0; i < value.length(); i++) {
             final char c = value.charAt(i);
             if (c < ' ' && c != '\t' || c == 0x7f) {
@@ -103,13 +103,13 @@
         return true;
     }
 
-    private static boolean digits(final String text) {
+    private static boolean isLength(final String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
                 return false;
             }
         }
-        return !text.isEmpty() && text.length() <= LENGTH_DIGITS;
+        return !text.isEmpty() && text.length() <= MAX_LENGTH_DIGITS;
     }
 
     /** How many characters the fields have together. */
--- a/spokestall/src/main/java/spokestall/io/http/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -38,39 +38,39 @@
 public final class HttpClient {
     private static final Pattern KEEP_ALIVE = Pattern.compile("timeout=(\\d{1,6})");
     /** However long the other end says. */
-    private static final long REST_MOST_MS = 60_000;
+    private static final long MAX_IDLE_MS = 60_000;
 
     private static final int MISDIRECTED = 421;
-    private static final Set<String> BODILESS = Set.of("GET", "HEAD", "DELETE", "OPTIONS");
+    private static final Set<String> METHODS_WITHOUT_BODY = Set.of("GET", "HEAD", "DELETE", "OPTIONS");
 
     /** Hears how an exchange ended, and says whether its connection may be used again: not if the answer belongs to
      * another request, for then this one's own is still to come. */
-    public interface Judge {
+    public interface ResultHandler {
         /** Run once, on an I/O thread. */
-        boolean mayKeep(HttpResult result);
+        boolean onResult(HttpResult result);
     }
 
     private final XnioWorker worker;
     private final ByteBufferPool pool;
-    private final long restMs;
+    private final long idleTimeoutMs;
     private final LongSupplier nowMs;
     private final IdleConnectionPool idle = new IdleConnectionPool();
 
     /** A wire rests for less than its other end says, and for restMs where that says nothing. */
-    public HttpClient(final XnioWorker worker, final ByteBufferPool pool, final long restMs) {
-        this(worker, pool, restMs, () -> System.nanoTime() / 1_000_000);
+    public HttpClient(final XnioWorker worker, final ByteBufferPool pool, final long idleTimeoutMs) {
+        this(worker, pool, idleTimeoutMs, () -> System.nanoTime() / 1_000_000);
     }
 
-    HttpClient(final XnioWorker worker, final ByteBufferPool pool, final long restMs, final LongSupplier nowMs) {
+    HttpClient(final XnioWorker worker, final ByteBufferPool pool, final long idleTimeoutMs, final LongSupplier nowMs) {
         this.nowMs = nowMs;
-        this.restMs = restMs;
+        this.idleTimeoutMs = idleTimeoutMs;
         this.worker = worker;
         this.pool = pool;
     }
 
     /** Has the exchange; done is run once, on an I/O thread. */
     public void call(final HttpCall call, final Consumer<HttpResult> done) {
-        judged(call, result -> {
+        execute(call, result -> {
             done.accept(result);
             return true;
         });
@@ -83,8 +83,8 @@
     }
 
     /** Has the exchange, and uses its connection again only if the judge says so. */
-    public Cancellation judged(final HttpCall call, final Judge judge) {
-        final Exchange exchange = new Exchange(call, judge);
+    public Cancellation execute(final HttpCall call, final ResultHandler handler) {
+        final Exchange exchange = new Exchange(call, handler);
         exchange.begin();
         return exchange::cancel;
     }
@@ -92,45 +92,45 @@
     /** One exchange. */
     private final class Exchange implements ClientCallback<ClientExchange> {
         private final HttpCall call;
-        private final Judge judge;
+        private final ResultHandler handler;
         private final IdleConnectionPool.Peer peer;
-        private final AtomicBoolean over = new AtomicBoolean();
-        private final ByteArrayOutputStream read = new ByteArrayOutputStream();
+        private final AtomicBoolean ended = new AtomicBoolean();
+        private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
         private volatile XnioIoThread io;
         private volatile boolean sent;
         private volatile boolean reused;
         private volatile ClientConnection connection;
         private volatile XnioExecutor.Key timer;
-        private volatile XnioExecutor.Key connecting;
+        private volatile XnioExecutor.Key connectTimer;
 
-        Exchange(final HttpCall call, final Judge judge) {
+        Exchange(final HttpCall call, final ResultHandler handler) {
             this.call = call;
-            this.judge = judge;
+            this.handler = handler;
             this.peer = new IdleConnectionPool.Peer(call.address(), call.instance());
         }
 
         void begin() {
             final ClientConnection kept =
-                    call.freshConnection() ? null : idle.take(peer, call.repeatable(), nowMs.getAsLong());
+                    call.freshConnection() ? null : idle.take(peer, call.idempotent(), nowMs.getAsLong());
             io = kept != null ? kept.getIoThread() : worker.getIoThread();
-            timer = io.executeAfter(() -> error("timeout"), Math.max(1, call.waitMs()), TimeUnit.MILLISECONDS);
+            timer = io.executeAfter(() -> fail("timeout"), Math.max(1, call.timeoutMs()), TimeUnit.MILLISECONDS);
             if (kept != null) {
                 reused = true;
-                io.execute(() -> opened(kept));
+                io.execute(() -> onConnected(kept));
             } else {
                 connect(io);
             }
         }
 
         private void connect(final XnioIoThread io) {
-            if (call.connectMs() < call.waitMs()) {
-                connecting = io.executeAfter(
+            if (call.connectTimeoutMs() < call.timeoutMs()) {
+                connectTimer = io.executeAfter(
                         () -> {
                             if (connection == null) {
-                                error("connect: late");
+                                fail("connect: late");
                             }
                         },
-                        Math.max(1, call.connectMs()),
+                        Math.max(1, call.connectTimeoutMs()),
                         TimeUnit.MILLISECONDS);
             }
             UndertowClient.getInstance()
@@ -138,13 +138,13 @@
                             new ClientCallback<>() {
                                 @Override
                                 public void completed(final ClientConnection made) {
-                                    made.addCloseListener(closed -> idle.forget(peer, closed));
-                                    opened(made);
+                                    made.addCloseListener(closed -> idle.remove(peer, closed));
+                                    onConnected(made);
                                 }
 
                                 @Override
                                 public void failed(final IOException e) {
-                                    error("connect: " + e.getMessage());
+                                    fail("connect: " + e.getMessage());
                                 }
                             },
                             URI.create("http://" + call.address()),
@@ -153,59 +153,59 @@
                             OptionMap.create(Options.TCP_NODELAY, true));
         }
 
-        private void opened(final ClientConnection made) {
-            connection = made;
-            if (over.get()) {
-                IoUtils.safeClose(made);
+        private void onConnected(final ClientConnection opened) {
+            connection = opened;
+            if (ended.get()) {
+                IoUtils.safeClose(opened);
                 return;
             }
-            if (!made.isOpen()) {
-                closedUnused(made);
+            if (!opened.isOpen()) {
+                onClosedBeforeSend(opened);
                 return;
             }
-            call.gate().execute(() -> {
-                final long untilMs = call.until().getAsLong();
-                made.getIoThread().execute(() -> send(made, untilMs));
+            call.gateExecutor().execute(() -> {
+                final long deadlineMs = call.sendDeadline().getAsLong();
+                opened.getIoThread().execute(() -> send(opened, deadlineMs));
             });
         }
 
         /** The other end closed it, or wrote to it unasked, before any byte of this request left: a kept connection is
          * replaced by a new one, once. */
-        private void closedUnused(final ClientConnection closed) {
+        private void onClosedBeforeSend(final ClientConnection closed) {
             if (reused) {
                 reused = false;
                 connection = null;
                 connect(closed.getIoThread());
             } else {
-                error("closed");
+                fail("closed");
             }
         }
 
-        private void send(final ClientConnection made, final long untilMs) {
-            if (over.get()) {
+        private void send(final ClientConnection opened, final long deadlineMs) {
+            if (ended.get()) {
                 return;
             }
-            if (!made.isOpen()) {
-                closedUnused(made);
+            if (!opened.isOpen()) {
+                onClosedBeforeSend(opened);
                 return;
             }
             final ClientRequest request =
                     new ClientRequest().setMethod(new HttpString(call.method())).setPath(call.target());
-            if (call.body().length > 0 || !BODILESS.contains(call.method())) {
+            if (call.body().length > 0 || !METHODS_WITHOUT_BODY.contains(call.method())) {
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(call.body().length));
             }
-            HeaderFields.put(request.getRequestHeaders(), call.headers());
+            HeaderFields.addAll(request.getRequestHeaders(), call.headers());
             if (!request.getRequestHeaders().contains(Headers.HOST)) {
                 request.getRequestHeaders().put(Headers.HOST, call.address());
             }
-            if (nowMs.getAsLong() >= untilMs) {
-                idle.keep(peer, made, restMs, nowMs.getAsLong());
+            if (nowMs.getAsLong() >= deadlineMs) {
+                idle.keep(peer, opened, idleTimeoutMs, nowMs.getAsLong());
                 end(new HttpResult.NotSent("barred"));
                 return;
             }
             sent = true;
-            made.sendRequest(request, this);
-            call.sent().run();
+            opened.sendRequest(request, this);
+            call.onSent().run();
         }
 
         @Override
@@ -213,12 +213,12 @@
             exchange.setResponseListener(new ClientCallback<>() {
                 @Override
                 public void completed(final ClientExchange answered) {
-                    answered(answered);
+                    onResponseHead(answered);
                 }
 
                 @Override
                 public void failed(final IOException e) {
-                    error("answer: " + e.getMessage());
+                    fail("answer: " + e.getMessage());
                 }
             });
             if (call.body().length > 0) {
@@ -228,7 +228,7 @@
 
         @Override
         public void failed(final IOException e) {
-            error("send: " + e.getMessage());
+            fail("send: " + e.getMessage());
         }
 
         private void write(final StreamSinkChannel channel, final ByteBuffer left) {
@@ -248,7 +248,7 @@
                     channel.suspendWrites();
                 }
             } catch (final IOException e) {
-                error("body: " + e.getMessage());
+                fail("body: " + e.getMessage());
             }
         }
 
@@ -258,62 +258,63 @@
                     channel.suspendWrites();
                 }
             } catch (final IOException e) {
-                error("body: " + e.getMessage());
+                fail("body: " + e.getMessage());
             }
         }
 
-        private void answered(final ClientExchange exchange) {
-            final String odd = ResponseHead.odd(exchange.getResponse(), call.method());
-            if (odd != null) {
-                error("framing: " + odd);
+        private void onResponseHead(final ClientExchange exchange) {
+            final String invalidReason = ResponseHead.invalidReason(exchange.getResponse(), call.method());
+            if (invalidReason != null) {
+                fail("framing: " + invalidReason);
                 return;
             }
-            read(exchange, exchange.getResponseChannel());
+            responseBody(exchange, exchange.getResponseChannel());
         }
 
-        private void read(final ClientExchange exchange, final StreamSourceChannel channel) {
+        private void responseBody(final ClientExchange exchange, final StreamSourceChannel channel) {
             final ByteBuffer buffer = ByteBuffer.allocate(8192);
             try {
                 while (true) {
                     final int n = channel.read(buffer.clear());
                     if (n < 0) {
-                        whole(exchange);
+                        onResponseComplete(exchange);
                         return;
                     }
                     if (n == 0) {
-                        channel.getReadSetter().set(c -> read(exchange, channel));
+                        channel.getReadSetter().set(c -> responseBody(exchange, channel));
                         channel.resumeReads();
                         return;
                     }
-                    if (read.size() + n > call.answerMaxBytes()) {
-                        error("answer over " + call.answerMaxBytes() + " bytes");
+                    if (responseBody.size() + n > call.responseMaxBytes()) {
+                        fail("answer over " + call.responseMaxBytes() + " bytes");
                         return;
                     }
-                    read.write(buffer.array(), 0, n);
+                    responseBody.write(buffer.array(), 0, n);
                 }
             } catch (final IOException e) {
-                error("answer: " + e.getMessage());
+                fail("answer: " + e.getMessage());
             }
         }
 
-        private void whole(final ClientExchange exchange) {
+        private void onResponseComplete(final ClientExchange exchange) {
             final var response = exchange.getResponse();
             final HeaderMap headers = response.getResponseHeaders();
-            final boolean ours = end(new HttpResult.Whole(response.getResponseCode(), headers, read.toByteArray()));
+            final boolean reusable =
+                    end(new HttpResult.Complete(response.getResponseCode(), headers, responseBody.toByteArray()));
             // A request that is not all out when its answer is there leaves a connection that is not to be trusted, and
             // one that leads to another instance would lead there again.
-            final boolean requestOut = !exchange.getRequestChannel().isOpen();
-            if (ours && requestOut && response.getResponseCode() != MISDIRECTED && !closes(headers)) {
-                final long rest = restMs(headers.getFirst(Headers.KEEP_ALIVE));
+            final boolean requestSent = !exchange.getRequestChannel().isOpen();
+            if (reusable && requestSent && response.getResponseCode() != MISDIRECTED && !announcesClose(headers)) {
+                final long idleMs = idleTimeoutMs(headers.getFirst(Headers.KEEP_ALIVE));
                 final ClientConnection used = connection;
                 // What came along behind the answer is seen first, and closes it.
-                used.getIoThread().execute(() -> idle.keep(peer, used, rest, nowMs.getAsLong()));
+                used.getIoThread().execute(() -> idle.keep(peer, used, idleMs, nowMs.getAsLong()));
             } else {
                 IoUtils.safeClose(connection);
             }
         }
 
-        private boolean closes(final HeaderMap headers) {
+        private boolean announcesClose(final HeaderMap headers) {
             final HeaderValues connectionHeader = headers.get(Headers.CONNECTION);
             return connectionHeader != null
                     && connectionHeader.stream()
@@ -322,20 +323,20 @@
         }
 
         /** Well below what the other end says, whose time runs from earlier and may be told in whole seconds. */
-        private long restMs(final String keepAlive) {
-            final Matcher told = KEEP_ALIVE.matcher(keepAlive == null ? "" : keepAlive);
-            return told.find() ? Math.min(REST_MOST_MS, Long.parseLong(told.group(1)) * 700) : restMs;
+        private long idleTimeoutMs(final String keepAlive) {
+            final Matcher announced = KEEP_ALIVE.matcher(keepAlive == null ? "" : keepAlive);
+            return announced.find() ? Math.min(MAX_IDLE_MS, Long.parseLong(announced.group(1)) * 700) : idleTimeoutMs;
         }
 
         private void cancel() {
-            io.execute(() -> error("cancelled"));
+            io.execute(() -> fail("cancelled"));
         }
 
-        private void error(final String why) {
-            if (over.get()) {
+        private void fail(final String reason) {
+            if (ended.get()) {
                 return;
             }
-            end(sent ? new HttpResult.Lost(why) : new HttpResult.NotSent(why));
+            end(sent ? new HttpResult.Lost(reason) : new HttpResult.NotSent(reason));
             if (connection != null) {
                 IoUtils.safeClose(connection);
             }
@@ -343,16 +344,16 @@
 
         /** Whether the connection may be used again, by the judge's word. */
         private boolean end(final HttpResult result) {
-            if (!over.compareAndSet(false, true)) {
+            if (!ended.compareAndSet(false, true)) {
                 return false;
             }
             if (timer != null) {
                 timer.remove();
             }
-            if (connecting != null) {
-                connecting.remove();
+            if (connectTimer != null) {
+                connectTimer.remove();
             }
-            return judge.mayKeep(result);
+            return handler.onResult(result);
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -25,9 +25,9 @@
 
 /** Listens for HTTP at some addresses, keeps to the clients' limits in force, and ends connections in order. */
 public final class HttpListener implements ClientConnections {
-    private record Listener(InetSocketAddress at, HttpHandler handler) {}
+    private record Listener(InetSocketAddress address, HttpHandler handler) {}
 
-    private static final int SMALL_HEAP = 128 << 20;
+    private static final int SMALL_HEAP_BYTES = 128 << 20;
     private static final int BUFFER_BYTES_SMALL = 1 << 10;
     private static final int BUFFER_BYTES = 16 << 10;
     private static final int BACKLOG = 1000;
@@ -35,18 +35,18 @@
     private final OptionMap socketOptions;
     private final OptionMap httpOptions;
     private final List<Listener> listeners = new ArrayList<>();
-    private final List<HttpOpenListener> openers = new ArrayList<>();
-    private final List<AcceptingChannel<?>> accepting = new ArrayList<>();
+    private final List<HttpOpenListener> openListeners = new ArrayList<>();
+    private final List<AcceptingChannel<?>> serverChannels = new ArrayList<>();
     private final Set<ClientConnection> clients = ConcurrentHashMap.newKeySet();
-    private final ClientConnection.Terms terms = new ClientConnection.Terms() {
+    private final ClientConnection.Limits connectionLimits = new ClientConnection.Limits() {
         @Override
-        public long headWaitMs() {
-            return limits.headTimeoutMs();
+        public long headTimeoutMs() {
+            return applyLimits.headTimeoutMs();
         }
 
         @Override
-        public long restMaxMs() {
-            return rest.atMs(nowMs());
+        public long idleTimeoutMs() {
+            return idleLimit.currentMs(nowMs());
         }
 
         @Override
@@ -54,9 +54,9 @@
             return System.nanoTime() / 1_000_000;
         }
     };
-    private final IdleLimit rest;
-    private volatile ClientLimits limits;
-    private volatile boolean ending;
+    private final IdleLimit idleLimit;
+    private volatile ClientLimits applyLimits;
+    private volatile boolean closeAfterResponse;
 
     /** Example: {@code new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, configuration.limits())} */
     public HttpListener(
@@ -67,18 +67,18 @@
         this.worker = worker;
         this.socketOptions = socketOptions;
         this.httpOptions = httpOptions;
-        this.limits = limits;
-        this.rest = new IdleLimit(limits.idleTimeoutMs(), terms.nowMs());
+        this.applyLimits = limits;
+        this.idleLimit = new IdleLimit(limits.idleTimeoutMs(), connectionLimits.nowMs());
     }
 
     /** Listens at an address too, from its start on. */
-    public void listen(final InetSocketAddress at, final HttpHandler handler) {
-        listeners.add(new Listener(at, handler));
+    public void listen(final InetSocketAddress address, final HttpHandler handler) {
+        listeners.add(new Listener(address, handler));
     }
 
     /** Example: {@code port.start();} */
     public void start() throws IOException {
-        final boolean small = Runtime.getRuntime().maxMemory() < SMALL_HEAP;
+        final boolean small = Runtime.getRuntime().maxMemory() < SMALL_HEAP_BYTES;
         final ByteBufferPool buffers =
                 new DefaultByteBufferPool(true, small ? BUFFER_BYTES_SMALL : BUFFER_BYTES, -1, 4);
         final OptionMap sockets = OptionMap.builder()
@@ -89,14 +89,15 @@
                 .addAll(socketOptions)
                 .getMap();
         for (final Listener listener : listeners) {
-            final HttpOpenListener opener = new HttpOpenListener(buffers, options(limits));
-            opener.setRootHandler(exchange -> handle(exchange, listener.handler()));
-            openers.add(opener);
+            final HttpOpenListener openListener = new HttpOpenListener(buffers, options(applyLimits));
+            openListener.setRootHandler(exchange -> handle(exchange, listener.handler()));
+            openListeners.add(openListener);
             final AcceptingChannel<StreamConnection> channel = worker.createStreamConnectionServer(
-                    listener.at(),
-                    ChannelListeners.<StreamConnection>openListenerAdapter(connection -> accepted(connection, opener)),
+                    listener.address(),
+                    ChannelListeners.<StreamConnection>openListenerAdapter(
+                            connection -> onAccepted(connection, openListener)),
                     sockets);
-            accepting.add(channel);
+            serverChannels.add(channel);
             channel.resumeAccepts();
         }
     }
@@ -111,19 +112,19 @@
                 .getMap();
     }
 
-    private void accepted(final StreamConnection connection, final HttpOpenListener opener) {
-        final ClientConnection client = new ClientConnection(connection, terms, limits.headMaxBytes());
+    private void onAccepted(final StreamConnection connection, final HttpOpenListener openListener) {
+        final ClientConnection client = new ClientConnection(connection, connectionLimits, applyLimits.headMaxBytes());
         connection.getSourceChannel().setConduit(client);
         clients.add(client);
-        client.opened();
-        opener.handleEvent(connection);
+        client.onOpened();
+        openListener.handleEvent(connection);
         final ChannelListener<? super StreamConnection> next = connection.getCloseListener();
         connection.setCloseListener(closed -> {
-            forget(client);
+            remove(client);
             ChannelListeners.invokeChannelListener(closed, next);
         });
         if (!connection.isOpen()) {
-            forget(client);
+            remove(client);
         }
     }
 
@@ -135,57 +136,57 @@
         ClientConnection.of(exchange).onEndOfInput(exchange, task);
     }
 
-    private void forget(final ClientConnection client) {
+    private void remove(final ClientConnection client) {
         clients.remove(client);
-        client.closed();
+        client.onClosed();
     }
 
     private void handle(final HttpServerExchange exchange, final HttpHandler handler) throws Exception {
         final ClientConnection client = ClientConnection.of(exchange);
-        client.begun(exchange);
+        client.onRequest(exchange);
         exchange.addResponseCommitListener(e -> {
             // A connection that was opened under a tighter bound would not take what clients may send now.
-            if (ending || client.headMaxBytes() < limits.headMaxBytes()) {
+            if (closeAfterResponse || client.headMaxBytes() < applyLimits.headMaxBytes()) {
                 e.setPersistent(false);
             }
         });
         exchange.addExchangeCompleteListener((e, next) -> {
-            client.completed(!e.isPersistent());
+            client.onResponseWritten(!e.isPersistent());
             next.proceed();
         });
         handler.handleRequest(exchange);
     }
 
     /** Keeps clients to these limits from now on. */
-    public void limits(final ClientLimits newer) {
-        if (newer.equals(limits)) {
+    public void applyLimits(final ClientLimits newLimits) {
+        if (newLimits.equals(applyLimits)) {
             return;
         }
-        limits = newer;
-        rest.change(newer.idleTimeoutMs(), terms.nowMs());
-        openers.forEach(opener -> opener.setUndertowOptions(options(newer)));
+        applyLimits = newLimits;
+        idleLimit.change(newLimits.idleTimeoutMs(), connectionLimits.nowMs());
+        openListeners.forEach(opener -> opener.setUndertowOptions(options(newLimits)));
     }
 
     @Override
     public void closeAfterResponses() {
-        ending = true;
+        closeAfterResponse = true;
     }
 
     @Override
     public void stopAccepting() {
-        accepting.forEach(IoUtils::safeClose);
+        serverChannels.forEach(IoUtils::safeClose);
     }
 
     @Override
     public void closeIdle() {
-        clients.forEach(client -> client.execute(client::endUnlessUnderWay));
+        clients.forEach(client -> client.execute(client::closeUnlessBusy));
     }
 
     @Override
     public int open() {
         int open = 0;
         for (final ClientConnection client : clients) {
-            open += client.open() ? 1 : 0;
+            open += client.isOpen() ? 1 : 0;
         }
         return open;
     }
--- a/spokestall/src/main/java/spokestall/io/http/HttpResult.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpResult.java
@@ -5,7 +5,7 @@
 /** How an HTTP exchange with an outside system ended. */
 public sealed interface HttpResult {
     /** A whole, framed answer. */
-    record Whole(int status, HeaderMap headers, byte[] body) implements HttpResult {
+    record Complete(int status, HeaderMap headers, byte[] body) implements HttpResult {
         /** A header, or null. */
         public String header(final String name) {
             return headers.getFirst(name);
@@ -13,8 +13,8 @@
     }
 
     /** No byte left. */
-    record NotSent(String why) implements HttpResult {}
+    record NotSent(String reason) implements HttpResult {}
 
     /** Bytes may have left. */
-    record Lost(String why) implements HttpResult {}
+    record Lost(String reason) implements HttpResult {}
 }
--- a/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
@@ -17,61 +17,62 @@
     /** Who answers at the other end: an address, and the instance that had it then; an instance is empty if any will do. */
     record Peer(String address, String instance) {}
 
-    private record Idle(ClientConnection connection, long sinceMs, long restMs) {
-        boolean rested(final long nowMs, final double share) {
-            return nowMs - sinceMs >= restMs * share;
+    private record Idle(ClientConnection connection, long sinceMs, long idleTimeoutMs) {
+        boolean hasUsedUp(final long nowMs, final double share) {
+            return nowMs - sinceMs >= idleTimeoutMs * share;
         }
     }
 
-    private static final int PER_PEER = 16;
-    private static final int PEERS_MAX = 4096;
+    private static final int MAX_PER_PEER = 16;
+    private static final int MAX_PEERS = 4096;
     /** A call that must not be sent twice takes no connection that has used up more of its rest: the other end may be
      * closing it. */
-    private static final double SHARE_OF_REST_ONCE = 0.5;
+    private static final double NON_IDEMPOTENT_IDLE_SHARE = 0.5;
 
     private final Map<Peer, Deque<Idle>> byPeer = new HashMap<>();
 
     /** The connection kept last that may still be used, or null. */
-    synchronized ClientConnection take(final Peer peer, final boolean repeatable, final long nowMs) {
-        final Deque<Idle> kept = byPeer.get(peer);
-        if (kept == null) {
+    synchronized ClientConnection take(final Peer peer, final boolean idempotent, final long nowMs) {
+        final Deque<Idle> connections = byPeer.get(peer);
+        if (connections == null) {
             return null;
         }
         ClientConnection found = null;
-        while (found == null && !kept.isEmpty()) {
-            final Idle last = kept.pollLast();
-            if (last.connection.isOpen() && !last.rested(nowMs, repeatable ? 1 : SHARE_OF_REST_ONCE)) {
+        while (found == null && !connections.isEmpty()) {
+            final Idle last = connections.pollLast();
+            if (last.connection.isOpen() && !last.hasUsedUp(nowMs, idempotent ? 1 : NON_IDEMPOTENT_IDLE_SHARE)) {
                 found = last.connection;
             } else {
                 IoUtils.safeClose(last.connection);
             }
         }
-        if (kept.isEmpty()) {
+        if (connections.isEmpty()) {
             byPeer.remove(peer);
         }
         return found;
     }
 
     /** Keeps a connection on which nothing is outstanding. */
-    synchronized void keep(final Peer peer, final ClientConnection connection, final long restMs, final long nowMs) {
-        if (!byPeer.containsKey(peer) && byPeer.size() >= PEERS_MAX) {
-            closeRested(nowMs);
+    synchronized void keep(
+            final Peer peer, final ClientConnection connection, final long idleTimeoutMs, final long nowMs) {
+        if (!byPeer.containsKey(peer) && byPeer.size() >= MAX_PEERS) {
+            closeExpired(nowMs);
         }
-        if (!connection.isOpen() || !byPeer.containsKey(peer) && byPeer.size() >= PEERS_MAX) {
+        if (!connection.isOpen() || !byPeer.containsKey(peer) && byPeer.size() >= MAX_PEERS) {
             IoUtils.safeClose(connection);
             return;
         }
-        final Deque<Idle> kept = byPeer.computeIfAbsent(peer, p -> new ArrayDeque<>());
-        kept.addLast(new Idle(connection, nowMs, restMs));
-        if (kept.size() > PER_PEER) {
-            IoUtils.safeClose(kept.pollFirst().connection);
+        final Deque<Idle> connections = byPeer.computeIfAbsent(peer, p -> new ArrayDeque<>());
+        connections.addLast(new Idle(connection, nowMs, idleTimeoutMs));
+        if (connections.size() > MAX_PER_PEER) {
+            IoUtils.safeClose(connections.pollFirst().connection);
         }
     }
 
     /** Forgets a connection that was closed. */
-    synchronized void forget(final Peer peer, final ClientConnection connection) {
-        final Deque<Idle> kept = byPeer.get(peer);
-        if (kept != null && kept.removeIf(i -> i.connection == connection) && kept.isEmpty()) {
+    synchronized void remove(final Peer peer, final ClientConnection connection) {
+        final Deque<Idle> connections = byPeer.get(peer);
+        if (connections != null && connections.removeIf(i -> i.connection == connection) && connections.isEmpty()) {
             byPeer.remove(peer);
         }
     }
@@ -81,15 +82,15 @@
         return byPeer.size();
     }
 
-    private void closeRested(final long nowMs) {
+    private void closeExpired(final long nowMs) {
         // Closing one comes back here to forget it, so they are taken out first.
-        final List<ClientConnection> rested = new ArrayList<>();
-        for (final Deque<Idle> kept : byPeer.values()) {
-            while (!kept.isEmpty() && kept.peekFirst().rested(nowMs, 1)) {
-                rested.add(kept.pollFirst().connection);
+        final List<ClientConnection> expired = new ArrayList<>();
+        for (final Deque<Idle> connections : byPeer.values()) {
+            while (!connections.isEmpty() && connections.peekFirst().hasUsedUp(nowMs, 1)) {
+                expired.add(connections.pollFirst().connection);
             }
         }
         byPeer.values().removeIf(Deque::isEmpty);
-        rested.forEach(IoUtils::safeClose);
+        expired.forEach(IoUtils::safeClose);
     }
 }
--- a/spokestall/src/main/java/spokestall/io/http/IdleLimit.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleLimit.java
@@ -6,25 +6,25 @@
  */
 final class IdleLimit {
     private long limitMs;
-    private long olderMs;
-    private long olderUntilMs;
+    private long previousMs;
+    private long previousUntilMs;
 
     IdleLimit(final long limitMs, final long nowMs) {
         this.limitMs = limitMs;
-        this.olderMs = limitMs;
-        this.olderUntilMs = nowMs;
+        this.previousMs = limitMs;
+        this.previousUntilMs = nowMs;
     }
 
-    synchronized void change(final long newerMs, final long nowMs) {
-        if (newerMs == limitMs) {
+    synchronized void change(final long newMs, final long nowMs) {
+        if (newMs == limitMs) {
             return;
         }
-        olderMs = atMs(nowMs);
-        olderUntilMs = nowMs + olderMs;
-        limitMs = newerMs;
+        previousMs = currentMs(nowMs);
+        previousUntilMs = nowMs + previousMs;
+        limitMs = newMs;
     }
 
-    synchronized long atMs(final long nowMs) {
-        return nowMs < olderUntilMs ? Math.max(limitMs, olderMs) : limitMs;
+    synchronized long currentMs(final long nowMs) {
+        return nowMs < previousUntilMs ? Math.max(limitMs, previousMs) : limitMs;
     }
 }
--- a/spokestall/src/main/java/spokestall/io/http/ResponseHead.java
+++ b/spokestall/src/main/java/spokestall/io/http/ResponseHead.java
@@ -9,9 +9,9 @@
 
 /** Whether the head of a response can be read in one way only, and is one response's. */
 final class ResponseHead {
-    private static final int SIZE_MAX = 16 << 10;
-    private static final int STATUS_FINAL_LEAST = 200;
-    private static final int STATUS_MOST = 599;
+    private static final int MAX_SIZE = 16 << 10;
+    private static final int MIN_FINAL_STATUS = 200;
+    private static final int MAX_STATUS = 599;
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
@@ -21,25 +21,25 @@
     private ResponseHead() {}
 
     /** What is odd about it, or null. */
-    static String odd(final ClientResponse response, final String method) {
+    static String invalidReason(final ClientResponse response, final String method) {
         final HttpString protocol = response.getProtocol();
         if (!protocol.equals(Protocols.HTTP_1_1) && !protocol.equals(Protocols.HTTP_1_0)) {
             return "protocol";
         }
-        if (joined(response)) {
+        if (containsStatusLine(response)) {
             return "two responses in one";
         }
-        final String field = HeaderFields.odd(response.getResponseHeaders());
+        final String field = HeaderFields.invalidReason(response.getResponseHeaders());
         if (field != null) {
             return field;
         }
-        if (HeaderFields.size(response.getResponseHeaders()) > SIZE_MAX) {
+        if (HeaderFields.size(response.getResponseHeaders()) > MAX_SIZE) {
             return "size";
         }
-        return framed(response, method) ? null : "status " + response.getResponseCode();
+        return isFramed(response, method) ? null : "status " + response.getResponseCode();
     }
 
-    private static boolean joined(final ClientResponse response) {
+    private static boolean containsStatusLine(final ClientResponse response) {
         if (STATUS_LINE.matcher(response.getStatus()).find()) {
             return true;
         }
@@ -54,9 +54,9 @@
     }
 
     /** Whether status and length fit, so that it is known where the response ends. */
-    private static boolean framed(final ClientResponse response, final String method) {
+    private static boolean isFramed(final ClientResponse response, final String method) {
         final int status = response.getResponseCode();
-        if (status < STATUS_FINAL_LEAST || status > STATUS_MOST) {
+        if (status < MIN_FINAL_STATUS || status > MAX_STATUS) {
             return false;
         }
         final boolean length = response.getResponseHeaders().contains(Headers.CONTENT_LENGTH)
--- a/spokestall/src/main/java/spokestall/io/process/HangupSignal.java
+++ b/spokestall/src/main/java/spokestall/io/process/HangupSignal.java
@@ -39,7 +39,7 @@
         final Object raise = Proxy.newProxyInstance(
                 HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                     if (method.getName().equals("handle")) {
-                        PROCESS.raised();
+                        PROCESS.onSignal();
                     }
                     return null;
                 });
@@ -48,15 +48,15 @@
     }
 
     /** Tells this one of each signal; it must only hand on. */
-    public synchronized void listen(final Runnable newer) {
-        listener = newer;
+    public synchronized void setListener(final Runnable newListener) {
+        listener = newListener;
         if (pending) {
             pending = false;
-            newer.run();
+            newListener.run();
         }
     }
 
-    synchronized void raised() {
+    synchronized void onSignal() {
         if (listener == null) {
             pending = true;
         } else {
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -40,22 +40,22 @@
 /** A node as a process: the rim around it, from its start to a clean stop. */
 public final class NodeProcess {
     /** What may stand between a node and its machine; the shipped program puts nothing there. */
-    public interface Around {
+    public interface Wrappers {
         /** Example: {@code around.disk(segments)} */
-        default SegmentStore disk(final SegmentStore disk) {
+        default SegmentStore wrapStore(final SegmentStore disk) {
             return disk;
         }
 
         /** Example: {@code around.platform(outside)} */
-        default UsageReportClient platform(final UsageReportClient platform) {
+        default UsageReportClient wrapUsageReports(final UsageReportClient platform) {
             return platform;
         }
     }
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int STAGE_BOUND = 8192;
+    private static final int EVENT_QUEUE_CAPACITY = 8192;
     /** How often the settings file is looked at; a change that is signalled is read at once. */
-    private static final long LOOK_MS = 2000;
+    private static final long SETTINGS_CHECK_INTERVAL_MS = 2000;
 
     /** How long a stop may take beyond its time, for a core's roles to be released. */
     private static final long ROLES_RELEASE_MS = 400;
@@ -63,30 +63,30 @@
     private final Settings settings;
     private final SettingsSource source;
     private final boolean core;
-    private final Around around;
+    private final Wrappers wrappers;
     private final ProtocolAdapter protocol;
     private Node node;
 
     /** Example: {@code new NodeProcess(settings, true).run()} */
     public NodeProcess(final Settings settings, final boolean core) {
-        this(settings, core, new Around() {}, ProtocolAdapter.own());
+        this(settings, core, new Wrappers() {}, ProtocolAdapter.nativeAdapter());
     }
 
     /** Example: {@code new NodeProcess(settings, true, ProtocolAdapter.own()).run()} */
     public NodeProcess(final Settings settings, final boolean core, final ProtocolAdapter protocol) {
-        this(settings, core, new Around() {}, protocol);
+        this(settings, core, new Wrappers() {}, protocol);
     }
 
     /** With settings that may change while it runs. */
     public NodeProcess(
             final Settings settings, final SettingsSource source, final boolean core, final ProtocolAdapter protocol) {
-        this(settings, source, core, new Around() {}, protocol);
+        this(settings, source, core, new Wrappers() {}, protocol);
     }
 
     /** Example: {@code new NodeProcess(settings, true, new NodeProcess.Around() { }, Speech.own()).run()} */
     public NodeProcess(
-            final Settings settings, final boolean core, final Around around, final ProtocolAdapter protocol) {
-        this(settings, SettingsSource.constant(settings), core, around, protocol);
+            final Settings settings, final boolean core, final Wrappers wrappers, final ProtocolAdapter protocol) {
+        this(settings, SettingsSource.constant(settings), core, wrappers, protocol);
     }
 
     /** All of it. */
@@ -94,11 +94,11 @@
             final Settings settings,
             final SettingsSource source,
             final boolean core,
-            final Around around,
+            final Wrappers wrappers,
             final ProtocolAdapter protocol) {
         this.source = source;
         this.protocol = protocol;
-        this.around = around;
+        this.wrappers = wrappers;
         this.settings = settings;
         this.core = core;
     }
@@ -113,44 +113,44 @@
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         final XnioIoThread timer = worker.getIoThread();
-        final EventLoop stage = new EventLoop(turns(timer), STAGE_BOUND);
+        final EventLoop eventLoop = new EventLoop(eventLoopExecutor(timer), EVENT_QUEUE_CAPACITY);
         final ExecutorService disk = Executors.newSingleThreadExecutor();
         if (core) {
-            final String why = DataDirectory.open(Path.of(settings.text("data")), settings.text("name"));
-            if (why != null) {
-                return refused("data: " + why);
+            final String error = DataDirectory.open(Path.of(settings.text("data")), settings.text("name"));
+            if (error != null) {
+                return startFailed("data: " + error);
             }
         }
         final SegmentStore segments;
         try {
             segments = core
-                    ? around.disk(FileSegmentStore.open(
+                    ? wrappers.wrapStore(FileSegmentStore.open(
                             Path.of(settings.text("data"), "ring"),
                             (int) settings.integer("ringSegments"),
                             (int) settings.integer("ringSegmentBytes"),
                             new EventLoop(disk, 1 << 16),
-                            stage))
+                            eventLoop))
                     : null;
         } catch (final IOException e) {
-            return refused("data: the ring's files can't be made: " + e.getMessage());
+            return startFailed("data: the ring's files can't be made: " + e.getMessage());
         }
-        final AuditSink audit = audit(Executors.newSingleThreadExecutor());
-        final Clock clock = new SystemClock(timer, stage);
+        final AuditSink audit = openAudit(Executors.newSingleThreadExecutor());
+        final Clock clock = new SystemClock(timer, eventLoop);
         final TcpTransport transport = new TcpTransport(
                 worker,
-                message -> stage.offer(() -> node.onMessage(message)),
+                message -> eventLoop.offer(() -> node.onMessage(message)),
                 settings.fractionOf("leaveBoundMs", 0.25),
                 (int) settings.integer("noteVersion"),
                 new TrustedNetworks(settings.peers()));
-        final HttpUpstreamClient outside = new HttpUpstreamClient(
+        final HttpUpstreamClient upstreams = new HttpUpstreamClient(
                 new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), settings.integer("wireRestMs")),
-                stage,
+                eventLoop,
                 settings.text("platform"),
-                protocol.attempts(),
+                protocol.upstream(),
                 protocol.platform(),
                 settings.integer("connectMs"));
-        final CountDownLatch made = new CountDownLatch(1);
-        stage.execute(() -> {
+        final CountDownLatch created = new CountDownLatch(1);
+        eventLoop.execute(() -> {
             try {
                 node = new Node(
                         settings,
@@ -160,69 +160,70 @@
                                 new Random(new SecureRandom().nextLong()),
                                 transport,
                                 segments,
-                                outside,
-                                outside,
-                                around.platform(outside),
+                                upstreams,
+                                upstreams,
+                                wrappers.wrapUsageReports(upstreams),
                                 audit),
-                        protocol.form());
+                        protocol.configurationFormat());
             } finally {
-                made.countDown();
+                created.countDown();
             }
         });
-        await(made);
+        await(created);
         if (node == null) {
-            return refused("the node could not be made; see the log");
+            return startFailed("the node could not be made; see the log");
         }
-        final Listener server = protocol.front(node, settings, stage, worker);
+        final Listener server = protocol.createListener(node, settings, eventLoop, worker);
         try {
             transport.listen(Addresses.of(settings.listen()));
             server.start();
         } catch (final IOException | RuntimeException e) {
-            return refused("address: can't listen on " + settings.listen() + " or " + settings.text("http") + " or "
+            return startFailed("address: can't listen on " + settings.listen() + " or " + settings.text("http") + " or "
                     + settings.operators() + ": " + e.getMessage());
         }
-        stage.execute(() -> {
-            node.listenToConfiguration(configuration -> server.limits(configuration.limits()));
+        eventLoop.execute(() -> {
+            node.listenToConfiguration(configuration -> server.applyLimits(configuration.limits()));
             node.start();
         });
-        watch(timer, worker, stage, server);
+        watchSettings(timer, worker, eventLoop, server);
         final CountDownLatch stopped = new CountDownLatch(1);
-        final CountDownLatch gone = new CountDownLatch(1);
+        final CountDownLatch transportClosed = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            stage.execute(() -> node.shutDown(server.connections(), stopped::countDown));
+            eventLoop.execute(() -> node.shutDown(server.connections(), stopped::countDown));
             try {
                 stopped.await(settings.integer("stopWaitMs") + ROLES_RELEASE_MS, TimeUnit.MILLISECONDS);
             } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             transport.close();
-            gone.countDown();
+            transportClosed.countDown();
         }));
-        await(gone);
+        await(transportClosed);
         return 0;
     }
 
     /** Settings are read and checked off the stage, and taken on it. */
-    private void watch(final XnioIoThread timer, final Executor reader, final EventLoop stage, final Listener server) {
-        final SettingsReloader watch = new SettingsReloader(
+    private void watchSettings(
+            final XnioIoThread timer, final Executor reader, final EventLoop eventLoop, final Listener server) {
+        final SettingsReloader reloader = new SettingsReloader(
                 source,
-                new EventLoop(reader, STAGE_BOUND),
-                newer -> stage.execute(() -> server.renew(node.applySettings(newer))));
-        HangupSignal.process().listen(watch::signalled);
+                new EventLoop(reader, EVENT_QUEUE_CAPACITY),
+                changed -> eventLoop.execute(() -> server.applySettings(node.applySettings(changed))));
+        HangupSignal.process().setListener(reloader::reload);
         if (source.file().isPresent()) {
-            timer.executeAtInterval(watch::look, LOOK_MS, TimeUnit.MILLISECONDS);
+            timer.executeAtInterval(reloader::checkFile, SETTINGS_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** What runs the stage's turns: workers of its own, or the thread that has its timers and wires. There an event goes
      * from a wire to the stage and back without waking another thread. */
-    private Executor turns(final XnioIoThread io) {
+    private Executor eventLoopExecutor(final XnioIoThread io) {
         final int workers = (int) settings.integer("workers");
         return workers == 0 ? io : Executors.newFixedThreadPool(workers);
     }
 
     /** A core goes on without its audit, and says so, rather than not at all. */
-    private AuditSink audit(final ExecutorService writer) {
+    private AuditSink openAudit(final ExecutorService writer) {
         if (!core || settings.integer("auditFiles") == 0) {
             return AuditSink.NONE;
         }
@@ -239,9 +240,9 @@
         }
     }
 
-    private static int refused(final String why) {
-        System.err.println(why);
-        LOG.atSevere().log("event=refused why=\"%s\"", why);
+    private static int startFailed(final String reason) {
+        System.err.println(reason);
+        LOG.atSevere().log("event=refused why=\"%s\"", reason);
         return 2;
     }
 
--- a/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
+++ b/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
@@ -24,44 +24,44 @@
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final SettingsSource source;
     private final Executor reader;
-    private final Consumer<Settings> taker;
-    private Optional<FileState> seen;
+    private final Consumer<Settings> onChanged;
+    private Optional<FileState> lastSeen;
 
     /** The reader carries out one task after the other. */
-    SettingsReloader(final SettingsSource source, final Executor reader, final Consumer<Settings> taker) {
+    SettingsReloader(final SettingsSource source, final Executor reader, final Consumer<Settings> onChanged) {
         this.source = source;
         this.reader = reader;
-        this.taker = taker;
-        this.seen = state();
+        this.onChanged = onChanged;
+        this.lastSeen = currentState();
     }
 
     /** Reads anew if the file is another than at the last look. */
-    void look() {
+    void checkFile() {
         reader.execute(() -> {
-            if (!state().equals(seen)) {
+            if (!currentState().equals(lastSeen)) {
                 read();
             }
         });
     }
 
     /** Reads anew, whether or not the file seems changed. */
-    void signalled() {
+    void reload() {
         reader.execute(this::read);
     }
 
     private void read() {
         // The state is taken before the content: a change in between is read at the next look.
-        seen = state();
+        lastSeen = currentState();
         final SettingsResult read = source.read();
         if (read instanceof SettingsResult.Invalid bad) {
             LOG.atWarning().log("event=settings_refused why=\"%s\"", bad.errors());
         } else if (read instanceof SettingsResult.Valid good) {
-            taker.accept(good.settings());
+            onChanged.accept(good.settings());
         }
     }
 
     /** A file that is gone or can't be looked at has no state; it is read again once it has one. */
-    private Optional<FileState> state() {
+    private Optional<FileState> currentState() {
         final Optional<Path> file = source.file();
         if (file.isEmpty()) {
             return Optional.empty();
--- a/spokestall/src/main/java/spokestall/io/protocol/ClientProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/ClientProtocol.java
@@ -8,14 +8,14 @@
 public interface ClientProtocol {
     /** What the head says. The span is {@code Long.MIN_VALUE} where it can't be read; bodyBytes is -1 where it is not
      * known. */
-    RequestHead head(String method, String host, String target, HeaderMap headers, long bodyBytes);
+    RequestHead readHead(String method, String host, String target, HeaderMap headers, long bodyBytes);
 
     /** The answer's status. */
-    int status(Response answer);
+    int status(Response response);
 
     /** Writes the answer's headers. */
-    void headers(Response answer, HeaderMap into);
+    void writeHeaders(Response response, HeaderMap into);
 
     /** Its body, where spokestall itself answers. */
-    byte[] body(Response answer);
+    byte[] errorBody(Response response);
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpServer.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpServer.java
@@ -28,83 +28,83 @@
 public final class HttpServer implements Listener {
     /** Sizes and spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask
      * was answered before its body had come ends after lingering so long, in which the answer can be read. */
-    record Bounds(
+    record Limits(
             int rpcMaxBytes,
             int whereMaxBytes,
-            int connectionsMax,
-            long bodyWaitMs,
-            long answerWaitMs,
+            int maxConnections,
+            long bodyTimeoutMs,
+            long responseTimeoutMs,
             long lingerMs) {}
 
-    private static final String RPC = "/rpc/";
-    private static final String WHERE = RPC + "where";
+    private static final String RPC_PREFIX = "/rpc/";
+    private static final String WHERE_PATH = RPC_PREFIX + "where";
     private final Node node;
-    private final EventLoop stage;
-    private final Bounds bounds;
+    private final EventLoop eventLoop;
+    private final Limits limits;
     private final RequestHandler requests;
-    private final HttpListener port;
+    private final HttpListener listener;
 
     HttpServer(
             final Node node,
-            final EventLoop stage,
+            final EventLoop eventLoop,
             final XnioWorker worker,
             final InetSocketAddress clients,
             final InetSocketAddress operators,
-            final Bounds bounds) {
+            final Limits limits) {
         this.node = node;
-        this.stage = stage;
-        this.bounds = bounds;
+        this.eventLoop = eventLoop;
+        this.limits = limits;
         this.requests = new RequestHandler(
                 node,
-                stage,
+                eventLoop,
                 new NativeClientProtocol(),
-                new RequestHandler.Timing(bounds.answerWaitMs(), bounds.lingerMs()));
-        this.port = new HttpListener(
+                new RequestHandler.Timing(limits.responseTimeoutMs(), limits.lingerMs()));
+        this.listener = new HttpListener(
                 worker,
                 OptionMap.builder()
-                        .set(Options.CONNECTION_HIGH_WATER, bounds.connectionsMax())
-                        .set(Options.CONNECTION_LOW_WATER, bounds.connectionsMax())
+                        .set(Options.CONNECTION_HIGH_WATER, limits.maxConnections())
+                        .set(Options.CONNECTION_LOW_WATER, limits.maxConnections())
                         .getMap(),
                 OptionMap.EMPTY,
                 node.configurationStore().configuration().limits());
-        port.listen(clients, e -> handle(e, false));
-        port.listen(operators, e -> handle(e, true));
+        listener.listen(clients, e -> handle(e, false));
+        listener.listen(operators, e -> handle(e, true));
     }
 
     @Override
     public void start() throws IOException {
-        port.start();
+        listener.start();
     }
 
     @Override
-    public void renew(final Settings newer) {
+    public void applySettings(final Settings settings) {
         // Its bounds stand as long as the process does.
     }
 
     @Override
-    public void limits(final ClientLimits newer) {
-        port.limits(newer);
+    public void applyLimits(final ClientLimits limits) {
+        listener.applyLimits(limits);
     }
 
     @Override
     public ClientConnections connections() {
-        return port;
+        return listener;
     }
 
     private void handle(final HttpServerExchange exchange, final boolean operator) {
-        final long cameMs = System.nanoTime() / 1_000_000;
-        final String odd = RequestHandler.odd(exchange);
+        final long receivedMs = System.nanoTime() / 1_000_000;
+        final String invalidReason = RequestHandler.invalidReason(exchange);
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            if (odd != null) {
-                requests.malformed(exchange);
-            } else if (operator && exchange.getRequestPath().startsWith(RPC)) {
-                rpc(exchange, bounds.rpcMaxBytes());
-            } else if (!operator && exchange.getRequestPath().equals(WHERE)) {
-                rpc(exchange, bounds.whereMaxBytes());
-            } else if (operator || exchange.getRequestPath().startsWith(RPC)) {
+            if (invalidReason != null) {
+                requests.rejectMalformed(exchange);
+            } else if (operator && exchange.getRequestPath().startsWith(RPC_PREFIX)) {
+                rpc(exchange, limits.rpcMaxBytes());
+            } else if (!operator && exchange.getRequestPath().equals(WHERE_PATH)) {
+                rpc(exchange, limits.whereMaxBytes());
+            } else if (operator || exchange.getRequestPath().startsWith(RPC_PREFIX)) {
                 reply(exchange, Reply.of(ResultCode.UNKNOWN_METHOD, null));
             } else {
-                requests.ask(exchange, cameMs);
+                requests.submit(exchange, receivedMs);
             }
         });
     }
@@ -115,7 +115,7 @@
             return;
         }
         exchange.getRequestReceiver().setMaxBufferSize(maxBytes);
-        RequestHandler.endUnless(exchange, bounds.bodyWaitMs(), exchange::isRequestComplete);
+        RequestHandler.closeUnless(exchange, limits.bodyTimeoutMs(), exchange::isRequestComplete);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (e, body) -> {
@@ -124,7 +124,7 @@
                                 read = body.length == 0
                                         ? ConfigurationStore.JSON.createObjectNode()
                                         : ConfigurationStore.JSON.readTree(body);
-                            } catch (final IOException bad) {
+                            } catch (final IOException invalid) {
                                 read = null;
                             }
                             final JsonNode params = read;
@@ -138,9 +138,9 @@
                                                         .put("reason", "not JSON")));
                                 return;
                             }
-                            final String method = e.getRequestPath().substring(RPC.length());
+                            final String method = e.getRequestPath().substring(RPC_PREFIX.length());
                             e.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                                if (!stage.offer(() -> call(e, method, params))) {
+                                if (!eventLoop.offer(() -> call(e, method, params))) {
                                     reply(e, Reply.of(ResultCode.BUSY, null));
                                 }
                             });
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -27,168 +27,171 @@
 
 /** Upstreams and the platform over HTTP, in whichever speech. */
 public final class HttpUpstreamClient implements UpstreamClient, DiscoveryClient, UsageReportClient {
-    private static final int LIST_MAX = 4 << 20;
-    private static final int PAGES_MAX = 1000;
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
+    private static final int MAX_PAGES = 1000;
     private final HttpClient client;
-    private final Executor stage;
-    private final String address;
-    private final UpstreamProtocol attempts;
+    private final Executor eventLoop;
+    private final String platformAddress;
+    private final UpstreamProtocol upstream;
     private final PlatformProtocol platform;
-    private final long connectMs;
+    private final long connectTimeoutMs;
 
-    /** {@code address} is the platform's. */
+    /** {@code platformAddress} is the platform's. */
     public HttpUpstreamClient(
             final HttpClient client,
-            final Executor stage,
-            final String address,
-            final UpstreamProtocol attempts,
+            final Executor eventLoop,
+            final String platformAddress,
+            final UpstreamProtocol upstream,
             final PlatformProtocol platform,
-            final long connectMs) {
+            final long connectTimeoutMs) {
         this.client = client;
-        this.stage = stage;
-        this.address = address;
-        this.attempts = attempts;
+        this.eventLoop = eventLoop;
+        this.platformAddress = platformAddress;
+        this.upstream = upstream;
         this.platform = platform;
-        this.connectMs = connectMs;
+        this.connectTimeoutMs = connectTimeoutMs;
     }
 
     @Override
     public AttemptHandle attempt(
-            final Attempt attempt, final LongSupplier until, final Runnable sent, final Consumer<AttemptResult> done) {
-        final HttpClient.Cancellation exchange = client.judged(
+            final Attempt attempt,
+            final LongSupplier sendDeadline,
+            final Runnable onSent,
+            final Consumer<AttemptResult> done) {
+        final HttpClient.Cancellation exchange = client.execute(
                 new HttpCall(
                         attempt.address(),
                         attempt.instance(),
                         attempt.method(),
                         attempt.target(),
-                        attempts.headers(attempt),
+                        upstream.headers(attempt),
                         attempt.body(),
                         attempt.timeoutMs(),
-                        connectMs,
+                        connectTimeoutMs,
                         attempt.responseMaxBytes(),
                         false,
                         attempt.idempotent(),
-                        stage,
-                        until,
-                        () -> stage.execute(sent)),
+                        eventLoop,
+                        sendDeadline,
+                        () -> eventLoop.execute(onSent)),
                 result -> {
-                    final AttemptResult judged = judge(attempt, result);
-                    stage.execute(() -> done.accept(judged));
-                    return !(judged instanceof AttemptResult.Lost);
+                    final AttemptResult attemptResult = interpret(attempt, result);
+                    eventLoop.execute(() -> done.accept(attemptResult));
+                    return !(attemptResult instanceof AttemptResult.Lost);
                 });
         return exchange::cancel;
     }
 
-    private AttemptResult judge(final Attempt attempt, final HttpResult result) {
+    private AttemptResult interpret(final Attempt attempt, final HttpResult result) {
         if (result instanceof HttpResult.NotSent n) {
-            return new AttemptResult.NotSent(n.why());
+            return new AttemptResult.NotSent(n.reason());
         }
         return result instanceof HttpResult.Lost l
-                ? new AttemptResult.Lost(l.why())
-                : attempts.judge(attempt, (HttpResult.Whole) result);
+                ? new AttemptResult.Lost(l.reason())
+                : upstream.interpret(attempt, (HttpResult.Complete) result);
     }
 
     /** On a wire of its own: whoever answered there before may be gone, and its old wires still open. */
-    private void get(
-            final String at,
+    private void getJson(
+            final String address,
             final String target,
-            final long waitMs,
+            final long timeoutMs,
             final boolean freshConnection,
             final Consumer<JsonNode> done) {
         client.call(
                 new HttpCall(
-                        at,
+                        address,
                         HttpCall.ANY_INSTANCE,
                         "GET",
                         target,
                         List.of(),
                         new byte[0],
-                        waitMs,
-                        waitMs,
-                        LIST_MAX,
+                        timeoutMs,
+                        timeoutMs,
+                        MAX_RESPONSE_BYTES,
                         freshConnection,
                         true,
                         Runnable::run,
                         () -> Long.MAX_VALUE,
                         () -> {}),
                 result -> {
-                    JsonNode found = null;
-                    if (result instanceof HttpResult.Whole whole && whole.status() == 200) {
+                    JsonNode parsed = null;
+                    if (result instanceof HttpResult.Complete response && response.status() == 200) {
                         try {
-                            found = ConfigurationStore.JSON.readTree(whole.body());
+                            parsed = ConfigurationStore.JSON.readTree(response.body());
                         } catch (final IOException e) {
-                            found = null;
+                            parsed = null;
                         }
                     }
-                    final JsonNode tree = found;
-                    stage.execute(() -> done.accept(tree));
+                    final JsonNode tree = parsed;
+                    eventLoop.execute(() -> done.accept(tree));
                 });
     }
 
     @Override
     public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
-        page(platform.listTarget(), timeoutMillis, new ArrayList<>(), 1, done);
+        fetchPage(platform.listTarget(), timeoutMillis, new ArrayList<>(), 1, done);
     }
 
-    private void page(
+    private void fetchPage(
             final String target,
-            final long waitMs,
-            final List<ListedEndpoint> before,
-            final int pages,
+            final long timeoutMs,
+            final List<ListedEndpoint> endpoints,
+            final int pageNumber,
             final Consumer<Optional<List<ListedEndpoint>>> done) {
-        get(address, target, waitMs, false, tree -> {
-            final PlatformProtocol.Page page = tree == null ? null : platform.page(tree);
-            if (page == null || pages > PAGES_MAX) {
+        getJson(platformAddress, target, timeoutMs, false, tree -> {
+            final PlatformProtocol.Page page = tree == null ? null : platform.parsePage(tree);
+            if (page == null || pageNumber > MAX_PAGES) {
                 done.accept(Optional.empty());
                 return;
             }
-            before.addAll(page.listed());
-            if (page.next() == null) {
-                done.accept(Optional.of(before));
+            endpoints.addAll(page.endpoints());
+            if (page.nextTarget() == null) {
+                done.accept(Optional.of(endpoints));
             } else {
-                page(page.next(), waitMs, before, pages + 1, done);
+                fetchPage(page.nextTarget(), timeoutMs, endpoints, pageNumber + 1, done);
             }
         });
     }
 
     @Override
-    public void probe(final String at, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
-        get(
-                at,
+    public void probe(final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
+        getJson(
+                address,
                 platform.statusTarget(),
                 timeoutMillis,
                 true,
-                tree -> done.accept(Optional.ofNullable(tree).map(platform::status)));
+                tree -> done.accept(Optional.ofNullable(tree).map(platform::parseStatus)));
     }
 
     @Override
     public void report(
             final String holder,
             final long token,
-            final SealedWindow sealed,
-            final long waitMs,
+            final SealedWindow window,
+            final long timeoutMs,
             final SendDeadline deadline,
             final ReportCallback callback) {
-        final PlatformProtocol.Report report = platform.report(holder, token, sealed);
+        final PlatformProtocol.Report report = platform.report(holder, token, window);
         client.call(
                 new HttpCall(
-                        address,
+                        platformAddress,
                         HttpCall.ANY_INSTANCE,
                         "POST",
                         report.target(),
                         report.headers(),
                         report.body(),
-                        waitMs,
-                        waitMs,
-                        LIST_MAX,
+                        timeoutMs,
+                        timeoutMs,
+                        MAX_RESPONSE_BYTES,
                         true,
                         false,
-                        stage,
+                        eventLoop,
                         deadline::latestMs,
                         () -> {}),
                 result -> {
-                    final boolean ok = result instanceof HttpResult.Whole whole && whole.status() / 100 == 2;
-                    stage.execute(() -> callback.onResult(ok ? ReportResult.ACCEPTED : ReportResult.UNCONFIRMED));
+                    final boolean ok = result instanceof HttpResult.Complete response && response.status() / 100 == 2;
+                    eventLoop.execute(() -> callback.onResult(ok ? ReportResult.ACCEPTED : ReportResult.UNCONFIRMED));
                 });
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/Listener.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/Listener.java
@@ -11,10 +11,10 @@
     void start() throws IOException;
 
     /** Goes on with newer settings. */
-    void renew(Settings newer);
+    void applySettings(Settings settings);
 
     /** Keeps clients to these limits from now on. */
-    void limits(ClientLimits newer);
+    void applyLimits(ClientLimits limits);
 
     /** The connections to those outside. */
     ClientConnections connections();
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
@@ -13,7 +13,7 @@
 /** spokestall's own speech with clients; docs/protocols.md has it. */
 final class NativeClientProtocol implements ClientProtocol {
     @Override
-    public RequestHead head(
+    public RequestHead readHead(
             final String method,
             final String host,
             final String target,
@@ -25,12 +25,12 @@
                 target,
                 headers.getFirst("Spokestall-Key"),
                 headers.getFirst("Spokestall-Ask-Id"),
-                span(headers),
+                remainingMs(headers),
                 bodyBytes,
                 HeaderFields.endToEnd(headers));
     }
 
-    private static long span(final HeaderMap headers) {
+    private static long remainingMs(final HeaderMap headers) {
         try {
             return Long.parseLong(headers.getFirst("Spokestall-Deadline-Ms"));
         } catch (final NumberFormatException e) {
@@ -39,33 +39,36 @@
     }
 
     @Override
-    public int status(final Response a) {
-        return a.content() != null ? a.content().status() : a.result().httpStatus();
+    public int status(final Response response) {
+        return response.content() != null
+                ? response.content().status()
+                : response.result().httpStatus();
     }
 
     @Override
-    public void headers(final Response a, final HeaderMap headers) {
-        headers.put(new HttpString("Spokestall-Code"), a.result().number());
-        headers.put(new HttpString("Spokestall-Outcome"), a.executionStatus().wireName());
-        headers.put(new HttpString("Spokestall-Goes"), a.attempts());
-        if (a.instance() != null) {
-            headers.put(new HttpString("Spokestall-Instance"), a.instance());
+    public void writeHeaders(final Response response, final HeaderMap headers) {
+        headers.put(new HttpString("Spokestall-Code"), response.result().number());
+        headers.put(
+                new HttpString("Spokestall-Outcome"), response.executionStatus().wireName());
+        headers.put(new HttpString("Spokestall-Goes"), response.attempts());
+        if (response.instance() != null) {
+            headers.put(new HttpString("Spokestall-Instance"), response.instance());
         }
-        if (a.retryAfterMs() > 0) {
-            headers.put(Headers.RETRY_AFTER, (a.retryAfterMs() + 999) / 1000);
+        if (response.retryAfterMs() > 0) {
+            headers.put(Headers.RETRY_AFTER, (response.retryAfterMs() + 999) / 1000);
         }
-        if (a.content() == null) {
+        if (response.content() == null) {
             headers.put(Headers.CONTENT_TYPE, "application/json");
         }
     }
 
     @Override
-    public byte[] body(final Response a) {
-        final ObjectNode out = ConfigurationStore.JSON
+    public byte[] errorBody(final Response response) {
+        final ObjectNode body = ConfigurationStore.JSON
                 .createObjectNode()
-                .put("code", a.result().number())
-                .put("text", a.result().text())
-                .put("outcome", a.executionStatus().wireName());
-        return out.toString().getBytes(StandardCharsets.UTF_8);
+                .put("code", response.result().number())
+                .put("text", response.result().text())
+                .put("outcome", response.executionStatus().wireName());
+        return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
@@ -19,41 +19,41 @@
     }
 
     @Override
-    public Page page(final JsonNode tree) {
+    public Page parsePage(final JsonNode tree) {
         if (!tree.path("upstreams").isArray()) {
             return null;
         }
-        final List<ListedEndpoint> found = new ArrayList<>();
-        for (final JsonNode u : tree.path("upstreams")) {
-            final String address = u.path("address").asText();
+        final List<ListedEndpoint> endpoints = new ArrayList<>();
+        for (final JsonNode upstream : tree.path("upstreams")) {
+            final String address = upstream.path("address").asText();
             if (address.matches("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}")
-                    && !u.path("instance").asText().isEmpty()) {
-                found.add(new ListedEndpoint(
-                        u.path("instance").asText(),
-                        u.path("service").asText(),
+                    && !upstream.path("instance").asText().isEmpty()) {
+                endpoints.add(new ListedEndpoint(
+                        upstream.path("instance").asText(),
+                        upstream.path("service").asText(),
                         address,
-                        u.path("district").asText(),
-                        u.path("region").asText(),
-                        u.path("leaving").asBoolean(false),
-                        u.path("coldForMs").asLong(-1),
-                        u.path("slots").asInt(0)));
+                        upstream.path("district").asText(),
+                        upstream.path("region").asText(),
+                        upstream.path("leaving").asBoolean(false),
+                        upstream.path("coldForMs").asLong(-1),
+                        upstream.path("slots").asInt(0)));
             }
         }
-        return new Page(found, null);
+        return new Page(endpoints, null);
     }
 
     @Override
-    public Report report(final String holder, final long token, final SealedWindow sealed) {
-        final ObjectNode out = ConfigurationStore.JSON.createObjectNode().put("window", sealed.window());
-        final ObjectNode counts = out.putObject("counts");
-        sealed.counts().forEach(counts::put);
+    public Report report(final String holder, final long token, final SealedWindow window) {
+        final ObjectNode body = ConfigurationStore.JSON.createObjectNode().put("window", window.window());
+        final ObjectNode counts = body.putObject("counts");
+        window.counts().forEach(counts::put);
         return new Report(
                 "/usage",
                 List.of(
                         new Header("Spokestall-Duty-Holder", holder),
                         new Header("Spokestall-Fence-Token", Long.toString(token)),
                         new Header("Content-Type", "application/json")),
-                out.toString().getBytes(StandardCharsets.UTF_8));
+                body.toString().getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public ProbeResult status(final JsonNode tree) {
+    public ProbeResult parseStatus(final JsonNode tree) {
         return !tree.has("instance")
                 ? null
                 : new ProbeResult(
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
@@ -10,12 +10,12 @@
 /** spokestall's own speech, as docs/protocols.md has it. */
 final class NativeProtocolAdapter implements ProtocolAdapter {
     @Override
-    public ConfigurationFormat form() {
+    public ConfigurationFormat configurationFormat() {
         return null;
     }
 
     @Override
-    public UpstreamProtocol attempts() {
+    public UpstreamProtocol upstream() {
         return new NativeUpstreamProtocol();
     }
 
@@ -25,14 +25,15 @@
     }
 
     @Override
-    public Listener front(final Node node, final Settings settings, final EventLoop stage, final XnioWorker worker) {
+    public Listener createListener(
+            final Node node, final Settings settings, final EventLoop eventLoop, final XnioWorker worker) {
         return new HttpServer(
                 node,
-                stage,
+                eventLoop,
                 worker,
                 Addresses.of(settings.text("http")),
                 Addresses.of(settings.operators()),
-                new HttpServer.Bounds(
+                new HttpServer.Limits(
                         2 * (int) settings.integer("policyMaxBytes"),
                         1 << 16,
                         4 * (int) settings.integer("askOpenMax"),
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
@@ -26,23 +26,23 @@
 
     /** An answer counts only if the upstream says it is that instance's answer to that ask. */
     @Override
-    public AttemptResult judge(final Attempt attempt, final HttpResult.Whole whole) {
-        if (!attempt.requestId().equals(whole.header("Spokestall-Ask-Id"))) {
+    public AttemptResult interpret(final Attempt attempt, final HttpResult.Complete response) {
+        if (!attempt.requestId().equals(response.header("Spokestall-Ask-Id"))) {
             return new AttemptResult.Lost("answer to another ask");
         }
-        if (whole.status() == 421 && "not-run".equals(whole.header("Spokestall-Outcome"))) {
+        if (response.status() == 421 && "not-run".equals(response.header("Spokestall-Outcome"))) {
             return new AttemptResult.NotRun("not the instance that was meant");
         }
-        if (!attempt.instance().equals(whole.header("Spokestall-Instance"))) {
+        if (!attempt.instance().equals(response.header("Spokestall-Instance"))) {
             return new AttemptResult.Lost("answer of another instance");
         }
-        if ("not-run".equals(whole.header("Spokestall-Outcome"))) {
-            return new AttemptResult.NotRun("status " + whole.status());
+        if ("not-run".equals(response.header("Spokestall-Outcome"))) {
+            return new AttemptResult.NotRun("status " + response.status());
         }
-        final List<Header> headers = HeaderFields.endToEnd(whole.headers());
-        if (attempt.method().equals("HEAD") && whole.header("Content-Length") != null) {
-            headers.add(new Header("Content-Length", whole.header("Content-Length")));
+        final List<Header> headers = HeaderFields.endToEnd(response.headers());
+        if (attempt.method().equals("HEAD") && response.header("Content-Length") != null) {
+            headers.add(new Header("Content-Length", response.header("Content-Length")));
         }
-        return new AttemptResult.Answered(new ResponseContent(whole.status(), headers, whole.body()));
+        return new AttemptResult.Answered(new ResponseContent(response.status(), headers, response.body()));
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
@@ -10,7 +10,7 @@
 /** How the platform that lists upstreams and takes reports is spoken to, and how an upstream tells its status. */
 public interface PlatformProtocol {
     /** One page of the list; next is the target of the one after it, or null. */
-    record Page(List<ListedEndpoint> listed, String next) {}
+    record Page(List<ListedEndpoint> endpoints, String nextTarget) {}
 
     /** A report as it goes out. */
     record Report(String target, List<Header> headers, byte[] body) {}
@@ -19,14 +19,14 @@
     String listTarget();
 
     /** Reads a page, or null where it is none. */
-    Page page(JsonNode tree);
+    Page parsePage(JsonNode tree);
 
     /** Example: {@code protocol.report("d1-core", 17, sealed).target().equals("/usage")} */
-    Report report(String holder, long token, SealedWindow sealed);
+    Report report(String holder, long token, SealedWindow window);
 
     /** Where an upstream tells its status. */
     String statusTarget();
 
     /** Reads a status, or null where it is none. */
-    ProbeResult status(JsonNode tree);
+    ProbeResult parseStatus(JsonNode tree);
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/ProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/ProtocolAdapter.java
@@ -8,23 +8,23 @@
 
 /**
  * How a node speaks with those outside the fleet: clients, upstreams, operators and the platform. It holds names, forms and
- * calls; what is decided is the node's. spokestall's own is {@link #own}, another may stand in its place.
+ * calls; what is decided is the node's. spokestall's own is {@link #nativeAdapter}, another may stand in its place.
  */
 public interface ProtocolAdapter {
     /** How configurations are written down; null for spokestall's own form. */
-    ConfigurationFormat form();
+    ConfigurationFormat configurationFormat();
 
     /** Example: {@code protocol.attempts().headers(attempt)} */
-    UpstreamProtocol attempts();
+    UpstreamProtocol upstream();
 
     /** Example: {@code protocol.platform().listTarget()} */
     PlatformProtocol platform();
 
     /** What listens to those outside. */
-    Listener front(Node node, Settings settings, EventLoop stage, XnioWorker worker);
+    Listener createListener(Node node, Settings settings, EventLoop eventLoop, XnioWorker worker);
 
     /** spokestall's own speech. */
-    static ProtocolAdapter own() {
+    static ProtocolAdapter nativeAdapter() {
         return new NativeProtocolAdapter();
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -34,58 +34,59 @@
 public final class RequestHandler {
     /** Spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask was answered
      * before its body had come ends after lingering so long, in which the answer can be read. */
-    public record Timing(long answerWaitMs, long lingerMs) {}
+    public record Timing(long responseTimeoutMs, long lingerMs) {}
 
-    private static final AttachmentKey<AtomicReference<AdmittedRequest>> ASK =
+    private static final AttachmentKey<AtomicReference<AdmittedRequest>> REQUEST =
             AttachmentKey.create(AtomicReference.class);
-    private static final Pattern PORT = Pattern.compile(":\\d*$");
+    private static final Pattern PORT_SUFFIX = Pattern.compile(":\\d*$");
     private final Node node;
-    private final EventLoop stage;
+    private final EventLoop eventLoop;
     private final ClientProtocol protocol;
     private final Timing timing;
 
     /** Example: {@code new RequestHandler(node, stage, protocol, new RequestHandler.Timing(30_000, 1000))} */
-    public RequestHandler(final Node node, final EventLoop stage, final ClientProtocol protocol, final Timing timing) {
+    public RequestHandler(
+            final Node node, final EventLoop eventLoop, final ClientProtocol protocol, final Timing timing) {
         this.node = node;
-        this.stage = stage;
+        this.eventLoop = eventLoop;
         this.protocol = protocol;
         this.timing = timing;
     }
 
     /** Handles one ask, from its head to its answer. */
     public void handle(final HttpServerExchange exchange) {
-        final long cameMs = System.nanoTime() / 1_000_000;
-        final String odd = odd(exchange);
+        final long receivedMs = System.nanoTime() / 1_000_000;
+        final String invalidReason = invalidReason(exchange);
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            if (odd != null) {
-                malformed(exchange);
+            if (invalidReason != null) {
+                rejectMalformed(exchange);
             } else {
-                ask(exchange, cameMs);
+                submit(exchange, receivedMs);
             }
         });
     }
 
-    void malformed(final HttpServerExchange exchange) {
+    void rejectMalformed(final HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        answer(exchange, new Response(ResultCode.MALFORMED, ExecutionStatus.UNDECIDED, null, null, 0, 0));
+        respond(exchange, new Response(ResultCode.MALFORMED, ExecutionStatus.UNDECIDED, null, null, 0, 0));
     }
 
     /** What keeps a message from being read in one way only, or null. */
-    static String odd(final HttpServerExchange exchange) {
+    static String invalidReason(final HttpServerExchange exchange) {
         final var hosts = exchange.getRequestHeaders().get(Headers.HOST);
-        return hosts != null && hosts.size() > 1 ? "Host" : HeaderFields.odd(exchange.getRequestHeaders());
+        return hosts != null && hosts.size() > 1 ? "Host" : HeaderFields.invalidReason(exchange.getRequestHeaders());
     }
 
     /** Ends the wire of an exchange that is not that far by then. */
-    static void endUnless(final HttpServerExchange exchange, final long waitMs, final BooleanSupplier far) {
+    static void closeUnless(final HttpServerExchange exchange, final long timeoutMs, final BooleanSupplier done) {
         final XnioExecutor.Key timer = exchange.getIoThread()
                 .executeAfter(
                         () -> {
-                            if (!far.getAsBoolean()) {
+                            if (!done.getAsBoolean()) {
                                 IoUtils.safeClose(exchange.getConnection());
                             }
                         },
-                        waitMs,
+                        timeoutMs,
                         TimeUnit.MILLISECONDS);
         exchange.addExchangeCompleteListener((e, next) -> {
             timer.remove();
@@ -94,7 +95,7 @@
     }
 
     /** Whether nothing may be written any more: its answer is under way, or its client has gone. */
-    private static boolean answered(final HttpServerExchange exchange) {
+    private static boolean isAnswered(final HttpServerExchange exchange) {
         return exchange.isResponseStarted()
                 || exchange.isComplete()
                 || !exchange.getConnection().isOpen();
@@ -102,15 +103,15 @@
 
     /** Sends an answer whose headers are set. */
     void send(final HttpServerExchange exchange, final int status, final byte[] body) {
-        if (answered(exchange)) {
+        if (isAnswered(exchange)) {
             return;
         }
         exchange.setStatusCode(status);
         if (exchange.isRequestComplete()) {
-            endUnless(exchange, timing.answerWaitMs(), exchange::isComplete);
+            closeUnless(exchange, timing.responseTimeoutMs(), exchange::isComplete);
         } else {
             exchange.setPersistent(false);
-            endUnless(exchange, timing.lingerMs(), exchange::isComplete);
+            closeUnless(exchange, timing.lingerMs(), exchange::isComplete);
         }
         if (status == 204 || status == 304 || exchange.getRequestMethod().equals(Methods.HEAD)) {
             exchange.endExchange();
@@ -119,34 +120,34 @@
         }
     }
 
-    void ask(final HttpServerExchange exchange, final long cameMs) {
-        final AdmissionController edge = node.admissionController();
-        final RequestHead head = protocol.head(
+    void submit(final HttpServerExchange exchange, final long receivedMs) {
+        final AdmissionController admissionController = node.admissionController();
+        final RequestHead head = protocol.readHead(
                 exchange.getRequestMethod().toString(),
                 host(exchange),
                 target(exchange),
                 exchange.getRequestHeaders(),
                 bodyBytes(exchange));
-        if (edge == null) {
-            answer(exchange, new Response(ResultCode.NO_BINDING, ExecutionStatus.NOT_RUN, null, null, 0, 0));
-        } else if (!stage.offer(() -> open(exchange, edge, head, cameMs))) {
-            answer(exchange, edge.overloaded(head));
+        if (admissionController == null) {
+            respond(exchange, new Response(ResultCode.NO_BINDING, ExecutionStatus.NOT_RUN, null, null, 0, 0));
+        } else if (!eventLoop.offer(() -> admit(exchange, admissionController, head, receivedMs))) {
+            respond(exchange, admissionController.overloaded(head));
         }
     }
 
-    private void open(
+    private void admit(
             final HttpServerExchange exchange,
-            final AdmissionController edge,
-            final RequestHead came,
-            final long cameMs) {
-        final RequestHead head = came.afterWaiting(System.nanoTime() / 1_000_000 - cameMs);
+            final AdmissionController admissionController,
+            final RequestHead receivedHead,
+            final long receivedMs) {
+        final RequestHead head = receivedHead.afterWaiting(System.nanoTime() / 1_000_000 - receivedMs);
         final AdmissionResult admission =
-                edge.admit(head, a -> exchange.getIoThread().execute(() -> answer(exchange, a)));
+                admissionController.admit(head, a -> exchange.getIoThread().execute(() -> respond(exchange, a)));
         if (admission instanceof AdmissionResult.Rejected rejected) {
-            exchange.getIoThread().execute(() -> answer(exchange, rejected.response()));
+            exchange.getIoThread().execute(() -> respond(exchange, rejected.response()));
         } else {
             final AdmittedRequest request = ((AdmissionResult.Admitted) admission).request();
-            exchange.getIoThread().execute(() -> body(exchange, request));
+            exchange.getIoThread().execute(() -> receiveBody(exchange, request));
         }
     }
 
@@ -160,7 +161,7 @@
     /** The host that is asked for, without its port. */
     private static String host(final HttpServerExchange exchange) {
         final String host = exchange.getRequestHeaders().getFirst(Headers.HOST);
-        return host == null ? "" : PORT.matcher(host).replaceFirst("").toLowerCase(Locale.ROOT);
+        return host == null ? "" : PORT_SUFFIX.matcher(host).replaceFirst("").toLowerCase(Locale.ROOT);
     }
 
     /** The target as it came. Undertow keeps path and query apart, so a lone question mark at the end is lost. */
@@ -170,74 +171,79 @@
     }
 
     /** Which ask a wire carries now, so that it is told when the wire ends; one listener serves a wire for all its asks. */
-    private void carry(final HttpServerExchange exchange, final AdmittedRequest request) {
-        AtomicReference<AdmittedRequest> carried = exchange.getConnection().getAttachment(ASK);
-        if (carried == null) {
-            final AtomicReference<AdmittedRequest> made = new AtomicReference<>();
-            exchange.getConnection().putAttachment(ASK, made);
-            exchange.getConnection().addCloseListener(c -> disconnected(made));
-            carried = made;
+    private void trackConnection(final HttpServerExchange exchange, final AdmittedRequest request) {
+        AtomicReference<AdmittedRequest> tracked = exchange.getConnection().getAttachment(REQUEST);
+        if (tracked == null) {
+            final AtomicReference<AdmittedRequest> created = new AtomicReference<>();
+            exchange.getConnection().putAttachment(REQUEST, created);
+            exchange.getConnection().addCloseListener(c -> onDisconnected(created));
+            tracked = created;
         }
-        final AtomicReference<AdmittedRequest> here = carried;
-        here.set(request);
-        HttpListener.onEndOfInput(exchange, () -> disconnected(here));
+        final AtomicReference<AdmittedRequest> current = tracked;
+        current.set(request);
+        HttpListener.onEndOfInput(exchange, () -> onDisconnected(current));
         exchange.addExchangeCompleteListener((e, next) -> {
-            if (here.compareAndSet(request, null)) {
-                stage.execute(request::onResponseWritten);
+            if (current.compareAndSet(request, null)) {
+                eventLoop.execute(request::onResponseWritten);
             }
             next.proceed();
         });
     }
 
-    private void disconnected(final AtomicReference<AdmittedRequest> carried) {
-        final AdmittedRequest left = carried.getAndSet(null);
-        if (left != null) {
-            stage.execute(left::onClientDisconnected);
+    private void onDisconnected(final AtomicReference<AdmittedRequest> current) {
+        final AdmittedRequest request = current.getAndSet(null);
+        if (request != null) {
+            eventLoop.execute(request::onClientDisconnected);
         }
     }
 
     /** Who sends the body only when told to is told so now, when the ask is let in. */
-    private void body(final HttpServerExchange exchange, final AdmittedRequest request) {
-        carry(exchange, request);
+    private void receiveBody(final HttpServerExchange exchange, final AdmittedRequest request) {
+        trackConnection(exchange, request);
         if (!HttpContinue.requiresContinueResponse(exchange)) {
-            receive(exchange, request);
+            readBody(exchange, request);
             return;
         }
         HttpContinue.sendContinueResponse(exchange, new IoCallback() {
             @Override
             public void onComplete(final HttpServerExchange e, final Sender sender) {
-                receive(e, request);
+                readBody(e, request);
             }
 
             @Override
             public void onException(final HttpServerExchange e, final Sender sender, final IOException error) {
-                stage.execute(() -> request.onBodyFailed(ResultCode.MALFORMED));
+                eventLoop.execute(() -> request.onBodyFailed(ResultCode.MALFORMED));
             }
         });
     }
 
-    private void receive(final HttpServerExchange exchange, final AdmittedRequest request) {
+    private void readBody(final HttpServerExchange exchange, final AdmittedRequest request) {
         // The receiver's own bound leaves the wire open for the answer; an entity bound would cut it.
         final Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(Math.max(1, request.serviceLimits().requestMaxBytes()));
         receiver.receiveFullBytes(
-                (e, body) -> e.dispatch(SameThreadExecutor.INSTANCE, () -> stage.execute(() -> request.onBody(body))),
+                (e, body) ->
+                        e.dispatch(SameThreadExecutor.INSTANCE, () -> eventLoop.execute(() -> request.onBody(body))),
                 (e, error) -> e.dispatch(
                         SameThreadExecutor.INSTANCE,
-                        () -> stage.execute(() -> request.onBodyFailed(
+                        () -> eventLoop.execute(() -> request.onBodyFailed(
                                 error instanceof Receiver.RequestToLargeException
                                         ? ResultCode.TOO_LARGE
                                         : ResultCode.MALFORMED))));
     }
 
-    private void answer(final HttpServerExchange exchange, final Response a) {
-        if (answered(exchange)) {
+    private void respond(final HttpServerExchange exchange, final Response response) {
+        if (isAnswered(exchange)) {
             return;
         }
-        if (a.content() != null) {
-            HeaderFields.put(exchange.getResponseHeaders(), a.content().headers());
+        if (response.content() != null) {
+            HeaderFields.addAll(
+                    exchange.getResponseHeaders(), response.content().headers());
         }
-        protocol.headers(a, exchange.getResponseHeaders());
-        send(exchange, protocol.status(a), a.content() != null ? a.content().body() : protocol.body(a));
+        protocol.writeHeaders(response, exchange.getResponseHeaders());
+        send(
+                exchange,
+                protocol.status(response),
+                response.content() != null ? response.content().body() : protocol.errorBody(response));
     }
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/UpstreamProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/UpstreamProtocol.java
@@ -12,5 +12,5 @@
     List<Header> headers(Attempt attempt);
 
     /** What an upstream's whole answer means. */
-    AttemptResult judge(Attempt attempt, HttpResult.Whole whole);
+    AttemptResult interpret(Attempt attempt, HttpResult.Complete response);
 }
--- a/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -30,48 +30,48 @@
 /** The wires to other processes: framed messages over TCP, one wire out to each, with a bounded queue in front. */
 public final class TcpTransport implements MessageSender {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int FRAME_MAX = MessageCodec.MAX_FIELD_BYTES + (1 << 20);
-    private static final int QUEUE_FRAMES = 4096;
-    private static final long QUEUE_BYTES = 2L * FRAME_MAX;
-    private static final long AGAIN_MS = 200;
-    private static final int UNKNOWN_MAX = 64;
+    private static final int MAX_FRAME_BYTES = MessageCodec.MAX_FIELD_BYTES + (1 << 20);
+    private static final int MAX_QUEUED_FRAMES = 4096;
+    private static final long MAX_QUEUED_BYTES = 2L * MAX_FRAME_BYTES;
+    private static final long RECONNECT_DELAY_MS = 200;
+    private static final int MAX_LOGGED = 64;
     /** What one read takes at the most: most messages come whole, head and all, by a single one. */
     private static final int READ_BYTES = 4096;
     /** As many signs of being heard are read at once; one is enough to know. */
-    private static final int ECHOES = 64;
+    private static final int ACK_READ_BYTES = 64;
 
     private final XnioWorker worker;
-    private final Consumer<Message> heard;
-    private final long silentMs;
-    private final int version;
-    private final Predicate<InetAddress> peers;
-    private final Set<String> unknown = ConcurrentHashMap.newKeySet();
-    private final Map<String, Out> outs = new ConcurrentHashMap<>();
+    private final Consumer<Message> receiver;
+    private final long ackTimeoutMs;
+    private final int encodedVersion;
+    private final Predicate<InetAddress> trusted;
+    private final Set<String> logged = ConcurrentHashMap.newKeySet();
+    private final Map<String, OutgoingConnection> outgoing = new ConcurrentHashMap<>();
     private AcceptingChannel<StreamConnection> server;
 
     /** A wire out that gives no sign of being heard for so long is given up and opened anew. */
     public TcpTransport(
             final XnioWorker worker,
-            final Consumer<Message> heard,
-            final long silentMs,
-            final int version,
-            final Predicate<InetAddress> peers) {
-        this.version = version;
-        this.peers = peers;
-        this.silentMs = silentMs;
+            final Consumer<Message> receiver,
+            final long ackTimeoutMs,
+            final int encodedVersion,
+            final Predicate<InetAddress> trusted) {
+        this.encodedVersion = encodedVersion;
+        this.trusted = trusted;
+        this.ackTimeoutMs = ackTimeoutMs;
         this.worker = worker;
-        this.heard = heard;
+        this.receiver = receiver;
     }
 
     /** Example: {@code connections.listen(Addresses.of("127.0.0.1:7100"));} */
-    public void listen(final InetSocketAddress at) throws IOException {
+    public void listen(final InetSocketAddress address) throws IOException {
         server = worker.createStreamConnectionServer(
-                at,
+                address,
                 (ChannelListener<AcceptingChannel<StreamConnection>>) a -> {
                     try {
                         StreamConnection connection = a.accept();
                         while (connection != null) {
-                            take(connection);
+                            onAccepted(connection);
                             connection = a.accept();
                         }
                     } catch (final IOException e) {
@@ -82,15 +82,15 @@
         server.resumeAccepts();
     }
 
-    private void take(final StreamConnection connection) {
+    private void onAccepted(final StreamConnection connection) {
         final InetAddress from =
                 connection.getPeerAddress(InetSocketAddress.class).getAddress();
-        if (peers.test(from)) {
+        if (trusted.test(from)) {
             read(connection);
             return;
         }
         IoUtils.safeClose(connection);
-        if (unknown.size() < UNKNOWN_MAX && unknown.add(from.getHostAddress())) {
+        if (logged.size() < MAX_LOGGED && logged.add(from.getHostAddress())) {
             LOG.atWarning().log("event=wire_refused from=%s why=\"not among peers\"", from.getHostAddress());
         }
     }
@@ -98,42 +98,42 @@
     /** Example: {@code connections.close();} */
     public void close() {
         IoUtils.safeClose(server);
-        outs.values().forEach(Out::close);
+        outgoing.values().forEach(OutgoingConnection::close);
     }
 
     @Override
     public void send(final String address, final Message message) {
-        outs.computeIfAbsent(address, Out::new).send(MessageCodec.encode(message, version));
+        outgoing.computeIfAbsent(address, OutgoingConnection::new).send(MessageCodec.encode(message, encodedVersion));
     }
 
     private void read(final StreamConnection connection) {
-        final In in = new In(connection);
+        final IncomingConnection in = new IncomingConnection(connection);
         connection.getSourceChannel().setReadListener(in::read);
         connection.getSourceChannel().resumeReads();
     }
 
     /** One wire that came in. */
-    private final class In {
+    private final class IncomingConnection {
         private final StreamConnection connection;
-        private final ByteBuffer came = ByteBuffer.allocate(READ_BYTES);
+        private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BYTES);
         private ByteBuffer frame = ByteBuffer.allocate(4);
-        private boolean head = true;
-        private boolean owed;
+        private boolean readingLength = true;
+        private boolean ackOwed;
 
-        In(final StreamConnection connection) {
+        IncomingConnection(final StreamConnection connection) {
             this.connection = connection;
         }
 
         void read(final ConduitStreamSourceChannel channel) {
             try {
-                int n = channel.read(came.clear());
+                int n = channel.read(readBuffer.clear());
                 while (n > 0) {
-                    owed = true;
-                    take(came.flip());
+                    ackOwed = true;
+                    take(readBuffer.flip());
                     // A read that was not filled took all there was.
-                    n = n < READ_BYTES ? 0 : channel.read(came.clear());
+                    n = n < READ_BYTES ? 0 : channel.read(readBuffer.clear());
                 }
-                echo();
+                acknowledge();
                 if (n < 0) {
                     IoUtils.safeClose(connection);
                 }
@@ -149,23 +149,23 @@
                 frame.put(bytes.slice().limit(part));
                 bytes.position(bytes.position() + part);
                 if (!frame.hasRemaining()) {
-                    next();
+                    onFrameFilled();
                 }
             }
         }
 
         /** One byte back for any that were heard, so that a long note on a slow wire counts too: the other side sees that someone is there. */
-        private void echo() throws IOException {
-            if (owed) {
-                owed = connection.getSinkChannel().write(ByteBuffer.allocate(1)) == 0;
+        private void acknowledge() throws IOException {
+            if (ackOwed) {
+                ackOwed = connection.getSinkChannel().write(ByteBuffer.allocate(1)) == 0;
                 connection.getSinkChannel().flush();
             }
         }
 
-        private void next() throws IOException {
-            if (head) {
+        private void onFrameFilled() throws IOException {
+            if (readingLength) {
                 final int length = frame.flip().getInt();
-                if (length < 2 || length > FRAME_MAX) {
+                if (length < 2 || length > MAX_FRAME_BYTES) {
                     throw new IOException("frame of " + length + " bytes");
                 }
                 frame = ByteBuffer.allocate(length);
@@ -173,15 +173,15 @@
                 take();
                 frame = ByteBuffer.allocate(4);
             }
-            head = !head;
+            readingLength = !readingLength;
         }
 
         /** What came after this program is skipped, and named once; the wire stays. */
         private void take() throws IOException {
             try {
-                heard.accept(MessageCodec.decode(frame.array()));
+                receiver.accept(MessageCodec.decode(frame.array()));
             } catch (final UnknownMessageException e) {
-                if (unknown.size() < UNKNOWN_MAX && unknown.add(e.getMessage())) {
+                if (logged.size() < MAX_LOGGED && logged.add(e.getMessage())) {
                     LOG.atWarning().log(
                             "event=note_unknown what=\"%s\" own=%s", e.getMessage(), MessageCodec.CURRENT_VERSION);
                 }
@@ -190,38 +190,38 @@
     }
 
     /** One wire out. */
-    private final class Out {
+    private final class OutgoingConnection {
         private final String address;
         private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
         private long queuedBytes;
-        private long againMs;
-        private boolean opening;
-        private long openedMs;
-        private long unheardMs = -1;
+        private long reconnectAtMs;
+        private boolean connecting;
+        private long connectStartedMs;
+        private long unacknowledgedSinceMs = -1;
         private StreamConnection connection;
-        private IoFuture<StreamConnection> coming;
+        private IoFuture<StreamConnection> pendingConnection;
 
-        Out(final String address) {
+        OutgoingConnection(final String address) {
             this.address = address;
         }
 
         synchronized void send(final byte[] message) {
-            if (queue.size() >= QUEUE_FRAMES || queuedBytes + message.length > QUEUE_BYTES) {
+            if (queue.size() >= MAX_QUEUED_FRAMES || queuedBytes + message.length > MAX_QUEUED_BYTES) {
                 return;
             }
             final long nowMs = System.nanoTime() / 1_000_000;
-            if (connection != null && unheardMs >= 0 && nowMs - unheardMs > silentMs) {
-                closed(connection);
-            } else if (opening && nowMs - openedMs > 2 * silentMs) {
-                coming.cancel();
-                closed(null);
+            if (connection != null && unacknowledgedSinceMs >= 0 && nowMs - unacknowledgedSinceMs > ackTimeoutMs) {
+                onClosed(connection);
+            } else if (connecting && nowMs - connectStartedMs > 2 * ackTimeoutMs) {
+                pendingConnection.cancel();
+                onClosed(null);
             }
             if (connection == null) {
-                if (!opening && nowMs < againMs) {
+                if (!connecting && nowMs < reconnectAtMs) {
                     return;
                 }
-                if (!opening) {
-                    open();
+                if (!connecting) {
+                    connect();
                 }
             }
             queue.add(ByteBuffer.allocate(4 + message.length)
@@ -229,8 +229,8 @@
                     .put(message)
                     .flip());
             queuedBytes += message.length;
-            if (connection != null && unheardMs < 0) {
-                unheardMs = nowMs;
+            if (connection != null && unacknowledgedSinceMs < 0) {
+                unacknowledgedSinceMs = nowMs;
             }
             if (connection != null && queue.size() == 1) {
                 final StreamConnection to = connection;
@@ -238,66 +238,66 @@
             }
         }
 
-        private void open() {
-            opening = true;
-            openedMs = System.nanoTime() / 1_000_000;
-            coming = worker.openStreamConnection(
+        private void connect() {
+            connecting = true;
+            connectStartedMs = System.nanoTime() / 1_000_000;
+            pendingConnection = worker.openStreamConnection(
                     Addresses.of(address),
-                    (ChannelListener<StreamConnection>) this::opened,
+                    (ChannelListener<StreamConnection>) this::onConnected,
                     OptionMap.create(Options.TCP_NODELAY, true));
-            final IoFuture<StreamConnection> mine = coming;
-            mine.addNotifier((future, a) -> failed(mine), null);
+            final IoFuture<StreamConnection> attempt = pendingConnection;
+            attempt.addNotifier((future, a) -> onConnectEnded(attempt), null);
         }
 
-        private synchronized void failed(final IoFuture<StreamConnection> of) {
-            if (of == coming && opening && of.getStatus() != IoFuture.Status.DONE) {
-                closed(null);
+        private synchronized void onConnectEnded(final IoFuture<StreamConnection> attempt) {
+            if (attempt == pendingConnection && connecting && attempt.getStatus() != IoFuture.Status.DONE) {
+                onClosed(null);
             }
         }
 
-        private void opened(final StreamConnection to) {
+        private void onConnected(final StreamConnection opened) {
             synchronized (this) {
-                if (connection != null || !opening) {
-                    IoUtils.safeClose(to);
+                if (connection != null || !connecting) {
+                    IoUtils.safeClose(opened);
                     return;
                 }
-                opening = false;
-                connection = to;
-                unheardMs = queue.isEmpty() ? -1 : System.nanoTime() / 1_000_000;
+                connecting = false;
+                connection = opened;
+                unacknowledgedSinceMs = queue.isEmpty() ? -1 : System.nanoTime() / 1_000_000;
             }
-            to.getSourceChannel().setReadListener(c -> {
+            opened.getSourceChannel().setReadListener(c -> {
                 try {
-                    final ByteBuffer echoes = ByteBuffer.allocate(ECHOES);
-                    final int n = c.read(echoes);
+                    final ByteBuffer acks = ByteBuffer.allocate(ACK_READ_BYTES);
+                    final int n = c.read(acks);
                     if (n > 0) {
-                        heardBack(to);
+                        onAcknowledged(opened);
                     } else if (n < 0) {
-                        closed(to);
+                        onClosed(opened);
                     }
                 } catch (final IOException e) {
-                    closed(to);
+                    onClosed(opened);
                 }
             });
-            to.getSourceChannel().resumeReads();
-            to.getSinkChannel().setWriteListener(this::write);
-            write(to.getSinkChannel());
+            opened.getSourceChannel().resumeReads();
+            opened.getSinkChannel().setWriteListener(this::write);
+            write(opened.getSinkChannel());
         }
 
-        private synchronized void heardBack(final StreamConnection from) {
+        private synchronized void onAcknowledged(final StreamConnection from) {
             if (from == connection) {
-                unheardMs = -1;
+                unacknowledgedSinceMs = -1;
             }
         }
 
-        private synchronized void closed(final StreamConnection was) {
-            IoUtils.safeClose(was);
-            if (was == connection) {
-                opening = false;
-                unheardMs = -1;
+        private synchronized void onClosed(final StreamConnection closed) {
+            IoUtils.safeClose(closed);
+            if (closed == connection) {
+                connecting = false;
+                unacknowledgedSinceMs = -1;
                 connection = null;
                 queue.clear();
                 queuedBytes = 0;
-                againMs = System.nanoTime() / 1_000_000 + AGAIN_MS;
+                reconnectAtMs = System.nanoTime() / 1_000_000 + RECONNECT_DELAY_MS;
             }
         }
 
@@ -321,7 +321,7 @@
                     }
                 }
             } catch (final IOException e) {
-                closed(connection);
+                onClosed(connection);
             }
         }
 
--- a/spokestall/src/main/java/spokestall/io/transport/TrustedNetworks.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TrustedNetworks.java
@@ -8,21 +8,21 @@
 
 /** Whose wires a node takes: those from some networks, given as IP numbers with how many of their bits count. */
 public final class TrustedNetworks implements Predicate<InetAddress> {
-    private record Net(int address, int mask) {}
+    private record Network(int address, int mask) {}
 
-    private final List<Net> nets = new ArrayList<>();
+    private final List<Network> networks = new ArrayList<>();
 
     /** From a checked setting, such as {@code 10.1.0.0/16,10.2.3.4}. */
     public TrustedNetworks(final String setting) {
-        for (final String one : setting.split(",")) {
-            final String[] parts = one.split("/");
+        for (final String network : setting.split(",")) {
+            final String[] parts = network.split("/");
             final int bits = parts.length == 1 ? 32 : Integer.parseInt(parts[1]);
             final int mask = bits == 0 ? 0 : -1 << 32 - bits;
-            nets.add(new Net(number(Addresses.of(parts[0] + ":1").getAddress()) & mask, mask));
+            networks.add(new Network(toInt(Addresses.of(parts[0] + ":1").getAddress()) & mask, mask));
         }
     }
 
-    private static int number(final InetAddress address) {
+    private static int toInt(final InetAddress address) {
         int number = 0;
         for (final byte part : address.getAddress()) {
             number = number << 8 | part & 0xff;
@@ -32,6 +32,6 @@
 
     @Override
     public boolean test(final InetAddress from) {
-        return from.getAddress().length == 4 && nets.stream().anyMatch(n -> (number(from) & n.mask) == n.address);
+        return from.getAddress().length == 4 && networks.stream().anyMatch(n -> (toInt(from) & n.mask) == n.address);
     }
 }
--- a/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
+++ b/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void anyTamperingWithTheChainIsDetected(@TempDir final Path folder) throws Exception {
+    void detectsAnyTamperingWithTheChain(@TempDir final Path folder) throws Exception {
         fill(open(folder, 100), 0, 20);
         fill(open(folder, 100), 20, 40);
         final List<String> good = lines(folder);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void filesAreBoundedAndATornTailIsCutAndReported(@TempDir final Path folder) throws Exception {
+    void limitsFilesAndTruncatesAndReportsATornTail(@TempDir final Path folder) throws Exception {
         fill(open(folder, 3), 0, 60);
         assertThat(AuditFiles.files(folder)).hasSize(3);
         final List<Path> files = AuditFiles.files(folder);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aFullDiskLosesEntriesButNeverTheChain(@TempDir final Path folder) throws Exception {
+    void dropsEntriesOnAFullDiskWithoutBreakingTheChain(@TempDir final Path folder) throws Exception {
         final AuditFiles audit = open(folder, 100);
         fill(audit, 0, 3);
         final FileChannel good = FileChannel.open(AuditFiles.files(folder).get(0), StandardOpenOption.APPEND);
--- a/spokestall/src/test/java/spokestall/io/DataDirectoryTest.java
+++ b/spokestall/src/test/java/spokestall/io/DataDirectoryTest.java
@@ -9,7 +9,7 @@
 
 class DataDirectoryTest {
     @Test
-    void aDirectoryOfAnotherOwnerIsRefusedAndLeftAsItIs(@TempDir final Path folder) throws Exception {
+    void rejectsADirectoryOfAnotherOwnerWithoutChangingIt(@TempDir final Path folder) throws Exception {
         final Path own = folder.resolve("own");
         assertThat(DataDirectory.open(own, "d1-core")).isNull();
         final String kept = Files.readString(own.resolve("owner"));
--- a/spokestall/src/test/java/spokestall/io/EventLoopTest.java
+++ b/spokestall/src/test/java/spokestall/io/EventLoopTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void eventsRunInTheirOrderInOneTurnAtATime() {
+    void runsEventsInOrderInOneTurnAtATime() {
         for (int i = 0; i < 1000; i++) {
             final int number = i;
             loop.execute(() -> ran.add(number));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void offersAreRejectedWhileTheQueueIsFullAndExecutionsAreNot() {
+    void rejectsOffersButNotExecutionsWhileTheQueueIsFull() {
         for (int i = 0; i < CAPACITY; i++) {
             assertThat(loop.offer(() -> ran.add(1))).isTrue();
         }
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void anEventThatThrowsDoesNotStopTheLoop() {
+    void continuesAfterAnEventThatThrows() {
         loop.execute(() -> {
             throw new IllegalStateException("thrown by a test");
         });
--- a/spokestall/src/test/java/spokestall/io/http/HeaderFieldsTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HeaderFieldsTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void onlyEndToEndFieldsGoOnInWhateverCase() {
+    void forwardsOnlyEndToEndFieldsIgnoringCase() {
         final HeaderMap map = fields(
                 "connection",
                 "close, X-Hop",
@@ -49,18 +49,19 @@
     }
 
     @Test
-    void whatCouldBeReadInTwoWaysIsOdd() {
-        assertThat(HeaderFields.odd(fields("A", "b\tc", "Content-Length", "12")))
+    void rejectsInvalidAndAmbiguousFields() {
+        assertThat(HeaderFields.invalidReason(fields("A", "b\tc", "Content-Length", "12")))
                 .isNull();
-        assertThat(HeaderFields.odd(fields("A", "b\u0001"))).isNotNull();
-        assertThat(HeaderFields.odd(fields("A", "b\u007f"))).isNotNull();
-        assertThat(HeaderFields.odd(fields("A b", "c"))).isNotNull();
-        assertThat(HeaderFields.odd(fields("Content-Length", ""))).isNotNull();
-        assertThat(HeaderFields.odd(fields("Content-Length", "1x"))).isNotNull();
-        assertThat(HeaderFields.odd(fields("Content-Length", "1234567890123456789")))
+        assertThat(HeaderFields.invalidReason(fields("A", "b\u0001"))).isNotNull();
+        assertThat(HeaderFields.invalidReason(fields("A", "b\u007f"))).isNotNull();
+        assertThat(HeaderFields.invalidReason(fields("A b", "c"))).isNotNull();
+        assertThat(HeaderFields.invalidReason(fields("Content-Length", ""))).isNotNull();
+        assertThat(HeaderFields.invalidReason(fields("Content-Length", "1x"))).isNotNull();
+        assertThat(HeaderFields.invalidReason(fields("Content-Length", "1234567890123456789")))
                 .isNotNull();
-        assertThat(HeaderFields.odd(fields("Content-Length", "1", "Content-Length", "1")))
+        assertThat(HeaderFields.invalidReason(fields("Content-Length", "1", "Content-Length", "1")))
+                .isNotNull();
+        assertThat(HeaderFields.invalidReason(fields("Transfer-Encoding", "gzip")))
                 .isNotNull();
-        assertThat(HeaderFields.odd(fields("Transfer-Encoding", "gzip"))).isNotNull();
     }
 }
--- a/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
@@ -67,7 +67,7 @@
         return head.substring(at, head.indexOf("\r", at));
     }
 
-    private static String answer(final String name, final String more) {
+    private static String response(final String name, final String more) {
         return "HTTP/1.1 200 OK\r\n" + NAME + ": " + name + "\r\n" + more + "Content-Length: 2\r\n\r\nok";
     }
 
@@ -89,8 +89,8 @@
             final String name, final String instance, final byte[] body, final Executor gate) {
         final BlockingQueue<HttpResult> results = new LinkedBlockingQueue<>();
         final Predicate<HttpResult> own =
-                r -> !(r instanceof HttpResult.Whole whole) || name.equals(whole.header(NAME));
-        client.judged(
+                r -> !(r instanceof HttpResult.Complete whole) || name.equals(whole.header(NAME));
+        client.execute(
                 new HttpCall(
                         "127.0.0.1:" + server.getLocalPort(),
                         instance,
@@ -113,19 +113,19 @@
         return results;
     }
 
-    private static HttpResult got(final BlockingQueue<HttpResult> results) throws InterruptedException {
+    private static HttpResult await(final BlockingQueue<HttpResult> results) throws InterruptedException {
         final HttpResult result = results.poll(WAIT_MS, TimeUnit.MILLISECONDS);
         assertThat(result).as("the exchange ends").isNotNull();
         return result;
     }
 
     /** A first exchange, whose connection is kept. */
-    private Socket kept(final String instance) throws Exception {
+    private Socket idleConnection(final String instance) throws Exception {
         final BlockingQueue<HttpResult> first = call("first", instance, Runnable::run);
         final Socket socket = accept();
         assertThat(request(socket)).isEqualTo("first");
-        write(socket, answer("first", ""));
-        assertThat(got(first)).isInstanceOf(HttpResult.Whole.class);
+        write(socket, response("first", ""));
+        assertThat(await(first)).isInstanceOf(HttpResult.Complete.class);
         settle();
         return socket;
     }
@@ -141,30 +141,30 @@
         final BlockingQueue<HttpResult> results = call(name, instance, Runnable::run);
         try (Socket fresh = accept()) {
             assertThat(request(fresh)).isEqualTo(name);
-            write(fresh, answer(name, ""));
-            assertThat(((HttpResult.Whole) got(results)).header(NAME)).isEqualTo(name);
+            write(fresh, response(name, ""));
+            assertThat(((HttpResult.Complete) await(results)).header(NAME)).isEqualTo(name);
         }
     }
 
     @Test
-    void aConnectionWhoseExchangesWereCleanIsUsedAgain() throws Exception {
-        try (Socket socket = kept("i-1")) {
+    void reusesAConnectionAfterACompleteExchange() throws Exception {
+        try (Socket socket = idleConnection("i-1")) {
             final BlockingQueue<HttpResult> second = call("second", "i-1", Runnable::run);
             assertThat(request(socket)).isEqualTo("second");
-            write(socket, answer("second", ""));
-            assertThat(got(second)).isInstanceOf(HttpResult.Whole.class);
+            write(socket, response("second", ""));
+            assertThat(await(second)).isInstanceOf(HttpResult.Complete.class);
         }
     }
 
     /** A second answer to the first request, in the place where that to the second one is expected: the second one's is
      * still to come, and would be taken for the third one's. */
     @Test
-    void anAnswerToAnotherRequestEndsItsConnection() throws Exception {
-        try (Socket socket = kept("i-1")) {
+    void closesTheConnectionAfterAResponseToAnotherRequest() throws Exception {
+        try (Socket socket = idleConnection("i-1")) {
             final BlockingQueue<HttpResult> second = call("second", "i-1", Runnable::run);
             assertThat(request(socket)).isEqualTo("second");
-            write(socket, answer("first", ""));
-            assertThat(got(second)).isInstanceOf(HttpResult.Whole.class);
+            write(socket, response("first", ""));
+            assertThat(await(second)).isInstanceOf(HttpResult.Complete.class);
             awaitClosed(socket);
             answeredOnANewConnection("third", "i-1");
         }
@@ -173,17 +173,17 @@
     /** A part of an extra answer, and the request's own answer right behind it, make one message: with the status of the
      * one and the rest of the other, wherever the part ends. */
     @Test
-    void whatIsLeftOfAnExtraAnswerNeverBecomesPartOfTheNext() throws Exception {
+    void neverMixesAPartialExtraResponseIntoTheNextOne() throws Exception {
         final String extra = "HTTP/1.1 500 Bad\r\n" + NAME + ": first\r\nX-More: and more\r\n\r";
         for (int length = 1; length <= extra.length(); length++) {
-            try (Socket socket = kept("i-1")) {
+            try (Socket socket = idleConnection("i-1")) {
                 final BlockingQueue<HttpResult> second = call("second", "i-1", Runnable::run);
                 assertThat(request(socket)).isEqualTo("second");
-                write(socket, extra.substring(0, length) + answer("second", "Connection: close\r\n"));
+                write(socket, extra.substring(0, length) + response("second", "Connection: close\r\n"));
                 socket.shutdownOutput();
-                final HttpResult result = got(second);
+                final HttpResult result = await(second);
                 final boolean another =
-                        result instanceof HttpResult.Whole whole && !"second".equals(whole.header(NAME));
+                        result instanceof HttpResult.Complete whole && !"second".equals(whole.header(NAME));
                 assertThat(another || result instanceof HttpResult.Lost)
                         .as("after <" + extra.substring(0, length) + "> " + result)
                         .isTrue();
@@ -193,9 +193,9 @@
     }
 
     @Test
-    void aKeptConnectionThatEndsBeforeTheRequestLeavesIsReplaced() throws Exception {
-        for (final String last : List.of("", answer("first", ""), "bytes of no answer")) {
-            try (Socket socket = kept("i-1")) {
+    void replacesAnIdleConnectionThatClosesBeforeTheRequestIsSent() throws Exception {
+        for (final String last : List.of("", response("first", ""), "bytes of no answer")) {
+            try (Socket socket = idleConnection("i-1")) {
                 final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
                 final BlockingQueue<HttpResult> second = call("second", "i-1", held::add);
                 final Runnable attempt = held.poll(WAIT_MS, TimeUnit.MILLISECONDS);
@@ -206,10 +206,10 @@
                 try (Socket fresh = accept()) {
                     held.poll(WAIT_MS, TimeUnit.MILLISECONDS).run();
                     assertThat(request(fresh)).isEqualTo("second");
-                    write(fresh, answer("second", "Connection: close\r\n"));
-                    final HttpResult result = got(second);
-                    assertThat(result).as("after <" + last + ">").isInstanceOf(HttpResult.Whole.class);
-                    assertThat(((HttpResult.Whole) result).header(NAME)).isEqualTo("second");
+                    write(fresh, response("second", "Connection: close\r\n"));
+                    final HttpResult result = await(second);
+                    assertThat(result).as("after <" + last + ">").isInstanceOf(HttpResult.Complete.class);
+                    assertThat(((HttpResult.Complete) result).header(NAME)).isEqualTo("second");
                     awaitClosed(fresh);
                 }
             }
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void aNewConnectionThatEndsBeforeTheRequestLeavesHasSentNothing() throws Exception {
+    void reportsNotSentIfANewConnectionClosesBeforeTheRequestIsSent() throws Exception {
         final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
         final BlockingQueue<HttpResult> only = call("only", "i-1", held::add);
         try (Socket socket = accept()) {
@@ -225,38 +225,38 @@
             socket.shutdownOutput();
             awaitClosed(socket);
             attempt.run();
-            assertThat(got(only)).isInstanceOf(HttpResult.NotSent.class);
+            assertThat(await(only)).isInstanceOf(HttpResult.NotSent.class);
         }
     }
 
     @Test
-    void aConnectionIsNotUsedForAnotherInstanceThatHasTheAddressNow() throws Exception {
-        try (Socket old = kept("i-1")) {
+    void doesNotReuseAConnectionForAnotherInstanceAtTheSameAddress() throws Exception {
+        try (Socket old = idleConnection("i-1")) {
             answeredOnANewConnection("second", "i-2");
             assertThat(old.isClosed()).isFalse();
         }
     }
 
     @Test
-    void aResponseThatSaysSoAnywhereEndsItsConnection() throws Exception {
+    void closesTheConnectionIfAnyConnectionOptionIsClose() throws Exception {
         for (final String closing : List.of("Connection: close", "Connection: X-Hop, Close")) {
             final BlockingQueue<HttpResult> first = call("first", "i-1", Runnable::run);
             try (Socket socket = accept()) {
                 assertThat(request(socket)).isEqualTo("first");
-                write(socket, answer("first", closing + "\r\n"));
-                assertThat(got(first)).as(closing).isInstanceOf(HttpResult.Whole.class);
+                write(socket, response("first", closing + "\r\n"));
+                assertThat(await(first)).as(closing).isInstanceOf(HttpResult.Complete.class);
                 awaitClosed(socket);
             }
         }
     }
 
     @Test
-    void anAnswerThatComesBeforeItsRequestIsOutEndsTheConnection() throws Exception {
+    void doesNotReuseAConnectionWhoseResponseCameBeforeTheRequestWasSent() throws Exception {
         final BlockingQueue<HttpResult> results = call("large", "i-1", new byte[32 << 20], Runnable::run);
         try (Socket socket = accept()) {
             assertThat(request(socket)).isEqualTo("large");
-            write(socket, answer("large", ""));
-            assertThat(got(results)).isInstanceOf(HttpResult.Whole.class);
+            write(socket, response("large", ""));
+            assertThat(await(results)).isInstanceOf(HttpResult.Complete.class);
             answeredOnANewConnection("second", "i-1");
         }
     }
--- a/spokestall/src/test/java/spokestall/io/http/HttpListenerTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpListenerTest.java
@@ -25,41 +25,41 @@
 /** Clients' connections at a real port. */
 class HttpListenerTest {
     private static final int HEAD_BYTES = 2048;
-    private static final long HEAD_WAIT_MS = 400;
-    private static final long REST_MS = 400;
+    private static final long HEAD_TIMEOUT_MS = 400;
+    private static final long IDLE_MS = 400;
     private static final long LONG_MS = 60_000;
     private static final String GET = "GET /x HTTP/1.1\r\nHost: a\r\n";
     private final BlockingQueue<HttpServerExchange> held = new LinkedBlockingQueue<>();
     private XnioWorker worker;
-    private HttpListener port;
-    private InetSocketAddress at;
+    private HttpListener listener;
+    private InetSocketAddress address;
 
     @BeforeEach
     void start() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        at = new InetSocketAddress(InetAddress.getLoopbackAddress(), LoopbackPort.free());
+        address = new InetSocketAddress(InetAddress.getLoopbackAddress(), LoopbackPort.free());
     }
 
     @AfterEach
     void stop() {
-        port.stopAccepting();
+        listener.stopAccepting();
         worker.shutdownNow();
     }
 
     private void listen(final ClientLimits limits) throws IOException {
-        port = new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, limits);
-        port.listen(at, exchange -> {
+        listener = new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, limits);
+        listener.listen(address, exchange -> {
             if (exchange.getRequestPath().equals("/held")) {
                 exchange.dispatch(() -> held.add(exchange));
             } else {
                 exchange.getResponseSender().send("well");
             }
         });
-        port.start();
+        listener.start();
     }
 
     private Socket connect() throws IOException {
-        final Socket socket = new Socket(at.getAddress(), at.getPort());
+        final Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(20_000);
         return socket;
     }
@@ -69,7 +69,7 @@
     }
 
     /** One answer's head and its body of four bytes, if it has one. */
-    private static String answer(final Socket socket) throws IOException {
+    private static String response(final Socket socket) throws IOException {
         final InputStream in = socket.getInputStream();
         final StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -92,102 +92,102 @@
     }
 
     @Test
-    void aConnectionRestsAsLongAsItMayAndIsThenClosedInOrder() throws Exception {
-        listen(new ClientLimits(HEAD_BYTES, LONG_MS, REST_MS));
+    void closesAnIdleConnectionGracefullyAfterTheIdleTimeout() throws Exception {
+        listen(new ClientLimits(HEAD_BYTES, LONG_MS, IDLE_MS));
         try (Socket socket = connect()) {
             send(socket, GET + "\r\n");
-            answer(socket);
+            response(socket);
             final long sinceNs = System.nanoTime();
             assertThat(closed(socket)).isTrue();
-            assertThat(elapsedMs(sinceNs)).isBetween(REST_MS - 50, 10_000L);
+            assertThat(elapsedMs(sinceNs)).isBetween(IDLE_MS - 50, 10_000L);
         }
     }
 
     @Test
-    void aRaisedRestCountsForAConnectionThatRestsAlready() throws Exception {
-        listen(new ClientLimits(HEAD_BYTES, LONG_MS, REST_MS));
+    void appliesARaisedIdleTimeoutToConnectionsThatAreIdle() throws Exception {
+        listen(new ClientLimits(HEAD_BYTES, LONG_MS, IDLE_MS));
         try (Socket socket = connect()) {
             send(socket, GET + "\r\n");
-            answer(socket);
+            response(socket);
             final long sinceNs = System.nanoTime();
-            port.limits(new ClientLimits(HEAD_BYTES, LONG_MS, 4 * REST_MS));
+            listener.applyLimits(new ClientLimits(HEAD_BYTES, LONG_MS, 4 * IDLE_MS));
             assertThat(closed(socket)).isTrue();
-            assertThat(elapsedMs(sinceNs)).isGreaterThan(4 * REST_MS - 50);
+            assertThat(elapsedMs(sinceNs)).isGreaterThan(4 * IDLE_MS - 50);
         }
     }
 
     @Test
-    void aHeadThatTakesTooLongIsAnsweredAsNotRun() throws Exception {
-        listen(new ClientLimits(HEAD_BYTES, HEAD_WAIT_MS, LONG_MS));
+    void answers408ToAHeadThatIsNotCompleteInTime() throws Exception {
+        listen(new ClientLimits(HEAD_BYTES, HEAD_TIMEOUT_MS, LONG_MS));
         try (Socket socket = connect()) {
             send(socket, GET);
-            assertThat(answer(socket)).startsWith("HTTP/1.1 408 ").contains("Connection: close");
+            assertThat(response(socket)).startsWith("HTTP/1.1 408 ").contains("Connection: close");
             assertThat(closed(socket)).isTrue();
         }
     }
 
     @Test
-    void aLargerHeadIsTakenOnceTheLimitIsRaisedAndOlderConnectionsEndWithTheirAnswer() throws Exception {
+    void acceptsLargerHeadsAfterTheLimitIsRaisedAndClosesOlderConnectionsAfterTheirResponse() throws Exception {
         listen(new ClientLimits(HEAD_BYTES, LONG_MS, LONG_MS));
         final String large = GET + "X: " + "x".repeat(2 * HEAD_BYTES) + "\r\n\r\n";
         try (Socket refused = connect();
                 Socket older = connect()) {
             send(refused, large);
-            assertThat(answer(refused)).startsWith("HTTP/1.1 400 ");
+            assertThat(response(refused)).startsWith("HTTP/1.1 400 ");
             send(older, GET + "\r\n");
-            assertThat(answer(older)).startsWith("HTTP/1.1 200 ").doesNotContain("Connection: close");
-            port.limits(new ClientLimits(4 * HEAD_BYTES, LONG_MS, LONG_MS));
+            assertThat(response(older)).startsWith("HTTP/1.1 200 ").doesNotContain("Connection: close");
+            listener.applyLimits(new ClientLimits(4 * HEAD_BYTES, LONG_MS, LONG_MS));
             send(older, GET + "\r\n");
-            assertThat(answer(older)).startsWith("HTTP/1.1 200 ").contains("Connection: close");
+            assertThat(response(older)).startsWith("HTTP/1.1 200 ").contains("Connection: close");
         }
         try (Socket newer = connect()) {
             send(newer, large);
-            assertThat(answer(newer)).startsWith("HTTP/1.1 200 ");
+            assertThat(response(newer)).startsWith("HTTP/1.1 200 ");
         }
     }
 
     @Test
-    void connectionsAtRestAreEndedWhileARequestUnderWayIsAnsweredFirst() throws Exception {
+    void closesIdleConnectionsAtOnceAndBusyOnesAfterTheirResponse() throws Exception {
         listen(new ClientLimits(HEAD_BYTES, LONG_MS, LONG_MS));
         try (Socket atRest = connect();
                 Socket underWay = connect()) {
             send(atRest, GET + "\r\n");
-            answer(atRest);
+            response(atRest);
             send(underWay, GET.replace("/x", "/held") + "\r\n");
             final HttpServerExchange exchange = held.poll(10, TimeUnit.SECONDS);
-            assertThat(port.open()).isEqualTo(2);
-            port.closeAfterResponses();
-            port.closeIdle();
+            assertThat(listener.open()).isEqualTo(2);
+            listener.closeAfterResponses();
+            listener.closeIdle();
             assertThat(closed(atRest)).isTrue();
-            assertThat(port.open()).isEqualTo(1);
+            assertThat(listener.open()).isEqualTo(1);
             exchange.getResponseSender().send("well");
-            assertThat(answer(underWay)).startsWith("HTTP/1.1 200 ").contains("Connection: close");
+            assertThat(response(underWay)).startsWith("HTTP/1.1 200 ").contains("Connection: close");
             assertThat(closed(underWay)).isTrue();
-            assertThat(port.open()).isZero();
+            assertThat(listener.open()).isZero();
         }
     }
 
     @Test
-    void aHeadThatHasComeInPartAtTheEndIsAnsweredAsNotRun() throws Exception {
+    void answers408ToAPartialHeadAtShutdown() throws Exception {
         listen(new ClientLimits(HEAD_BYTES, LONG_MS, LONG_MS));
         try (Socket inPart = connect();
                 Socket other = connect()) {
             send(inPart, GET);
             send(other, GET + "\r\n");
-            answer(other);
-            port.closeIdle();
-            assertThat(answer(inPart)).startsWith("HTTP/1.1 408 ").contains("Connection: close");
+            response(other);
+            listener.closeIdle();
+            assertThat(response(inPart)).startsWith("HTTP/1.1 408 ").contains("Connection: close");
             assertThat(closed(inPart)).isTrue();
         }
     }
 
     @Test
-    void whatComesAfterTheEndOfARestIsNotRead() throws Exception {
+    void ignoresRequestsOnAConnectionThatWasClosedWhileIdle() throws Exception {
         listen(new ClientLimits(HEAD_BYTES, LONG_MS, LONG_MS));
         try (Socket socket = connect()) {
             send(socket, GET + "\r\n");
-            answer(socket);
-            port.closeIdle();
+            response(socket);
+            listener.closeIdle();
             assertThat(closed(socket)).isTrue();
             send(socket, GET.replace("/x", "/held?late") + "\r\n");
             try (Socket other = connect()) {
@@ -195,7 +195,7 @@
                 final HttpServerExchange first = held.poll(10, TimeUnit.SECONDS);
                 assertThat(first.getQueryString()).isEqualTo("marker");
                 first.getResponseSender().send("well");
-                assertThat(answer(other)).startsWith("HTTP/1.1 200 ");
+                assertThat(response(other)).startsWith("HTTP/1.1 200 ");
             }
             assertThat(held).isEmpty();
         }
--- a/spokestall/src/test/java/spokestall/io/http/IdleConnectionPoolTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleConnectionPoolTest.java
@@ -11,10 +11,10 @@
 import spokestall.io.http.IdleConnectionPool.Peer;
 
 class IdleConnectionPoolTest {
-    private static final long REST_MS = 1000;
-    private static final int PER_PEER = 16;
-    private static final int PEERS_MAX = 4096;
-    private final IdleConnectionPool idle = new IdleConnectionPool();
+    private static final long IDLE_MS = 1000;
+    private static final int MAX_PER_PEER = 16;
+    private static final int MAX_PEERS = 4096;
+    private final IdleConnectionPool pool = new IdleConnectionPool();
     private final Peer peer = new Peer("10.0.0.1:80", "i-1");
 
     /** Knows only whether it is open, and tells the table when it is closed. */
@@ -27,7 +27,7 @@
                 (proxy, method, arguments) -> {
                     if (method.getName().equals("close")) {
                         open.set(false);
-                        idle.forget(of, made[0]);
+                        pool.remove(of, made[0]);
                         return null;
                     }
                     return method.getName().equals("isOpen") ? open.get() : null;
@@ -37,64 +37,64 @@
 
     private ClientConnection kept(final Peer of, final long nowMs) {
         final ClientConnection made = connection(of);
-        idle.keep(of, made, REST_MS, nowMs);
+        pool.keep(of, made, IDLE_MS, nowMs);
         return made;
     }
 
     @Test
-    void theLastOneKeptIsTakenOnce() {
+    void takesTheMostRecentlyKeptConnectionOnce() {
         kept(peer, 0);
         final ClientConnection last = kept(peer, 1);
-        assertThat(idle.take(peer, true, 2)).isSameAs(last);
-        assertThat(idle.take(peer, true, 2)).isNotNull().isNotSameAs(last);
-        assertThat(idle.take(peer, true, 2)).isNull();
-        assertThat(idle.peers()).isZero();
+        assertThat(pool.take(peer, true, 2)).isSameAs(last);
+        assertThat(pool.take(peer, true, 2)).isNotNull().isNotSameAs(last);
+        assertThat(pool.take(peer, true, 2)).isNull();
+        assertThat(pool.peers()).isZero();
     }
 
     @Test
-    void oneOfAnotherInstanceAtTheAddressIsNotTaken() {
+    void doesNotTakeAConnectionOfAnotherInstanceAtTheSameAddress() {
         kept(peer, 0);
-        assertThat(idle.take(new Peer(peer.address(), "i-2"), true, 1)).isNull();
+        assertThat(pool.take(new Peer(peer.address(), "i-2"), true, 1)).isNull();
     }
 
     @Test
-    void whatRestedTooLongIsClosedAndSoonerForWhatIsSentOnce() {
+    void closesConnectionsIdleForTooLongAndEarlierForNonIdempotentCalls() {
         final ClientConnection half = kept(peer, 0);
-        assertThat(idle.take(peer, false, REST_MS / 2)).isNull();
+        assertThat(pool.take(peer, false, IDLE_MS / 2)).isNull();
         assertThat(half.isOpen()).isFalse();
         kept(peer, 0);
-        assertThat(idle.take(peer, true, REST_MS / 2)).isNotNull();
+        assertThat(pool.take(peer, true, IDLE_MS / 2)).isNotNull();
         kept(peer, 0);
-        assertThat(idle.take(peer, true, REST_MS)).isNull();
-        assertThat(idle.peers()).isZero();
+        assertThat(pool.take(peer, true, IDLE_MS)).isNull();
+        assertThat(pool.peers()).isZero();
     }
 
     @Test
-    void aClosedOneIsForgottenWithItsPeer() throws Exception {
+    void removesAClosedConnectionAndItsPeer() throws Exception {
         final ClientConnection closed = kept(peer, 0);
         closed.close();
-        assertThat(idle.peers()).isZero();
-        idle.keep(peer, closed, REST_MS, 1);
-        assertThat(idle.peers()).as("one that is closed is not kept").isZero();
+        assertThat(pool.peers()).isZero();
+        pool.keep(peer, closed, IDLE_MS, 1);
+        assertThat(pool.peers()).as("one that is closed is not kept").isZero();
     }
 
     @Test
-    void thereIsABoundForEachPeerAndForPeers() {
+    void limitsConnectionsPerPeerAndPeers() {
         final List<ClientConnection> first = new ArrayList<>();
-        for (int i = 0; i <= PER_PEER; i++) {
+        for (int i = 0; i <= MAX_PER_PEER; i++) {
             first.add(kept(peer, i));
         }
         assertThat(first.get(0).isOpen()).isFalse();
         assertThat(first.get(1).isOpen()).isTrue();
-        for (int i = 1; i < PEERS_MAX; i++) {
+        for (int i = 1; i < MAX_PEERS; i++) {
             kept(new Peer("10.0.0.1:" + i, "i"), i);
         }
-        assertThat(idle.peers()).isEqualTo(PEERS_MAX);
+        assertThat(pool.peers()).isEqualTo(MAX_PEERS);
         final Peer more = new Peer("10.0.0.2:80", "i");
-        assertThat(kept(more, REST_MS / 2).isOpen()).as("no room").isFalse();
-        assertThat(kept(more, REST_MS + PER_PEER).isOpen())
+        assertThat(kept(more, IDLE_MS / 2).isOpen()).as("no room").isFalse();
+        assertThat(kept(more, IDLE_MS + MAX_PER_PEER).isOpen())
                 .as("room is made by those that rested")
                 .isTrue();
-        assertThat(idle.peers()).isLessThan(PEERS_MAX);
+        assertThat(pool.peers()).isLessThan(MAX_PEERS);
     }
 }
--- a/spokestall/src/test/java/spokestall/io/http/IdleConnectionTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleConnectionTest.java
@@ -24,12 +24,12 @@
 
 /** How long a connection without a request may be kept and used again, over sockets and with a clock of the test's. */
 class IdleConnectionTest {
-    private static final long REST_MS = 1000;
+    private static final long IDLE_MS = 1000;
     private final AtomicLong nowMs = new AtomicLong(1_000_000);
     private final AtomicInteger connections = new AtomicInteger();
     private final XnioWorker worker = createWorker();
     private final HttpClient client =
-            new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), REST_MS, nowMs::get);
+            new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), IDLE_MS, nowMs::get);
 
     private static XnioWorker createWorker() {
         try {
@@ -109,7 +109,7 @@
                 () -> Long.MAX_VALUE,
                 () -> {});
         client.call(call, result -> {
-            assertThat(result).isInstanceOf(HttpResult.Whole.class);
+            assertThat(result).isInstanceOf(HttpResult.Complete.class);
             // The connection is kept by a task that is queued after this callback: the latch's comes after that one.
             worker.getIoThread().execute(() -> worker.getIoThread().execute(kept::countDown));
         });
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void aWireRestsNearlyAsLongAsItsOtherEndSays() throws Exception {
+    void keepsAConnectionForSeventyPercentOfItsKeepAliveTimeout() throws Exception {
         try (ServerSocket server = server("Keep-Alive: timeout=10\r\n")) {
             call(server, true);
             nowMs.addAndGet(6_900);
@@ -135,13 +135,13 @@
     }
 
     @Test
-    void whereTheOtherEndSaysNothingTheSettingHolds() throws Exception {
+    void usesTheConfiguredTimeoutWithoutAKeepAliveHeader() throws Exception {
         try (ServerSocket server = server("")) {
             call(server, true);
-            nowMs.addAndGet(REST_MS - 1);
+            nowMs.addAndGet(IDLE_MS - 1);
             call(server, true);
             assertThat(connections).hasValue(1);
-            nowMs.addAndGet(REST_MS + 1);
+            nowMs.addAndGet(IDLE_MS + 1);
             call(server, true);
             assertThat(connections).hasValue(2);
         }
--- a/spokestall/src/test/java/spokestall/io/process/SettingsReloaderTest.java
+++ b/spokestall/src/test/java/spokestall/io/process/SettingsReloaderTest.java
@@ -17,58 +17,58 @@
             {"name":"d1-edge","address":"10.0.0.1:7100","http":"10.0.0.1:7200","district":"d1","districts":"d1=r1",
              "seeds":"10.0.0.1:7100,10.0.0.2:7100,10.0.0.3:7100","platform":"10.0.9.1:80","whereS":%s}
             """;
-    private final List<String> taken = new ArrayList<>();
+    private final List<String> applied = new ArrayList<>();
     private Path file;
-    private SettingsReloader watch;
+    private SettingsReloader reloader;
 
     @BeforeEach
     void start(@TempDir final Path folder) throws Exception {
         file = folder.resolve("node.json");
         Files.writeString(file, GOOD.formatted("2"));
-        watch = new SettingsReloader(
-                new FileSettings(file, Map.of(), false), Runnable::run, newer -> taken.add(newer.text("whereS")));
+        reloader = new SettingsReloader(
+                new FileSettings(file, Map.of(), false), Runnable::run, newer -> applied.add(newer.text("whereS")));
     }
 
     @Test
-    void aFileIsReadAnewOnceItHasChanged() throws Exception {
-        watch.look();
-        assertThat(taken).isEmpty();
+    void reloadsAFileAfterItHasChanged() throws Exception {
+        reloader.checkFile();
+        assertThat(applied).isEmpty();
         Files.writeString(file, GOOD.formatted("3.5"));
-        watch.look();
-        watch.look();
-        assertThat(taken).containsExactly("3.5");
+        reloader.checkFile();
+        reloader.checkFile();
+        assertThat(applied).containsExactly("3.5");
     }
 
     @Test
-    void aSignalHasTheFileReadWhetherOrNotItLooksChanged() {
-        watch.signalled();
-        assertThat(taken).containsExactly("2");
+    void reloadsOnASignalEvenIfTheFileLooksUnchanged() {
+        reloader.reload();
+        assertThat(applied).containsExactly("2");
     }
 
     @Test
-    void aFileThatIsBadOrGoneLeavesTheSettingsAndIsReadAgainWhenItIsMended() throws Exception {
+    void keepsTheSettingsWhileTheFileIsInvalidOrMissingAndReloadsOnceItIsValid() throws Exception {
         Files.writeString(file, GOOD.formatted("\"soon\""));
-        watch.look();
-        watch.signalled();
+        reloader.checkFile();
+        reloader.reload();
         Files.writeString(file, "{\"name\":");
-        watch.look();
+        reloader.checkFile();
         Files.delete(file);
-        watch.look();
-        watch.signalled();
-        assertThat(taken).isEmpty();
+        reloader.checkFile();
+        reloader.reload();
+        assertThat(applied).isEmpty();
         Files.writeString(file, GOOD.formatted("4.25"));
-        watch.look();
-        assertThat(taken).containsExactly("4.25");
+        reloader.checkFile();
+        assertThat(applied).containsExactly("4.25");
     }
 
     @Test
-    void aSignalThatComesBeforeAnyoneListensIsKept() {
+    void deliversASignalRaisedBeforeTheListenerIsSet() {
         final HangupSignal hangup = new HangupSignal();
-        hangup.raised();
-        hangup.raised();
-        hangup.listen(watch::signalled);
-        assertThat(taken).containsExactly("2");
-        hangup.raised();
-        assertThat(taken).hasSize(2);
+        hangup.onSignal();
+        hangup.onSignal();
+        hangup.setListener(reloader::reload);
+        assertThat(applied).containsExactly("2");
+        hangup.onSignal();
+        assertThat(applied).hasSize(2);
     }
 }
--- a/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
@@ -53,7 +53,7 @@
         return fields;
     }
 
-    private static String written(final List<Header> headers) {
+    private static String headerText(final List<Header> headers) {
         final StringBuilder text = new StringBuilder();
         headers.forEach(header ->
                 text.append(header.name()).append(": ").append(header.value()).append('\n'));
@@ -68,23 +68,23 @@
         return String.join("", lines);
     }
 
-    private static String answered(final String title, final Response answer) {
+    private static String responseText(final String title, final Response answer) {
         final HeaderMap headers = new HeaderMap();
-        REQUESTS.headers(answer, headers);
+        REQUESTS.writeHeaders(answer, headers);
         final String body =
-                answer.content() == null ? new String(REQUESTS.body(answer), StandardCharsets.UTF_8) + "\n" : "";
+                answer.content() == null ? new String(REQUESTS.errorBody(answer), StandardCharsets.UTF_8) + "\n" : "";
         return title + "\nstatus " + REQUESTS.status(answer) + "\n" + sorted(headers) + body + "\n";
     }
 
-    private static AttemptResult judged(final String head) {
-        return ATTEMPTS.judge(
-                ATTEMPT, new HttpResult.Whole(201, fields(head.lines().toList()), BODY));
+    private static AttemptResult interpreted(final String head) {
+        return ATTEMPTS.interpret(
+                ATTEMPT, new HttpResult.Complete(201, fields(head.lines().toList()), BODY));
     }
 
     @Test
-    void theHeadOfAnAskIsRead() {
+    void readsTheHeadOfAClientRequest() {
         final HeaderMap fields = fields(GoldenFile.lines("ask-request-head.txt"));
-        final RequestHead head = REQUESTS.head("POST", "a.example", "/transfers/17?full=1", fields, 12);
+        final RequestHead head = REQUESTS.readHead("POST", "a.example", "/transfers/17?full=1", fields, 12);
         assertThat(head.key()).isEqualTo("key-1");
         assertThat(head.requestId()).isEqualTo("t1-17-1000.pay-4");
         assertThat(head.remainingMs()).isEqualTo(2500);
@@ -94,27 +94,27 @@
     }
 
     @Test
-    void answersToClientsAreWritten() {
+    void writesResponsesToClients() {
         final ResponseContent content = new ResponseContent(201, List.of(), BODY);
         final String written =
-                answered("of the upstream", new Response(ResultCode.OK, ExecutionStatus.RAN, content, "i-1", 2, 0))
-                        + answered(
+                responseText("of the upstream", new Response(ResultCode.OK, ExecutionStatus.RAN, content, "i-1", 2, 0))
+                        + responseText(
                                 "of spokestall",
                                 new Response(ResultCode.NO_UPSTREAM, ExecutionStatus.NOT_RUN, null, null, 0, 1001))
-                        + answered(
+                        + responseText(
                                 "of spokestall, undecided",
                                 new Response(ResultCode.LOST, ExecutionStatus.UNDECIDED, null, null, 1, 0));
         assertThat(written).isEqualTo(GoldenFile.text("ask-answer-heads.txt"));
     }
 
     @Test
-    void theHeadOfAGoIsWritten() {
-        assertThat(written(ATTEMPTS.headers(ATTEMPT))).isEqualTo(GoldenFile.text("go-request-head.txt"));
+    void writesTheHeadersOfAnAttempt() {
+        assertThat(headerText(ATTEMPTS.headers(ATTEMPT))).isEqualTo(GoldenFile.text("go-request-head.txt"));
     }
 
     @Test
-    void theHeadOfAnUpstreamsAnswerIsRead() {
-        final AttemptResult result = judged(GoldenFile.text("go-answer-head.txt"));
+    void readsTheHeadOfAnUpstreamResponse() {
+        final AttemptResult result = interpreted(GoldenFile.text("go-answer-head.txt"));
         assertThat(result).isInstanceOf(AttemptResult.Answered.class);
         final ResponseContent content = ((AttemptResult.Answered) result).content();
         assertThat(content.status()).isEqualTo(201);
@@ -123,38 +123,38 @@
     }
 
     @Test
-    void anUpstreamsRefusalIsRead() {
+    void readsAnUpstreamRefusal() {
         final String head = GoldenFile.text("go-answer-head.txt");
-        assertThat(judged(head + "Spokestall-Outcome: not-run\n")).isInstanceOf(AttemptResult.NotRun.class);
-        assertThat(judged(head.replace("Spokestall-Instance: i-1", "Spokestall-Instance: i-2")))
+        assertThat(interpreted(head + "Spokestall-Outcome: not-run\n")).isInstanceOf(AttemptResult.NotRun.class);
+        assertThat(interpreted(head.replace("Spokestall-Instance: i-1", "Spokestall-Instance: i-2")))
                 .isInstanceOf(AttemptResult.Lost.class);
-        assertThat(judged(head.replace("pay-4", "pay-5"))).isInstanceOf(AttemptResult.Lost.class);
+        assertThat(interpreted(head.replace("pay-4", "pay-5"))).isInstanceOf(AttemptResult.Lost.class);
     }
 
     @Test
-    void aReportOfUsageIsWritten() {
+    void writesAUsageReport() {
         final PlatformProtocol.Report report =
                 PLATFORM.report("d1-core", 9, new SealedWindow(345, Map.of("tenant-1", 6L), "d1-core", 9, false));
         final String body = new String(report.body(), StandardCharsets.UTF_8);
-        assertThat("POST " + report.target() + " HTTP/1.1\n" + written(report.headers()) + "\n" + body + "\n")
+        assertThat("POST " + report.target() + " HTTP/1.1\n" + headerText(report.headers()) + "\n" + body + "\n")
                 .isEqualTo(GoldenFile.text("usage-report.txt"));
     }
 
     @Test
-    void theListOfUpstreamsIsRead() {
+    void readsTheListOfUpstreams() {
         assertThat(PLATFORM.listTarget()).isEqualTo("/upstreams");
-        final PlatformProtocol.Page page = PLATFORM.page(GoldenFile.json("upstreams-page.json"));
-        assertThat(page.next()).isNull();
-        assertThat(page.listed())
+        final PlatformProtocol.Page page = PLATFORM.parsePage(GoldenFile.json("upstreams-page.json"));
+        assertThat(page.nextTarget()).isNull();
+        assertThat(page.endpoints())
                 .containsExactly(
                         new ListedEndpoint("i-1", "transfers", "10.3.0.1:80", "d1", "r1", true, 1500, 8),
                         new ListedEndpoint("i-2", "records", "10.3.0.2:80", "d2", "r2", false, -1, 0));
     }
 
     @Test
-    void anUpstreamsStatusIsRead() {
+    void readsAnUpstreamStatus() {
         assertThat(PLATFORM.statusTarget()).isEqualTo("/spokestall/status");
-        assertThat(PLATFORM.status(GoldenFile.json("upstream-status.json")))
+        assertThat(PLATFORM.parseStatus(GoldenFile.json("upstream-status.json")))
                 .isEqualTo(new ProbeResult("i-1", "transfers", true, 1500));
     }
 }
--- a/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
+++ b/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
@@ -29,7 +29,7 @@
     record Hello(long number, String text) implements Message {}
 
     @Test
-    void aWireThatNobodyHearsIsGivenUpAndOpenedAgain() throws Exception {
+    void reconnectsWhenThePeerAcknowledgesNothing() throws Exception {
         MessageRegistry.register(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         final ScheduledExecutorService tick = Executors.newSingleThreadScheduledExecutor();
@@ -55,7 +55,7 @@
 
     @Test
     @SuppressWarnings("AddressSelection") // IPv6 loopback itself is meant, and nothing is looked up.
-    void aWireFromElsewhereIsNotTaken() throws Exception {
+    void rejectsConnectionsFromUntrustedNetworks() throws Exception {
         assertThat(new TrustedNetworks("10.1.0.0/16,10.2.3.4"))
                 .accepts(InetAddress.getByName("10.1.255.9"), InetAddress.getByName("10.2.3.4"))
                 .rejects(
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void messagesArriveWholeAndInOrderOverOneWireThatIsHeard() throws Exception {
+    void deliversMessagesCompleteAndInOrderOverAnAcknowledgedConnection() throws Exception {
         MessageRegistry.register(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 2));
         final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aMessageThatComesInPiecesIsHeardOnceItIsWhole() throws Exception {
+    void deliversAMessageThatArrivesInSeveralReads() throws Exception {
         MessageRegistry.register(202, Hello.class);
         final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         final LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -40,19 +40,19 @@
                 .halt(new NodeProcess(
                                 settings,
                                 core,
-                                new NodeProcess.Around() {
+                                new NodeProcess.Wrappers() {
                                     @Override
-                                    public SegmentStore disk(final SegmentStore disk) {
+                                    public SegmentStore wrapStore(final SegmentStore disk) {
                                         return new Hooked(disk, hooks);
                                     }
 
                                     @Override
-                                    public UsageReportClient platform(final UsageReportClient platform) {
+                                    public UsageReportClient wrapUsageReports(final UsageReportClient platform) {
                                         return (holder, token, window, waitMs, deadline, callback) -> platform.report(
                                                 holder, token, window, waitMs, gap(hooks, deadline), callback);
                                     }
                                 },
-                                ProtocolAdapter.own())
+                                ProtocolAdapter.nativeAdapter())
                         .run());
     }
 
