--- a/spokestall/src/main/java/spokestall/io/protocol/HttpServer.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpServer.java
@@ -22,12 +22,20 @@
 import spokestall.settings.Settings;
 
 /**
- * HTTP for clients and, at an address of their own, for operators. Clients have {@code POST /rpc/where} on every node and
- * asks, which edges answer; operators have {@code POST /rpc/<method>}, and no asks.
+ * The HTTP server of a node, with one address for clients and another for operators. Clients can call {@code POST /rpc/where} on
+ * every node, and send requests for upstreams, which edges serve. Operators can call {@code POST /rpc/<method>} only.
  */
 public final class HttpServer implements Listener {
-    /** Sizes and spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask
-     * was answered before its body had come ends after lingering so long, in which the answer can be read. */
+    /**
+     * Sizes and timeouts, from the settings.
+     *
+     * @param rpcMaxBytes the largest body of an operator's call
+     * @param whereMaxBytes the largest body of a client's {@code where} call
+     * @param bodyTimeoutMs the time for a call's body to arrive before its connection is closed
+     * @param responseTimeoutMs the time for a client to read a response before its connection is closed
+     * @param lingerMs the time for which a connection stays open after a response that was sent before the request was complete, so
+     *     that the client can still read the response
+     */
     record Limits(
             int rpcMaxBytes,
             int whereMaxBytes,
@@ -78,7 +86,7 @@
 
     @Override
     public void applySettings(final Settings settings) {
-        // Its bounds stand as long as the process does.
+        // The sizes and timeouts are fixed for the lifetime of the process.
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -25,7 +25,10 @@
 import spokestall.usage.SendDeadline;
 import spokestall.usage.UsageReportClient;
 
-/** Upstreams and the platform over HTTP, in whichever speech. */
+/**
+ * Sends attempts, probes, endpoint list requests and usage reports over HTTP, in the format of an {@link UpstreamProtocol} and a
+ * {@link PlatformProtocol}. Callbacks run on the event loop.
+ */
 public final class HttpUpstreamClient implements UpstreamClient, DiscoveryClient, UsageReportClient {
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
     private static final int MAX_PAGES = 1000;
@@ -36,7 +39,7 @@
     private final PlatformProtocol platform;
     private final long connectTimeoutMs;
 
-    /** {@code platformAddress} is the platform's. */
+    /** Creates a client of upstreams and of the platform at {@code platformAddress}. */
     public HttpUpstreamClient(
             final HttpClient client,
             final Executor eventLoop,
@@ -91,7 +94,12 @@
                 : upstream.interpret(attempt, (HttpResult.Complete) result);
     }
 
-    /** On a wire of its own: whoever answered there before may be gone, and its old wires still open. */
+    /**
+     * Gets a JSON document; {@code done} receives null if there is none.
+     *
+     * @param freshConnection whether to open a new connection, since the instance that had the address before may be gone while
+     *     connections to it are still open
+     */
     private void getJson(
             final String address,
             final String target,
--- a/spokestall/src/main/java/spokestall/io/protocol/Listener.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/Listener.java
@@ -5,17 +5,17 @@
 import spokestall.node.ClientConnections;
 import spokestall.settings.Settings;
 
-/** What listens to those outside the fleet. */
+/** The server for clients and operators. */
 public interface Listener {
-    /** Begins to listen; throws when an address can't be had. */
+    /** Starts to listen; throws if an address can't be bound. */
     void start() throws IOException;
 
-    /** Goes on with newer settings. */
+    /** Applies changed settings, as far as they can change while the process runs. */
     void applySettings(Settings settings);
 
-    /** Keeps clients to these limits from now on. */
+    /** Applies these limits to clients from now on. */
     void applyLimits(ClientLimits limits);
 
-    /** The connections to those outside. */
+    /** Returns the connections of clients, for a graceful shutdown. */
     ClientConnections connections();
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeClientProtocol.java
@@ -10,7 +10,7 @@
 import spokestall.proxy.RequestHead;
 import spokestall.proxy.Response;
 
-/** spokestall's own speech with clients; docs/protocols.md has it. */
+/** spokestall's own protocol for clients, specified in docs/protocols.md. */
 final class NativeClientProtocol implements ClientProtocol {
     @Override
     public RequestHead readHead(
--- a/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
@@ -11,7 +11,7 @@
 import spokestall.message.Header;
 import spokestall.usage.SealedWindow;
 
-/** spokestall's own speech with a platform; docs/protocols.md has it. */
+/** spokestall's own protocol for a platform, specified in docs/protocols.md. */
 final class NativePlatformProtocol implements PlatformProtocol {
     @Override
     public String listTarget() {
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
@@ -7,7 +7,7 @@
 import spokestall.node.Node;
 import spokestall.settings.Settings;
 
-/** spokestall's own speech, as docs/protocols.md has it. */
+/** spokestall's own protocols, specified in docs/protocols.md. */
 final class NativeProtocolAdapter implements ProtocolAdapter {
     @Override
     public ConfigurationFormat configurationFormat() {
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeUpstreamProtocol.java
@@ -9,7 +9,7 @@
 import spokestall.proxy.Attempt;
 import spokestall.proxy.AttemptResult;
 
-/** spokestall's own speech with upstreams; docs/protocols.md has it. */
+/** spokestall's own protocol for upstreams, specified in docs/protocols.md. */
 final class NativeUpstreamProtocol implements UpstreamProtocol {
     @Override
     public List<Header> headers(final Attempt attempt) {
@@ -24,7 +24,10 @@
         return headers;
     }
 
-    /** An answer counts only if the upstream says it is that instance's answer to that ask. */
+    /**
+     * Accepts a response only if its headers name the attempt's request id and instance. Another instance at the address can reject
+     * the attempt with status 421 and outcome {@code not-run}.
+     */
     @Override
     public AttemptResult interpret(final Attempt attempt, final HttpResult.Complete response) {
         if (!attempt.requestId().equals(response.header("Spokestall-Ask-Id"))) {
--- a/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
@@ -7,26 +7,34 @@
 import spokestall.message.Header;
 import spokestall.usage.SealedWindow;
 
-/** How the platform that lists upstreams and takes reports is spoken to, and how an upstream tells its status. */
+/**
+ * The HTTP format of a platform, which lists upstream endpoints and receives usage reports, and of the status that an upstream
+ * returns to a probe.
+ */
 public interface PlatformProtocol {
-    /** One page of the list; next is the target of the one after it, or null. */
+    /** One page of the endpoint list; {@code nextTarget} is the request target of the next page, null on the last one. */
     record Page(List<ListedEndpoint> endpoints, String nextTarget) {}
 
-    /** A report as it goes out. */
+    /** The HTTP request for a usage report. */
     record Report(String target, List<Header> headers, byte[] body) {}
 
-    /** The first page's target. */
+    /** Returns the request target of the endpoint list's first page. */
     String listTarget();
 
-    /** Reads a page, or null where it is none. */
+    /** Parses a page of the endpoint list; returns null if the document is not one. */
     Page parsePage(JsonNode tree);
 
-    /** Example: {@code protocol.report("d1-core", 17, sealed).target().equals("/usage")} */
+    /**
+     * Returns the request that reports a sealed window.
+     *
+     * @param holder the node that holds the lease for usage reports
+     * @param token the fencing token of its current lease session
+     */
     Report report(String holder, long token, SealedWindow window);
 
-    /** Where an upstream tells its status. */
+    /** Returns the request target at which an upstream returns its status. */
     String statusTarget();
 
-    /** Reads a status, or null where it is none. */
+    /** Parses an upstream's status; returns null if the document is not one. */
     ProbeResult parseStatus(JsonNode tree);
 }
--- a/spokestall/src/main/java/spokestall/io/protocol/ProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/ProtocolAdapter.java
@@ -7,23 +7,22 @@
 import spokestall.settings.Settings;
 
 /**
- * How a node speaks with those outside the fleet: clients, upstreams, operators and the platform. It holds names, forms and
- * calls; what is decided is the node's. spokestall's own is {@link #nativeAdapter}, another may stand in its place.
+ * The protocols between a node and systems outside the fleet: clients, upstreams, operators and the platform. An adapter defines
+ * names, formats and calls; decisions are made by the node. spokestall's own adapter is {@link #nativeAdapter}; a deployment may
+ * replace it.
  */
 public interface ProtocolAdapter {
-    /** How configurations are written down; null for spokestall's own form. */
+    /** Returns the format of configurations; null for spokestall's own format. */
     ConfigurationFormat configurationFormat();
 
-    /** Example: {@code protocol.attempts().headers(attempt)} */
     UpstreamProtocol upstream();
 
-    /** Example: {@code protocol.platform().listTarget()} */
     PlatformProtocol platform();
 
-    /** What listens to those outside. */
+    /** Creates the server for clients and operators; it doesn't listen yet. */
     Listener createListener(Node node, Settings settings, EventLoop eventLoop, XnioWorker worker);
 
-    /** spokestall's own speech. */
+    /** Returns the adapter for spokestall's own protocols. */
     static ProtocolAdapter nativeAdapter() {
         return new NativeProtocolAdapter();
     }
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -30,10 +30,18 @@
 import spokestall.proxy.RequestHead;
 import spokestall.proxy.Response;
 
-/** Takes clients' asks off their wires and brings the answers back, in whichever speech. */
+/**
+ * Receives clients' requests, passes them to the node's {@link AdmissionController} on its event loop, and writes the responses on
+ * the connections' I/O threads. The format is that of a {@link ClientProtocol}.
+ */
 public final class RequestHandler {
-    /** Spans, from the settings. An answer that is not read within its wait ends its wire; a wire whose ask was answered
-     * before its body had come ends after lingering so long, in which the answer can be read. */
+    /**
+     * Timeouts after which a connection is closed.
+     *
+     * @param responseTimeoutMs the time for a client to read a response
+     * @param lingerMs the time for which a connection stays open after a response that was sent before the request was complete, so
+     *     that the client can still read the response
+     */
     public record Timing(long responseTimeoutMs, long lingerMs) {}
 
     private static final AttachmentKey<AtomicReference<AdmittedRequest>> REQUEST =
@@ -44,7 +52,6 @@
     private final ClientProtocol protocol;
     private final Timing timing;
 
-    /** Example: {@code new RequestHandler(node, stage, protocol, new RequestHandler.Timing(30_000, 1000))} */
     public RequestHandler(
             final Node node, final EventLoop eventLoop, final ClientProtocol protocol, final Timing timing) {
         this.node = node;
@@ -53,7 +60,7 @@
         this.timing = timing;
     }
 
-    /** Handles one ask, from its head to its answer. */
+    /** Handles one request, from its head to its response. Called on the connection's I/O thread. */
     public void handle(final HttpServerExchange exchange) {
         final long receivedMs = System.nanoTime() / 1_000_000;
         final String invalidReason = invalidReason(exchange);
@@ -71,13 +78,13 @@
         respond(exchange, new Response(ResultCode.MALFORMED, ExecutionStatus.UNDECIDED, null, null, 0, 0));
     }
 
-    /** What keeps a message from being read in one way only, or null. */
+    /** Returns why a request's head is invalid or can be parsed in more than one way; null if it is valid. */
     static String invalidReason(final HttpServerExchange exchange) {
         final var hosts = exchange.getRequestHeaders().get(Headers.HOST);
         return hosts != null && hosts.size() > 1 ? "Host" : HeaderFields.invalidReason(exchange.getRequestHeaders());
     }
 
-    /** Ends the wire of an exchange that is not that far by then. */
+    /** Closes the exchange's connection if {@code done} is still false after the timeout. */
     static void closeUnless(final HttpServerExchange exchange, final long timeoutMs, final BooleanSupplier done) {
         final XnioExecutor.Key timer = exchange.getIoThread()
                 .executeAfter(
@@ -94,14 +101,14 @@
         });
     }
 
-    /** Whether nothing may be written any more: its answer is under way, or its client has gone. */
+    /** Returns whether no response can be written any more: one has been started, or the connection is closed. */
     private static boolean isAnswered(final HttpServerExchange exchange) {
         return exchange.isResponseStarted()
                 || exchange.isComplete()
                 || !exchange.getConnection().isOpen();
     }
 
-    /** Sends an answer whose headers are set. */
+    /** Sends a response whose headers are already set. Does nothing if a response was started or the connection is closed. */
     void send(final HttpServerExchange exchange, final int status, final byte[] body) {
         if (isAnswered(exchange)) {
             return;
@@ -151,26 +158,26 @@
         }
     }
 
-    /** How long the body is; -1 when that is not known. */
+    /** Returns the length of the request's body, -1 if it isn't known in advance. */
     private static long bodyBytes(final HttpServerExchange exchange) {
         return exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)
                 ? -1
                 : Math.max(0, exchange.getRequestContentLength());
     }
 
-    /** The host that is asked for, without its port. */
+    /** Returns the host from the Host header, in lower case and without its port; empty if there is none. */
     private static String host(final HttpServerExchange exchange) {
         final String host = exchange.getRequestHeaders().getFirst(Headers.HOST);
         return host == null ? "" : PORT_SUFFIX.matcher(host).replaceFirst("").toLowerCase(Locale.ROOT);
     }
 
-    /** The target as it came. Undertow keeps path and query apart, so a lone question mark at the end is lost. */
+    /** Returns the request target as received. Undertow parses path and query separately, so a trailing {@code ?} without a query is lost. */
     private static String target(final HttpServerExchange exchange) {
         final String query = exchange.getQueryString();
         return query == null || query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
     }
 
-    /** Which ask a wire carries now, so that it is told when the wire ends; one listener serves a wire for all its asks. */
+    /** Records the request as the connection's current one, which is notified if the client disconnects. A connection has one close listener for all its requests. */
     private void trackConnection(final HttpServerExchange exchange, final AdmittedRequest request) {
         AtomicReference<AdmittedRequest> tracked = exchange.getConnection().getAttachment(REQUEST);
         if (tracked == null) {
@@ -197,7 +204,7 @@
         }
     }
 
-    /** Who sends the body only when told to is told so now, when the ask is let in. */
+    /** Receives the body of an admitted request. A client that sent {@code Expect: 100-continue} gets its 100 response only now, after admission. */
     private void receiveBody(final HttpServerExchange exchange, final AdmittedRequest request) {
         trackConnection(exchange, request);
         if (!HttpContinue.requiresContinueResponse(exchange)) {
@@ -218,7 +225,7 @@
     }
 
     private void readBody(final HttpServerExchange exchange, final AdmittedRequest request) {
-        // The receiver's own bound leaves the wire open for the answer; an entity bound would cut it.
+        // The receiver's own limit leaves the connection open for the response; Undertow's limit on entity size would close it.
         final Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(Math.max(1, request.serviceLimits().requestMaxBytes()));
         receiver.receiveFullBytes(
--- a/spokestall/src/main/java/spokestall/io/protocol/UpstreamProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/UpstreamProtocol.java
@@ -6,11 +6,11 @@
 import spokestall.proxy.Attempt;
 import spokestall.proxy.AttemptResult;
 
-/** How upstreams are spoken to: names and forms, nothing that decides. */
+/** The HTTP format of attempts and of upstreams' responses to them. Implementations only translate; they make no decisions. */
 public interface UpstreamProtocol {
-    /** All headers of a go, but for its host's and its framing. */
+    /** Returns all headers of an attempt except Host and those that frame the body. */
     List<Header> headers(Attempt attempt);
 
-    /** What an upstream's whole answer means. */
+    /** Returns the result that an upstream's complete response stands for. */
     AttemptResult interpret(Attempt attempt, HttpResult.Complete response);
 }
