--- a/spokestall/src/main/java/spokestall/io/http/ClientConnection.java
+++ b/spokestall/src/main/java/spokestall/io/http/ClientConnection.java
@@ -15,28 +15,35 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * One client's connection: whether a request is under way on it, and since when it rests or waits for the rest of a head.
- * It stands where the connection's bytes are read, so it knows when a head begins. It is ended in order: its sending half
- * is closed, what arrives then is left unread, and a while later it is closed whole.
+ * The state of one client's connection: whether a request is in progress, and since when the connection is idle or waits for the
+ * remainder of a request's head. It is the conduit through which the connection is read, so it notices the first byte of each head.
+ *
+ * <p>A connection is closed gracefully: its sending half is shut down, bytes that arrive afterwards are not read, and after a short
+ * time it is closed completely.
+ *
+ * <p>Threading: reads and timers run on the connection's I/O thread; other methods are synchronized.
  */
 final class ClientConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
-    /** What holds for all connections at a port, as it is now. */
+    /** The current limits for all connections of a listener. */
     interface Limits {
-        /** From the first byte of a request's head until it is whole. */
+        /** Returns the time from the first byte of a request's head until the head is complete. */
         long headTimeoutMs();
 
-        /** From one answer to the next request. */
+        /** Returns the time from a response to the first byte of the next request. */
         long idleTimeoutMs();
 
-        /** Monotonic. */
+        /** Returns the monotonic time. */
         long nowMs();
     }
 
     private static final long NONE = Long.MIN_VALUE;
-    /** For the closing of the sending half to reach the client before what it sends meets a reset. */
+    /**
+     * The time between the shutdown of the sending half and the complete close. The client can see the shutdown before bytes that it
+     * sends are answered with a reset.
+     */
     private static final long LINGER_MS = 1000;
 
-    /** How often a request that is under way is looked at for whether its client is still there. */
+    /** The interval of checks for whether the client of a request in progress has closed its sending half. */
     private static final long END_OF_INPUT_CHECK_MS = 200;
 
     private static final int READ_AHEAD_BYTES = 512;
@@ -53,9 +60,9 @@
     private boolean ended;
     private XnioExecutor.Key timer;
     private long timerMs;
-    /** What was read ahead while a request was under way: the beginning of the next one. */
+    /** Bytes that were read while a request was in progress: the beginning of the next request. */
     private final ByteBuffer readAhead = ByteBuffer.allocate(READ_AHEAD_BYTES).limit(0);
-    /** Run when the client closes its sending half while a request is under way; null while that is of no interest. */
+    /** Run when the client closes its sending half while a request is in progress; null if there is nothing to run. */
     private Runnable onEndOfInput;
 
     private HttpServerExchange watched;
@@ -70,13 +77,13 @@
         this.idleSinceMs = limits.nowMs();
     }
 
-    /** The connection that a request came on. */
+    /** Returns the connection of an exchange. */
     static ClientConnection of(final HttpServerExchange exchange) {
         final HttpServerConnection http = (HttpServerConnection) exchange.getConnection();
         return (ClientConnection) http.getOriginalSourceConduit();
     }
 
-    /** The longest head that this connection takes. */
+    /** Returns the largest head that this connection accepts; fixed when it was opened. */
     int headMaxBytes() {
         return headMaxBytes;
     }
@@ -90,7 +97,7 @@
         return bytes;
     }
 
-    /** A head that came whole is taken before more is read; one of which nothing more is there now must be waited for. */
+    /** Starts the head's timeout. Undertow parses a complete head before it reads again, so a read of no bytes after the start of a head means that the head is incomplete. */
     private synchronized void onRead(final int bytes) {
         if (busy || ended) {
             return;
@@ -110,7 +117,7 @@
         return bytes;
     }
 
-    /** What was read ahead wakes nobody up by itself. */
+    /** Wakes the reader if there are bytes that were read ahead, since the socket doesn't become readable for those. */
     @Override
     public void resumeReads() {
         if (readAhead.hasRemaining()) {
@@ -158,7 +165,7 @@
         task.run();
     }
 
-    /** Reads ahead, if nothing is there yet. A connection that failed is closed by whoever writes to it. */
+    /** Reads ahead, unless bytes were already read ahead, and returns whether the input has ended. A failed read counts as the end; the connection is closed by the next write. */
     private boolean inputEnded() {
         if (readAhead.hasRemaining()) {
             return false;
@@ -174,19 +181,19 @@
         return bytes < 0;
     }
 
-    /** Its bounds count from now on. */
+    /** Starts the idle timeout. */
     synchronized void onOpened() {
         arm();
     }
 
-    /** A request's head is whole. */
+    /** Called when a request's head is complete. */
     synchronized void onRequest(final HttpServerExchange exchange) {
         http = (HttpServerConnection) exchange.getConnection();
         busy = true;
         headSinceMs = NONE;
     }
 
-    /** A request's answer is written. */
+    /** Called when a request's response has been written; {@code last} if the connection then closes. */
     synchronized void onResponseWritten(final boolean last) {
         busy = false;
         onEndOfInput = null;
@@ -201,12 +208,12 @@
         disarm();
     }
 
-    /** Whether a request is under way here or may still come. */
+    /** Returns whether a request is in progress or may still arrive. */
     synchronized boolean isOpen() {
         return !ended;
     }
 
-    /** Ends it if no request is under way; one whose head has come in part is answered as not run. */
+    /** Closes the connection unless a request is in progress. A request whose head is incomplete is answered with status 408. */
     synchronized void closeUnlessBusy() {
         if (busy || ended || http != null && http.getExtraBytes() != null) {
             return;
@@ -218,7 +225,7 @@
         }
     }
 
-    /** A timer that is early enough stays, and looks again when it fires. */
+    /** Arms the timer for the current deadline. A timer that is set for an earlier time is kept, and checks the deadline again when it fires. */
     private void arm() {
         if (busy || ended) {
             return;
@@ -285,7 +292,7 @@
         return connection.getIoThread().executeAfter(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a task where this connection is read and written. */
+    /** Runs a task on the connection's I/O thread. */
     void execute(final Runnable task) {
         connection.getIoThread().execute(task);
     }
--- a/spokestall/src/main/java/spokestall/io/http/HeaderFields.java
+++ b/spokestall/src/main/java/spokestall/io/http/HeaderFields.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import spokestall.message.Header;
 
-/** Header fields between wires: which ones go on, and whether they frame a message in one way only. */
+/** Rules for header fields: which ones a proxy forwards, and which ones make a message invalid or ambiguously framed. */
 public final class HeaderFields {
-    /** Fields that speak of one wire, or that each wire is given anew. */
+    /** Fields that apply to one connection only, or that are set anew for each connection. */
     private static final Set<HttpString> HOP_BY_HOP = Set.of(
             Headers.CONNECTION,
             new HttpString("Keep-Alive"),
@@ -34,7 +34,10 @@
 
     private HeaderFields() {}
 
-    /** The end-to-end fields: none of the wire's, none that Connection names, none of spokestall's own. */
+    /**
+     * Returns the end-to-end fields: all except hop-by-hop fields, fields that the Connection header names, and spokestall's own
+     * fields.
+     */
     public static List<Header> endToEnd(final HeaderMap from) {
         final Set<HttpString> connectionNamed = new HashSet<>();
         final HeaderValues connection = from.get(Headers.CONNECTION);
@@ -66,19 +69,22 @@
         headers.forEach(h -> into.add(new HttpString(h.name()), h.value()));
     }
 
-    /** What is odd about the fields of a message, or null: names and values that could be read as something else, a
-     * length given twice or beside chunks, any coding but chunks alone. */
+    /**
+     * Returns why the fields of a message are invalid, or null if they are valid. Invalid are names and values with characters that
+     * parsers may interpret differently, a repeated or malformed Content-Length, a Content-Length together with a Transfer-Encoding,
+     * and any Transfer-Encoding other than {@code chunked} alone.
+     */
     public static String invalidReason(final HeaderMap headers) {
         for (final HeaderValues values : headers) {
             final String name = values.getHeaderName().toString();
             for (int i = 0; i < name.length(); i++) {
                 if (name.charAt(i) <= ' ' || name.charAt(i) >= 0x7f || NAME_DELIMITERS.indexOf(name.charAt(i)) >= 0) {
-                    return "a field's name";
+                    return "header name";
                 }
             }
             for (final String value : values) {
                 if (!isFieldValue(value)) {
-                    return "a field's value";
+                    return "header value";
                 }
             }
         }
@@ -112,7 +118,7 @@
         return !text.isEmpty() && text.length() <= MAX_LENGTH_DIGITS;
     }
 
-    /** How many characters the fields have together. */
+    /** Returns the total size of the fields in characters, with separators. */
     static int size(final HeaderMap headers) {
         int size = 0;
         for (final HeaderValues values : headers) {
--- a/spokestall/src/main/java/spokestall/io/http/HttpCall.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpCall.java
@@ -8,11 +8,20 @@
 import spokestall.message.Header;
 
 /**
- * One HTTP exchange to be had with an instance at an address; a connection kept from another instance, which had the
- * address before, is not used for it. When the wire is open, {@code sendDeadline} is asked on the gate's thread for the time until
- * which the first bytes may leave, and that is looked at again on the I/O thread right before they do; {@code onSent}
- * is run there once they have. A wire that rested long is used only for what is repeatable: it may have been closed at
- * its other end. A wire that is not open within connectMs is given up, and nothing was sent.
+ * The parameters of one HTTP exchange.
+ *
+ * @param instance the instance expected at the address, {@link #ANY_INSTANCE} for any; an idle connection that was opened to an
+ *     instance that had the address before is not reused
+ * @param timeoutMs the time for the whole exchange
+ * @param connectTimeoutMs the time for the connection to open; after it the exchange ends, and nothing was sent
+ * @param responseMaxBytes the largest response body that is accepted
+ * @param freshConnection whether to open a new connection even if an idle one could be reused
+ * @param idempotent whether the request may be sent twice; others don't reuse a connection that has been idle for long, since the
+ *     peer may have closed it
+ * @param gateExecutor runs {@code sendDeadline}
+ * @param sendDeadline returns the monotonic time in ms at which the request may no longer be sent. Called once the connection is
+ *     open; the I/O thread compares the result with its clock again immediately before it sends the first bytes
+ * @param onSent run on the I/O thread once the request's first bytes are on their way
  */
 public record HttpCall(
         String address,
@@ -29,10 +38,10 @@
         Executor gateExecutor,
         LongSupplier sendDeadline,
         Runnable onSent) {
-    /** Whoever answers at the address. */
+    /** Any instance that has the address. */
     public static final String ANY_INSTANCE = "";
 
-    /** No gate: the bytes may leave whenever the wire is open. */
+    /** Creates an idempotent call to any instance, without a deadline for sending. */
     public static HttpCall withoutGate(
             final String address,
             final String method,
--- a/spokestall/src/main/java/spokestall/io/http/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -32,21 +32,23 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * HTTP to upstreams and the platform by Undertow's client. A wire carries one exchange at a time; one that timed out,
- * broke off or was framed oddly is closed, never used again.
+ * An HTTP client for upstreams, the platform and other nodes, on Undertow's client. A connection carries one exchange at a time. After a
+ * timeout, an error or an invalid response the connection is closed and never reused. Thread-safe.
  */
 public final class HttpClient {
     private static final Pattern KEEP_ALIVE = Pattern.compile("timeout=(\\d{1,6})");
-    /** However long the other end says. */
+    /** The longest time that a connection is kept idle, also if the peer announces a longer one. */
     private static final long MAX_IDLE_MS = 60_000;
 
     private static final int MISDIRECTED = 421;
     private static final Set<String> METHODS_WITHOUT_BODY = Set.of("GET", "HEAD", "DELETE", "OPTIONS");
 
-    /** Hears how an exchange ended, and says whether its connection may be used again: not if the answer belongs to
-     * another request, for then this one's own is still to come. */
+    /** Receives the result of an exchange and decides whether its connection may be reused. */
     public interface ResultHandler {
-        /** Run once, on an I/O thread. */
+        /**
+         * Returns whether the connection may be reused. It may not if the response belongs to another request, since the response to
+         * this request is then still to arrive. Called once, on an I/O thread.
+         */
         boolean onResult(HttpResult result);
     }
 
@@ -56,7 +58,12 @@
     private final LongSupplier nowMs;
     private final IdleConnectionPool idle = new IdleConnectionPool();
 
-    /** A wire rests for less than its other end says, and for restMs where that says nothing. */
+    /**
+     * Creates a client.
+     *
+     * @param idleTimeoutMs the time that an idle connection is kept if the peer announces no timeout in a Keep-Alive header; if it
+     *     does, the connection is kept for less than that
+     */
     public HttpClient(final XnioWorker worker, final ByteBufferPool pool, final long idleTimeoutMs) {
         this(worker, pool, idleTimeoutMs, () -> System.nanoTime() / 1_000_000);
     }
@@ -68,7 +75,7 @@
         this.pool = pool;
     }
 
-    /** Has the exchange; done is run once, on an I/O thread. */
+    /** Starts an exchange; {@code done} runs once, on an I/O thread. */
     public void call(final HttpCall call, final Consumer<HttpResult> done) {
         execute(call, result -> {
             done.accept(result);
@@ -76,20 +83,20 @@
         });
     }
 
-    /** Breaks an exchange off. */
+    /** Cancels an exchange. */
     public interface Cancellation {
-        /** Closes the exchange's connection and ends it as lost, or as not sent; no effect on one that has ended. Any thread. */
+        /** Closes the exchange's connection and ends the exchange as lost or not sent. Has no effect after its end. Any thread. */
         void cancel();
     }
 
-    /** Has the exchange, and uses its connection again only if the judge says so. */
+    /** Starts an exchange, and reuses its connection afterwards only if the handler allows it. */
     public Cancellation execute(final HttpCall call, final ResultHandler handler) {
         final Exchange exchange = new Exchange(call, handler);
         exchange.begin();
         return exchange::cancel;
     }
 
-    /** One exchange. */
+    /** One exchange, from taking or opening a connection to its result. */
     private final class Exchange implements ClientCallback<ClientExchange> {
         private final HttpCall call;
         private final ResultHandler handler;
@@ -127,7 +134,7 @@
                 connectTimer = io.executeAfter(
                         () -> {
                             if (connection == null) {
-                                fail("connect: late");
+                                fail("connect: timeout");
                             }
                         },
                         Math.max(1, call.connectTimeoutMs()),
@@ -169,8 +176,10 @@
             });
         }
 
-        /** The other end closed it, or wrote to it unasked, before any byte of this request left: a kept connection is
-         * replaced by a new one, once. */
+        /**
+         * Handles a connection that the peer closed, or on which it sent unexpected bytes, before any byte of this request was sent. A
+         * reused connection is replaced by a new one, once.
+         */
         private void onClosedBeforeSend(final ClientConnection closed) {
             if (reused) {
                 reused = false;
@@ -218,7 +227,7 @@
 
                 @Override
                 public void failed(final IOException e) {
-                    fail("answer: " + e.getMessage());
+                    fail("response: " + e.getMessage());
                 }
             });
             if (call.body().length > 0) {
@@ -265,7 +274,7 @@
         private void onResponseHead(final ClientExchange exchange) {
             final String invalidReason = ResponseHead.invalidReason(exchange.getResponse(), call.method());
             if (invalidReason != null) {
-                fail("framing: " + invalidReason);
+                fail("invalid response head: " + invalidReason);
                 return;
             }
             responseBody(exchange, exchange.getResponseChannel());
@@ -286,13 +295,13 @@
                         return;
                     }
                     if (responseBody.size() + n > call.responseMaxBytes()) {
-                        fail("answer over " + call.responseMaxBytes() + " bytes");
+                        fail("response body larger than " + call.responseMaxBytes() + " bytes");
                         return;
                     }
                     responseBody.write(buffer.array(), 0, n);
                 }
             } catch (final IOException e) {
-                fail("answer: " + e.getMessage());
+                fail("response: " + e.getMessage());
             }
         }
 
@@ -301,13 +310,13 @@
             final HeaderMap headers = response.getResponseHeaders();
             final boolean reusable =
                     end(new HttpResult.Complete(response.getResponseCode(), headers, responseBody.toByteArray()));
-            // A request that is not all out when its answer is there leaves a connection that is not to be trusted, and
-            // one that leads to another instance would lead there again.
+            // A connection isn't reused if the response arrived before the request was sent completely, or if it leads to
+            // another instance (421), which would receive the next request too.
             final boolean requestSent = !exchange.getRequestChannel().isOpen();
             if (reusable && requestSent && response.getResponseCode() != MISDIRECTED && !announcesClose(headers)) {
                 final long idleMs = idleTimeoutMs(headers.getFirst(Headers.KEEP_ALIVE));
                 final ClientConnection used = connection;
-                // What came along behind the answer is seen first, and closes it.
+                // Queued behind the handling of any extra bytes after the response, which closes the connection.
                 used.getIoThread().execute(() -> idle.keep(peer, used, idleMs, nowMs.getAsLong()));
             } else {
                 IoUtils.safeClose(connection);
@@ -322,7 +331,7 @@
                             .anyMatch(one -> one.trim().equalsIgnoreCase("close"));
         }
 
-        /** Well below what the other end says, whose time runs from earlier and may be told in whole seconds. */
+        /** Returns 70% of the timeout that the peer announces: the peer's timer started earlier, and the value may be rounded to whole seconds. */
         private long idleTimeoutMs(final String keepAlive) {
             final Matcher announced = KEEP_ALIVE.matcher(keepAlive == null ? "" : keepAlive);
             return announced.find() ? Math.min(MAX_IDLE_MS, Long.parseLong(announced.group(1)) * 700) : idleTimeoutMs;
@@ -342,7 +351,7 @@
             }
         }
 
-        /** Whether the connection may be used again, by the judge's word. */
+        /** Ends the exchange with a result, unless it has ended; returns whether the handler allows the connection to be reused. */
         private boolean end(final HttpResult result) {
             if (!ended.compareAndSet(false, true)) {
                 return false;
--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -23,7 +23,10 @@
 import spokestall.configuration.ClientLimits;
 import spokestall.node.ClientConnections;
 
-/** Listens for HTTP at some addresses, keeps to the clients' limits in force, and ends connections in order. */
+/**
+ * Listens for HTTP on one or more addresses, applies the current client limits, and closes connections gracefully. The limits and the
+ * methods of {@link ClientConnections} may be called from any thread; connections are handled on their I/O threads.
+ */
 public final class HttpListener implements ClientConnections {
     private record Listener(InetSocketAddress address, HttpHandler handler) {}
 
@@ -58,7 +61,6 @@
     private volatile ClientLimits applyLimits;
     private volatile boolean closeAfterResponse;
 
-    /** Example: {@code new HttpListener(worker, OptionMap.EMPTY, OptionMap.EMPTY, configuration.limits())} */
     public HttpListener(
             final XnioWorker worker,
             final OptionMap socketOptions,
@@ -71,12 +73,12 @@
         this.idleLimit = new IdleLimit(limits.idleTimeoutMs(), connectionLimits.nowMs());
     }
 
-    /** Listens at an address too, from its start on. */
+    /** Adds an address to listen on and the handler of its requests. Called before {@link #start}. */
     public void listen(final InetSocketAddress address, final HttpHandler handler) {
         listeners.add(new Listener(address, handler));
     }
 
-    /** Example: {@code port.start();} */
+    /** Starts to listen on all added addresses. */
     public void start() throws IOException {
         final boolean small = Runtime.getRuntime().maxMemory() < SMALL_HEAP_BYTES;
         final ByteBufferPool buffers =
@@ -145,7 +147,7 @@
         final ClientConnection client = ClientConnection.of(exchange);
         client.onRequest(exchange);
         exchange.addResponseCommitListener(e -> {
-            // A connection that was opened under a tighter bound would not take what clients may send now.
+            // A connection keeps the head size limit that it was opened with, which may be lower than the current one.
             if (closeAfterResponse || client.headMaxBytes() < applyLimits.headMaxBytes()) {
                 e.setPersistent(false);
             }
@@ -157,7 +159,7 @@
         handler.handleRequest(exchange);
     }
 
-    /** Keeps clients to these limits from now on. */
+    /** Applies these limits from now on, to open connections too; those with a lower head size limit close after their next response. */
     public void applyLimits(final ClientLimits newLimits) {
         if (newLimits.equals(applyLimits)) {
             return;
--- a/spokestall/src/main/java/spokestall/io/http/HttpResult.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpResult.java
@@ -2,19 +2,19 @@
 
 import io.undertow.util.HeaderMap;
 
-/** How an HTTP exchange with an outside system ended. */
+/** The result of one HTTP exchange with an upstream, the platform or a node. */
 public sealed interface HttpResult {
-    /** A whole, framed answer. */
+    /** A complete, unambiguously framed response arrived. */
     record Complete(int status, HeaderMap headers, byte[] body) implements HttpResult {
-        /** A header, or null. */
+        /** Returns the first value of a header, null if there is none. */
         public String header(final String name) {
             return headers.getFirst(name);
         }
     }
 
-    /** No byte left. */
+    /** No byte of the request was sent. */
     record NotSent(String reason) implements HttpResult {}
 
-    /** Bytes may have left. */
+    /** Bytes of the request may have been sent, and no complete response arrived. */
     record Lost(String reason) implements HttpResult {}
 }
--- a/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
@@ -10,11 +10,11 @@
 import org.xnio.IoUtils;
 
 /**
- * Connections kept between two exchanges, by the peer that they were opened to. Each rests for a time of its own and is
- * forgotten once it is closed. The number of peers and of connections to each is bounded.
+ * Idle connections for reuse, by the peer that they were opened to. Each connection has its own idle timeout, and is removed when it
+ * is closed. The number of peers and the number of connections to each peer are limited. Thread-safe.
  */
 final class IdleConnectionPool {
-    /** Who answers at the other end: an address, and the instance that had it then; an instance is empty if any will do. */
+    /** The address that a connection was opened to, and the instance that had the address then; an empty instance stands for any. */
     record Peer(String address, String instance) {}
 
     private record Idle(ClientConnection connection, long sinceMs, long idleTimeoutMs) {
@@ -25,13 +25,13 @@
 
     private static final int MAX_PER_PEER = 16;
     private static final int MAX_PEERS = 4096;
-    /** A call that must not be sent twice takes no connection that has used up more of its rest: the other end may be
+    /** Calls that aren't idempotent take no connection that has been idle for a larger share of its timeout, because the peer may be
      * closing it. */
     private static final double NON_IDEMPOTENT_IDLE_SHARE = 0.5;
 
     private final Map<Peer, Deque<Idle>> byPeer = new HashMap<>();
 
-    /** The connection kept last that may still be used, or null. */
+    /** Removes and returns the most recently kept connection that may still be used, or null; closes the unusable ones that it finds. */
     synchronized ClientConnection take(final Peer peer, final boolean idempotent, final long nowMs) {
         final Deque<Idle> connections = byPeer.get(peer);
         if (connections == null) {
@@ -52,7 +52,7 @@
         return found;
     }
 
-    /** Keeps a connection on which nothing is outstanding. */
+    /** Adds a connection that has no exchange in progress. Closes it if there are too many peers, or the oldest one of this peer if there are too many of those. */
     synchronized void keep(
             final Peer peer, final ClientConnection connection, final long idleTimeoutMs, final long nowMs) {
         if (!byPeer.containsKey(peer) && byPeer.size() >= MAX_PEERS) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Forgets a connection that was closed. */
+    /** Removes a connection that was closed. */
     synchronized void remove(final Peer peer, final ClientConnection connection) {
         final Deque<Idle> connections = byPeer.get(peer);
         if (connections != null && connections.removeIf(i -> i.connection == connection) && connections.isEmpty()) {
@@ -77,13 +77,13 @@
         }
     }
 
-    /** How many peers have a connection here. */
+    /** Returns the number of peers with an idle connection. */
     synchronized int peers() {
         return byPeer.size();
     }
 
     private void closeExpired(final long nowMs) {
-        // Closing one comes back here to forget it, so they are taken out first.
+        // Closing a connection calls remove() through its close listener, so all are taken out of the map before any is closed.
         final List<ClientConnection> expired = new ArrayList<>();
         for (final Deque<Idle> connections : byPeer.values()) {
             while (!connections.isEmpty() && connections.peekFirst().hasUsedUp(nowMs, 1)) {
--- a/spokestall/src/main/java/spokestall/io/http/IdleLimit.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleLimit.java
@@ -1,8 +1,8 @@
 package spokestall.io.http;
 
 /**
- * How long a client's connection may rest. A limit that is lowered counts only when a rest that was begun under the
- * older one is over, so that no client is cut short that kept to what it knew.
+ * The idle timeout of clients' connections. A raised timeout applies at once. A lowered one applies only after the previous timeout
+ * has elapsed, so that a connection that became idle under the previous timeout gets all of it. Thread-safe.
  */
 final class IdleLimit {
     private long limitMs;
--- a/spokestall/src/main/java/spokestall/io/http/ResponseHead.java
+++ b/spokestall/src/main/java/spokestall/io/http/ResponseHead.java
@@ -7,7 +7,7 @@
 import io.undertow.util.Protocols;
 import java.util.regex.Pattern;
 
-/** Whether the head of a response can be read in one way only, and is one response's. */
+/** Validates the head of a response: it must be unambiguous, of limited size, and not be made of parts of two responses. */
 final class ResponseHead {
     private static final int MAX_SIZE = 16 << 10;
     private static final int MIN_FINAL_STATUS = 200;
@@ -15,19 +15,19 @@
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
-    /** The first line of a response, which stands within another's head where a part of that one came just before. */
+    /** The status line of a response. Inside a head it shows that part of another response was sent immediately before this one. */
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/\\d\\.\\d \\d{3}");
 
     private ResponseHead() {}
 
-    /** What is odd about it, or null. */
+    /** Returns why the head is invalid, or null if it is valid. */
     static String invalidReason(final ClientResponse response, final String method) {
         final HttpString protocol = response.getProtocol();
         if (!protocol.equals(Protocols.HTTP_1_1) && !protocol.equals(Protocols.HTTP_1_0)) {
             return "protocol";
         }
         if (containsStatusLine(response)) {
-            return "two responses in one";
+            return "status line inside the head";
         }
         final String field = HeaderFields.invalidReason(response.getResponseHeaders());
         if (field != null) {
@@ -53,7 +53,7 @@
         return false;
     }
 
-    /** Whether status and length fit, so that it is known where the response ends. */
+    /** Returns whether status and length headers agree, so that the end of the response is known. */
     private static boolean isFramed(final ClientResponse response, final String method) {
         final int status = response.getResponseCode();
         if (status < MIN_FINAL_STATUS || status > MAX_STATUS) {
--- a/spokestall/src/main/java/spokestall/io/http/package-info.java
+++ b/spokestall/src/main/java/spokestall/io/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP as a transport: a listener for clients and operators, and a client for upstreams and the platform.
+ * HTTP transport: a listener for clients and operators, and a client for upstreams and the platform.
  *
  * <p>Owns: client connections and their limits ({@link spokestall.io.http.HttpListener}), connections kept between exchanges
  * ({@link spokestall.io.http.IdleConnectionPool}), one exchange ({@link spokestall.io.http.HttpCall}, {@link
