--- a/spokestall/src/main/java/spokestall/io/Addresses.java
+++ b/spokestall/src/main/java/spokestall/io/Addresses.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses addresses of IPv4 number and port. Host names are never looked up. Thread-safe. */
+/** Parses addresses of an IPv4 address and a port. Host names are never looked up. Thread-safe. */
 public final class Addresses {
     private static final int IPV4_BYTES = 4;
 
--- a/spokestall/src/main/java/spokestall/io/AuditFiles.java
+++ b/spokestall/src/main/java/spokestall/io/AuditFiles.java
@@ -38,7 +38,7 @@
 public final class AuditFiles implements AuditSink {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** Where the number stands in a file name. */
+    /** The position of the number in a file name. */
     private static final int NUMBER_FROM = 6;
 
     private static final int NUMBER_TO = 14;
@@ -57,7 +57,7 @@
     private final AtomicInteger dropped = new AtomicInteger();
     private final ArrayDeque<String> newest = new ArrayDeque<>();
     private AuditChain chain;
-    /** The last line that was written, after which the chain continues; null if there is none. */
+    /** The last line written, which the chain continues; null if there is none. */
     private String lastLine;
 
     private FileChannel file;
@@ -79,11 +79,11 @@
     }
 
     /**
-     * Opens the directory's audit, or begins one, and adds a {@code start} entry.
+     * Opens the directory's audit, or creates one, and adds a {@code start} entry.
      *
      * @param node the node's name
-     * @param maxFiles files that are kept
-     * @param maxFileBytes size after which a file is not continued
+     * @param maxFiles the number of files that are kept
+     * @param maxFileBytes size from which on a new file is started
      * @throws IOException if files can't be read or written, or hold no audit that can be continued
      */
     public static AuditFiles open(
@@ -96,7 +96,7 @@
             audit.resume();
             return audit;
         } catch (final JOSEException | ParseException e) {
-            throw new IOException("the audit in " + directory + " can't be continued: " + e.getMessage(), e);
+            throw new IOException("can't continue the audit in " + directory + ": " + e.getMessage(), e);
         }
     }
 
@@ -189,7 +189,7 @@
         try {
             writeLine(line);
         } catch (final IOException e) {
-            // The entry takes no number in the chain, and the rest of its line is removed.
+            // The entry gets no number in the chain, and the part of its line that was written is removed.
             chain = new AuditChain(key, lastLine);
             file.truncate(endOffset);
             throw e;
@@ -211,7 +211,7 @@
         file.force(false);
     }
 
-    /** Replaces the current file by one that fails, in tests. */
+    /** Replaces the current file, so that tests can make writes fail. */
     void replaceFile(final FileChannel replacement) {
         file = replacement;
     }
--- a/spokestall/src/main/java/spokestall/io/DataDirectory.java
+++ b/spokestall/src/main/java/spokestall/io/DataDirectory.java
@@ -13,8 +13,8 @@
 
 /**
  * Ownership of a core's data directory: it belongs to one node, has one format, and is used by one process at a time. A directory
- * that belongs to another node, has another format or has a log but no owner is refused and left as it is. Called once, at start;
- * blocks.
+ * that belongs to another node, has another format, or has a log but no owner file is rejected and not changed. Called once, at
+ * start; blocks.
  *
  * <p>Files: {@code lock}, locked while the process runs; {@code owner}, one line with format and node name, synced under another name
  * and then renamed, so that it is complete or absent.
@@ -25,9 +25,9 @@
     private DataDirectory() {}
 
     /**
-     * Takes a directory for a node, creating it if there is none.
+     * Claims a directory for a node, creating it if there is none.
      *
-     * @return null if the node owns the directory now, else the reason why not, for the operator
+     * @return null if the node now owns the directory, otherwise the reason for the operator
      * @throws IOException if a file in the directory can't be read or written
      */
     public static String open(final Path directory, final String name) throws IOException {
@@ -36,9 +36,9 @@
         try {
             Files.createDirectories(directory);
         } catch (final FileSystemException e) {
-            return directory + " can't be made a folder: " + e.getMessage();
+            return directory + " can't be created as a directory: " + e.getMessage();
         }
-        // The channel is not closed: the lock is meant to last until the process ends.
+        // The channel is not closed, so the lock lasts until the process ends.
         if (FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)
                         .tryLock()
                 == null) {
@@ -48,10 +48,10 @@
             final String found = Files.readString(owner);
             return found.equals(expected)
                     ? null
-                    : directory + " is of '" + found.trim() + "', not of '" + expected.trim() + "'";
+                    : directory + " belongs to '" + found.trim() + "', not to '" + expected.trim() + "'";
         }
         if (Files.exists(directory.resolve("ring"))) {
-            return directory + " has a ring but no owner; it is not overwritten";
+            return directory + " has a log (ring) but no owner file; it is not overwritten";
         }
         final Path temporary = directory.resolve("owner.new");
         try (FileChannel file = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
--- a/spokestall/src/main/java/spokestall/io/EventLoop.java
+++ b/spokestall/src/main/java/spokestall/io/EventLoop.java
@@ -17,7 +17,7 @@
  */
 public final class EventLoop implements Executor {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    /** Events after which other event loops get their turn on the worker. */
+    /** The most events in one turn, after which other event loops can use the worker. */
     private static final int MAX_EVENTS_PER_TURN = 64;
 
     private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
--- a/spokestall/src/main/java/spokestall/io/ShutdownLogManager.java
+++ b/spokestall/src/main/java/spokestall/io/ShutdownLogManager.java
@@ -3,9 +3,9 @@
 import java.util.logging.LogManager;
 
 /**
- * A log manager that keeps its handlers while the process shuts down. That of the JDK removes them in a shutdown hook, beside
- * which the node's own runs, so that nothing a graceful shutdown does would be logged. Made by the JDK, once {@link ShutdownLogging}
- * has chosen it.
+ * A log manager that keeps its handlers while the process shuts down. The JDK's own log manager removes them in a shutdown hook, which
+ * runs concurrently with the node's, so a graceful shutdown could not log. The JDK creates this one after {@link ShutdownLogging} has
+ * selected it.
  */
 public final class ShutdownLogManager extends LogManager {
     @Override
--- a/spokestall/src/main/java/spokestall/io/SystemClock.java
+++ b/spokestall/src/main/java/spokestall/io/SystemClock.java
@@ -6,13 +6,13 @@
 import spokestall.time.Clock;
 
 /**
- * The process's clock. Events that were scheduled run on its event loop. Thread-safe.
+ * The clock of the process. Scheduled events run on the event loop. Thread-safe.
  */
 public final class SystemClock implements Clock {
     private final XnioExecutor timer;
     private final Executor eventLoop;
 
-    /** Schedules on an I/O thread's timer. */
+    /** Creates a clock that schedules on an I/O thread's timer and runs events on an event loop. */
     public SystemClock(final XnioExecutor timer, final Executor eventLoop) {
         this.timer = timer;
         this.eventLoop = eventLoop;
--- a/spokestall/src/main/java/spokestall/io/http/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -277,10 +277,10 @@
                 fail("invalid response head: " + invalidReason);
                 return;
             }
-            responseBody(exchange, exchange.getResponseChannel());
+            readBody(exchange, exchange.getResponseChannel());
         }
 
-        private void responseBody(final ClientExchange exchange, final StreamSourceChannel channel) {
+        private void readBody(final ClientExchange exchange, final StreamSourceChannel channel) {
             final ByteBuffer buffer = ByteBuffer.allocate(8192);
             try {
                 while (true) {
@@ -290,7 +290,7 @@
                         return;
                     }
                     if (n == 0) {
-                        channel.getReadSetter().set(c -> responseBody(exchange, channel));
+                        channel.getReadSetter().set(c -> readBody(exchange, channel));
                         channel.resumeReads();
                         return;
                     }
@@ -310,7 +310,8 @@
             final HeaderMap headers = response.getResponseHeaders();
             final boolean reusable =
                     end(new HttpResult.Complete(response.getResponseCode(), headers, responseBody.toByteArray()));
-            // A connection isn't reused if the response arrived before the request was sent completely, or if it leads to
+            // A connection isn't reused if the response arrived before the request was sent completely, or if it leads
+            // to
             // another instance (421), which would receive the next request too.
             final boolean requestSent = !exchange.getRequestChannel().isOpen();
             if (reusable && requestSent && response.getResponseCode() != MISDIRECTED && !announcesClose(headers)) {
--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -44,7 +44,7 @@
     private final ClientConnection.Limits connectionLimits = new ClientConnection.Limits() {
         @Override
         public long headTimeoutMs() {
-            return applyLimits.headTimeoutMs();
+            return limits.headTimeoutMs();
         }
 
         @Override
@@ -58,7 +58,7 @@
         }
     };
     private final IdleLimit idleLimit;
-    private volatile ClientLimits applyLimits;
+    private volatile ClientLimits limits;
     private volatile boolean closeAfterResponse;
 
     public HttpListener(
@@ -69,7 +69,7 @@
         this.worker = worker;
         this.socketOptions = socketOptions;
         this.httpOptions = httpOptions;
-        this.applyLimits = limits;
+        this.limits = limits;
         this.idleLimit = new IdleLimit(limits.idleTimeoutMs(), connectionLimits.nowMs());
     }
 
@@ -91,7 +91,7 @@
                 .addAll(socketOptions)
                 .getMap();
         for (final Listener listener : listeners) {
-            final HttpOpenListener openListener = new HttpOpenListener(buffers, options(applyLimits));
+            final HttpOpenListener openListener = new HttpOpenListener(buffers, options(limits));
             openListener.setRootHandler(exchange -> handle(exchange, listener.handler()));
             openListeners.add(openListener);
             final AcceptingChannel<StreamConnection> channel = worker.createStreamConnectionServer(
@@ -115,7 +115,7 @@
     }
 
     private void onAccepted(final StreamConnection connection, final HttpOpenListener openListener) {
-        final ClientConnection client = new ClientConnection(connection, connectionLimits, applyLimits.headMaxBytes());
+        final ClientConnection client = new ClientConnection(connection, connectionLimits, limits.headMaxBytes());
         connection.getSourceChannel().setConduit(client);
         clients.add(client);
         client.onOpened();
@@ -148,7 +148,7 @@
         client.onRequest(exchange);
         exchange.addResponseCommitListener(e -> {
             // A connection keeps the head size limit that it was opened with, which may be lower than the current one.
-            if (closeAfterResponse || client.headMaxBytes() < applyLimits.headMaxBytes()) {
+            if (closeAfterResponse || client.headMaxBytes() < limits.headMaxBytes()) {
                 e.setPersistent(false);
             }
         });
@@ -161,10 +161,10 @@
 
     /** Applies these limits from now on, to open connections too; those with a lower head size limit close after their next response. */
     public void applyLimits(final ClientLimits newLimits) {
-        if (newLimits.equals(applyLimits)) {
+        if (newLimits.equals(limits)) {
             return;
         }
-        applyLimits = newLimits;
+        limits = newLimits;
         idleLimit.change(newLimits.idleTimeoutMs(), connectionLimits.nowMs());
         openListeners.forEach(opener -> opener.setUndertowOptions(options(newLimits)));
     }
--- a/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
@@ -83,7 +83,8 @@
     }
 
     private void closeExpired(final long nowMs) {
-        // Closing a connection calls remove() through its close listener, so all are taken out of the map before any is closed.
+        // Closing a connection calls remove() through its close listener, so all are taken out of the map before any is
+        // closed.
         final List<ClientConnection> expired = new ArrayList<>();
         for (final Deque<Idle> connections : byPeer.values()) {
             while (!connections.isEmpty() && connections.peekFirst().hasUsedUp(nowMs, 1)) {
--- a/spokestall/src/main/java/spokestall/io/process/HangupSignal.java
+++ b/spokestall/src/main/java/spokestall/io/process/HangupSignal.java
@@ -4,8 +4,8 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The signal SIGHUP, which says that the settings have changed. Without a handler the Java runtime takes it for a request
- * to end, so it is caught first thing in a process; one that comes before anyone listens is kept for the listener.
+ * The signal SIGHUP, which announces changed settings. Without a handler the Java runtime ends the process on this signal, so the
+ * handler is installed first in a process. A signal that arrives before a listener is set is kept for that listener. Thread-safe.
  */
 public final class HangupSignal {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -14,15 +14,15 @@
     private Runnable listener;
     private boolean pending;
 
-    /** A signal of its own, for tests; a process has {@link #process}. */
+    /** Creates a separate instance, for tests; a process uses {@link #process}. */
     HangupSignal() {}
 
-    /** The process's own. */
+    /** Returns the instance that the process's signal handler notifies. */
     public static HangupSignal process() {
         return PROCESS;
     }
 
-    /** Catches the signal from now on, where the machine has it. */
+    /** Installs the signal handler; logs a warning if the platform has no such signal. */
     public static void install() {
         try {
             handle();
@@ -31,8 +31,10 @@
         }
     }
 
-    /** The module jdk.unsupported, in every JDK, has the only way to catch a signal. It is called by name: the compiler
-     * warns of any other use of it, and no annotation silences that. */
+    /**
+     * Handles the signal through {@code sun.misc.Signal} in the module jdk.unsupported, the only API for signals, which every JDK has.
+     * The class is used by reflection, because the compiler warns of any direct use and no annotation suppresses that warning.
+     */
     private static void handle() throws ReflectiveOperationException {
         final Class<?> signal = Class.forName("sun.misc.Signal");
         final Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -47,7 +49,7 @@
                 .invoke(null, signal.getConstructor(String.class).newInstance(NAME), raise);
     }
 
-    /** Tells this one of each signal; it must only hand on. */
+    /** Sets the listener, which runs on each signal. It runs on the signal handler's thread and must only pass the signal on. */
     public synchronized void setListener(final Runnable newListener) {
         listener = newListener;
         if (pending) {
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -37,16 +37,16 @@
 import spokestall.time.Clock;
 import spokestall.usage.UsageReportClient;
 
-/** A node as a process: the rim around it, from its start to a clean stop. */
+/** Runs a node as a process: creates its threads, files and sockets, starts it, and shuts it down gracefully. */
 public final class NodeProcess {
-    /** What may stand between a node and its machine; the shipped program puts nothing there. */
+    /** Wrappers around the node's storage and usage reports, for fault injection; the shipped program uses none. */
     public interface Wrappers {
-        /** Example: {@code around.disk(segments)} */
+        /** Returns the store that the node uses instead of {@code disk}. */
         default SegmentStore wrapStore(final SegmentStore disk) {
             return disk;
         }
 
-        /** Example: {@code around.platform(outside)} */
+        /** Returns the client that the node uses instead of {@code platform}. */
         default UsageReportClient wrapUsageReports(final UsageReportClient platform) {
             return platform;
         }
@@ -54,10 +54,10 @@
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int EVENT_QUEUE_CAPACITY = 8192;
-    /** How often the settings file is looked at; a change that is signalled is read at once. */
+    /** The interval of checks for whether the settings file has changed; on a signal the file is read at once. */
     private static final long SETTINGS_CHECK_INTERVAL_MS = 2000;
 
-    /** How long a stop may take beyond its time, for a core's roles to be released. */
+    /** The time beyond {@code stopWaitMs} that a shutdown may take, for a core to release its roles. */
     private static final long ROLES_RELEASE_MS = 400;
 
     private final Settings settings;
@@ -67,29 +67,35 @@
     private final ProtocolAdapter protocol;
     private Node node;
 
-    /** Example: {@code new NodeProcess(settings, true).run()} */
+    /** Creates a process with spokestall's own protocols and constant settings. */
     public NodeProcess(final Settings settings, final boolean core) {
         this(settings, core, new Wrappers() {}, ProtocolAdapter.nativeAdapter());
     }
 
-    /** Example: {@code new NodeProcess(settings, true, ProtocolAdapter.own()).run()} */
+    /** Creates a process with constant settings. */
     public NodeProcess(final Settings settings, final boolean core, final ProtocolAdapter protocol) {
         this(settings, core, new Wrappers() {}, protocol);
     }
 
-    /** With settings that may change while it runs. */
+    /** Creates a process whose settings may change while it runs. */
     public NodeProcess(
             final Settings settings, final SettingsSource source, final boolean core, final ProtocolAdapter protocol) {
         this(settings, source, core, new Wrappers() {}, protocol);
     }
 
-    /** Example: {@code new NodeProcess(settings, true, new NodeProcess.Around() { }, Speech.own()).run()} */
+    /** Creates a process with constant settings and wrappers. */
     public NodeProcess(
             final Settings settings, final boolean core, final Wrappers wrappers, final ProtocolAdapter protocol) {
         this(settings, SettingsSource.constant(settings), core, wrappers, protocol);
     }
 
-    /** All of it. */
+    /**
+     * Creates a process.
+     *
+     * @param settings the settings at the start
+     * @param source the source of changed settings
+     * @param core whether the node is a core; otherwise it is an edge
+     */
     public NodeProcess(
             final Settings settings,
             final SettingsSource source,
@@ -103,7 +109,7 @@
         this.core = core;
     }
 
-    /** Runs until the process is told to stop; the exit code is 0 after a clean stop, 2 if it could not start. */
+    /** Runs the node until the process is asked to stop. Returns the exit code: 0 after a graceful shutdown, 2 if the node could not be started. */
     public int run() throws IOException {
         final XnioWorker worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -132,7 +138,7 @@
                             eventLoop))
                     : null;
         } catch (final IOException e) {
-            return startFailed("data: the ring's files can't be made: " + e.getMessage());
+            return startFailed("data: can't create the log files in ring: " + e.getMessage());
         }
         final AuditSink audit = openAudit(Executors.newSingleThreadExecutor());
         final Clock clock = new SystemClock(timer, eventLoop);
@@ -171,7 +177,7 @@
         });
         await(created);
         if (node == null) {
-            return startFailed("the node could not be made; see the log");
+            return startFailed("the node could not be created; see the log");
         }
         final Listener server = protocol.createListener(node, settings, eventLoop, worker);
         try {
@@ -202,7 +208,7 @@
         return 0;
     }
 
-    /** Settings are read and checked off the stage, and taken on it. */
+    /** Reloads settings on a signal or when their file changes. They are read and validated on {@code reader} and applied on the event loop. */
     private void watchSettings(
             final XnioIoThread timer, final Executor reader, final EventLoop eventLoop, final Listener server) {
         final SettingsReloader reloader = new SettingsReloader(
@@ -215,14 +221,16 @@
         }
     }
 
-    /** What runs the stage's turns: workers of its own, or the thread that has its timers and wires. There an event goes
-     * from a wire to the stage and back without waking another thread. */
+    /**
+     * Returns the executor of the event loop's turns: a thread pool of its own, or, without workers, the I/O thread of its timers and
+     * connections. On the I/O thread an event passes from a connection to the event loop and back without waking another thread.
+     */
     private Executor eventLoopExecutor(final XnioIoThread io) {
         final int workers = (int) settings.integer("workers");
         return workers == 0 ? io : Executors.newFixedThreadPool(workers);
     }
 
-    /** A core goes on without its audit, and says so, rather than not at all. */
+    /** Opens a core's audit. If that fails, the core logs a warning and runs without an audit instead of not starting. */
     private AuditSink openAudit(final ExecutorService writer) {
         if (!core || settings.integer("auditFiles") == 0) {
             return AuditSink.NONE;
--- a/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
+++ b/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
@@ -14,11 +14,11 @@
 import spokestall.settings.SettingsSource;
 
 /**
- * Notices that the settings have changed, by a signal or by the file's state, reads them anew and hands on what is good.
- * Settings that can't be read or are wrong are logged and leave those in force.
+ * Reloads the settings on a signal or when the state of their file changes, and passes valid ones on. If the settings can't be read or
+ * are invalid, that is logged and the current settings remain in effect.
  */
 final class SettingsReloader {
-    /** What tells two states of a file apart without reading it. */
+    /** The attributes that show a change of the file without reading it. */
     private record FileState(FileTime modified, long bytes, Object fileKey) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -27,7 +27,7 @@
     private final Consumer<Settings> onChanged;
     private Optional<FileState> lastSeen;
 
-    /** The reader carries out one task after the other. */
+    /** Creates a reloader; {@code reader} must run one task at a time. */
     SettingsReloader(final SettingsSource source, final Executor reader, final Consumer<Settings> onChanged) {
         this.source = source;
         this.reader = reader;
@@ -35,7 +35,7 @@
         this.lastSeen = currentState();
     }
 
-    /** Reads anew if the file is another than at the last look. */
+    /** Reloads the settings if the file has changed since it was last read. */
     void checkFile() {
         reader.execute(() -> {
             if (!currentState().equals(lastSeen)) {
@@ -44,13 +44,13 @@
         });
     }
 
-    /** Reads anew, whether or not the file seems changed. */
+    /** Reloads the settings, even if the file looks unchanged. */
     void reload() {
         reader.execute(this::read);
     }
 
     private void read() {
-        // The state is taken before the content: a change in between is read at the next look.
+        // The state is read before the content, so a change in between is detected by the next check.
         lastSeen = currentState();
         final SettingsResult read = source.read();
         if (read instanceof SettingsResult.Invalid bad) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** A file that is gone or can't be looked at has no state; it is read again once it has one. */
+    /** Returns the file's state; empty if the file is missing or inaccessible. The file is read again once it has a state. */
     private Optional<FileState> currentState() {
         final Optional<Path> file = source.file();
         if (file.isEmpty()) {
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -225,7 +225,8 @@
     }
 
     private void readBody(final HttpServerExchange exchange, final AdmittedRequest request) {
-        // The receiver's own limit leaves the connection open for the response; Undertow's limit on entity size would close it.
+        // The receiver's own limit leaves the connection open for the response; Undertow's limit on entity size would
+        // close it.
         final Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(Math.max(1, request.serviceLimits().requestMaxBytes()));
         receiver.receiveFullBytes(
--- a/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -27,7 +27,15 @@
 import spokestall.message.MessageSender;
 import spokestall.message.UnknownMessageException;
 
-/** The wires to other processes: framed messages over TCP, one wire out to each, with a bounded queue in front. */
+/**
+ * Messages to and from other nodes over TCP, each in a frame of its length (4 bytes) and its bytes. There is one outgoing connection
+ * to each address, with a bounded queue. Messages that exceed the queue, or that are queued when the connection fails, are dropped.
+ *
+ * <p>The receiving side returns one byte after it has read. A connection on which such an acknowledgement is overdue is closed; after
+ * a short delay the next message opens a new one.
+ *
+ * <p>Threading: {@link #send} from any thread; received messages are delivered on I/O threads.
+ */
 public final class TcpTransport implements MessageSender {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int MAX_FRAME_BYTES = MessageCodec.MAX_FIELD_BYTES + (1 << 20);
@@ -35,9 +43,9 @@
     private static final long MAX_QUEUED_BYTES = 2L * MAX_FRAME_BYTES;
     private static final long RECONNECT_DELAY_MS = 200;
     private static final int MAX_LOGGED = 64;
-    /** What one read takes at the most: most messages come whole, head and all, by a single one. */
+    /** The most bytes that one read returns. Most messages arrive complete, with their length, in a single read. */
     private static final int READ_BYTES = 4096;
-    /** As many signs of being heard are read at once; one is enough to know. */
+    /** The most acknowledgement bytes that are read at once; any number of them acknowledges the connection. */
     private static final int ACK_READ_BYTES = 64;
 
     private final XnioWorker worker;
@@ -49,7 +57,15 @@
     private final Map<String, OutgoingConnection> outgoing = new ConcurrentHashMap<>();
     private AcceptingChannel<StreamConnection> server;
 
-    /** A wire out that gives no sign of being heard for so long is given up and opened anew. */
+    /**
+     * Creates a transport.
+     *
+     * @param receiver receives each message, on an I/O thread
+     * @param ackTimeoutMs the time without an acknowledgement after which an outgoing connection is closed and opened again; an attempt
+     *     to connect may take twice as long
+     * @param encodedVersion the version in which messages are encoded
+     * @param trusted accepts the addresses whose connections are accepted
+     */
     public TcpTransport(
             final XnioWorker worker,
             final Consumer<Message> receiver,
@@ -63,7 +79,7 @@
         this.receiver = receiver;
     }
 
-    /** Example: {@code connections.listen(Addresses.of("127.0.0.1:7100"));} */
+    /** Starts to accept connections at an address. */
     public void listen(final InetSocketAddress address) throws IOException {
         server = worker.createStreamConnectionServer(
                 address,
@@ -91,11 +107,11 @@
         }
         IoUtils.safeClose(connection);
         if (logged.size() < MAX_LOGGED && logged.add(from.getHostAddress())) {
-            LOG.atWarning().log("event=wire_refused from=%s why=\"not among peers\"", from.getHostAddress());
+            LOG.atWarning().log("event=wire_refused from=%s why=\"not in a trusted network\"", from.getHostAddress());
         }
     }
 
-    /** Example: {@code connections.close();} */
+    /** Stops accepting connections and closes the outgoing ones. */
     public void close() {
         IoUtils.safeClose(server);
         outgoing.values().forEach(OutgoingConnection::close);
@@ -112,7 +128,7 @@
         connection.getSourceChannel().resumeReads();
     }
 
-    /** One wire that came in. */
+    /** A connection that a peer opened. */
     private final class IncomingConnection {
         private final StreamConnection connection;
         private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BYTES);
@@ -129,8 +145,8 @@
                 int n = channel.read(readBuffer.clear());
                 while (n > 0) {
                     ackOwed = true;
-                    take(readBuffer.flip());
-                    // A read that was not filled took all there was.
+                    consume(readBuffer.flip());
+                    // A read that does not fill the buffer has returned all available bytes.
                     n = n < READ_BYTES ? 0 : channel.read(readBuffer.clear());
                 }
                 acknowledge();
@@ -143,7 +159,7 @@
             }
         }
 
-        private void take(final ByteBuffer bytes) throws IOException {
+        private void consume(final ByteBuffer bytes) throws IOException {
             while (bytes.hasRemaining()) {
                 final int part = Math.min(bytes.remaining(), frame.remaining());
                 frame.put(bytes.slice().limit(part));
@@ -154,7 +170,10 @@
             }
         }
 
-        /** One byte back for any that were heard, so that a long note on a slow wire counts too: the other side sees that someone is there. */
+        /**
+         * Returns one byte after each read, so that a peer also sees progress while it sends a large message over a slow connection. A
+         * byte that can't be written now is returned after the next read.
+         */
         private void acknowledge() throws IOException {
             if (ackOwed) {
                 ackOwed = connection.getSinkChannel().write(ByteBuffer.allocate(1)) == 0;
@@ -166,18 +185,18 @@
             if (readingLength) {
                 final int length = frame.flip().getInt();
                 if (length < 2 || length > MAX_FRAME_BYTES) {
-                    throw new IOException("frame of " + length + " bytes");
+                    throw new IOException("invalid frame length " + length);
                 }
                 frame = ByteBuffer.allocate(length);
             } else {
-                take();
+                deliver();
                 frame = ByteBuffer.allocate(4);
             }
             readingLength = !readingLength;
         }
 
-        /** What came after this program is skipped, and named once; the wire stays. */
-        private void take() throws IOException {
+        /** Delivers a message. Messages of types or versions newer than this program are skipped and logged once each; the connection stays open. */
+        private void deliver() throws IOException {
             try {
                 receiver.accept(MessageCodec.decode(frame.array()));
             } catch (final UnknownMessageException e) {
@@ -189,7 +208,7 @@
         }
     }
 
-    /** One wire out. */
+    /** The connection to one peer, opened when there is a message to send. */
     private final class OutgoingConnection {
         private final String address;
         private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
--- a/spokestall/src/main/java/spokestall/io/transport/TrustedNetworks.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TrustedNetworks.java
@@ -6,13 +6,13 @@
 import java.util.function.Predicate;
 import spokestall.io.Addresses;
 
-/** Whose wires a node takes: those from some networks, given as IP numbers with how many of their bits count. */
+/** Accepts IPv4 addresses that belong to one of several networks in CIDR notation. Thread-safe. */
 public final class TrustedNetworks implements Predicate<InetAddress> {
     private record Network(int address, int mask) {}
 
     private final List<Network> networks = new ArrayList<>();
 
-    /** From a checked setting, such as {@code 10.1.0.0/16,10.2.3.4}. */
+    /** Parses a validated setting such as {@code 10.1.0.0/16,10.2.3.4}; an address without a prefix length stands for itself only. */
     public TrustedNetworks(final String setting) {
         for (final String network : setting.split(",")) {
             final String[] parts = network.split("/");
--- a/spokestall/src/main/java/spokestall/io/transport/package-info.java
+++ b/spokestall/src/main/java/spokestall/io/transport/package-info.java
@@ -4,8 +4,8 @@
  * <p>Owns: one outgoing connection to each peer, with a bounded queue, and the connections that peers open ({@link
  * spokestall.io.transport.TcpTransport}); which networks may open them ({@link spokestall.io.transport.TrustedNetworks}).
  *
- * <p>Invariants: a message may be lost or late, but not altered; frames beyond the bound end the connection. Nothing waits for a
- * peer: what exceeds a queue is dropped.
+ * <p>Invariants: a message may be lost or late, but not altered; a frame above the size limit closes the connection. Nothing waits for a
+ * peer: messages that exceed a queue are dropped.
  *
  * <p>Callers: {@code io.process}. State machines see {@code message.MessageSender} only.
  */
