--- a/spokestall/src/main/java/spokestall/io/http/ClientConnection.java
+++ b/spokestall/src/main/java/spokestall/io/http/ClientConnection.java
@@ -38,8 +38,8 @@
 
     private static final long NONE = Long.MIN_VALUE;
     /**
-     * The time between the shutdown of the sending half and the complete close. The client can see the shutdown before bytes that it
-     * sends are answered with a reset.
+     * The time between the shutdown of the sending half and the complete close, so that the client can see the shutdown before bytes
+     * that it sends are answered with a reset.
      */
     private static final long LINGER_MS = 1000;
 
@@ -97,7 +97,10 @@
         return bytes;
     }
 
-    /** Starts the head's timeout. Undertow parses a complete head before it reads again, so a read of no bytes after the start of a head means that the head is incomplete. */
+    /**
+     * Notices the start of a head and arms its timeout. Undertow parses a complete head before it reads again, so a read of no bytes
+     * after the start of a head means that the head is incomplete.
+     */
     private synchronized void onRead(final int bytes) {
         if (busy || ended) {
             return;
@@ -165,7 +168,10 @@
         task.run();
     }
 
-    /** Reads ahead, unless bytes were already read ahead, and returns whether the input has ended. A failed read counts as the end; the connection is closed by the next write. */
+    /**
+     * Reads ahead, unless bytes were already read ahead, and returns whether the input has ended. A failed read counts as its end; the
+     * connection is closed by the next write.
+     */
     private boolean inputEnded() {
         if (readAhead.hasRemaining()) {
             return false;
@@ -225,7 +231,10 @@
         }
     }
 
-    /** Arms the timer for the current deadline. A timer that is set for an earlier time is kept, and checks the deadline again when it fires. */
+    /**
+     * Arms the timer for the current deadline. A timer that is set for an earlier time is kept, and checks the deadline again when
+     * it fires.
+     */
     private void arm() {
         if (busy || ended) {
             return;
--- a/spokestall/src/main/java/spokestall/io/http/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -332,7 +332,10 @@
                             .anyMatch(one -> one.trim().equalsIgnoreCase("close"));
         }
 
-        /** Returns 70% of the timeout that the peer announces: the peer's timer started earlier, and the value may be rounded to whole seconds. */
+        /**
+         * Returns the time that the connection may be idle: 70% of the timeout that the peer announces, since the peer's timer started
+         * earlier and the value may be rounded to whole seconds, but at most {@link #MAX_IDLE_MS}.
+         */
         private long idleTimeoutMs(final String keepAlive) {
             final Matcher announced = KEEP_ALIVE.matcher(keepAlive == null ? "" : keepAlive);
             return announced.find() ? Math.min(MAX_IDLE_MS, Long.parseLong(announced.group(1)) * 700) : idleTimeoutMs;
--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -159,7 +159,10 @@
         handler.handleRequest(exchange);
     }
 
-    /** Applies these limits from now on, to open connections too; those with a lower head size limit close after their next response. */
+    /**
+     * Applies these limits from now on, to open connections too; those with a lower head size limit close after their next
+     * response.
+     */
     public void applyLimits(final ClientLimits newLimits) {
         if (newLimits.equals(limits)) {
             return;
--- a/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
+++ b/spokestall/src/main/java/spokestall/io/http/IdleConnectionPool.java
@@ -31,7 +31,10 @@
 
     private final Map<Peer, Deque<Idle>> byPeer = new HashMap<>();
 
-    /** Removes and returns the most recently kept connection that may still be used, or null; closes the unusable ones that it finds. */
+    /**
+     * Removes and returns the most recently kept connection that may still be used, or null; closes the unusable ones that it
+     * finds.
+     */
     synchronized ClientConnection take(final Peer peer, final boolean idempotent, final long nowMs) {
         final Deque<Idle> connections = byPeer.get(peer);
         if (connections == null) {
@@ -52,7 +55,10 @@
         return found;
     }
 
-    /** Adds a connection that has no exchange in progress. Closes it if there are too many peers, or the oldest one of this peer if there are too many of those. */
+    /**
+     * Adds a connection that has no exchange in progress. It is closed if the pool has too many peers; if the peer has too many
+     * connections, the one that was added first is closed.
+     */
     synchronized void keep(
             final Peer peer, final ClientConnection connection, final long idleTimeoutMs, final long nowMs) {
         if (!byPeer.containsKey(peer) && byPeer.size() >= MAX_PEERS) {
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -109,7 +109,10 @@
         this.core = core;
     }
 
-    /** Runs the node until the process is asked to stop. Returns the exit code: 0 after a graceful shutdown, 2 if the node could not be started. */
+    /**
+     * Runs the node until the process is asked to stop. Returns the exit code: 0 after a graceful shutdown, 2 if the node could not
+     * be started.
+     */
     public int run() throws IOException {
         final XnioWorker worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -208,7 +211,10 @@
         return 0;
     }
 
-    /** Reloads settings on a signal or when their file changes. They are read and validated on {@code reader} and applied on the event loop. */
+    /**
+     * Reloads settings on a signal or when their file changes. They are read and validated on {@code reader} and applied on the
+     * event loop.
+     */
     private void watchSettings(
             final XnioIoThread timer, final Executor reader, final EventLoop eventLoop, final Listener server) {
         final SettingsReloader reloader = new SettingsReloader(
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -171,13 +171,19 @@
         return host == null ? "" : PORT_SUFFIX.matcher(host).replaceFirst("").toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the request target as received. Undertow parses path and query separately, so a trailing {@code ?} without a query is lost. */
+    /**
+     * Returns the request target as received. Undertow parses path and query separately, so a trailing {@code ?} without a query is
+     * lost.
+     */
     private static String target(final HttpServerExchange exchange) {
         final String query = exchange.getQueryString();
         return query == null || query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
     }
 
-    /** Records the request as the connection's current one, which is notified if the client disconnects. A connection has one close listener for all its requests. */
+    /**
+     * Records the request as the connection's current one, which is notified if the client disconnects. A connection has one close
+     * listener for all its requests.
+     */
     private void trackConnection(final HttpServerExchange exchange, final AdmittedRequest request) {
         AtomicReference<AdmittedRequest> tracked = exchange.getConnection().getAttachment(REQUEST);
         if (tracked == null) {
@@ -204,7 +210,10 @@
         }
     }
 
-    /** Receives the body of an admitted request. A client that sent {@code Expect: 100-continue} gets its 100 response only now, after admission. */
+    /**
+     * Receives the body of an admitted request. A client that sent {@code Expect: 100-continue} gets its 100 response only now,
+     * after admission.
+     */
     private void receiveBody(final HttpServerExchange exchange, final AdmittedRequest request) {
         trackConnection(exchange, request);
         if (!HttpContinue.requiresContinueResponse(exchange)) {
--- a/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -195,7 +195,10 @@
             readingLength = !readingLength;
         }
 
-        /** Delivers a message. Messages of types or versions newer than this program are skipped and logged once each; the connection stays open. */
+        /**
+         * Delivers a message. Messages of types or versions that this program doesn't know are skipped and logged once each; the
+         * connection stays open.
+         */
         private void deliver() throws IOException {
             try {
                 receiver.accept(MessageCodec.decode(frame.array()));
--- a/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
+++ b/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
@@ -58,7 +58,7 @@
                 case 2 -> bad.add(at, bad.get(random.nextInt(bad.size())));
                 default -> {
                     final char[] line = bad.get(at).toCharArray();
-                    // The last character of a base64url part may have bits that don't count.
+                    // The last character of a base64url part may contain unused bits.
                     final int c = random.nextInt(line.length - 1);
                     line[c] = line[c] == 'A' ? 'B' : 'A';
                     bad.set(at, new String(line));
--- a/spokestall/src/test/java/spokestall/io/EventLoopTest.java
+++ b/spokestall/src/test/java/spokestall/io/EventLoopTest.java
@@ -10,7 +10,7 @@
 class EventLoopTest {
     private static final int CAPACITY = 3;
 
-    /** Turns that the loop asked its workers to run. */
+    /** Turns that the event loop submitted to its workers. */
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
 
     private final List<Integer> ran = new ArrayList<>();
--- a/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
@@ -25,7 +25,7 @@
 import org.xnio.XnioWorker;
 import spokestall.message.Header;
 
-/** Which connection a request leaves on, and what its outcome is called, against a server made of bytes. */
+/** Which connection a request is sent on, and with which result the exchange ends, against a server that writes raw bytes. */
 class HttpClientTest {
     private static final int WAIT_MS = 10_000;
     private static final String NAME = "X-Request";
@@ -47,7 +47,7 @@
         server.close();
     }
 
-    /** The far end of one connection. */
+    /** Accepts one connection on the server's side. */
     private Socket accept() throws IOException {
         final Socket socket = server.accept();
         socket.setSoTimeout(WAIT_MS);
@@ -55,7 +55,7 @@
         return socket;
     }
 
-    /** The value of the request's name, once its head has come. */
+    /** Reads a request's head and returns the value of its name header. */
     private static String request(final Socket socket) throws IOException {
         final StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -75,7 +75,7 @@
         socket.getOutputStream().write(latin.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Comes back when the client has closed its end. */
+    /** Waits until the client closes the connection. */
     private static void awaitClosed(final Socket socket) throws IOException {
         final InputStream in = socket.getInputStream();
         assertThat(in.read()).as("the client closes the connection").isEqualTo(-1);
@@ -119,7 +119,7 @@
         return result;
     }
 
-    /** A first exchange, whose connection is kept. */
+    /** Completes a first exchange, and returns its connection on the server's side; the client keeps it for reuse. */
     private Socket idleConnection(final String instance) throws Exception {
         final BlockingQueue<HttpResult> first = call("first", instance, Runnable::run);
         final Socket socket = accept();
@@ -130,7 +130,7 @@
         return socket;
     }
 
-    /** Comes back when the I/O thread has done what it was at, and what that left to be done. */
+    /** Waits until the I/O thread has run its current task and the tasks that this one queued. */
     private void settle() throws InterruptedException {
         final CountDownLatch done = new CountDownLatch(1);
         worker.getIoThread().execute(() -> worker.getIoThread().execute(done::countDown));
@@ -156,8 +156,10 @@
         }
     }
 
-    /** A second answer to the first request, in the place where that to the second one is expected: the second one's is
-     * still to come, and would be taken for the third one's. */
+    /**
+     * The server sends a second response to the first request where the response to the second request is expected. If the connection were
+     * reused, the second request's response would be taken for the third request's.
+     */
     @Test
     void closesTheConnectionAfterAResponseToAnotherRequest() throws Exception {
         try (Socket socket = idleConnection("i-1")) {
@@ -170,8 +172,10 @@
         }
     }
 
-    /** A part of an extra answer, and the request's own answer right behind it, make one message: with the status of the
-     * one and the rest of the other, wherever the part ends. */
+    /**
+     * Part of an extra response, directly followed by the request's own response, can be parsed as a single message with the status of the
+     * first and the remainder of the second. Checked for each length of the part.
+     */
     @Test
     void neverMixesAPartialExtraResponseIntoTheNextOne() throws Exception {
         final String extra = "HTTP/1.1 500 Bad\r\n" + NAME + ": first\r\nX-More: and more\r\n\r";
--- a/spokestall/src/test/java/spokestall/io/http/HttpListenerTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpListenerTest.java
@@ -22,7 +22,7 @@
 import spokestall.configuration.ClientLimits;
 import spokestall.testsupport.LoopbackPort;
 
-/** Clients' connections at a real port. */
+/** Client connections over real sockets. */
 class HttpListenerTest {
     private static final int HEAD_BYTES = 2048;
     private static final long HEAD_TIMEOUT_MS = 400;
@@ -68,7 +68,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One answer's head and its body of four bytes, if it has one. */
+    /** Reads one response and returns its head; a body has four bytes. */
     private static String response(final Socket socket) throws IOException {
         final InputStream in = socket.getInputStream();
         final StringBuilder head = new StringBuilder();
--- a/spokestall/src/test/java/spokestall/io/http/IdleConnectionPoolTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleConnectionPoolTest.java
@@ -17,7 +17,7 @@
     private final IdleConnectionPool pool = new IdleConnectionPool();
     private final Peer peer = new Peer("10.0.0.1:80", "i-1");
 
-    /** Knows only whether it is open, and tells the table when it is closed. */
+    /** Returns a fake connection that can only be open or closed, and that removes itself from the pool when it is closed. */
     private ClientConnection connection(final Peer of) {
         final AtomicBoolean open = new AtomicBoolean(true);
         final ClientConnection[] made = new ClientConnection[1];
@@ -75,7 +75,7 @@
         closed.close();
         assertThat(pool.peers()).isZero();
         pool.keep(peer, closed, IDLE_MS, 1);
-        assertThat(pool.peers()).as("one that is closed is not kept").isZero();
+        assertThat(pool.peers()).as("a closed connection is not kept").isZero();
     }
 
     @Test
@@ -91,9 +91,9 @@
         }
         assertThat(pool.peers()).isEqualTo(MAX_PEERS);
         final Peer more = new Peer("10.0.0.2:80", "i");
-        assertThat(kept(more, IDLE_MS / 2).isOpen()).as("no room").isFalse();
+        assertThat(kept(more, IDLE_MS / 2).isOpen()).as("the pool is full").isFalse();
         assertThat(kept(more, IDLE_MS + MAX_PER_PEER).isOpen())
-                .as("room is made by those that rested")
+                .as("expired connections make room")
                 .isTrue();
         assertThat(pool.peers()).isLessThan(MAX_PEERS);
     }
--- a/spokestall/src/test/java/spokestall/io/http/IdleConnectionTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/IdleConnectionTest.java
@@ -22,7 +22,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** How long a connection without a request may be kept and used again, over sockets and with a clock of the test's. */
+/** How long an idle connection is kept for reuse, over real sockets and with a simulated clock. */
 class IdleConnectionTest {
     private static final long IDLE_MS = 1000;
     private final AtomicLong nowMs = new AtomicLong(1_000_000);
@@ -44,7 +44,7 @@
         worker.shutdownNow();
     }
 
-    /** Answers every request on every connection, with a further header field if there is one. */
+    /** Starts a server that responds to every request on every connection, with an additional header line unless it is empty. */
     private ServerSocket server(final String field) throws IOException {
         final ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         daemon(() -> {
@@ -66,7 +66,7 @@
             try {
                 task.run();
             } catch (final IOException e) {
-                // The test is over.
+                // The test has ended and closed the sockets.
             }
         });
         thread.setDaemon(true);
@@ -110,7 +110,8 @@
                 () -> {});
         client.call(call, result -> {
             assertThat(result).isInstanceOf(HttpResult.Complete.class);
-            // The connection is kept by a task that is queued after this callback: the latch's comes after that one.
+            // The client keeps the connection in a task that it queues after this callback, so the latch is released
+            // after that task.
             worker.getIoThread().execute(() -> worker.getIoThread().execute(kept::countDown));
         });
         assertThat(kept.await(20, TimeUnit.SECONDS)).isTrue();
@@ -126,7 +127,7 @@
             nowMs.addAndGet(3_600);
             call(server, false);
             assertThat(connections)
-                    .as("what runs once takes none that was idle for half of that")
+                    .as("a call that is not idempotent reuses no connection that was idle for half of its timeout")
                     .hasValue(2);
             nowMs.addAndGet(7_100);
             call(server, true);
--- a/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/io/protocol/HeadsFormatTest.java
@@ -23,7 +23,7 @@
 import spokestall.testsupport.GoldenFile;
 import spokestall.usage.SealedWindow;
 
-/** The heads of spokestall's own interface: with clients, with upstreams and with a platform. */
+/** The heads of messages in spokestall's own protocols with clients, upstreams and a platform. */
 class HeadsFormatTest {
     private static final NativeClientProtocol REQUESTS = new NativeClientProtocol();
     private static final NativeUpstreamProtocol ATTEMPTS = new NativeUpstreamProtocol();
@@ -43,7 +43,7 @@
             1000,
             false);
 
-    /** The header fields of a head whose first line is its start line. */
+    /** Returns the header fields of a head, whose first line is skipped because it is the start line. */
     private static HeaderMap fields(final List<String> head) {
         final HeaderMap fields = new HeaderMap();
         for (final String line : head.subList(1, head.size())) {
@@ -60,7 +60,7 @@
         return text.toString();
     }
 
-    /** The fields in the order of their names: a map of them has none of its own. */
+    /** Returns the fields sorted by name, because the header map has no defined order. */
     private static String sorted(final HeaderMap headers) {
         final List<String> lines = new ArrayList<>();
         headers.forEach(values -> values.forEach(value -> lines.add(values.getHeaderName() + ": " + value + "\n")));
@@ -89,7 +89,7 @@
         assertThat(head.requestId()).isEqualTo("t1-17-1000.pay-4");
         assertThat(head.remainingMs()).isEqualTo(2500);
         assertThat(head.headers())
-                .as("what is passed on")
+                .as("headers that are forwarded")
                 .containsExactlyInAnyOrder(new Header("Content-Type", "application/json"), new Header("X-Trace", "7"));
     }
 
--- a/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
+++ b/spokestall/src/test/java/spokestall/io/transport/TcpTransportTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    @SuppressWarnings("AddressSelection") // IPv6 loopback itself is meant, and nothing is looked up.
+    @SuppressWarnings("AddressSelection") // The IPv6 loopback address itself is needed; no name is looked up.
     void rejectsConnectionsFromUntrustedNetworks() throws Exception {
         assertThat(new TrustedNetworks("10.1.0.0/16,10.2.3.4"))
                 .accepts(InetAddress.getByName("10.1.255.9"), InetAddress.getByName("10.2.3.4"))
@@ -71,7 +71,9 @@
         there.listen(Addresses.of("127.0.0.1:" + port));
         try (Socket stranger = new Socket(InetAddress.getLoopbackAddress(), port)) {
             stranger.setSoTimeout(10_000);
-            assertThat(stranger.getInputStream().read()).as("the wire is ended").isEqualTo(-1);
+            assertThat(stranger.getInputStream().read())
+                    .as("the connection is closed")
+                    .isEqualTo(-1);
         }
         assertThat(heard).isEmpty();
         there.close();
@@ -119,7 +121,7 @@
                 new DataOutputStream(bytes).writeInt(frame.length);
                 bytes.write(frame);
             }
-            // Each piece is known to have been read before the next one leaves, by the byte that comes back for it.
+            // The acknowledgement byte shows that the receiver has read a piece before the next one is sent.
             final byte[] all = bytes.toByteArray();
             for (int from = 0; from < all.length; from += 8191) {
                 connection.getOutputStream().write(all, from, Math.min(8191, all.length - from));
