--- a/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -185,7 +185,7 @@
             if (readingLength) {
                 final int length = frame.flip().getInt();
                 if (length < 2 || length > MAX_FRAME_BYTES) {
-                    throw new IOException("invalid frame length " + length);
+                    throw new IOException("invalid frame length: " + length + " bytes");
                 }
                 frame = ByteBuffer.allocate(length);
             } else {
