--- a/spokestall/src/main/java/spokestall/io/http/HttpListener.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpListener.java
@@ -104,13 +104,13 @@
         }
     }
 
-    private OptionMap options(final ClientLimits of) {
+    private OptionMap options(final ClientLimits limits) {
         return OptionMap.builder()
                 .set(UndertowOptions.BUFFER_PIPELINED_DATA, true)
                 .set(UndertowOptions.DECODE_URL, false)
                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                 .addAll(httpOptions)
-                .set(UndertowOptions.MAX_HEADER_SIZE, of.headMaxBytes())
+                .set(UndertowOptions.MAX_HEADER_SIZE, limits.headMaxBytes())
                 .getMap();
     }
 
@@ -169,7 +169,7 @@
         }
         limits = newLimits;
         idleLimit.change(newLimits.idleTimeoutMs(), connectionLimits.nowMs());
-        openListeners.forEach(opener -> opener.setUndertowOptions(options(newLimits)));
+        openListeners.forEach(openListener -> openListener.setUndertowOptions(options(newLimits)));
     }
 
     @Override
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -123,27 +123,27 @@
                         .getMap());
         final XnioIoThread timer = worker.getIoThread();
         final EventLoop eventLoop = new EventLoop(eventLoopExecutor(timer), EVENT_QUEUE_CAPACITY);
-        final ExecutorService disk = Executors.newSingleThreadExecutor();
+        final ExecutorService diskExecutor = Executors.newSingleThreadExecutor();
         if (core) {
             final String error = DataDirectory.open(Path.of(settings.text("data")), settings.text("name"));
             if (error != null) {
                 return startFailed("data: " + error);
             }
         }
-        final SegmentStore segments;
+        final SegmentStore segmentStore;
         try {
-            segments = core
+            segmentStore = core
                     ? wrappers.wrapStore(FileSegmentStore.open(
                             Path.of(settings.text("data"), "ring"),
                             (int) settings.integer("ringSegments"),
                             (int) settings.integer("ringSegmentBytes"),
-                            new EventLoop(disk, 1 << 16),
+                            new EventLoop(diskExecutor, 1 << 16),
                             eventLoop))
                     : null;
         } catch (final IOException e) {
             return startFailed("data: can't create the log files in ring: " + e.getMessage());
         }
-        final AuditSink audit = openAudit(Executors.newSingleThreadExecutor());
+        final AuditSink auditSink = openAudit(Executors.newSingleThreadExecutor());
         final Clock clock = new SystemClock(timer, eventLoop);
         final TcpTransport transport = new TcpTransport(
                 worker,
@@ -168,11 +168,11 @@
                                 clock,
                                 new Random(new SecureRandom().nextLong()),
                                 transport,
-                                segments,
+                                segmentStore,
                                 upstreams,
                                 upstreams,
                                 wrappers.wrapUsageReports(upstreams),
-                                audit),
+                                auditSink),
                         protocol.configurationFormat());
             } finally {
                 created.countDown();
@@ -195,12 +195,12 @@
             node.start();
         });
         watchSettings(timer, worker, eventLoop, server);
-        final CountDownLatch stopped = new CountDownLatch(1);
+        final CountDownLatch shutdownComplete = new CountDownLatch(1);
         final CountDownLatch transportClosed = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            eventLoop.execute(() -> node.shutDown(server.connections(), stopped::countDown));
+            eventLoop.execute(() -> node.shutDown(server.connections(), shutdownComplete::countDown));
             try {
-                stopped.await(settings.integer("stopWaitMs") + ROLES_RELEASE_MS, TimeUnit.MILLISECONDS);
+                shutdownComplete.await(settings.integer("stopWaitMs") + ROLES_RELEASE_MS, TimeUnit.MILLISECONDS);
             } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -176,11 +176,11 @@
     public void report(
             final String holder,
             final long token,
-            final SealedWindow window,
+            final SealedWindow sealed,
             final long timeoutMs,
             final SendDeadline deadline,
             final ReportCallback callback) {
-        final PlatformProtocol.Report report = platform.report(holder, token, window);
+        final PlatformProtocol.Report report = platform.report(holder, token, sealed);
         client.call(
                 new HttpCall(
                         platformAddress,
--- a/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativePlatformProtocol.java
@@ -43,10 +43,10 @@
     }
 
     @Override
-    public Report report(final String holder, final long token, final SealedWindow window) {
-        final ObjectNode body = ConfigurationStore.JSON.createObjectNode().put("window", window.window());
+    public Report report(final String holder, final long token, final SealedWindow sealed) {
+        final ObjectNode body = ConfigurationStore.JSON.createObjectNode().put("window", sealed.window());
         final ObjectNode counts = body.putObject("counts");
-        window.counts().forEach(counts::put);
+        sealed.counts().forEach(counts::put);
         return new Report(
                 "/usage",
                 List.of(
--- a/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/PlatformProtocol.java
@@ -30,7 +30,7 @@
      * @param holder the node that holds the lease for usage reports
      * @param token the fencing token of its current lease session
      */
-    Report report(String holder, long token, SealedWindow window);
+    Report report(String holder, long token, SealedWindow sealed);
 
     /** Returns the request target at which an upstream returns its status. */
     String statusTarget();
--- a/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
+++ b/spokestall/src/main/java/spokestall/io/transport/TcpTransport.java
@@ -83,12 +83,12 @@
     public void listen(final InetSocketAddress address) throws IOException {
         server = worker.createStreamConnectionServer(
                 address,
-                (ChannelListener<AcceptingChannel<StreamConnection>>) a -> {
+                (ChannelListener<AcceptingChannel<StreamConnection>>) acceptingChannel -> {
                     try {
-                        StreamConnection connection = a.accept();
+                        StreamConnection connection = acceptingChannel.accept();
                         while (connection != null) {
                             onAccepted(connection);
-                            connection = a.accept();
+                            connection = acceptingChannel.accept();
                         }
                     } catch (final IOException e) {
                         LOG.atWarning().log("event=accept_trouble why=%s", e.getMessage());
