--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -23,7 +23,7 @@
 public final class Auditor {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** How many of the newest windows are remembered as written, so that a repeated one is not written again. */
-    private static final int WINDOWS_KEPT = 64;
+    private static final int MAX_REMEMBERED_WINDOWS = 64;
 
     private final AuditSink sink;
     private final ConfigurationStore configurationStore;
@@ -119,7 +119,7 @@
             final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.fencingToken());
             new TreeMap<>(sealed.counts()).forEach(entry.putObject("counts")::put);
             sink.append("window", entry);
-            if (writtenWindows.size() > WINDOWS_KEPT) {
+            if (writtenWindows.size() > MAX_REMEMBERED_WINDOWS) {
                 writtenWindows.pollFirst();
             }
         }
--- a/spokestall/src/main/java/spokestall/cli/EdgeLookup.java
+++ b/spokestall/src/main/java/spokestall/cli/EdgeLookup.java
@@ -45,7 +45,8 @@
             return;
         }
         // Another node at each attempt, and not the same one for all clients.
-        final String node = nodes.get(Math.floorMod(request.id().hashCode() + request.attempt(), nodes.size()));
+        final String node =
+                nodes.get(Math.floorMod(request.runUniqueId().hashCode() + request.attempt(), nodes.size()));
         final ObjectNode params = ConfigurationStore.JSON
                 .createObjectNode()
                 .put("client", request.client())
--- a/spokestall/src/main/java/spokestall/cli/LoadClient.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadClient.java
@@ -58,7 +58,7 @@
     void attempt(final LoadRequest request) {
         lookup.find(request, found -> {
             if (found.isPresent()) {
-                send(request.named(found.get().ticket()), found.get());
+                send(request.withRequestId(found.get().ticket()), found.get());
             } else {
                 retry(request, "nowhere", NO_EDGE_BACKOFF_MS);
             }
@@ -66,19 +66,19 @@
     }
 
     private void send(final LoadRequest request, final EdgeLookup.Edges edges) {
-        final long leftMs = options.deadlineMs() - (MonotonicTime.nowMs() - request.begunMs());
+        final long leftMs = options.deadlineMs() - (MonotonicTime.nowMs() - request.startedAtMs());
         if (leftMs <= 0) {
-            end(request, "out-of-time", null);
+            finish(request, "out-of-time", null);
             return;
         }
         final String edge =
                 edges.addresses().get(request.attempt() % edges.addresses().size());
         final Map<String, String> headers = new TreeMap<>();
         headers.put("Spokestall-Key", request.kind().key());
-        headers.put("Spokestall-Ask-Id", request.name());
+        headers.put("Spokestall-Ask-Id", request.requestId());
         headers.put("Spokestall-Deadline-Ms", Long.toString(leftMs));
         final boolean runOnce = request.kind().runOnce();
-        final String body = runOnce ? "{\"do\":\"" + request.id() + "\"}" : "";
+        final String body = runOnce ? "{\"do\":\"" + request.runUniqueId() + "\"}" : "";
         httpClient.send(
                 HttpCall.plain(
                         edge,
@@ -98,7 +98,7 @@
             lookup.invalidate(request);
             retry(request, "unreached", BACKOFF_MS);
         } else {
-            end(request, "no-answer", edge);
+            finish(request, "no-answer", edge);
         }
     }
 
@@ -106,10 +106,10 @@
         final String outcome = response.header("Spokestall-Outcome");
         final String code = response.header("Spokestall-Code");
         if (options.record() != null) {
-            recorded.add(request.name() + " " + outcome + " " + code + " " + System.currentTimeMillis());
+            recorded.add(request.requestId() + " " + outcome + " " + code + " " + System.currentTimeMillis());
         }
         if ("ran".equals(outcome)) {
-            end(request, resultOf(request, response), edge);
+            finish(request, resultOf(request, response), edge);
             return;
         }
         lookup.invalidate(request);
@@ -119,21 +119,21 @@
                     retryAfterS == null ? BACKOFF_MS : TimeUnit.SECONDS.toMillis(Long.parseLong(retryAfterS));
             retry(request, outcome + "-" + code, waitMs);
         } else {
-            end(request, outcome + "-" + code, edge);
+            finish(request, outcome + "-" + code, edge);
         }
     }
 
     private String resultOf(final LoadRequest request, final HttpResult.Whole response) {
-        if (options.echo() && response.status() == 200 && !echoes(response.body(), request.name())) {
+        if (options.echo() && response.status() == 200 && !echoes(response.body(), request.requestId())) {
             return LoadReport.WRONG_ANSWER;
         }
         return response.status() < 500 ? LoadReport.RAN : LoadReport.RAN + "-" + response.status();
     }
 
-    private static boolean echoes(final byte[] body, final String name) {
+    private static boolean echoes(final byte[] body, final String requestId) {
         try {
             final JsonNode read = ConfigurationStore.JSON.readTree(body);
-            return read != null && read.path("answerTo").asText().equals(name);
+            return read != null && read.path("answerTo").asText().equals(requestId);
         } catch (final IOException e) {
             // A body that is no JSON names no request.
             return false;
@@ -141,9 +141,9 @@
     }
 
     private void retry(final LoadRequest request, final String reason, final long waitMs) {
-        final boolean inTime = MonotonicTime.nowMs() + waitMs - request.begunMs() < options.deadlineMs();
+        final boolean inTime = MonotonicTime.nowMs() + waitMs - request.startedAtMs() < options.deadlineMs();
         if (request.attempt() + 1 >= ATTEMPTS_MAX || !inTime || timer.isShutdown()) {
-            end(request, reason, null);
+            finish(request, reason, null);
             return;
         }
         report.onRetry();
@@ -151,7 +151,7 @@
                 timer.schedule(() -> attempt(request.nextAttempt()), waitMs, TimeUnit.MILLISECONDS);
     }
 
-    private void end(final LoadRequest request, final String result, final String edge) {
-        report.onEnd(result, edge, MonotonicTime.nowMs() - request.begunMs());
+    private void finish(final LoadRequest request, final String result, final String edge) {
+        report.onFinished(result, edge, MonotonicTime.nowMs() - request.startedAtMs());
     }
 }
--- a/spokestall/src/main/java/spokestall/cli/LoadGenerator.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadGenerator.java
@@ -16,7 +16,7 @@
     private static final int IO_THREADS = 4;
     private static final int TIMER_THREADS = 2;
     /** How many deadlines are waited for the last requests, which may be retried. */
-    private static final int LAST_DEADLINES = 4;
+    private static final int DRAIN_DEADLINES = 4;
 
     private static final int MILLIS_PER_SECOND = 1000;
 
@@ -61,7 +61,7 @@
         final LoadClient client = new LoadClient(options, new CommandHttpClient(IO_THREADS), timer, report);
         try {
             schedule(timer, client);
-            report.await((long) options.seconds() * MILLIS_PER_SECOND + LAST_DEADLINES * options.deadlineMs());
+            report.await((long) options.seconds() * MILLIS_PER_SECOND + DRAIN_DEADLINES * options.deadlineMs());
         } finally {
             timer.shutdownNow();
         }
@@ -76,10 +76,10 @@
         final String run = Long.toHexString(System.currentTimeMillis());
         for (int i = 0; i < options.requests(); i++) {
             final RequestPlan.Kind kind = plan.draw(random);
-            final String name = "client-" + random.nextInt(options.clients());
+            final String clientName = "client-" + random.nextInt(options.clients());
             final String id = run + "-" + i;
             final ScheduledFuture<?> unused = timer.schedule(
-                    () -> client.attempt(new LoadRequest(kind, name, id, null, 0, MonotonicTime.nowMs())),
+                    () -> client.attempt(new LoadRequest(kind, clientName, id, null, 0, MonotonicTime.nowMs())),
                     (long) (i * MILLIS_PER_SECOND / options.rate()),
                     TimeUnit.MILLISECONDS);
         }
--- a/spokestall/src/main/java/spokestall/cli/LoadReport.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadReport.java
@@ -44,7 +44,7 @@
     }
 
     /** Counts the end of a request; the edge is null where none answered it. */
-    void onEnd(final String result, final String edge, final long durationMs) {
+    void onFinished(final String result, final String edge, final long durationMs) {
         byResult.computeIfAbsent(result, r -> new AtomicInteger()).incrementAndGet();
         if (edge != null) {
             byEdge.computeIfAbsent(edge, e -> new AtomicInteger()).incrementAndGet();
--- a/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
+++ b/spokestall/src/main/java/spokestall/io/process/NodeProcess.java
@@ -141,7 +141,7 @@
                 message -> stage.offer(() -> node.onMessage(message)),
                 settings.fractionOf("leaveBoundMs", 0.25),
                 (int) settings.integer("noteVersion"),
-                new TrustedNetworks(settings.peers()));
+                new TrustedNetworks(settings.peerNetworks()));
         final HttpUpstreamClient outside = new HttpUpstreamClient(
                 new HttpClient(worker, new DefaultByteBufferPool(true, 16 << 10), settings.integer("wireRestMs")),
                 stage,
@@ -175,11 +175,11 @@
         }
         final Listener server = protocol.front(node, settings, stage, worker);
         try {
-            transport.listen(Addresses.of(settings.listen()));
+            transport.listen(Addresses.of(settings.listenAddress()));
             server.start();
         } catch (final IOException | RuntimeException e) {
-            return refused("address: can't listen on " + settings.listen() + " or " + settings.text("http") + " or "
-                    + settings.operators() + ": " + e.getMessage());
+            return refused("address: can't listen on " + settings.listenAddress() + " or " + settings.text("http")
+                    + " or " + settings.operatorAddress() + ": " + e.getMessage());
         }
         stage.execute(() -> {
             node.listenToConfiguration(configuration -> server.limits(configuration.limits()));
--- a/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/NativeProtocolAdapter.java
@@ -31,7 +31,7 @@
                 stage,
                 worker,
                 Addresses.of(settings.text("http")),
-                Addresses.of(settings.operators()),
+                Addresses.of(settings.operatorAddress()),
                 new HttpServer.Bounds(
                         2 * (int) settings.integer("policyMaxBytes"),
                         1 << 16,
--- a/spokestall/src/main/java/spokestall/settings/SettingKey.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingDefinition.java
@@ -4,9 +4,9 @@
  * One setting: its default, its line in the help and what values it may have. Immutable.
  *
  * @param fallback value if none is given; null if one must be given, empty if the value is optional or a fraction of another
- * @param fraction what a number is if none is given, null if {@code fallback} says it
+ * @param fraction what a number is if none is given, null if {@code defaultValue} says it
  */
-record SettingKey(String fallback, String description, Kind kind, Range range, Fraction fraction) {
+record SettingDefinition(String defaultValue, String description, Kind kind, Range range, Fraction defaultFraction) {
     /** Range of a setting that isn't a number. */
     static final Range NO_RANGE = new Range(0, 0);
 
@@ -34,15 +34,15 @@
     }
 
     /** A default that is another setting's value times a ratio. */
-    record Fraction(String ofKey, double ratio) {}
+    record Fraction(String baseKey, double ratio) {}
 
     /** Returns what the help says about the default, empty if there is nothing to say. */
     String defaultForHelp() {
-        if (fallback == null) {
+        if (defaultValue == null) {
             return " (must be given)";
-        } else if (fraction != null) {
-            return " [" + fraction.ratio + " x " + fraction.ofKey + "]";
+        } else if (defaultFraction != null) {
+            return " [" + defaultFraction.ratio + " x " + defaultFraction.baseKey + "]";
         }
-        return fallback.isEmpty() ? "" : " [" + fallback + "]";
+        return defaultValue.isEmpty() ? "" : " [" + defaultValue + "]";
     }
 }
--- a/spokestall/src/main/java/spokestall/settings/SettingKeys.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingDefinitions.java
@@ -4,35 +4,35 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import spokestall.message.MessageCodec;
-import spokestall.settings.SettingKey.Kind;
+import spokestall.settings.SettingDefinition.Kind;
 
 /**
  * The table of all settings. Names, defaults and bounds are part of what operators write; the order is that of the help page and
  * of errors. Immutable.
  */
-final class SettingKeys {
-    private static final Map<String, SettingKey> KEYS = Collections.unmodifiableMap(table());
+final class SettingDefinitions {
+    private static final Map<String, SettingDefinition> DEFINITIONS = Collections.unmodifiableMap(table());
 
-    private SettingKeys() {}
+    private SettingDefinitions() {}
 
     /** Returns every setting by its name. */
-    static Map<String, SettingKey> all() {
-        return KEYS;
+    static Map<String, SettingDefinition> all() {
+        return DEFINITIONS;
     }
 
     /** Returns the settings page of the help: a line for each setting with its description and default. */
     static String help() {
         final StringBuilder out = new StringBuilder();
-        KEYS.forEach((name, key) ->
+        DEFINITIONS.forEach((name, key) ->
                 out.append(String.format("  %-17s %s%s%n", name, key.description(), key.defaultForHelp())));
         return out.toString();
     }
 
-    private static Map<String, SettingKey> table() {
-        final Map<String, SettingKey> keys = new LinkedHashMap<>();
+    private static Map<String, SettingDefinition> table() {
+        final Map<String, SettingDefinition> keys = new LinkedHashMap<>();
         addresses(keys);
-        fleet(keys);
-        behaviour(keys);
+        fleetSize(keys);
+        switches(keys);
         routing(keys);
         configurationBounds(keys);
         usage(keys);
@@ -44,7 +44,7 @@
     }
 
     /** Who the node is and where it is reached. */
-    private static void addresses(final Map<String, SettingKey> keys) {
+    private static void addresses(final Map<String, SettingDefinition> keys) {
         text(keys, "name", null, "this node's name, unique in the fleet");
         add(keys, "address", null, "IP and port that other nodes reach", Kind.ADDRESS);
         add(
@@ -80,7 +80,7 @@
     }
 
     /** The fleet's size, and the losses that it has to survive. */
-    private static void fleet(final Map<String, SettingKey> keys) {
+    private static void fleetSize(final Map<String, SettingDefinition> keys) {
         number(
                 keys,
                 "cores",
@@ -108,7 +108,7 @@
     }
 
     /** Switches, all of them 0 or 1. */
-    private static void behaviour(final Map<String, SettingKey> keys) {
+    private static void switches(final Map<String, SettingDefinition> keys) {
         number(keys, "alsoEdge", 0, "1: a core answers callers too", 0, 1);
         number(
                 keys,
@@ -149,7 +149,7 @@
     }
 
     /** Costs and limits of routing to upstreams. */
-    private static void routing(final Map<String, SettingKey> keys) {
+    private static void routing(final Map<String, SettingDefinition> keys) {
         number(
                 keys,
                 "districtCost",
@@ -169,7 +169,7 @@
     }
 
     /** Bounds on changes of configuration, keys and upstreams. */
-    private static void configurationBounds(final Map<String, SettingKey> keys) {
+    private static void configurationBounds(final Map<String, SettingDefinition> keys) {
         number(keys, "keyBoundMs", 5000, "a withdrawn key must stop within this", 500, 60_000);
         fraction(
                 keys,
@@ -191,7 +191,7 @@
     }
 
     /** Usage windows, the counts in them and the platform's list. */
-    private static void usage(final Map<String, SettingKey> keys) {
+    private static void usage(final Map<String, SettingDefinition> keys) {
         number(keys, "reportWindowS", 5, "length of a usage window", 1, 3600);
         fraction(keys, "countPushMs", "reportWindowS", 10, "how often an edge pushes counts that changed", 10, 600_000);
         fraction(
@@ -217,7 +217,7 @@
     }
 
     /** Leases and their holders. */
-    private static void leases(final Map<String, SettingKey> keys) {
+    private static void leases(final Map<String, SettingDefinition> keys) {
         number(keys, "leaseMs", 2000, "the lease on a duty", 200, 600_000);
         number(
                 keys,
@@ -230,7 +230,7 @@
     }
 
     /** Requests, retries and what is held for them. */
-    private static void requests(final Map<String, SettingKey> keys) {
+    private static void requests(final Map<String, SettingDefinition> keys) {
         number(keys, "farMs", 110, "the longest round trip between two nodes that is not trouble", 1, 5000);
         number(keys, "claimKeepMs", 600_000, "how long run-once claims are kept", 10_000, 86_400_000);
         number(keys, "retryShare", 0.2, "retries as a share of a service's asks", 0, 1);
@@ -249,7 +249,7 @@
     }
 
     /** What a core stores and sends. */
-    private static void storage(final Map<String, SettingKey> keys) {
+    private static void storage(final Map<String, SettingDefinition> keys) {
         number(keys, "ringSegments", 8, "files in the ring", 6, 1024);
         number(keys, "ringSegmentBytes", 8 << 20, "size of each", 1 << 16, 1 << 30);
         number(
@@ -264,7 +264,7 @@
     }
 
     /** Threads and connections. */
-    private static void threads(final Map<String, SettingKey> keys) {
+    private static void threads(final Map<String, SettingDefinition> keys) {
         number(
                 keys,
                 "workers",
@@ -286,39 +286,46 @@
     }
 
     private static void add(
-            final Map<String, SettingKey> keys,
+            final Map<String, SettingDefinition> keys,
             final String name,
             final String fallback,
             final String description,
             final Kind kind) {
-        keys.put(name, new SettingKey(fallback, description, kind, SettingKey.NO_RANGE, null));
+        keys.put(name, new SettingDefinition(fallback, description, kind, SettingDefinition.NO_RANGE, null));
     }
 
     private static void text(
-            final Map<String, SettingKey> keys, final String name, final String fallback, final String description) {
+            final Map<String, SettingDefinition> keys,
+            final String name,
+            final String fallback,
+            final String description) {
         add(keys, name, fallback, description, Kind.TEXT);
     }
 
     private static void number(
-            final Map<String, SettingKey> keys,
+            final Map<String, SettingDefinition> keys,
             final String name,
             final double fallback,
             final String description,
             final double min,
             final double max) {
         final String text = fallback == Math.rint(fallback) ? Long.toString((long) fallback) : "" + fallback;
-        keys.put(name, new SettingKey(text, description, Kind.NUMBER, new SettingKey.Range(min, max), null));
+        keys.put(
+                name,
+                new SettingDefinition(text, description, Kind.NUMBER, new SettingDefinition.Range(min, max), null));
     }
 
     private static void fraction(
-            final Map<String, SettingKey> keys,
+            final Map<String, SettingDefinition> keys,
             final String name,
             final String ofKey,
             final double ratio,
             final String description,
             final double min,
             final double max) {
-        final SettingKey.Fraction fallback = new SettingKey.Fraction(ofKey, ratio);
-        keys.put(name, new SettingKey("", description, Kind.NUMBER, new SettingKey.Range(min, max), fallback));
+        final SettingDefinition.Fraction fallback = new SettingDefinition.Fraction(ofKey, ratio);
+        keys.put(
+                name,
+                new SettingDefinition("", description, Kind.NUMBER, new SettingDefinition.Range(min, max), fallback));
     }
 }
--- a/spokestall/src/main/java/spokestall/settings/Settings.java
+++ b/spokestall/src/main/java/spokestall/settings/Settings.java
@@ -19,7 +19,7 @@
     /** Fraction of the bound on draining an upstream in which a silent peer has to be noticed. */
     private static final double PEER_TIMEOUT_RATIO = 0.3;
 
-    private static final int PEER_TIMEOUT_FRESHNESS_REQUESTS = 3;
+    private static final int PEER_TIMEOUT_PROOF_INTERVALS = 3;
 
     private final Map<String, String> values;
 
@@ -30,7 +30,7 @@
 
     /** Returns the settings page of the help: a line for each setting with its description and default. */
     public static String help() {
-        return SettingKeys.help();
+        return SettingDefinitions.help();
     }
 
     /** Returns every key with its value as given, or its default. */
@@ -51,9 +51,10 @@
     /** Returns a number. If none is given and it is a fraction of another setting by default, it is rounded to an integer. */
     public double number(final String key) {
         final String value = values.get(key);
-        final SettingKey.Fraction fraction = SettingKeys.all().get(key).fraction();
-        return value.isEmpty() && fraction != null
-                ? Math.rint(fraction.ratio() * number(fraction.ofKey()))
+        final SettingDefinition.Fraction defaultFraction =
+                SettingDefinitions.all().get(key).defaultFraction();
+        return value.isEmpty() && defaultFraction != null
+                ? Math.rint(defaultFraction.ratio() * number(defaultFraction.baseKey()))
                 : Double.parseDouble(value);
     }
 
@@ -65,16 +66,16 @@
     /** Returns how long a core or an edge counts as alive after its last message, in milliseconds. */
     public long peerTimeoutMillis() {
         return Math.max(
-                fractionOf("leaveBoundMs", PEER_TIMEOUT_RATIO), PEER_TIMEOUT_FRESHNESS_REQUESTS * integer("proofMs"));
+                fractionOf("leaveBoundMs", PEER_TIMEOUT_RATIO), PEER_TIMEOUT_PROOF_INTERVALS * integer("proofMs"));
     }
 
     /** Returns the address (IP and port) on which the node listens for other nodes. */
-    public String listen() {
+    public String listenAddress() {
         return text("listen").isEmpty() ? text("address") : text("listen");
     }
 
     /** Returns the address (IP and port) on which the node listens for operators, apart from clients. */
-    public String operators() {
+    public String operatorAddress() {
         final String http = text("http");
         return text("operators").isEmpty()
                 ? "127.0.0.1:" + (Integer.parseInt(http.substring(http.indexOf(':') + 1)) + 1)
@@ -82,7 +83,7 @@
     }
 
     /** Returns the networks from which connections of other nodes are accepted, comma between. */
-    public String peers() {
+    public String peerNetworks() {
         final String own = text("address");
         return text("peers").isEmpty() ? own.substring(0, own.indexOf(':')) + "/16" : text("peers");
     }
--- a/spokestall/src/main/java/spokestall/settings/SettingsReader.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsReader.java
@@ -26,7 +26,7 @@
     public static SettingsResult read(final Path file, final Map<String, String> flags, final boolean core) {
         final List<SettingsError> errors = new ArrayList<>();
         final Map<String, String> values = new TreeMap<>();
-        SettingKeys.all().forEach((name, key) -> values.put(name, key.fallback()));
+        SettingDefinitions.all().forEach((name, key) -> values.put(name, key.defaultValue()));
         if (file != null) {
             readFile(file, values, errors);
         }
@@ -58,7 +58,7 @@
 
     private static void put(
             final String name, final String value, final Map<String, String> values, final List<SettingsError> errors) {
-        if (SettingKeys.all().containsKey(name)) {
+        if (SettingDefinitions.all().containsKey(name)) {
             values.put(name, value);
         } else {
             errors.add(new SettingsError(name, "no such setting"));
--- a/spokestall/src/main/java/spokestall/settings/SettingsValidator.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsValidator.java
@@ -9,7 +9,7 @@
  */
 final class SettingsValidator {
     /** Seeds of a fleet whose settings say how many cores it has. */
-    private static final int SEEDS = 3;
+    private static final int REQUIRED_SEEDS = 3;
 
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
@@ -24,10 +24,11 @@
     }
 
     void validate(final boolean core) {
-        SettingKeys.all().forEach((name, key) -> checkValue(name, key, values.get(name)));
-        final int seeds =
-                values.get("seeds") == null ? SEEDS : values.get("seeds").split(",", -1).length;
-        if (seeds != SEEDS && !(seeds < SEEDS && "0".equals(values.get("cores")))) {
+        SettingDefinitions.all().forEach((name, key) -> checkValue(name, key, values.get(name)));
+        final int seeds = values.get("seeds") == null
+                ? REQUIRED_SEEDS
+                : values.get("seeds").split(",", -1).length;
+        if (seeds != REQUIRED_SEEDS && !(seeds < REQUIRED_SEEDS && "0".equals(values.get("cores")))) {
             error("seeds", "needs three addresses, has " + seeds);
         }
         if (errors.isEmpty()) {
@@ -41,7 +42,7 @@
         errors.add(new SettingsError(key, reason));
     }
 
-    private void checkValue(final String name, final SettingKey key, final String value) {
+    private void checkValue(final String name, final SettingDefinition key, final String value) {
         if (value == null) {
             error(name, "must be given: " + key.description());
             return;
@@ -77,8 +78,8 @@
         }
     }
 
-    private void checkNumber(final String name, final SettingKey key, final String value) {
-        if (key.fraction() != null && value.isEmpty()) {
+    private void checkNumber(final String name, final SettingDefinition key, final String value) {
+        if (key.defaultFraction() != null && value.isEmpty()) {
             return;
         }
         try {
@@ -121,44 +122,45 @@
         return port > 0 && port <= MAX_PORT;
     }
 
-    private void checkAddresses(final Settings s, final boolean core) {
-        if (!s.zones().containsKey(s.text("district"))) {
-            error("district", "'" + s.text("district") + "' is not among districts");
+    private void checkAddresses(final Settings settings, final boolean core) {
+        if (!settings.zones().containsKey(settings.text("district"))) {
+            error("district", "'" + settings.text("district") + "' is not among districts");
         }
-        if (core && s.text("data").isEmpty()) {
+        if (core && settings.text("data").isEmpty()) {
             error("data", "a core needs a data folder");
         }
-        if (s.seeds().stream().distinct().count() != s.seeds().size()) {
+        if (settings.seeds().stream().distinct().count() != settings.seeds().size()) {
             error("seeds", "names an address twice");
         }
-        if (s.integer("bootstrap") == 1 && s.integer("cores") != 0) {
+        if (settings.integer("bootstrap") == 1 && settings.integer("cores") != 0) {
             error("bootstrap", "is for a fleet with cores 0 only");
         }
-        if (s.text("address").equals(s.text("http"))) {
+        if (settings.text("address").equals(settings.text("http"))) {
             error("http", "is the same as address");
         }
-        checkAddress("operators", s.operators());
-        if (s.operators().equals(s.text("http"))
-                || s.operators().equals(s.text("address"))
-                || s.operators().equals(s.listen())) {
-            error("operators", s.operators() + " is an address of this node for others");
+        checkAddress("operators", settings.operatorAddress());
+        if (settings.operatorAddress().equals(settings.text("http"))
+                || settings.operatorAddress().equals(settings.text("address"))
+                || settings.operatorAddress().equals(settings.listenAddress())) {
+            error("operators", settings.operatorAddress() + " is an address of this node for others");
         }
     }
 
-    private void checkTimings(final Settings s) {
-        if (s.integer("freshMs") < 2 * s.integer("proofMs")) {
+    private void checkTimings(final Settings settings) {
+        if (settings.integer("freshMs") < 2 * settings.integer("proofMs")) {
             error("freshMs", "must be at least 2 x proofMs, for a proof to be renewed in time");
         }
-        if (s.integer("freshMs") + s.integer("farMs") >= s.integer("keyBoundMs")) {
+        if (settings.integer("freshMs") + settings.integer("farMs") >= settings.integer("keyBoundMs")) {
             error("freshMs", "must be under keyBoundMs less farMs, for a withdrawn key to stop in time");
         }
-        if (s.integer("uncountedMs") > 0 && s.integer("uncountedMs") < 2 * s.integer("countPushMs")) {
+        if (settings.integer("uncountedMs") > 0
+                && settings.integer("uncountedMs") < 2 * settings.integer("countPushMs")) {
             error("uncountedMs", "must be 0 or at least 2 x countPushMs, for counts to be with a majority in time");
         }
-        if (s.integer("leaseMs") < 8 * s.integer("farMs")) {
+        if (settings.integer("leaseMs") < 8 * settings.integer("farMs")) {
             error("leaseMs", "must be at least 8 x farMs, to be renewed in time");
         }
-        if (s.integer("reportDueMs") < 3 * s.integer("leaseMs")) {
+        if (settings.integer("reportDueMs") < 3 * settings.integer("leaseMs")) {
             error("reportDueMs", "must be at least 3 x leaseMs, for a takeover to fit in");
         }
     }
--- a/spokestall/src/main/java/spokestall/settings/package-info.java
+++ b/spokestall/src/main/java/spokestall/settings/package-info.java
@@ -1,7 +1,7 @@
 /**
  * A node's settings.
  *
- * <p>Owns: their names, defaults, bounds and descriptions ({@code SettingKeys}), reading them from the settings file and from flags
+ * <p>Owns: their names, defaults, bounds and descriptions ({@code SettingDefinitions}), reading them from the settings file and from flags
  * ({@link spokestall.settings.SettingsReader}), their checks, and what a running node may change
  * ({@link spokestall.settings.SettingsUpdate}).
  *
--- a/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
@@ -60,9 +60,9 @@
         for (int i = 0; i < count; i++) {
             paths.add(directory.resolve("segment-" + i));
         }
-        if (partlyLost(paths)) {
+        if (hasLostFile(paths)) {
             LOG.atSevere().log("event=log_segments_lost directory=%s", directory);
-            clear(paths);
+            zeroExisting(paths);
         }
         final FileSegmentStore store = new FileSegmentStore(sizeBytes, diskExecutor, callbackExecutor);
         for (final Path path : paths) {
@@ -78,7 +78,7 @@
     }
 
     /** A first start that was cut short also leaves files missing or short, but none of them written to. */
-    private static boolean partlyLost(final List<Path> paths) throws IOException {
+    private static boolean hasLostFile(final List<Path> paths) throws IOException {
         final Set<Long> sizes = new HashSet<>();
         for (final Path path : paths) {
             sizes.add(Files.exists(path) ? Files.size(path) : 0L);
@@ -87,14 +87,14 @@
             return false;
         }
         for (final Path path : paths) {
-            if (Files.exists(path) && written(path)) {
+            if (Files.exists(path) && hasNonZeroByte(path)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean written(final Path path) throws IOException {
+    private static boolean hasNonZeroByte(final Path path) throws IOException {
         for (final byte value : Files.readAllBytes(path)) {
             if (value != 0) {
                 return true;
@@ -104,7 +104,7 @@
     }
 
     /** Zeroes the remaining files before any file is created: if this is cut short, the loss is still detected next time. */
-    private static void clear(final List<Path> paths) throws IOException {
+    private static void zeroExisting(final List<Path> paths) throws IOException {
         for (final Path path : paths) {
             if (Files.exists(path)) {
                 try (FileChannel file = FileChannel.open(path, StandardOpenOption.WRITE)) {
@@ -162,7 +162,7 @@
             final Set<Integer> written = new LinkedHashSet<>();
             for (final Chunk chunk : chunks) {
                 final ByteBuffer bytes = ByteBuffer.wrap(chunk.bytes());
-                long offset = chunk.at();
+                long offset = chunk.offset();
                 while (bytes.hasRemaining()) {
                     offset += files.get(chunk.segment()).write(bytes, offset);
                 }
--- a/spokestall/src/main/java/spokestall/storage/LogRecovery.java
+++ b/spokestall/src/main/java/spokestall/storage/LogRecovery.java
@@ -75,7 +75,7 @@
             final List<LogRecord.Located> run = runs.get(i);
             final LogRecord last = run.get(run.size() - 1).record();
             final boolean reachesFloor = run.get(0).record().seq() <= last.floorSeq();
-            if (reachesFloor && onlyTornOrOlder(runs.subList(i + 1, runs.size()), last)) {
+            if (reachesFloor && allTornOrStale(runs.subList(i + 1, runs.size()), last)) {
                 return new Result.Recovered(incarnation, run);
             }
         }
@@ -100,7 +100,7 @@
     }
 
     /** Returns whether all later records belong to the commit that follows the last record, or to an earlier incarnation. */
-    private static boolean onlyTornOrOlder(final List<List<LogRecord.Located>> laterRuns, final LogRecord last) {
+    private static boolean allTornOrStale(final List<List<LogRecord.Located>> laterRuns, final LogRecord last) {
         for (final List<LogRecord.Located> run : laterRuns) {
             for (final LogRecord.Located located : run) {
                 final LogRecord record = located.record();
--- a/spokestall/src/main/java/spokestall/storage/SegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentStore.java
@@ -9,7 +9,7 @@
  */
 public interface SegmentStore {
     /** Bytes to be written at an offset of a segment. */
-    record Chunk(int segment, int at, byte[] bytes) {}
+    record Chunk(int segment, int offset, byte[] bytes) {}
 
     /** Returns the number of segments. */
     int count();
--- a/spokestall/src/test/java/spokestall/audit/AuditorTest.java
+++ b/spokestall/src/test/java/spokestall/audit/AuditorTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aWindowIsWrittenOnceItIsReportedAndNotAgain() {
+    void aUsageWindowIsWrittenExactlyOnceAfterItIsReported() {
         final SealedWindow sealed = new SealedWindow(345, Map.of("tenant-1", 2L), "d1-core", 9, false);
         auditor.recordWindow(sealed);
         assertThat(entries).isEmpty();
--- a/spokestall/src/test/java/spokestall/cli/LoadReportTest.java
+++ b/spokestall/src/test/java/spokestall/cli/LoadReportTest.java
@@ -21,11 +21,11 @@
     @Test
     void countsAreSortedByNameAndDurationsByLength() {
         final LoadReport report = new LoadReport(4);
-        report.onEnd("ran", "10.0.0.2:7200", 30);
-        report.onEnd("ran", "10.0.0.1:7200", 10);
-        report.onEnd("nowhere", null, 20);
+        report.onFinished("ran", "10.0.0.2:7200", 30);
+        report.onFinished("ran", "10.0.0.1:7200", 10);
+        report.onFinished("nowhere", null, 20);
         report.onRetry();
-        report.onEnd("ran", "10.0.0.1:7200", 40);
+        report.onFinished("ran", "10.0.0.1:7200", 40);
         assertThat(print(report, 0.75)).isTrue();
         assertThat(text())
                 .isEqualTo(String.join(
@@ -41,9 +41,9 @@
     }
 
     @Test
-    void requestsThatHaveNotEndedCountAsNotRun() {
+    void unfinishedRequestsCountAsNotRun() {
         final LoadReport report = new LoadReport(2);
-        report.onEnd("ran", "10.0.0.1:7200", 10);
+        report.onFinished("ran", "10.0.0.1:7200", 10);
         assertThat(print(report, 0.51)).isFalse();
         assertThat(text()).contains("asks=2 ended=1").endsWith("verdict=bad ranShare=0.5000 least=0.5100\n");
     }
@@ -51,14 +51,14 @@
     @Test
     void oneWrongAnswerMakesTheVerdictBad() {
         final LoadReport report = new LoadReport(2);
-        report.onEnd("ran", "10.0.0.1:7200", 10);
-        report.onEnd("wrong-answer", "10.0.0.1:7200", 10);
+        report.onFinished("ran", "10.0.0.1:7200", 10);
+        report.onFinished("wrong-answer", "10.0.0.1:7200", 10);
         assertThat(print(report, 0)).isFalse();
         assertThat(text()).endsWith("verdict=bad ranShare=0.5000 least=0.0000\n");
     }
 
     @Test
-    void aRunWithoutAnyEndPrintsNoDurations() {
+    void aRunWithoutFinishedRequestsPrintsNoDurations() {
         assertThat(print(new LoadReport(1), 0.5)).isFalse();
         assertThat(text()).isEqualTo("asks=1 ended=0 again=0\nverdict=bad ranShare=0.0000 least=0.5000\n");
     }
--- a/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
+++ b/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void paramsAreReadByTheirTypes() {
+    void paramsAreParsedByTheirSchemaTypes() {
         final OperatorArguments.Call call = (OperatorArguments.Call)
                 parse("--to", TO, "--base", "7", "--changeId", "12", "--patch", "{\"holds\":{}}", "--waitMs", "250");
         assertThat(call.address()).isEqualTo(TO);
@@ -32,12 +32,12 @@
     }
 
     @Test
-    void theWaitHasADefault() {
+    void waitDefaultsToTenSeconds() {
         assertThat(((OperatorArguments.Call) parse("--to", TO)).waitMs()).isEqualTo(10_000);
     }
 
     @Test
-    void aValueWithAnAtSignIsReadFromItsFile(@TempDir final Path folder) throws IOException {
+    void aValueStartingWithAtIsReadFromTheNamedFile(@TempDir final Path folder) throws IOException {
         final Path file = Files.writeString(folder.resolve("patch.json"), "{\"cells\":{}}");
         final OperatorArguments.Call call =
                 (OperatorArguments.Call) parse("--to", TO, "--patch", "@" + file, "--changeId", "c-1");
@@ -45,12 +45,12 @@
     }
 
     @Test
-    void helpWinsOverWhatFollowsIt() {
+    void helpTakesPrecedenceOverLaterArguments() {
         assertThat(parse("--to", TO, "--help", "--no-such-flag")).isEqualTo(new OperatorArguments.Help());
     }
 
     @Test
-    void theFirstArgumentThatCantBeUsedIsNamed() {
+    void theFirstInvalidArgumentIsReported() {
         assertThat(parse("to", TO))
                 .isEqualTo(new OperatorArguments.Invalid("a flag with a value was expected, not: to"));
         assertThat(parse("--to"))
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void valuesThatAreNoJsonAreNamedByTheirFlag() {
+    void aValueThatIsNotJsonIsReportedWithItsFlag() {
         assertThat(((OperatorArguments.Invalid) parse("--to", TO, "--patch", "{")).reason())
                 .startsWith("--patch: ");
     }
--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -223,7 +223,7 @@
 
     /** Adds this delay to each write. */
     void slowDisk(final long byMillis) {
-        disk.slowBy(byMillis);
+        disk.addDelay(byMillis);
     }
 
     /** Returns the records that are synced to the disk. */
--- a/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void theFileWithEveryKeyIsReadAsWritten(@TempDir final Path folder) throws Exception {
+    void everyKeyIsReadWithItsWrittenValue(@TempDir final Path folder) throws Exception {
         final Settings settings = everyKey(folder);
         final JsonNode written = GoldenFile.json("settings.json");
         written.fields().forEachRemaining(entry -> {
@@ -45,18 +45,18 @@
     }
 
     @Test
-    void theKeysAreThoseOfTheFileAndNoOthers(@TempDir final Path folder) throws Exception {
+    void settingsHaveExactlyTheKeysOfTheGoldenFile(@TempDir final Path folder) throws Exception {
         final List<String> written = new ArrayList<>();
         GoldenFile.json("settings.json").fieldNames().forEachRemaining(written::add);
         assertThat(everyKey(folder).values()).containsOnlyKeys(written);
     }
 
     @Test
-    void theTextsThatHaveAFormAreTakenApart(@TempDir final Path folder) throws Exception {
+    void structuredTextsAreParsed(@TempDir final Path folder) throws Exception {
         final Settings settings = everyKey(folder);
-        assertThat(settings.listen()).isEqualTo("10.1.0.2:7101");
-        assertThat(settings.operators()).isEqualTo("10.1.0.1:8090");
-        assertThat(settings.peers()).isEqualTo("10.1.0.0/16,10.2.0.0/16");
+        assertThat(settings.listenAddress()).isEqualTo("10.1.0.2:7101");
+        assertThat(settings.operatorAddress()).isEqualTo("10.1.0.1:8090");
+        assertThat(settings.peerNetworks()).isEqualTo("10.1.0.0/16,10.2.0.0/16");
         assertThat(settings.seeds()).containsExactly("10.1.0.1:7100", "10.2.0.1:7100", "10.3.0.1:7100");
         assertThat(settings.zones()).isEqualTo(Map.of("d1", "r1", "d2", "r2", "d3", "r2"));
         assertThat(settings.regions()).containsExactly("r1", "r2");
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theHelpNamesEveryKeyWithItsDefault() {
+    void helpListsEveryKeyWithItsDefault() {
         final List<String> found = new ArrayList<>();
         Settings.help().lines().forEach(line -> found.add(keyAndDefault(line)));
         assertThat(found).isEqualTo(GoldenFile.lines("settings-defaults.txt"));
@@ -80,10 +80,10 @@
     }
 
     @Test
-    void errorsAreToldByTheirKeysAndReasons(@TempDir final Path folder) throws Exception {
+    void errorsNameTheKeyAndTheReason(@TempDir final Path folder) throws Exception {
         final SettingsResult read = read(folder, GoldenFile.text("settings-broken.json"));
-        final List<String> told = new ArrayList<>();
-        ((SettingsResult.Invalid) read).errors().forEach(error -> told.add(error.toString()));
-        assertThat(told).isEqualTo(GoldenFile.lines("settings-broken-troubles.txt"));
+        final List<String> reported = new ArrayList<>();
+        ((SettingsResult.Invalid) read).errors().forEach(error -> reported.add(error.toString()));
+        assertThat(reported).isEqualTo(GoldenFile.lines("settings-broken-troubles.txt"));
     }
 }
--- a/spokestall/src/test/java/spokestall/settings/SettingsTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SettingsTest {
-    private static Map<String, String> good() {
+    private static Map<String, String> validSettings() {
         return new HashMap<>(Map.of(
                 "name",
                 "d1-core",
@@ -61,7 +61,7 @@
     void flagsOverrideTheFileAndAllValuesAreCheckedTogether(@TempDir final Path folder) throws Exception {
         final Path file = folder.resolve("s.json");
         Files.writeString(file, "{\"leaseMs\":3000}");
-        final Map<String, String> flags = good();
+        final Map<String, String> flags = validSettings();
         assertThat(((SettingsResult.Valid) SettingsReader.read(file, flags, true))
                         .settings()
                         .integer("leaseMs"))
@@ -86,7 +86,7 @@
 
     @Test
     void aFleetWithoutConfiguredCoresMayHaveFewerSeedsAndBootstrap() {
-        final Map<String, String> flags = good();
+        final Map<String, String> flags = validSettings();
         flags.putAll(Map.of("cores", "0", "edges", "0", "bootstrap", "1", "seeds", "10.0.0.1:7100"));
         assertThat(((SettingsResult.Valid) SettingsReader.read(null, flags, true))
                         .settings()
@@ -96,7 +96,7 @@
         assertThat(((SettingsResult.Invalid) SettingsReader.read(null, flags, true)).errors())
                 .extracting(SettingsError::key)
                 .contains("seeds");
-        flags.put("seeds", good().get("seeds"));
+        flags.put("seeds", validSettings().get("seeds"));
         assertThat(((SettingsResult.Invalid) SettingsReader.read(null, flags, true)).errors())
                 .extracting(SettingsError::key)
                 .containsExactly("bootstrap");
@@ -107,8 +107,8 @@
     }
 
     @Test
-    void unsetDurationsAreFractionsOfTheirBoundsAndMustFitThem() {
-        final Map<String, String> flags = good();
+    void unsetDurationsDefaultToFractionsOfTheirBoundsAndAreChecked() {
+        final Map<String, String> flags = validSettings();
         final Settings plain = ((SettingsResult.Valid) SettingsReader.read(null, flags, true)).settings();
         assertThat(plain.integer("proofMs")).isEqualTo(400);
         assertThat(plain.integer("freshMs")).isEqualTo(1000);
--- a/spokestall/src/test/java/spokestall/settings/SettingsUpdateTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsUpdateTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class SettingsUpdateTest {
-    private static Settings settings(final Map<String, String> more) {
+    private static Settings settings(final Map<String, String> overrides) {
         final Map<String, String> all = new HashMap<>(Map.of(
                 "name", "d1-core",
                 "address", "10.0.0.1:7100",
@@ -17,12 +17,12 @@
                 "seeds", "10.0.0.1:7100,10.0.0.2:7100,10.0.0.3:7100",
                 "platform", "10.0.9.1:80",
                 "data", "data"));
-        all.putAll(more);
+        all.putAll(overrides);
         return ((SettingsResult.Valid) SettingsReader.read(null, all, true)).settings();
     }
 
     @Test
-    void reloadableValuesAreAppliedAndTheRestIsPending() {
+    void reloadableValuesAreAppliedAndOthersArePending() {
         final String seeds = "10.0.0.4:7100,10.0.0.2:7100,10.0.0.3:7100";
         final Settings newer = settings(Map.of("seeds", seeds, "retryShare", "0.1", "leaseMs", "3000"));
         final SettingsUpdate update = SettingsUpdate.of(settings(Map.of()), newer, true);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aReloadableValueThatIsInvalidWithTheValuesInForceIsPending() {
+    void aReloadableValueThatConflictsWithAValueInForceIsPending() {
         final Settings inForce = settings(Map.of());
         final Settings newer = settings(Map.of("proofMs", "50", "freshMs", "100", "whereS", "3"));
         final SettingsUpdate update = SettingsUpdate.of(inForce, newer, true);
--- a/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
@@ -9,7 +9,7 @@
 public final class DelayedSegmentStore extends InMemorySegmentStore {
     private final Clock clock;
     private final IntSupplier delayMs;
-    private long slowMs;
+    private long addedDelayMs;
     private long incarnation;
 
     public DelayedSegmentStore(final int count, final int sizeBytes, final Clock clock, final IntSupplier delayMs) {
@@ -21,7 +21,7 @@
     @Override
     public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
         final long incarnationAtCommit = incarnation;
-        clock.after(slowMs + delayMs.getAsInt(), () -> {
+        clock.after(addedDelayMs + delayMs.getAsInt(), () -> {
             if (incarnation == incarnationAtCommit) {
                 write(chunks);
                 done.accept(true);
@@ -30,8 +30,8 @@
     }
 
     /** Delays each further commit by so many milliseconds more. */
-    public void slowBy(final long byMs) {
-        slowMs = byMs;
+    public void addDelay(final long byMs) {
+        addedDelayMs = byMs;
     }
 
     /** Loses all commits in flight; their callbacks are never called. */
--- a/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
+++ b/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void anyLostFileMakesTheLogBlank() throws IOException {
+    void losingAnyFileMakesTheLogBlank() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             Files.delete(file(segment));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anyTruncatedFileMakesTheLogBlank() throws IOException {
+    void truncatingAnyFileMakesTheLogBlank() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             try (RandomAccessFile cut = new RandomAccessFile(file(segment).toFile(), "rw")) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aFirstStartThatWasInterruptedIsCompleted() throws IOException {
+    void completesAnInterruptedFirstStart() throws IOException {
         open();
         Files.delete(file(3));
         try (RandomAccessFile cut = new RandomAccessFile(file(5).toFile(), "rw")) {
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aLossIsStillDetectedAfterAnInterruptedClearing() throws IOException {
+    void detectsALostFileAfterZeroingWasInterrupted() throws IOException {
         write();
         Files.delete(file(3));
         // Zeroed this far, and the lost file not created again yet.
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void filesThatGrowKeepTheirRecords() throws IOException {
+    void recordsSurviveEnlargingTheFiles() throws IOException {
         write();
         final SegmentStore larger =
                 FileSegmentStore.open(data.resolve("ring"), FILES, 2 * SIZE, Runnable::run, Runnable::run);
--- a/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
@@ -39,7 +39,7 @@
 
     /** Writes the beginning of a chunk, as a power loss may leave it. */
     protected final void write(final Chunk chunk, final int bytes) {
-        System.arraycopy(chunk.bytes(), 0, files[chunk.segment()], chunk.at(), bytes);
+        System.arraycopy(chunk.bytes(), 0, files[chunk.segment()], chunk.offset(), bytes);
     }
 
     /** Flips some bits of a byte, as a decaying disk does. */
--- a/spokestall/src/test/java/spokestall/storage/LiveIndexTest.java
+++ b/spokestall/src/test/java/spokestall/storage/LiveIndexTest.java
@@ -10,7 +10,7 @@
     private final LiveIndex index = new LiveIndex(3, SEGMENT_BYTES);
 
     @Test
-    void aKeyLiesWhereItsNewestRecordDoes() {
+    void aKeyIsIndexedInTheSegmentOfItsNewestRecord() {
         index.update("key", new byte[] {1}, 0, 50);
         index.update("key", new byte[] {2}, 1, 60);
         assertThat(index.keysIn(0)).isEmpty();
--- a/spokestall/src/test/java/spokestall/storage/LogRecordTest.java
+++ b/spokestall/src/test/java/spokestall/storage/LogRecordTest.java
@@ -12,7 +12,7 @@
             new LogRecord(3, 12, 10, 7, "key", "value".getBytes(StandardCharsets.UTF_8));
 
     @Test
-    void aRecordHasTheDocumentedBytes() {
+    void encodedBytesMatchTheDocumentedFormat() {
         final String hex = HexFormat.of().formatHex(RECORD.encode());
         assertThat(hex)
                 .startsWith("53504b31" + "00000003" + "000000000000000c" + "000000000000000a" + "0000000000000007"
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aDeletionHasNoValueAndAnEmptyValueIsNoDeletion() {
+    void decodingDistinguishesADeletionFromAnEmptyValue() {
         final byte[] deletion = new LogRecord(1, 1, 1, 1, "key", null).encode();
         assertThat(LogRecord.decode(0, deletion, 0).record().value()).isNull();
         final byte[] empty = new LogRecord(1, 1, 1, 1, "key", new byte[0]).encode();
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aFlippedBitOrAMissingByteIsDetected() {
+    void decodingRejectsAFlippedBitOrATruncatedRecord() {
         final byte[] encoded = RECORD.encode();
         for (int bit = 0; bit < encoded.length * Byte.SIZE; bit++) {
             final byte[] flipped = encoded.clone();
--- a/spokestall/src/test/java/spokestall/storage/ManualSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/ManualSegmentStore.java
@@ -43,7 +43,7 @@
     }
 
     /** Loses power: the first chunks of the commit in flight are lost, the others are not. */
-    void losePowerBut(final int lost) {
+    void losePowerDroppingFirst(final int lost) {
         write(inFlight.stream().skip(lost).toList());
         inFlight.clear();
         callback = null;
--- a/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
@@ -19,22 +19,22 @@
             final SegmentedLog log,
             final int keys,
             final Map<String, String> synced,
-            final Map<String, List<String>> maybe,
+            final Map<String, List<String>> unsynced,
             final String run) {
         for (int k = 0; k < keys; k++) {
             final String key = "key-" + k;
             final byte[] found = log.table().get(key);
             final String text = found == null ? null : new String(found, StandardCharsets.UTF_8);
-            final List<String> allowed = new ArrayList<>(maybe.getOrDefault(key, List.of()));
+            final List<String> allowed = new ArrayList<>(unsynced.getOrDefault(key, List.of()));
             allowed.add(synced.get(key));
             assertThat(allowed).as("%s of %s", key, run).contains(text);
             synced.put(key, text);
         }
-        maybe.clear();
+        unsynced.clear();
     }
 
     @Test
-    void syncedPutsSurviveAnyPowerLossAndNothingElseAppears() {
+    void recoveredValuesWereSyncedLastOrPutSince() {
         long losses = 0;
         for (int seed = 0; seed < 60; seed++) {
             final Random random = new Random(seed);
@@ -43,18 +43,18 @@
             assertThat(log.blank()).isTrue();
             // For each key the value that was synced last, and those that were put since.
             final Map<String, String> synced = new HashMap<>();
-            final Map<String, List<String>> maybe = new HashMap<>();
+            final Map<String, List<String>> unsynced = new HashMap<>();
             for (int step = 0; step < 1500; step++) {
                 final String key = "key-" + random.nextInt(12);
                 final String value = random.nextInt(5) == 0
                         ? null
                         : String.format("%03d/%05d", seed, step)
                                 + "x".repeat(random.nextBoolean() ? 20 : random.nextInt(200));
-                maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
+                unsynced.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
                 log.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
                     assertThat(ok).isTrue();
                     synced.put(key, value);
-                    maybe.get(key).remove(0);
+                    unsynced.get(key).remove(0);
                 });
                 if (random.nextInt(3) == 0) {
                     disk.sync();
@@ -64,7 +64,7 @@
                     log = new SegmentedLog(disk);
                     losses++;
                     assertThat(log.blank() && !synced.isEmpty()).as("not blank").isFalse();
-                    verifyRecovered(log, 12, synced, maybe, "seed " + seed);
+                    verifyRecovered(log, 12, synced, unsynced, "seed " + seed);
                 }
             }
         }
@@ -73,26 +73,26 @@
 
     /** Records of up to a file, in a log that is nearly as full as it may be. */
     @Test
-    void largeRecordsOverwriteNothingThatRecoveryStillNeeds() {
+    void largeRecordsDoNotOverwriteRecordsThatRecoveryNeeds() {
         final int size = 4096;
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(8, size);
             SegmentedLog log = new SegmentedLog(disk);
-            final AtomicBoolean anything = new AtomicBoolean();
+            final AtomicBoolean anySynced = new AtomicBoolean();
             final Map<String, String> synced = new HashMap<>();
-            final Map<String, List<String>> maybe = new HashMap<>();
+            final Map<String, List<String>> unsynced = new HashMap<>();
             for (int step = 0; step < 400; step++) {
                 final String key = "key-" + random.nextInt(9);
                 final int bytes = random.nextInt(3) == 0 ? 20 + random.nextInt(size - 100) : random.nextInt(200);
                 final String value = random.nextInt(9) == 0 ? null : step + "/" + "x".repeat(bytes);
-                maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
+                unsynced.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
                 log.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
                     if (ok) {
                         synced.put(key, value);
-                        anything.set(true);
+                        anySynced.set(true);
                     }
-                    maybe.get(key).remove(value);
+                    unsynced.get(key).remove(value);
                 });
                 if (random.nextInt(4) == 0) {
                     disk.sync();
@@ -100,10 +100,10 @@
                 if (random.nextInt(40) == 0) {
                     disk.losePower(random);
                     log = new SegmentedLog(disk);
-                    assertThat(log.blank() && anything.get())
+                    assertThat(log.blank() && anySynced.get())
                             .as("blank, seed %s step %s", seed, step)
                             .isFalse();
-                    verifyRecovered(log, 9, synced, maybe, "seed " + seed + " step " + step);
+                    verifyRecovered(log, 9, synced, unsynced, "seed " + seed + " step " + step);
                 }
             }
         }
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aPowerLossKeepsAPrefixOfThePuts() {
+    void putsAreRecoveredInTheirOrder() {
         for (int seed = 0; seed < 100; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(8, 4096);
@@ -145,7 +145,7 @@
 
     /** Incarnations that end in their first commit, of which only what was written last is left. */
     @Test
-    void recordsLeftBehindATornTailNeverFollowALaterIncarnationsRecords() {
+    void staleRecordsBeyondATornTailNeverReplaceSyncedOnes() {
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(8, 1024);
@@ -159,7 +159,7 @@
                     disk.sync();
                     continue;
                 }
-                disk.losePowerBut(random.nextInt(3));
+                disk.losePowerDroppingFirst(random.nextInt(3));
                 log = new SegmentedLog(disk);
                 for (final Map.Entry<String, Integer> e : synced.entrySet()) {
                     assertThat(number(log, e.getKey()))
--- a/spokestall/src/test/java/spokestall/storage/SegmentedLogTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogTest.java
@@ -10,7 +10,7 @@
 
 class SegmentedLogTest {
     @Test
-    void aDamagedSyncedRecordMakesTheLogBlankRatherThanWrong() {
+    void aDamagedSyncedRecordMakesTheLogBlank() {
         int blank = 0;
         for (int seed = 0; seed < 200; seed++) {
             final Random random = new Random(seed);
@@ -24,12 +24,12 @@
             // Somewhere in what was written, but not in the last record: that one looks like a torn tail.
             final int at = random.nextInt(50 * 40);
             disk.flip(0, at, 0x20);
-            final SegmentedLog again = new SegmentedLog(disk);
-            if (again.blank()) {
+            final SegmentedLog reopened = new SegmentedLog(disk);
+            if (reopened.blank()) {
                 blank++;
-                assertThat(again.table()).isEmpty();
+                assertThat(reopened.table()).isEmpty();
             } else {
-                assertThat(new String(again.table().get("key-" + last % 7), StandardCharsets.UTF_8))
+                assertThat(new String(reopened.table().get("key-" + last % 7), StandardCharsets.UTF_8))
                         .isEqualTo("value 59");
             }
         }
@@ -37,25 +37,25 @@
     }
 
     @Test
-    void aFullLogRejectsPutsAndAcceptsDeletionsAndThenPutsAgain() {
+    void aFullLogRejectsPutsUntilDeletionsFreeSpace() {
         final ManualSegmentStore disk = new ManualSegmentStore(6, 4096);
         final SegmentedLog log = new SegmentedLog(disk);
-        final List<Boolean> taken = new ArrayList<>();
+        final List<Boolean> accepted = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            log.put("key-" + i, new byte[100], taken::add);
+            log.put("key-" + i, new byte[100], accepted::add);
             disk.sync();
         }
         assertThat(log.state()).isEqualTo(SegmentedLog.State.FULL);
-        assertThat(taken).contains(true, false);
+        assertThat(accepted).contains(true, false);
         final int kept = log.table().size();
         for (int i = 0; i < kept; i++) {
             log.put("key-" + i, null, ok -> {});
             disk.sync();
         }
-        taken.clear();
-        log.put("after", new byte[100], taken::add);
+        accepted.clear();
+        log.put("after", new byte[100], accepted::add);
         disk.sync();
-        assertThat(taken).containsExactly(true);
+        assertThat(accepted).containsExactly(true);
         assertThat(new SegmentedLog(disk).table()).containsOnlyKeys("after");
     }
 
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void compactionKeepsAnOldLiveRecordThroughManyRoundsOfTheRing() {
+    void compactionKeepsAnOldLiveRecordWhileTheRingWrapsAround() {
         final ManualSegmentStore disk = new ManualSegmentStore(8, 4096);
         final SegmentedLog log = new SegmentedLog(disk);
         log.put("identity", "disk-1".getBytes(StandardCharsets.UTF_8), ok -> {});
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleDisk.java
@@ -66,6 +66,6 @@
     }
 
     private void write(final Chunk p) {
-        System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length);
+        System.arraycopy(p.bytes(), 0, down[p.segment()], p.offset(), p.bytes().length);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
@@ -89,7 +89,8 @@
             sim.after(4000, () -> {
                 if (alive.getAsBoolean()) {
                     flying.removeAll(chunks);
-                    chunks.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
+                    chunks.forEach(
+                            p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.offset(), p.bytes().length));
                 }
             });
             sim.after(1, () -> back.accept(() -> done.accept(true)));
@@ -104,7 +105,7 @@
             final boolean ok = !failing && !full;
             flying.removeAll(chunks);
             if (ok) {
-                chunks.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
+                chunks.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.offset(), p.bytes().length));
             }
             back.accept(() -> done.accept(ok));
         });
@@ -121,14 +122,14 @@
                 case 1 -> random.nextInt(p.bytes().length + 1);
                 default -> p.bytes().length;
             };
-            System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), kept);
+            System.arraycopy(p.bytes(), 0, down[p.segment()], p.offset(), kept);
         }
         flying.clear();
     }
 
     /** The process alone goes: what it had written is in the machine's memory and gets down. */
     void loseProcess() {
-        flying.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
+        flying.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.offset(), p.bytes().length));
         flying.clear();
     }
 
