--- a/spokestall/src/main/java/spokestall/storage/DirectorySync.java
+++ b/spokestall/src/main/java/spokestall/storage/DirectorySync.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Syncs directories: a file name that was created, renamed or removed survives a power loss only after its directory is synced. */
+/** Directory syncs. Creating, renaming or removing a file survives a power loss only after its directory is synced. */
 public final class DirectorySync {
     private DirectorySync() {}
 
--- a/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/FileSegmentStore.java
@@ -16,16 +16,16 @@
 import java.util.function.Consumer;
 
 /**
- * Segments as files {@code segment-0}, {@code segment-1}, ... in one directory, filled with zeros before the first record is
- * written. The files stay open until the process ends.
+ * Segments stored as the files {@code segment-0}, {@code segment-1}, ... of one directory. The files are filled with zeros before
+ * the first record is written, and stay open until the process ends.
  *
  * <p>Lost files: {@link #open} syncs all files and the directory's entries before it returns, so no record is written before all
- * files have their full size on disk. If later a file is missing, or shorter than another, and any file has been written to,
- * then synced records are lost: all files are zeroed, and the log is blank. Larger files than before are allowed; what they
- * hold is kept.
+ * files have their full size on disk. If a later start finds a file missing, or shorter than another, and any file contains
+ * records, then synced records are lost: {@link #open} zeroes all files, and the log is blank. The configured size may grow
+ * between starts; enlarged files keep their records.
  *
- * <p>Threading: {@link #read} blocks the caller. {@link #commit} writes and syncs on the disk executor, which must run one task at a
- * time in their order, and calls back on the callback executor.
+ * <p>Threading: {@link #read} blocks the caller. {@link #commit} writes and syncs on the disk executor, which must run tasks one at
+ * a time in submission order, and reports the result on the callback executor.
  */
 public final class FileSegmentStore implements SegmentStore {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Opens the files, creating or extending those that need it. Blocks.
+     * Opens the files; creates missing ones and extends short ones. Blocks.
      *
-     * @param sizeBytes size of each file; not less than at an earlier start
+     * @param sizeBytes size of each file; must not be smaller than at an earlier start
      * @throws IOException if a file can't be created, written or synced
      */
     public static FileSegmentStore open(
@@ -77,7 +77,10 @@
         return store;
     }
 
-    /** A first start that was cut short also leaves files missing or short, but none of them written to. */
+    /**
+     * Returns whether a file that held records is missing or truncated. An interrupted first start also leaves files missing or
+     * short, but all of them contain only zeros.
+     */
     private static boolean hasLostFile(final List<Path> paths) throws IOException {
         final Set<Long> sizes = new HashSet<>();
         for (final Path path : paths) {
@@ -103,7 +106,10 @@
         return false;
     }
 
-    /** Zeroes the remaining files before any file is created: if this is cut short, the loss is still detected next time. */
+    /**
+     * Zeroes the remaining files. Runs before missing files are created, so that the next start still detects the loss if this
+     * one is interrupted.
+     */
     private static void zeroExisting(final List<Path> paths) throws IOException {
         for (final Path path : paths) {
             if (Files.exists(path)) {
@@ -144,7 +150,7 @@
             }
             return bytes.array();
         } catch (final IOException e) {
-            // The log becomes BROKEN, which the node reports.
+            // SegmentedLog enters the state BROKEN, which the node reports.
             return null;
         }
     }
@@ -173,7 +179,7 @@
             }
             return true;
         } catch (final IOException e) {
-            // The log becomes REFUSING, which the node logs once, and submits the same chunks again.
+            // SegmentedLog enters the state REFUSING, which the node logs once, and later retries the same chunks.
             return false;
         }
     }
--- a/spokestall/src/main/java/spokestall/storage/LiveIndex.java
+++ b/spokestall/src/main/java/spokestall/storage/LiveIndex.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The live entries of the log: each key's newest value, and the segment in which its record lies. Not thread-safe; belongs to
- * its {@link SegmentedLog}.
+ * In-memory index of the log's live entries: each key's newest value and the segment that contains its record. Not thread-safe;
+ * owned by one {@link SegmentedLog}.
  */
 final class LiveIndex {
     private record Location(int segment, int bytes) {}
@@ -38,30 +38,33 @@
         return table.get(key);
     }
 
-    /** Returns the keys whose newest record lies in a segment. */
+    /** Returns the keys whose newest record is in a segment. */
     List<String> keysIn(final int segment) {
         return List.copyOf(keysBySegment.get(segment));
     }
 
-    /** Returns what live records are charged with, in bytes; see {@link SegmentedLog#capacityBytes}. */
+    /** Returns the sum of the live records' charges, in bytes; see {@link SegmentedLog#capacityBytes}. */
     long chargedBytes() {
         return chargedBytes;
     }
 
-    /** Returns what live records would be charged with if a key's record had so many bytes. */
+    /** Returns the sum of charges, in bytes, if a key's newest record had the given size. */
     long chargedBytesWith(final String key, final int bytes) {
         final Location replaced = locations.get(key);
         return chargedBytes - (replaced == null ? 0 : charge(replaced.bytes)) + charge(bytes);
     }
 
-    /** A record of more than a quarter of a segment counts twice, for the unused end that it may leave in a segment. */
+    /**
+     * Returns a record's charge, in bytes. A record larger than a quarter of a segment is charged twice, because it may leave
+     * nearly its own size unused at the end of a segment.
+     */
     private long charge(final int bytes) {
         return bytes > segmentBytes / 4 ? 2L * bytes : bytes;
     }
 
     /**
-     * Enters a key's newest record, which lies in a segment. A null value removes the key: the record of the deletion lies
-     * behind every older record of the key, so it isn't needed any more once its own segment is the oldest.
+     * Sets a key's newest record and the segment that contains it. A null value removes the key. Compaction doesn't copy deletion
+     * records: a deletion comes after every older record of its key, so it is no longer needed once its segment is the oldest.
      */
     void update(final String key, final byte[] value, final int segment, final int bytes) {
         final Location replaced = locations.remove(key);
--- a/spokestall/src/main/java/spokestall/storage/LogRecord.java
+++ b/spokestall/src/main/java/spokestall/storage/LogRecord.java
@@ -9,17 +9,17 @@
 import java.util.zip.CRC32;
 
 /**
- * One record of the log, as it lies in a segment, big-endian:
+ * One record of the log. Its encoding in a segment, big-endian:
  *
  * <pre>
  * 4 bytes  magic number
- * 4 bytes  incarnation: how many times the log was opened before the record was written, plus one
- * 8 bytes  sequence number: one more than the record's before it
+ * 4 bytes  incarnation: one more than the highest found when the log was opened, 1 in a new log
+ * 8 bytes  sequence number: one more than the previous record's
  * 8 bytes  sequence number of the first record of the same commit
  * 8 bytes  floor: records with a lower sequence number are no longer needed
  * 4 bytes  length of the body
  * 4 bytes  CRC-32 of incarnation, sequence numbers, floor and body
- * body:    2 bytes length of the key, the key, 1 byte whether there is a value, the value
+ * body:    2 bytes length of the key, the key, 1 byte that is nonzero if there is a value, the value
  * </pre>
  *
  * @param value null in a record that deletes the key
@@ -32,14 +32,14 @@
     private static final int VALUE_PRESENT_BYTES = 1;
     private static final int MIN_BODY_BYTES = KEY_LENGTH_BYTES + VALUE_PRESENT_BYTES;
 
-    /** A record that was found in a segment, between two offsets. */
+    /** A decoded record and its position in a segment; {@code endOffset} is exclusive. */
     record Located(int segment, int offset, int endOffset, LogRecord record) {
         int bytes() {
             return endOffset - offset;
         }
     }
 
-    /** Returns how many bytes the record of a key and value takes in a segment. */
+    /** Returns the encoded size, in bytes, of a record with this key and value. */
     static int encodedBytes(final String key, final byte[] value) {
         return HEADER_BYTES
                 + KEY_LENGTH_BYTES
@@ -73,7 +73,7 @@
             }
             return bytes.toByteArray();
         } catch (final IOException e) {
-            throw new IllegalStateException("key of " + key.length() + " characters", e);
+            throw new IllegalStateException("can't encode a record whose key has " + key.length() + " characters", e);
         }
     }
 
@@ -89,7 +89,7 @@
         return (int) crc.getValue();
     }
 
-    /** Decodes the record that begins at an offset of a segment; null if no complete and correct one does. */
+    /** Decodes the record that starts at an offset; returns null if it is incomplete or its checksum doesn't match. */
     static Located decode(final int segment, final byte[] bytes, final int offset) {
         if (offset + HEADER_BYTES > bytes.length || bytes[offset] != MAGIC >>> 24) {
             return null;
--- a/spokestall/src/main/java/spokestall/storage/LogRecovery.java
+++ b/spokestall/src/main/java/spokestall/storage/LogRecovery.java
@@ -6,23 +6,24 @@
 import java.util.TreeMap;
 
 /**
- * Finds, at start, what the segments hold.
+ * Recovery of the log's records from its segments at start.
  *
- * <p>Records with consecutive sequence numbers form a run. The run with the highest numbers is recovered that reaches back to
- * the floor of its last record, if all records behind it can be explained: they belong to the commit that was being written
- * when power was lost (a torn tail, whose puts were never reported as synced), or an earlier incarnation left them. If no run
- * qualifies, something that had been synced is lost, and the log is blank rather than wrong.
+ * <p>Records with consecutive sequence numbers form a run. Recovery takes the run with the highest numbers that meets two
+ * conditions. First, it reaches back to the floor of its last record. Second, every record with a higher number is either part
+ * of the commit that was in progress when power was lost (a torn tail, whose puts were never reported as synced), or stale,
+ * written by an earlier incarnation. If no run qualifies, synced records are lost, and recovery returns a blank log instead of
+ * an incomplete one.
  */
 final class LogRecovery {
-    /** What was found. */
+    /** Outcome of a recovery. */
     sealed interface Result {
         /** A segment can't be read. */
         record Unreadable() implements Result {}
 
-        /** Nothing valid was found; {@code incarnation} is the one that begins now. */
+        /** No run qualified; {@code incarnation} is the one that begins now. */
         record Blank(int incarnation) implements Result {}
 
-        /** The records of the recovered run in their order, at least one; {@code incarnation} is the one that begins now. */
+        /** The recovered run, at least one record, by sequence number; {@code incarnation} is the one that begins now. */
         record Recovered(int incarnation, List<LogRecord.Located> run) implements Result {
             LogRecord.Located last() {
                 return run.get(run.size() - 1);
@@ -31,13 +32,15 @@
     }
 
     private final TreeMap<Long, LogRecord.Located> bySeq = new TreeMap<>();
-    /** Later than that of any record that was found, even of one that isn't recovered: else that one could seem to follow
-     * what this incarnation writes. */
+    /**
+     * The incarnation that begins now. Higher than that of any record found, including discarded ones: otherwise a discarded
+     * record could later appear to continue this incarnation's records.
+     */
     private int incarnation = 1;
 
     private LogRecovery() {}
 
-    /** Reads all segments. */
+    /** Reads all segments and selects the run to recover. Blocks. */
     static Result recover(final SegmentStore segments) {
         final LogRecovery recovery = new LogRecovery();
         for (int segment = 0; segment < segments.count(); segment++) {
@@ -50,7 +53,10 @@
         return recovery.newestCompleteRun();
     }
 
-    /** Collects every complete record of a segment, also behind a hole; of two with one number that of the later incarnation. */
+    /**
+     * Collects every complete record of a segment, including those after a damaged part. Of two records with the same sequence
+     * number, the one of the later incarnation is kept.
+     */
     private void scan(final int segment, final byte[] bytes) {
         int offset = 0;
         while (offset < bytes.length) {
@@ -82,7 +88,7 @@
         return new Result.Blank(incarnation);
     }
 
-    /** Splits the records where a number is missing or an earlier incarnation's record follows a later one's. */
+    /** Splits the records at each missing sequence number, and where the next record is of an earlier incarnation. */
     private List<List<LogRecord.Located>> runs() {
         final List<List<LogRecord.Located>> runs = new ArrayList<>();
         LogRecord previous = null;
@@ -99,7 +105,7 @@
         return runs;
     }
 
-    /** Returns whether all later records belong to the commit that follows the last record, or to an earlier incarnation. */
+    /** Returns whether each later record belongs to the commit right after the last record, or to an earlier incarnation. */
     private static boolean allTornOrStale(final List<List<LogRecord.Located>> laterRuns, final LogRecord last) {
         for (final List<LogRecord.Located> run : laterRuns) {
             for (final LogRecord.Located located : run) {
--- a/spokestall/src/main/java/spokestall/storage/SegmentStore.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentStore.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * The preallocated segments of a log: files in a process, a simulated disk in tests. All calls, and all callbacks, on the event
- * loop of the log's node.
+ * The preallocated segments of a log, in files or, in tests, on a simulated disk. All calls and callbacks run on the event loop
+ * of the log's node.
  */
 public interface SegmentStore {
-    /** Bytes to be written at an offset of a segment. */
+    /** Bytes to write at an offset of a segment. */
     record Chunk(int segment, int offset, byte[] bytes) {}
 
     /** Returns the number of segments. */
@@ -23,8 +23,8 @@
     /**
      * Writes chunks and syncs them.
      *
-     * @param done gets true after all chunks are written and synced, false if any is not, in which case any part of them may be
-     *     written. Called later, or at once before this method returns.
+     * @param done receives true after all chunks are written and synced. Receives false if a write or sync fails; any part of the
+     *     chunks may be on disk then. Called once, before or after this method returns.
      */
     void commit(List<Chunk> chunks, Consumer<Boolean> done);
 }
--- a/spokestall/src/main/java/spokestall/storage/SegmentWriter.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentWriter.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * Appends records at the head of the log, collects them as chunks for the next commit, and frees the oldest segment by
- * compaction. The segments form a ring: the head advances to the one behind it, which is free by then. Not thread-safe;
- * belongs to its {@link SegmentedLog}.
+ * Writer at the head of the log. Encodes appended records as chunks for the next commit, and frees the oldest segment by
+ * compaction. The segments form a ring: the head advances to the next segment, which compaction has freed by then. Not
+ * thread-safe; owned by one {@link SegmentedLog}.
  */
 final class SegmentWriter {
-    /** Segments that are kept free: a commit may advance once for its puts and once for its compaction. */
+    /** Segments kept free: one commit may advance the head once for its puts and once for compaction. */
     static final int SPARE_SEGMENTS = 2;
 
-    /** Key of a record that only carries a new floor. */
+    /** Key of a record that has no value and only sets a new floor. */
     private static final String NO_KEY = "";
 
     private final int segmentBytes;
     private final LiveIndex index;
-    /** For each segment the number of its first record, zero if the segment is free. */
+    /** Sequence number of each segment's first record; zero if the segment is free. */
     private final long[] firstSeq;
 
     private final List<SegmentStore.Chunk> chunks = new ArrayList<>();
@@ -27,7 +27,7 @@
     private int head;
     private int headOffset;
 
-    /** Begins in the first segment of an empty log. */
+    /** Creates a writer for an empty log, with the head at the first segment. */
     SegmentWriter(final SegmentStore segments, final LiveIndex index, final int incarnation) {
         this.segmentBytes = segments.sizeBytes();
         this.index = index;
@@ -36,7 +36,7 @@
         firstSeq[head] = nextSeq;
     }
 
-    /** Continues behind the last record of a recovered log, whose live records it enters in the index. */
+    /** Creates a writer that continues after a recovered log's last record, and adds the live records to the index. */
     SegmentWriter(final SegmentStore segments, final LiveIndex index, final LogRecovery.Result.Recovered recovered) {
         this.segmentBytes = segments.sizeBytes();
         this.index = index;
@@ -58,7 +58,7 @@
         headOffset = recovered.last().endOffset();
     }
 
-    /** Returns the number that the next record gets. */
+    /** Returns the sequence number of the next record. */
     long nextSeq() {
         return nextSeq;
     }
@@ -73,7 +73,7 @@
         return headOffset + LogRecord.encodedBytes(key, value) <= segmentBytes;
     }
 
-    /** Returns whether an advance of the head leaves room for compaction to advance it too. */
+    /** Returns whether enough segments are free for the head to advance now and once more for compaction. */
     boolean hasSpareSegments() {
         int free = 0;
         for (final long first : firstSeq) {
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Appends a record, in the next segment if it doesn't fit in the head, and enters it in the index.
+     * Appends a record and adds it to the index. Advances the head if the record doesn't fit in the head segment.
      *
-     * @param batchSeq number of the first record of the commit
+     * @param batchSeq sequence number of the commit's first record
      */
     void append(final String key, final byte[] value, final long batchSeq) {
         final int bytes = LogRecord.encodedBytes(key, value);
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Frees the oldest segment by appending its live records again. Only the last of these carries the new floor, so that a torn
-     * commit leaves the segment in use.
+     * Frees the oldest segment by appending its live records again. Only the last appended record has the new floor: if the commit
+     * is torn, recovery still uses the segment.
      */
     void compactOldest(final long batchSeq) {
         final int oldest = oldest();
@@ -126,12 +126,12 @@
         return oldest;
     }
 
-    /** Returns the chunks that were appended since {@link #clearChunks}, in their order. */
+    /** Returns the chunks appended since the last {@link #clearChunks}, in the order of the appends. */
     List<SegmentStore.Chunk> chunks() {
         return List.copyOf(chunks);
     }
 
-    /** Forgets the chunks, which are synced. */
+    /** Removes the pending chunks; called after they are synced. */
     void clearChunks() {
         chunks.clear();
     }
--- a/spokestall/src/main/java/spokestall/storage/SegmentedLog.java
+++ b/spokestall/src/main/java/spokestall/storage/SegmentedLog.java
@@ -7,31 +7,31 @@
 import java.util.function.Consumer;
 
 /**
- * A table of keys and values, stored as a log in a ring of preallocated segments.
+ * A durable key-value table, stored as a log in a ring of preallocated segments.
  *
- * <p>Commits: a put is reported as synced only after its record, and every record before it, is written and synced. One commit
- * is in flight at a time; puts that arrive meanwhile are written together by the next one. What the disk refuses is
- * submitted again, the same bytes at the same offsets, until the disk accepts it; until then none of these puts is reported.
+ * <p>Commits: a put is reported as synced only after its record and every earlier record are written and synced. One commit is in
+ * flight at a time; the next commit writes all puts that arrive meanwhile. If the disk refuses a commit, {@link #retry} submits
+ * the same bytes at the same offsets again. None of its puts is reported until the disk accepts it.
  *
- * <p>Recovery: a torn tail is cut, which loses puts only that were not reported. Where a record that had been synced is missing
- * or damaged, the log is {@link #blank} rather than wrong, and its owner has to treat the disk as lost. See {@link LogRecovery}
- * and, for the format, {@link LogRecord}.
+ * <p>Recovery: a torn tail is discarded; this loses only puts that were not reported as synced. If a synced record is missing or
+ * damaged, the log starts {@link #blank} instead of with incomplete data, and its owner must treat the disk as lost. See {@link
+ * LogRecovery} and, for the format, {@link LogRecord}.
  *
- * <p>Compaction: when too few segments are free, the oldest is freed by appending its live records again in the same commit.
+ * <p>Compaction: when too few segments are free, a commit also frees the oldest segment by appending its live records again.
  *
- * <p>Not thread-safe; all calls, and the callbacks of its {@link SegmentStore}, on the node's event loop. Values are not copied:
- * callers must not change the arrays that they pass or are given.
+ * <p>Not thread-safe; all calls, and the callbacks of the {@link SegmentStore}, run on the node's event loop. Values are not
+ * copied: callers must not modify arrays that they pass to or receive from the log.
  */
 public final class SegmentedLog {
-    /** What the log can do. The names are part of operators' replies. */
+    /** Operating state of the log. The constants' names are part of replies to operators. */
     public enum State {
         /** Puts are accepted. */
         OPEN,
         /** The last put was rejected for lack of capacity; deletions, and puts that fit, are accepted. */
         FULL,
-        /** The disk refused a commit, which is submitted again on {@link SegmentedLog#retry}; puts are queued. */
+        /** The disk refused a commit; {@link SegmentedLog#retry} submits it again. Puts are queued meanwhile. */
         REFUSING,
-        /** The segments could not be read at start; all puts are rejected. */
+        /** A segment could not be read at start; all puts are rejected. */
         BROKEN;
 
         private boolean mayBecome(final State next) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Puts that are queued while the disk refuses a commit; further ones are rejected. */
+    /** Maximum number of puts queued while the disk refuses a commit; further puts are rejected. */
     private static final int MAX_QUEUED_WHILE_REFUSING = 4096;
 
     private record Put(String key, byte[] value, Consumer<Boolean> done) {}
@@ -62,7 +62,7 @@
     private long commits;
     private long syncedSeq;
 
-    /** Reads the segments and recovers the live entries. */
+    /** Reads the segments and recovers the live entries. Blocks. */
     public SegmentedLog(final SegmentStore segments) {
         this.segments = segments;
         this.index = new LiveIndex(segments.count(), segments.sizeBytes());
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Returns whether nothing valid was found at start: a new disk, or one that lost synced records. */
+    /** Returns whether recovery found no usable records at start: the disk is new, unreadable, or lost synced records. */
     public boolean blank() {
         return blank;
     }
@@ -94,34 +94,34 @@
             return;
         }
         if (!state.mayBecome(next)) {
-            throw new IllegalStateException("a log that is " + state + " can't become " + next);
+            throw new IllegalStateException("invalid log state transition from " + state + " to " + next);
         }
         state = next;
     }
 
-    /** Returns whether the disk accepts writes, as far as is known. */
+    /** Returns whether the disk accepts writes, judging by the start and the last finished commit. */
     public boolean canWrite() {
         return state == State.OPEN || state == State.FULL;
     }
 
-    /** Submits again what the disk refused. Does nothing if nothing was refused. */
+    /** Resubmits the commit that the disk refused. Does nothing if there is none. */
     public void retry() {
         if (state == State.REFUSING && !committing) {
             submit();
         }
     }
 
-    /** Returns the number of commits that were synced since start. */
+    /** Returns the number of commits synced since start. */
     public long commits() {
         return commits;
     }
 
-    /** Returns the sequence number of the newest record that is synced, zero in an empty log. */
+    /** Returns the sequence number of the newest synced record; zero in an empty log. */
     public long syncedSeq() {
         return syncedSeq;
     }
 
-    /** Returns what live records take of {@link #capacityBytes}, as a ratio. */
+    /** Returns the ratio of the live records' charge to {@link #capacityBytes}. */
     public double fill() {
         return (double) index.chargedBytes() / capacityBytes();
     }
@@ -132,10 +132,10 @@
     }
 
     /**
-     * Puts a value, or deletes the key if the value is null. The table shows it once its commit is submitted.
+     * Puts a value, or deletes the key if the value is null. {@link #table} includes the change once its commit is submitted.
      *
-     * @param done gets true after the record is synced, or false at once if the put is rejected: the log is full, broken, or has
-     *     too many puts queued. It isn't called if the process ends before.
+     * @param done receives true after the record is synced, or false at once if the put is rejected because the log is full,
+     *     broken, or has too many queued puts. Not called if the process ends before the sync.
      */
     public void put(final String key, final byte[] value, final Consumer<Boolean> done) {
         final boolean queueFull = state == State.REFUSING && queued.size() >= MAX_QUEUED_WHILE_REFUSING;
@@ -159,18 +159,18 @@
     }
 
     /**
-     * Returns how many bytes of live records fit. The head leaves a segment when the next record doesn't fit, with less unused
-     * than that record has bytes. So k segments written from end to end hold k * size - (the records that came first in a
-     * segment) or more; with records of up to a quarter of a segment counted once and larger ones twice, three quarters of the
-     * segments' bytes are enough.
+     * Returns the capacity for live records, in bytes. The head leaves a segment when the next record doesn't fit, so the unused
+     * end is smaller than that record. Hence k full segments hold at least k * size minus the sizes of the records that come first
+     * in a segment. Because records larger than a quarter of a segment are charged twice, live records whose charges add up to
+     * three quarters of the segments' bytes always fit.
      */
     public long capacityBytes() {
         return (long) (segments.count() - SegmentWriter.SPARE_SEGMENTS - 1) * segments.sizeBytes() * 3 / 4;
     }
 
     /**
-     * Writes queued puts in one commit. It advances to a further segment at most once for puts and once for compaction, and only
-     * to segments that were free before it: what it frees itself is still needed if it is torn.
+     * Writes queued puts in one commit. A commit advances the head at most once for puts and once for compaction, and only to
+     * segments that were free before it: recovery still needs the segment that this commit frees if the commit is torn.
      */
     private void commit() {
         final long batchSeq = writer.nextSeq();
--- a/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
@@ -5,7 +5,7 @@
 import java.util.function.IntSupplier;
 import spokestall.time.Clock;
 
-/** A disk in memory that syncs each commit after a delay on a virtual clock, unless power is lost before. */
+/** In-memory segments that sync each commit after a delay on a virtual clock, unless the test loses power first. */
 public final class DelayedSegmentStore extends InMemorySegmentStore {
     private final Clock clock;
     private final IntSupplier delayMs;
@@ -29,12 +29,12 @@
         });
     }
 
-    /** Delays each further commit by so many milliseconds more. */
+    /** Sets the milliseconds that are added to the delay of each later commit. */
     public void addDelay(final long byMs) {
         addedDelayMs = byMs;
     }
 
-    /** Loses all commits in flight; their callbacks are never called. */
+    /** Discards all commits in flight, as a power loss does; their callbacks are never called. */
     public void losePower() {
         incarnation++;
     }
--- a/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
+++ b/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
@@ -24,7 +24,7 @@
         return data.resolve("ring").resolve("segment-" + segment);
     }
 
-    /** Fills segments up to the fourth. */
+    /** Writes enough records to reach the fourth segment. */
     private void write() throws IOException {
         final SegmentedLog log = open();
         for (int i = 0; i < 200; i++) {
@@ -73,7 +73,7 @@
     void detectsALostFileAfterZeroingWasInterrupted() throws IOException {
         write();
         Files.delete(file(3));
-        // Zeroed this far, and the lost file not created again yet.
+        // The zeroing was interrupted after the first file; the lost file is not recreated yet.
         Files.write(file(0), new byte[SIZE]);
         assertThat(open().blank()).isTrue();
         write();
--- a/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/InMemorySegmentStore.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A disk in memory that syncs each commit at once. */
+/** In-memory segments that sync each commit immediately. */
 public class InMemorySegmentStore implements SegmentStore {
     private final byte[][] files;
 
@@ -37,12 +37,12 @@
         chunks.forEach(chunk -> write(chunk, chunk.bytes().length));
     }
 
-    /** Writes the beginning of a chunk, as a power loss may leave it. */
+    /** Writes the first bytes of a chunk, as a torn write does. */
     protected final void write(final Chunk chunk, final int bytes) {
         System.arraycopy(chunk.bytes(), 0, files[chunk.segment()], chunk.offset(), bytes);
     }
 
-    /** Flips some bits of a byte, as a decaying disk does. */
+    /** Flips bits of a byte, to simulate bit rot. */
     public final void flip(final int segment, final int at, final int bits) {
         files[segment][at] ^= (byte) bits;
     }
--- a/spokestall/src/test/java/spokestall/storage/ManualSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/ManualSegmentStore.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** A disk in memory whose commits stay in flight until the test syncs, refuses, loses or tears them. */
+/** In-memory segments whose commits stay in flight until the test syncs, refuses, loses or tears them. */
 final class ManualSegmentStore extends InMemorySegmentStore {
     private final List<Chunk> inFlight = new ArrayList<>();
     private Consumer<Boolean> callback;
@@ -23,7 +23,7 @@
         callback = done;
     }
 
-    /** Writes the commit in flight, if there is one, and reports it. */
+    /** Writes the commit in flight and reports it as synced. Reports nothing if there is none. */
     void sync() {
         write(inFlight);
         inFlight.clear();
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Refuses the commit in flight. */
+    /** Reports the commit in flight as failed, without writing any of it. */
     void refuse() {
         inFlight.clear();
         final Consumer<Boolean> done = callback;
@@ -42,14 +42,14 @@
         done.accept(false);
     }
 
-    /** Loses power: the first chunks of the commit in flight are lost, the others are not. */
+    /** Loses power: the first {@code lost} chunks of the commit in flight are lost, and the others are written. */
     void losePowerDroppingFirst(final int lost) {
         write(inFlight.stream().skip(lost).toList());
         inFlight.clear();
         callback = null;
     }
 
-    /** Loses power: any beginning of each chunk in flight may be written. */
+    /** Loses power: of each chunk in flight, a random number of leading bytes is written. */
     void losePower(final Random random) {
         for (final Chunk chunk : inFlight) {
             write(chunk, random.nextInt(chunk.bytes().length + 1));
--- a/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
@@ -12,9 +12,12 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** What is recovered after random power losses, which lose or tear any chunks of the commit in flight. */
+/** Recovery after random power losses, each of which loses or tears chunks of the commit in flight. */
 class SegmentedLogPowerLossTest {
-    /** Each key has the value that was synced last or one that was put since; it counts as synced from now on. */
+    /**
+     * Checks that each key has its last synced value or one that was put later, and marks the found value as synced for later
+     * checks.
+     */
     private static void verifyRecovered(
             final SegmentedLog log,
             final int keys,
@@ -41,7 +44,7 @@
             final ManualSegmentStore disk = new ManualSegmentStore(6, 4096);
             SegmentedLog log = new SegmentedLog(disk);
             assertThat(log.blank()).isTrue();
-            // For each key the value that was synced last, and those that were put since.
+            // For each key, the last synced value, and the values put since.
             final Map<String, String> synced = new HashMap<>();
             final Map<String, List<String>> unsynced = new HashMap<>();
             for (int step = 0; step < 1500; step++) {
@@ -63,7 +66,9 @@
                     disk.losePower(random);
                     log = new SegmentedLog(disk);
                     losses++;
-                    assertThat(log.blank() && !synced.isEmpty()).as("not blank").isFalse();
+                    assertThat(log.blank() && !synced.isEmpty())
+                            .as("blank after synced puts")
+                            .isFalse();
                     verifyRecovered(log, 12, synced, unsynced, "seed " + seed);
                 }
             }
@@ -71,7 +76,7 @@
         assertThat(losses).isGreaterThan(500);
     }
 
-    /** Records of up to a file, in a log that is nearly as full as it may be. */
+    /** Writes records of up to a segment's size to a log that is close to its capacity. */
     @Test
     void largeRecordsDoNotOverwriteRecordsThatRecoveryNeeds() {
         final int size = 4096;
@@ -109,7 +114,7 @@
         }
     }
 
-    /** A value of any length that begins with the number of its put. */
+    /** Returns a value that starts with the number of its put, followed by {@code bytes} zero bytes. */
     private static byte[] numbered(final int number, final int bytes) {
         return ByteBuffer.allocate(Integer.BYTES + bytes).putInt(number).array();
     }
@@ -126,7 +131,8 @@
             final ManualSegmentStore disk = new ManualSegmentStore(8, 4096);
             SegmentedLog log = new SegmentedLog(disk);
             for (int step = 1; step <= 300; step++) {
-                // As a snapshot is put before the floor below which it makes other records superfluous.
+                // Mirrors the production order: a snapshot is put before the floor below which it replaces other
+                // records.
                 log.put("snapshot", numbered(step, random.nextInt(1500)), ok -> {});
                 log.put("floor", numbered(step, 0), ok -> {});
                 if (random.nextInt(3) == 0) {
@@ -143,7 +149,10 @@
         }
     }
 
-    /** Incarnations that end in their first commit, of which only what was written last is left. */
+    /**
+     * Power losses during an incarnation's first commit may leave only the commit's last chunks on disk. If a later incarnation
+     * reached the sequence numbers before these records, recovery could take them for its continuation.
+     */
     @Test
     void staleRecordsBeyondATornTailNeverReplaceSyncedOnes() {
         for (int seed = 0; seed < 300; seed++) {
--- a/spokestall/src/test/java/spokestall/storage/SegmentedLogTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogTest.java
@@ -21,7 +21,7 @@
                 disk.sync();
             }
             final int last = 59;
-            // Somewhere in what was written, but not in the last record: that one looks like a torn tail.
+            // A written byte, but not in the last record: recovery would take damage there for a torn tail.
             final int at = random.nextInt(50 * 40);
             disk.flip(0, at, 0x20);
             final SegmentedLog reopened = new SegmentedLog(disk);
