--- a/spokestall/src/main/java/spokestall/audit/AuditChain.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditChain.java
@@ -20,22 +20,22 @@
 import java.util.List;
 
 /**
- * A chain of signed entries (JWS, ES256), one a line. Each has its number and the SHA-256 digest of the line before it, so that
- * an entry that was removed, altered or moved is found.
+ * A hash chain of signed entries (JWS, ES256), one per line. Each entry contains its number and the SHA-256 digest of the previous
+ * line, so that {@link #check} detects removed, altered and reordered entries.
  *
- * <p>Not thread-safe. The names of entries' fields, and of {@link Verdict}'s records and their components, are an interface: the
- * first are stored, the others printed.
+ * <p>Not thread-safe. The names of entry fields are stored, and the names of {@link Verdict}'s records and their components are
+ * printed; both must stay as they are.
  */
 public final class AuditChain {
-    /** The result of a check. */
+    /** Result of a check. */
     public sealed interface Verdict {
-        /** Every line is complete, signed and follows the one before it. */
+        /** Every line is complete, has a valid signature and follows the previous line. */
         record Good(long first, long last, int entries) implements Verdict {}
 
-        /** All lines are good but for a last one that was cut off, as by a loss of power. */
+        /** The last line is incomplete, for example after a power loss; all other lines are good. */
         record Torn(long first, long last, int entries) implements Verdict {}
 
-        /** A line was altered, removed, added or moved; lines are counted from one. */
+        /** A line was altered, removed, added or moved; {@code line} is the first bad line, counted from 1. */
         record Bad(int line, String why) implements Verdict {}
     }
 
@@ -46,7 +46,11 @@
     private String lastDigest;
     private long nextNumber;
 
-    /** Continues a chain after this line, or begins one if it is null; throws ParseException if the line is no entry. */
+    /**
+     * Creates a chain that continues after {@code lastLine}, or a new one if {@code lastLine} is null.
+     *
+     * @throws ParseException if {@code lastLine} is not an entry
+     */
     public AuditChain(final ECKey key, final String lastLine) throws JOSEException, ParseException {
         this.key = key;
         this.signer = new ECDSASigner(key);
@@ -57,7 +61,7 @@
     private static long number(final String line) throws ParseException {
         final Object value = JWSObject.parse(line).getPayload().toJSONObject().get("n");
         if (!(value instanceof Number number)) {
-            throw new ParseException("an entry without a number", 0);
+            throw new ParseException("the entry has no number", 0);
         }
         return number.longValue();
     }
@@ -72,7 +76,7 @@
         }
     }
 
-    /** Signs an entry of this kind and returns its line, which the next one will follow. */
+    /** Signs an entry and returns its line. The next entry contains this line's digest. */
     public String append(final String kind, final ObjectNode fields) throws JOSEException {
         final ObjectNode entry = JSON.createObjectNode()
                 .put("n", nextNumber)
@@ -92,7 +96,7 @@
         return line;
     }
 
-    /** Checks lines in their order; {@code terminated} is whether the last one ended with a line feed. */
+    /** Checks lines in order; {@code terminated} is whether the last line ends with a line feed. */
     public static Verdict check(final ECKey publicKey, final List<String> lines, final boolean terminated) {
         long first = 0;
         long last = 0;
@@ -116,25 +120,28 @@
         return new Verdict.Good(first, last, lines.size());
     }
 
-    /** Returns what is wrong with a line, or null. The digest is null for the first line, which may have any number. */
+    /**
+     * Returns the reason why a line is bad, or null if it is good. {@code lastDigest} is null for the first line, which may have
+     * any number.
+     */
     private static String faultOf(
             final ECKey publicKey, final String line, final String lastDigest, final long lastNumber) {
         try {
             final JWSObject jws = JWSObject.parse(line);
             final JWSVerifier verifier = new ECDSAVerifier(publicKey);
             if (!JWSAlgorithm.ES256.equals(jws.getHeader().getAlgorithm()) || !jws.verify(verifier)) {
-                return "its signature is not the key's";
+                return "the signature does not match the public key";
             }
             if (lastDigest == null) {
                 return null;
             }
             if (number(line) != lastNumber + 1) {
-                return "it is number " + number(line) + " after " + lastNumber;
+                return "entry number " + number(line) + " follows entry number " + lastNumber;
             }
             final Object statedDigest = jws.getPayload().toJSONObject().get("before");
-            return lastDigest.equals(statedDigest) ? null : "it does not follow the line before";
+            return lastDigest.equals(statedDigest) ? null : "the digest does not match the previous line";
         } catch (final ParseException | JOSEException e) {
-            return "it is no signed entry: " + e.getMessage();
+            return "the line is not a signed entry: " + e.getMessage();
         }
     }
 }
--- a/spokestall/src/main/java/spokestall/audit/AuditSink.java
+++ b/spokestall/src/main/java/spokestall/audit/AuditSink.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Receives the entries of a core's audit log. Implemented by what stores them; storing never delays a decision.
+ * Storage for the entries of a core's audit log. Storing an entry never delays the decision that it records.
  *
  * <p>Called on the node's event loop; implementations must not block it.
  */
 public interface AuditSink {
-    /** Discards all entries. */
+    /** A sink that discards all entries. */
     AuditSink NONE = new AuditSink() {
         @Override
         public void append(final String kind, final ObjectNode fields) {
-            // Nothing is stored.
+            // Discards the entry.
         }
 
         @Override
@@ -21,9 +21,9 @@
         }
     };
 
-    /** Accepts one entry, which is signed and written later; it is lost if the process ends before. */
+    /** Queues one entry, which is signed and written later. The entry is lost if the process ends before that. */
     void append(String kind, ObjectNode fields);
 
-    /** Returns at most {@code limit} of the newest entries, and the key to verify them by; null if none are stored. */
+    /** Returns up to {@code limit} of the newest entries and the public key that verifies them; null if none are stored. */
     ObjectNode newest(int limit);
 }
--- a/spokestall/src/main/java/spokestall/audit/Auditor.java
+++ b/spokestall/src/main/java/spokestall/audit/Auditor.java
@@ -15,14 +15,14 @@
 import spokestall.usage.SealedWindow;
 
 /**
- * Writes an audit entry for each decision that this core knows of: configurations, evacuations, keys, leases, usage windows and
- * voters. Each is written once in an incarnation of the process.
+ * Writer of an audit entry for each decision that this core learns of: configurations, evacuations, keys, leases, usage windows
+ * and voters. Writes each decision once per process incarnation.
  *
- * <p>Not thread-safe; all calls on the node's event loop. The kinds and fields of entries are stored, so their names stay.
+ * <p>Not thread-safe; all calls run on the node's event loop. The kinds and field names of entries are stored and must not change.
  */
 public final class Auditor {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** How many of the newest windows are remembered as written, so that a repeated one is not written again. */
+    /** Number of the newest windows remembered as written, so that a window that is reported again is not written again. */
     private static final int MAX_REMEMBERED_WINDOWS = 64;
 
     private final AuditSink sink;
@@ -35,7 +35,7 @@
     private long fencingToken;
     private VoterSet voterSet;
 
-    /** Creates an auditor that has written nothing yet; {@code fleetMs} returns the fleet's time, which each entry has. */
+    /** Creates an auditor without written entries; {@code fleetMs} returns the fleet clock's time, which each entry contains. */
     public Auditor(final AuditSink sink, final ConfigurationStore configurationStore, final LongSupplier fleetMs) {
         this.sink = sink;
         this.configurationStore = configurationStore;
@@ -46,7 +46,10 @@
         return JSON.createObjectNode().put("fleetMs", fleetMs.getAsLong());
     }
 
-    /** Writes the versions that are in force here since the last call, or a digest where the changes are no longer known. */
+    /**
+     * Writes the configuration versions that came into force on this core since the last call. Writes one snapshot entry with a
+     * digest instead if the store no longer retains the changes.
+     */
     public void recordConfiguration() {
         final long now = configurationStore.configuration().version();
         if (now == version) {
@@ -105,7 +108,7 @@
         keysByTenant = found;
     }
 
-    /** Writes a lease with a newer fencing token; the lease is null while none is known. */
+    /** Writes the lease if its fencing token is higher than the last one; null means that no lease is known. */
     public void recordLease(final Lease seen) {
         if (seen != null && seen.fencingToken() > fencingToken) {
             fencingToken = seen.fencingToken();
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Writes a usage window once it is marked as reported, by which its counts are decided. */
+    /** Writes a usage window once it is marked as reported, which makes its counts final. */
     public void recordWindow(final SealedWindow sealed) {
         if (sealed.completed() && writtenWindows.add(sealed.window())) {
             final ObjectNode entry = entry().put("window", sealed.window()).put("token", sealed.fencingToken());
@@ -125,7 +128,7 @@
         }
     }
 
-    /** Writes the voters if they are newer than the last ones; they are null while none are known. */
+    /** Writes the voter set if it is newer than the last one; null means that no voter set is known. */
     public void recordVoters(final VoterSet now) {
         if (now != null && now.newerThan(voterSet)) {
             voterSet = now;
--- a/spokestall/src/main/java/spokestall/audit/package-info.java
+++ b/spokestall/src/main/java/spokestall/audit/package-info.java
@@ -1,13 +1,13 @@
 /**
- * The signed record of decisions.
+ * The signed audit log of decisions.
  *
- * <p>Owns: the entries that a core writes about configurations, voters, leases and usage reports, their signature, and the hash
- * chain from each entry to the one before it.
+ * <p>Owns: the entries that a core writes about configurations, voters, leases and usage reports, their signatures, and the hash
+ * chain from each entry to the previous one.
  *
- * <p>Invariants: an entry is written once for each decision in one incarnation of the process. Each has the digest of the one
- * before it, so that a removed or altered entry is found by {@code spokestall audit}. Writing never delays a decision.
+ * <p>Invariants: each decision is written once per process incarnation. Each entry contains the digest of the previous one, so that
+ * {@code spokestall audit} detects removed and altered entries. Writing never delays a decision.
  *
- * <p>Callers: {@code node.AuditComponent} reports what was decided; {@code io.AuditFiles} stores the lines; the command {@code
- * audit} verifies them.
+ * <p>Callers: {@code node.AuditComponent} reports decisions; {@code io.AuditFiles} stores the lines; the command {@code audit}
+ * verifies them.
  */
 package spokestall.audit;
--- a/spokestall/src/main/java/spokestall/settings/FileSettings.java
+++ b/spokestall/src/main/java/spokestall/settings/FileSettings.java
@@ -5,9 +5,10 @@
 import java.util.Optional;
 
 /**
- * Settings from spokestall's own file and from flags, which override it. Thread-safe.
+ * Settings from a JSON file and from flags, which override the file. Thread-safe.
  *
- * @param settingsFile null if there is none
+ * @param settingsFile the settings file; null if there is none
+ * @param flags values by their keys
  * @param core whether the node is a core
  */
 public record FileSettings(Path settingsFile, Map<String, String> flags, boolean core) implements SettingsSource {
--- a/spokestall/src/main/java/spokestall/settings/SettingDefinition.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingDefinition.java
@@ -1,16 +1,17 @@
 package spokestall.settings;
 
 /**
- * One setting: its default, its line in the help and what values it may have. Immutable.
+ * Definition of one setting: its default, its description in the help and its allowed values. Immutable.
  *
- * @param fallback value if none is given; null if one must be given, empty if the value is optional or a fraction of another
- * @param fraction what a number is if none is given, null if {@code defaultValue} says it
+ * @param defaultValue the value if none is given; null if the setting is required; empty if it is optional or has a
+ *     {@code defaultFraction}
+ * @param defaultFraction the default of a number as a fraction of another setting; null if {@code defaultValue} is the default
  */
 record SettingDefinition(String defaultValue, String description, Kind kind, Range range, Fraction defaultFraction) {
-    /** Range of a setting that isn't a number. */
+    /** Placeholder range of settings that aren't numbers. */
     static final Range NO_RANGE = new Range(0, 0);
 
-    /** The form of a value. */
+    /** Format of a value. */
     enum Kind {
         TEXT,
         NUMBER,
@@ -18,11 +19,11 @@
         ADDRESS,
         /** IP and port, or empty. */
         OPTIONAL_ADDRESS,
-        /** One or more of IP and port, comma between. */
+        /** One or more pairs of IP and port, separated by commas. */
         ADDRESSES,
         /** Zones with their regions. */
         ZONES,
-        /** IP numbers and networks, comma between, or empty. */
+        /** IP addresses and networks, separated by commas, or empty. */
         NETWORKS
     }
 
@@ -36,7 +37,7 @@
     /** A default that is another setting's value times a ratio. */
     record Fraction(String baseKey, double ratio) {}
 
-    /** Returns what the help says about the default, empty if there is nothing to say. */
+    /** Returns the default as shown in the help; empty if there is none. */
     String defaultForHelp() {
         if (defaultValue == null) {
             return " (must be given)";
--- a/spokestall/src/main/java/spokestall/settings/Settings.java
+++ b/spokestall/src/main/java/spokestall/settings/Settings.java
@@ -7,16 +7,16 @@
 import java.util.TreeSet;
 
 /**
- * A node's settings, which passed all checks. {@link SettingsReader} reads them.
+ * A node's validated settings, read by {@link SettingsReader}.
  *
- * <p>A setting is looked up by its name, as operators write it; an unknown name is a programming error. Units are part of the
- * name: {@code ...Ms} milliseconds, {@code ...S} seconds, {@code ...Bytes} bytes. Durations inside the code are fractions of the
- * bounds that are set here, see {@link #fractionOf}.
+ * <p>Settings are looked up by the names that operators write; an unknown name is a programming error. The unit is part of the
+ * name: {@code ...Ms} milliseconds, {@code ...S} seconds, {@code ...Bytes} bytes. Internal durations are derived as fractions of
+ * the bounds set here, see {@link #fractionOf}.
  *
- * <p>Immutable and thread-safe. A node that reads newer settings gets another instance, see {@link SettingsUpdate}.
+ * <p>Immutable and thread-safe. A reload creates another instance, see {@link SettingsUpdate}.
  */
 public final class Settings {
-    /** Fraction of the bound on draining an upstream in which a silent peer has to be noticed. */
+    /** Fraction of {@code leaveBoundMs} after which a peer that sends no messages counts as dead. */
     private static final double PEER_TIMEOUT_RATIO = 0.3;
 
     private static final int PEER_TIMEOUT_PROOF_INTERVALS = 3;
@@ -28,7 +28,7 @@
         this.values = values;
     }
 
-    /** Returns the settings page of the help: a line for each setting with its description and default. */
+    /** Returns the settings section of the help: one line per setting with its description and default. */
     public static String help() {
         return SettingDefinitions.help();
     }
@@ -38,17 +38,17 @@
         return values;
     }
 
-    /** Returns a setting's value as written. */
+    /** Returns a setting's value as text. */
     public String text(final String key) {
         return values.get(key);
     }
 
-    /** Returns a number without its fraction, as most durations, sizes, counts and switches are used. */
+    /** Returns a number, truncated to an integer. */
     public long integer(final String key) {
         return (long) number(key);
     }
 
-    /** Returns a number. If none is given and it is a fraction of another setting by default, it is rounded to an integer. */
+    /** Returns a number. A default that is a fraction of another setting is rounded to an integer. */
     public double number(final String key) {
         final String value = values.get(key);
         final SettingDefinition.Fraction defaultFraction =
@@ -63,7 +63,7 @@
         return Math.max(1, Math.round(number(key) * ratio));
     }
 
-    /** Returns how long a core or an edge counts as alive after its last message, in milliseconds. */
+    /** Returns how long a node counts as alive after its last message, in milliseconds. */
     public long peerTimeoutMillis() {
         return Math.max(
                 fractionOf("leaveBoundMs", PEER_TIMEOUT_RATIO), PEER_TIMEOUT_PROOF_INTERVALS * integer("proofMs"));
@@ -74,7 +74,7 @@
         return text("listen").isEmpty() ? text("address") : text("listen");
     }
 
-    /** Returns the address (IP and port) on which the node listens for operators, apart from clients. */
+    /** Returns the address (IP and port) on which the node listens for operators, separate from that for clients. */
     public String operatorAddress() {
         final String http = text("http");
         return text("operators").isEmpty()
@@ -82,7 +82,7 @@
                 : text("operators");
     }
 
-    /** Returns the networks from which connections of other nodes are accepted, comma between. */
+    /** Returns the networks from which the node accepts connections of other nodes, separated by commas. */
     public String peerNetworks() {
         final String own = text("address");
         return text("peers").isEmpty() ? own.substring(0, own.indexOf(':')) + "/16" : text("peers");
--- a/spokestall/src/main/java/spokestall/settings/SettingsError.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsError.java
@@ -1,6 +1,6 @@
 package spokestall.settings;
 
-/** One error in the settings: which key it is about, and what is wrong with its value. */
+/** One error in the settings: the key concerned and the reason why its value is invalid. */
 public record SettingsError(String key, String reason) {
     @Override
     public String toString() {
--- a/spokestall/src/main/java/spokestall/settings/SettingsReader.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsReader.java
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads settings: defaults, overridden by the file, overridden by flags, and then checked. Thread-safe; blocks on the file. */
+/** Reader of settings. The file overrides defaults, flags override the file, and the result is validated. Thread-safe; blocks. */
 public final class SettingsReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private SettingsReader() {}
 
     /**
-     * Reads and checks all settings. A file that can't be read is one of the errors.
+     * Reads and validates all settings. An unreadable file is reported as one of the errors.
      *
-     * @param file a JSON object of texts, numbers and booleans; null if there is none
+     * @param file a file with a JSON object of texts, numbers and booleans; null if there is none
      * @param flags values by their keys
      * @param core whether the settings are for a core, which needs a data directory
      */
--- a/spokestall/src/main/java/spokestall/settings/SettingsSource.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsSource.java
@@ -3,12 +3,12 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** Where a node's settings come from, so that they can be read again while it runs. Calls block on files. */
+/** Source of a node's settings, which a running node can read again. Calls may block on file access. */
 public interface SettingsSource {
-    /** Reads and checks all settings as they are now. */
+    /** Reads and validates the current settings. */
     SettingsResult read();
 
-    /** Returns the file whose modification means that there are newer settings; empty if there is none. */
+    /** Returns the file to watch for newer settings; empty if there is none. */
     Optional<Path> file();
 
     /** Returns a source of settings that never change. */
--- a/spokestall/src/main/java/spokestall/settings/SettingsUpdate.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsUpdate.java
@@ -9,15 +9,15 @@
 import java.util.TreeSet;
 
 /**
- * What a running node does with newer settings. Addresses, identities, sizes of what was allocated and durations that nodes agree
- * on (leases, windows) never change in a running node; they wait for its next start. Immutable.
+ * Result of a settings reload in a running node. Addresses, identities, allocated sizes and durations that nodes must agree on
+ * (leases, windows) never change in a running node; their new values take effect at its next start. Immutable.
  *
- * @param settings what the node continues with: the ones in force with the applied values
- * @param applied keys whose new values are applied
- * @param pending keys whose new values are left for the next start
+ * @param settings the settings that the node continues with: those in force, with the applied values
+ * @param applied keys whose new values are applied now
+ * @param pending keys whose new values take effect at the next start
  */
 public record SettingsUpdate(Settings settings, Set<String> applied, Set<String> pending) {
-    /** Keys whose values a running node can replace: nothing that is allocated or agreed on depends on them. */
+    /** Keys whose values a running node can replace: no allocated size and nothing that nodes agree on depends on them. */
     static final Set<String> RELOADABLE_KEYS = Set.of(
             "seeds",
             "freshMs",
@@ -31,8 +31,8 @@
             "whereS");
 
     /**
-     * Compares newer settings, which are valid by themselves, with those in force. A reloadable value that is not valid together
-     * with the values that stay in force is pending too.
+     * Compares newer valid settings with those in force. A reloadable value that is invalid in combination with the values that
+     * stay in force is pending too.
      */
     public static SettingsUpdate of(final Settings inForce, final Settings newer, final boolean core) {
         final Set<String> changed = changedKeys(inForce.values(), newer.values());
--- a/spokestall/src/main/java/spokestall/settings/SettingsValidator.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsValidator.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * Checks the values of all settings, first each by itself, then, if each is valid, against each other. Adds all errors to a
- * list; throws nothing. Not thread-safe; used once.
+ * Validator of all settings. Checks each value on its own and then, if all are valid, the values against each other. Adds errors
+ * to a list and throws nothing. Not thread-safe; used once.
  */
 final class SettingsValidator {
-    /** Seeds of a fleet whose settings say how many cores it has. */
+    /** Number of seeds required if the number of cores is configured. */
     private static final int REQUIRED_SEEDS = 3;
 
     private static final int MAX_PORT = 65_535;
@@ -17,7 +17,7 @@
     private final Map<String, String> values;
     private final List<SettingsError> errors;
 
-    /** @param values every setting with its value, null where none is given and there is no default */
+    /** @param values every setting with its value; null if none is given and there is no default */
     SettingsValidator(final Map<String, String> values, final List<SettingsError> errors) {
         this.values = values;
         this.errors = errors;
@@ -124,44 +124,46 @@
 
     private void checkAddresses(final Settings settings, final boolean core) {
         if (!settings.zones().containsKey(settings.text("district"))) {
-            error("district", "'" + settings.text("district") + "' is not among districts");
+            error("district", "'" + settings.text("district") + "' is not one of districts");
         }
         if (core && settings.text("data").isEmpty()) {
-            error("data", "a core needs a data folder");
+            error("data", "must be given: a core needs a data directory");
         }
         if (settings.seeds().stream().distinct().count() != settings.seeds().size()) {
-            error("seeds", "names an address twice");
+            error("seeds", "contains an address twice");
         }
         if (settings.integer("bootstrap") == 1 && settings.integer("cores") != 0) {
-            error("bootstrap", "is for a fleet with cores 0 only");
+            error("bootstrap", "must be 0 unless cores is 0");
         }
         if (settings.text("address").equals(settings.text("http"))) {
-            error("http", "is the same as address");
+            error("http", "must differ from address");
         }
         checkAddress("operators", settings.operatorAddress());
         if (settings.operatorAddress().equals(settings.text("http"))
                 || settings.operatorAddress().equals(settings.text("address"))
                 || settings.operatorAddress().equals(settings.listenAddress())) {
-            error("operators", settings.operatorAddress() + " is an address of this node for others");
+            error("operators", settings.operatorAddress() + " is already used as http, address or listen");
         }
     }
 
     private void checkTimings(final Settings settings) {
         if (settings.integer("freshMs") < 2 * settings.integer("proofMs")) {
-            error("freshMs", "must be at least 2 x proofMs, for a proof to be renewed in time");
+            error("freshMs", "must be at least 2 x proofMs, so that proofs are renewed in time");
         }
         if (settings.integer("freshMs") + settings.integer("farMs") >= settings.integer("keyBoundMs")) {
-            error("freshMs", "must be under keyBoundMs less farMs, for a withdrawn key to stop in time");
+            error("freshMs", "must be less than keyBoundMs - farMs, so that a withdrawn key stops working in time");
         }
         if (settings.integer("uncountedMs") > 0
                 && settings.integer("uncountedMs") < 2 * settings.integer("countPushMs")) {
-            error("uncountedMs", "must be 0 or at least 2 x countPushMs, for counts to be with a majority in time");
+            error(
+                    "uncountedMs",
+                    "must be 0 or at least 2 x countPushMs, so that a majority acknowledges counts in time");
         }
         if (settings.integer("leaseMs") < 8 * settings.integer("farMs")) {
-            error("leaseMs", "must be at least 8 x farMs, to be renewed in time");
+            error("leaseMs", "must be at least 8 x farMs, so that the lease is renewed in time");
         }
         if (settings.integer("reportDueMs") < 3 * settings.integer("leaseMs")) {
-            error("reportDueMs", "must be at least 3 x leaseMs, for a takeover to fit in");
+            error("reportDueMs", "must be at least 3 x leaseMs, so that another node can take over reporting in time");
         }
     }
 }
--- a/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
+++ b/spokestall/src/test/java/spokestall/settings/SettingsFormatTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import spokestall.testsupport.GoldenFile;
 
-/** The settings file as operators write it: its keys, their defaults and what each is read as. */
+/** The settings file format: its keys, their defaults and the parsed values. */
 class SettingsFormatTest {
     private static SettingsResult read(final Path folder, final String text) throws Exception {
         final Path file = folder.resolve("settings.json");
