--- a/spokestall/src/main/java/spokestall/cli/AuditVerifier.java
+++ b/spokestall/src/main/java/spokestall/cli/AuditVerifier.java
@@ -19,27 +19,24 @@
 /**
  * The command {@code audit}: checks that a core's audit log is complete and unaltered.
  *
- * <p>Exit codes: 0 if it is, 1 if it is not, 2 if it can't be checked, 3 if it is but for a last line that was cut off.
+ * <p>Exit codes: 0 if the log is complete and unaltered; 1 if an entry is missing or altered; 2 if the log or the key can't be
+ * read; 3 if only the last line is incomplete.
  */
 public final class AuditVerifier {
-    /** The flags; their names and texts are the command's interface. */
+    /** Command-line flags. Scripts rely on their names. */
     static final class Flags {
-        @Option(
-                name = "--check",
-                required = true,
-                metaVar = "FILE",
-                usage = "an audit file, or a folder of them in their order")
+        @Option(name = "--check", required = true, metaVar = "FILE", usage = "audit file, or directory of audit files")
         private Path file;
 
         @Option(
                 name = "--key",
                 required = true,
                 metaVar = "FILE",
-                usage = "the core's public key, as public.jwk; keep a copy elsewhere")
+                usage = "public key of the core (its public.jwk); keep a copy on another machine")
         private Path key;
 
-        @Option(name = "--help", help = true, usage = "this page")
-        @SuppressWarnings("UnusedVariable") // args4j looks for the option, not at the field.
+        @Option(name = "--help", help = true, usage = "print this help")
+        @SuppressWarnings("UnusedVariable") // args4j reads only the annotation.
         private boolean help;
     }
 
@@ -70,7 +67,7 @@
             final boolean endsWithLine = text.length() == 0 || text.charAt(text.length() - 1) == '\n';
             return print(AuditChain.check(key, lines(text.toString()), endsWithLine));
         } catch (final IOException | ParseException e) {
-            System.err.println("can't be checked: " + e.toString().split("\n")[0]);
+            System.err.println("can't check the audit log: " + e.toString().split("\n")[0]);
             return ExitCode.USAGE;
         }
     }
@@ -83,7 +80,7 @@
         return all;
     }
 
-    /** The verdict is printed by the names of its record and components, which are the command's interface. */
+    /** Prints the verdict with the names of its record and components, which scripts rely on, and returns the exit code. */
     private static int print(final AuditChain.Verdict verdict) {
         System.out.println("audit=" + verdict.getClass().getSimpleName().toLowerCase(Locale.ROOT) + " " + verdict);
         if (verdict instanceof AuditChain.Verdict.Good) {
--- a/spokestall/src/main/java/spokestall/cli/CommandHttpClient.java
+++ b/spokestall/src/main/java/spokestall/cli/CommandHttpClient.java
@@ -14,10 +14,9 @@
 import spokestall.io.http.HttpResult;
 
 /**
- * The HTTP client of a command, for requests as any client sends them and for calls to nodes.
+ * HTTP client of a command, for client requests and for calls to nodes.
  *
- * <p>Thread-safe. Results are passed on I/O threads, which must not be blocked. It is never closed: the process ends with its
- * command.
+ * <p>Thread-safe. Callbacks run on I/O threads and must not block. Never closed: the process exits when its command ends.
  */
 final class CommandHttpClient {
     private static final int BUFFER_BYTES = 16 << 10;
@@ -33,16 +32,16 @@
         try {
             return Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, count));
         } catch (final IOException e) {
-            throw new IllegalStateException("the I/O threads of the HTTP client can't be started", e);
+            throw new IllegalStateException("can't start the I/O threads of the HTTP client", e);
         }
     }
 
-    /** Sends a request; {@code done} receives its result once. */
+    /** Sends a request; {@code done} receives the result exactly once. */
     void send(final HttpCall request, final Consumer<HttpResult> done) {
         client.call(request, done);
     }
 
-    /** Calls a method of the schema file at a node, with parameters as JSON; times are in milliseconds, sizes in bytes. */
+    /** Calls a method of the schema file on a node, with parameters as JSON. */
     void callNode(
             final String address,
             final String method,
--- a/spokestall/src/main/java/spokestall/cli/EdgeLookup.java
+++ b/spokestall/src/main/java/spokestall/cli/EdgeLookup.java
@@ -13,12 +13,12 @@
 import spokestall.io.http.HttpResult;
 
 /**
- * Finds the edges that a client's requests go to, by the call {@code where}, and caches them as long as the answer allows.
+ * Lookup of the edges for a client's requests by the call {@code where}. Caches each response for as long as it allows.
  *
  * <p>Thread-safe.
  */
 final class EdgeLookup {
-    /** The edges that a client was given, best first, its ticket, and until when both are valid, in monotonic milliseconds. */
+    /** Edge addresses, best first, and a ticket; both are valid until a time in monotonic milliseconds. */
     record Edges(List<String> addresses, String ticket, long validUntilMs) {}
 
     private static final long TIMEOUT_MS = 1000;
@@ -27,7 +27,7 @@
     private final List<String> nodes;
     private final Map<String, Edges> cache = new ConcurrentHashMap<>();
 
-    /** Looks up edges at the nodes with these addresses. */
+    /** Creates a lookup that calls the nodes with these addresses. */
     EdgeLookup(final CommandHttpClient client, final List<String> nodes) {
         this.client = client;
         this.nodes = nodes;
@@ -37,14 +37,14 @@
         return request.client() + "/" + request.kind().key();
     }
 
-    /** Finds edges for a request; {@code done} receives none if no node names any. */
+    /** Finds edges for a request, cached or from one node; {@code done} receives an empty result if the node returns none. */
     void find(final LoadRequest request, final Consumer<Optional<Edges>> done) {
         final Edges cached = cache.get(cacheKey(request));
         if (cached != null && MonotonicTime.nowMs() < cached.validUntilMs) {
             done.accept(Optional.of(cached));
             return;
         }
-        // Another node at each attempt, and not the same one for all clients.
+        // Selects a different node for each attempt, and spreads requests over the nodes.
         final String node =
                 nodes.get(Math.floorMod(request.runUniqueId().hashCode() + request.attempt(), nodes.size()));
         final ObjectNode params = ConfigurationStore.JSON
@@ -58,7 +58,7 @@
         });
     }
 
-    /** Removes what is cached for a request that these edges did not serve. */
+    /** Removes the cached edges of a request that they did not serve. */
     void invalidate(final LoadRequest request) {
         cache.remove(cacheKey(request));
     }
@@ -76,7 +76,7 @@
             final long validMs = fields.path("forMs").asLong();
             return Optional.of(new Edges(addresses, fields.path("ticket").asText(), MonotonicTime.nowMs() + validMs));
         } catch (final IOException e) {
-            // A response that is no JSON is as good as none: the request is tried again, or counted as failed.
+            // A response that is not JSON counts as no response: the caller retries the request or counts it as failed.
             return Optional.empty();
         }
     }
--- a/spokestall/src/main/java/spokestall/cli/ExitCode.java
+++ b/spokestall/src/main/java/spokestall/cli/ExitCode.java
@@ -1,12 +1,12 @@
 package spokestall.cli;
 
-/** The exit codes that all commands share; scripts rely on them. */
+/** Exit codes shared by all commands; scripts rely on them. */
 final class ExitCode {
-    /** The command did what it was to do. */
+    /** The command succeeded. */
     static final int OK = 0;
-    /** The command ran, and its result is bad. */
+    /** The command ran, and its result is a failure. */
     static final int FAILED = 1;
-    /** The command did not run: its arguments can't be used. */
+    /** The command did not run: its arguments or input files are invalid. */
     static final int USAGE = 2;
 
     private ExitCode() {}
--- a/spokestall/src/main/java/spokestall/cli/LoadClient.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadClient.java
@@ -15,15 +15,15 @@
 import spokestall.io.http.HttpResult;
 
 /**
- * Sends requests as a well-behaved client does: looks up edges, sends to one of them, and retries what has not run, or what may
- * run twice, until the deadline.
+ * Client of the load generator. For each request it looks up edges, sends the request to one of them, and retries until the
+ * deadline if the request did not run or is idempotent.
  *
  * <p>Thread-safe; attempts run on the timer's threads and the HTTP client's I/O threads.
  */
 final class LoadClient {
     private static final int ATTEMPTS_MAX = 5;
     private static final int RESPONSE_MAX_BYTES = 16 << 20;
-    /** How much longer than the deadline a response is awaited, so that the edge's own time-out is seen. */
+    /** Time beyond the deadline to wait for a response, so that the edge's own time-out response still arrives. */
     private static final long DEADLINE_MARGIN_MS = 500;
 
     private static final long NO_EDGE_BACKOFF_MS = 300;
@@ -36,7 +36,7 @@
     private final LoadReport report;
     private final Queue<String> recorded = new ConcurrentLinkedQueue<>();
 
-    /** The timer is the caller's to shut down; requests that are waiting then end at their next retry. */
+    /** Creates a client. The caller shuts the timer down; requests in flight then finish instead of retrying. */
     LoadClient(
             final LoadOptions options,
             final CommandHttpClient httpClient,
@@ -49,12 +49,12 @@
         this.report = report;
     }
 
-    /** Returns a line for each response, if responses are recorded. */
+    /** Returns one line per response; empty unless {@code --record} is set. */
     Iterable<String> recorded() {
         return recorded;
     }
 
-    /** Makes the request's present attempt, and further ones if it fails; the report receives its end. */
+    /** Makes the current attempt of a request, and retries if it fails. Reports the final result. */
     void attempt(final LoadRequest request) {
         lookup.find(request, found -> {
             if (found.isPresent()) {
@@ -135,7 +135,7 @@
             final JsonNode read = ConfigurationStore.JSON.readTree(body);
             return read != null && read.path("answerTo").asText().equals(requestId);
         } catch (final IOException e) {
-            // A body that is no JSON names no request.
+            // A body that is not JSON doesn't contain the request's id.
             return false;
         }
     }
--- a/spokestall/src/main/java/spokestall/cli/LoadGenerator.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadGenerator.java
@@ -11,11 +11,11 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** The command {@code demand}: sends requests at a constant rate, and prints a verdict at the end. */
+/** The command {@code demand}: sends requests at a constant rate and prints a verdict at the end. */
 final class LoadGenerator {
     private static final int IO_THREADS = 4;
     private static final int TIMER_THREADS = 2;
-    /** How many deadlines are waited for the last requests, which may be retried. */
+    /** Time to wait for the last requests, which may be retried, as a multiple of the request deadline. */
     private static final int DRAIN_DEADLINES = 4;
 
     private static final int MILLIS_PER_SECOND = 1000;
--- a/spokestall/src/main/java/spokestall/cli/LoadReport.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadReport.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Counts how the load generator's requests ended, and judges the run.
+ * Results of a load generator run and its verdict.
  *
  * <p>Thread-safe.
  */
 final class LoadReport {
-    /** The result of a request that an upstream ran. */
+    /** Result of a request that an upstream ran. */
     static final String RAN = "ran";
-    /** The result of a request that got the response to another one; a single one makes the verdict bad. */
+    /** Result of a request that received the response to another request; one such result makes the verdict bad. */
     static final String WRONG_ANSWER = "wrong-answer";
 
     private static final int PERCENT = 100;
@@ -32,18 +32,18 @@
     private final List<Long> durationsMs = Collections.synchronizedList(new ArrayList<>());
     private final AtomicInteger retries = new AtomicInteger();
 
-    /** Creates the report of a run of so many requests. */
+    /** Creates the report of a run with a fixed number of requests. */
     LoadReport(final int requests) {
         this.requests = requests;
         this.pending = new CountDownLatch(requests);
     }
 
-    /** Counts one further attempt of a request. */
+    /** Counts one retry. */
     void onRetry() {
         retries.incrementAndGet();
     }
 
-    /** Counts the end of a request; the edge is null where none answered it. */
+    /** Counts a finished request; the edge is null if none returned a final response. */
     void onFinished(final String result, final String edge, final long durationMs) {
         byResult.computeIfAbsent(result, r -> new AtomicInteger()).incrementAndGet();
         if (edge != null) {
@@ -53,13 +53,14 @@
         pending.countDown();
     }
 
-    /** Waits until all requests have ended, for so many milliseconds at most. */
+    /** Blocks until all requests have finished or the timeout expires. */
     void await(final long timeoutMillis) throws InterruptedException {
-        // Requests that have not ended by then are missing from the counts, so the verdict has them as not run.
+        // Requests that are unfinished after the timeout are missing from the counts, so the verdict treats them as not
+        // run.
         final boolean unused = pending.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Prints the counts and the verdict; returns whether it is good. The texts are read by scripts. */
+    /** Prints the counts and the verdict, in a format that scripts parse; returns whether the verdict is good. */
     boolean print(final PrintStream out, final double leastRanRatio) {
         final List<Long> sorted;
         synchronized (durationsMs) {
--- a/spokestall/src/main/java/spokestall/cli/Main.java
+++ b/spokestall/src/main/java/spokestall/cli/Main.java
@@ -19,29 +19,26 @@
 import spokestall.settings.SettingsResult;
 import spokestall.settings.SettingsSource;
 
-/** The program's entry: its first argument names the command. */
+/** Entry point of the program. The first argument is the command. */
 public final class Main {
     private Main() {}
 
-    /** The flags of the two commands that run a node; their names and texts are an interface. */
+    /** Command-line flags of the commands {@code core} and {@code edge}. Scripts rely on their names. */
     static final class NodeFlags {
         @Option(name = "--settings", metaVar = "FILE", usage = "settings file, a JSON object")
         private Path file;
 
-        @Option(name = "--set", metaVar = "KEY=VALUE", usage = "one setting, wins over the file; may come often")
+        @Option(name = "--set", metaVar = "KEY=VALUE", usage = "one setting, overrides the file; can be repeated")
         private List<String> sets = new ArrayList<>();
 
-        @Option(name = "--check", usage = "only check the settings")
+        @Option(name = "--check", usage = "check the settings and exit")
         private boolean check;
 
-        @Option(name = "--help", help = true, usage = "this page")
+        @Option(name = "--help", help = true, usage = "print this help")
         private boolean help;
     }
 
-    /**
-     * Runs one command and ends the process with its exit code. Example: {@code java -jar spokestall.jar core --settings
-     * d1-core.json}
-     */
+    /** Runs one command and ends the process with the command's exit code. */
     public static void main(final String[] args) throws Exception {
         ShutdownLogging.install();
         HangupSignal.install();
@@ -56,7 +53,7 @@
             case "audit" -> AuditVerifier.run(rest);
             case "--help", "help" -> help(ExitCode.OK);
             default -> {
-                System.err.println("no such subcommand: " + command);
+                System.err.println("unknown command: " + command);
                 yield help(ExitCode.USAGE);
             }
         };
@@ -66,12 +63,12 @@
 
     private static int help(final int code) {
         (code == ExitCode.OK ? System.out : System.err).print("""
-                spokestall <subcommand> [flags]; each takes --help
-                  core      a node with a disk: votes, probes upstreams, reports usage
-                  edge      a node that answers callers
-                  operator  one call to any node
-                  demand    a load generator
-                  audit     checks a core's audit files
+                spokestall <command> [flags]; each command has --help
+                  core      runs a node with a disk that votes, probes upstreams and reports usage
+                  edge      runs a node that serves client requests
+                  operator  sends one call to a node
+                  demand    generates load
+                  audit     checks a core's audit log
                 """);
         return code;
     }
@@ -102,7 +99,7 @@
         return flags.check ? ExitCode.OK : new NodeProcess(settings, source, core, ProtocolAdapter.own()).run();
     }
 
-    /** A later value of a key replaces an earlier one. */
+    /** Parses {@code KEY=VALUE} arguments; a later value of a key replaces an earlier one. */
     private static Map<String, String> settingsByKey(final List<String> sets) {
         final Map<String, String> byKey = new LinkedHashMap<>();
         for (final String set : sets) {
--- a/spokestall/src/main/java/spokestall/cli/MonotonicTime.java
+++ b/spokestall/src/main/java/spokestall/cli/MonotonicTime.java
@@ -6,7 +6,7 @@
 
     private MonotonicTime() {}
 
-    /** Returns milliseconds since an arbitrary instant, which never go back. */
+    /** Returns the milliseconds since an arbitrary fixed instant; never decreases. */
     static long nowMs() {
         return System.nanoTime() / NANOS_PER_MILLI;
     }
--- a/spokestall/src/main/java/spokestall/cli/OperatorArguments.java
+++ b/spokestall/src/main/java/spokestall/cli/OperatorArguments.java
@@ -8,23 +8,23 @@
 import java.util.regex.Pattern;
 import spokestall.configuration.ConfigurationStore;
 
-/** The arguments of the command {@code operator} behind the method's name, read by the method's schema. */
+/** Parsed arguments of the command {@code operator}, after the method's name. The method's schema defines the flags. */
 sealed interface OperatorArguments {
-    /** A call to a node; the wait is in milliseconds. */
+    /** A call to a node, with its timeout in milliseconds. */
     record Call(String address, ObjectNode params, long waitMs) implements OperatorArguments {}
 
-    /** The method's help was requested. */
+    /** A request for the method's help. */
     record Help() implements OperatorArguments {}
 
-    /** Arguments that can't be used, and why. */
+    /** Invalid arguments, with the reason. */
     record Invalid(String reason) implements OperatorArguments {}
 
-    /** Reads arguments, of which the first is the method's name; the first one that can't be used ends the reading. */
+    /** Parses arguments, the first of which is the method's name. Parsing stops at the first invalid argument. */
     static OperatorArguments parse(final JsonNode method, final String[] args) {
         return new Parser(method).parse(args);
     }
 
-    /** Reads one command line. */
+    /** Parser of one command line. Used once. */
     final class Parser {
         private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}:\\d{1,5}");
         private static final Pattern WAIT_MS = Pattern.compile("[1-9]\\d{0,6}");
@@ -45,7 +45,7 @@
                     return new Help();
                 }
                 if (!args[i].startsWith("--") || i + 1 >= args.length) {
-                    return new Invalid("a flag with a value was expected, not: " + args[i]);
+                    return new Invalid("expected a flag with a value, not: " + args[i]);
                 }
                 final String error = readFlag(args[i].substring(2), args[i + 1]);
                 if (error != null) {
@@ -53,18 +53,18 @@
                 }
             }
             if (address == null || !ADDRESS.matcher(address).matches()) {
-                return new Invalid("--to: needs a node's IP number and port");
+                return new Invalid("--to: must be the IP address and port of a node");
             }
             return new Call(address, params, waitMs);
         }
 
-        /** Returns what is wrong with the flag, or null. */
+        /** Reads one flag; returns an error text, or null. */
         private String readFlag(final String flag, final String value) {
             switch (flag) {
                 case "to" -> address = value;
                 case "waitMs" -> {
                     if (!WAIT_MS.matcher(value).matches()) {
-                        return "--waitMs: needs a number of milliseconds, not: " + value;
+                        return "--waitMs: must be a number of milliseconds from 1 to 9999999, not: " + value;
                     }
                     waitMs = Long.parseLong(value);
                 }
@@ -75,11 +75,14 @@
             return null;
         }
 
-        /** A value that begins with @ names a file that has the value. */
+        /**
+         * Reads one parameter of the call; returns an error text, or null. A value that starts with {@code @} is the path of the
+         * file that contains the value.
+         */
         private String readParam(final String flag, final String value) {
             final JsonNode schema = properties.get(flag);
             if (schema == null) {
-                return "--" + flag + ": no such flag for this method";
+                return "--" + flag + ": unknown flag for this method";
             }
             try {
                 final String text = value.startsWith("@") ? Files.readString(Path.of(value.substring(1))) : value;
--- a/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
+++ b/spokestall/src/main/java/spokestall/cli/OperatorCommand.java
@@ -11,10 +11,10 @@
 import spokestall.configuration.ConfigurationStore;
 import spokestall.io.http.HttpResult;
 
-/** The command {@code operator}: one call to any node. Its methods and flags are those of the schema file. */
+/** The command {@code operator}: sends one call to a node. The schema file defines its methods and flags. */
 final class OperatorCommand {
     private static final int RESPONSE_MAX_BYTES = 64 << 20;
-    /** How much longer than the call's own time-out the command waits. */
+    /** Time that the command waits beyond the call's own timeout. */
     private static final long WAIT_MARGIN_MS = 1000;
 
     private OperatorCommand() {}
@@ -23,13 +23,14 @@
     static int run(final String[] args) throws IOException, InterruptedException {
         final JsonNode methods = new CallRegistry().schema().path("methods");
         if (args.length == 0 || args[0].equals("--help")) {
-            System.out.println("spokestall operator <method> --to IP:PORT [flags]; a value of @FILE is read from it");
+            System.out.println(
+                    "spokestall operator <method> --to IP:PORT [flags]; a value @FILE is read from that file");
             methods.fields().forEachRemaining(method -> describe(method.getKey(), method.getValue()));
             return args.length == 0 ? ExitCode.USAGE : ExitCode.OK;
         }
         final JsonNode method = methods.get(args[0]);
         if (method == null) {
-            System.err.println("no such method: " + args[0]);
+            System.err.println("unknown method: " + args[0]);
             return ExitCode.USAGE;
         }
         final OperatorArguments arguments = OperatorArguments.parse(method, args);
@@ -71,9 +72,9 @@
         try {
             result = response.get(call.waitMs() + WAIT_MARGIN_MS, TimeUnit.MILLISECONDS);
         } catch (final TimeoutException e) {
-            // The client's own time-out should have come first; there is no result to print then.
+            // The HTTP client's own timeout normally fires first. The null result is reported below.
         } catch (final ExecutionException e) {
-            throw new IllegalStateException("the response is only ever completed with a result", e);
+            throw new IllegalStateException("the response future must not complete exceptionally", e);
         }
         if (result instanceof HttpResult.Whole received) {
             final JsonNode reply = ConfigurationStore.JSON.readTree(received.body());
@@ -81,7 +82,7 @@
                     ConfigurationStore.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(reply));
             return reply.path("code").asInt() == ResultCode.OK.number() ? ExitCode.OK : ExitCode.FAILED;
         }
-        System.err.println("no answer from " + call.address() + ": " + result);
+        System.err.println("no response from " + call.address() + ": " + result);
         return ExitCode.FAILED;
     }
 }
--- a/spokestall/src/main/java/spokestall/cli/RequestPlan.java
+++ b/spokestall/src/main/java/spokestall/cli/RequestPlan.java
@@ -8,14 +8,14 @@
 import java.util.Random;
 import spokestall.configuration.ConfigurationStore;
 
-/** The kinds of requests that the load generator sends, each as often as its weight says. Immutable. */
+/** The kinds of requests that the load generator sends, with their weights. Immutable. */
 final class RequestPlan {
     /**
      * One kind of request.
      *
-     * @param key the tenant's key
-     * @param path the target
-     * @param runOnce whether it must not run twice; such a request is a POST and is named by a ticket
+     * @param key the tenant's API key
+     * @param path the path of the request
+     * @param runOnce whether the request must not run twice; such a request is a POST whose id contains a ticket
      */
     record Kind(String key, String path, boolean runOnce) {}
 
@@ -25,7 +25,7 @@
         this.weighted = weighted;
     }
 
-    /** Reads a plan from a JSON list; throws if the file can't be read. */
+    /** Reads a plan from a JSON list; throws {@link IOException} if the file can't be read. */
     static RequestPlan read(final Path file) throws IOException {
         final List<Kind> weighted = new ArrayList<>();
         for (final JsonNode entry : ConfigurationStore.JSON.readTree(file.toFile())) {
@@ -40,7 +40,7 @@
         return new RequestPlan(weighted);
     }
 
-    /** Returns a kind drawn by weight. */
+    /** Returns a random kind; each kind's probability is proportional to its weight. */
     Kind draw(final Random random) {
         return weighted.get(random.nextInt(weighted.size()));
     }
--- a/spokestall/src/main/java/spokestall/cli/package-info.java
+++ b/spokestall/src/main/java/spokestall/cli/package-info.java
@@ -1,13 +1,12 @@
 /**
- * The command line: one program, whose first argument names the command.
+ * The command line. One program has all commands; the first argument selects the command.
  *
- * <p>Owns: the commands {@code core}, {@code edge}, {@code operator}, {@code demand} and {@code audit}, their flags, what they
- * print, and their exit codes.
+ * <p>Owns: the commands {@code core}, {@code edge}, {@code operator}, {@code demand} and {@code audit}, their flags, output and exit
+ * codes.
  *
- * <p>Invariants: names of commands and flags, printed texts and exit codes are an interface that scripts rely on. Errors go to
- * the standard error stream, results to the standard output.
+ * <p>Invariants: scripts rely on the names of commands and flags, on printed results and on exit codes. Errors go to standard error,
+ * results to standard output.
  *
- * <p>Callers: {@link spokestall.cli.Main} is the program's entry. No other
- * package refers to this one.
+ * <p>Callers: {@link spokestall.cli.Main} is the entry point. No other package depends on this one.
  */
 package spokestall.cli;
--- a/spokestall/src/main/java/spokestall/settings/SettingDefinitions.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingDefinitions.java
@@ -160,14 +160,14 @@
                 keys,
                 "districtCost",
                 0,
-                "cost of sending a request to another zone (district), as a fraction of one slot's work",
+                "cost of sending a request to another zone (district), in units of one slot's work",
                 0,
                 100);
         number(
                 keys,
                 "regionCost",
                 100,
-                "cost of sending a request to another region, as a fraction of one slot's work",
+                "cost of sending a request to another region, in units of one slot's work",
                 0,
                 1000);
         number(
--- a/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
+++ b/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
@@ -51,17 +51,16 @@
 
     @Test
     void theFirstInvalidArgumentIsReported() {
-        assertThat(parse("to", TO))
-                .isEqualTo(new OperatorArguments.Invalid("a flag with a value was expected, not: to"));
-        assertThat(parse("--to"))
-                .isEqualTo(new OperatorArguments.Invalid("a flag with a value was expected, not: --to"));
+        assertThat(parse("to", TO)).isEqualTo(new OperatorArguments.Invalid("expected a flag with a value, not: to"));
+        assertThat(parse("--to")).isEqualTo(new OperatorArguments.Invalid("expected a flag with a value, not: --to"));
         assertThat(parse("--pach", "{}"))
-                .isEqualTo(new OperatorArguments.Invalid("--pach: no such flag for this method"));
+                .isEqualTo(new OperatorArguments.Invalid("--pach: unknown flag for this method"));
         assertThat(parse("--waitMs", "0", "--pach", "{}"))
-                .isEqualTo(new OperatorArguments.Invalid("--waitMs: needs a number of milliseconds, not: 0"));
+                .isEqualTo(new OperatorArguments.Invalid(
+                        "--waitMs: must be a number of milliseconds from 1 to 9999999, not: 0"));
         assertThat(parse("--to", "localhost:7200"))
-                .isEqualTo(new OperatorArguments.Invalid("--to: needs a node's IP number and port"));
-        assertThat(parse()).isEqualTo(new OperatorArguments.Invalid("--to: needs a node's IP number and port"));
+                .isEqualTo(new OperatorArguments.Invalid("--to: must be the IP address and port of a node"));
+        assertThat(parse()).isEqualTo(new OperatorArguments.Invalid("--to: must be the IP address and port of a node"));
     }
 
     @Test
