--- a/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
+++ b/spokestall/src/test/java/spokestall/membership/MembershipTestNode.java
@@ -223,7 +223,7 @@
 
     /** Adds this delay to each write. */
     void slowDisk(final long byMillis) {
-        disk.addDelay(byMillis);
+        disk.setAddedDelayMs(byMillis);
     }
 
     /** Returns the records that are synced to the disk. */
--- a/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
@@ -30,8 +30,8 @@
     }
 
     /** Sets the milliseconds that are added to the delay of each later commit. */
-    public void addDelay(final long byMs) {
-        addedDelayMs = byMs;
+    public void setAddedDelayMs(final long addedMs) {
+        addedDelayMs = addedMs;
     }
 
     /** Discards all commits in flight, as a power loss does; their callbacks are never called. */
--- a/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void recoveredValuesWereSyncedLastOrPutSince() {
+    void eachRecoveredValueIsTheLastSyncedOrALaterPut() {
         long losses = 0;
         for (int seed = 0; seed < 60; seed++) {
             final Random random = new Random(seed);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void putsAreRecoveredInTheirOrder() {
+    void recoveredPutsAreAPrefixOfAllPuts() {
         for (int seed = 0; seed < 100; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(8, 4096);
