--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -26,13 +26,13 @@
     private static final int TURNS = 8;
     private static final long SLOW_MS = 400;
     /** How long a node that hears no one may still name edges. */
-    private static final long NAMED_MS = 20_000;
+    private static final long MAX_LISTED_MS = 20_000;
     /** Answers that say nothing of the configuration: come back, or ask elsewhere. */
-    private static final Set<ResultCode> SAYS_NOTHING =
+    private static final Set<ResultCode> INCONCLUSIVE =
             EnumSet.of(ResultCode.NOT_READY, ResultCode.UNDECIDED, ResultCode.NOT_FRESH, ResultCode.BUSY);
 
     /** How a core is set apart from the rest. */
-    private enum Apart {
+    private enum Isolation {
         BOTH_WAYS,
         HEARS_NOTHING,
         IS_NOT_HEARD,
@@ -43,38 +43,38 @@
         DISK_STALLED
     }
 
-    private final List<String> wrong = new ArrayList<>();
+    private final List<String> failures = new ArrayList<>();
 
     @Test
-    void aCoreThatIsLeftBehindSaysNothingThatTheMajorityWouldNotSay() {
-        for (final Apart how : Apart.values()) {
-            IntStream.rangeClosed(1, SEEDS).forEach(seed -> play(seed, how, InjectedFault.NONE));
+    void anIsolatedCoreGivesNoAnswerThatContradictsTheMajority() {
+        for (final Isolation how : Isolation.values()) {
+            IntStream.rangeClosed(1, SEEDS).forEach(seed -> checkIsolatedCore(seed, how, InjectedFault.NONE));
         }
-        assertThat(wrong).isEmpty();
+        assertThat(failures).isEmpty();
     }
 
     @Test
-    void aCoreThatAnswersWithoutAProofIsSeen() {
-        play(1, Apart.BOTH_WAYS, InjectedFault.FORGED_PROOFS);
-        assertThat(wrong).anyMatch(w -> w.contains("handed out")).anyMatch(w -> w.contains("STALE_BASE"));
+    void theCheckDetectsACoreThatAnswersWithoutAFreshnessProof() {
+        checkIsolatedCore(1, Isolation.BOTH_WAYS, InjectedFault.FORGED_PROOFS);
+        assertThat(failures).anyMatch(w -> w.contains("handed out")).anyMatch(w -> w.contains("STALE_BASE"));
     }
 
     /** A directory answer is made of who is known: who can't be reached is let go of within the bound, and named no longer. */
     @Test
-    void aCutOffNodeLetsGoOfTheEdgesThatItCannotReachAndIsNotReady() {
+    void anIsolatedNodeDropsUnreachableEdgesAndIsNotReady() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            final SimulatedNode lone = namesNoneWhenCut(seed, InjectedFault.NONE);
+            final SimulatedNode lone = listsEdgesWhileIsolated(seed, InjectedFault.NONE);
             assertThat(lone).as("seed %s", seed).isNull();
         }
     }
 
     @Test
-    void aNodeThatNamesEdgesWithoutAProofIsSeen() {
-        assertThat(namesNoneWhenCut(2, InjectedFault.FORGED_PROOFS)).isNotNull();
+    void theCheckDetectsANodeThatListsEdgesWithoutAFreshnessProof() {
+        assertThat(listsEdgesWhileIsolated(2, InjectedFault.FORGED_PROOFS)).isNotNull();
     }
 
     /** The cut-off node that still names edges or is ready when it should not, or null. */
-    private static SimulatedNode namesNoneWhenCut(final long seed, final InjectedFault injectedFault) {
+    private static SimulatedNode listsEdgesWhileIsolated(final long seed, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
                 new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).begun();
         final Random random = new Random(seed);
@@ -83,55 +83,55 @@
         fleet.until(
                 "it names edges",
                 CONTACT_MS,
-                () -> named(lone) > 0 && lone.node().ready());
+                () -> listedEdges(lone) > 0 && lone.node().ready());
         for (final SimulatedNode other : fleet.othersThan(lone)) {
             fleet.world.net.cut(other.address, lone.address, true);
             if (seed % 2 == 0) {
                 fleet.world.net.cut(lone.address, other.address, true);
             }
         }
-        fleet.run(NAMED_MS);
-        if (lone.node().ready() || named(lone) > 0) {
+        fleet.run(MAX_LISTED_MS);
+        if (lone.node().ready() || listedEdges(lone) > 0) {
             return lone;
         }
         fleet.world.net.heal();
         fleet.until(
                 "it names edges again",
                 CONTACT_MS,
-                () -> named(lone) > 0 && lone.node().ready());
+                () -> listedEdges(lone) > 0 && lone.node().ready());
         return null;
     }
 
-    private static int named(final SimulatedNode node) {
+    private static int listedEdges(final SimulatedNode node) {
         return EdgeSelector.nearest(node.node().directory().edges(), node.region, node.zone)
                 .size();
     }
 
-    private void play(final long seed, final Apart how, final InjectedFault injectedFault) {
+    private void checkIsolatedCore(final long seed, final Isolation how, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
                 new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], injectedFault).begun();
         final Random random = new Random(seed);
         final List<SimulatedNode> cores = fleet.world.cores();
-        final SimulatedNode lone = cores.get(how == Apart.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
+        final SimulatedNode lone = cores.get(how == Isolation.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
         final SimulatedNode other = cores.get((cores.indexOf(lone) + 1 + random.nextInt(5)) % 6);
-        apart(fleet, lone, how, true);
+        setIsolated(fleet, lone, how, true);
         for (int turn = 0; turn < TURNS; turn++) {
             final String id = how + "-" + seed + "-" + turn;
             final ObjectNode added =
                     OperatorFleet.key(fleet.newestVersion(), id, 3, "k" + turn).put("key", "another-key-" + turn);
             expect(id, fleet.done(other, "key.add", added), ResultCode.OK);
-            if (how == Apart.RESTARTED_WHILE_CUT && turn == 2) {
+            if (how == Isolation.RESTARTED_WHILE_CUT && turn == 2) {
                 lone.kill();
                 fleet.run(500);
                 lone.start();
             }
-            if (how == Apart.FIRST_SEED_CUT && turn == 2) {
-                restartByTheSeeds(fleet, lone, other);
+            if (how == Isolation.FIRST_SEED_CUT && turn == 2) {
+                restartWhileFirstSeedIsCut(fleet, lone, other);
             }
             fleet.run(500 + random.nextInt(1000));
-            askLone(fleet, lone, other, id, turn);
+            checkAnswersOfIsolatedCore(fleet, lone, other, id, turn);
         }
-        apart(fleet, lone, how, false);
+        setIsolated(fleet, lone, how, false);
         fleet.until(
                 how + " " + seed + " is back in touch",
                 CONTACT_MS,
@@ -147,7 +147,8 @@
     }
 
     /** Nodes that start now are told of seeds the first of which is cut off from all. */
-    private void restartByTheSeeds(final OperatorFleet fleet, final SimulatedNode lone, final SimulatedNode other) {
+    private void restartWhileFirstSeedIsCut(
+            final OperatorFleet fleet, final SimulatedNode lone, final SimulatedNode other) {
         final List<SimulatedNode> again =
                 List.of(fleet.world.edges().get(1), fleet.world.edges().get(4), other);
         again.forEach(SimulatedNode::kill);
@@ -158,12 +159,12 @@
                 CONTACT_MS,
                 () -> again.stream().allMatch(n -> n.node().feedClient().isFresh()));
         if (lone.node().feedClient().isFresh()) {
-            wrong.add(lone.name + " is fresh by nodes that it can't reach");
+            failures.add(lone.name + " is fresh by nodes that it can't reach");
         }
     }
 
     /** Calls that the majority would take or answer otherwise than by what the lone core has. */
-    private void askLone(
+    private void checkAnswersOfIsolatedCore(
             final OperatorFleet fleet,
             final SimulatedNode lone,
             final SimulatedNode other,
@@ -175,24 +176,24 @@
         final long newest = fleet.newestVersion();
         final OperatorFleet.Call got = fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode());
         if (got.result() == ResultCode.OK && got.reply.fields().path("version").asLong() < newest) {
-            wrong.add(id + " handed out " + got.reply.fields().path("version"));
-        } else if (got.result() != ResultCode.OK && !SAYS_NOTHING.contains(got.result())) {
-            wrong.add(id + " policy.get " + got.result());
+            failures.add(id + " handed out " + got.reply.fields().path("version"));
+        } else if (got.result() != ResultCode.OK && !INCONCLUSIVE.contains(got.result())) {
+            failures.add(id + " policy.get " + got.result());
         }
-        nothingOr(
+        expectInconclusiveOr(
                 ResultCode.OK,
                 id + " patch on the newest",
                 fleet.done(lone, "policy.patch", fleet.bind(newest, id + "-p", "p" + turn)));
-        nothingOr(
+        expectInconclusiveOr(
                 ResultCode.OK,
                 id + " withdraw of a key that the majority has",
                 fleet.done(lone, "key.withdraw", OperatorFleet.key(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
-        nothingOr(
+        expectInconclusiveOr(
                 ResultCode.OK,
                 id + " repeat of what the majority confirmed",
                 fleet.done(
                         lone, "key.add", OperatorFleet.key(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
-        nothingOr(
+        expectInconclusiveOr(
                 ResultCode.STALE_BASE,
                 id + " patch on its own version",
                 fleet.done(lone, "policy.patch", fleet.bind(OperatorFleet.version(lone) - 1, id + "-s", "s" + turn)));
@@ -207,23 +208,24 @@
                         .tree()
                         .toString()
                         .contains("\"k" + turn + "\"")) {
-            wrong.add(id + " where refused a key that the majority knows");
+            failures.add(id + " where refused a key that the majority knows");
         }
     }
 
-    private void nothingOr(final ResultCode right, final String what, final OperatorFleet.Call call) {
-        if (call.result() != right && !SAYS_NOTHING.contains(call.result())) {
-            wrong.add(what + ": " + call.result());
+    private void expectInconclusiveOr(final ResultCode right, final String what, final OperatorFleet.Call call) {
+        if (call.result() != right && !INCONCLUSIVE.contains(call.result())) {
+            failures.add(what + ": " + call.result());
         }
     }
 
     private void expect(final String what, final OperatorFleet.Call call, final ResultCode right) {
         if (call.result() != right) {
-            wrong.add(what + ": " + call.result());
+            failures.add(what + ": " + call.result());
         }
     }
 
-    private static void apart(final OperatorFleet fleet, final SimulatedNode lone, final Apart how, final boolean now) {
+    private static void setIsolated(
+            final OperatorFleet fleet, final SimulatedNode lone, final Isolation how, final boolean now) {
         for (final SimulatedNode other : fleet.othersThan(lone)) {
             switch (how) {
                 case BOTH_WAYS, RESTARTED_WHILE_CUT, FIRST_SEED_CUT ->
@@ -233,13 +235,13 @@
                 default -> {}
             }
         }
-        if (how == Apart.FROZEN && now) {
+        if (how == Isolation.FROZEN && now) {
             lone.freeze();
-        } else if (how == Apart.FROZEN) {
+        } else if (how == Isolation.FROZEN) {
             lone.thaw();
-        } else if (how == Apart.SLOWED) {
+        } else if (how == Isolation.SLOWED) {
             fleet.world.net.slow(lone.address, now ? SLOW_MS : 0);
-        } else if (how == Apart.DISK_STALLED && now) {
+        } else if (how == Isolation.DISK_STALLED && now) {
             lone.disk.stall(CUT_MS);
         }
     }
--- a/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
@@ -41,13 +41,13 @@
     @Test
     void anUpstreamIsSentNoMoreThanItsBoundInAnySecondOfItsWarmUp() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            checkWarmUps(seed, new OperatorFleet(seed, Deployment.PADMA, InjectedFault.NONE, SETTINGS));
+            checkWarmUpBound(seed, new OperatorFleet(seed, Deployment.PADMA, InjectedFault.NONE, SETTINGS));
         }
     }
 
     @Test
-    void theBoundHoldsInAnySecondHoweverManyEdgesThereAre() {
-        checkWarmUps(1, new OperatorFleet(1, Deployment.PADMA, InjectedFault.NONE, SETTINGS).withEdges(MANY_EDGES));
+    void theBoundHoldsInAnySecondWithManyEdges() {
+        checkWarmUpBound(1, new OperatorFleet(1, Deployment.PADMA, InjectedFault.NONE, SETTINGS).withEdges(MANY_EDGES));
     }
 
     @Test
@@ -55,7 +55,7 @@
         for (int seed = 1; seed <= SEEDS; seed++) {
             final OperatorFleet fleet =
                     new OperatorFleet(seed, Deployment.PADMA, InjectedFault.NONE, SETTINGS).withEdges(MANY_EDGES);
-            checkWarmUps(seed, fleet, () -> restartEdgesInTurn(fleet.world));
+            checkWarmUpBound(seed, fleet, () -> restartEdgesInTurn(fleet.world));
         }
     }
 
@@ -70,20 +70,20 @@
         }
     }
 
-    private static void checkWarmUps(final int seed, final OperatorFleet fleet) {
-        checkWarmUps(seed, fleet, () -> {});
+    private static void checkWarmUpBound(final int seed, final OperatorFleet fleet) {
+        checkWarmUpBound(seed, fleet, () -> {});
     }
 
-    private static void checkWarmUps(final int seed, final OperatorFleet fleet, final Runnable meanwhile) {
+    private static void checkWarmUpBound(final int seed, final OperatorFleet fleet, final Runnable meanwhile) {
         final SimulatedWorld world = fleet.begun().world;
-        world.outside.reckonWarmUpOnAnswer();
+        world.environment.computeWarmUpOnAnswer();
         world.clients.start();
         fleet.run(5000);
         world.clients.rate(DEMAND * world.deployment.rate);
-        final List<SimulatedEnvironment.Up> replacements = replaceMost(world);
+        final List<SimulatedEnvironment.Upstream> replacements = replaceMost(world);
         meanwhile.run();
         fleet.run(SimulatedWorld.WARMUP_MS + 2000);
-        for (final SimulatedEnvironment.Up up : replacements) {
+        for (final SimulatedEnvironment.Upstream up : replacements) {
             final int most = mostInASecond(world, up);
             System.out.println("warm-up of " + up.instance + " with seed " + seed + " and "
                     + fleet.nodes().size() + " edges: " + most + " in one second");
@@ -93,18 +93,18 @@
         }
     }
 
-    private static List<SimulatedEnvironment.Up> replaceMost(final SimulatedWorld world) {
-        final List<SimulatedEnvironment.Up> gone = world.outside.running().stream()
+    private static List<SimulatedEnvironment.Upstream> replaceMost(final SimulatedWorld world) {
+        final List<SimulatedEnvironment.Upstream> gone = world.environment.running().stream()
                 .filter(up -> up.service.equals(world.deployment.big))
                 .toList();
         gone.forEach(up -> {
-            world.outside.stop(up);
+            world.environment.stop(up);
             up.listed = false;
         });
-        return gone.stream().limit(REPLACED).map(world.outside::replace).toList();
+        return gone.stream().limit(REPLACED).map(world.environment::replace).toList();
     }
 
-    private static int mostInASecond(final SimulatedWorld world, final SimulatedEnvironment.Up up) {
+    private static int mostInASecond(final SimulatedWorld world, final SimulatedEnvironment.Upstream up) {
         final List<Long> arrivalsMs = world.begun.stream()
                 .filter(begun -> begun.instance().equals(up.instance) && begun.ageMs() < SimulatedWorld.WARMUP_MS)
                 .map(SimulatedWorld.Begun::atMs)
