--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -70,13 +70,13 @@
     }
 
     private void request(
-            final Deployment.Kind kind, final String who, final String id, final int turn, final long begunMs) {
-        final String place = who + "/" + kind.key();
-        final EdgeAssignment known = assignments.get(place);
+            final Deployment.Kind kind, final String client, final String id, final int attempt, final long startedMs) {
+        final String assignmentKey = client + "/" + kind.key();
+        final EdgeAssignment known = assignments.get(assignmentKey);
         // One client in ten is connected to an edge and stays with it, whatever where would say by now.
-        final boolean stays = who.endsWith("7") && turn == 0;
+        final boolean stays = client.endsWith("7") && attempt == 0;
         if (known != null && (stays || world.sim.nowMs() < known.untilMs)) {
-            send(kind, who, id, turn, begunMs, known);
+            send(kind, client, id, attempt, startedMs, known);
             return;
         }
         final List<SimulatedNode> up =
@@ -85,21 +85,21 @@
             return;
         }
         final SimulatedNode node = world.pick(up, random);
-        final boolean[] back = {false};
+        final boolean[] settled = {false};
         world.sim.after(1000, () -> {
-            if (!back[0]) {
-                back[0] = true;
-                retryLater(kind, who, id, turn, begunMs, 50);
+            if (!settled[0]) {
+                settled[0] = true;
+                retryLater(kind, client, id, attempt, startedMs, 50);
             }
         });
-        world.call(node, "where", JSON.createObjectNode().put("client", who).put("key", kind.key()), reply -> {
-            if (back[0]) {
+        world.call(node, "where", JSON.createObjectNode().put("client", client).put("key", kind.key()), reply -> {
+            if (settled[0]) {
                 return;
             }
-            back[0] = true;
+            settled[0] = true;
             final JsonNode r = reply.fields();
             if (reply.result().number() != 1000) {
-                retryLater(kind, who, id, turn, begunMs, 300);
+                retryLater(kind, client, id, attempt, startedMs, 300);
                 return;
             }
             final List<SimulatedNode> edges = new ArrayList<>();
@@ -109,10 +109,10 @@
                     edges,
                     r.path("ticket").asText(),
                     world.sim.nowMs() + r.path("forMs").asLong());
-            if (!who.endsWith("7") || !assignments.containsKey(place)) {
-                assignments.put(place, found);
+            if (!client.endsWith("7") || !assignments.containsKey(assignmentKey)) {
+                assignments.put(assignmentKey, found);
             }
-            send(kind, who, id, turn, begunMs, found);
+            send(kind, client, id, attempt, startedMs, found);
         });
     }
 
@@ -124,31 +124,32 @@
 
     private void retryLater(
             final Deployment.Kind kind,
-            final String who,
+            final String client,
             final String id,
-            final int turn,
-            final long begunMs,
+            final int attempt,
+            final long startedMs,
             final long waitMs) {
-        if (turn < 6 && world.sim.nowMs() + waitMs - begunMs < DEADLINE_MS) {
-            world.sim.after(waitMs, () -> request(kind, who, id, turn + 1, begunMs));
+        if (attempt < 6 && world.sim.nowMs() + waitMs - startedMs < DEADLINE_MS) {
+            world.sim.after(waitMs, () -> request(kind, client, id, attempt + 1, startedMs));
         }
     }
 
     private void send(
             final Deployment.Kind kind,
-            final String who,
+            final String client,
             final String id,
-            final int turn,
-            final long begunMs,
-            final EdgeAssignment place) {
-        final String requestId =
-                kind.runOnce() ? runOnceIds.computeIfAbsent(id, i -> place.ticket + "." + i) : id + "." + turn;
+            final int attempt,
+            final long startedMs,
+            final EdgeAssignment assignmentKey) {
+        final String requestId = kind.runOnce()
+                ? runOnceIds.computeIfAbsent(id, i -> assignmentKey.ticket + "." + i)
+                : id + "." + attempt;
         final SimulatedWorld.ClientRequest asked =
                 world.asked.computeIfAbsent(requestId, i -> new SimulatedWorld.ClientRequest(requestId, kind));
         asked.sentMs.add(world.sim.nowMs());
-        final SimulatedNode edge = place.edges.get(turn % place.edges.size());
+        final SimulatedNode edge = assignmentKey.edges.get(attempt % assignmentKey.edges.size());
         final byte[] body = kind.runOnce() ? body(id) : new byte[0];
-        final long spanMs = DEADLINE_MS - (world.sim.nowMs() - begunMs);
+        final long spanMs = DEADLINE_MS - (world.sim.nowMs() - startedMs);
         final RequestHead head = new RequestHead(
                 kind.runOnce() ? "POST" : "GET",
                 "",
@@ -158,29 +159,29 @@
                 spanMs,
                 body.length,
                 List.of());
-        final boolean[] back = {false};
-        final Runnable nothing = () -> {
-            if (!back[0]) {
-                back[0] = true;
-                if (!who.endsWith("7") || turn > 0) {
-                    assignments.remove(who + "/" + kind.key());
+        final boolean[] settled = {false};
+        final Runnable onNoResponse = () -> {
+            if (!settled[0]) {
+                settled[0] = true;
+                if (!client.endsWith("7") || attempt > 0) {
+                    assignments.remove(client + "/" + kind.key());
                 }
-                retryLater(kind, who, id, turn, begunMs, 50);
+                retryLater(kind, client, id, attempt, startedMs, 50);
             }
         };
-        world.sim.after(Math.min(spanMs, 2500), nothing);
+        world.sim.after(Math.min(spanMs, 2500), onNoResponse);
         world.sim.after(1 + random.nextInt(20), () -> {
             if (!edge.up()) {
-                nothing.run();
+                onNoResponse.run();
                 return;
             }
             final long incarnation = edge.incarnation();
             edge.run(
                     incarnation,
                     () -> admit(edge, incarnation, head, body, answer -> {
-                        if (!back[0]) {
-                            back[0] = true;
-                            onResponse(kind, who, id, asked, turn, begunMs, answer);
+                        if (!settled[0]) {
+                            settled[0] = true;
+                            onResponse(kind, client, id, asked, attempt, startedMs, answer);
                         }
                     }));
         });
@@ -192,16 +193,16 @@
             final RequestHead head,
             final byte[] body,
             final java.util.function.Consumer<Response> done) {
-        final AdmittedRequest[] mine = {null};
-        final AdmissionResult opened = edge.node()
+        final AdmittedRequest[] admitted = {null};
+        final AdmissionResult admission = edge.node()
                 .admissionController()
                 .admit(
                         head,
                         answer -> world.sim.after(1 + random.nextInt(20), () -> {
                             done.accept(answer);
-                            edge.run(incarnation, () -> mine[0].onResponseWritten());
+                            edge.run(incarnation, () -> admitted[0].onResponseWritten());
                         }));
-        if (opened instanceof AdmissionResult.Rejected rejected) {
+        if (admission instanceof AdmissionResult.Rejected rejected) {
             world.sim.after(1 + random.nextInt(20), () -> done.accept(rejected.response()));
             return;
         }
@@ -213,19 +214,19 @@
                         : 2,
                 "body of " + head.requestId() + " carried to " + edge.region);
         // The body comes a little later than the head.
-        mine[0] = ((AdmissionResult.Admitted) opened).request();
+        admitted[0] = ((AdmissionResult.Admitted) admission).request();
         world.asked.get(head.requestId()).admittedMs = world.sim.nowMs();
         world.asked.get(head.requestId()).remainingMs = head.remainingMs();
-        world.sim.after(1 + random.nextInt(5), () -> edge.run(incarnation, () -> mine[0].onBody(body)));
+        world.sim.after(1 + random.nextInt(5), () -> edge.run(incarnation, () -> admitted[0].onBody(body)));
     }
 
     private void onResponse(
             final Deployment.Kind kind,
-            final String who,
+            final String client,
             final String id,
             final SimulatedWorld.ClientRequest asked,
-            final int turn,
-            final long begunMs,
+            final int attempt,
+            final long startedMs,
             final Response answer) {
         world.told.add(new SimulatedWorld.Told(
                 asked.requestId,
@@ -239,16 +240,16 @@
                 ? world.sim.nowMs()
                 : asked.answeredMs;
         if (answer.executionStatus() != ExecutionStatus.RAN) {
-            if (!who.endsWith("7") || turn > 0) {
-                assignments.remove(who + "/" + kind.key());
+            if (!client.endsWith("7") || attempt > 0) {
+                assignments.remove(client + "/" + kind.key());
             }
             // A run-once ask is repeated too: the claim must keep it from running twice.
-            retryLater(kind, who, id, turn, begunMs, Math.max(100, answer.retryAfterMs()));
-        } else if (kind.runOnce() && turn == 0 && random.nextInt(10) == 0) {
+            retryLater(kind, client, id, attempt, startedMs, Math.max(100, answer.retryAfterMs()));
+        } else if (kind.runOnce() && attempt == 0 && random.nextInt(10) == 0) {
             // A person who saw no answer, or doubts it, sends the same order again, at once or much later.
             world.sim.after(
                     random.nextBoolean() ? 100 : 3000 + random.nextInt(15_000),
-                    () -> request(kind, who, id, 1, world.sim.nowMs()));
+                    () -> request(kind, client, id, 1, world.sim.nowMs()));
         }
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
@@ -29,17 +29,17 @@
         regions.put(who, region);
     }
 
-    void cut(final String from, final String to, final boolean now) {
-        if (now) {
+    void cut(final String from, final String to, final boolean blocked) {
+        if (blocked) {
             cuts.add(from + ">" + to);
         } else {
             cuts.remove(from + ">" + to);
         }
     }
 
-    void cutBoth(final String one, final String two, final boolean now) {
-        cut(one, two, now);
-        cut(two, one, now);
+    void cutBoth(final String one, final String two, final boolean blocked) {
+        cut(one, two, blocked);
+        cut(two, one, blocked);
     }
 
     void loss(final String who, final double share) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -42,7 +42,7 @@
             final String name,
             final boolean core,
             final int i,
-            final Map<String, String> more) {
+            final Map<String, String> extraSettings) {
         this.world = world;
         this.name = name;
         this.core = core;
@@ -61,7 +61,7 @@
         flags.put("seeds", "10.0.1.1:7100,10.0.1.3:7100,10.0.1.5:7100");
         flags.put("platform", "10.0.9.1:80");
         flags.put("data", "/sim/" + name);
-        flags.putAll(more);
+        flags.putAll(extraSettings);
         readSettings();
         world.net.place(address, region);
     }
@@ -111,7 +111,7 @@
         readSettings();
         // Only a machine's very first start may be told that the fleet has never run.
         changeSetting("bootstrap", "0");
-        final long mine = incarnation;
+        final long ownIncarnation = incarnation;
         final Clock clock = new Clock() {
             @Override
             public long nowMs() {
@@ -125,7 +125,7 @@
 
             @Override
             public void after(final long waitMs, final Runnable event) {
-                world.sim.after(Math.max(0, waitMs), () -> run(mine, event));
+                world.sim.after(Math.max(0, waitMs), () -> run(ownIncarnation, event));
             }
         };
         final Random random = world.sim.random(name + "/" + incarnation);
@@ -133,16 +133,16 @@
         final NodeEnvironment environment = new NodeEnvironment(
                 clock,
                 random,
-                (to, message) -> world.send(this, mine, to, message),
+                (to, message) -> world.send(this, ownIncarnation, to, message),
                 core
                         ? disk.incarnation(
-                                () -> incarnation == mine && node != null,
-                                e -> run(mine, e),
+                                () -> incarnation == ownIncarnation && node != null,
+                                e -> run(ownIncarnation, e),
                                 world.injectedFault == InjectedFault.LYING_DISK)
                         : null,
-                world.environment.clientsOf(this, mine),
-                world.environment.clientsOf(this, mine),
-                world.environment.clientsOf(this, mine),
+                world.environment.clientsOf(this, ownIncarnation),
+                world.environment.clientsOf(this, ownIncarnation),
+                world.environment.clientsOf(this, ownIncarnation),
                 AuditSink.NONE);
         node = new Node(settings, core, environment);
         node.start();
@@ -190,9 +190,9 @@
         stop("power", SimulatedDisk::losePower);
     }
 
-    private void stop(final String how, final Consumer<SimulatedDisk> loss) {
+    private void stop(final String reason, final Consumer<SimulatedDisk> loss) {
         if (node != null) {
-            world.sim.trace(how + " " + name);
+            world.sim.trace(reason + " " + name);
             node = null;
             incarnation++;
             deferredEvents.clear();
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -196,7 +196,7 @@
                 final String what,
                 final ObjectNode with,
                 final Consumer<Reply> done,
-                final Runnable silent) {
+                final Runnable onTimeout) {
             if (world.sim.nowMs() > untilMs) {
                 world.sim.trace("change " + id + " given up, unclear " + unclear);
                 return;
@@ -205,14 +205,14 @@
             world.sim.after(4000, () -> {
                 if (calls == call) {
                     unclear |= what.equals(method);
-                    silent.run();
+                    onTimeout.run();
                 }
             });
             if (!core.running()) {
                 world.sim.after(200, () -> {
                     if (calls == call) {
                         calls++;
-                        silent.run();
+                        onTimeout.run();
                     }
                 });
                 return;
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -108,10 +108,10 @@
             final boolean traced,
             final InjectedFault injectedFault,
             final Scenario scenario,
-            final Map<String, String> more) {
+            final Map<String, String> extraSettings) {
         this.settings = new TreeMap<>(scenario.settings());
         settings.putAll(injectedFault.settings());
-        settings.putAll(more);
+        settings.putAll(extraSettings);
         this.segmentBytes = Integer.parseInt(settings.getOrDefault("ringSegmentBytes", "" + scenario.segmentBytes()));
         this.injectedFault = injectedFault;
         this.sim = new VirtualTime(seed, traced);
@@ -247,11 +247,12 @@
     }
 
     /** Cuts two groups of nodes off from each other, or joins them again. */
-    public void setPartitioned(final List<SimulatedNode> ones, final List<SimulatedNode> others, final boolean now) {
+    public void setPartitioned(
+            final List<SimulatedNode> ones, final List<SimulatedNode> others, final boolean partitioned) {
         for (final SimulatedNode one : ones) {
             for (final SimulatedNode other : others) {
                 if (one != other) {
-                    net.cutBoth(one.address, other.address, now);
+                    net.cutBoth(one.address, other.address, partitioned);
                 }
             }
         }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -325,8 +325,8 @@
         return finalSuccessShare;
     }
 
-    void later(final long waitMs, final Runnable what) {
-        world.sim.after(waitMs, what);
+    void later(final long waitMs, final Runnable action) {
+        world.sim.after(waitMs, action);
     }
 
     List<SimulatedNode> nodes() {
--- a/testbed/src/main/java/spokestall/testbed/simulation/VirtualTime.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/VirtualTime.java
@@ -36,12 +36,12 @@
         return new Random(seed * 0x9e3779b97f4a7c15L ^ (long) part.hashCode() << 17);
     }
 
-    void at(final long atMs, final Runnable what) {
-        events.add(new Event(Math.max(atMs, nowMs), scheduled++, what));
+    void at(final long atMs, final Runnable action) {
+        events.add(new Event(Math.max(atMs, nowMs), scheduled++, action));
     }
 
-    public void after(final long waitMs, final Runnable what) {
-        at(nowMs + waitMs, what);
+    public void after(final long waitMs, final Runnable action) {
+        at(nowMs + waitMs, action);
     }
 
     public void run(final long untilMs) {
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -41,24 +41,24 @@
         return tallies;
     }
 
-    public void violated(final Rule rule, final String what) {
-        check(rule, 2, what);
+    public void violated(final Rule rule, final String description) {
+        check(rule, 2, description);
     }
 
     /** One look at a rule: share is how much of the bound was used up; above 1 it is broken. */
-    public void check(final Rule rule, final double share, final String what) {
+    public void check(final Rule rule, final double share, final String description) {
         final Tally t = tallies.get(rule);
         t.checks++;
         if (share > t.worstShare) {
             t.worstShare = share;
-            t.worstCase = what;
+            t.worstCase = description;
         }
         if (share > 1) {
             t.violations++;
             if (t.firstViolation.isEmpty()) {
-                t.firstViolation = "at " + nowMs.getAsLong() + ": " + what;
+                t.firstViolation = "at " + nowMs.getAsLong() + ": " + description;
             }
-            trace.accept("VIOLATION " + rule + " " + what);
+            trace.accept("VIOLATION " + rule + " " + description);
         }
     }
 
@@ -251,16 +251,17 @@
     }
 
     /** Each tenant's count by itself: a few at the window's edges may fall to the neighbour window. */
-    void checkCounts(final long window, final Map<String, Long> real, final Map<String, Long> said) {
-        final Set<String> tenants = new TreeSet<>(real.keySet());
-        tenants.addAll(said.keySet());
+    void checkCounts(final long window, final Map<String, Long> actual, final Map<String, Long> reported) {
+        final Set<String> tenants = new TreeSet<>(actual.keySet());
+        tenants.addAll(reported.keySet());
         for (final String tenant : tenants) {
-            final long was = real.getOrDefault(tenant, 0L);
-            final long told = said.getOrDefault(tenant, 0L);
+            final long actualCount = actual.getOrDefault(tenant, 0L);
+            final long reportedCount = reported.getOrDefault(tenant, 0L);
             check(
                     Rule.IN_TIME,
-                    Math.max(0, Math.abs(was - told) - Rule.IN_TIME.slack) / Math.max(1, 0.05 * was),
-                    "window " + window + " has " + was + " of " + tenant + ", told " + told);
+                    Math.max(0, Math.abs(actualCount - reportedCount) - Rule.IN_TIME.slack)
+                            / Math.max(1, 0.05 * actualCount),
+                    "window " + window + " has " + actualCount + " of " + tenant + ", told " + reportedCount);
         }
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/simulation/RestoredDiskTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RestoredDiskTest.java
@@ -36,7 +36,7 @@
     }
 
     /** Something befalls the disk of a core while it is down; whether the core votes by that disk's identity again. */
-    private static void restartWithOlderDisk(final long seed, final Consumer<SimulatedDisk> what) {
+    private static void restartWithOlderDisk(final long seed, final Consumer<SimulatedDisk> damage) {
         final SimulatedWorld world = world(seed);
         final SimulatedNode core = world.pick(world.cores(), world.sim.random("older"));
         final byte[][] older = core.disk.copy();
@@ -44,7 +44,7 @@
         final String before = core.node().acceptor().diskId();
         core.kill();
         core.disk.restore(older);
-        what.accept(core.disk);
+        damage.accept(core.disk);
         world.sim.run(23_000);
         core.start();
         for (long atMs = 23_000; atMs < 23_000 + CATCH_UP_MS; atMs += 5) {
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -47,8 +47,8 @@
 
     @Test
     void anIsolatedCoreGivesNoAnswerThatContradictsTheMajority() {
-        for (final Isolation how : Isolation.values()) {
-            IntStream.rangeClosed(1, SEEDS).forEach(seed -> checkIsolatedCore(seed, how, InjectedFault.NONE));
+        for (final Isolation isolation : Isolation.values()) {
+            IntStream.rangeClosed(1, SEEDS).forEach(seed -> checkIsolatedCore(seed, isolation, InjectedFault.NONE));
         }
         assertThat(failures).isEmpty();
     }
@@ -63,8 +63,8 @@
     @Test
     void anIsolatedNodeDropsUnreachableEdgesAndIsNotReady() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            final SimulatedNode lone = listsEdgesWhileIsolated(seed, InjectedFault.NONE);
-            assertThat(lone).as("seed %s", seed).isNull();
+            final SimulatedNode isolated = listsEdgesWhileIsolated(seed, InjectedFault.NONE);
+            assertThat(isolated).as("seed %s", seed).isNull();
         }
     }
 
@@ -78,27 +78,27 @@
         final OperatorFleet fleet =
                 new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).begun();
         final Random random = new Random(seed);
-        final SimulatedNode lone =
+        final SimulatedNode isolated =
                 fleet.nodes().get(random.nextInt(fleet.nodes().size()));
         fleet.until(
                 "it names edges",
                 CONTACT_MS,
-                () -> listedEdges(lone) > 0 && lone.node().ready());
-        for (final SimulatedNode other : fleet.othersThan(lone)) {
-            fleet.world.net.cut(other.address, lone.address, true);
+                () -> listedEdges(isolated) > 0 && isolated.node().ready());
+        for (final SimulatedNode other : fleet.othersThan(isolated)) {
+            fleet.world.net.cut(other.address, isolated.address, true);
             if (seed % 2 == 0) {
-                fleet.world.net.cut(lone.address, other.address, true);
+                fleet.world.net.cut(isolated.address, other.address, true);
             }
         }
         fleet.run(MAX_LISTED_MS);
-        if (lone.node().ready() || listedEdges(lone) > 0) {
-            return lone;
+        if (isolated.node().ready() || listedEdges(isolated) > 0) {
+            return isolated;
         }
         fleet.world.net.heal();
         fleet.until(
                 "it names edges again",
                 CONTACT_MS,
-                () -> listedEdges(lone) > 0 && lone.node().ready());
+                () -> listedEdges(isolated) > 0 && isolated.node().ready());
         return null;
     }
 
@@ -107,48 +107,52 @@
                 .size();
     }
 
-    private void checkIsolatedCore(final long seed, final Isolation how, final InjectedFault injectedFault) {
+    private void checkIsolatedCore(final long seed, final Isolation isolation, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
                 new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], injectedFault).begun();
         final Random random = new Random(seed);
         final List<SimulatedNode> cores = fleet.world.cores();
-        final SimulatedNode lone = cores.get(how == Isolation.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
-        final SimulatedNode other = cores.get((cores.indexOf(lone) + 1 + random.nextInt(5)) % 6);
-        setIsolated(fleet, lone, how, true);
+        final SimulatedNode isolated =
+                cores.get(isolation == Isolation.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
+        final SimulatedNode other = cores.get((cores.indexOf(isolated) + 1 + random.nextInt(5)) % 6);
+        setIsolated(fleet, isolated, isolation, true);
         for (int turn = 0; turn < TURNS; turn++) {
-            final String id = how + "-" + seed + "-" + turn;
+            final String id = isolation + "-" + seed + "-" + turn;
             final ObjectNode added =
                     OperatorFleet.key(fleet.newestVersion(), id, 3, "k" + turn).put("key", "another-key-" + turn);
             expect(id, fleet.done(other, "key.add", added), ResultCode.OK);
-            if (how == Isolation.RESTARTED_WHILE_CUT && turn == 2) {
-                lone.kill();
+            if (isolation == Isolation.RESTARTED_WHILE_CUT && turn == 2) {
+                isolated.kill();
                 fleet.run(500);
-                lone.start();
+                isolated.start();
             }
-            if (how == Isolation.FIRST_SEED_CUT && turn == 2) {
-                restartWhileFirstSeedIsCut(fleet, lone, other);
+            if (isolation == Isolation.FIRST_SEED_CUT && turn == 2) {
+                restartWhileFirstSeedIsCut(fleet, isolated, other);
             }
             fleet.run(500 + random.nextInt(1000));
-            checkAnswersOfIsolatedCore(fleet, lone, other, id, turn);
+            checkAnswersOfIsolatedCore(fleet, isolated, other, id, turn);
         }
-        setIsolated(fleet, lone, how, false);
+        setIsolated(fleet, isolated, isolation, false);
         fleet.until(
-                how + " " + seed + " is back in touch",
+                isolation + " " + seed + " is back in touch",
                 CONTACT_MS,
-                () -> lone.running()
-                        && lone.node().acceptor().state() == Acceptor.State.VOTING
-                        && lone.node().feedClient().isFresh()
-                        && OperatorFleet.version(lone) == fleet.newestVersion());
-        expect(how + " back", fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode()), ResultCode.OK);
+                () -> isolated.running()
+                        && isolated.node().acceptor().state() == Acceptor.State.VOTING
+                        && isolated.node().feedClient().isFresh()
+                        && OperatorFleet.version(isolated) == fleet.newestVersion());
         expect(
-                how + " taken when back",
-                fleet.done(lone, "policy.patch", fleet.bind(fleet.newestVersion(), "back-" + seed, "back")),
+                isolation + " back",
+                fleet.done(isolated, "policy.get", OperatorFleet.JSON.createObjectNode()),
+                ResultCode.OK);
+        expect(
+                isolation + " taken when back",
+                fleet.done(isolated, "policy.patch", fleet.bind(fleet.newestVersion(), "back-" + seed, "back")),
                 ResultCode.OK);
     }
 
     /** Nodes that start now are told of seeds the first of which is cut off from all. */
     private void restartWhileFirstSeedIsCut(
-            final OperatorFleet fleet, final SimulatedNode lone, final SimulatedNode other) {
+            final OperatorFleet fleet, final SimulatedNode isolated, final SimulatedNode other) {
         final List<SimulatedNode> again =
                 List.of(fleet.world.edges().get(1), fleet.world.edges().get(4), other);
         again.forEach(SimulatedNode::kill);
@@ -158,23 +162,23 @@
                 "nodes are back by the other seeds",
                 CONTACT_MS,
                 () -> again.stream().allMatch(n -> n.node().feedClient().isFresh()));
-        if (lone.node().feedClient().isFresh()) {
-            failures.add(lone.name + " is fresh by nodes that it can't reach");
+        if (isolated.node().feedClient().isFresh()) {
+            failures.add(isolated.name + " is fresh by nodes that it can't reach");
         }
     }
 
     /** Calls that the majority would take or answer otherwise than by what the lone core has. */
     private void checkAnswersOfIsolatedCore(
             final OperatorFleet fleet,
-            final SimulatedNode lone,
+            final SimulatedNode isolated,
             final SimulatedNode other,
             final String id,
             final int turn) {
-        if (!lone.running()) {
+        if (!isolated.running()) {
             return;
         }
         final long newest = fleet.newestVersion();
-        final OperatorFleet.Call got = fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode());
+        final OperatorFleet.Call got = fleet.done(isolated, "policy.get", OperatorFleet.JSON.createObjectNode());
         if (got.result() == ResultCode.OK && got.reply.fields().path("version").asLong() < newest) {
             failures.add(id + " handed out " + got.reply.fields().path("version"));
         } else if (got.result() != ResultCode.OK && !INCONCLUSIVE.contains(got.result())) {
@@ -183,22 +187,28 @@
         expectInconclusiveOr(
                 ResultCode.OK,
                 id + " patch on the newest",
-                fleet.done(lone, "policy.patch", fleet.bind(newest, id + "-p", "p" + turn)));
+                fleet.done(isolated, "policy.patch", fleet.bind(newest, id + "-p", "p" + turn)));
         expectInconclusiveOr(
                 ResultCode.OK,
                 id + " withdraw of a key that the majority has",
-                fleet.done(lone, "key.withdraw", OperatorFleet.key(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
+                fleet.done(
+                        isolated, "key.withdraw", OperatorFleet.key(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
         expectInconclusiveOr(
                 ResultCode.OK,
                 id + " repeat of what the majority confirmed",
                 fleet.done(
-                        lone, "key.add", OperatorFleet.key(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
+                        isolated,
+                        "key.add",
+                        OperatorFleet.key(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
         expectInconclusiveOr(
                 ResultCode.STALE_BASE,
                 id + " patch on its own version",
-                fleet.done(lone, "policy.patch", fleet.bind(OperatorFleet.version(lone) - 1, id + "-s", "s" + turn)));
+                fleet.done(
+                        isolated,
+                        "policy.patch",
+                        fleet.bind(OperatorFleet.version(isolated) - 1, id + "-s", "s" + turn)));
         final OperatorFleet.Call where = fleet.done(
-                lone,
+                isolated,
                 "where",
                 OperatorFleet.JSON.createObjectNode().put("client", "c").put("key", "another-key-" + turn));
         if (where.result() == ResultCode.BAD_KEY
@@ -225,24 +235,24 @@
     }
 
     private static void setIsolated(
-            final OperatorFleet fleet, final SimulatedNode lone, final Isolation how, final boolean now) {
-        for (final SimulatedNode other : fleet.othersThan(lone)) {
-            switch (how) {
+            final OperatorFleet fleet, final SimulatedNode isolated, final Isolation isolation, final boolean now) {
+        for (final SimulatedNode other : fleet.othersThan(isolated)) {
+            switch (isolation) {
                 case BOTH_WAYS, RESTARTED_WHILE_CUT, FIRST_SEED_CUT ->
-                    fleet.world.net.cutBoth(lone.address, other.address, now);
-                case HEARS_NOTHING -> fleet.world.net.cut(other.address, lone.address, now);
-                case IS_NOT_HEARD -> fleet.world.net.cut(lone.address, other.address, now);
+                    fleet.world.net.cutBoth(isolated.address, other.address, now);
+                case HEARS_NOTHING -> fleet.world.net.cut(other.address, isolated.address, now);
+                case IS_NOT_HEARD -> fleet.world.net.cut(isolated.address, other.address, now);
                 default -> {}
             }
         }
-        if (how == Isolation.FROZEN && now) {
-            lone.freeze();
-        } else if (how == Isolation.FROZEN) {
-            lone.thaw();
-        } else if (how == Isolation.SLOWED) {
-            fleet.world.net.slow(lone.address, now ? SLOW_MS : 0);
-        } else if (how == Isolation.DISK_STALLED && now) {
-            lone.disk.stall(CUT_MS);
+        if (isolation == Isolation.FROZEN && now) {
+            isolated.freeze();
+        } else if (isolation == Isolation.FROZEN) {
+            isolated.thaw();
+        } else if (isolation == Isolation.SLOWED) {
+            fleet.world.net.slow(isolated.address, now ? SLOW_MS : 0);
+        } else if (isolation == Isolation.DISK_STALLED && now) {
+            isolated.disk.stall(CUT_MS);
         }
     }
 }
