--- a/testbed/src/main/java/spokestall/testbed/simulation/ExpectedAvailability.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ExpectedAvailability.java
@@ -5,15 +5,19 @@
 import spokestall.consensus.Acceptor;
 
 /**
- * What the fleet could be expected to do, read from the world alone, from before it is founded on: it could not agree on anything while no four cores
- * with state were up, on working disks and joined, nor for a stated time to recover after that; and what only memories
- * held is gone when all cores are down at once.
+ * Computes when the fleet can be expected to be available, only from the state of the simulated machines, disks and network.
+ *
+ * <p>The fleet is unavailable while no core reaches four cores, itself included, that have state and run on working disks, and for a
+ * fixed recovery time afterwards. The time before the bootstrap counts too. State that is held only in memory is lost when all cores
+ * are down at the same time.
  */
 public final class ExpectedAvailability {
-    /** The time to recover where nothing that was acknowledged is lost, and where it is. */
+    /** Recovery time if no acknowledged state was lost. */
     public static final long RECOVERY_MS = 8000;
 
+    /** Recovery time if so many disks were blank that acknowledged state was lost: fewer than four had state. */
     public static final long RECOVERY_AFTER_LOSS_MS = 15_000;
+
     private static final int CHECK_INTERVAL_MS = 20;
     private static final int MAJORITY = 4;
     private final SimulatedWorld world;
@@ -65,18 +69,18 @@
         return core.running() && core.disk.working() && !core.disk.blank();
     }
 
-    /** Whether the fleet was unable, or still recovering, at some time between. */
+    /** Returns whether the fleet was unavailable, or still recovering, at any time in the interval. */
     public boolean unavailable(final long fromMs, final long untilMs) {
         return unavailableSinceMs >= 0 && unavailableSinceMs <= untilMs
                 || unavailable.stream().anyMatch(s -> s.fromMs() <= untilMs && s.untilMs() >= fromMs);
     }
 
-    /** Whether all memories went at once between. */
+    /** Returns whether the last running core went down in the interval, which loses all state that is held only in memory. */
     public boolean allCoresWentDown(final long fromMs, final long untilMs) {
         return allCoresDownMs.stream().anyMatch(at -> at >= fromMs && at <= untilMs);
     }
 
-    /** When the fleet was last able again after being unable; -1 if it never was. */
+    /** Returns when the fleet last became available again, or -1 if it never has. */
     long availableAgainMs() {
         return availableAgainMs;
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
@@ -10,13 +10,16 @@
 import spokestall.message.MessageCodec;
 import spokestall.testbed.fault.InjectedFault;
 
-/** Alters messages on their way, for the planted faults that need it. */
+/** Alters messages in transit, for the injected faults that need it. */
 final class MessageForger {
     private static final long HOUR_MS = 3_600_000;
 
     private MessageForger() {}
 
-    /** The note as it arrives under a plant. */
+    /**
+     * Returns the message that arrives under an injected fault. With LEAPING_CHANGES, the acceptance times of configuration changes
+     * advance by an hour with each change.
+     */
     static Message alter(final InjectedFault injectedFault, final Message message) {
         if (injectedFault != InjectedFault.LEAPING_CHANGES) {
             return message;
@@ -44,7 +47,10 @@
                 c.changeId(), c.kind(), c.json(), SimulatedWorld.EPOCH_MS + changes * HOUR_MS, c.earlierChanges()));
     }
 
-    /** The proof that an asker hears in place of one that can't reach it, or null where the note asks for none. */
+    /**
+     * Returns the freshness response that a node receives in place of the core's own, which can't reach it, or null if the message
+     * requests none or the core has no state to answer from.
+     */
     static Message forgeFreshnessResponse(final Message message, final SimulatedNode asker, final SimulatedNode core) {
         final long requestId = message instanceof FeedMessage.FreshnessRequest p
                 ? p.requestId()
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageTraffic.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageTraffic.java
@@ -6,9 +6,9 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
 
-/** What messages cost: how many bytes of each kind went between regions, between zones of one, and within one. */
+/** Network traffic of each message type: bytes sent between regions, between zones of a region, and within a zone. */
 public final class MessageTraffic {
-    /** One kind's sums. */
+    /** Totals of one message type. */
     public static final class Sum {
         public long messages;
         long betweenRegions;
@@ -24,7 +24,7 @@
     private final Map<String, Sum> sums = new TreeMap<>();
     private final Map<String, Long> sentTo = new TreeMap<>();
 
-    /** Counts one note on its way. */
+    /** Counts one sent message, whether or not it arrives. */
     void onSent(final SimulatedNode from, final SimulatedNode to, final Message message, final int bytes) {
         final Sum sum = sums.computeIfAbsent(message.getClass().getSimpleName(), k -> new Sum());
         sum.messages++;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Bytes that were sent to a node, lost or not. */
+    /** Returns the number of bytes that were sent to a node, including those of lost messages. */
     public long sentTo(final String node) {
         return sentTo.getOrDefault(node, 0L);
     }
@@ -51,7 +51,7 @@
         sums.clear();
     }
 
-    /** Bytes a second between regions of one node, of the kinds given, or of all. */
+    /** Returns bytes per second and node between regions, of the given message types, or of all if none is given. */
     public static double betweenRegionsPerNode(final Map<String, Sum> sums, final String... kinds) {
         return sums.entrySet().stream()
                         .filter(e ->
@@ -62,7 +62,7 @@
                 / (2 * Deployment.DISTRICTS);
     }
 
-    /** Half a minute of a fleet that has come up: with asks at the deployment's rate, or at rest. */
+    /** Measures half a minute of a running fleet, with client requests at the deployment's rate or without any. */
     public static Map<String, Sum> measure(
             final long seed, final Deployment deployment, final boolean requests, final Map<String, String> settings) {
         final SimulatedWorld world =
@@ -84,14 +84,14 @@
         return world.traffic.sums();
     }
 
-    /** Prints both, a line a kind, in a second and node. */
+    /** Prints one table for an idle fleet and one for a fleet with requests: a row per message type, per second and node. */
     public static void print(final long seed, final Deployment deployment, final Map<String, String> settings) {
         for (final boolean requests : new boolean[] {false, true}) {
             final Map<String, Sum> sums = measure(seed, deployment, requests, settings);
             final Sum all = new Sum();
             System.out.printf(
-                    "| %s | notes | bytes each | regions | districts | within |%n| --- | --- | --- | --- | --- | --- |%n",
-                    requests ? "with asks" : "at rest");
+                    "| %s | messages | bytes each | regions | districts | within |%n| --- | --- | --- | --- | --- | --- |%n",
+                    requests ? "with requests" : "idle");
             sums.forEach((kind, sum) -> {
                 line(kind, sum);
                 all.messages += sum.messages;
--- a/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -9,7 +9,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.standin.UpstreamStandIn;
 
-/** The brief's failures, each as a script that is played while asks flow; MIXED plays several at random. */
+/** Failure scenarios, played while clients send requests. MIXED injects several failures at random. */
 public enum Scenario {
     CALM {
         @Override
@@ -136,7 +136,7 @@
     UPGRADE {
         @Override
         void play(final SimulationRun run) {
-            // Nodes that send the older form are restarted one by one to send the newer one.
+            // Nodes start with the oldest message version and are restarted one by one with the current version.
             int i = 0;
             for (final SimulatedNode node : run.nodes()) {
                 run.later(i++ * 2400L, () -> {
@@ -154,7 +154,9 @@
     SPARING {
         @Override
         void play(final SimulationRun run) {
-            // What an operator of a fleet over dear wires sets: no probes, few proofs, counts that hold nothing back.
+            // Settings for a fleet with expensive network traffic: no probes, few freshness requests, and usage counts
+            // that
+            // never keep an edge from starting requests.
             final List<SimulatedEnvironment.Upstream> all = run.world.environment.running();
             for (int i = 0; i < 8; i++) {
                 final SimulatedEnvironment.Upstream old = all.get(i * 4);
@@ -192,7 +194,7 @@
     MOVED {
         @Override
         void play(final SimulationRun run) {
-            // Three cores, none of them a seed, come back one after another at other addresses, with their disks.
+            // Three cores that are not seeds restart one after another at new addresses, each with its disk.
             int i = 0;
             for (final String name : List.of("d2-core", "d4-core", "d6-core")) {
                 final SimulatedNode core = run.world.nodes.get(name);
@@ -208,9 +210,9 @@
     UNKNOWN {
         @Override
         void play(final SimulationRun run) {
-            // Nobody was told how many there are. A seed came late, a core joined after the founding; now a disk goes,
-            // a core
-            // under a new name comes, and a seed is restarted.
+            // No node is configured with the number of cores. One seed started late and one core joined after the
+            // bootstrap. Now a core loses its disk, a core with a new name joins, a seed restarts, and the new core
+            // loses its disk.
             run.later(1000, () -> run.loseDisk(run.world.nodes.get("d4-core"), 2000));
             run.later(9000, () -> run.addCore("d2-core2", 7));
             run.later(14_000, () -> run.restart(run.world.nodes.get("d3-edge"), 1000, false));
@@ -232,7 +234,7 @@
     OVERLOAD {
         @Override
         void play(final SimulationRun run) {
-            // Upstreams take twice the usual demand, and ten times as much comes.
+            // Upstreams can serve twice the usual demand, and clients send ten times the usual demand.
             for (final SimulatedEnvironment.Upstream up : run.world.environment.running()) {
                 up.serviceTimeMs = 1000L * run.world.environment.running().size() / (2L * run.world.deployment.rate);
             }
@@ -243,7 +245,8 @@
     SEEDS_DEAD {
         @Override
         void play(final SimulationRun run) {
-            // Two of the three seeds are away; every edge, and a core, must find the fleet by the third alone.
+            // Two of the three seeds are down. Every edge and one core restart and must find the fleet through the
+            // third.
             run.world.nodes.get("d1-core").kill();
             run.world.nodes.get("d3-core").kill();
             run.markDisturbed(run.nodes(), run.playMs());
@@ -263,7 +266,7 @@
     BLINK {
         @Override
         void play(final SimulationRun run) {
-            // All power goes for a moment just after a window was reported.
+            // All nodes lose power for 300 ms shortly after a usage window was reported.
             final long nowMs = run.world.sim.nowMs();
             final long waitMs =
                     2 * SimulatedWorld.WINDOW_MS - nowMs % SimulatedWorld.WINDOW_MS + 2000 + run.random.nextInt(500);
@@ -424,7 +427,7 @@
     LONG {
         @Override
         void play(final SimulationRun run) {
-            // An hour, with a failure every minute or so; every table's size is printed each ten minutes.
+            // One hour with a failure about every minute. The table sizes are printed every ten minutes.
             for (long at = 5000; at < playMs() - 60_000; at += 30_000 + run.random.nextInt(90_000)) {
                 run.later(at, run::injectRandomFailure);
             }
@@ -440,7 +443,7 @@
 
         @Override
         int segmentBytes() {
-            // The product's own size: ten minutes of claims don't fit into the small disks of the short runs.
+            // The production size: ten minutes of claims don't fit into the smaller disks of the short runs.
             return 8 << 20;
         }
     },
@@ -455,27 +458,27 @@
 
     abstract void play(SimulationRun run);
 
-    /** How long it is played. */
+    /** Returns the duration of the scenario, in milliseconds. */
     long playMs() {
         return 30_000;
     }
 
-    /** When a node is first started. */
+    /** Returns the virtual time of a node's first start, in milliseconds. */
     long startMs(final SimulatedNode node, final Random random) {
         return random.nextInt(1500);
     }
 
-    /** All that a sweep runs: every one but the long one. */
+    /** Returns the scenarios that a sweep runs: all except LONG. */
     public static List<Scenario> sweep() {
         return Arrays.stream(values()).filter(s -> s != LONG).toList();
     }
 
-    /** Settings that this scenario needs. */
+    /** Returns the node settings that this scenario overrides. */
     Map<String, String> settings() {
         return Map.of();
     }
 
-    /** The size of the disks' files. */
+    /** Returns the size of a disk segment, in bytes. */
     int segmentBytes() {
         return 1 << 20;
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
@@ -14,7 +14,7 @@
 
 /** Runs scenarios over a range of seeds and prints, for each rule, checks, violations and the worst margin. */
 public final class ScenarioSweep {
-    /** What came of one run. */
+    /** Result and figures of one run. */
     public record Outcome(
             Scenario scenario,
             Deployment deployment,
@@ -35,7 +35,10 @@
             long recoverMaxMs,
             Map<Rule, Judge.Tally> tallies) {}
 
-    /** Whether asks ran again, a report had come and all voters voted in time; null if so. */
+    /**
+     * Returns why the fleet did not recover in time, or null if it did. A recovered fleet serves requests, has sent a usage report,
+     * and all its voters vote.
+     */
     static String recoveryFailure(final Outcome o) {
         if (!o.up || o.lastShare < 0.95) {
             return "up=" + o.up + " lastShare=" + o.lastShare;
@@ -83,7 +86,10 @@
                 run.world.judge.tallies());
     }
 
-    /** The number of violations and of runs that did not come back. */
+    /**
+     * Runs the scenarios and prints the results. Returns the number of failures: each rule that a run broke, each run that did not
+     * recover in time, and each run that ended in an exception.
+     */
     public static int run(
             final List<Scenario> scenarios,
             final List<Deployment> deployments,
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -16,7 +16,10 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.verdict.Rule;
 
-/** Clients that ask where to go, then ask, ask again when they may, and keep what they were told. */
+/**
+ * Simulated clients. They look up their edges with {@code where}, keep the result until it expires, send requests to these edges,
+ * and retry requests that did not run.
+ */
 final class SimulatedClients {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long DEADLINE_MS = 5000;
@@ -73,7 +76,7 @@
             final Deployment.Kind kind, final String client, final String id, final int attempt, final long startedMs) {
         final String assignmentKey = client + "/" + kind.key();
         final EdgeAssignment known = assignments.get(assignmentKey);
-        // One client in ten is connected to an edge and stays with it, whatever where would say by now.
+        // One client in ten keeps its connection to an edge, even after its lookup result has expired.
         final boolean stays = client.endsWith("7") && attempt == 0;
         if (known != null && (stays || world.sim.nowMs() < known.untilMs)) {
             send(kind, client, id, attempt, startedMs, known);
@@ -116,7 +119,7 @@
         });
     }
 
-    /** The same for each repeat; most are small, some are long. */
+    /** Returns the request body, which is the same for each retry. One body in 16 is longer than 20 kB, the others are small. */
     private static byte[] body(final String id) {
         final int long1 = id.hashCode() % 16 == 0 ? 20_000 : 0;
         return ("do " + id + " ".repeat(Math.floorMod(id.hashCode(), 200) + long1)).getBytes(StandardCharsets.UTF_8);
@@ -213,7 +216,7 @@
                         ? 0
                         : 2,
                 "body of " + head.requestId() + " carried to " + edge.region);
-        // The body comes a little later than the head.
+        // The body arrives a few milliseconds after the head.
         admitted[0] = ((AdmissionResult.Admitted) admission).request();
         world.asked.get(head.requestId()).admittedMs = world.sim.nowMs();
         world.asked.get(head.requestId()).remainingMs = head.remainingMs();
@@ -243,10 +246,11 @@
             if (!client.endsWith("7") || attempt > 0) {
                 assignments.remove(client + "/" + kind.key());
             }
-            // A run-once ask is repeated too: the claim must keep it from running twice.
+            // Run-once requests are retried too: the claim must keep them from running twice.
             retryLater(kind, client, id, attempt, startedMs, Math.max(100, answer.retryAfterMs()));
         } else if (kind.runOnce() && attempt == 0 && random.nextInt(10) == 0) {
-            // A person who saw no answer, or doubts it, sends the same order again, at once or much later.
+            // A client that saw no response, or doubts it, sends the same request again, shortly afterwards or much
+            // later.
             world.sim.after(
                     random.nextBoolean() ? 100 : 3000 + random.nextInt(15_000),
                     () -> request(kind, client, id, 1, world.sim.nowMs()));
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import spokestall.storage.SegmentStore;
 
-/** A disk that keeps what was synced, may lose or tear what was not, stalls, fails and can be wiped. */
+/** Simulated disk. It keeps synced writes, may lose or tear unsynced ones, and can stall, fail, fill up and be wiped. */
 public final class SimulatedDisk implements SegmentStore {
     private final VirtualTime sim;
     private final Random random;
@@ -46,10 +46,10 @@
 
     @Override
     public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-        throw new IllegalStateException("through a life only");
+        throw new IllegalStateException("commits go through the store of an incarnation");
     }
 
-    /** The same disk as seen by one life of a node: what comes back after its death is dropped. */
+    /** Returns the store for one incarnation of a node. Completions that are due after the incarnation ended are dropped. */
     SegmentStore incarnation(final BooleanSupplier alive, final Consumer<Runnable> back, final boolean lies) {
         final SimulatedDisk disk = this;
         return new SegmentStore() {
@@ -84,7 +84,7 @@
         commits++;
         ackedBeforeSync = lies;
         if (lies) {
-            // Says at once that all is down, and gets it down seconds later, as a cache without a battery would.
+            // Acknowledges the commit at once and writes it seconds later, like a disk cache without a battery.
             unsynced.addAll(chunks);
             sim.after(4000, () -> {
                 if (alive.getAsBoolean()) {
@@ -110,7 +110,7 @@
         });
     }
 
-    /** The power goes: each write that was not synced is there whole, in part, or not at all. */
+    /** Simulates a power loss: each unsynced write is kept whole, in part or not at all. */
     void losePower() {
         if (ackedBeforeSync) {
             unsynced.clear();
@@ -126,23 +126,23 @@
         unsynced.clear();
     }
 
-    /** The process alone goes: what it had written is in the machine's memory and gets down. */
+    /** Simulates the end of the process alone: the operating system still writes the unsynced data to the disk. */
     void loseProcess() {
         unsynced.forEach(p -> System.arraycopy(p.bytes(), 0, synced[p.segment()], p.at(), p.bytes().length));
         unsynced.clear();
     }
 
-    /** Neither failing, full nor in a stall. */
+    /** Returns whether the disk is neither failing, full nor stalled. */
     boolean working() {
         return !failing && !full && sim.nowMs() >= stalledUntilMs;
     }
 
-    /** Whether it was wiped and nothing that counts was written since. */
+    /** Returns whether the disk is new or was wiped, and no voter has voted from it since. */
     boolean blank() {
         return wiped;
     }
 
-    /** A voter votes from it again. */
+    /** Records that a voter votes from this disk, which ends its being blank. */
     void markWritten() {
         wiped = false;
     }
@@ -157,7 +157,7 @@
         full = false;
     }
 
-    /** All that is on it now. */
+    /** Returns a copy of the synced contents. */
     byte[][] copy() {
         final byte[][] copy = new byte[synced.length][];
         for (int i = 0; i < synced.length; i++) {
@@ -166,7 +166,7 @@
         return copy;
     }
 
-    /** Puts it back to what it was. */
+    /** Restores contents that {@link #copy} returned. */
     void restore(final byte[][] copy) {
         for (int i = 0; i < synced.length; i++) {
             synced[i] = copy[i].clone();
@@ -189,7 +189,7 @@
         failing = now;
     }
 
-    /** Turns a byte of what had been synced, as a bad sector would. */
+    /** Corrupts one byte of the synced contents, like a bad sector. */
     void corrupt(final int segment, final int at) {
         synced[segment][at] ^= 0x55;
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -43,10 +43,10 @@
         boolean leaving;
         boolean listed = true;
         UpstreamStandIn.Manner behavior = UpstreamStandIn.Manner.WELL;
-        /** How long one ask keeps it busy, one at a time; 0 is without limit. */
+        /** Service time of one request; requests are served one at a time. 0 means unlimited capacity. */
         long serviceTimeMs;
 
-        /** Whether it rejects every second attempt and runs nothing of it. */
+        /** Whether the upstream rejects every second attempt without running it. */
         boolean rejectsHalf;
 
         private long busyUntilMs;
@@ -78,7 +78,7 @@
     private final Map<String, Upstream> byInstance = new LinkedHashMap<>();
     private final Map<String, Integer> attemptCounts = new TreeMap<>();
     private List<ListedEndpoint> listedEndpoints = new ArrayList<>();
-    /** Whether the platform reckons the rest of a warm-up when it answers, half way between call and answer. */
+    /** Whether the platform computes the remaining warm-up when it answers, halfway between call and response. */
     private boolean computesWarmUpOnAnswer;
 
     private int upstreamsMade;
@@ -106,7 +106,7 @@
         return up;
     }
 
-    /** A new instance at a fresh address in the place of one. */
+    /** Starts a new instance at a new address as the replacement of an old one. */
     Upstream replace(final Upstream old) {
         return add(old.service, address(upstreamsMade), old.zone, old.region, world.sim.nowMs());
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /** The platform's list is made anew now and then, so it lags. */
+    /** Rebuilds the platform's list of endpoints every 500 to 1500 ms, so that the list lags behind. */
     private void refresh() {
         final List<ListedEndpoint> now = new ArrayList<>();
         byInstance.values().forEach(u -> {
@@ -136,7 +136,7 @@
         world.sim.after(500 + random.nextInt(1000), this::refresh);
     }
 
-    /** Has the platform reckon the rest of a warm-up when it answers; the list's entries lag as before. */
+    /** Makes the platform compute the remaining warm-up when it answers; the entries of its list still lag. */
     void computeWarmUpOnAnswer() {
         computesWarmUpOnAnswer = true;
     }
@@ -159,12 +159,12 @@
         return Math.max(0, up.readyAtMs + SimulatedWorld.WARMUP_MS - world.sim.nowMs());
     }
 
-    /** What one life of a node reaches the outside by. */
+    /** Returns the clients through which one incarnation of a node reaches the upstreams and the platform. */
     NodeClients clientsOf(final SimulatedNode node, final long incarnation) {
         return new NodeClients(node, incarnation);
     }
 
-    /** The rim of one life. */
+    /** Upstream, discovery and usage report clients of one incarnation of a node. */
     final class NodeClients implements UpstreamClient, DiscoveryClient, UsageReportClient {
         private final SimulatedNode node;
         private final long incarnation;
@@ -218,7 +218,7 @@
                 final SendDeadline deadline,
                 final ReportCallback callback) {
             final long way = 5L + random.nextInt(20);
-            // Connecting takes a round trip; the check is made when the bytes are about to leave.
+            // Connecting takes a round trip; the deadline is checked just before the bytes are sent.
             sendIfInTime(2 * way, deadline::latestMs, () -> callback.onResult(ReportResult.UNCONFIRMED), () -> {
                 final TreeMap<String, Long> counts = new TreeMap<>(sealed.counts());
                 if (world.injectedFault == InjectedFault.SWAPPED_TENANTS) {
@@ -290,12 +290,16 @@
             return handle;
         }
 
-        /** Asks, changes threads, looks once more, and lets the bytes go; a freeze may come between. */
+        /**
+         * Reads the deadline, switches threads, and sends the bytes unless the deadline has passed by then. The node may freeze
+         * after reading the deadline.
+         */
         private void sendIfInTime(
                 final long waitMs, final LongSupplier until, final Runnable blocked, final Runnable attempt) {
             runOnNode(waitMs, () -> {
                 final long untilMs = until.getAsLong();
-                // A report is hit often, but not two in a row: no window outlives that.
+                // A report is hit 300 times as often as an attempt, but never two within 20 s: a usage window does not
+                // survive two freezes in a row.
                 final boolean report = waitMs > 0;
                 if (random.nextDouble() < (report ? 300 : 1) * world.freezeProbability
                         && (!report || world.sim.nowMs() - lastReportFreezeMs > 20_000)) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNetwork.java
@@ -9,7 +9,7 @@
 import spokestall.message.Message;
 import spokestall.message.MessageCodec;
 
-/** The network between places: distance between regions, cuts in one or both directions, loss and slowness. */
+/** Simulated network: latency between regions, cuts in one or both directions, packet loss and added delay. */
 final class SimulatedNetwork {
     private final VirtualTime sim;
     private final Random random;
@@ -60,7 +60,10 @@
         return !cuts.contains(from + ">" + to);
     }
 
-    /** One way's time, or -1 when it is lost. TCP hides loss: what is lost on a lossy wire comes late. */
+    /**
+     * Returns the one-way delay in milliseconds, or -1 if the message is lost. TCP retransmits lost packets, so that three in four
+     * messages that are hit by packet loss arrive late; the fourth is lost.
+     */
     long oneWayMs(final String from, final String to) {
         if (!isOpen(from, to)) {
             return -1;
@@ -75,13 +78,13 @@
         return ms;
     }
 
-    /** One way's time on a wire that hides loss: what is lost comes late, unless the wire is cut. */
+    /** Returns the one-way delay on a connection that hides all packet loss by a longer delay, or -1 if the link is cut. */
     long reliableOneWayMs(final String from, final String to) {
         final long ms = oneWayMs(from, to);
         return ms < 0 && isOpen(from, to) ? (long) (600 + random.nextInt(600)) : ms;
     }
 
-    /** Carries a note as the bytes it would be, and says how many. */
+    /** Encodes a message, delivers the decoded message after the delay, and returns the length of the encoding in bytes. */
     int carry(
             final String from,
             final String to,
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -17,7 +17,7 @@
 import spokestall.testbed.verdict.Rule;
 import spokestall.time.Clock;
 
-/** A machine that runs the real node: it can be killed, lose power or its disk, freeze, and have its clock jump. */
+/** Simulated machine that runs the real node. It can be killed, lose power, freeze, and have its wall clock jump. */
 public final class SimulatedNode {
     public final String name;
     public final boolean core;
@@ -74,7 +74,7 @@
         settings = ((SettingsResult.Valid) read).settings();
     }
 
-    /** From its next start on. */
+    /** Changes a setting; the change takes effect at the node's next start. */
     void changeSetting(final String key, final String value) {
         flags.put(key, value);
     }
@@ -109,7 +109,7 @@
         }
         incarnation++;
         readSettings();
-        // Only a machine's very first start may be told that the fleet has never run.
+        // The bootstrap setting says that the fleet has never run, which is true only at a machine's first start.
         changeSetting("bootstrap", "0");
         final long ownIncarnation = incarnation;
         final Clock clock = new Clock() {
@@ -149,7 +149,7 @@
         versionSeen = 0;
     }
 
-    /** Runs an event of one life: not after its end, and not while frozen. */
+    /** Runs an event of one incarnation. Drops the event if the incarnation has ended, and defers it while the node is frozen. */
     public void run(final long ofIncarnation, final Runnable event) {
         if (incarnation != ofIncarnation || node == null) {
             return;
@@ -162,7 +162,7 @@
         checkInvariants();
     }
 
-    /** Invariants that hold at every step of a life. */
+    /** Checks the invariants that hold after every event of an incarnation. */
     private void checkInvariants() {
         if (node == null) {
             return;
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -14,7 +14,10 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.verdict.Rule;
 
-/** Operators that change the configuration, race each other, send what is stale or invalid, and repeat what is unclear. */
+/**
+ * Simulated operators. They change the configuration, race each other, send stale and invalid changes, and retry changes whose
+ * outcome is unknown.
+ */
 final class SimulatedOperator {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long PROPAGATION_MS = Rule.POLICY.strictBoundMs;
@@ -34,14 +37,14 @@
         return accepted;
     }
 
-    /** Puts the deployment's configuration; then is run once it is accepted. */
+    /** Sends the deployment's configuration, and runs {@code then} once it is accepted. */
     void putInitialConfiguration(final Runnable then) {
         final ObjectNode params = JSON.createObjectNode();
         params.set("policy", world.configuration());
         change("policy.put", params, "first", world.sim.nowMs() + 60_000, at -> then.run());
     }
 
-    /** Adds a route that carries the change's own name, so that it can be looked for later. */
+    /** Adds a route that is named after the change, so that {@link #checkFinalConfiguration} can look for it. */
     void addRoute() {
         addRoute(world.sim.nowMs() + 8000);
     }
@@ -51,7 +54,7 @@
         change("policy.patch", patch(id, 1), id, untilMs, at -> {});
     }
 
-    /** Adds very many routes at once. */
+    /** Adds many routes in one change. */
     void addRoutes(final int routes) {
         final String id = "bind-" + changesMade++;
         change("policy.patch", patch(id, routes), id, world.sim.nowMs() + 8000, at -> {});
@@ -72,13 +75,13 @@
         return params;
     }
 
-    /** Two operators at once, on two cores, against the same base. */
+    /** Starts two changes at the same time, each at a random core, so that they race on one base version. */
     void raceTwoChanges() {
         addRoute();
         addRoute();
     }
 
-    /** What must be denied: unknown home region, and a base that is long gone. */
+    /** Sends two changes that must be rejected: one with an unknown home region, and one on a long outdated base version. */
     void sendInvalidChanges() {
         final String bad = "bad-" + changesMade++;
         final ObjectNode invalid = patch(bad, 1);
@@ -143,7 +146,7 @@
                 .put("keyId", "main");
     }
 
-    /** One change from its first try until its outcome is known or the time is over. */
+    /** Sends a change, and retries it until its outcome is known or the time is over. */
     private void change(
             final String method,
             final ObjectNode params,
@@ -153,7 +156,7 @@
         new ChangeAttempt(method, params, id, untilMs, then).rebaseAndSend();
     }
 
-    /** One change's tries. */
+    /** A change with its retries. */
     private final class ChangeAttempt {
         private final String method;
         private final ObjectNode params;
@@ -176,7 +179,7 @@
             this.then = then;
         }
 
-        /** Begins against the newest version a core tells. */
+        /** Reads the configuration version from a random core, and sends the change on that base. */
         void rebaseAndSend() {
             final SimulatedNode core = world.pick(world.cores(), random);
             call(core, "policy.get", JSON.createObjectNode(), reply -> sendOnBase(core, reply), this::rebaseAndSend);
@@ -249,8 +252,7 @@
                     });
                 }
                 case STALE_BASE -> {
-                    // Its one place went to another change: it may be tried anew under a new name, as an operator
-                    // would.
+                    // Another change took the next version. As an operator would, retry under a new id.
                     rejected.add(id);
                     if (!id.startsWith("bind")) {
                         new ChangeAttempt(method, params, id + "+", untilMs, then).rebaseAndSend();
@@ -260,7 +262,7 @@
             }
         }
 
-        /** How long until each edge that is left alone has it. */
+        /** Checks how long each undisturbed edge takes to apply the change. */
         private void measurePropagation(final long version, final long atMs, final List<SimulatedNode> lacking) {
             final long spentMs = world.sim.nowMs() - atMs;
             final List<SimulatedNode> left = new ArrayList<>();
@@ -283,7 +285,7 @@
             }
         }
 
-        /** When the bound is over, every edge that was left alone has it, and none that serves lacks it. */
+        /** Checks after the bound that every undisturbed edge has the change, and that no edge without it serves requests. */
         private void checkPropagated(final long version, final long atMs) {
             world.sim.after(PROPAGATION_MS, () -> {
                 for (final SimulatedNode edge : world.edges()) {
@@ -303,7 +305,10 @@
         }
     }
 
-    /** At the end: each accepted route is in force on every fresh node, and no denied one on any. */
+    /**
+     * Checks at the end of a run that every fresh node has each accepted route, unless a majority of the disks was lost, and that none
+     * has a rejected one.
+     */
     void checkFinalConfiguration(final boolean wiped) {
         for (final SimulatedNode node : world.nodes.values()) {
             if (!node.running() || !node.node().feedClient().isFresh()) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -20,14 +20,14 @@
 import spokestall.testbed.verdict.Ledger;
 import spokestall.testbed.verdict.Rule;
 
-/** One simulated run's whole world: machines, network, upstreams, platform, clients, operators, and what they saw. */
+/** State of one simulated run: machines, network, upstreams, platform and clients, and what they recorded. */
 public final class SimulatedWorld {
     public static final long EPOCH_MS = 1_800_000_000_000L;
     public static final long WINDOW_MS = 5000;
     public static final long WARMUP_MS = 10_000;
     public static final double WARM_PER_S = 5;
 
-    /** One ask that an upstream began, and through which edge. */
+    /** One request that an upstream began to run, and the place of the edge that sent it. */
     public record Begun(
             String requestId,
             String instance,
@@ -38,22 +38,22 @@
             long ageMs,
             long atMs) {}
 
-    /** One go that an edge sent out. */
+    /** One attempt that an edge sent to an upstream. */
     public record Gone(String requestId, String service, int turn, long atMs) {}
 
-    /** One final answer that a client got. */
+    /** One final response that a client received. */
     public record Told(
             String requestId, int code, ExecutionStatus ran, String instance, ResponseContent content, long atMs) {}
 
-    /** Something held from one time to another. */
+    /** Interval in which a condition held for its subject, such as a withdrawn key or a drained zone. */
     public record Interval(String subject, long fromMs, long untilMs) {}
 
-    /** One ask as its client knows it. */
+    /** One request as its client sees it. */
     public static final class ClientRequest {
         final String requestId;
         public final Deployment.Kind kind;
         public final List<Long> sentMs = new ArrayList<>();
-        /** When it was admitted, and its span from there; -1 if it never was. */
+        /** When an edge admitted the request, or -1 if none has. {@link #remainingMs} counts from this time. */
         long admittedMs = -1;
 
         long remainingMs;
@@ -69,7 +69,7 @@
     final InjectedFault injectedFault;
     final int segmentBytes;
     private final Map<String, String> settings;
-    /** How often, and for how long, a machine freezes just between its last check and its bytes leaving. */
+    /** Probability and duration of a freeze between a node's last deadline check and its sending of the bytes. */
     double freezeProbability;
 
     long freezeMs;
@@ -135,12 +135,12 @@
         }
     }
 
-    /** Where a tenant is at home in this run; the large ones are everywhere. */
+    /** Returns a tenant's home regions in this run. The two large tenants are at home in all regions. */
     public List<String> homeRegions(final String tenant) {
         return homeRegions.get(tenant);
     }
 
-    /** The configuration that this run begins with: homes of its own, and some routes that nobody asks by. */
+    /** Returns the initial configuration of this run, with its own home regions and some routes that no client uses. */
     public ObjectNode configuration() {
         final ObjectNode configuration = deployment.configuration();
         final Random shape = sim.random("policy");
@@ -157,7 +157,7 @@
         return configuration;
     }
 
-    /** A machine goes, and comes back at another address with its disk. */
+    /** Kills a node and moves it with its disk to another address. The caller starts it again. */
     void moveAddress(final SimulatedNode node, final String to) {
         node.kill();
         byAddress.remove(node.address);
@@ -167,7 +167,7 @@
         net.place(to, node.region);
     }
 
-    /** A core more, of a name of its own. */
+    /** Adds a core under a new name, without starting it. */
     SimulatedNode addCore(final String name, final int place) {
         final SimulatedNode node = new SimulatedNode(this, name, true, place, settings);
         node.changeSetting("bootstrap", "0");
@@ -239,14 +239,14 @@
                         arrived -> target.deliver(targetIncarnation, arrived)));
     }
 
-    /** A kept answer goes to a node: it must be at home there. */
+    /** Checks that a stored response is sent only to nodes in its tenant's home regions. */
     private void checkAnswerLocation(final String key, final SimulatedNode to) {
         final String tenant = key.split("/")[1];
         judge.check(
                 Rule.HOME, homeRegions(tenant).contains(to.region) ? 0 : 2, "kept " + key + " carried to " + to.region);
     }
 
-    /** Cuts two groups of nodes off from each other, or joins them again. */
+    /** Cuts all links between two groups of nodes, or restores them. */
     public void setPartitioned(
             final List<SimulatedNode> ones, final List<SimulatedNode> others, final boolean partitioned) {
         for (final SimulatedNode one : ones) {
@@ -258,7 +258,7 @@
         }
     }
 
-    /** Says that a node is being meddled with until then. */
+    /** Records that injected failures affect a node until the given time. */
     void markDisturbed(final SimulatedNode node, final long untilMs) {
         disturbedUntilMs.merge(node.name, untilMs, Math::max);
     }
@@ -268,7 +268,7 @@
                 && !availability.unavailable(sinceMs, sim.nowMs());
     }
 
-    /** The core that holds the duty now, or null. */
+    /** Returns a core that has a lease session, or null if none has. */
     SimulatedNode leaseHolder() {
         for (final SimulatedNode core : cores()) {
             if (core.up() && core.node().leaseManager().session() != null) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -8,7 +8,10 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.standin.UpstreamStandIn;
 
-/** One run: a fleet comes up, asks flow, a scenario is played, all is mended, and the ledger is judged. */
+/**
+ * One run: a fleet starts, clients send requests, a scenario is played, all failures are repaired, and the recorded events are
+ * judged.
+ */
 public final class SimulationRun {
     private static final long RECOVERY_MS = 15_000;
     private static final long FINAL_MS = 10_000;
@@ -42,7 +45,7 @@
         return scenario.playMs();
     }
 
-    /** Plays the whole run; false if the fleet never came up. */
+    /** Plays the whole run. Returns false if the fleet did not accept its first configuration within 45 s. */
     public boolean play() {
         world.availability.watch();
         for (final SimulatedNode node : world.nodes.values()) {
@@ -71,7 +74,10 @@
         world.sim.after(3000 + scenario.playMs(), this::repairAll);
     }
 
-    /** How long nobody could work on the duty, at the most, seen every 20 ms. */
+    /**
+     * Samples every 20 ms the longest time without a valid lease, and when, after recovery started, a usage report arrived and all
+     * voters voted.
+     */
     private void watchRecovery() {
         final long nowMs = world.sim.nowMs();
         for (final SimulatedNode c : world.cores()) {
@@ -102,19 +108,19 @@
         }
     }
 
-    /** From when recovery counts: all machines are there again, or four cores with state could agree again. */
+    /** Returns when recovery starts: when four cores with state can agree again, else when all failures are repaired. */
     private long recoveryStartMs() {
         return world.availability.availableAgainMs() > trafficStartMs
                 ? world.availability.availableAgainMs()
                 : repairedMs;
     }
 
-    /** The bound on recovery: longer where a majority's disks were lost, and with them what was acknowledged. */
+    /** Returns the bound on recovery, which is longer if a majority of the disks, and with them acknowledged state, was lost. */
     long maxRecoveryMs() {
         return majorityDisksLost ? ExpectedAvailability.RECOVERY_AFTER_LOSS_MS : ExpectedAvailability.RECOVERY_MS;
     }
 
-    /** How long until asks ran again, a report had come and all voters voted; each from the end of the failure. */
+    /** Returns how long after the failure's end requests succeeded again, a usage report arrived, and all voters voted. */
     long[] recoveryMs() {
         final long fromMs = recoveryStartMs();
         long askMs = fromMs;
@@ -124,12 +130,12 @@
         return new long[] {askMs - fromMs, reportedAgainMs - fromMs, allVotingMs - fromMs};
     }
 
-    /** The longest time without a holder, as a multiple of the lease. */
+    /** Returns the longest time without a valid lease, as a multiple of the lease's duration. */
     double longestTakeover() {
         return longestLeaseGapMs / 2000.0;
     }
 
-    /** The most any edge had, over what an even share would be. */
+    /** Returns the largest number of requests through one edge, relative to an even share. */
     double edgeImbalance() {
         return imbalance(world.begun.stream()
                 .filter(b -> b.atMs() >= trafficStartMs + 3000)
@@ -137,7 +143,7 @@
                         SimulatedWorld.Begun::edgeZone, java.util.stream.Collectors.counting())));
     }
 
-    /** The most any upstream of the larger service had, over an even share. */
+    /** Returns the largest number of requests at one upstream of the larger service, relative to an even share. */
     double upstreamImbalance() {
         return imbalance(world.begun.stream()
                 .filter(b -> b.instance().startsWith(world.deployment.big))
@@ -152,7 +158,7 @@
                 : counts.values().stream().mapToLong(Long::longValue).max().getAsLong() / (sum / counts.size());
     }
 
-    /** Synced commits of all cores for each run-once ask that ran. */
+    /** Returns the number of disk commits of all cores per run-once request that ran. */
     double commitsPerOrder() {
         final long orders = world.begun.stream()
                 .filter(b -> world.asked.get(b.requestId()).kind.runOnce())
@@ -171,7 +177,7 @@
             if (node.core) {
                 if (node.node() != null
                         && node.node().acceptor().state() == spokestall.consensus.Acceptor.State.STOPPED) {
-                    // What an operator does about a failed disk: a new one.
+                    // An operator replaces a failed disk with a new one.
                     node.kill();
                     node.disk.wipe();
                 }
@@ -182,7 +188,7 @@
         }
     }
 
-    /** The largest of each table over all nodes that run, as their status tells it. */
+    /** Returns the largest size of each table over all running nodes, mostly as their status reports it. */
     String tableSizes() {
         final Map<String, Double> most = new java.util.TreeMap<>();
         for (final SimulatedNode node : world.nodes.values()) {
@@ -210,7 +216,7 @@
                 + (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory() >> 20);
     }
 
-    /** The share of asks first sent in a span that ran. */
+    /** Returns the share of the requests first sent in an interval that ran. */
     double successShare(final long fromMs, final long untilMs) {
         long all = 0;
         long ran = 0;
@@ -228,7 +234,7 @@
         return all == 0 ? 0 : (double) ran / all;
     }
 
-    /** How often each result was told, by tenant for those that did not run. */
+    /** Counts the results that clients received; those of requests that did not run also by tenant. */
     public Map<String, Integer> results() {
         final Map<String, Integer> found = new java.util.TreeMap<>();
         for (final SimulatedWorld.Told t : world.told) {
@@ -240,7 +246,7 @@
         return found;
     }
 
-    /** Begun asks of one window by the zone of the edge they came through. */
+    /** Counts the requests that began in a window, by the zone of the edge that sent them. */
     public Map<String, Integer> byEdge(final long window) {
         final Map<String, Integer> found = new java.util.TreeMap<>();
         world.begun.stream()
@@ -249,7 +255,7 @@
         return found;
     }
 
-    /** All that is known of one ask. */
+    /** Returns all recorded events of one request. */
     public String requestHistory(final String requestId) {
         final StringBuilder out = new StringBuilder(requestId + " sent " + world.asked.get(requestId).sentMs);
         world.attempts.stream()
@@ -264,7 +270,7 @@
         return out.toString();
     }
 
-    /** Of the asks that were admitted while the scenario was played, the share that ran within their deadline. */
+    /** Returns the share of the requests admitted during the scenario that ran within their deadline, plus 50 ms. */
     double inDeadlineShare() {
         final List<SimulatedWorld.ClientRequest> admitted = world.asked.values().stream()
                 .filter(a -> a.admittedMs >= trafficStartMs + 3000
@@ -278,7 +284,7 @@
                         / (double) admitted.size();
     }
 
-    /** Share of asks that ran while the scenario was played, of the small tenants and of the large ones. */
+    /** Returns the share of the requests sent during the scenario that ran, for small and for large tenants. */
     String successByTenantSize() {
         final Map<Boolean, List<SimulatedWorld.ClientRequest>> of = world.asked.values().stream()
                 .filter(a -> a.sentMs.get(0) >= trafficStartMs + 3000
@@ -295,7 +301,7 @@
         return successShare(trafficStartMs + 3000, trafficStartMs + 3000 + scenario.playMs());
     }
 
-    /** The largest share of any core's registers that a voting core lacks, or has older, at the end. */
+    /** Returns the largest share of all registers that a running core lacks, or holds in an older state, at the end. */
     double missingRegisterShare() {
         final Map<String, spokestall.consensus.ProposalNumber> newest = new java.util.HashMap<>();
         for (final SimulatedNode c : world.cores()) {
@@ -365,14 +371,14 @@
         later(spanMs, node::thaw);
     }
 
-    /** A core under a new name comes, as the machine of that place. */
+    /** Adds and starts a core under a new name, in the zone of that index. */
     void addCore(final String name, final int place) {
         final SimulatedNode fresh = world.addCore(name, place);
         markDisturbed(List.of(fresh), 10_000);
         fresh.start();
     }
 
-    /** Leaves, is emptied, goes, and is replaced. */
+    /** Drains an upstream, replaces it at once if so told, and stops it after nine seconds. */
     void drain(final SimulatedEnvironment.Upstream up, final boolean replace) {
         up.leaving = true;
         world.drained.add(new SimulatedWorld.Interval(up.instance, world.sim.nowMs(), Long.MAX_VALUE));
@@ -385,7 +391,7 @@
         });
     }
 
-    /** Stops, and its address passes at once to an upstream of the other service. */
+    /** Stops an upstream, and gives its address at once to a new upstream of the other service. */
     void reassignAddress(final SimulatedEnvironment.Upstream up) {
         world.environment.stop(up);
         final String other = up.service.equals(world.deployment.big) ? world.deployment.small : world.deployment.big;
@@ -393,7 +399,7 @@
         later(2000, () -> up.listed = false);
     }
 
-    /** One random cut: a machine alone, one way only, or the core from some edges. */
+    /** Cuts a random part of the network: one node, one to three edges, or the outgoing links of one node. */
     void cutAtRandom(final long spanMs) {
         final List<SimulatedNode> one = new ArrayList<>();
         final List<SimulatedNode> rest = new ArrayList<>(nodes());
@@ -414,7 +420,7 @@
         later(spanMs, () -> world.setPartitioned(one, rest, false));
     }
 
-    /** One random failure. */
+    /** Injects one random failure or operator action. */
     void injectRandomFailure() {
         switch (random.nextInt(16)) {
             case 0 -> world.environment.stop(pick(world.environment.running()));
--- a/testbed/src/main/java/spokestall/testbed/simulation/VirtualTime.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/VirtualTime.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import java.util.zip.CRC32;
 
-/** Virtual time: events in the order of their time, and of their making when the time is the same. */
+/** Virtual clock and event queue. Events run in the order of their time, and in the order of scheduling if the time is the same. */
 public final class VirtualTime {
     private record Event(long atMs, long number, Runnable action) implements Comparable<Event> {
         @Override
@@ -31,7 +31,7 @@
         return nowMs;
     }
 
-    /** A source of chance of its own for each part, so that a change in one leaves the others as they were. */
+    /** Returns a separate random source for each part, so that more draws in one part don't change those of the others. */
     public Random random(final String part) {
         return new Random(seed * 0x9e3779b97f4a7c15L ^ (long) part.hashCode() << 17);
     }
@@ -54,7 +54,7 @@
         nowMs = untilMs;
     }
 
-    /** Every line counts in the digest; it is kept only when the run is traced. */
+    /** Adds a line to the digest, and also to the trace if the run is traced. */
     void trace(final String line) {
         final String whole = nowMs + " " + line + "\n";
         digest.update(whole.getBytes(java.nio.charset.StandardCharsets.UTF_8));
@@ -63,7 +63,7 @@
         }
     }
 
-    /** What goes over the wires counts in the digest too. */
+    /** Adds an encoded message to the digest. */
     void recordFrame(final byte[] frame) {
         digest.update(frame);
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/package-info.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The product's own nodes in virtual time.
+ * Simulation of a fleet in virtual time, with the real node code.
  *
  * <p>Owns: the clock and its events ({@link spokestall.testbed.simulation.VirtualTime}), machines, disks, network, clients and
  * operators of a run ({@link spokestall.testbed.simulation.SimulatedWorld}), the scenarios and their sweep.
--- a/testbed/src/main/java/spokestall/testbed/verdict/AcknowledgedChange.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/AcknowledgedChange.java
@@ -2,5 +2,5 @@
 
 import spokestall.testbed.scale.Phase;
 
-/** A change of the configuration as an operator saw it: its version, when it was sent and when told as accepted. */
+/** A configuration change as its operator saw it: its version, and when it was sent and acknowledged. */
 public record AcknowledgedChange(long version, long sentMs, long acknowledgedMs, Phase phase) {}
--- a/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
@@ -12,7 +12,7 @@
 import spokestall.testbed.simulation.ExpectedAvailability;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** Judges a run of real processes by the same rules, from the ledger of the stand-ins and what clients recorded. */
+/** Checks a run of real processes against the rules, from the stand-ins' ledger and the results that clients recorded. */
 public final class FleetJudge {
     private static final long WINDOW_MS = SimulatedWorld.WINDOW_MS;
     private final Fleet fleet;
@@ -30,17 +30,17 @@
         return judge;
     }
 
-    /** A key was withdrawn by an accepted change; asks by it are the tenant's. */
+    /** Records that an accepted change withdrew a tenant's key. All requests of the tenant count as sent with that key. */
     public void withdrawnKeys(final String tenant, final long fromMs, final long untilMs) {
         withdrawnKeys.add(new SimulatedWorld.Interval(tenant, fromMs, untilMs));
     }
 
-    /** An instance is leaving, or a zone held. */
+    /** Records that an instance was leaving, or a zone was on hold, in the interval. */
     public void drained(final String what, final long fromMs, final long untilMs) {
         drained.add(new SimulatedWorld.Interval(what, fromMs, untilMs));
     }
 
-    /** No four cores with state were up and joined. */
+    /** Records that no four cores with state were up and connected in the interval, and whether acknowledged state was lost. */
     public void unavailable(final long fromMs, final long untilMs, final boolean lost) {
         unavailable.add(new SimulatedWorld.Interval(
                 "fleet",
@@ -48,12 +48,12 @@
                 untilMs + (lost ? ExpectedAvailability.RECOVERY_AFTER_LOSS_MS : ExpectedAvailability.RECOVERY_MS)));
     }
 
-    /** An upstream that came up cold. */
+    /** Records when an upstream started cold; its warm-up counts from then. */
     public void warmingUp(final String instance, final long atMs) {
         readyAtMs.put(instance, atMs);
     }
 
-    /** Judges all of it; a window is looked at once its time is over. */
+    /** Checks the whole run. A usage window is checked only once the bound on its report has passed. */
     public void judgeRun() throws IOException {
         final List<Ledger.Began> began = fleet.ledger().began();
         final Map<String, List<Long>> begins = new HashMap<>();
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -14,9 +14,9 @@
 import spokestall.message.Header;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** Judges a run from outside, from what clients, upstreams and the platform saw. */
+/** Checks a run against the rules, only from what clients, upstreams and the platform saw. */
 public final class Judge {
-    /** What came of one rule: how often it was looked at, how often broken, and the closest it came (1 = at the bound). */
+    /** Results of one rule: checks, violations, and the largest part of the bound that was used up (1 = at the bound). */
     public static final class Tally {
         public long checks;
         public long violations;
@@ -45,7 +45,7 @@
         check(rule, 2, description);
     }
 
-    /** One look at a rule: share is how much of the bound was used up; above 1 it is broken. */
+    /** Records one check of a rule. The share is the part of the bound that was used up; above 1 the rule is broken. */
     public void check(final Rule rule, final double share, final String description) {
         final Tally t = tallies.get(rule);
         t.checks++;
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Judges the whole ledger at the end of a run. */
+    /** Checks everything that was recorded, at the end of a run. */
     public void judgeRun(final SimulatedWorld world) {
         checkRunOnce(world);
         checkAnswers(world);
@@ -93,7 +93,7 @@
             if (t.ran() == spokestall.proxy.ExecutionStatus.NOT_RUN) {
                 boolean broken = false;
                 for (final long at : begins.getOrDefault(t.requestId(), List.of())) {
-                    // A begin after the answer is the client's own later go at it, if there was one before that begin.
+                    // The request may begin after the response if the client sent it again in between.
                     final boolean later = asked.sentMs.stream().anyMatch(s -> s >= t.atMs() && s <= at);
                     broken |= !(at > t.atMs() && later);
                 }
@@ -153,7 +153,7 @@
         }
     }
 
-    /** In each second of its warm-up, at most one and a half times the ramp, plus a few. */
+    /** Checks that a warming upstream gets at most one and a half times its ramp in each second, plus the rule's slack. */
     private void checkWarmUps(final SimulatedWorld w) {
         final Map<String, Map<Long, Integer>> perSecond = new HashMap<>();
         for (final SimulatedWorld.Begun b : w.begun) {
@@ -169,7 +169,7 @@
         }));
     }
 
-    /** The most that a cold upstream may get in that second of its warm-up. */
+    /** Returns the most requests that a cold upstream may get in the given second of its warm-up. */
     static double maxWarmUpRequests(final long second) {
         return 1.5 * SimulatedWorld.WARM_PER_S * (second + 1) * 1000 / SimulatedWorld.WARMUP_MS + Rule.COLD.slack;
     }
@@ -250,7 +250,7 @@
         });
     }
 
-    /** Each tenant's count by itself: a few at the window's edges may fall to the neighbour window. */
+    /** Checks each tenant's count separately. A few requests at a window's edges may be counted in the adjacent window. */
     void checkCounts(final long window, final Map<String, Long> actual, final Map<String, Long> reported) {
         final Set<String> tenants = new TreeSet<>(actual.keySet());
         tenants.addAll(reported.keySet());
--- a/testbed/src/main/java/spokestall/testbed/verdict/Ledger.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Ledger.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the stand-ins saw, whole: every ask an upstream began and every report the platform took. */
+/** Everything that the stand-ins saw: each request that an upstream began and each report that the platform accepted. Thread-safe. */
 public final class Ledger {
-    /** One ask that an upstream began. */
+    /** One request that an upstream began to run. */
     public record Began(
             String instance, String service, String zone, String region, String tenant, String requestId, long atMs) {}
 
-    /** One report that the platform took. */
+    /** One report that the platform accepted. */
     public record Reported(String holder, long token, long window, Map<String, Long> counts, long atMs) {}
 
     private final List<Began> began = new ArrayList<>();
@@ -34,14 +34,14 @@
         return List.copyOf(reported);
     }
 
-    /** How often each ask id was begun. */
+    /** Returns how often the request of each id began. */
     Map<String, Integer> executionsByRequest() {
         final Map<String, Integer> times = new HashMap<>();
         began().forEach(b -> times.merge(b.requestId(), 1, Integer::sum));
         return times;
     }
 
-    /** Begun asks by window and tenant. */
+    /** Counts the requests that began, by window and tenant. */
     Map<Long, Map<String, Long>> executionsByWindow(final long windowMs) {
         final Map<Long, Map<String, Long>> sums = new TreeMap<>();
         began().forEach(b ->
