--- a/testbed/src/test/java/spokestall/testbed/simulation/ConcurrentChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/ConcurrentChangesTest.java
@@ -12,13 +12,13 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** How long eight orders that are given at once, at eight nodes far from each other, wait for their acknowledgement. */
+/** Eight changes, submitted at the same time at eight nodes that are far from each other, are each acknowledged in time. */
 class ConcurrentChangesTest {
     private static final int ORDERS = 8;
     private static final int SEEDS = 20;
     private static final long CALL_MS = 950;
     private static final long PAUSE_MS = 50;
-    /** What a deployment with 35 ms between regions grants an order (6 s), less a second. */
+    /** Limit for a change in a deployment with 35 ms between regions (6 s), less a margin of 1 s. */
     private static final long WITHIN_MS = 5000;
 
     private static final RetriedChange.Caller OPERATOR =
@@ -48,7 +48,7 @@
         Collections.sort(waits);
         final LongStream shown =
                 LongStream.of(waits.get(waits.size() / 2), waits.get(waits.size() * 9 / 10), Collections.max(waits));
-        System.out.println("eight at once, acknowledged after (half, nine in ten, all): "
+        System.out.println("eight concurrent changes, acknowledged after (p50, p90, max): "
                 + shown.boxed().toList() + " ms");
         assertThat(Collections.max(waits)).isLessThan(WITHIN_MS);
     }
--- a/testbed/src/test/java/spokestall/testbed/simulation/DelayedChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/DelayedChangeTest.java
@@ -15,7 +15,10 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** Orders without an id of their own that wait at a node that stands still, while they are given and undone elsewhere. */
+/**
+ * A change without an id of its own waits at a frozen node while the same change is made and undone through another node. The
+ * frozen node must not apply the waiting change when it runs again.
+ */
 class DelayedChangeTest {
     private static final int SEEDS = 20;
     private static final long WAIT_MS = 950;
@@ -36,7 +39,7 @@
             final OperatorFleet fleet, final SimulatedNode at, final boolean begin) {
         final OperatorFleet.Call call = new OperatorFleet.Call();
         submitHoldChange(fleet, at, begin, reply -> call.reply = reply);
-        fleet.until("a hold is settled", 3000, () -> call.reply != null);
+        fleet.until("the hold change is answered", 3000, () -> call.reply != null);
         return call;
     }
 
@@ -92,7 +95,7 @@
         }
     }
 
-    /** The attack itself: an order that is taken without that look does empty the zone anew. */
+    /** Shows that the check is effective: the same change submitted with an id isn't checked and drains the zone again. */
     @Test
     void theSameChangeSubmittedWithAnIdUndoesTheLaterOne() {
         final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).begun();
--- a/testbed/src/test/java/spokestall/testbed/simulation/FleetSizeChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/FleetSizeChangesTest.java
@@ -12,7 +12,7 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** How long a change waits for its acknowledgement in a small and in a large fleet. */
+/** Compares how long a change waits for its acknowledgement in a small and in a large fleet. */
 class FleetSizeChangesTest {
     private static final int SMALL_EDGES = 6;
     private static final int LARGE_EDGES = 60;
@@ -57,8 +57,8 @@
     private static void compare(final int atOnce, final long betweenMs) {
         final Waits small = waits(SMALL_EDGES, atOnce, betweenMs);
         final Waits large = waits(LARGE_EDGES, atOnce, betweenMs);
-        System.out.println(
-                atOnce + " at once each " + betweenMs + " ms, acknowledged after: small " + small + ", large " + large);
+        System.out.println(atOnce + " concurrent changes every " + betweenMs + " ms, acknowledged after: small " + small
+                + ", large " + large);
         assertThat(large.allMs()).isLessThan(2 * small.allMs());
     }
 
--- a/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
@@ -17,8 +17,8 @@
 import spokestall.testbed.fleet.OperatorFleet;
 
 /**
- * Nodes are stopped and started in turn while the configuration changes; then, right after an acknowledgement, as many cores as may
- * be lost lose their disks while all other nodes lose power. What was acknowledged must be there when all are back.
+ * Restarts nodes in turn while the configuration changes. Right after an acknowledgement, all nodes lose power and as many cores as
+ * the fleet tolerates lose their disks as well. Every node must have all acknowledged changes after it has started again.
  */
 class LossAfterRestartsTest {
     private static final int SEEDS = Integer.getInteger("seeds", 12);
@@ -40,7 +40,7 @@
         return settings;
     }
 
-    /** Connections that stay open for a while after a stop has begun. */
+    /** Client connections that stay open for a while after a shutdown has begun. */
     private static final class OpenFor implements ClientConnections {
         private final OperatorFleet fleet;
         private final long untilMs;
@@ -77,7 +77,7 @@
                     .begun();
         }
 
-        /** A clean stop, and a start a moment after the process has ended. */
+        /** Shuts a node down cleanly, and starts it again shortly after its process has ended. */
         private void restart(final SimulatedNode node) {
             if (!node.running()) {
                 return;
@@ -105,7 +105,7 @@
             int coresDown = 0;
             for (int i = 0; i < nodes.size(); i++) {
                 final SimulatedNode node = nodes.get(i);
-                // Cores are stopped one after the other, as far as they may be lost together.
+                // Cores are stopped 2.5 s apart, to limit how many are down at the same time.
                 final long atMs = node.core ? 2500L * coresDown++ + random.nextInt(500) : gapMs * (i / together);
                 fleet.world.sim.after(atMs, () -> restart(node));
             }
--- a/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
@@ -15,7 +15,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** The replies to operators and clients as a whole fleet gives them: every field's name and kind, against literals. */
+/** Format of a whole fleet's replies to operators and clients: each field's name and type, compared with literals. */
 class OperatorRepliesFormatTest {
     private static final ObjectNode NOTHING = OperatorFleet.JSON.createObjectNode();
     private OperatorFleet fleet;
@@ -46,7 +46,7 @@
         return new ArrayList<>(found);
     }
 
-    /** One line for each field and its kind; what is named after a node, an instance or a zone is one star. */
+    /** Adds a line for each field with its type. Fields named after a node or a zone, and list items, are shown as a star. */
     private void describe(final String at, final JsonNode json, final Collection<String> found) {
         if (json.isContainerNode()) {
             found.add(at + (json.isObject() ? " object" : " list"));
--- a/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
@@ -16,14 +16,14 @@
 import spokestall.testbed.verdict.Ledger;
 
 /**
- * What a window's report says of each tenant, against the upstreams' own count of what they began, while attempts end in other ways than
- * by an answer.
+ * Compares each tenant's count in a window's usage report with the requests that the upstreams began, while attempts end in other
+ * ways than by a response.
  */
 class RejectedAttemptUsageTest {
     private static final int SEEDS = 2;
     private static final long PHASE_MS = 4 * SimulatedWorld.WINDOW_MS;
     private static final long REPORTED_MS = 3 * SimulatedWorld.WINDOW_MS;
-    /** The part of a tenant's count that a report may be off by, and how many more at the window's edges. */
+    /** Largest relative error of a tenant's reported count, and the number of requests allowed beyond it at a window's edges. */
     private static final double OFF_MAX = 0.05;
 
     private static final int EDGE_MAX = 3;
@@ -64,7 +64,7 @@
             behave(fleet.world, UpstreamStandIn.Manner.WELL);
             fleet.run(REPORTED_MS);
             assertThat(mismatches(fleet.world))
-                    .as("windows that are off, seed %s", seed)
+                    .as("windows with wrong counts, seed %s", seed)
                     .isEmpty();
         }
     }
@@ -87,7 +87,7 @@
         });
     }
 
-    /** The tenants' counts that are off, a line each. */
+    /** Returns a line for each reported count that is too far from the upstreams' count. */
     private static List<String> mismatches(final SimulatedWorld world) {
         final Map<Long, Map<String, Long>> begun = new TreeMap<>();
         world.begun.forEach(each -> begun.computeIfAbsent(window(each.atMs()), w -> new HashMap<>())
--- a/testbed/src/test/java/spokestall/testbed/simulation/RepeatedChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RepeatedChangeTest.java
@@ -17,7 +17,7 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** Orders that race on one base, and orders that come again: one is confirmed, always, everywhere, and never two. */
+/** Of the changes that race on one base version exactly one is confirmed, and every node confirms it again if it is resent. */
 class RepeatedChangeTest {
     private static final int RACERS = 8;
     private static final int ROUNDS = 5;
@@ -26,7 +26,7 @@
     private static final long SILENCE_MS = 1000;
     private static final double ANSWERS_LOST = 0.4;
 
-    /** One order of one operator: sent as it was, to any node, until it has a clear answer. */
+    /** One operator's change, which is resent unchanged to random nodes until its outcome is clear. */
     private static final class Order {
         private final OperatorFleet fleet;
         private final Random random;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Eight orders on one base at eight nodes, while one of these dies and others are cut off or lose power. */
+    /** Sends eight changes on one base to eight nodes, while one of these loses power and one can't send to any other node. */
     private static List<Order> race(final OperatorFleet fleet, final Random random, final String name) {
         fleet.fresh();
         final long base = fleet.newestVersion();
@@ -116,7 +116,9 @@
                 () -> fleet.othersThan(cut).forEach(o -> fleet.world.net.cut(cut.address, o.address, true)));
         fleet.world.sim.after(2500, fleet.world.net::heal);
         fleet.until(
-                name + " all have a clear answer", 20_000, () -> racers.stream().allMatch(o -> o.outcome != null));
+                name + " all changes have a clear outcome",
+                20_000,
+                () -> racers.stream().allMatch(o -> o.outcome != null));
         return racers;
     }
 
@@ -148,7 +150,7 @@
         sendAgain(fleet, List.of(first), ResultCode.OK);
     }
 
-    /** Beyond the stated bound, ten minutes and 512 orders, it is stale: by then no one sends it again. */
+    /** Beyond the stated bound of ten minutes and 512 changes a resent change is stale; by then no operator resends it. */
     @Test
     void anOrderBeyondTheRepeatBoundIsAnsweredAsStale() {
         final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA, InjectedFault.LEAPING_CHANGES).begun();
@@ -161,7 +163,7 @@
     private static Order confirmOneThenHundreds(final OperatorFleet fleet) {
         final Order first = new Order(fleet, new Random(1), "first-of-many", fleet.newestVersion());
         first.send(fleet.nodes().get(0));
-        fleet.until("it is confirmed", 5000, () -> first.outcome == ResultCode.OK);
+        fleet.until("the first change is confirmed", 5000, () -> first.outcome == ResultCode.OK);
         for (int i = 0; i < LATER_CHANGES; i++) {
             final SimulatedNode at = fleet.world.cores().get(i % 3);
             final OperatorFleet.Call call =
--- a/testbed/src/test/java/spokestall/testbed/simulation/RestoredDiskTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RestoredDiskTest.java
@@ -13,7 +13,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fault.InjectedFault;
 
-/** A core whose disk was put back to an older state has forgotten what it promised: it may not vote by its old seat. */
+/** A core whose disk was restored to an older state has lost promises, so it must not vote under its old disk identity. */
 class RestoredDiskTest {
     private static final long CATCH_UP_MS = 4000;
 
@@ -35,7 +35,7 @@
         return world;
     }
 
-    /** Something befalls the disk of a core while it is down; whether the core votes by that disk's identity again. */
+    /** Restarts a core with an older copy of its disk, and checks that it votes only under a new disk identity. */
     private static void restartWithOlderDisk(final long seed, final Consumer<SimulatedDisk> damage) {
         final SimulatedWorld world = world(seed);
         final SimulatedNode core = world.pick(world.cores(), world.sim.random("older"));
@@ -52,7 +52,7 @@
             assertThat(core.node().acceptor().diskId().equals(before)
                             && core.node().acceptor().state() == Acceptor.State.VOTING
                             && core.node().votes())
-                    .as("seed %s votes as before %s ms after its start", seed, atMs - 23_000)
+                    .as("seed %s votes under its old disk identity %s ms after its start", seed, atMs - 23_000)
                     .isFalse();
         }
         assertThat(core.node().acceptor().state()).as("seed %s", seed).isEqualTo(Acceptor.State.VOTING);
--- a/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
@@ -15,11 +15,11 @@
 import spokestall.testbed.fleet.OperatorFleet;
 
 /**
- * One operator's change, which adds a route of the change's id: requested again, at another node or where it is redirected, until it
- * is acknowledged. A reply that comes after its caller has moved on isn't heard.
+ * One operator's change, which adds a route named after the change's id. It is requested again, at another node or at the node that
+ * a reply redirects to, until it is acknowledged. Replies to calls that the caller has given up are ignored.
  */
 final class RetriedChange {
-    /** Never moves on without a reply. */
+    /** Makes the caller wait for a reply without a limit. */
     static final long NEVER = Long.MAX_VALUE;
 
     /** What {@link #waitedMs} returns while the change isn't acknowledged. */
@@ -27,11 +27,10 @@
 
     private static final int NO_CALL = 0;
 
-    /**
-     * How its caller waits.
+    /** How long the caller waits.
      *
      * @param patience how long a node pursues the change, and when it answers
-     * @param silenceMs after which the caller moves on without a reply, or {@link #NEVER}
+     * @param silenceMs how long the caller waits for a reply before it tries another node, or {@link #NEVER}
      * @param pauseMs the wait before the next call, by the number of calls made
      */
     record Caller(ChangeDeadlines patience, long silenceMs, LongUnaryOperator pauseMs) {}
@@ -64,7 +63,7 @@
         this.begunMs = fleet.nowMs();
     }
 
-    /** Requests the change at any node that runs. */
+    /** Requests the change at a random running node. */
     void request() {
         final List<SimulatedNode> running =
                 fleet.nodes().stream().filter(SimulatedNode::running).toList();
@@ -74,7 +73,7 @@
     void request(final SimulatedNode node) {
         final int call = ++calls;
         callInProgress = call;
-        // It fits on whatever is newest, as an evacuation does.
+        // The change applies to any base version, as an evacuation does.
         final ObjectNode patch = (ObjectNode) fleet.bind(0, id, id).get("patch");
         final ChangeDraft draft = tree -> new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         fleet.agree(node, id, draft, caller.patience(), reply -> onReply(call, reply));
--- a/testbed/src/test/java/spokestall/testbed/simulation/SimulationTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/SimulationTest.java
@@ -18,7 +18,7 @@
 import spokestall.testbed.verdict.Rule;
 import spokestall.testsupport.KnownFailures;
 
-/** A handful of fixed seeds of every scenario; the wide sweep is {@code bin/testbed sim}. */
+/** Runs every scenario with a few fixed seeds. {@code bin/testbed sim} runs many seeds. */
 class SimulationTest {
     @BeforeAll
     static void quiet() {
@@ -36,7 +36,7 @@
                         ScenarioSweep.runOne(4 + scenario.ordinal() % 3, deployment, scenario, InjectedFault.NONE)));
             }
         }
-        // Seeds that once broke a rule.
+        // Seeds that broke a rule in earlier versions.
         runs.add(pool.submit(() -> ScenarioSweep.runOne(305, Deployment.VERDE, Scenario.CUTS, InjectedFault.NONE)));
         runs.add(
                 pool.submit(() -> ScenarioSweep.runOne(26, Deployment.PADMA, Scenario.DISKS_LOST, InjectedFault.NONE)));
@@ -69,15 +69,17 @@
                 .filter(k -> bad.stream().anyMatch(b -> matchesEntry(b, k)))
                 .toList();
         redStill.forEach(k -> System.out.println(k.notice()));
-        assertThat(redStill).as("what is mended is taken out of KNOWN-RED.txt").isEqualTo(known);
+        assertThat(redStill)
+                .as("failures that are fixed are removed from KNOWN-RED.txt")
+                .isEqualTo(known);
         bad.removeIf(b -> known.stream().anyMatch(k -> matchesEntry(b, k)));
         assertThat(bad).isEmpty();
         assertThat(checks)
-                .as("every rule was looked at")
+                .as("every rule was checked")
                 .allSatisfy((rule, n) -> assertThat(n).isPositive());
     }
 
-    /** Whether a broken check is the one that a line names: its rule, scenario, deployment and seed. */
+    /** Returns whether a broken check is the one that an entry names by its rule, scenario, deployment and seed. */
     private static boolean matchesEntry(final String bad, final KnownFailures.Entry known) {
         final String[] words = known.subject().split(" ");
         return bad.startsWith(words[0] + " ")
--- a/testbed/src/test/java/spokestall/testbed/simulation/SlowNodeChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/SlowNodeChangesTest.java
@@ -13,22 +13,22 @@
 import spokestall.testbed.fleet.OperatorFleet;
 
 /**
- * Changes in a fleet most of whose nodes are slow: small machines on narrow links, where each step of a change takes so long that
- * all of them together outlast the time that a caller waits for one answer. The cores are not slow.
+ * Changes in a fleet in which all edges, and so most nodes, are slow: small machines on slow links, where the steps of a change
+ * together take longer than a caller waits for one reply. The cores are not slow.
  */
 class SlowNodeChangesTest {
     private static final int EDGES = 40;
     private static final int SEEDS = 2;
     private static final int CHANGES = 6;
     private static final ChangeDeadlines PATIENCE = new ChangeDeadlines(600, 950, 4000);
-    /** The caller's patience, less the time that call and reply take on their way. */
+    /** How long the caller waits for a reply, less the transit time of call and reply. */
     private static final long SILENCE_MS = 900;
 
     private static final long PAUSE_MS = 100;
     private static final long BETWEEN_MS = 6000;
-    /** What a large deployment grants (5 s), less a second. */
+    /** Limit for a change in a large deployment (5 s), less a margin of 1 s. */
     private static final long WITHIN_MS = 4000;
-    /** One way, to and from a slow node, beyond the distance. */
+    /** Additional one-way delay to and from a slow node. */
     private static final long SLOW_MS = 200;
 
     private static final RetriedChange.Caller OPERATOR =
@@ -55,7 +55,7 @@
             }
             fleet.run(30_000);
             changes.forEach(change -> waits.add(change.waitedMs()));
-            assertThat(fleet.newestVersion()).as("each once").isEqualTo(before + CHANGES);
+            assertThat(fleet.newestVersion()).as("each change is applied once").isEqualTo(before + CHANGES);
         }
         Collections.sort(waits);
         System.out.println("slow nodes: half acknowledged after " + waits.get(waits.size() / 2) + " ms, all after "
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -18,20 +18,20 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** What a core that the majority has left behind answers its operators, and how soon it is back in touch. */
+/** An isolated core must not answer operators from outdated state, and must catch up within a bound after the isolation. */
 class StaleNodeTest {
     private static final long CUT_MS = 20_000;
     private static final long CONTACT_MS = 5000;
     private static final int SEEDS = 6;
     private static final int TURNS = 8;
     private static final long SLOW_MS = 400;
-    /** How long a node that hears no one may still name edges. */
+    /** How long a node that receives no messages may still list edges. */
     private static final long MAX_LISTED_MS = 20_000;
-    /** Answers that say nothing of the configuration: come back, or ask elsewhere. */
+    /** Results that say nothing about the configuration: the caller retries later or at another node. */
     private static final Set<ResultCode> INCONCLUSIVE =
             EnumSet.of(ResultCode.NOT_READY, ResultCode.UNDECIDED, ResultCode.NOT_FRESH, ResultCode.BUSY);
 
-    /** How a core is set apart from the rest. */
+    /** How a core is isolated from the other nodes. */
     private enum Isolation {
         BOTH_WAYS,
         HEARS_NOTHING,
@@ -59,7 +59,7 @@
         assertThat(failures).anyMatch(w -> w.contains("handed out")).anyMatch(w -> w.contains("STALE_BASE"));
     }
 
-    /** A directory answer is made of who is known: who can't be reached is let go of within the bound, and named no longer. */
+    /** A node lists edges from its directory, which must drop the edges that the node can't reach within the bound. */
     @Test
     void anIsolatedNodeDropsUnreachableEdgesAndIsNotReady() {
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -73,7 +73,7 @@
         assertThat(listsEdgesWhileIsolated(2, InjectedFault.FORGED_PROOFS)).isNotNull();
     }
 
-    /** The cut-off node that still names edges or is ready when it should not, or null. */
+    /** Returns the isolated node if it still lists edges or is ready after the bound, else null. */
     private static SimulatedNode listsEdgesWhileIsolated(final long seed, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
                 new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).begun();
@@ -81,7 +81,7 @@
         final SimulatedNode isolated =
                 fleet.nodes().get(random.nextInt(fleet.nodes().size()));
         fleet.until(
-                "it names edges",
+                "the node lists edges",
                 CONTACT_MS,
                 () -> listedEdges(isolated) > 0 && isolated.node().ready());
         for (final SimulatedNode other : fleet.othersThan(isolated)) {
@@ -96,7 +96,7 @@
         }
         fleet.world.net.heal();
         fleet.until(
-                "it names edges again",
+                "the node lists edges again",
                 CONTACT_MS,
                 () -> listedEdges(isolated) > 0 && isolated.node().ready());
         return null;
@@ -134,23 +134,23 @@
         }
         setIsolated(fleet, isolated, isolation, false);
         fleet.until(
-                isolation + " " + seed + " is back in touch",
+                isolation + " " + seed + " has caught up",
                 CONTACT_MS,
                 () -> isolated.running()
                         && isolated.node().acceptor().state() == Acceptor.State.VOTING
                         && isolated.node().feedClient().isFresh()
                         && OperatorFleet.version(isolated) == fleet.newestVersion());
         expect(
-                isolation + " back",
+                isolation + " after the isolation",
                 fleet.done(isolated, "policy.get", OperatorFleet.JSON.createObjectNode()),
                 ResultCode.OK);
         expect(
-                isolation + " taken when back",
+                isolation + " patch after the isolation",
                 fleet.done(isolated, "policy.patch", fleet.bind(fleet.newestVersion(), "back-" + seed, "back")),
                 ResultCode.OK);
     }
 
-    /** Nodes that start now are told of seeds the first of which is cut off from all. */
+    /** Restarts nodes while the first of their seeds is cut off from all nodes. They must join through the other seeds. */
     private void restartWhileFirstSeedIsCut(
             final OperatorFleet fleet, final SimulatedNode isolated, final SimulatedNode other) {
         final List<SimulatedNode> again =
@@ -159,15 +159,15 @@
         fleet.run(300);
         again.forEach(SimulatedNode::start);
         fleet.until(
-                "nodes are back by the other seeds",
+                "nodes have joined through the other seeds",
                 CONTACT_MS,
                 () -> again.stream().allMatch(n -> n.node().feedClient().isFresh()));
         if (isolated.node().feedClient().isFresh()) {
-            failures.add(isolated.name + " is fresh by nodes that it can't reach");
+            failures.add(isolated.name + " is fresh although it can't reach any node");
         }
     }
 
-    /** Calls that the majority would take or answer otherwise than by what the lone core has. */
+    /** Sends calls to which the majority's answer differs from the one that the isolated core's own state would give. */
     private void checkAnswersOfIsolatedCore(
             final OperatorFleet fleet,
             final SimulatedNode isolated,
--- a/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
@@ -11,9 +11,9 @@
 import spokestall.testbed.fleet.OperatorFleet;
 
 /**
- * Most upstreams of a service are gone and the few that replace them warm up, while more is asked than they may take. The limit on
- * what they are sent must hold until the last moment of their warm-up, though the platform is some way off and its list says how
- * much of a warm-up is left when it answers.
+ * Most upstreams of a service are gone and the few that replace them warm up, while clients send more requests than these may take.
+ * The limit on the requests to an upstream must hold until the end of its warm-up, although the platform is distant and its list
+ * tells the warm-up that remains at the time of its answer.
  */
 class WarmUpEndTest {
     private static final int SEEDS = 3;
@@ -22,13 +22,13 @@
     private static final int MANY_EDGES = 16;
     private static final long RESTART_MS = 300;
     private static final long RESTART_GAP_MS = 600;
-    /** Fewer in the busiest second would show that the limit is kept by hardly using the upstream. */
+    /** Fewer requests in the busiest second would show that the limit holds only because the upstream is hardly used. */
     private static final int LEAST_USED = 7;
 
     private static final long SECOND_MS = 1000;
     private static final double OVERAGE = 1.5;
     private static final double SLACK_PER_S = 5;
-    /** The part of the platform's bounds that nodes keep to. */
+    /** Fraction of the platform's bounds that the nodes are set to use. */
     private static final double KEPT_WITHIN = 0.8;
 
     private static final Map<String, String> SETTINGS = new HashMap<>(OperatorFleet.UNPROBED_SETTINGS);
