--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -138,7 +138,7 @@
             error(Return.values()[random.nextInt(Return.values().length)], () -> {});
         }
         final SimulatedNode core = world.pick(world.cores(), random);
-        if (!core.running()) {
+        if (!core.isRunning()) {
             world.sim.after(PAUSE_MS, this::change);
             return;
         }
@@ -190,7 +190,7 @@
         long registerBytes = 0;
         long configurationStoreBytes = 0;
         for (final SimulatedNode core : world.cores()) {
-            if (core.running()) {
+            if (core.isRunning()) {
                 fill = Math.max(fill, core.node().logFill());
                 registers =
                         Math.max(registers, core.node().acceptor().registers().size());
@@ -283,7 +283,7 @@
     }
 
     private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
-        final boolean voting = core.running() && core.node().acceptor().state() == Acceptor.State.VOTING;
+        final boolean voting = core.isRunning() && core.node().acceptor().state() == Acceptor.State.VOTING;
         if (voting
                 && core.node().feedClient().isFresh()
                 && core.node().feedClient().lease().expiresMs() > provedBefore
@@ -298,7 +298,7 @@
     private void look() {
         long having = 0;
         for (final SimulatedNode core : world.cores()) {
-            final Acceptor acceptor = core.running() ? core.node().acceptor() : null;
+            final Acceptor acceptor = core.isRunning() ? core.node().acceptor() : null;
             if (acceptor != null && acceptor.state() == Acceptor.State.VOTING) {
                 final Register r = acceptor.registers().get(ConfigurationKeys.keyOf(acknowledged));
                 having += acceptor.versionFloor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
--- a/testbed/src/main/java/spokestall/testbed/simulation/ExpectedAvailability.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ExpectedAvailability.java
@@ -34,17 +34,18 @@
 
     void watch() {
         final long nowMs = world.sim.nowMs();
-        final List<SimulatedNode> good =
+        final List<SimulatedNode> capable =
                 world.cores().stream().filter(ExpectedAvailability::canVote).toList();
-        final boolean able = good.stream()
-                .anyMatch(one -> good.stream()
+        final boolean able = capable.stream()
+                .anyMatch(one -> capable.stream()
                                 .filter(other -> one == other
                                         || world.net.isOpen(one.address, other.address)
                                                 && world.net.isOpen(other.address, one.address))
                                 .count()
                         >= MAJORITY);
-        majorityDisksLost |= world.cores().stream().filter(c -> c.disk.blank()).count()
-                > world.cores().size() - MAJORITY;
+        majorityDisksLost |=
+                world.cores().stream().filter(c -> c.disk.isBlank()).count()
+                        > world.cores().size() - MAJORITY;
         if (!able && unavailableSinceMs < 0) {
             unavailableSinceMs = nowMs;
         } else if (able && unavailableSinceMs >= 0) {
@@ -54,19 +55,19 @@
             unavailableSinceMs = -1;
             majorityDisksLost = false;
         }
-        final boolean down = world.cores().stream().noneMatch(SimulatedNode::up);
-        if (down && !allDown) {
+        final boolean allDownNow = world.cores().stream().noneMatch(SimulatedNode::isUp);
+        if (allDownNow && !allDown) {
             allCoresDownMs.add(nowMs);
         }
-        allDown = down;
+        allDown = allDownNow;
         world.sim.after(CHECK_INTERVAL_MS, this::watch);
     }
 
     private static boolean canVote(final SimulatedNode core) {
-        if (core.running() && core.node().acceptor().state() == Acceptor.State.VOTING) {
+        if (core.isRunning() && core.node().acceptor().state() == Acceptor.State.VOTING) {
             core.disk.markWritten();
         }
-        return core.running() && core.disk.working() && !core.disk.blank();
+        return core.isRunning() && core.disk.isWorking() && !core.disk.isBlank();
     }
 
     /** Returns whether the fleet was unavailable, or still recovering, at any time in the interval. */
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
@@ -51,23 +51,24 @@
      * Returns the freshness response that a node receives in place of the core's own, which can't reach it, or null if the message
      * requests none or the core has no state to answer from.
      */
-    static Message forgeFreshnessResponse(final Message message, final SimulatedNode asker, final SimulatedNode core) {
+    static Message forgeFreshnessResponse(
+            final Message message, final SimulatedNode requester, final SimulatedNode core) {
         final long requestId = message instanceof FeedMessage.FreshnessRequest p
                 ? p.requestId()
                 : message instanceof FeedMessage.FeedRequest f ? f.requestId() : 0;
-        if (requestId == 0 || !core.up() || core.node().acceptor() == null) {
+        if (requestId == 0 || !core.isUp() || core.node().acceptor() == null) {
             return null;
         }
-        final VoterSet table = core.node().acceptor().voterSet();
+        final VoterSet voterSet = core.node().acceptor().voterSet();
         return new FeedMessage.FreshnessResponse(
                 core.name,
                 requestId,
-                table.generation(),
-                table.epoch(),
+                voterSet.generation(),
+                voterSet.epoch(),
                 Fingerprints.of(core.node().acceptor().diskId()),
                 true,
                 false,
-                asker.node().configurationStore().configuration().version(),
+                requester.node().configurationStore().configuration().version(),
                 0);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
@@ -19,20 +19,20 @@
             Scenario scenario,
             Deployment deployment,
             long seed,
-            boolean up,
+            boolean started,
             long digest,
-            double playShare,
-            double lastShare,
-            double lacking,
+            double scenarioSuccessShare,
+            double finalSuccessShare,
+            double missingRegisterShare,
             double commitsPerOrder,
-            double takeover,
-            double feed,
-            double edges,
-            double upstreams,
-            double inDeadline,
-            String byTenant,
+            double longestTakeover,
+            double propagationShare,
+            double edgeImbalance,
+            double upstreamImbalance,
+            double inDeadlineShare,
+            String successByTenantSize,
             long[] recoveryMs,
-            long recoverMaxMs,
+            long maxRecoveryMs,
             Map<Rule, Judge.Tally> tallies) {}
 
     /**
@@ -40,12 +40,12 @@
      * and all its voters vote.
      */
     static String recoveryFailure(final Outcome o) {
-        if (!o.up || o.lastShare < 0.95) {
-            return "up=" + o.up + " lastShare=" + o.lastShare;
+        if (!o.started || o.finalSuccessShare < 0.95) {
+            return "up=" + o.started + " lastShare=" + o.finalSuccessShare;
         }
         for (final long ms : o.recoveryMs) {
-            if (ms < 0 || ms > o.recoverMaxMs) {
-                return "recoverMs=" + Arrays.toString(o.recoveryMs) + " most " + o.recoverMaxMs;
+            if (ms < 0 || ms > o.maxRecoveryMs) {
+                return "recoverMs=" + Arrays.toString(o.recoveryMs) + " most " + o.maxRecoveryMs;
             }
         }
         return null;
@@ -175,16 +175,16 @@
                 o.deployment,
                 o.seed,
                 o.digest,
-                o.playShare,
-                o.lastShare,
-                o.lacking,
+                o.scenarioSuccessShare,
+                o.finalSuccessShare,
+                o.missingRegisterShare,
                 o.commitsPerOrder,
-                o.takeover,
-                o.feed,
-                o.edges,
-                o.upstreams,
-                o.inDeadline,
-                o.byTenant,
+                o.longestTakeover,
+                o.propagationShare,
+                o.edgeImbalance,
+                o.upstreamImbalance,
+                o.inDeadlineShare,
+                o.successByTenantSize,
                 Arrays.toString(o.recoveryMs));
         return bad;
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -24,7 +24,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long DEADLINE_MS = 5000;
 
-    private record EdgeAssignment(List<SimulatedNode> edges, String ticket, long untilMs) {}
+    private record EdgeAssignment(List<SimulatedNode> edges, String ticket, long expiresMs) {}
 
     private final SimulatedWorld world;
     private final Random random;
@@ -78,12 +78,12 @@
         final EdgeAssignment known = assignments.get(assignmentKey);
         // One client in ten keeps its connection to an edge, even after its lookup result has expired.
         final boolean stays = client.endsWith("7") && attempt == 0;
-        if (known != null && (stays || world.sim.nowMs() < known.untilMs)) {
+        if (known != null && (stays || world.sim.nowMs() < known.expiresMs)) {
             send(kind, client, id, attempt, startedMs, known);
             return;
         }
         final List<SimulatedNode> up =
-                world.nodes.values().stream().filter(SimulatedNode::running).toList();
+                world.nodes.values().stream().filter(SimulatedNode::isRunning).toList();
         if (up.isEmpty()) {
             return;
         }
@@ -174,7 +174,7 @@
         };
         world.sim.after(Math.min(spanMs, 2500), onNoResponse);
         world.sim.after(1 + random.nextInt(20), () -> {
-            if (!edge.up()) {
+            if (!edge.isUp()) {
                 onNoResponse.run();
                 return;
             }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
@@ -20,7 +20,7 @@
     private boolean full;
     private boolean ackedBeforeSync;
     private long commits;
-    private boolean wiped = true;
+    private boolean blank = true;
 
     SimulatedDisk(final VirtualTime sim, final Random random, final int count, final int size) {
         this.sim = sim;
@@ -50,7 +50,8 @@
     }
 
     /** Returns the store for one incarnation of a node. Completions that are due after the incarnation ended are dropped. */
-    SegmentStore incarnation(final BooleanSupplier alive, final Consumer<Runnable> back, final boolean lies) {
+    SegmentStore incarnation(
+            final BooleanSupplier alive, final Consumer<Runnable> onNode, final boolean acksBeforeSync) {
         final SimulatedDisk disk = this;
         return new SegmentStore() {
             @Override
@@ -70,7 +71,7 @@
 
             @Override
             public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-                disk.commit(chunks, done, alive, back, lies);
+                disk.commit(chunks, done, alive, onNode, acksBeforeSync);
             }
         };
     }
@@ -79,11 +80,11 @@
             final List<Chunk> chunks,
             final Consumer<Boolean> done,
             final BooleanSupplier alive,
-            final Consumer<Runnable> back,
-            final boolean lies) {
+            final Consumer<Runnable> onNode,
+            final boolean acksBeforeSync) {
         commits++;
-        ackedBeforeSync = lies;
-        if (lies) {
+        ackedBeforeSync = acksBeforeSync;
+        if (acksBeforeSync) {
             // Acknowledges the commit at once and writes it seconds later, like a disk cache without a battery.
             unsynced.addAll(chunks);
             sim.after(4000, () -> {
@@ -92,7 +93,7 @@
                     chunks.forEach(p -> System.arraycopy(p.bytes(), 0, synced[p.segment()], p.at(), p.bytes().length));
                 }
             });
-            sim.after(1, () -> back.accept(() -> done.accept(true)));
+            sim.after(1, () -> onNode.accept(() -> done.accept(true)));
             return;
         }
         unsynced.addAll(chunks);
@@ -106,7 +107,7 @@
             if (ok) {
                 chunks.forEach(p -> System.arraycopy(p.bytes(), 0, synced[p.segment()], p.at(), p.bytes().length));
             }
-            back.accept(() -> done.accept(ok));
+            onNode.accept(() -> done.accept(ok));
         });
     }
 
@@ -133,22 +134,22 @@
     }
 
     /** Returns whether the disk is neither failing, full nor stalled. */
-    boolean working() {
+    boolean isWorking() {
         return !failing && !full && sim.nowMs() >= stalledUntilMs;
     }
 
     /** Returns whether the disk is new or was wiped, and no voter has voted from it since. */
-    boolean blank() {
-        return wiped;
+    boolean isBlank() {
+        return blank;
     }
 
     /** Records that a voter votes from this disk, which ends its being blank. */
     void markWritten() {
-        wiped = false;
+        blank = false;
     }
 
     public void wipe() {
-        wiped = true;
+        blank = true;
         unsynced.clear();
         for (int i = 0; i < synced.length; i++) {
             synced[i] = new byte[size];
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -195,13 +195,13 @@
         @Override
         public void probe(final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
             final Upstream up = byAddress.get(address);
-            final long way = world.net.oneWayMs(node.address, address);
-            if (up == null || way < 0 || !up.running) {
-                runOnNode(way < 0 ? timeoutMillis : 2 * way, () -> done.accept(Optional.empty()));
+            final long oneWayMs = world.net.oneWayMs(node.address, address);
+            if (up == null || oneWayMs < 0 || !up.running) {
+                runOnNode(oneWayMs < 0 ? timeoutMillis : 2 * oneWayMs, () -> done.accept(Optional.empty()));
                 return;
             }
             runOnNode(
-                    2 * way + 1,
+                    2 * oneWayMs + 1,
                     () -> done.accept(
                             !up.running
                                     ? Optional.empty()
@@ -217,9 +217,9 @@
                 final long waitMs,
                 final SendDeadline deadline,
                 final ReportCallback callback) {
-            final long way = 5L + random.nextInt(20);
+            final long oneWayMs = 5L + random.nextInt(20);
             // Connecting takes a round trip; the deadline is checked just before the bytes are sent.
-            sendIfInTime(2 * way, deadline::latestMs, () -> callback.onResult(ReportResult.UNCONFIRMED), () -> {
+            sendIfInTime(2 * oneWayMs, deadline::latestMs, () -> callback.onResult(ReportResult.UNCONFIRMED), () -> {
                 final TreeMap<String, Long> counts = new TreeMap<>(sealed.counts());
                 if (world.injectedFault == InjectedFault.SWAPPED_TENANTS) {
                     final Long first = counts.get(Deployment.tenant(0));
@@ -228,13 +228,13 @@
                 }
                 if (world.injectedFault != InjectedFault.DEAF_PLATFORM || world.sim.nowMs() > 35_000) {
                     world.sim.after(
-                            way,
+                            oneWayMs,
                             () -> world.reported.add(
                                     new Ledger.Reported(holder, token, sealed.window(), counts, world.sim.nowMs())));
                 }
                 final boolean lost = random.nextInt(50) == 0;
                 runOnNode(
-                        lost ? waitMs : 2 * way,
+                        lost ? waitMs : 2 * oneWayMs,
                         () -> callback.onResult(lost ? ReportResult.UNCONFIRMED : ReportResult.ACCEPTED));
             });
         }
@@ -249,18 +249,18 @@
             final SimulatedWorld.ClientRequest asked = world.asked.get(attempt.requestId());
             world.attempts.add(new SimulatedWorld.Gone(
                     attempt.requestId(), attempt.service(), asked.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
-            final long way = world.net.oneWayMs(node.address, attempt.address());
-            final boolean[] over = {false};
+            final long oneWayMs = world.net.oneWayMs(node.address, attempt.address());
+            final boolean[] finished = {false};
             final boolean[] sent = {false};
             runOnNode(attempt.timeoutMs(), () -> {
-                if (!over[0]) {
-                    over[0] = true;
+                if (!finished[0]) {
+                    finished[0] = true;
                     done.accept(sent[0] ? new AttemptResult.Lost("timeout") : new AttemptResult.NotSent("timeout"));
                 }
             });
             final Consumer<AttemptResult> once = r -> {
-                if (!over[0]) {
-                    over[0] = true;
+                if (!finished[0]) {
+                    finished[0] = true;
                     done.accept(r);
                 }
             };
@@ -268,11 +268,11 @@
                     0,
                     () -> once.accept(
                             sent[0] ? new AttemptResult.Lost("cancelled") : new AttemptResult.NotSent("cancelled")));
-            if (way < 0) {
+            if (oneWayMs < 0) {
                 return handle;
             }
-            runOnNode(2 * way, () -> {
-                if (over[0]) {
+            runOnNode(2 * oneWayMs, () -> {
+                if (finished[0]) {
                     return;
                 }
                 if (byAddress.get(attempt.address()) == null) {
@@ -280,7 +280,7 @@
                     return;
                 }
                 sendIfInTime(0, until, () -> once.accept(new AttemptResult.NotSent("barred")), () -> {
-                    if (!over[0]) {
+                    if (!finished[0]) {
                         sent[0] = true;
                         counted.run();
                         deliver(attempt, once);
@@ -334,18 +334,18 @@
         }
 
         private void deliver(final Attempt attempt, final Consumer<AttemptResult> once) {
-            final long way = world.net.reliableOneWayMs(node.address, attempt.address());
-            if (way < 0) {
+            final long oneWayMs = world.net.reliableOneWayMs(node.address, attempt.address());
+            if (oneWayMs < 0) {
                 return;
             }
-            world.sim.after(way, () -> {
+            world.sim.after(oneWayMs, () -> {
                 final Upstream up = byAddress.get(attempt.address());
                 if (up == null || !up.running) {
-                    runOnNode(way, () -> once.accept(new AttemptResult.Lost("reset")));
+                    runOnNode(oneWayMs, () -> once.accept(new AttemptResult.Lost("reset")));
                 } else if (!up.instance.equals(attempt.instance())) {
-                    runOnNode(way, () -> once.accept(new AttemptResult.NotRun("not the instance that was meant")));
+                    runOnNode(oneWayMs, () -> once.accept(new AttemptResult.NotRun("not the instance that was meant")));
                 } else if (up.rejectsNext()) {
-                    runOnNode(way, () -> once.accept(new AttemptResult.NotRun("rejected")));
+                    runOnNode(oneWayMs, () -> once.accept(new AttemptResult.NotRun("rejected")));
                 } else {
                     execute(attempt, up, once);
                 }
@@ -370,8 +370,8 @@
                     + random.nextInt(10)
                     + (up.behavior == UpstreamStandIn.Manner.SLOW ? 1500 : 0);
             world.sim.after(workMs, () -> {
-                final long way = world.net.reliableOneWayMs(attempt.address(), node.address);
-                if (way < 0) {
+                final long oneWayMs = world.net.reliableOneWayMs(attempt.address(), node.address);
+                if (oneWayMs < 0) {
                     return;
                 }
                 final String whole = "answer to " + attempt.requestId() + " by " + up.instance + " whole";
@@ -391,7 +391,7 @@
                             case TRUNCATE -> new AttemptResult.Lost("answer: truncated");
                             default -> answered(attempt, whole);
                         };
-                runOnNode(way, () -> once.accept(result));
+                runOnNode(oneWayMs, () -> once.accept(result));
             });
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -41,15 +41,15 @@
             final SimulatedWorld world,
             final String name,
             final boolean core,
-            final int i,
+            final int zoneIndex,
             final Map<String, String> extraSettings) {
         this.world = world;
         this.name = name;
         this.core = core;
-        this.zone = Deployment.zone(i);
-        this.region = Deployment.region(i);
-        this.address = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7100";
-        this.http = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7200";
+        this.zone = Deployment.zone(zoneIndex);
+        this.region = Deployment.region(zoneIndex);
+        this.address = "10.0." + (core ? 1 : 2) + "." + (zoneIndex + 1) + ":7100";
+        this.http = "10.0." + (core ? 1 : 2) + "." + (zoneIndex + 1) + ":7200";
         this.monotonicOffsetMs = 1000L + world.sim.random(name + "/mono").nextInt(1_000_000);
         this.disk = core ? new SimulatedDisk(world.sim, world.sim.random(name + "/disk"), 8, world.segmentBytes) : null;
         this.flags = new HashMap<>();
@@ -87,11 +87,11 @@
         return node;
     }
 
-    public boolean up() {
+    public boolean isUp() {
         return node != null;
     }
 
-    public boolean running() {
+    public boolean isRunning() {
         return node != null && !frozen;
     }
 
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -164,7 +164,7 @@
         private final long untilMs;
         private final LongConsumer then;
         private int calls;
-        private boolean unclear;
+        private boolean outcomeUnknown;
 
         ChangeAttempt(
                 final String method,
@@ -201,17 +201,17 @@
                 final Consumer<Reply> done,
                 final Runnable onTimeout) {
             if (world.sim.nowMs() > untilMs) {
-                world.sim.trace("change " + id + " given up, unclear " + unclear);
+                world.sim.trace("change " + id + " given up, unclear " + outcomeUnknown);
                 return;
             }
             final int call = ++calls;
             world.sim.after(4000, () -> {
                 if (calls == call) {
-                    unclear |= what.equals(method);
+                    outcomeUnknown |= what.equals(method);
                     onTimeout.run();
                 }
             });
-            if (!core.running()) {
+            if (!core.isRunning()) {
                 world.sim.after(200, () -> {
                     if (calls == call) {
                         calls++;
@@ -242,9 +242,9 @@
                     checkPropagated(reply.fields().path("version").asLong(), world.sim.nowMs());
                 }
                 case UNDECIDED, NOT_READY -> {
-                    unclear |= reply.result() == ResultCode.UNDECIDED;
+                    outcomeUnknown |= reply.result() == ResultCode.UNDECIDED;
                     world.sim.after(300, () -> {
-                        if (unclear) {
+                        if (outcomeUnknown) {
                             send(world.pick(world.cores(), random));
                         } else {
                             rebaseAndSend();
@@ -267,7 +267,7 @@
             final long spentMs = world.sim.nowMs() - atMs;
             final List<SimulatedNode> left = new ArrayList<>();
             for (final SimulatedNode edge : lacking) {
-                if (!edge.running() || !world.undisturbed(edge, atMs)) {
+                if (!edge.isRunning() || !world.undisturbed(edge, atMs)) {
                     continue;
                 }
                 if (edge.node().configurationStore().configuration().version() >= version) {
@@ -289,7 +289,7 @@
         private void checkPropagated(final long version, final long atMs) {
             world.sim.after(PROPAGATION_MS, () -> {
                 for (final SimulatedNode edge : world.edges()) {
-                    if (edge.running()) {
+                    if (edge.isRunning()) {
                         final boolean has =
                                 edge.node().configurationStore().configuration().version() >= version;
                         final boolean serves = edge.node().feedClient().isFresh();
@@ -309,9 +309,9 @@
      * Checks at the end of a run that every fresh node has each accepted route, unless a majority of the disks was lost, and that none
      * has a rejected one.
      */
-    void checkFinalConfiguration(final boolean wiped) {
+    void checkFinalConfiguration(final boolean majorityDisksLost) {
         for (final SimulatedNode node : world.nodes.values()) {
-            if (!node.running() || !node.node().feedClient().isFresh()) {
+            if (!node.isRunning() || !node.node().feedClient().isFresh()) {
                 continue;
             }
             final var routes = node.node()
@@ -325,7 +325,8 @@
                     .path("bindings");
             for (final String id : List.copyOf(accepted)) {
                 if (id.startsWith("bind")) {
-                    world.judge.check(Rule.POLICY, routes.has(id) || wiped ? 0 : 2, node.name + " lost " + id);
+                    world.judge.check(
+                            Rule.POLICY, routes.has(id) || majorityDisksLost ? 0 : 2, node.name + " lost " + id);
                 }
             }
             for (final String id : List.copyOf(rejected)) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -168,16 +168,16 @@
     }
 
     /** Adds a core under a new name, without starting it. */
-    SimulatedNode addCore(final String name, final int place) {
-        final SimulatedNode node = new SimulatedNode(this, name, true, place, settings);
+    SimulatedNode addCore(final String name, final int zoneIndex) {
+        final SimulatedNode node = new SimulatedNode(this, name, true, zoneIndex, settings);
         node.changeSetting("bootstrap", "0");
         add(node);
         return node;
     }
 
     /** Adds an edge beyond the deployment's own. */
-    public SimulatedNode addEdge(final String name, final int place) {
-        final SimulatedNode node = new SimulatedNode(this, name, false, place, settings);
+    public SimulatedNode addEdge(final String name, final int zoneIndex) {
+        final SimulatedNode node = new SimulatedNode(this, name, false, zoneIndex, settings);
         add(node);
         return node;
     }
@@ -213,13 +213,13 @@
             return;
         }
         final long targetIncarnation = target.incarnation();
-        if (message instanceof HandoffMessage.Store keep) {
-            checkAnswerLocation(keep.key(), target);
+        if (message instanceof HandoffMessage.Store store) {
+            checkAnswerLocation(store.key(), target);
             if (injectedFault == InjectedFault.KEPT_ABROAD) {
-                cores().forEach(c -> checkAnswerLocation(keep.key(), c));
+                cores().forEach(c -> checkAnswerLocation(store.key(), c));
             }
-        } else if (message instanceof HandoffMessage.FetchResult back && back.content() != null) {
-            checkAnswerLocation(back.key(), target);
+        } else if (message instanceof HandoffMessage.FetchResult fetchResult && fetchResult.content() != null) {
+            checkAnswerLocation(fetchResult.key(), target);
         }
         if (injectedFault == InjectedFault.FORGED_PROOFS && !net.isOpen(from.address, to)) {
             final Message forged = MessageForger.forgeFreshnessResponse(message, from, target);
@@ -271,7 +271,7 @@
     /** Returns a core that has a lease session, or null if none has. */
     SimulatedNode leaseHolder() {
         for (final SimulatedNode core : cores()) {
-            if (core.up() && core.node().leaseManager().session() != null) {
+            if (core.isUp() && core.node().leaseManager().session() != null) {
                 return core;
             }
         }
@@ -283,7 +283,7 @@
             final String method,
             final JsonNode params,
             final java.util.function.Consumer<spokestall.api.Reply> done) {
-        if (to.running()) {
+        if (to.isRunning()) {
             to.run(to.incarnation(), () -> to.node().call(method, params, done));
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -81,7 +81,7 @@
     private void watchRecovery() {
         final long nowMs = world.sim.nowMs();
         for (final SimulatedNode c : world.cores()) {
-            if (c.running()
+            if (c.isRunning()
                     && c.node().leaseManager().session() != null
                     && c.node().leaseManager().session().isValid(c.nowMs())) {
                 longestLeaseGapMs = lastHeldMs < 0 ? 0 : Math.max(longestLeaseGapMs, nowMs - lastHeldMs);
@@ -97,7 +97,7 @@
                 reportedAgainMs = nowMs;
             }
             if (world.cores().stream()
-                            .filter(SimulatedNode::running)
+                            .filter(SimulatedNode::isRunning)
                             .allMatch(c -> c.node().acceptor().state() == spokestall.consensus.Acceptor.State.VOTING)
                     && allVotingMs < fromMs) {
                 allVotingMs = nowMs;
@@ -204,7 +204,7 @@
                                 "nodes", (double) reply.fields().path("nodes").size(), Math::max);
                         reply.fields().path("hints").forEach(h -> most.merge("hints", h.asDouble(), Math::max));
                     });
-            if (node.running()) {
+            if (node.isRunning()) {
                 most.merge(
                         "listed",
                         (double) node.node().endpointRegistry().endpoints().size(),
@@ -305,7 +305,7 @@
     double missingRegisterShare() {
         final Map<String, spokestall.consensus.ProposalNumber> newest = new java.util.HashMap<>();
         for (final SimulatedNode c : world.cores()) {
-            if (c.running()) {
+            if (c.isRunning()) {
                 c.node()
                         .acceptor()
                         .registers()
@@ -314,7 +314,7 @@
         }
         double worst = 0;
         for (final SimulatedNode c : world.cores()) {
-            if (c.running() && !newest.isEmpty()) {
+            if (c.isRunning() && !newest.isEmpty()) {
                 final long lacks = newest.entrySet().stream()
                         .filter(e -> {
                             final var r = c.node().acceptor().registers().get(e.getKey());
@@ -372,10 +372,10 @@
     }
 
     /** Adds and starts a core under a new name, in the zone of that index. */
-    void addCore(final String name, final int place) {
-        final SimulatedNode fresh = world.addCore(name, place);
-        markDisturbed(List.of(fresh), 10_000);
-        fresh.start();
+    void addCore(final String name, final int zoneIndex) {
+        final SimulatedNode core = world.addCore(name, zoneIndex);
+        markDisturbed(List.of(core), 10_000);
+        core.start();
     }
 
     /** Drains an upstream, replaces it at once if so told, and stops it after nine seconds. */
--- a/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
@@ -36,8 +36,8 @@
     }
 
     /** Records that an instance was leaving, or a zone was on hold, in the interval. */
-    public void drained(final String what, final long fromMs, final long untilMs) {
-        drained.add(new SimulatedWorld.Interval(what, fromMs, untilMs));
+    public void drained(final String subject, final long fromMs, final long untilMs) {
+        drained.add(new SimulatedWorld.Interval(subject, fromMs, untilMs));
     }
 
     /** Records that no four cores with state were up and connected in the interval, and whether acknowledged state was lost. */
@@ -99,13 +99,13 @@
     }
 
     private void checkIntervals(
-            final List<SimulatedWorld.Interval> spans, final Rule rule, final Ledger.Began b, final String what) {
+            final List<SimulatedWorld.Interval> spans, final Rule rule, final Ledger.Began b, final String subject) {
         for (final SimulatedWorld.Interval span : spans) {
-            if (span.subject().equals(what) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
+            if (span.subject().equals(subject) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
                 judge.check(
                         rule,
                         (b.atMs() - span.fromMs()) / (double) rule.strictBoundMs,
-                        b.requestId() + " to " + what + " " + (b.atMs() - span.fromMs()) + " ms after");
+                        b.requestId() + " to " + subject + " " + (b.atMs() - span.fromMs()) + " ms after");
             }
         }
     }
@@ -129,15 +129,16 @@
         final Map<Long, String> holders = new HashMap<>();
         long newest = 0;
         for (final Ledger.Reported r : fleet.ledger().reported()) {
-            final Map<String, Long> had = counts.putIfAbsent(r.window(), r.counts());
-            judge.check(Rule.SAME_COUNTS, had == null || had.equals(r.counts()) ? 0 : 2, "window " + r.window());
+            final Map<String, Long> earlier = counts.putIfAbsent(r.window(), r.counts());
+            judge.check(
+                    Rule.SAME_COUNTS, earlier == null || earlier.equals(r.counts()) ? 0 : 2, "window " + r.window());
             final String other = holders.putIfAbsent(r.token(), r.holder());
             judge.check(
                     Rule.TOKEN,
                     (other == null || other.equals(r.holder())) && r.token() >= newest ? 0 : 2,
                     "token " + r.token() + " of " + r.holder());
             newest = Math.max(newest, r.token());
-            if (had == null) {
+            if (earlier == null) {
                 judge.check(
                         Rule.IN_TIME,
                         (r.atMs() - (r.window() + 1) * WINDOW_MS) / (double) Rule.IN_TIME.strictBoundMs,
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -181,20 +181,20 @@
         byService.forEach((service, attempts) -> {
             int from = 0;
             int first = 0;
-            int again = 0;
+            int retries = 0;
             for (int to = 0; to < attempts.size(); to++) {
                 final SimulatedWorld.Gone g = attempts.get(to);
                 first += g.turn() == 1 ? 1 : 0;
-                again += g.turn() > 1 ? 1 : 0;
+                retries += g.turn() > 1 ? 1 : 0;
                 while (g.atMs() - attempts.get(from).atMs() > Rule.RETRIES.strictBoundMs) {
                     first -= attempts.get(from).turn() == 1 ? 1 : 0;
-                    again -= attempts.get(from).turn() > 1 ? 1 : 0;
+                    retries -= attempts.get(from).turn() > 1 ? 1 : 0;
                     from++;
                 }
                 check(
                         Rule.RETRIES,
-                        again / (0.2 * first + Rule.RETRIES.slack),
-                        again + " retries on " + first + " asks of " + service + " until " + g.atMs());
+                        retries / (0.2 * first + Rule.RETRIES.slack),
+                        retries + " retries on " + first + " asks of " + service + " until " + g.atMs());
             }
         });
     }
@@ -205,11 +205,11 @@
         long newest = 0;
         final Map<Long, Long> firstOf = new TreeMap<>();
         for (final Ledger.Reported r : w.reported) {
-            final Map<String, Long> had = counts.putIfAbsent(r.window(), r.counts());
+            final Map<String, Long> earlier = counts.putIfAbsent(r.window(), r.counts());
             check(
                     Rule.SAME_COUNTS,
-                    had == null || had.equals(r.counts()) ? 0 : 2,
-                    "window " + r.window() + " " + had + " and " + r.counts());
+                    earlier == null || earlier.equals(r.counts()) ? 0 : 2,
+                    "window " + r.window() + " " + earlier + " and " + r.counts());
             final String other = holderOf.putIfAbsent(r.token(), r.holder());
             check(
                     Rule.TOKEN,
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -39,7 +39,7 @@
             public void run() {
                 final long nowMs = run.world.sim.nowMs();
                 for (final SimulatedNode node : run.world.nodes.values()) {
-                    final boolean without = node.running()
+                    final boolean without = node.isRunning()
                             && node.node().directory().edges().isEmpty()
                             && !node.node().leaving()
                             && node.node().feedClient().isFresh();
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -92,7 +92,7 @@
     }
 
     private static boolean able(final SimulatedNode node) {
-        return node.running()
+        return node.isRunning()
                 && node.node().feedClient().isFresh()
                 && (!node.core || node.node().acceptor().state() == Acceptor.State.VOTING);
     }
@@ -189,7 +189,7 @@
 
     public long newestVersion() {
         return world.nodes.values().stream()
-                .filter(SimulatedNode::up)
+                .filter(SimulatedNode::isUp)
                 .mapToLong(OperatorFleet::version)
                 .max()
                 .orElse(0);
--- a/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
@@ -79,7 +79,7 @@
 
         /** Shuts a node down cleanly, and starts it again shortly after its process has ended. */
         private void restart(final SimulatedNode node) {
-            if (!node.running()) {
+            if (!node.isRunning()) {
                 return;
             }
             final long incarnation = node.incarnation();
--- a/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
@@ -66,7 +66,7 @@
     /** Requests the change at a random running node. */
     void request() {
         final List<SimulatedNode> running =
-                fleet.nodes().stream().filter(SimulatedNode::running).toList();
+                fleet.nodes().stream().filter(SimulatedNode::isRunning).toList();
         request(fleet.world.pick(running, random));
     }
 
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -136,7 +136,7 @@
         fleet.until(
                 isolation + " " + seed + " has caught up",
                 CONTACT_MS,
-                () -> isolated.running()
+                () -> isolated.isRunning()
                         && isolated.node().acceptor().state() == Acceptor.State.VOTING
                         && isolated.node().feedClient().isFresh()
                         && OperatorFleet.version(isolated) == fleet.newestVersion());
@@ -174,7 +174,7 @@
             final SimulatedNode other,
             final String id,
             final int turn) {
-        if (!isolated.running()) {
+        if (!isolated.isRunning()) {
             return;
         }
         final long newest = fleet.newestVersion();
--- a/testbed/src/test/java/spokestall/testbed/verdict/RuleTest.java
+++ b/testbed/src/test/java/spokestall/testbed/verdict/RuleTest.java
@@ -8,7 +8,7 @@
 
 class RuleTest {
     @Test
-    void theDocsSayWhatTheJudgeGoesBy() throws Exception {
+    void docsContainEveryRuleWithItsBounds() throws Exception {
         final String page = Files.readString(Path.of("..", "docs", "never.md"));
         for (final Rule rule : Rule.values()) {
             assertThat(page).contains(rule.row());
