--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -121,8 +121,8 @@
 
     /** Returns the request body, which is the same for each retry. One body in 16 is longer than 20 kB, the others are small. */
     private static byte[] body(final String id) {
-        final int long1 = id.hashCode() % 16 == 0 ? 20_000 : 0;
-        return ("do " + id + " ".repeat(Math.floorMod(id.hashCode(), 200) + long1)).getBytes(StandardCharsets.UTF_8);
+        final int extraSpaces = id.hashCode() % 16 == 0 ? 20_000 : 0;
+        return ("do " + id + " ".repeat(Math.floorMod(id.hashCode(), 200) + extraSpaces)).getBytes(StandardCharsets.UTF_8);
     }
 
     private void retryLater(
@@ -143,23 +143,23 @@
             final String id,
             final int attempt,
             final long startedMs,
-            final EdgeAssignment assignmentKey) {
+            final EdgeAssignment assignment) {
         final String requestId = kind.runOnce()
-                ? runOnceIds.computeIfAbsent(id, i -> assignmentKey.ticket + "." + i)
+                ? runOnceIds.computeIfAbsent(id, i -> assignment.ticket + "." + i)
                 : id + "." + attempt;
         final SimulatedWorld.ClientRequest asked =
                 world.asked.computeIfAbsent(requestId, i -> new SimulatedWorld.ClientRequest(requestId, kind));
         asked.sentMs.add(world.sim.nowMs());
-        final SimulatedNode edge = assignmentKey.edges.get(attempt % assignmentKey.edges.size());
+        final SimulatedNode edge = assignment.edges.get(attempt % assignment.edges.size());
         final byte[] body = kind.runOnce() ? body(id) : new byte[0];
-        final long spanMs = DEADLINE_MS - (world.sim.nowMs() - startedMs);
+        final long remainingMs = DEADLINE_MS - (world.sim.nowMs() - startedMs);
         final RequestHead head = new RequestHead(
                 kind.runOnce() ? "POST" : "GET",
                 "",
                 kind.path(),
                 kind.key(),
                 requestId,
-                spanMs,
+                remainingMs,
                 body.length,
                 List.of());
         final boolean[] settled = {false};
@@ -172,7 +172,7 @@
                 retryLater(kind, client, id, attempt, startedMs, 50);
             }
         };
-        world.sim.after(Math.min(spanMs, 2500), onNoResponse);
+        world.sim.after(Math.min(remainingMs, 2500), onNoResponse);
         world.sim.after(1 + random.nextInt(20), () -> {
             if (!edge.isUp()) {
                 onNoResponse.run();
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -156,7 +156,7 @@
         new ChangeAttempt(method, params, id, untilMs, then).rebaseAndSend();
     }
 
-    /** A change with its retries. */
+    /** One change and its retries. */
     private final class ChangeAttempt {
         private final String method;
         private final ObjectNode params;
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -378,7 +378,7 @@
         core.start();
     }
 
-    /** Drains an upstream, replaces it at once if so told, and stops it after nine seconds. */
+    /** Drains an upstream, starts its replacement at once if requested, and stops it after nine seconds. */
     void drain(final SimulatedEnvironment.Upstream up, final boolean replace) {
         up.leaving = true;
         world.drained.add(new SimulatedWorld.Interval(up.instance, world.sim.nowMs(), Long.MAX_VALUE));
--- a/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
@@ -91,9 +91,9 @@
             final List<Long> at = begins.getOrDefault(parts[0], List.of());
             if (parts[1].equals("not-run") && parts[0].startsWith("t1-")) {
                 final long toldMs = Long.parseLong(parts[3]);
-                judge.check(Rule.NOT_RUN, at.stream().anyMatch(a -> a <= toldMs) ? 2 : 0, line + " begun at " + at);
+                judge.check(Rule.NOT_RUN, at.stream().anyMatch(a -> a <= toldMs) ? 2 : 0, line + ", began at " + at);
             } else if (parts[1].equals("ran")) {
-                judge.check(Rule.OWN_ANSWER, at.isEmpty() ? 2 : 0, line + " never begun");
+                judge.check(Rule.OWN_ANSWER, at.isEmpty() ? 2 : 0, line + ", never began");
             }
         }
     }
@@ -105,7 +105,7 @@
                 judge.check(
                         rule,
                         (b.atMs() - span.fromMs()) / (double) rule.strictBoundMs,
-                        b.requestId() + " to " + subject + " " + (b.atMs() - span.fromMs()) + " ms after");
+                        b.requestId() + " to " + subject + " " + (b.atMs() - span.fromMs()) + " ms after the withdrawal or drain");
             }
         }
     }
@@ -142,7 +142,7 @@
                 judge.check(
                         Rule.IN_TIME,
                         (r.atMs() - (r.window() + 1) * WINDOW_MS) / (double) Rule.IN_TIME.strictBoundMs,
-                        "window " + r.window() + " came");
+                        "report of window " + r.window() + " arrived");
             }
         }
         final long firstWindow =
@@ -163,7 +163,7 @@
                     judge.checkCounts(window, real, counts.get(window));
                 }
             } else if (!excused && window >= firstWindow) {
-                judge.violated(Rule.IN_TIME, "window " + window + " never came");
+                judge.violated(Rule.IN_TIME, "window " + window + " was never reported");
             }
         });
     }
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -100,7 +100,8 @@
                 check(
                         Rule.NOT_RUN,
                         broken ? 2 : 0,
-                        t.requestId() + " told not run at " + t.atMs() + " begun at " + begins.get(t.requestId()));
+                        t.requestId() + " reported as not run at " + t.atMs() + ", began at "
+                                + begins.get(t.requestId()));
             } else if (t.ran() == spokestall.proxy.ExecutionStatus.RAN) {
                 final boolean ran = begins.containsKey(t.requestId());
                 final String want = "answer to " + t.requestId() + " by " + t.instance();
@@ -130,7 +131,8 @@
                     check(
                             Rule.KEY,
                             (b.atMs() - span.fromMs()) / (double) Rule.KEY.strictBoundMs,
-                            b.requestId() + " with " + span.subject() + " " + (b.atMs() - span.fromMs()) + " ms after");
+                            b.requestId() + " with " + span.subject() + " " + (b.atMs() - span.fromMs())
+                                    + " ms after its withdrawal");
                 }
             }
             for (final SimulatedWorld.Interval span : w.drained) {
@@ -141,7 +143,8 @@
                     check(
                             Rule.LEAVING,
                             (b.atMs() - span.fromMs()) / (double) Rule.LEAVING.strictBoundMs,
-                            b.requestId() + " to " + span.subject() + " " + (b.atMs() - span.fromMs()) + " ms after");
+                            b.requestId() + " to " + span.subject() + " " + (b.atMs() - span.fromMs())
+                                    + " ms after its drain began");
                 }
             }
         }
@@ -194,7 +197,7 @@
                 check(
                         Rule.RETRIES,
                         retries / (0.2 * first + Rule.RETRIES.slack),
-                        retries + " retries on " + first + " asks of " + service + " until " + g.atMs());
+                        retries + " retries on " + first + " requests of " + service + " until " + g.atMs());
             }
         });
     }
@@ -209,23 +212,23 @@
             check(
                     Rule.SAME_COUNTS,
                     earlier == null || earlier.equals(r.counts()) ? 0 : 2,
-                    "window " + r.window() + " " + earlier + " and " + r.counts());
+                    "window " + r.window() + " was reported with " + earlier + " and " + r.counts());
             final String other = holderOf.putIfAbsent(r.token(), r.holder());
             check(
                     Rule.TOKEN,
                     other == null || other.equals(r.holder()) ? 0 : 2,
-                    "token " + r.token() + " of " + other + " and " + r.holder());
+                    "token " + r.token() + " held by " + other + " and " + r.holder());
             check(
                     Rule.TOKEN,
                     r.token() >= newest ? 0 : 2,
-                    r.holder() + " with " + r.token() + " at " + r.atMs() + " after " + newest);
+                    r.holder() + " reported with token " + r.token() + " at " + r.atMs() + " after token " + newest);
             newest = Math.max(newest, r.token());
             final long endMs = (r.window() + 1) * SimulatedWorld.WINDOW_MS - SimulatedWorld.EPOCH_MS;
             if (firstOf.putIfAbsent(r.window(), r.atMs()) == null) {
                 check(
                         Rule.IN_TIME,
                         (r.atMs() - endMs) / (double) Rule.IN_TIME.strictBoundMs,
-                        "window " + r.window() + " came " + (r.atMs() - endMs) + " ms after its end");
+                        "report of window " + r.window() + " arrived " + (r.atMs() - endMs) + " ms after its end");
             }
         }
         final Map<Long, Map<String, Long>> truth = new TreeMap<>();
@@ -240,7 +243,7 @@
             final Map<String, Long> said = counts.get(window);
             if (said == null) {
                 if (!w.availability.unavailable(endMs, endMs + Rule.IN_TIME.strictBoundMs)) {
-                    violated(Rule.IN_TIME, "window " + window + " ended at " + endMs + " and never came");
+                    violated(Rule.IN_TIME, "window " + window + " ended at " + endMs + " and was never reported");
                 }
                 return;
             }
@@ -261,7 +264,7 @@
                     Rule.IN_TIME,
                     Math.max(0, Math.abs(actualCount - reportedCount) - Rule.IN_TIME.slack)
                             / Math.max(1, 0.05 * actualCount),
-                    "window " + window + " has " + actualCount + " of " + tenant + ", told " + reportedCount);
+                    "window " + window + " has " + actualCount + " of " + tenant + ", reported " + reportedCount);
         }
     }
 }
