--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -147,9 +147,9 @@
         final String requestId = kind.runOnce()
                 ? runOnceIds.computeIfAbsent(id, i -> assignment.ticket + "." + i)
                 : id + "." + attempt;
-        final SimulatedWorld.ClientRequest asked =
-                world.asked.computeIfAbsent(requestId, i -> new SimulatedWorld.ClientRequest(requestId, kind));
-        asked.sentMs.add(world.sim.nowMs());
+        final SimulatedWorld.ClientRequest clientRequest =
+                world.requests.computeIfAbsent(requestId, i -> new SimulatedWorld.ClientRequest(requestId, kind));
+        clientRequest.sentMs.add(world.sim.nowMs());
         final SimulatedNode edge = assignment.edges.get(attempt % assignment.edges.size());
         final byte[] body = kind.runOnce() ? body(id) : new byte[0];
         final long remainingMs = DEADLINE_MS - (world.sim.nowMs() - startedMs);
@@ -184,7 +184,7 @@
                     () -> admit(edge, incarnation, head, body, answer -> {
                         if (!settled[0]) {
                             settled[0] = true;
-                            onResponse(kind, client, id, asked, attempt, startedMs, answer);
+                            onResponse(kind, client, id, clientRequest, attempt, startedMs, answer);
                         }
                     }));
         });
@@ -211,15 +211,15 @@
         }
         world.judge.check(
                 Rule.HOME,
-                world.homeRegions(world.asked.get(head.requestId()).kind.tenant())
+                world.homeRegions(world.requests.get(head.requestId()).kind.tenant())
                                 .contains(edge.region)
                         ? 0
                         : 2,
                 "body of " + head.requestId() + " carried to " + edge.region);
         // The body arrives a few milliseconds after the head.
         admitted[0] = ((AdmissionResult.Admitted) admission).request();
-        world.asked.get(head.requestId()).admittedMs = world.sim.nowMs();
-        world.asked.get(head.requestId()).remainingMs = head.remainingMs();
+        world.requests.get(head.requestId()).admittedMs = world.sim.nowMs();
+        world.requests.get(head.requestId()).remainingMs = head.remainingMs();
         world.sim.after(1 + random.nextInt(5), () -> edge.run(incarnation, () -> admitted[0].onBody(body)));
     }
 
@@ -227,21 +227,21 @@
             final Deployment.Kind kind,
             final String client,
             final String id,
-            final SimulatedWorld.ClientRequest asked,
+            final SimulatedWorld.ClientRequest clientRequest,
             final int attempt,
             final long startedMs,
             final Response answer) {
-        world.told.add(new SimulatedWorld.Told(
-                asked.requestId,
+        world.responses.add(new SimulatedWorld.Told(
+                clientRequest.requestId,
                 answer.result().number(),
                 answer.executionStatus(),
                 answer.instance(),
                 answer.content(),
                 world.sim.nowMs()));
-        asked.ran |= answer.executionStatus() == ExecutionStatus.RAN;
-        asked.answeredMs = answer.executionStatus() == ExecutionStatus.RAN && asked.answeredMs < 0
+        clientRequest.ran |= answer.executionStatus() == ExecutionStatus.RAN;
+        clientRequest.answeredMs = answer.executionStatus() == ExecutionStatus.RAN && clientRequest.answeredMs < 0
                 ? world.sim.nowMs()
-                : asked.answeredMs;
+                : clientRequest.answeredMs;
         if (answer.executionStatus() != ExecutionStatus.RAN) {
             if (!client.endsWith("7") || attempt > 0) {
                 assignments.remove(client + "/" + kind.key());
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -229,7 +229,7 @@
                 if (world.injectedFault != InjectedFault.DEAF_PLATFORM || world.sim.nowMs() > 35_000) {
                     world.sim.after(
                             oneWayMs,
-                            () -> world.reported.add(
+                            () -> world.reports.add(
                                     new Ledger.Reported(holder, token, sealed.window(), counts, world.sim.nowMs())));
                 }
                 final boolean lost = random.nextInt(50) == 0;
@@ -246,9 +246,9 @@
                 final Runnable counted,
                 final Consumer<AttemptResult> done) {
             final int turn = attemptCounts.merge(attempt.requestId(), 1, Integer::sum);
-            final SimulatedWorld.ClientRequest asked = world.asked.get(attempt.requestId());
+            final SimulatedWorld.ClientRequest clientRequest = world.requests.get(attempt.requestId());
             world.attempts.add(new SimulatedWorld.Gone(
-                    attempt.requestId(), attempt.service(), asked.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
+                    attempt.requestId(), attempt.service(), clientRequest.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
             final long oneWayMs = world.net.oneWayMs(node.address, attempt.address());
             final boolean[] finished = {false};
             final boolean[] sent = {false};
@@ -353,7 +353,7 @@
         }
 
         private void execute(final Attempt attempt, final Upstream up, final Consumer<AttemptResult> once) {
-            world.begun.add(new SimulatedWorld.Begun(
+            world.executions.add(new SimulatedWorld.Begun(
                     attempt.requestId(),
                     up.instance,
                     up.zone,
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -263,10 +263,10 @@
         }
 
         /** Checks how long each undisturbed edge takes to apply the change. */
-        private void measurePropagation(final long version, final long atMs, final List<SimulatedNode> lacking) {
+        private void measurePropagation(final long version, final long atMs, final List<SimulatedNode> edgesBehind) {
             final long spentMs = world.sim.nowMs() - atMs;
             final List<SimulatedNode> left = new ArrayList<>();
-            for (final SimulatedNode edge : lacking) {
+            for (final SimulatedNode edge : edgesBehind) {
                 if (!edge.isRunning() || !world.undisturbed(edge, atMs)) {
                     continue;
                 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -84,11 +84,11 @@
     private final Map<String, List<String>> homeRegions = new TreeMap<>();
     public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
     final Map<String, SimulatedNode> byAddress = new TreeMap<>();
-    public final List<Begun> begun = new ArrayList<>();
+    public final List<Begun> executions = new ArrayList<>();
     public final List<Gone> attempts = new ArrayList<>();
-    public final List<Told> told = new ArrayList<>();
-    public final Map<String, ClientRequest> asked = new LinkedHashMap<>();
-    public final List<Ledger.Reported> reported = new ArrayList<>();
+    public final List<Told> responses = new ArrayList<>();
+    public final Map<String, ClientRequest> requests = new LinkedHashMap<>();
+    public final List<Ledger.Reported> reports = new ArrayList<>();
     public final List<Interval> withdrawnKeys = new ArrayList<>();
     public final List<Interval> drained = new ArrayList<>();
     private final Map<String, Long> disturbedUntilMs = new TreeMap<>();
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -90,8 +90,8 @@
         }
         final long fromMs = recoveryStartMs();
         if (repairedMs > 0 || fromMs > 0) {
-            if (world.reported.stream()
-                            .skip(Math.max(0, world.reported.size() - 3))
+            if (world.reports.stream()
+                            .skip(Math.max(0, world.reports.size() - 3))
                             .anyMatch(r -> r.atMs() > fromMs)
                     && reportedAgainMs < fromMs) {
                 reportedAgainMs = nowMs;
@@ -137,7 +137,7 @@
 
     /** Returns the largest number of requests through one edge, relative to an even share. */
     double edgeImbalance() {
-        return imbalance(world.begun.stream()
+        return imbalance(world.executions.stream()
                 .filter(b -> b.atMs() >= trafficStartMs + 3000)
                 .collect(java.util.stream.Collectors.groupingBy(
                         SimulatedWorld.Begun::edgeZone, java.util.stream.Collectors.counting())));
@@ -145,7 +145,7 @@
 
     /** Returns the largest number of requests at one upstream of the larger service, relative to an even share. */
     double upstreamImbalance() {
-        return imbalance(world.begun.stream()
+        return imbalance(world.executions.stream()
                 .filter(b -> b.instance().startsWith(world.deployment.big))
                 .collect(java.util.stream.Collectors.groupingBy(
                         SimulatedWorld.Begun::instance, java.util.stream.Collectors.counting())));
@@ -160,8 +160,8 @@
 
     /** Returns the number of disk commits of all cores per run-once request that ran. */
     double commitsPerOrder() {
-        final long orders = world.begun.stream()
-                .filter(b -> world.asked.get(b.requestId()).kind.runOnce())
+        final long orders = world.executions.stream()
+                .filter(b -> world.requests.get(b.requestId()).kind.runOnce())
                 .count();
         return orders == 0
                 ? 0
@@ -211,7 +211,7 @@
                         Math::max);
             }
         }
-        return "sizes atS=" + (world.sim.nowMs() - trafficStartMs) / 1000 + " " + most + " asks=" + world.asked.size()
+        return "sizes atS=" + (world.sim.nowMs() - trafficStartMs) / 1000 + " " + most + " asks=" + world.requests.size()
                 + " heapMiB="
                 + (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory() >> 20);
     }
@@ -221,7 +221,7 @@
         long all = 0;
         long ran = 0;
         final Map<String, Boolean> ids = new java.util.HashMap<>();
-        for (final SimulatedWorld.ClientRequest a : world.asked.values()) {
+        for (final SimulatedWorld.ClientRequest a : world.requests.values()) {
             final String id = a.kind.runOnce() ? a.requestId : a.requestId.substring(0, a.requestId.indexOf('.'));
             if (a.sentMs.get(0) >= fromMs && a.sentMs.get(0) < untilMs) {
                 ids.merge(id, a.ran, Boolean::logicalOr);
@@ -237,10 +237,10 @@
     /** Counts the results that clients received; those of requests that did not run also by tenant. */
     public Map<String, Integer> results() {
         final Map<String, Integer> found = new java.util.TreeMap<>();
-        for (final SimulatedWorld.Told t : world.told) {
+        for (final SimulatedWorld.Told t : world.responses) {
             final String of = t.ran() == spokestall.proxy.ExecutionStatus.RAN
                     ? ""
-                    : " " + world.asked.get(t.requestId()).kind.tenant();
+                    : " " + world.requests.get(t.requestId()).kind.tenant();
             found.merge(t.code() + " " + t.ran() + of, 1, Integer::sum);
         }
         return found;
@@ -249,7 +249,7 @@
     /** Counts the requests that began in a window, by the zone of the edge that sent them. */
     public Map<String, Integer> byEdge(final long window) {
         final Map<String, Integer> found = new java.util.TreeMap<>();
-        world.begun.stream()
+        world.executions.stream()
                 .filter(b -> (SimulatedWorld.EPOCH_MS + b.atMs()) / SimulatedWorld.WINDOW_MS == window)
                 .forEach(b -> found.merge(b.edgeZone(), 1, Integer::sum));
         return found;
@@ -257,14 +257,14 @@
 
     /** Returns all recorded events of one request. */
     public String requestHistory(final String requestId) {
-        final StringBuilder out = new StringBuilder(requestId + " sent " + world.asked.get(requestId).sentMs);
+        final StringBuilder out = new StringBuilder(requestId + " sent " + world.requests.get(requestId).sentMs);
         world.attempts.stream()
                 .filter(g -> g.requestId().equals(requestId))
                 .forEach(g -> out.append("\n  ").append(g));
-        world.begun.stream()
+        world.executions.stream()
                 .filter(g -> g.requestId().equals(requestId))
                 .forEach(g -> out.append("\n  ").append(g));
-        world.told.stream()
+        world.responses.stream()
                 .filter(g -> g.requestId().equals(requestId))
                 .forEach(g -> out.append("\n  ").append(g));
         return out.toString();
@@ -272,7 +272,7 @@
 
     /** Returns the share of the requests admitted during the scenario that ran within their deadline, plus 50 ms. */
     double inDeadlineShare() {
-        final List<SimulatedWorld.ClientRequest> admitted = world.asked.values().stream()
+        final List<SimulatedWorld.ClientRequest> admitted = world.requests.values().stream()
                 .filter(a -> a.admittedMs >= trafficStartMs + 3000
                         && a.admittedMs < trafficStartMs + 3000 + scenario.playMs())
                 .toList();
@@ -286,7 +286,7 @@
 
     /** Returns the share of the requests sent during the scenario that ran, for small and for large tenants. */
     String successByTenantSize() {
-        final Map<Boolean, List<SimulatedWorld.ClientRequest>> of = world.asked.values().stream()
+        final Map<Boolean, List<SimulatedWorld.ClientRequest>> of = world.requests.values().stream()
                 .filter(a -> a.sentMs.get(0) >= trafficStartMs + 3000
                         && a.sentMs.get(0) < trafficStartMs + 3000 + scenario.playMs())
                 .collect(java.util.stream.Collectors.partitioningBy(a -> a.kind.weight() < 10));
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -74,9 +74,9 @@
 
     private void checkRunOnce(final SimulatedWorld w) {
         final Map<String, Integer> runs = new HashMap<>();
-        for (final SimulatedWorld.Begun b : w.begun) {
-            final SimulatedWorld.ClientRequest asked = w.asked.get(b.requestId());
-            if (asked != null && asked.kind.runOnce()) {
+        for (final SimulatedWorld.Begun b : w.executions) {
+            final SimulatedWorld.ClientRequest clientRequest = w.requests.get(b.requestId());
+            if (clientRequest != null && clientRequest.kind.runOnce()) {
                 runs.merge(b.requestId(), 1, Integer::sum);
             }
         }
@@ -85,16 +85,16 @@
 
     private void checkAnswers(final SimulatedWorld w) {
         final Map<String, List<Long>> begins = new HashMap<>();
-        for (final SimulatedWorld.Begun b : w.begun) {
+        for (final SimulatedWorld.Begun b : w.executions) {
             begins.computeIfAbsent(b.requestId(), i -> new ArrayList<>()).add(b.atMs());
         }
-        for (final SimulatedWorld.Told t : w.told) {
-            final SimulatedWorld.ClientRequest asked = w.asked.get(t.requestId());
+        for (final SimulatedWorld.Told t : w.responses) {
+            final SimulatedWorld.ClientRequest clientRequest = w.requests.get(t.requestId());
             if (t.ran() == spokestall.proxy.ExecutionStatus.NOT_RUN) {
                 boolean broken = false;
                 for (final long at : begins.getOrDefault(t.requestId(), List.of())) {
                     // The request may begin after the response if the client sent it again in between.
-                    final boolean later = asked.sentMs.stream().anyMatch(s -> s >= t.atMs() && s <= at);
+                    final boolean later = clientRequest.sentMs.stream().anyMatch(s -> s >= t.atMs() && s <= at);
                     broken |= !(at > t.atMs() && later);
                 }
                 check(
@@ -119,15 +119,15 @@
     }
 
     private void checkExecutions(final SimulatedWorld w) {
-        for (final SimulatedWorld.Begun b : w.begun) {
-            final SimulatedWorld.ClientRequest asked = w.asked.get(b.requestId());
-            final List<String> home = w.homeRegions(asked.kind.tenant());
+        for (final SimulatedWorld.Begun b : w.executions) {
+            final SimulatedWorld.ClientRequest clientRequest = w.requests.get(b.requestId());
+            final List<String> home = w.homeRegions(clientRequest.kind.tenant());
             check(
                     Rule.HOME,
                     home.contains(b.region()) && home.contains(b.edgeRegion()) ? 0 : 2,
-                    b.requestId() + " of " + asked.kind.tenant() + " in " + b.edgeRegion() + " and " + b.region());
+                    b.requestId() + " of " + clientRequest.kind.tenant() + " in " + b.edgeRegion() + " and " + b.region());
             for (final SimulatedWorld.Interval span : w.withdrawnKeys) {
-                if (span.subject().equals(asked.kind.key()) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
+                if (span.subject().equals(clientRequest.kind.key()) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
                     check(
                             Rule.KEY,
                             (b.atMs() - span.fromMs()) / (double) Rule.KEY.strictBoundMs,
@@ -159,7 +159,7 @@
     /** Checks that a warming upstream gets at most one and a half times its ramp in each second, plus the rule's slack. */
     private void checkWarmUps(final SimulatedWorld w) {
         final Map<String, Map<Long, Integer>> perSecond = new HashMap<>();
-        for (final SimulatedWorld.Begun b : w.begun) {
+        for (final SimulatedWorld.Begun b : w.executions) {
             if (b.ageMs() < SimulatedWorld.WARMUP_MS) {
                 perSecond
                         .computeIfAbsent(b.instance() + "@" + (b.atMs() - b.ageMs()), i -> new TreeMap<>())
@@ -207,7 +207,7 @@
         final Map<Long, String> holderOf = new HashMap<>();
         long newest = 0;
         final Map<Long, Long> firstOf = new TreeMap<>();
-        for (final Ledger.Reported r : w.reported) {
+        for (final Ledger.Reported r : w.reports) {
             final Map<String, Long> earlier = counts.putIfAbsent(r.window(), r.counts());
             check(
                     Rule.SAME_COUNTS,
@@ -232,9 +232,9 @@
             }
         }
         final Map<Long, Map<String, Long>> truth = new TreeMap<>();
-        w.begun.forEach(b -> truth.computeIfAbsent(
+        w.executions.forEach(b -> truth.computeIfAbsent(
                         (SimulatedWorld.EPOCH_MS + b.atMs()) / SimulatedWorld.WINDOW_MS, x -> new TreeMap<>())
-                .merge(w.asked.get(b.requestId()).kind.tenant(), 1L, Long::sum));
+                .merge(w.requests.get(b.requestId()).kind.tenant(), 1L, Long::sum));
         truth.forEach((window, real) -> {
             final long endMs = (window + 1) * SimulatedWorld.WINDOW_MS - SimulatedWorld.EPOCH_MS;
             if (endMs + Rule.IN_TIME.strictBoundMs > nowMs.getAsLong()) {
--- a/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
@@ -90,10 +90,10 @@
     /** Returns a line for each reported count that is too far from the upstreams' count. */
     private static List<String> mismatches(final SimulatedWorld world) {
         final Map<Long, Map<String, Long>> begun = new TreeMap<>();
-        world.begun.forEach(each -> begun.computeIfAbsent(window(each.atMs()), w -> new HashMap<>())
-                .merge(world.asked.get(each.requestId()).kind.tenant(), 1L, Long::sum));
+        world.executions.forEach(each -> begun.computeIfAbsent(window(each.atMs()), w -> new HashMap<>())
+                .merge(world.requests.get(each.requestId()).kind.tenant(), 1L, Long::sum));
         final Map<Long, Map<String, Long>> reported = new TreeMap<>();
-        for (final Ledger.Reported report : world.reported) {
+        for (final Ledger.Reported report : world.reports) {
             reported.putIfAbsent(report.window(), report.counts());
         }
         assertThat(reported.keySet()).as("reported windows").hasSizeGreaterThan(5);
--- a/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
@@ -105,7 +105,7 @@
     }
 
     private static int mostInASecond(final SimulatedWorld world, final SimulatedEnvironment.Upstream up) {
-        final List<Long> arrivalsMs = world.begun.stream()
+        final List<Long> arrivalsMs = world.executions.stream()
                 .filter(begun -> begun.instance().equals(up.instance) && begun.ageMs() < SimulatedWorld.WARMUP_MS)
                 .map(SimulatedWorld.Begun::atMs)
                 .toList();
