--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -122,7 +122,8 @@
     /** Returns the request body, which is the same for each retry. One body in 16 is longer than 20 kB, the others are small. */
     private static byte[] body(final String id) {
         final int extraSpaces = id.hashCode() % 16 == 0 ? 20_000 : 0;
-        return ("do " + id + " ".repeat(Math.floorMod(id.hashCode(), 200) + extraSpaces)).getBytes(StandardCharsets.UTF_8);
+        return ("do " + id + " ".repeat(Math.floorMod(id.hashCode(), 200) + extraSpaces))
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     private void retryLater(
@@ -144,9 +145,8 @@
             final int attempt,
             final long startedMs,
             final EdgeAssignment assignment) {
-        final String requestId = kind.runOnce()
-                ? runOnceIds.computeIfAbsent(id, i -> assignment.ticket + "." + i)
-                : id + "." + attempt;
+        final String requestId =
+                kind.runOnce() ? runOnceIds.computeIfAbsent(id, i -> assignment.ticket + "." + i) : id + "." + attempt;
         final SimulatedWorld.ClientRequest clientRequest =
                 world.requests.computeIfAbsent(requestId, i -> new SimulatedWorld.ClientRequest(requestId, kind));
         clientRequest.sentMs.add(world.sim.nowMs());
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -248,7 +248,10 @@
             final int turn = attemptCounts.merge(attempt.requestId(), 1, Integer::sum);
             final SimulatedWorld.ClientRequest clientRequest = world.requests.get(attempt.requestId());
             world.attempts.add(new SimulatedWorld.Gone(
-                    attempt.requestId(), attempt.service(), clientRequest.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
+                    attempt.requestId(),
+                    attempt.service(),
+                    clientRequest.kind.runOnce() ? 1 : turn,
+                    world.sim.nowMs()));
             final long oneWayMs = world.net.oneWayMs(node.address, attempt.address());
             final boolean[] finished = {false};
             final boolean[] sent = {false};
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -211,7 +211,8 @@
                         Math::max);
             }
         }
-        return "sizes atS=" + (world.sim.nowMs() - trafficStartMs) / 1000 + " " + most + " asks=" + world.requests.size()
+        return "sizes atS=" + (world.sim.nowMs() - trafficStartMs) / 1000 + " " + most + " asks="
+                + world.requests.size()
                 + " heapMiB="
                 + (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory() >> 20);
     }
--- a/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
@@ -105,7 +105,8 @@
                 judge.check(
                         rule,
                         (b.atMs() - span.fromMs()) / (double) rule.strictBoundMs,
-                        b.requestId() + " to " + subject + " " + (b.atMs() - span.fromMs()) + " ms after the withdrawal or drain");
+                        b.requestId() + " to " + subject + " " + (b.atMs() - span.fromMs())
+                                + " ms after the withdrawal or drain");
             }
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -125,9 +125,12 @@
             check(
                     Rule.HOME,
                     home.contains(b.region()) && home.contains(b.edgeRegion()) ? 0 : 2,
-                    b.requestId() + " of " + clientRequest.kind.tenant() + " in " + b.edgeRegion() + " and " + b.region());
+                    b.requestId() + " of " + clientRequest.kind.tenant() + " in " + b.edgeRegion() + " and "
+                            + b.region());
             for (final SimulatedWorld.Interval span : w.withdrawnKeys) {
-                if (span.subject().equals(clientRequest.kind.key()) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
+                if (span.subject().equals(clientRequest.kind.key())
+                        && b.atMs() > span.fromMs()
+                        && b.atMs() < span.untilMs()) {
                     check(
                             Rule.KEY,
                             (b.atMs() - span.fromMs()) / (double) Rule.KEY.strictBoundMs,
