--- a/test-support/src/test/java/spokestall/testsupport/KnownFailuresTest.java
+++ b/test-support/src/test/java/spokestall/testsupport/KnownFailuresTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aLineNamesClassSubjectCauseAndIssue() {
+    void aLineHasClassSubjectCauseAndIssue() {
         final KnownFailures known =
                 KnownFailures.parse(List.of(LINE, "", "SimulationTest KEY CUTS PADMA 5: x; issue 7"));
         assertThat(known.of("SomeTest", "fails")).contains(ENTRY);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aLineWithoutCauseOrIssueIsRefused() {
+    void aLineWithoutCauseOrIssueIsRejected() {
         for (final String line : List.of("SomeTest fails", "SomeTest fails: cause", "SomeTest: cause; issue 24")) {
             assertThatThrownBy(() -> KnownFailures.parse(List.of(line)))
                     .isInstanceOf(IllegalArgumentException.class)
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aFourthLineIsRefused() {
+    void moreThanTheMaximumNumberOfLinesIsRejected() {
         assertThat(KnownFailures.parse(Collections.nCopies(KnownFailures.MAX_ENTRIES, LINE))
                         .of("SomeTest"))
                 .hasSize(KnownFailures.MAX_ENTRIES);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aListedFailureIsPassedOverAndPrinted() {
+    void aListedFailureAbortsTheTestAndIsPrinted() {
         for (final Repetition repetition : Repetition.values()) {
             final List<String> printed = new ArrayList<>();
             assertThatThrownBy(() -> KnownFailureExtension.run(
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void anUnlistedFailureFails() {
+    void anUnlistedFailureFailsTheTest() {
         final AssertionError failure = new AssertionError("lost");
         assertThatThrownBy(() -> KnownFailureExtension.run(
                         failing(failure), Optional.empty(), Repetition.ONCE, KnownFailuresTest::mustNotPrint))
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aListedTestWithParametersMayPassForSome() throws Throwable {
+    void aListedParameterizedTestMayPassForSomeArguments() throws Throwable {
         KnownFailureExtension.run(
                 () -> null, Optional.of(ENTRY), Repetition.WITH_PARAMETERS, KnownFailuresTest::mustNotPrint);
     }
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -24,7 +24,7 @@
  */
 final class ChangeHistory {
     /** What a core comes back from. */
-    enum Return {
+    enum Failure {
         RESTART,
         POWER,
         WIPE,
@@ -33,26 +33,26 @@
     }
 
     /** How one core came back: from when it was reachable until it voted with the newest configuration, and what it was sent. */
-    record Back(Return from, long tookMs, long bytes, long startUs) {}
+    record Recovery(Failure failure, long tookMs, long receivedBytes, long startUs) {}
 
     /** What there was at so many changes: the most of any core, and how cores came back. */
-    record Row(
+    record Measurement(
             int changes,
             double logFill,
             int registers,
             long registerBytes,
             long configurationStoreBytes,
             long heapBytes,
-            List<Back> backs) {}
+            List<Recovery> recoveries) {}
 
-    private static final long TRY_MS = 1000;
-    private static final long PAUSE_MS = 100;
+    private static final long CALL_TIMEOUT_MS = 1000;
+    private static final long RETRY_DELAY_MS = 100;
     private static final long DOWN_MS = 1000;
     private static final long CUT_MS = 20_000;
-    private static final long FULL_MS = 5000;
-    private static final long STEP_MS = 10;
-    private static final long MOST_MS = 4L * 3_600_000;
-    private static final int ERROR_EVERY = 20;
+    private static final long DISK_FULL_MS = 5000;
+    private static final long RECOVERY_POLL_MS = 10;
+    private static final long MAX_RUN_MS = 4L * 3_600_000;
+    private static final int FAILURE_EVERY = 20;
     private static final int SMALL_ROUTES = 20;
     private static final int SEGMENT_BYTES = 2 << 20;
     private final SimulatedWorld world;
@@ -60,17 +60,17 @@
     private final ObjectNode small;
     private final ObjectNode large;
     private final int largeEvery;
-    private final ArrayDeque<Integer> marks;
-    private final List<Row> rows = new ArrayList<>();
-    private final List<Back> backs = new ArrayList<>();
-    private final List<String> lost = new ArrayList<>();
-    private final int last;
-    private int made;
+    private final ArrayDeque<Integer> measureAtCounts;
+    private final List<Measurement> measurements = new ArrayList<>();
+    private final List<Recovery> recoveries = new ArrayList<>();
+    private final List<String> lostVersions = new ArrayList<>();
+    private final int targetCount;
+    private int changesMade;
     private int calls;
-    private long acknowledged;
-    private boolean troubled;
-    private long longestMs;
-    private long acknowledgedMs;
+    private long acknowledgedVersion;
+    private boolean failureInProgress;
+    private long longestGapMs;
+    private long acknowledgedAtMs;
 
     /** Every so many changes a configuration with so many routes is put. */
     ChangeHistory(final long seed, final List<Integer> marks, final int largeEvery, final int largeRoutes) {
@@ -82,30 +82,30 @@
                 Scenario.CALM,
                 Map.of("ringSegmentBytes", Integer.toString(SEGMENT_BYTES)));
         this.random = world.sim.random("history");
-        this.marks = new ArrayDeque<>(marks);
-        this.last = marks.get(marks.size() - 1);
+        this.measureAtCounts = new ArrayDeque<>(marks);
+        this.targetCount = marks.get(marks.size() - 1);
         this.small = ConfigurationGrowth.configuration(SMALL_ROUTES);
         this.large = ConfigurationGrowth.configuration(largeRoutes);
         this.largeEvery = largeEvery;
     }
 
-    List<Row> rows() {
-        return rows;
+    List<Measurement> measurements() {
+        return measurements;
     }
 
     /** Every time that a core came back. */
-    List<Back> backs() {
-        return backs;
+    List<Recovery> recoveries() {
+        return recoveries;
     }
 
     /** Acknowledged versions that too few cores had, seen after each return. */
-    List<String> lost() {
-        return lost;
+    List<String> lostVersions() {
+        return lostVersions;
     }
 
     /** The longest time between two acknowledgements. */
-    long longestMs() {
-        return longestMs;
+    long longestGapMs() {
+        return longestGapMs;
     }
 
     /** Plays it; whether all changes were made. */
@@ -114,77 +114,79 @@
             world.sim.after(random.nextInt(1500), node::start);
         }
         world.sim.after(8000, () -> {
-            acknowledgedMs = world.sim.nowMs();
+            acknowledgedAtMs = world.sim.nowMs();
             change();
         });
-        while (!over() && world.sim.nowMs() < MOST_MS) {
+        while (!isFinished() && world.sim.nowMs() < MAX_RUN_MS) {
             world.sim.run(world.sim.nowMs() + 1000);
         }
-        return over();
+        return isFinished();
     }
 
-    private boolean over() {
-        return made >= last && marks.isEmpty() && !troubled;
+    private boolean isFinished() {
+        return changesMade >= targetCount && measureAtCounts.isEmpty() && !failureInProgress;
     }
 
     /** The next change, at any core that runs, again and again until it is acknowledged. */
     private void change() {
-        if (over()) {
+        if (isFinished()) {
             return;
         }
-        if (!marks.isEmpty() && made >= marks.peek() && !troubled) {
-            measure(marks.poll());
-        } else if (made % ERROR_EVERY == ERROR_EVERY - 1 && !troubled) {
-            error(Return.values()[random.nextInt(Return.values().length)], () -> {});
+        if (!measureAtCounts.isEmpty() && changesMade >= measureAtCounts.peek() && !failureInProgress) {
+            measure(measureAtCounts.poll());
+        } else if (changesMade % FAILURE_EVERY == FAILURE_EVERY - 1 && !failureInProgress) {
+            injectFailure(Failure.values()[random.nextInt(Failure.values().length)], () -> {});
         }
         final SimulatedNode core = world.any(world.cores(), random);
         if (!core.running()) {
-            world.sim.after(PAUSE_MS, this::change);
+            world.sim.after(RETRY_DELAY_MS, this::change);
             return;
         }
         final int call = ++calls;
-        final boolean whole = made % largeEvery == 0 || made % largeEvery == largeEvery / 2;
+        final boolean whole = changesMade % largeEvery == 0 || changesMade % largeEvery == largeEvery / 2;
         final ObjectNode params = ConfigurationStore.JSON.createObjectNode();
         params.put("base", core.node().configurationStore().configuration().version())
-                .put("changeId", "change-" + made);
+                .put("changeId", "change-" + changesMade);
         if (whole) {
-            params.set("policy", made % largeEvery == 0 ? large : small);
+            params.set("policy", changesMade % largeEvery == 0 ? large : small);
         } else {
             params.set("patch", patch());
         }
-        world.sim.after(TRY_MS, () -> again(call));
-        world.call(core, whole ? "policy.put" : "policy.patch", params, reply -> told(call, reply));
+        world.sim.after(CALL_TIMEOUT_MS, () -> retryIfUnanswered(call));
+        world.call(core, whole ? "policy.put" : "policy.patch", params, reply -> onReply(call, reply));
     }
 
     private ObjectNode patch() {
-        return Deployment.routePatch("new" + made % SMALL_ROUTES, "/new/" + made, world.deployment.big);
+        return Deployment.routePatch(
+                "new" + changesMade % SMALL_ROUTES, "/new/" + changesMade, world.deployment.largeService);
     }
 
-    private void again(final int call) {
+    private void retryIfUnanswered(final int call) {
         if (call == calls) {
             calls++;
             change();
         }
     }
 
-    private void told(final int call, final Reply reply) {
+    private void onReply(final int call, final Reply reply) {
         if (call != calls) {
             return;
         }
         calls++;
         if (reply.result() != ResultCode.OK) {
-            world.sim.after(PAUSE_MS, this::change);
+            world.sim.after(RETRY_DELAY_MS, this::change);
             return;
         }
-        made++;
-        acknowledged = Math.max(acknowledged, reply.fields().path("version").asLong());
-        longestMs = Math.max(longestMs, world.sim.nowMs() - acknowledgedMs);
-        acknowledgedMs = world.sim.nowMs();
+        changesMade++;
+        acknowledgedVersion =
+                Math.max(acknowledgedVersion, reply.fields().path("version").asLong());
+        longestGapMs = Math.max(longestGapMs, world.sim.nowMs() - acknowledgedAtMs);
+        acknowledgedAtMs = world.sim.nowMs();
         change();
     }
 
     private void measure(final int changes) {
-        final List<Back> mine = new ArrayList<>();
+        final List<Recovery> recoveriesHere = new ArrayList<>();
         double fill = 0;
         int registers = 0;
         long registerBytes = 0;
@@ -194,7 +196,8 @@
                 fill = Math.max(fill, core.node().logFill());
                 registers =
                         Math.max(registers, core.node().acceptor().registers().size());
-                registerBytes = Math.max(registerBytes, bytes(core.node().acceptor()));
+                registerBytes =
+                        Math.max(registerBytes, registerBytes(core.node().acceptor()));
                 configurationStoreBytes = Math.max(
                         configurationStoreBytes,
                         core.node().configurationStore().retainedAfter(0).values().stream()
@@ -202,8 +205,9 @@
                                 .sum());
             }
         }
-        rows.add(new Row(changes, fill, registers, registerBytes, configurationStoreBytes, heapBytes(), mine));
-        next(mine, new ArrayDeque<>(List.of(Return.values())));
+        measurements.add(new Measurement(
+                changes, fill, registers, registerBytes, configurationStoreBytes, heapBytes(), recoveriesHere));
+        runFailures(recoveriesHere, new ArrayDeque<>(List.of(Failure.values())));
     }
 
     /** A node's part of the memory in use, its disk left out. */
@@ -217,95 +221,98 @@
         return (used - disks) / world.nodes.size();
     }
 
-    private void next(final List<Back> mine, final ArrayDeque<Return> left) {
-        if (!left.isEmpty()) {
-            error(left.poll(), () -> {
-                mine.add(backs.get(backs.size() - 1));
-                next(mine, left);
+    private void runFailures(final List<Recovery> collected, final ArrayDeque<Failure> remaining) {
+        if (!remaining.isEmpty()) {
+            injectFailure(remaining.poll(), () -> {
+                collected.add(recoveries.get(recoveries.size() - 1));
+                runFailures(collected, remaining);
             });
         }
     }
 
-    private static long bytes(final Acceptor acceptor) {
+    private static long registerBytes(final Acceptor acceptor) {
         return acceptor.registers().values().stream()
                 .map(Register::value)
                 .mapToLong(v -> v == null ? 0 : v.length)
                 .sum();
     }
 
-    private void error(final Return from, final Runnable then) {
-        troubled = true;
+    private void injectFailure(final Failure failure, final Runnable then) {
+        failureInProgress = true;
         final SimulatedNode core = world.any(world.cores(), random);
-        if (from == Return.CUT) {
-            final List<SimulatedNode> rest = new ArrayList<>(world.nodes.values());
-            rest.remove(core);
-            world.part(List.of(core), rest, true);
+        if (failure == Failure.CUT) {
+            final List<SimulatedNode> others = new ArrayList<>(world.nodes.values());
+            others.remove(core);
+            world.part(List.of(core), others, true);
             world.sim.after(CUT_MS, () -> {
-                world.part(List.of(core), rest, false);
-                back(core, from, 0, then);
+                world.part(List.of(core), others, false);
+                awaitRecovery(core, failure, 0, then);
             });
             return;
         }
-        if (from == Return.FULL_DISK) {
+        if (failure == Failure.FULL_DISK) {
             core.disk.fill(true);
-            world.sim.after(FULL_MS, () -> {
+            world.sim.after(DISK_FULL_MS, () -> {
                 core.disk.fill(false);
-                back(core, from, 0, then);
+                awaitRecovery(core, failure, 0, then);
             });
             return;
         }
-        if (from == Return.RESTART) {
+        if (failure == Failure.RESTART) {
             core.kill();
         } else {
             core.losePower();
         }
-        if (from == Return.WIPE) {
+        if (failure == Failure.WIPE) {
             core.disk.wipe();
         }
         world.sim.after(DOWN_MS, () -> {
             final long fromNs = System.nanoTime();
             core.start();
-            back(core, from, (System.nanoTime() - fromNs) / 1000, then);
+            awaitRecovery(core, failure, (System.nanoTime() - fromNs) / 1000, then);
         });
     }
 
     /** Waits until the core votes and has a proof that what it has is newest. */
-    private void back(final SimulatedNode core, final Return from, final long startUs, final Runnable then) {
+    private void awaitRecovery(
+            final SimulatedNode core, final Failure failure, final long startUs, final Runnable then) {
         final long fromMs = world.sim.nowMs();
         final long fromBytes = world.traffic.sentTo(core.name);
         final long provedBefore = core.node().feedClient().lease().expiresMs();
-        whenBack(core, provedBefore, () -> {
-            backs.add(new Back(from, world.sim.nowMs() - fromMs, world.traffic.sentTo(core.name) - fromBytes, startUs));
-            look();
-            troubled = false;
+        whenRecovered(core, provedBefore, () -> {
+            recoveries.add(new Recovery(
+                    failure, world.sim.nowMs() - fromMs, world.traffic.sentTo(core.name) - fromBytes, startUs));
+            checkAcknowledgedVersion();
+            failureInProgress = false;
             then.run();
         });
     }
 
-    private void whenBack(final SimulatedNode core, final long provedBefore, final Runnable then) {
+    private void whenRecovered(final SimulatedNode core, final long provedBefore, final Runnable then) {
         final boolean voting = core.running() && core.node().acceptor().state() == Acceptor.State.VOTING;
         if (voting
                 && core.node().feedClient().isFresh()
                 && core.node().feedClient().lease().expiresMs() > provedBefore
-                && core.node().configurationStore().configuration().version() + 1 >= acknowledged) {
+                && core.node().configurationStore().configuration().version() + 1 >= acknowledgedVersion) {
             then.run();
         } else {
-            world.sim.after(STEP_MS, () -> whenBack(core, provedBefore, then));
+            world.sim.after(RECOVERY_POLL_MS, () -> whenRecovered(core, provedBefore, then));
         }
     }
 
     /** What was acknowledged is with a majority of the voters, as a register or below the floor of a kept snapshot. */
-    private void look() {
-        long having = 0;
+    private void checkAcknowledgedVersion() {
+        long coresWithVersion = 0;
         for (final SimulatedNode core : world.cores()) {
             final Acceptor acceptor = core.running() ? core.node().acceptor() : null;
             if (acceptor != null && acceptor.state() == Acceptor.State.VOTING) {
-                final Register r = acceptor.registers().get(ConfigurationKeys.keyOf(acknowledged));
-                having += acceptor.versionFloor() >= acknowledged || r != null && r.value() != null ? 1 : 0;
+                final Register r = acceptor.registers().get(ConfigurationKeys.keyOf(acknowledgedVersion));
+                coresWithVersion +=
+                        acceptor.versionFloor() >= acknowledgedVersion || r != null && r.value() != null ? 1 : 0;
             }
         }
-        if (having < world.cores().size() / 2 + 1) {
-            lost.add("version " + acknowledged + " is with " + having);
+        if (coresWithVersion < world.cores().size() / 2 + 1) {
+            lostVersions.add("version " + acknowledgedVersion + " is with " + coresWithVersion);
         }
     }
 
@@ -317,8 +324,8 @@
                 "| changes | ring fill | registers | their KiB | changes kept KiB | heap KiB | back | ms | KiB sent to it"
                         + " | made in us |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (final Row row : history.rows) {
-            for (final Back back : row.backs) {
+        for (final Measurement row : history.measurements) {
+            for (final Recovery back : row.recoveries) {
                 System.out.printf(
                         "| %d | %.3f | %d | %d | %d | %d | %s | %d | %d | %d |%n",
                         row.changes,
@@ -327,16 +334,16 @@
                         row.registerBytes >> 10,
                         row.configurationStoreBytes >> 10,
                         row.heapBytes >> 10,
-                        back.from,
+                        back.failure,
                         back.tookMs,
-                        back.bytes >> 10,
+                        back.receivedBytes >> 10,
                         back.startUs);
             }
         }
-        for (final Return from : Return.values()) {
-            final List<Long> took = history.backs.stream()
-                    .filter(b -> b.from == from)
-                    .map(Back::tookMs)
+        for (final Failure from : Failure.values()) {
+            final List<Long> took = history.recoveries.stream()
+                    .filter(b -> b.failure == from)
+                    .map(Recovery::tookMs)
                     .sorted()
                     .toList();
             if (!took.isEmpty()) {
@@ -348,11 +355,11 @@
         System.out.printf(
                 "whole=%s changes=%d lost=%s longestMs=%d virtualS=%d wallS=%d%n",
                 whole,
-                history.made,
-                history.lost,
-                history.longestMs,
+                history.changesMade,
+                history.lostVersions,
+                history.longestGapMs,
                 history.world.sim.nowMs() / 1000,
                 (System.nanoTime() - fromNs) / 1_000_000_000L);
-        return whole && history.lost.isEmpty() ? 0 : 1;
+        return whole && history.lostVersions.isEmpty() ? 0 : 1;
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
+++ b/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
@@ -14,7 +14,7 @@
 
 /** What one more route costs a core and the feed, against how many there are. */
 final class ConfigurationGrowth {
-    private static final int TURNS = 41;
+    private static final int SAMPLES = 41;
 
     private ConfigurationGrowth() {}
 
@@ -33,9 +33,9 @@
                             ConfigurationChange.Kind.PUT,
                             configuration(routes).toString().getBytes(StandardCharsets.UTF_8),
                             0));
-            final long[] us = new long[TURNS];
+            final long[] us = new long[SAMPLES];
             int bytes = 0;
-            for (int i = 0; i < TURNS; i++) {
+            for (int i = 0; i < SAMPLES; i++) {
                 final ConfigurationChange one = patch(i);
                 final long fromNs = System.nanoTime();
                 final JsonNode after = configurationStore.preview(one);
@@ -48,7 +48,7 @@
                 bytes = MessageCodec.encodeRecord(one).length;
             }
             Arrays.sort(us);
-            final double cost = us[TURNS / 2];
+            final double cost = us[SAMPLES / 2];
             first = first == 0 || routes == 100 ? cost : first;
             System.out.printf(
                     "bindings=%d acceptAndApplyUs=%.0f overHundred=%.1f feedBytes=%d snapshotBytes=%d heapKiB=%d%n",
@@ -57,7 +57,7 @@
                     cost / first,
                     bytes,
                     MessageCodec.encodeRecord(configurationStore.snapshot()).length,
-                    heap(() -> {
+                    heapKiBPerStore(() -> {
                         final ConfigurationStore other = new ConfigurationStore(1024);
                         other.load(configurationStore.snapshot());
                         return other;
@@ -66,7 +66,7 @@
         return 0;
     }
 
-    private static long heap(final Supplier<ConfigurationStore> make) {
+    private static long heapKiBPerStore(final Supplier<ConfigurationStore> make) {
         final ConfigurationStore[] kept = new ConfigurationStore[8];
         System.gc();
         final long before =
@@ -86,7 +86,7 @@
             routes(configuration, i % Deployment.TENANTS)
                     .putObject("more" + i)
                     .put("path", "/more/" + i)
-                    .put("service", Deployment.PADMA.big);
+                    .put("service", Deployment.PADMA.largeService);
         }
         return configuration;
     }
@@ -97,7 +97,7 @@
     }
 
     private static ConfigurationChange patch(final int i) {
-        final ObjectNode patch = Deployment.routePatch("new" + i, "/new/" + i, Deployment.PADMA.big);
+        final ObjectNode patch = Deployment.routePatch("new" + i, "/new/" + i, Deployment.PADMA.largeService);
         return new ConfigurationChange(
                 "new" + i, ConfigurationChange.Kind.PATCH, patch.toString().getBytes(StandardCharsets.UTF_8), 0);
     }
--- a/testbed/src/main/java/spokestall/testbed/Deployment.java
+++ b/testbed/src/main/java/spokestall/testbed/Deployment.java
@@ -15,16 +15,16 @@
 
     public static final int TENANTS = 8;
     static final int UPSTREAMS = 36;
-    public static final int DISTRICTS = 6;
+    public static final int ZONES = 6;
     static final int REGIONS = 3;
     private static final ObjectMapper JSON = new ObjectMapper();
-    public final String big;
-    public final String small;
-    public final long apartMs;
+    public final String largeService;
+    public final String smallService;
+    public final long interRegionRttMs;
     public final int rate;
-    private final String once;
-    private final String look;
-    private final String other;
+    private final String runOncePath;
+    private final String readPath;
+    private final String smallServicePath;
 
     Deployment(
             final String big,
@@ -34,32 +34,32 @@
             final String once,
             final String look,
             final String other) {
-        this.big = big;
-        this.small = small;
-        this.apartMs = apartMs;
+        this.largeService = big;
+        this.smallService = small;
+        this.interRegionRttMs = apartMs;
         this.rate = rate;
-        this.once = once;
-        this.look = look;
-        this.other = other;
+        this.runOncePath = once;
+        this.readPath = look;
+        this.smallServicePath = other;
     }
 
     /** One upstream's place. */
     public record Place(String instance, String service, String zone, String region) {}
 
     /** One kind of ask that clients make. */
-    public record Kind(String tenant, String key, String path, boolean runOnce, int weight) {}
+    public record RequestKind(String tenant, String key, String path, boolean runOnce, int weight) {}
 
     public static String zone(final int i) {
-        return "d" + (i % DISTRICTS + 1);
+        return "d" + (i % ZONES + 1);
     }
 
     public static String region(final int i) {
-        return "r" + (i % DISTRICTS / 2 + 1);
+        return "r" + (i % ZONES / 2 + 1);
     }
 
-    public static String zones() {
+    public static String zoneSetting() {
         final List<String> all = new ArrayList<>();
-        for (int i = 0; i < DISTRICTS; i++) {
+        for (int i = 0; i < ZONES; i++) {
             all.add(zone(i) + "=" + region(i));
         }
         return String.join(",", all);
@@ -68,7 +68,7 @@
     public List<Place> upstreams() {
         final List<Place> all = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
-            final String service = i < UPSTREAMS * 2 / 3 ? big : small;
+            final String service = i < UPSTREAMS * 2 / 3 ? largeService : smallService;
             all.add(new Place(service + "-" + i, service, zone(i), region(i)));
         }
         return all;
@@ -87,18 +87,18 @@
     }
 
     /** Tenants 0 and 1 are large; 6 is at home in one region only, 7 in two. */
-    public List<Kind> kinds() {
-        final List<Kind> all = new ArrayList<>();
+    public List<RequestKind> requestKinds() {
+        final List<RequestKind> all = new ArrayList<>();
         for (int i = 0; i < TENANTS; i++) {
             final int weight = i < 2 ? 6 : 1;
-            all.add(new Kind(tenant(i), key(i), once, true, 2 * weight));
-            all.add(new Kind(tenant(i), key(i), look, false, 5 * weight));
-            all.add(new Kind(tenant(i), key(i), other, false, 3 * weight));
+            all.add(new RequestKind(tenant(i), key(i), runOncePath, true, 2 * weight));
+            all.add(new RequestKind(tenant(i), key(i), readPath, false, 5 * weight));
+            all.add(new RequestKind(tenant(i), key(i), smallServicePath, false, 3 * weight));
         }
         return all;
     }
 
-    public static List<String> home(final int tenant) {
+    public static List<String> homeRegions(final int tenant) {
         return tenant == 6 ? List.of("r1") : tenant == 7 ? List.of("r2", "r3") : List.of("r1", "r2", "r3");
     }
 
@@ -116,9 +116,9 @@
         return patch;
     }
 
-    public ArrayNode plan() {
+    public ArrayNode loadPlan() {
         final ArrayNode list = JSON.createArrayNode();
-        for (final Kind k : kinds()) {
+        for (final RequestKind k : requestKinds()) {
             list.addObject()
                     .put("key", k.key)
                     .put("path", k.path)
@@ -137,19 +137,22 @@
                     cell.has("tenants") ? (ObjectNode) cell.get("tenants") : cell.putObject("tenants");
             final ObjectNode t = tenants.putObject(tenant(i));
             final ArrayNode home = t.putArray("homeRegions");
-            home(i).forEach(home::add);
+            homeRegions(i).forEach(home::add);
             t.putObject("keys").putObject("main").put("sha256", KeyHash.of(key(i)));
             final ObjectNode routes = t.putObject("bindings");
-            routes.putObject("once").put("path", once).put("service", big).put("runOnce", true);
-            routes.putObject("look").put("path", look).put("service", big);
-            routes.putObject("other").put("path", other).put("service", small);
+            routes.putObject("once")
+                    .put("path", runOncePath)
+                    .put("service", largeService)
+                    .put("runOnce", true);
+            routes.putObject("look").put("path", readPath).put("service", largeService);
+            routes.putObject("other").put("path", smallServicePath).put("service", smallService);
         }
         final ObjectNode services = configuration.putObject("services");
-        services.putObject(big)
+        services.putObject(largeService)
                 .put("warmPerS", SimulatedWorld.WARM_PER_S)
                 .put("warmupMs", 10_000)
                 .put("goMs", 2000);
-        services.putObject(small)
+        services.putObject(smallService)
                 .put("warmPerS", SimulatedWorld.WARM_PER_S)
                 .put("warmupMs", 10_000)
                 .put("goMs", 2000);
--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -118,7 +118,7 @@
     }
 
     /** Reads flags; the exit code if that is all there is to do, else null. */
-    private static Integer read(final Object flags, final String[] args, final Runnable more) {
+    private static Integer parseFlags(final Object flags, final String[] args, final Runnable more) {
         final CmdLineParser parser = new CmdLineParser(flags);
         try {
             parser.parseArgument(args);
@@ -139,7 +139,7 @@
         return 0;
     }
 
-    private static <E extends Enum<E>> E named(final Class<E> type, final String name) {
+    private static <E extends Enum<E>> E parseConstant(final Class<E> type, final String name) {
         try {
             return Enum.valueOf(type, name.toUpperCase(Locale.ROOT));
         } catch (final IllegalArgumentException e) {
@@ -150,19 +150,19 @@
 
     private static int fleet(final String[] args) throws Exception {
         final FleetFlags flags = new FleetFlags();
-        final Integer done = read(flags, args, () -> named(Deployment.class, flags.deployment));
+        final Integer done = parseFlags(flags, args, () -> parseConstant(Deployment.class, flags.deployment));
         if (done != null) {
             return done;
         }
-        final Deployment deployment = named(Deployment.class, flags.deployment);
+        final Deployment deployment = parseConstant(Deployment.class, flags.deployment);
         try (Fleet fleet = new Fleet(
                 deployment,
                 flags.folder.resolve(flags.deployment + "-" + System.currentTimeMillis()),
-                Deployment.DISTRICTS,
-                flags.distant ? deployment.apartMs / 2 : 0)) {
+                Deployment.ZONES,
+                flags.distant ? deployment.interRegionRttMs / 2 : 0)) {
             fleet.start();
             final long version = fleet.putConfiguration();
-            fleet.ready(version);
+            fleet.awaitReady(version);
             System.out.println("fleet=up folder=" + fleet.folder() + " nodes="
                     + fleet.members().size() + " version=" + version);
             if (flags.keep) {
@@ -172,7 +172,7 @@
                 Runtime.getRuntime().addShutdownHook(new Thread(fleet::close));
                 new java.util.concurrent.CountDownLatch(1).await();
             }
-            final int verdict = fleet.demand(flags.seconds, 0.99).waitFor();
+            final int verdict = fleet.startLoadGenerator(flags.seconds, 0.99).waitFor();
             System.out.println("upstreams_began=" + fleet.ledger().began().size() + " reports="
                     + fleet.ledger().reported().size());
             final boolean clean = fleet.stopAll();
@@ -185,24 +185,24 @@
     private static int faults(final String[] args) throws Exception {
         final FleetFlags flags = new FleetFlags();
         final List<ProcessFault> faults = new ArrayList<>();
-        final Integer done = read(flags, args, () -> {
-            named(Deployment.class, flags.deployment);
+        final Integer done = parseFlags(flags, args, () -> {
+            parseConstant(Deployment.class, flags.deployment);
             faults.addAll(
                     flags.fault.equals("all")
                             ? List.of(ProcessFault.values())
-                            : List.of(named(ProcessFault.class, flags.fault)));
+                            : List.of(parseConstant(ProcessFault.class, flags.fault)));
         });
         if (done != null) {
             return done;
         }
-        final Deployment deployment = named(Deployment.class, flags.deployment);
+        final Deployment deployment = parseConstant(Deployment.class, flags.deployment);
         int bad = 0;
         final Map<Rule, Long> checks = new EnumMap<>(Rule.class);
         final Map<Rule, Long> violations = new EnumMap<>(Rule.class);
         final Map<Rule, Double> worst = new EnumMap<>(Rule.class);
         for (int i = 0; i < flags.repeat * faults.size(); i++) {
             final ProcessFault fault = faults.get(i % faults.size());
-            bad += one(flags, deployment, fault, checks, violations, worst) ? 0 : 1;
+            bad += runFault(flags, deployment, fault, checks, violations, worst) ? 0 : 1;
         }
         for (final Rule rule : Rule.values()) {
             final long n = checks.getOrDefault(rule, 0L);
@@ -221,19 +221,19 @@
     /** Seeded series of signals, restarts and changes that overlap. */
     private static int soak(final String[] args) throws Exception {
         final SoakFlags flags = new SoakFlags();
-        final Integer ended = read(flags, args, flags::nodeSettings);
+        final Integer ended = parseFlags(flags, args, flags::nodeSettings);
         return ended != null ? ended : SoakRun.run(flags);
     }
 
     /** An older build replaced by this one, node by node. */
     private static int upgrade(final String[] args) throws Exception {
         final RollingUpgrade.Flags flags = new RollingUpgrade.Flags();
-        final Integer done = read(flags, args, () -> {});
+        final Integer done = parseFlags(flags, args, () -> {});
         return done != null ? done : RollingUpgrade.run(flags);
     }
 
     /** One fault on a fleet of its own; whether all came out as it must. */
-    private static boolean one(
+    private static boolean runFault(
             final FleetFlags flags,
             final Deployment deployment,
             final ProcessFault fault,
@@ -244,19 +244,19 @@
         try (Fleet fleet = new Fleet(
                 deployment,
                 flags.folder.resolve("fault-" + fault + "-" + System.currentTimeMillis()),
-                Deployment.DISTRICTS,
-                flags.distant ? deployment.apartMs / 2 : 0)) {
-            fleet.hooked();
-            fault.before(fleet);
+                Deployment.ZONES,
+                flags.distant ? deployment.interRegionRttMs / 2 : 0)) {
+            fleet.faultHooksEnabled();
+            fault.prepare(fleet);
             fleet.start();
-            fleet.ready(fleet.putConfiguration());
+            fleet.awaitReady(fleet.putConfiguration());
             final FleetJudge judge = new FleetJudge(fleet);
-            final Process demand = fleet.demand(flags.seconds, fault.least());
-            Fleet.until("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
-            fault.bring(fleet, judge);
+            final Process demand = fleet.startLoadGenerator(flags.seconds, fault.minServedRatio());
+            Fleet.waitUntil("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
+            fault.inject(fleet, judge);
             final int verdict = demand.waitFor();
             for (final FleetMember m : fleet.members().values()) {
-                fleet.freshAgain(m);
+                fleet.awaitFresh(m);
             }
             judge.end();
             final boolean clean = fleet.stopAll();
@@ -270,7 +270,8 @@
                 }
             });
             System.out.println("fault=" + fault + " deployment=" + deployment + " demand="
-                    + (verdict == 0 ? "good" : "bad") + " least=" + fault.least() + " broken=" + broken + " stopped="
+                    + (verdict == 0 ? "good" : "bad") + " least=" + fault.minServedRatio() + " broken=" + broken
+                    + " stopped="
                     + (clean ? "clean" : "unclean"));
             return verdict == 0 && broken.isEmpty() && clean;
         } catch (final IllegalStateException e) {
@@ -299,7 +300,7 @@
 
     public static int scale(final String[] args) throws Exception {
         final ScaleFlags flags = new ScaleFlags();
-        final Integer done = read(flags, args, flags::check);
+        final Integer done = parseFlags(flags, args, flags::check);
         if (done != null) {
             return done;
         }
@@ -312,13 +313,15 @@
         final List<Scenario> scenarios = new ArrayList<>();
         final List<Deployment> deployments = new ArrayList<>();
         final long[] seeds = new long[2];
-        final Integer done = read(flags, args, () -> {
+        final Integer done = parseFlags(flags, args, () -> {
             scenarios.addAll(
-                    flags.scenario.equals("all") ? Scenario.sweep() : List.of(named(Scenario.class, flags.scenario)));
+                    flags.scenario.equals("all")
+                            ? Scenario.sweep()
+                            : List.of(parseConstant(Scenario.class, flags.scenario)));
             deployments.addAll(
                     flags.deployment.equals("both")
                             ? List.of(Deployment.values())
-                            : List.of(named(Deployment.class, flags.deployment)));
+                            : List.of(parseConstant(Deployment.class, flags.deployment)));
             if (!flags.seeds.matches("\\d{1,15}-\\d{1,15}")) {
                 throw new IllegalArgumentException("--seeds: needs from-until, not " + flags.seeds);
             }
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -22,50 +22,51 @@
 public enum ProcessFault {
     KILL {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final String name : List.of("d2-core", "d5-edge", "d2-edge")) {
-                down(fleet, List.of(name), 3000);
+                killAndRestart(fleet, List.of(name), 3000);
             }
         }
     },
     HOLDER {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 2; i++) {
-                down(fleet, List.of(fleet.holder().name), 5000);
+                killAndRestart(fleet, List.of(fleet.dutyHolder().name), 5000);
                 Fleet.pause(3000);
             }
         }
     },
     DISTRICT_KILL {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            down(fleet, fleet.names(m -> m.name.startsWith("d4-")), 6000);
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            killAndRestart(fleet, fleet.memberNames(m -> m.name.startsWith("d4-")), 6000);
         }
     },
     REGION_KILL {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            down(fleet, fleet.names(m -> m.name.startsWith("d5-") || m.name.startsWith("d6-")), 9000);
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            killAndRestart(fleet, fleet.memberNames(m -> m.name.startsWith("d5-") || m.name.startsWith("d6-")), 9000);
         }
     },
     RESTART_ALL {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             final long fromMs = System.currentTimeMillis();
-            down(fleet, fleet.names(m -> true), 0);
+            killAndRestart(fleet, fleet.memberNames(m -> true), 0);
             judge.unable(fromMs, System.currentTimeMillis() + START_MS, false);
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             return 0.6;
         }
     },
     FREEZE {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            for (final FleetMember m : List.of(fleet.holder(), fleet.members().get("d3-edge"))) {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            for (final FleetMember m :
+                    List.of(fleet.dutyHolder(), fleet.members().get("d3-edge"))) {
                 m.signal("STOP");
                 Fleet.pause(6000);
                 m.signal("CONT");
@@ -74,60 +75,62 @@
     },
     FREEZE_AT_SEND {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            final FleetMember holder = fleet.holder();
-            Files.createFile(holder.hooks.resolve("gap"));
-            Fleet.until(
-                    "another holds the duty", 20_000, () -> !fleet.holder().name.equals(holder.name));
-            Files.delete(holder.hooks.resolve("gap"));
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            final FleetMember holder = fleet.dutyHolder();
+            Files.createFile(holder.faultHooks.resolve("gap"));
+            Fleet.waitUntil(
+                    "another holds the duty",
+                    20_000,
+                    () -> !fleet.dutyHolder().name.equals(holder.name));
+            Files.delete(holder.faultHooks.resolve("gap"));
         }
     },
     TURN {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final FleetMember m : fleet.members().values()) {
                 m.process.destroy();
                 m.process.waitFor();
                 fleet.start(m);
-                fleet.freshAgain(m);
+                fleet.awaitFresh(m);
             }
         }
     },
     UPGRADE {
         @Override
-        public void before(final Fleet fleet) throws IOException {
-            fleet.set("noteVersion", MessageCodec.OLDEST_VERSION);
+        public void prepare(final Fleet fleet) throws IOException {
+            fleet.changeSetting("noteVersion", MessageCodec.OLDEST_VERSION);
         }
 
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            fleet.set("noteVersion", MessageCodec.CURRENT_VERSION);
-            TURN.bring(fleet, judge);
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            fleet.changeSetting("noteVersion", MessageCodec.CURRENT_VERSION);
+            TURN.inject(fleet, judge);
         }
     },
     WIPE {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            wipe(fleet, List.of("d4-core"));
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            wipeAndRestart(fleet, List.of("d4-core"));
         }
     },
     WIPE_FOUR {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             final long fromMs = System.currentTimeMillis();
-            wipe(fleet, List.of("d1-core", "d2-core", "d3-core", "d6-core"));
+            wipeAndRestart(fleet, List.of("d1-core", "d2-core", "d3-core", "d6-core"));
             judge.unable(fromMs, System.currentTimeMillis() + START_MS, true);
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             return 0.5;
         }
     },
     DISK_STALLS {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            final Path stall = fleet.holder().hooks.resolve("stall");
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            final Path stall = fleet.dutyHolder().faultHooks.resolve("stall");
             Files.createFile(stall);
             Fleet.pause(8000);
             Files.delete(stall);
@@ -135,11 +138,11 @@
     },
     DISK_FULL {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             final FleetMember core = fleet.members().get("d2-core");
-            final Path full = core.hooks.resolve("full");
+            final Path full = core.faultHooks.resolve("full");
             Files.createFile(full);
-            Fleet.until(
+            Fleet.waitUntil(
                     "its voter has stopped",
                     20_000,
                     () -> fleet.status(core).path("voter").asText().equals("STOPPED"));
@@ -153,58 +156,58 @@
     },
     CUT {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final String name : List.of("d1-core", "d4-edge")) {
-                split(fleet, List.of(name), 5000);
+                partitionFor(fleet, List.of(name), 5000);
             }
         }
     },
     CUT_ONE_WAY {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Nothing leaves the holder, then nothing leaves an edge; both still hear all.
-            for (final String name : List.of(fleet.holder().name, "d4-edge")) {
-                fleet.names(m -> true).forEach(o -> fleet.links().cut(name, o, true));
+            for (final String name : List.of(fleet.dutyHolder().name, "d4-edge")) {
+                fleet.memberNames(m -> true).forEach(o -> fleet.links().setCut(name, o, true));
                 Fleet.pause(5000);
-                fleet.names(m -> true).forEach(o -> fleet.links().cut(name, o, false));
+                fleet.memberNames(m -> true).forEach(o -> fleet.links().setCut(name, o, false));
             }
         }
     },
     SPLIT_33 {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             final long fromMs = System.currentTimeMillis();
-            split(fleet, fleet.names(m -> m.name.compareTo("d4") < 0), 6000);
+            partitionFor(fleet, fleet.memberNames(m -> m.name.compareTo("d4") < 0), 6000);
             judge.unable(fromMs, System.currentTimeMillis(), false);
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             return 0.6;
         }
     },
     SPLIT_42 {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            split(fleet, fleet.names(m -> m.name.compareTo("d3") < 0), 6000);
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            partitionFor(fleet, fleet.memberNames(m -> m.name.compareTo("d3") < 0), 6000);
         }
     },
     SPLIT_51 {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            split(fleet, List.of(fleet.holder().name), 6000);
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            partitionFor(fleet, List.of(fleet.dutyHolder().name), 6000);
         }
     },
     LOSSY {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            fleet.links().lossy(0.05, 10);
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            fleet.links().setLoss(0.05, 10);
             Fleet.pause(10_000);
-            fleet.links().lossy(0, -10);
+            fleet.links().setLoss(0, -10);
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             // A piece in twenty holds its wire up by 0.2 to 0.6 s: counts that are not with a majority in time bar
             // asks.
             return 0.8;
@@ -212,52 +215,52 @@
     },
     OPERATORS {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 6; i++) {
-                race(fleet, judge, i);
+                raceOperators(fleet, judge, i);
             }
         }
     },
     WITHDRAW_CUT {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             final List<String> lone = List.of("d3-edge");
-            fleet.links().part(lone, fleet.names(m -> !lone.contains(m.name)), true);
+            fleet.links().setPartitioned(lone, fleet.memberNames(m -> !lone.contains(m.name)), true);
             final ObjectNode key = JSON.createObjectNode()
                     .put("cell", Deployment.cell(1))
                     .put("tenant", Deployment.tenant(1))
                     .put("keyId", "main")
                     .put("changeId", "gone");
-            accepted(fleet, fleet.anyCore(), "key.withdraw", key);
+            callUntilAccepted(fleet, fleet.anyCore(), "key.withdraw", key);
             final long fromMs = System.currentTimeMillis();
             Fleet.pause(8000);
             judge.withdrawn(Deployment.tenant(1), fromMs, System.currentTimeMillis());
             judge.judge().check(Rule.KEY, 0, "withdrawn");
             key.put("changeId", "back").put("key", Deployment.key(1));
-            accepted(fleet, fleet.anyCore(), "key.add", key);
-            fleet.links().part(lone, fleet.names(m -> !lone.contains(m.name)), false);
+            callUntilAccepted(fleet, fleet.anyCore(), "key.add", key);
+            fleet.links().setPartitioned(lone, fleet.memberNames(m -> !lone.contains(m.name)), false);
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             return 0.6;
         }
     },
     HOLD_DIES {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            accepted(
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            callUntilAccepted(
                     fleet,
                     fleet.anyCore(),
                     "hold.set",
                     JSON.createObjectNode().put("district", "d3").put("changeId", "hold"));
             final long fromMs = System.currentTimeMillis();
             Fleet.pause(2000);
-            down(fleet, fleet.names(m -> m.name.startsWith("d3-")), 4000);
+            killAndRestart(fleet, fleet.memberNames(m -> m.name.startsWith("d3-")), 4000);
             Fleet.pause(2000);
             judge.emptied("d3", fromMs, System.currentTimeMillis());
             judge.judge().check(Rule.LEAVING, 0, "held");
-            accepted(
+            callUntilAccepted(
                     fleet,
                     fleet.anyCore(),
                     "hold.clear",
@@ -266,40 +269,41 @@
     },
     OVERLOAD {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Upstreams take twice the usual demand; ten times as much comes, and then the usual again.
-            fleet.standIns().forEach(u -> u.limit(90));
-            final Process more = fleet.demand(8, 0, 1800, fleet.folder().resolve("more"));
+            fleet.standIns().forEach(u -> u.setServiceTimeMs(90));
+            final Process more =
+                    fleet.startLoadGenerator(8, 0, 1800, fleet.folder().resolve("more"));
             more.waitFor();
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             return 0.3;
         }
     },
     BAD_ANSWERS {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
-            final UpstreamStandIn.Manner[] all = UpstreamStandIn.Manner.values();
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
+            final UpstreamStandIn.Behavior[] all = UpstreamStandIn.Behavior.values();
             for (int i = 0; i < fleet.standIns().size(); i += 3) {
-                fleet.standIns().get(i).behave(all[1 + i / 3 % (all.length - 1)]);
+                fleet.standIns().get(i).setBehavior(all[1 + i / 3 % (all.length - 1)]);
             }
             Fleet.pause(8000);
-            fleet.standIns().forEach(u -> u.behave(UpstreamStandIn.Manner.WELL));
+            fleet.standIns().forEach(u -> u.setBehavior(UpstreamStandIn.Behavior.WELL));
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             return 0.85;
         }
     },
     DRAIN {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 4; i++) {
                 final UpstreamStandIn up = fleet.standIns().get(i * 5);
-                up.leave();
+                up.startLeaving();
                 judge.emptied(up.place().instance(), System.currentTimeMillis(), Long.MAX_VALUE);
                 judge.judge().check(Rule.LEAVING, 0, "leaving");
                 Fleet.pause(4000);
@@ -309,21 +313,22 @@
     },
     PASSED_ON {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Upstreams go at once, and each address passes to a cold one of the other service.
             for (int i = 0; i < 4; i++) {
                 final UpstreamStandIn old = fleet.standIns().get(3 + i * 8);
                 old.stop();
                 final Deployment.Place was = old.place();
-                final String other = was.service().equals(Deployment.PADMA.big)
-                        ? Deployment.PADMA.small
-                        : was.service().equals(Deployment.PADMA.small)
-                                ? Deployment.PADMA.big
-                                : was.service().equals(Deployment.VERDE.big)
-                                        ? Deployment.VERDE.small
-                                        : Deployment.VERDE.big;
+                final String other = was.service().equals(Deployment.PADMA.largeService)
+                        ? Deployment.PADMA.smallService
+                        : was.service().equals(Deployment.PADMA.smallService)
+                                ? Deployment.PADMA.largeService
+                                : was.service().equals(Deployment.VERDE.largeService)
+                                        ? Deployment.VERDE.smallService
+                                        : Deployment.VERDE.largeService;
                 judge.warmingUp(
-                        fleet.replace(old, new Deployment.Place(other + "-new-" + i, other, was.zone(), was.region())),
+                        fleet.replaceUpstream(
+                                old, new Deployment.Place(other + "-new-" + i, other, was.zone(), was.region())),
                         System.currentTimeMillis());
                 Fleet.pause(2500);
             }
@@ -331,13 +336,13 @@
     },
     COLD_RETURN {
         @Override
-        public void bring(final Fleet fleet, final FleetJudge judge) throws Exception {
+        public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final UpstreamStandIn old : fleet.standIns()) {
                 if (Integer.parseInt(old.place().instance().replaceAll(".*-", "")) % 2 == 0) {
                     old.stop();
                     final Deployment.Place was = old.place();
                     judge.warmingUp(
-                            fleet.replace(
+                            fleet.replaceUpstream(
                                     old,
                                     new Deployment.Place(
                                             was.instance() + "-new", was.service(), was.zone(), was.region())),
@@ -348,7 +353,7 @@
         }
 
         @Override
-        public double least() {
+        public double minServedRatio() {
             return 0.85;
         }
     };
@@ -357,18 +362,19 @@
     /** A fleet whose processes were all started at once is up within this. */
     private static final long START_MS = 4000;
 
-    public abstract void bring(Fleet fleet, FleetJudge judge) throws Exception;
+    public abstract void inject(Fleet fleet, FleetJudge judge) throws Exception;
 
     /** What must be so before the fleet starts. */
-    public void before(final Fleet fleet) throws IOException {}
+    public void prepare(final Fleet fleet) throws IOException {}
 
     /** The share of asks that must run; where a majority is away or a key is withdrawn, asks are denied meanwhile. */
-    public double least() {
+    public double minServedRatio() {
         return 0.95;
     }
 
     /** Kills them all at once, and starts them again after a while. */
-    private static void down(final Fleet fleet, final List<String> names, final long downMs) throws Exception {
+    private static void killAndRestart(final Fleet fleet, final List<String> names, final long downMs)
+            throws Exception {
         for (final String name : names) {
             fleet.members().get(name).process.destroyForcibly();
         }
@@ -381,14 +387,14 @@
         }
     }
 
-    private static void split(final Fleet fleet, final List<String> ones, final long spanMs) {
-        final List<String> others = fleet.names(m -> !ones.contains(m.name));
-        fleet.links().part(ones, others, true);
+    private static void partitionFor(final Fleet fleet, final List<String> ones, final long spanMs) {
+        final List<String> others = fleet.memberNames(m -> !ones.contains(m.name));
+        fleet.links().setPartitioned(ones, others, true);
         Fleet.pause(spanMs);
-        fleet.links().part(ones, others, false);
+        fleet.links().setPartitioned(ones, others, false);
     }
 
-    private static void wipe(final Fleet fleet, final List<String> names) throws Exception {
+    private static void wipeAndRestart(final Fleet fleet, final List<String> names) throws Exception {
         for (final String name : names) {
             fleet.members().get(name).process.destroyForcibly().waitFor();
         }
@@ -408,7 +414,7 @@
         }
     }
 
-    private static long version(final Fleet fleet, final FleetMember core) {
+    private static long configurationVersion(final Fleet fleet, final FleetMember core) {
         return fleet.call(core.operators, "policy.get", JSON.createObjectNode())
                 .path("result")
                 .path("version")
@@ -416,11 +422,11 @@
     }
 
     /** Has a change accepted, repeating it by its change id, and gives its version. */
-    private static long accepted(
+    private static long callUntilAccepted(
             final Fleet fleet, final FleetMember core, final String method, final ObjectNode params) {
         final long[] found = {0};
-        Fleet.until(method + " is accepted", 20_000, () -> {
-            params.put("base", version(fleet, core));
+        Fleet.waitUntil(method + " is accepted", 20_000, () -> {
+            params.put("base", configurationVersion(fleet, core));
             final JsonNode reply = fleet.call(core.operators, method, params);
             found[0] = reply.path("result").path("version").asLong();
             return reply.path("code").asInt() == 1000;
@@ -429,13 +435,14 @@
     }
 
     /** Two operators at once, on two cores, against one base: one is accepted and soon everywhere, the other nowhere. */
-    private static void race(final Fleet fleet, final FleetJudge judge, final int turn) throws InterruptedException {
-        final long base = version(fleet, fleet.members().get("d1-core"));
+    private static void raceOperators(final Fleet fleet, final FleetJudge judge, final int turn)
+            throws InterruptedException {
+        final long base = configurationVersion(fleet, fleet.members().get("d1-core"));
         final List<JsonNode> replies = new ArrayList<>();
         final List<Thread> racers = new ArrayList<>();
         for (final String at : List.of("d2-core", "d5-core")) {
             final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", "race-" + turn + at);
-            params.set("patch", Deployment.routePatch("race-" + turn + at, "/race/" + turn + at, service(fleet)));
+            params.set("patch", Deployment.routePatch("race-" + turn + at, "/race/" + turn + at, anyService(fleet)));
             final Thread racer = new Thread(() -> {
                 final JsonNode reply = fleet.call(fleet.members().get(at).operators, "policy.patch", params);
                 synchronized (replies) {
@@ -454,7 +461,7 @@
         judge.judge().check(Rule.POLICY, won <= 1 ? 0 : 2, won + " of two were accepted on one base");
         for (final FleetMember m : fleet.members().values()) {
             if (won == 1) {
-                Fleet.until(
+                Fleet.waitUntil(
                         "it is in force",
                         20_000,
                         () -> fleet.status(m).path("version").asLong() > base);
@@ -464,7 +471,7 @@
         }
     }
 
-    private static String service(final Fleet fleet) {
+    private static String anyService(final Fleet fleet) {
         return fleet.standIns().get(0).place().service();
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
@@ -49,21 +49,21 @@
     /** Runs it; zero if every rule was kept, enough requests were served and all processes stopped cleanly. */
     public static int run(final Flags flags) throws Exception {
         final Path folder = flags.folder.resolve("upgrade-" + System.currentTimeMillis());
-        try (Fleet fleet = new Fleet(flags.deployment, folder, Deployment.DISTRICTS, 0)) {
+        try (Fleet fleet = new Fleet(flags.deployment, folder, Deployment.ZONES, 0)) {
             final NodeBuild older = new NodeBuild(flags.olderClassPath, flags.olderMainClass);
-            fleet.members().values().forEach(member -> fleet.build(member, older));
+            fleet.members().values().forEach(member -> fleet.useBuild(member, older));
             fleet.start();
-            fleet.ready(fleet.putConfiguration());
+            fleet.awaitReady(fleet.putConfiguration());
             final FleetJudge judge = new FleetJudge(fleet);
-            final Process clients = fleet.demand(flags.seconds, SERVED_RATIO_MIN);
-            Fleet.until(
+            final Process clients = fleet.startLoadGenerator(flags.seconds, SERVED_RATIO_MIN);
+            Fleet.waitUntil(
                     "requests arrive",
                     REQUESTS_WAIT_MS,
                     () -> fleet.ledger().began().size() > REQUESTS_BEFORE_UPGRADE);
             upgrade(fleet, flags.deployment);
             final int served = clients.waitFor();
             for (final FleetMember member : fleet.members().values()) {
-                fleet.freshAgain(member);
+                fleet.awaitFresh(member);
             }
             judge.end();
             final boolean clean = fleet.stopAll();
@@ -95,9 +95,9 @@
     private static void replace(final Fleet fleet, final FleetMember member) throws IOException, InterruptedException {
         member.process.destroy();
         member.process.waitFor();
-        fleet.build(member, NodeBuild.THIS);
+        fleet.useBuild(member, NodeBuild.THIS);
         fleet.start(member);
-        fleet.freshAgain(member);
+        fleet.awaitFresh(member);
         System.out.println("upgraded " + member.name);
     }
 
@@ -105,7 +105,7 @@
     private static void change(final Fleet fleet, final Deployment deployment, final String changeId) {
         final ObjectNode configuration = deployment.configuration();
         final long version = fleet.putConfiguration(changeId, configuration);
-        fleet.ready(version);
+        fleet.awaitReady(version);
         System.out.println("changed " + changeId + " version=" + version);
     }
 
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -19,12 +19,12 @@
 import spokestall.usage.UsageReportClient;
 
 /**
- * The shipped node with a failing machine around it: while a file {@code stall}, {@code full} or {@code gap} stands in
+ * The shipped node with a failing machine around it: while a file {@code stall}, {@code full} or {@code pauseBeforeSend} stands in
  * the hook folder, its disk stalls, its disk takes nothing more, or it stands still between a report's check and its send.
  */
 public final class FaultHookNode {
-    private static final long GAP_MS = 6500;
-    private static final Executor FRONT = Executors.newSingleThreadExecutor();
+    private static final long SEND_PAUSE_MS = 6500;
+    private static final Executor COMMITS = Executors.newSingleThreadExecutor();
 
     private FaultHookNode() {}
 
@@ -43,31 +43,36 @@
                                 new NodeProcess.Around() {
                                     @Override
                                     public SegmentStore disk(final SegmentStore disk) {
-                                        return new Hooked(disk, hooks);
+                                        return new FaultyStore(disk, hooks);
                                     }
 
                                     @Override
                                     public UsageReportClient platform(final UsageReportClient platform) {
                                         return (holder, token, window, waitMs, deadline, callback) -> platform.report(
-                                                holder, token, window, waitMs, gap(hooks, deadline), callback);
+                                                holder,
+                                                token,
+                                                window,
+                                                waitMs,
+                                                pauseBeforeSend(hooks, deadline),
+                                                callback);
                                     }
                                 },
                                 ProtocolAdapter.own())
                         .run());
     }
 
-    private static SendDeadline gap(final Path hooks, final SendDeadline deadline) {
+    private static SendDeadline pauseBeforeSend(final Path hooks, final SendDeadline deadline) {
         return () -> {
             final long untilMs = deadline.latestMs();
             if (Files.exists(hooks.resolve("gap"))) {
-                Fleet.pause(GAP_MS);
+                Fleet.pause(SEND_PAUSE_MS);
             }
             return untilMs;
         };
     }
 
     /** A disk that is as the files in a folder say. */
-    private record Hooked(SegmentStore disk, Path hooks) implements SegmentStore {
+    private record FaultyStore(SegmentStore disk, Path hooks) implements SegmentStore {
         @Override
         public int count() {
             return disk.count();
@@ -86,7 +91,7 @@
         @Override
         public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
             // Commits pile up behind a stall, in their order, as they do in front of a disk that doesn't answer.
-            FRONT.execute(() -> {
+            COMMITS.execute(() -> {
                 while (Files.exists(hooks.resolve("stall"))) {
                     Fleet.pause(20);
                 }
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -37,7 +37,7 @@
 /** A fleet on one machine: real processes for the nodes, stand-ins for the world around them. */
 public final class Fleet implements AutoCloseable {
     private static final int PORTS_PER_NODE = 4;
-    private static final int SEEDS = 3;
+    private static final int SEED_COUNT = 3;
     /**
      * How long a count may be without a majority of the cores before its edge refuses requests, unless a fleet's own settings say otherwise. All
      * processes share one machine: beside other load an acknowledgement takes longer than the default of 200 ms there.
@@ -50,7 +50,7 @@
     private final Deployment deployment;
     private final Path folder;
     private final LinkConditions links;
-    private boolean hooked;
+    private boolean faultHooksEnabled;
     /** The build that members start with, where that isn't this one. */
     private final Map<FleetMember, NodeBuild> builds = new HashMap<>();
 
@@ -64,8 +64,8 @@
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
     /** Makes one stand-in for an upstream. */
-    interface Maker {
-        UpstreamInstance make(Deployment.Place place, int port);
+    interface UpstreamFactory {
+        UpstreamInstance create(Deployment.Place place, int port);
     }
 
     public Fleet(final Deployment deployment, final Path folder, final int zones, final long delayMs)
@@ -79,7 +79,7 @@
             final Path folder,
             final FleetLayout layout,
             final List<Deployment.Place> places,
-            final Maker maker,
+            final UpstreamFactory maker,
             final Map<String, String> more)
             throws IOException {
         this.deployment = deployment;
@@ -90,13 +90,13 @@
         final Iterator<Integer> ports =
                 freePorts(1 + places.size() + PORTS_PER_NODE * layout.nodes()).iterator();
         final int platformPort = ports.next();
-        platformAddress = local(platformPort);
+        platformAddress = loopbackAddress(platformPort);
         platform = new PlatformStandIn(platformPort, worker, ledger, () -> upstreams, 1000);
         for (final Deployment.Place place : places) {
             final int port = ports.next();
             upstreams.add(
                     maker != null
-                            ? maker.make(place, port)
+                            ? maker.create(place, port)
                             : new UpstreamStandIn(place, port, worker, ledger, 5, 60_000));
         }
         final List<MemberPorts> memberPorts = new ArrayList<>();
@@ -104,8 +104,8 @@
             memberPorts.add(new MemberPorts(ports.next(), ports.next(), ports.next(), ports.next()));
         }
         final List<String> seeds = new ArrayList<>();
-        for (int i = 0; i < SEEDS; i++) {
-            seeds.add(local(memberPorts.get((1 + layout.edgesPerZone()) * (i % layout.zones())).outside));
+        for (int i = 0; i < SEED_COUNT; i++) {
+            seeds.add(loopbackAddress(memberPorts.get((1 + layout.edgesPerZone()) * (i % layout.zones())).advertised));
         }
         final Iterator<MemberPorts> nextPorts = memberPorts.iterator();
         for (int zone = 0; zone < layout.zones(); zone++) {
@@ -116,9 +116,9 @@
     }
 
     /** The ports of one node: where others reach it, where it listens for them, for clients, and for operators. */
-    private record MemberPorts(int outside, int inside, int http, int operators) {}
+    private record MemberPorts(int advertised, int listen, int http, int operators) {}
 
-    private static String local(final int port) {
+    private static String loopbackAddress(final int port) {
         return "127.0.0.1:" + port;
     }
 
@@ -136,12 +136,12 @@
         final String name = Deployment.zone(zone) + (core ? "-core" : node == 1 ? "-edge" : "-edge-" + node);
         final ObjectNode settings = JSON.createObjectNode()
                 .put("name", name)
-                .put("address", local(ports.outside))
-                .put("listen", local(relayed ? ports.inside : ports.outside))
-                .put("http", local(ports.http))
+                .put("address", loopbackAddress(ports.advertised))
+                .put("listen", loopbackAddress(relayed ? ports.listen : ports.advertised))
+                .put("http", loopbackAddress(ports.http))
                 .put("district", Deployment.zone(zone))
-                .put("operators", local(ports.operators))
-                .put("districts", Deployment.zones())
+                .put("operators", loopbackAddress(ports.operators))
+                .put("districts", Deployment.zoneSetting())
                 .put("seeds", String.join(",", seeds))
                 .put("platform", platformAddress)
                 .put("cores", layout.zones())
@@ -155,9 +155,9 @@
                 folder,
                 name,
                 core,
-                local(ports.http),
-                local(ports.operators),
-                relayed ? new LinkRelay(ports.outside, ports.inside, name, links) : null);
+                loopbackAddress(ports.http),
+                loopbackAddress(ports.operators),
+                relayed ? new LinkRelay(ports.advertised, ports.listen, name, links) : null);
         member.writeSettings(settings);
         members.put(name, member);
     }
@@ -194,7 +194,7 @@
     }
 
     /** Another upstream, cold, at the address of one that is gone; the platform lists it from now on. */
-    public String replace(final UpstreamStandIn old, final Deployment.Place place) {
+    public String replaceUpstream(final UpstreamStandIn old, final Deployment.Place place) {
         final int port = Integer.parseInt(old.address().substring(old.address().indexOf(':') + 1));
         final UpstreamStandIn made = new UpstreamStandIn(place, port, worker, ledger, 5, 0);
         upstreams.remove(old);
@@ -209,12 +209,12 @@
     }
 
     /** Nodes are started with a failing machine around them. */
-    public void hooked() {
-        hooked = true;
+    public void faultHooksEnabled() {
+        faultHooksEnabled = true;
     }
 
     /** Has a member run this build from its next start on. */
-    public void build(final FleetMember member, final NodeBuild build) {
+    public void useBuild(final FleetMember member, final NodeBuild build) {
         builds.put(member, build);
     }
 
@@ -232,7 +232,7 @@
         for (final FleetMember m : members.values()) {
             start(m);
         }
-        until(
+        waitUntil(
                 "every process has logged its start",
                 STARTED_WAIT_MS,
                 () -> members.values().stream().allMatch(FleetMember::hasStarted));
@@ -240,14 +240,16 @@
 
     /** Starts a member's process, or starts it again. */
     public void start(final FleetMember member) throws IOException {
-        member.launch(builds.getOrDefault(member, hooked ? NodeBuild.HOOKED : NodeBuild.THIS), hooked);
-        links.node(member.name, member.process.pid());
+        member.launch(
+                builds.getOrDefault(member, faultHooksEnabled ? NodeBuild.WITH_FAULT_HOOKS : NodeBuild.THIS),
+                faultHooksEnabled);
+        links.registerProcess(member.name, member.process.pid());
     }
 
     /** A setting of all nodes, from their next start on. */
-    public void set(final String key, final int value) throws IOException {
+    public void changeSetting(final String key, final int value) throws IOException {
         for (final FleetMember member : members.values()) {
-            member.change(key, Integer.toString(value));
+            member.changeSetting(key, Integer.toString(value));
         }
     }
 
@@ -255,11 +257,11 @@
         return links;
     }
 
-    public List<String> names(final java.util.function.Predicate<FleetMember> which) {
+    public List<String> memberNames(final java.util.function.Predicate<FleetMember> which) {
         return members.values().stream().filter(which).map(m -> m.name).toList();
     }
 
-    public Path recorded() {
+    public Path recordFile() {
         return folder.resolve("recorded");
     }
 
@@ -292,17 +294,17 @@
     }
 
     /** The core that holds the duty, as the cores see it. */
-    public FleetMember holder() {
+    public FleetMember dutyHolder() {
         final String[] name = {""};
-        until("someone holds the duty", 20_000, () -> {
+        waitUntil("someone holds the duty", 20_000, () -> {
             name[0] = status(anyCore()).path("duty").path("holder").asText();
             return members.containsKey(name[0]) && members.get(name[0]).process.isAlive();
         });
         return members.get(name[0]);
     }
 
-    public void freshAgain(final FleetMember m) {
-        until(m.name + " is fresh", 20_000, () -> status(m).path("fresh").asBoolean());
+    public void awaitFresh(final FleetMember m) {
+        waitUntil(m.name + " is fresh", 20_000, () -> status(m).path("fresh").asBoolean());
     }
 
     /** Puts the deployment's configuration, asking again with the same change id until the outcome is known. */
@@ -314,7 +316,7 @@
         final ObjectNode params = JSON.createObjectNode().put("changeId", changeId);
         params.set("policy", configuration);
         final long[] version = {-1};
-        until("the policy is accepted", 30_000, () -> {
+        waitUntil("the policy is accepted", 30_000, () -> {
             final String to = anyCore().operators;
             params.put(
                     "base",
@@ -330,15 +332,15 @@
     }
 
     /** Waits until every live node is fresh at this version and edges see upstreams. */
-    public void ready(final long version) {
-        until(
+    public void awaitReady(final long version) {
+        waitUntil(
                 "every node is fresh at " + version,
                 30_000,
                 () -> members.values().stream().filter(FleetMember::isAlive).allMatch(m -> {
                     final JsonNode s = status(m);
                     return s.path("fresh").asBoolean() && s.path("version").asLong() >= version;
                 }));
-        until(
+        waitUntil(
                 "edges see the upstreams",
                 30_000,
                 () -> members.values().stream()
@@ -355,7 +357,7 @@
                         }));
     }
 
-    public static void until(final String what, final long waitMs, final BooleanSupplier holds) {
+    public static void waitUntil(final String what, final long waitMs, final BooleanSupplier holds) {
         final long endMs = System.nanoTime() / 1_000_000 + waitMs;
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() / 1_000_000 > endMs) {
@@ -374,13 +376,14 @@
     }
 
     /** Runs the load generator as a process and gives its exit code. */
-    public Process demand(final int seconds, final double least) throws IOException {
-        return demand(seconds, least, deployment.rate, recorded());
+    public Process startLoadGenerator(final int seconds, final double least) throws IOException {
+        return startLoadGenerator(seconds, least, deployment.rate, recordFile());
     }
 
-    public Process demand(final int seconds, final double least, final int rate, final Path record) throws IOException {
+    public Process startLoadGenerator(final int seconds, final double least, final int rate, final Path record)
+            throws IOException {
         final Path plan = folder.resolve("plan.json");
-        Files.writeString(plan, deployment.plan().toPrettyString());
+        Files.writeString(plan, deployment.loadPlan().toPrettyString());
         final String nodes = String.join(
                 ",",
                 members.values().stream().filter(m -> !m.core).map(m -> m.http).toList());
--- a/testbed/src/main/java/spokestall/testbed/fleet/FleetMember.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FleetMember.java
@@ -31,7 +31,7 @@
     private final Path settings;
     public final Path data;
     /** Files in this folder make the machine around it fail, if it is launched so. */
-    public final Path hooks;
+    public final Path faultHooks;
 
     private final Path logFile;
     /** Null if other nodes reach it directly. */
@@ -55,7 +55,7 @@
         this.operators = operators;
         this.settings = folder.resolve(name + ".json");
         this.data = folder.resolve(name);
-        this.hooks = Files.createDirectories(folder.resolve(name + ".hooks"));
+        this.faultHooks = Files.createDirectories(folder.resolve(name + ".hooks"));
         this.logFile = folder.resolve(name + ".log");
         this.relay = relay;
     }
@@ -76,7 +76,7 @@
                         build.mainClass(),
                         core ? "core" : "edge",
                         hooked ? settings.toString() : "--settings",
-                        hooked ? hooks.toString() : settings.toString())
+                        hooked ? faultHooks.toString() : settings.toString())
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()))
                 .start();
@@ -119,7 +119,7 @@
     }
 
     /** Changes one setting in its file, all at once for whoever reads it. */
-    public synchronized void change(final String key, final String value) throws IOException {
+    public synchronized void changeSetting(final String key, final String value) throws IOException {
         final ObjectNode changed = (ObjectNode) JSON.readTree(settings.toFile());
         final Path next = settings.resolveSibling(name + ".next");
         Files.writeString(next, changed.put(key, value).toPrettyString());
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
@@ -14,17 +14,17 @@
     private final Set<String> cuts = ConcurrentHashMap.newKeySet();
     private final Map<String, Long> pids = new ConcurrentHashMap<>();
     private volatile long delayMs;
-    private volatile double loss;
+    private volatile double lossRatio;
 
     LinkConditions(final long delayMs) {
         this.delayMs = delayMs;
     }
 
-    void node(final String name, final long pid) {
+    void registerProcess(final String name, final long pid) {
         pids.put(name, pid);
     }
 
-    public void cut(final String from, final String to, final boolean now) {
+    public void setCut(final String from, final String to, final boolean now) {
         if (now) {
             cuts.add(from + ">" + to);
         } else {
@@ -33,17 +33,17 @@
     }
 
     /** Cuts two groups off from each other, or joins them again. */
-    public void part(final List<String> ones, final List<String> others, final boolean now) {
+    public void setPartitioned(final List<String> ones, final List<String> others, final boolean now) {
         for (final String one : ones) {
             for (final String other : others) {
-                cut(one, other, now);
-                cut(other, one, now);
+                setCut(one, other, now);
+                setCut(other, one, now);
             }
         }
     }
 
-    public synchronized void lossy(final double share, final long extraMs) {
-        loss = share;
+    public synchronized void setLoss(final double share, final long extraMs) {
+        lossRatio = share;
         delayMs += extraMs;
     }
 
@@ -57,20 +57,20 @@
     }
 
     /** How late the next piece is; what is lost comes late, as on TCP. */
-    long lateMs() {
+    long nextDelayMs() {
         final ThreadLocalRandom random = ThreadLocalRandom.current();
-        return delayMs + (loss > 0 && random.nextDouble() < loss ? 200 + random.nextInt(400) : 0);
+        return delayMs + (lossRatio > 0 && random.nextDouble() < lossRatio ? 200 + random.nextInt(400) : 0);
     }
 
     /** Which node's process has a wire from this local port; the kernel's own tables tell. */
-    String who(final int port) {
+    String nodeWithLocalPort(final int port) {
         try {
             final String end = String.format(":%04X", port);
             for (final String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
                 for (final String line : Files.readAllLines(Path.of(table))) {
                     final String[] parts = line.trim().split("\\s+");
                     if (parts.length > 9 && parts[1].endsWith(end)) {
-                        final String found = holder("socket:[" + parts[9] + "]");
+                        final String found = nodeWithSocket("socket:[" + parts[9] + "]");
                         if (found != null) {
                             return found;
                         }
@@ -83,7 +83,7 @@
         return "?";
     }
 
-    private String holder(final String socket) {
+    private String nodeWithSocket(final String socket) {
         for (final Map.Entry<String, Long> one : pids.entrySet()) {
             try (var all = Files.newDirectoryStream(Path.of("/proc", Long.toString(one.getValue()), "fd"))) {
                 for (final Path fd : all) {
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkEnd.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkEnd.java
@@ -25,7 +25,7 @@
     /** Returns the node's name, or {@code "?"} if no node's process has the connection. */
     synchronized String node() {
         if (node == null) {
-            node = links.who(port);
+            node = links.nodeWithLocalPort(port);
         }
         return node;
     }
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
@@ -15,15 +15,16 @@
 /** A relay in front of one node's wire address: each way of each wire is as its link is now. */
 final class LinkRelay implements AutoCloseable {
     private final ServerSocket server;
-    private final int to;
+    private final int targetPort;
     private final String name;
     private final LinkConditions links;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService late = Executors.newSingleThreadScheduledExecutor(LinkRelay::thread);
+    private final ScheduledExecutorService delayedWrites =
+            Executors.newSingleThreadScheduledExecutor(LinkRelay::thread);
 
     LinkRelay(final int from, final int to, final String name, final LinkConditions links) throws IOException {
         this.server = new ServerSocket(from, 64, InetAddress.getLoopbackAddress());
-        this.to = to;
+        this.targetPort = to;
         this.name = name;
         this.links = links;
         thread(this::accept).start();
@@ -39,46 +40,46 @@
         while (!server.isClosed()) {
             try {
                 final Socket in = server.accept();
-                thread(() -> carry(in)).start();
+                thread(() -> relay(in)).start();
             } catch (final IOException e) {
                 // The relay was closed.
             }
         }
     }
 
-    private void carry(final Socket in) {
+    private void relay(final Socket in) {
         final LinkEnd peer = new LinkEnd(links, in.getPort());
         final LinkEnd node = new LinkEnd(name);
         try {
-            final Socket out = new Socket(InetAddress.getLoopbackAddress(), to);
+            final Socket out = new Socket(InetAddress.getLoopbackAddress(), targetPort);
             out.setTcpNoDelay(true);
             open.add(in);
             open.add(out);
-            thread(() -> pump(in, out, peer, node)).start();
-            pump(out, in, node, peer);
+            thread(() -> copy(in, out, peer, node)).start();
+            copy(out, in, node, peer);
         } catch (final IOException e) {
             close(in);
         }
     }
 
-    private void pump(final Socket from, final Socket into, final LinkEnd sender, final LinkEnd hearer) {
+    private void copy(final Socket from, final Socket into, final LinkEnd sender, final LinkEnd receiver) {
         final byte[] buffer = new byte[65536];
         long notBeforeMs = 0;
-        boolean swallowed = false;
+        boolean discarded = false;
         try (InputStream in = from.getInputStream()) {
             int n = in.read(buffer);
             while (n >= 0) {
-                if (links.anyCut() && links.isCut(sender.node(), hearer.node())) {
-                    swallowed = true;
-                } else if (swallowed) {
+                if (links.anyCut() && links.isCut(sender.node(), receiver.node())) {
+                    discarded = true;
+                } else if (discarded) {
                     // What went missing would make nonsense of what comes now.
                     return;
                 } else {
                     final byte[] chunk = java.util.Arrays.copyOf(buffer, n);
                     final long nowMs = System.nanoTime() / 1_000_000;
-                    notBeforeMs = Math.max(notBeforeMs, nowMs + links.lateMs());
-                    final ScheduledFuture<?> unused =
-                            late.schedule(() -> write(chunk, into), notBeforeMs - nowMs, TimeUnit.MILLISECONDS);
+                    notBeforeMs = Math.max(notBeforeMs, nowMs + links.nextDelayMs());
+                    final ScheduledFuture<?> unused = delayedWrites.schedule(
+                            () -> write(chunk, into), notBeforeMs - nowMs, TimeUnit.MILLISECONDS);
                 }
                 n = in.read(buffer);
             }
@@ -112,6 +113,6 @@
     public void close() throws IOException {
         server.close();
         open.forEach(LinkRelay::close);
-        late.shutdownNow();
+        delayedWrites.shutdownNow();
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/fleet/NodeBuild.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/NodeBuild.java
@@ -11,5 +11,5 @@
     public static final NodeBuild THIS = new NodeBuild(System.getProperty("java.class.path"), "spokestall.cli.Main");
 
     /** The same, with a failing machine around each node. */
-    static final NodeBuild HOOKED = new NodeBuild(THIS.classPath(), FaultHookNode.class.getName());
+    static final NodeBuild WITH_FAULT_HOOKS = new NodeBuild(THIS.classPath(), FaultHookNode.class.getName());
 }
--- a/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
@@ -12,15 +12,15 @@
 /** A client that writes and reads bytes on one connection. Not thread-safe. */
 public final class RawClient implements AutoCloseable {
     /** One answer as it came. */
-    public record Got(int status, List<String> headers, String body) {
+    public record Response(int status, List<String> headers, String body) {
         /** The first header of a name, or null. */
         public String header(final String name) {
-            final List<String> all = all(name);
+            final List<String> all = headerValues(name);
             return all.isEmpty() ? null : all.get(0);
         }
 
         /** All headers of a name. */
-        public List<String> all(final String name) {
+        public List<String> headerValues(final String name) {
             final String start = name.toLowerCase(Locale.ROOT) + ":";
             return headers.stream()
                     .filter(h -> h.toLowerCase(Locale.ROOT).startsWith(start))
@@ -29,7 +29,7 @@
         }
 
         /** The numbered result code, or null. */
-        public String code() {
+        public String resultCode() {
             return header("Spokestall-Code");
         }
     }
@@ -53,7 +53,7 @@
     }
 
     /** A request id that no other request of this process has. */
-    public static synchronized String freshId() {
+    public static synchronized String nextRequestId() {
         return "raw-" + ++requests;
     }
 
@@ -69,31 +69,31 @@
     }
 
     /** The next answer; null when the wire ended instead. */
-    public Got got(final boolean ofHead) throws IOException {
-        final String line = line();
+    public Response readResponse(final boolean ofHead) throws IOException {
+        final String line = readLine();
         if (line == null) {
             return null;
         }
         final List<String> headers = new ArrayList<>();
-        String header = line();
+        String header = readLine();
         while (header != null && !header.isEmpty()) {
             headers.add(header);
-            header = line();
+            header = readLine();
         }
-        final Got got = new Got(Integer.parseInt(line.split(" ")[1]), headers, "");
+        final Response got = new Response(Integer.parseInt(line.split(" ")[1]), headers, "");
         final String length = got.header("Content-Length");
         final boolean none = ofHead || length == null || got.status == 304 || got.status == 204;
         final byte[] body = none ? new byte[0] : in.readNBytes(Integer.parseInt(length));
-        return new Got(got.status, headers, new String(body, StandardCharsets.ISO_8859_1));
+        return new Response(got.status, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
     /** The next answer to a request that wasn't HEAD; null when the connection ended instead. */
-    public Got got() throws IOException {
-        return got(false);
+    public Response readResponse() throws IOException {
+        return readResponse(false);
     }
 
     /** Whether the other side has ended the wire, waited for. */
-    boolean ended() throws IOException {
+    boolean isClosedByPeer() throws IOException {
         try {
             return in.read() < 0;
         } catch (final java.net.SocketException reset) {
@@ -102,11 +102,11 @@
     }
 
     /** Whether the other side has closed the wire, not reset it, waited for. */
-    boolean endedInOrder() throws IOException {
+    boolean isClosedWithoutReset() throws IOException {
         return in.read() < 0;
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         final StringBuilder out = new StringBuilder();
         int one = in.read();
         while (one >= 0 && one != '\n') {
--- a/testbed/src/main/java/spokestall/testbed/scale/ScaleProcesses.java
+++ b/testbed/src/main/java/spokestall/testbed/scale/ScaleProcesses.java
@@ -23,13 +23,13 @@
         try (Fleet fleet =
                 new Fleet(Deployment.PADMA, folder.resolve("" + System.currentTimeMillis()), processes / 2, 0)) {
             fleet.start();
-            fleet.ready(fleet.putConfiguration());
-            fleet.demand(SECONDS, 0).waitFor();
+            fleet.awaitReady(fleet.putConfiguration());
+            fleet.startLoadGenerator(SECONDS, 0).waitFor();
             for (final int rate : RATES) {
                 final Map<String, Long> before = spent(fleet);
                 final Path record = fleet.folder().resolve("rate-" + rate);
                 System.out.println("real rate=" + rate);
-                fleet.demand(SECONDS, 0, rate, record).waitFor();
+                fleet.startLoadGenerator(SECONDS, 0, rate, record).waitFor();
                 final Map<String, Long> after = spent(fleet);
                 for (final boolean core : new boolean[] {true, false}) {
                     final double us = fleet.members().values().stream()
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageTraffic.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageTraffic.java
@@ -59,7 +59,7 @@
                         .mapToLong(e -> e.getValue().regions)
                         .sum()
                 / (REST_MS / 1000.0)
-                / (2 * Deployment.DISTRICTS);
+                / (2 * Deployment.ZONES);
     }
 
     /** Half a minute of a fleet that has come up: with asks at the deployment's rate, or at rest. */
@@ -104,7 +104,7 @@
     }
 
     private static void line(final String kind, final Sum sum) {
-        final double per = REST_MS / 1000.0 * 2 * Deployment.DISTRICTS;
+        final double per = REST_MS / 1000.0 * 2 * Deployment.ZONES;
         System.out.printf(
                 "| %s | %.2f | %.0f | %.0f | %.0f | %.0f |%n",
                 kind,
--- a/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -48,7 +48,7 @@
         void play(final SimulationRun run) {
             run.world.clients.rate(3 * run.world.deployment.rate);
             for (final SimulatedEnvironment.Up old : run.world.outside.running()) {
-                if (old.service.equals(run.world.deployment.big)) {
+                if (old.service.equals(run.world.deployment.largeService)) {
                     run.world.outside.stop(old);
                     old.listed = false;
                     run.later(4000, () -> run.world.outside.replace(old));
@@ -60,12 +60,12 @@
     BAD_ANSWERS {
         @Override
         void play(final SimulationRun run) {
-            final UpstreamStandIn.Manner[] all = UpstreamStandIn.Manner.values();
+            final UpstreamStandIn.Behavior[] all = UpstreamStandIn.Behavior.values();
             for (int i = 0; i < 8; i++) {
                 run.later(i * 2500L, () -> {
                     final SimulatedEnvironment.Up up = run.any(run.world.outside.running());
                     up.manner = all[1 + run.random.nextInt(all.length - 1)];
-                    run.later(5000, () -> up.manner = UpstreamStandIn.Manner.WELL);
+                    run.later(5000, () -> up.manner = UpstreamStandIn.Behavior.WELL);
                 });
             }
         }
@@ -74,12 +74,13 @@
         @Override
         void play(final SimulationRun run) {
             for (final SimulatedEnvironment.Up up : run.world.outside.running()) {
-                if (up.service.equals(run.world.deployment.small)) {
-                    up.manner = UpstreamStandIn.Manner.FLAKY;
-                    run.later(12_000, () -> up.manner = UpstreamStandIn.Manner.WELL);
+                if (up.service.equals(run.world.deployment.smallService)) {
+                    up.manner = UpstreamStandIn.Behavior.FLAKY;
+                    run.later(12_000, () -> up.manner = UpstreamStandIn.Behavior.WELL);
                 } else if (run.random.nextInt(3) == 0) {
-                    up.manner = run.random.nextBoolean() ? UpstreamStandIn.Manner.LOSE : UpstreamStandIn.Manner.SLOW;
-                    run.later(12_000, () -> up.manner = UpstreamStandIn.Manner.WELL);
+                    up.manner =
+                            run.random.nextBoolean() ? UpstreamStandIn.Behavior.LOSE : UpstreamStandIn.Behavior.SLOW;
+                    run.later(12_000, () -> up.manner = UpstreamStandIn.Behavior.WELL);
                 }
             }
         }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -25,7 +25,7 @@
 
     private final SimulatedWorld world;
     private final Random random;
-    private final List<Deployment.Kind> kinds = new ArrayList<>();
+    private final List<Deployment.RequestKind> kinds = new ArrayList<>();
     private final Map<String, Place> places = new HashMap<>();
     private final Map<String, String> named = new HashMap<>();
     private int made;
@@ -38,7 +38,7 @@
         this.random = world.sim.random("callers");
         this.rate = world.deployment.rate;
         this.clients = 20 + random.nextInt(400);
-        for (final Deployment.Kind k : world.deployment.kinds()) {
+        for (final Deployment.RequestKind k : world.deployment.requestKinds()) {
             for (int i = 0; i < k.weight(); i++) {
                 kinds.add(k);
             }
@@ -63,14 +63,14 @@
             return;
         }
         world.sim.after((long) Math.max(1, -Math.log(1 - random.nextDouble()) * 1000 / rate), () -> {
-            final Deployment.Kind kind = world.any(kinds, random);
+            final Deployment.RequestKind kind = world.any(kinds, random);
             ask(kind, "client-" + random.nextInt(clients), "a" + made++, 0, world.sim.nowMs());
             next();
         });
     }
 
     private void ask(
-            final Deployment.Kind kind, final String who, final String id, final int turn, final long begunMs) {
+            final Deployment.RequestKind kind, final String who, final String id, final int turn, final long begunMs) {
         final String place = who + "/" + kind.key();
         final Place known = places.get(place);
         // One client in ten is connected to an edge and stays with it, whatever where would say by now.
@@ -123,7 +123,7 @@
     }
 
     private void again(
-            final Deployment.Kind kind,
+            final Deployment.RequestKind kind,
             final String who,
             final String id,
             final int turn,
@@ -135,7 +135,7 @@
     }
 
     private void send(
-            final Deployment.Kind kind,
+            final Deployment.RequestKind kind,
             final String who,
             final String id,
             final int turn,
@@ -217,7 +217,7 @@
     }
 
     private void told(
-            final Deployment.Kind kind,
+            final Deployment.RequestKind kind,
             final String who,
             final String id,
             final SimulatedWorld.Asked asked,
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -42,7 +42,7 @@
         boolean running = true;
         boolean leaving;
         boolean listed = true;
-        UpstreamStandIn.Manner manner = UpstreamStandIn.Manner.WELL;
+        UpstreamStandIn.Behavior manner = UpstreamStandIn.Behavior.WELL;
         /** How long one ask keeps it busy, one at a time; 0 is without limit. */
         long eachMs;
 
@@ -180,7 +180,7 @@
         @Override
         public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
             if (reckonsWarmUpOnAnswer) {
-                final long wayMs = world.deployment.apartMs;
+                final long wayMs = world.deployment.interRegionRttMs;
                 world.sim.after(wayMs, () -> {
                     final List<ListedEndpoint> answer = withPresentWarmUp(list);
                     back(wayMs, () -> done.accept(Optional.of(answer)));
@@ -361,7 +361,7 @@
                     - world.sim.nowMs()
                     + (warmingUp ? 20 : 3)
                     + random.nextInt(10)
-                    + (up.manner == UpstreamStandIn.Manner.SLOW ? 1500 : 0);
+                    + (up.manner == UpstreamStandIn.Behavior.SLOW ? 1500 : 0);
             world.sim.after(workMs, () -> {
                 final long way = world.net.sureMs(attempt.address(), node.address);
                 if (way < 0) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -57,7 +57,7 @@
         flags.put("address", address);
         flags.put("http", http);
         flags.put("district", zone);
-        flags.put("districts", Deployment.zones());
+        flags.put("districts", Deployment.zoneSetting());
         flags.put("seeds", "10.0.1.1:7100,10.0.1.3:7100,10.0.1.5:7100");
         flags.put("platform", "10.0.9.1:80");
         flags.put("data", "/sim/" + name);
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -65,9 +65,11 @@
                 .putObject("tenants")
                 .putObject(Deployment.tenant(3))
                 .putObject("bindings");
-        at.putObject(id).put("path", "/more/" + id).put("service", world.deployment.big);
+        at.putObject(id).put("path", "/more/" + id).put("service", world.deployment.largeService);
         for (int i = 1; i < routes; i++) {
-            at.putObject(id + "." + i).put("path", "/more/" + id + "/" + i).put("service", world.deployment.big);
+            at.putObject(id + "." + i)
+                    .put("path", "/more/" + id + "/" + i)
+                    .put("service", world.deployment.largeService);
         }
         return params;
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -51,7 +51,7 @@
     /** One ask as its client knows it. */
     public static final class Asked {
         final String requestId;
-        public final Deployment.Kind kind;
+        public final Deployment.RequestKind kind;
         public final List<Long> sentMs = new ArrayList<>();
         /** When it was admitted, and its span from there; -1 if it never was. */
         long admittedMs = -1;
@@ -60,7 +60,7 @@
         long answeredMs = -1;
         boolean ran;
 
-        Asked(final String requestId, final Deployment.Kind kind) {
+        Asked(final String requestId, final Deployment.RequestKind kind) {
             this.requestId = requestId;
             this.kind = kind;
         }
@@ -116,20 +116,20 @@
         this.injectedFault = injectedFault;
         this.sim = new VirtualTime(seed, traced);
         this.deployment = deployment;
-        this.net = new SimulatedNetwork(sim, deployment.apartMs);
+        this.net = new SimulatedNetwork(sim, deployment.interRegionRttMs);
         this.judge = new Judge(sim::nowMs, sim::trace);
         this.outside = new SimulatedEnvironment(this);
         this.clients = new SimulatedClients(this);
         this.availability = new ExpectedAvailability(this);
         final Random shape = sim.random("shape");
         for (int i = 0; i < Deployment.TENANTS; i++) {
-            final List<String> all = new ArrayList<>(Deployment.home(0));
+            final List<String> all = new ArrayList<>(Deployment.homeRegions(0));
             Collections.shuffle(all, shape);
             homes.put(
                     Deployment.tenant(i),
-                    i < 2 ? Deployment.home(i) : List.copyOf(all.subList(0, 1 + shape.nextInt(3))));
+                    i < 2 ? Deployment.homeRegions(i) : List.copyOf(all.subList(0, 1 + shape.nextInt(3))));
         }
-        for (int i = 0; i < Deployment.DISTRICTS; i++) {
+        for (int i = 0; i < Deployment.ZONES; i++) {
             add(new SimulatedNode(this, Deployment.zone(i) + "-core", true, i, settings));
             add(new SimulatedNode(this, Deployment.zone(i) + "-edge", false, i, settings));
         }
@@ -151,7 +151,7 @@
                     homes.get(t.getKey()).forEach(at::add);
                     final ObjectNode routes = (ObjectNode) t.getValue().get("bindings");
                     for (int i = shape.nextInt(1 << shape.nextInt(8)); i > 0; i--) {
-                        routes.putObject("idle" + i).put("path", "/idle/" + i).put("service", deployment.small);
+                        routes.putObject("idle" + i).put("path", "/idle/" + i).put("service", deployment.smallService);
                     }
                 }));
         return configuration;
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulationRun.java
@@ -138,7 +138,7 @@
     /** The most any upstream of the larger service had, over an even share. */
     double unevenUpstreams() {
         return uneven(world.begun.stream()
-                .filter(b -> b.instance().startsWith(world.deployment.big))
+                .filter(b -> b.instance().startsWith(world.deployment.largeService))
                 .collect(java.util.stream.Collectors.groupingBy(
                         SimulatedWorld.Begun::instance, java.util.stream.Collectors.counting())));
     }
@@ -384,7 +384,9 @@
     /** Stops, and its address passes at once to an upstream of the other service. */
     void pass(final SimulatedEnvironment.Up up) {
         world.outside.stop(up);
-        final String other = up.service.equals(world.deployment.big) ? world.deployment.small : world.deployment.big;
+        final String other = up.service.equals(world.deployment.largeService)
+                ? world.deployment.smallService
+                : world.deployment.largeService;
         world.outside.add(other, up.address, up.zone, up.region, world.sim.nowMs());
         later(2000, () -> up.listed = false);
     }
@@ -418,7 +420,7 @@
             case 2 -> pass(any(world.outside.running()));
             case 3 -> {
                 final SimulatedEnvironment.Up up = any(world.outside.running());
-                up.manner = any(List.of(UpstreamStandIn.Manner.values()));
+                up.manner = any(List.of(UpstreamStandIn.Behavior.values()));
             }
             case 4 -> bounce(any(nodes()), 1000 + random.nextInt(4000), random.nextBoolean());
             case 5 -> {
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
@@ -50,19 +50,19 @@
         this.edgesDown = new Semaphore(members.size() - cores - 1);
     }
 
-    private FleetMember any(final Random random) {
+    private FleetMember anyMember(final Random random) {
         return members.get(random.nextInt(members.size()));
     }
 
     /** Changes a member's settings and tells its process so, unless that hasn't started yet. */
-    void hangUp(final Random random) throws IOException, InterruptedException {
-        final FleetMember member = any(random);
-        member.change("whereS", random.nextBoolean() ? "2" : "3");
-        hangUpOnceStarted(member);
+    void changeSettingAndHangup(final Random random) throws IOException, InterruptedException {
+        final FleetMember member = anyMember(random);
+        member.changeSetting("whereS", random.nextBoolean() ? "2" : "3");
+        sendHangupIfStarted(member);
     }
 
     /** A signal that comes before the program handles it would end the process, so it must have logged its start. */
-    private static void hangUpOnceStarted(final FleetMember member) throws IOException, InterruptedException {
+    private static void sendHangupIfStarted(final FleetMember member) throws IOException, InterruptedException {
         if (member.hasStarted()) {
             member.signal("HUP");
         }
@@ -70,15 +70,15 @@
 
     /** Tells a member to stop, so often, waits for its end and starts it again. */
     void restart(final Random random, final int times) throws IOException, InterruptedException {
-        final FleetMember member = any(random);
-        whileDown(member, () -> {
+        final FleetMember member = anyMember(random);
+        runWithMemberDown(member, () -> {
             final Process process = member.process;
-            history.stopped(process.pid());
+            history.recordStop(process.pid());
             for (int i = 0; i < times; i++) {
                 process.destroy();
                 Fleet.pause(random.nextInt(200));
                 if (i + 1 < times && process.isAlive()) {
-                    hangUpOnceStarted(member);
+                    sendHangupIfStarted(member);
                 }
             }
             verdict.onStopEnded(member, process, process.waitFor(STOP_WAIT_S, TimeUnit.SECONDS));
@@ -88,9 +88,9 @@
 
     /** Kills a member and starts it again a while later. */
     void kill(final Random random, final long downMs) throws IOException, InterruptedException {
-        final FleetMember member = any(random);
-        whileDown(member, () -> {
-            history.killed(member.process.pid());
+        final FleetMember member = anyMember(random);
+        runWithMemberDown(member, () -> {
+            history.recordKill(member.process.pid());
             member.process.destroyForcibly().waitFor();
             Fleet.pause(downMs);
         });
@@ -101,7 +101,8 @@
     }
 
     /** Does something that ends a member, starts it again and waits until it serves; nothing if too many are down. */
-    private void whileDown(final FleetMember member, final Action action) throws IOException, InterruptedException {
+    private void runWithMemberDown(final FleetMember member, final Action action)
+            throws IOException, InterruptedException {
         final Semaphore down = member.core ? coresDown : edgesDown;
         if (!busy.add(member)) {
             return;
@@ -115,7 +116,7 @@
                 action.run();
                 fleet.start(member);
                 verdict.onRestarted();
-                fleet.freshAgain(member);
+                fleet.awaitFresh(member);
             } finally {
                 down.release();
             }
@@ -129,7 +130,7 @@
         final String name = "soak" + changes.incrementAndGet();
         final long untilMs = System.currentTimeMillis() + CHANGE_WAIT_MS;
         while (System.currentTimeMillis() < untilMs) {
-            final FleetMember member = any(random);
+            final FleetMember member = anyMember(random);
             final JsonNode current = fleet.call(member.operators, "policy.get", JSON.createObjectNode());
             final long base = current.path("result").path("version").asLong(-1);
             if (base >= 0
@@ -147,7 +148,7 @@
 
     private ObjectNode patch(final long base, final String name) {
         final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", name);
-        params.set("patch", Deployment.routePatch(name, "/more/" + name, deployment.big));
+        params.set("patch", Deployment.routePatch(name, "/more/" + name, deployment.largeService));
         return params;
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
@@ -24,14 +24,14 @@
 
     private final Fleet fleet;
     private final List<FleetMember> edges;
-    private final List<Deployment.Kind> kinds;
+    private final List<Deployment.RequestKind> kinds;
     private final Random random;
-    private final BooleanSupplier goesOn;
-    private final Consumer<SoakExchange> ended;
+    private final BooleanSupplier keepRunning;
+    private final Consumer<SoakExchange> onExchange;
 
     SoakClient(
             final Fleet fleet,
-            final List<Deployment.Kind> kinds,
+            final List<Deployment.RequestKind> kinds,
             final long seed,
             final BooleanSupplier goesOn,
             final Consumer<SoakExchange> ended) {
@@ -39,26 +39,26 @@
         this.edges = fleet.members().values().stream().filter(m -> !m.core).toList();
         this.kinds = kinds;
         this.random = new Random(seed);
-        this.goesOn = goesOn;
-        this.ended = ended;
+        this.keepRunning = goesOn;
+        this.onExchange = ended;
     }
 
     @Override
     public void run() {
-        while (goesOn.getAsBoolean()) {
+        while (keepRunning.getAsBoolean()) {
             final FleetMember edge = edges.get(random.nextInt(edges.size()));
             final Process process = edge.process;
-            final Deployment.Kind kind = kinds.get(random.nextInt(kinds.size()));
+            final Deployment.RequestKind kind = kinds.get(random.nextInt(kinds.size()));
             final String ticket = ticket(edge, kind);
             try (RawClient connection = new RawClient(edge.http)) {
-                use(connection, process.pid(), kind, ticket);
+                sendRequests(connection, process.pid(), kind, ticket);
             } catch (final IOException refused) {
                 Fleet.pause(CONNECT_PAUSE_MS);
             }
         }
     }
 
-    private String ticket(final FleetMember edge, final Deployment.Kind kind) {
+    private String ticket(final FleetMember edge, final Deployment.RequestKind kind) {
         return fleet.call(
                         edge.http,
                         "where",
@@ -68,10 +68,11 @@
                 .asText();
     }
 
-    private void use(final RawClient connection, final long pid, final Deployment.Kind kind, final String ticket)
+    private void sendRequests(
+            final RawClient connection, final long pid, final Deployment.RequestKind kind, final String ticket)
             throws IOException {
         boolean open = true;
-        while (open && goesOn.getAsBoolean()) {
+        while (open && keepRunning.getAsBoolean()) {
             open = exchange(connection, pid, kind, ticket);
             Fleet.pause(random.nextInt(PAUSE_MAX_MS));
         }
@@ -79,9 +80,9 @@
 
     /** Sends one request and reads its answer; returns whether the connection may be used again. */
     private boolean exchange(
-            final RawClient connection, final long pid, final Deployment.Kind kind, final String ticket)
+            final RawClient connection, final long pid, final Deployment.RequestKind kind, final String ticket)
             throws IOException {
-        final String own = "soak-" + RawClient.freshId();
+        final String own = "soak-" + RawClient.nextRequestId();
         final String requestId = kind.runOnce() ? ticket + "." + own : own;
         final String body = kind.runOnce() ? "pay " + own : "";
         final long beganMs = System.currentTimeMillis();
@@ -96,12 +97,12 @@
         }
         final long sentMs = System.currentTimeMillis();
         try {
-            final RawClient.Got got = connection.got();
+            final RawClient.Response got = connection.readResponse();
             if (got == null) {
                 record(requestId, kind, pid, SoakExchange.End.CLOSED, null, sentMs);
                 return false;
             }
-            record(requestId, kind, pid, end(got, requestId), got.code(), sentMs);
+            record(requestId, kind, pid, end(got, requestId), got.resultCode(), sentMs);
             return !"close".equalsIgnoreCase(got.header("Connection"));
         } catch (final SocketTimeoutException silent) {
             record(requestId, kind, pid, SoakExchange.End.SILENT, null, sentMs);
@@ -111,7 +112,7 @@
         return false;
     }
 
-    private static SoakExchange.End end(final RawClient.Got got, final String requestId) {
+    private static SoakExchange.End end(final RawClient.Response got, final String requestId) {
         if (got.status() == 200) {
             return got.body().contains("\"" + requestId + "\"") ? SoakExchange.End.RAN : SoakExchange.End.WRONG;
         }
@@ -120,11 +121,12 @@
 
     private void record(
             final String requestId,
-            final Deployment.Kind kind,
+            final Deployment.RequestKind kind,
             final long pid,
             final SoakExchange.End end,
             final String code,
             final long sentMs) {
-        ended.accept(new SoakExchange(requestId, kind.runOnce(), pid, end, code, sentMs, System.currentTimeMillis()));
+        onExchange.accept(
+                new SoakExchange(requestId, kind.runOnce(), pid, end, code, sentMs, System.currentTimeMillis()));
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
@@ -23,7 +23,7 @@
     /** One upstream in so many takes a quarter of a second, so that requests are under way whenever something happens. */
     private static final int UPSTREAMS_PER_SLOW_ONE = 3;
 
-    private static final long RECOVERED_MS = 3000;
+    private static final long RECOVERY_OBSERVATION_MS = 3000;
     private static final long NOT_REACHED = -1;
     /** Requests of the last span that may be rejected: connections from before are used up in it. */
     private static final double UNSERVED_RATIO_MAX = 0.02;
@@ -32,7 +32,7 @@
     private final long seed;
     private final ProcessHistory history = new ProcessHistory();
     private final SoakVerdict verdict = new SoakVerdict(history);
-    private final AtomicBoolean clientsGoOn = new AtomicBoolean(true);
+    private final AtomicBoolean clientsKeepRunning = new AtomicBoolean(true);
     /**
      * How long after the first process was launched all had started, the first configuration was accepted, and every edge saw all
      * upstreams.
@@ -75,7 +75,7 @@
             final List<Future<?>> clients = startClients(fleet, threads);
             playLanes(fleet, threads);
             recover(fleet);
-            clientsGoOn.set(false);
+            clientsKeepRunning.set(false);
             for (final Future<?> client : clients) {
                 await(client);
             }
@@ -84,10 +84,10 @@
                     fleet.call(fleet.anyCore().operators, "policy.get", new ObjectMapper().createObjectNode()));
             verdict.judgeMembers(fleet);
             if (!fleet.stopAll()) {
-                verdict.violated(SoakVerdict.SoakRule.STOP, "not all processes stopped cleanly at the end");
+                verdict.addViolation(SoakVerdict.SoakRule.STOP, "not all processes stopped cleanly at the end");
             }
         } finally {
-            clientsGoOn.set(false);
+            clientsKeepRunning.set(false);
             threads.shutdownNow();
         }
         return report(folder);
@@ -101,11 +101,11 @@
             startedMs = elapsedMs(fromNanos);
             final long version = fleet.putConfiguration();
             acceptedMs = elapsedMs(fromNanos);
-            fleet.ready(version);
+            fleet.awaitReady(version);
             readyMs = elapsedMs(fromNanos);
             return true;
         } catch (final IllegalStateException late) {
-            verdict.violated(SoakVerdict.SoakRule.START, late.getMessage());
+            verdict.addViolation(SoakVerdict.SoakRule.START, late.getMessage());
             return false;
         }
     }
@@ -119,7 +119,7 @@
                 folder.resolve("unserved.log"),
                 verdict.unservedAfter(0).stream().map(SoakExchange::toString).toList());
         final List<String> lines = verdict.violations().stream()
-                .map(violation -> violation.rule() + " " + violation.what())
+                .map(violation -> violation.rule() + " " + violation.detail())
                 .toList();
         System.out.println("soak seed=" + seed + " nodes=" + flags.layout().nodes() + " "
                 + verdict.summary() + " startedMs=" + startedMs + " acceptedMs=" + acceptedMs + " readyMs=" + readyMs
@@ -132,29 +132,30 @@
     private static void slowSomeUpstreams(final Fleet fleet) {
         final List<UpstreamStandIn> upstreams = fleet.standIns();
         for (int i = 0; i < upstreams.size(); i += UPSTREAMS_PER_SLOW_ONE) {
-            upstreams.get(i).behave(UpstreamStandIn.Manner.SLOW);
+            upstreams.get(i).setBehavior(UpstreamStandIn.Behavior.SLOW);
         }
     }
 
     /** Requests of tenants that are at home everywhere, so that every edge serves them. */
-    private List<Deployment.Kind> kinds() {
+    private List<Deployment.RequestKind> kinds() {
         final Set<String> everywhere = new HashSet<>();
         for (int tenant = 0; tenant < Deployment.TENANTS; tenant++) {
-            if (Deployment.home(tenant).size() == Deployment.home(0).size()) {
+            if (Deployment.homeRegions(tenant).size()
+                    == Deployment.homeRegions(0).size()) {
                 everywhere.add(Deployment.tenant(tenant));
             }
         }
-        return flags.deployment.kinds().stream()
+        return flags.deployment.requestKinds().stream()
                 .filter(kind -> everywhere.contains(kind.tenant()))
                 .toList();
     }
 
     private List<Future<?>> startClients(final Fleet fleet, final ExecutorService threads) {
-        final List<Deployment.Kind> kinds = kinds();
+        final List<Deployment.RequestKind> kinds = kinds();
         final List<Future<?>> clients = new ArrayList<>();
         for (int i = 0; i < flags.clients; i++) {
-            clients.add(threads.submit(
-                    new SoakClient(fleet, kinds, seed * flags.clients + i, clientsGoOn::get, verdict::onExchange)));
+            clients.add(threads.submit(new SoakClient(
+                    fleet, kinds, seed * flags.clients + i, clientsKeepRunning::get, verdict::onExchange)));
         }
         return clients;
     }
@@ -185,23 +186,23 @@
         try {
             task.get();
         } catch (final java.util.concurrent.ExecutionException e) {
-            verdict.violated(SoakVerdict.SoakRule.RECOVERY, "gave up: " + e.getCause());
+            verdict.addViolation(SoakVerdict.SoakRule.RECOVERY, "gave up: " + e.getCause());
         }
     }
 
     /** Waits until every node is fresh, and sees requests run for a while. */
     private void recover(final Fleet fleet) {
         try {
-            fleet.members().values().forEach(fleet::freshAgain);
+            fleet.members().values().forEach(fleet::awaitFresh);
         } catch (final IllegalStateException e) {
-            verdict.violated(SoakVerdict.SoakRule.RECOVERY, e.getMessage());
+            verdict.addViolation(SoakVerdict.SoakRule.RECOVERY, e.getMessage());
             return;
         }
         final long fromMs = System.currentTimeMillis();
-        Fleet.pause(RECOVERED_MS);
+        Fleet.pause(RECOVERY_OBSERVATION_MS);
         final List<SoakExchange> unserved = verdict.unservedAfter(fromMs);
         if (unserved.size() > UNSERVED_RATIO_MAX * verdict.exchangesAfter(fromMs)) {
-            verdict.violated(
+            verdict.addViolation(
                     SoakVerdict.SoakRule.RECOVERY,
                     unserved.size() + " unserved of " + verdict.exchangesAfter(fromMs) + ", by code "
                             + SoakVerdict.byCode(unserved) + ", first " + unserved.get(0));
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakSeries.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakSeries.java
@@ -12,7 +12,7 @@
         void play(final SoakActions actions, final Random random) throws IOException, InterruptedException {
             final int times = 3 + random.nextInt(6);
             for (int i = 0; i < times; i++) {
-                actions.hangUp(random);
+                actions.changeSettingAndHangup(random);
                 Fleet.pause(20 + random.nextInt(300));
             }
         }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
@@ -46,10 +46,10 @@
     }
 
     /** One broken rule. */
-    record Violation(SoakRule rule, String what) {}
+    record Violation(SoakRule rule, String detail) {}
 
     /** How long a request may be kept that is then not answered: it crossed the closing of its connection. */
-    private static final long CROSSING_MS = 500;
+    private static final long CLOSE_RACE_MAX_MS = 500;
 
     private final ProcessHistory history;
     private final List<SoakExchange> exchanges = new ArrayList<>();
@@ -74,25 +74,25 @@
     }
 
     synchronized void onUnacknowledged(final String change) {
-        violated(SoakRule.UNACKNOWLEDGED, change);
+        addViolation(SoakRule.UNACKNOWLEDGED, change);
     }
 
     synchronized void onStopEnded(final FleetMember member, final Process process, final boolean inTime) {
         if (!inTime) {
-            violated(SoakRule.STOP, member.name + " still runs");
+            addViolation(SoakRule.STOP, member.name + " still runs");
         } else if (!FleetMember.isCleanExit(process.exitValue())) {
-            violated(SoakRule.STOP, member.name + " ended with " + process.exitValue());
+            addViolation(SoakRule.STOP, member.name + " ended with " + process.exitValue());
         }
     }
 
     /** A member that nobody ended must run. */
     synchronized void checkAlive(final FleetMember member) {
         if (!member.process.isAlive() && !history.wasEnded(member.process.pid())) {
-            violated(SoakRule.EXIT, member.name + " ended by itself with " + member.process.exitValue());
+            addViolation(SoakRule.EXIT, member.name + " ended by itself with " + member.process.exitValue());
         }
     }
 
-    synchronized void violated(final SoakRule rule, final String what) {
+    synchronized void addViolation(final SoakRule rule, final String what) {
         violations.add(new Violation(rule, what));
     }
 
@@ -110,7 +110,7 @@
         final String text = configuration.toString();
         for (final String change : acknowledged) {
             if (!text.contains("\"" + change + "\"")) {
-                violated(SoakRule.CHANGE, change + " is gone");
+                addViolation(SoakRule.CHANGE, change + " is gone");
             }
         }
     }
@@ -120,21 +120,21 @@
         for (final FleetMember member : fleet.members().values()) {
             checkAlive(member);
             if (member.log().contains("event=fault ")) {
-                violated(SoakRule.FAULT, member.name + " logged a fault");
+                addViolation(SoakRule.FAULT, member.name + " logged a fault");
             }
         }
     }
 
     private void judge(final SoakExchange exchange, final int timesRun) {
         if (exchange.runOnce() && timesRun > 1) {
-            violated(SoakRule.ONCE, exchange + " ran " + timesRun + " times");
+            addViolation(SoakRule.ONCE, exchange + " ran " + timesRun + " times");
         }
         switch (exchange.end()) {
-            case WRONG -> violated(SoakRule.ANSWER, exchange.toString());
-            case SILENT -> violated(SoakRule.SILENT, exchange.toString());
+            case WRONG -> addViolation(SoakRule.ANSWER, exchange.toString());
+            case SILENT -> addViolation(SoakRule.SILENT, exchange.toString());
             case NOT_RUN -> {
                 if (timesRun > 0) {
-                    violated(SoakRule.NOT_RUN, exchange.toString());
+                    addViolation(SoakRule.NOT_RUN, exchange.toString());
                 }
             }
             case CLOSED -> judgeClosed(exchange, timesRun);
@@ -147,9 +147,9 @@
             return;
         }
         if (timesRun > 0) {
-            violated(SoakRule.LOST, exchange.toString());
-        } else if (exchange.endedMs() - exchange.sentMs() > CROSSING_MS) {
-            violated(SoakRule.MUTE, exchange.toString());
+            addViolation(SoakRule.LOST, exchange.toString());
+        } else if (exchange.endedMs() - exchange.sentMs() > CLOSE_RACE_MAX_MS) {
+            addViolation(SoakRule.MUTE, exchange.toString());
         }
     }
 
--- a/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
@@ -20,10 +20,10 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Ledger ledger;
     private final Supplier<Collection<UpstreamInstance>> upstreams;
-    private final long lagMs;
+    private final long listRefreshMs;
     private final Undertow server;
-    private String list = "{\"upstreams\":[]}";
-    private long listedMs;
+    private String endpointList = "{\"upstreams\":[]}";
+    private long listRefreshedAtMs;
 
     public PlatformStandIn(
             final int port,
@@ -33,7 +33,7 @@
             final long lagMs) {
         this.ledger = ledger;
         this.upstreams = upstreams;
-        this.lagMs = lagMs;
+        this.listRefreshMs = lagMs;
         this.server = Undertow.builder()
                 .setWorker(worker)
                 .addHttpListener(port, "127.0.0.1")
@@ -49,10 +49,10 @@
         server.stop();
     }
 
-    private synchronized String list() {
+    private synchronized String endpointList() {
         final long nowMs = System.currentTimeMillis();
-        if (nowMs - listedMs >= lagMs) {
-            listedMs = nowMs;
+        if (nowMs - listRefreshedAtMs >= listRefreshMs) {
+            listRefreshedAtMs = nowMs;
             final ObjectNode out = JSON.createObjectNode();
             final ArrayNode all = out.putArray("upstreams");
             for (final UpstreamInstance u : upstreams.get()) {
@@ -64,23 +64,23 @@
                         .put("region", u.place().region())
                         .put("leaving", u.leaving());
             }
-            list = out.toString();
+            endpointList = out.toString();
         }
-        return list;
+        return endpointList;
     }
 
     private void handle(final HttpServerExchange exchange) {
         if (exchange.getRequestPath().equals("/upstreams")) {
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-            exchange.getResponseSender().send(list());
+            exchange.getResponseSender().send(endpointList());
         } else if (exchange.getRequestPath().equals("/usage")) {
-            exchange.getRequestReceiver().receiveFullBytes((e, body) -> take(e, body));
+            exchange.getRequestReceiver().receiveFullBytes((e, body) -> acceptReport(e, body));
         } else {
             exchange.setStatusCode(404).endExchange();
         }
     }
 
-    private void take(final HttpServerExchange e, final byte[] body) {
+    private void acceptReport(final HttpServerExchange e, final byte[] body) {
         try {
             final JsonNode in = JSON.readTree(body);
             final Map<String, Long> counts = new TreeMap<>();
--- a/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
@@ -17,8 +17,8 @@
 /** An upstream made of bytes: it keeps what came as it came, and answers whatever it was told to write. */
 public final class RawUpstream implements UpstreamInstance {
     /** One ask as it was on the wire; head ends before the empty line, each wire has a number of its own. */
-    public record Came(int connection, String head, String body) {
-        public String line() {
+    public record ReceivedRequest(int connection, String head, String body) {
+        public String requestLine() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
@@ -33,8 +33,8 @@
     }
 
     /** Writes the answer to one ask, byte by byte as it likes. */
-    public interface Manner {
-        void answer(Came came, Writer out) throws IOException, InterruptedException;
+    public interface Responder {
+        void respond(ReceivedRequest came, Writer out) throws IOException, InterruptedException;
     }
 
     /** The wire's far side. */
@@ -49,10 +49,10 @@
     private final AtomicInteger connections = new AtomicInteger();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private ServerSocket server;
-    public final LinkedBlockingQueue<Came> came = new LinkedBlockingQueue<>();
-    public volatile Manner manner = RawUpstream::well;
+    public final LinkedBlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+    public volatile Responder responder = RawUpstream::respondOk;
     /** Answers before the body has come, as soon as the head is there. */
-    public volatile boolean early;
+    public volatile boolean respondBeforeBody;
 
     public RawUpstream(final Deployment.Place place, final int port) {
         this.place = place;
@@ -60,26 +60,26 @@
     }
 
     /** The head of a good answer, without its end; more is put in front of it. */
-    public static String names(final Came c) {
+    public static String identityHeaders(final ReceivedRequest c) {
         return "Spokestall-Ask-Id: " + c.header("Spokestall-Ask-Id") + "\r\nSpokestall-Instance: "
                 + c.header("Spokestall-Instance") + "\r\n";
     }
 
-    public static void well(final Came c, final Writer out) throws IOException {
+    public static void respondOk(final ReceivedRequest c, final Writer out) throws IOException {
         final String body = "answer to " + c.header("Spokestall-Ask-Id");
-        out.write("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" + names(c) + "Content-Length: " + body.length()
-                + "\r\n\r\n" + body);
+        out.write("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" + identityHeaders(c) + "Content-Length: "
+                + body.length() + "\r\n\r\n" + body);
     }
 
     /** The next ask that came, or null if none came in time. */
-    public Came next(final long waitMs) throws InterruptedException {
-        return came.poll(waitMs, TimeUnit.MILLISECONDS);
+    public ReceivedRequest awaitRequest(final long waitMs) throws InterruptedException {
+        return received.poll(waitMs, TimeUnit.MILLISECONDS);
     }
 
     public void reset() {
-        manner = RawUpstream::well;
-        early = false;
-        came.clear();
+        responder = RawUpstream::respondOk;
+        respondBeforeBody = false;
+        received.clear();
     }
 
     @Override
@@ -152,20 +152,21 @@
             };
             String head = head(in);
             while (head != null) {
-                final Came first = new Came(number, head, "");
-                if (first.line().startsWith("GET /spokestall/status ")) {
+                final ReceivedRequest first = new ReceivedRequest(number, head, "");
+                if (first.requestLine().startsWith("GET /spokestall/status ")) {
                     final String body = "{\"instance\":\"" + place.instance() + "\",\"service\":\"" + place.service()
                             + "\",\"leaving\":false,\"readyForMs\":600000}";
                     out.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-                } else if (early) {
-                    came.add(first);
-                    manner.answer(first, out);
+                } else if (respondBeforeBody) {
+                    received.add(first);
+                    responder.respond(first, out);
                 } else {
                     final String length = first.header("Content-Length");
                     final byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                    final Came whole = new Came(number, head, new String(body, StandardCharsets.ISO_8859_1));
-                    came.add(whole);
-                    manner.answer(whole, out);
+                    final ReceivedRequest whole =
+                            new ReceivedRequest(number, head, new String(body, StandardCharsets.ISO_8859_1));
+                    received.add(whole);
+                    responder.respond(whole, out);
                 }
                 head = head(in);
             }
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
@@ -16,7 +16,7 @@
 /** A stand-in upstream: warms up slowly, keeps a ledger, and misbehaves when told to. */
 public final class UpstreamStandIn implements UpstreamInstance {
     /** How it behaves. */
-    public enum Manner {
+    public enum Behavior {
         WELL,
         LOSE,
         GARBAGE,
@@ -26,16 +26,16 @@
     }
 
     private static final HttpString INSTANCE = new HttpString("Spokestall-Instance");
-    private static final HttpString ASK = new HttpString("Spokestall-Ask-Id");
+    private static final HttpString REQUEST_ID = new HttpString("Spokestall-Ask-Id");
     private final Deployment.Place place;
     private final String address;
     private final Ledger ledger;
-    private final long workMs;
+    private final long responseDelayMs;
     private final long readyAtMs;
     private final Undertow server;
-    private volatile Manner manner = Manner.WELL;
+    private volatile Behavior behavior = Behavior.WELL;
     private volatile boolean leaving;
-    private volatile long eachMs;
+    private volatile long serviceTimeMs;
     private long busyUntilMs;
 
     public UpstreamStandIn(
@@ -48,7 +48,7 @@
         this.place = place;
         this.address = "127.0.0.1:" + port;
         this.ledger = ledger;
-        this.workMs = workMs;
+        this.responseDelayMs = workMs;
         this.readyAtMs = System.currentTimeMillis() - warmForMs;
         this.server = Undertow.builder()
                 .setWorker(worker)
@@ -72,23 +72,23 @@
         return leaving;
     }
 
-    public void leave() {
+    public void startLeaving() {
         leaving = true;
     }
 
     /** From now on it takes one ask at a time, for so long; 0 is without limit. */
-    public void limit(final long ms) {
-        eachMs = ms;
+    public void setServiceTimeMs(final long ms) {
+        serviceTimeMs = ms;
     }
 
-    private synchronized long waitMs() {
+    private synchronized long queueingDelayMs() {
         final long nowMs = System.currentTimeMillis();
-        busyUntilMs = Math.max(busyUntilMs, nowMs) + eachMs;
+        busyUntilMs = Math.max(busyUntilMs, nowMs) + serviceTimeMs;
         return busyUntilMs - nowMs;
     }
 
-    public void behave(final Manner how) {
-        manner = how;
+    public void setBehavior(final Behavior how) {
+        behavior = how;
     }
 
     @Override
@@ -110,8 +110,8 @@
                             + (System.currentTimeMillis() - readyAtMs) + "}");
             return;
         }
-        final String requestId = exchange.getRequestHeaders().getFirst(ASK);
-        exchange.getResponseHeaders().put(ASK, requestId);
+        final String requestId = exchange.getRequestHeaders().getFirst(REQUEST_ID);
+        exchange.getResponseHeaders().put(REQUEST_ID, requestId);
         exchange.getResponseHeaders().put(INSTANCE, place.instance());
         if (!place.instance().equals(exchange.getRequestHeaders().getFirst(INSTANCE))) {
             exchange.getResponseHeaders().put(new HttpString("Spokestall-Outcome"), "not-run");
@@ -131,25 +131,26 @@
                     SameThreadExecutor.INSTANCE,
                     () -> e.getIoThread()
                             .executeAfter(
-                                    () -> answer(e, requestId),
-                                    waitMs() + (manner == Manner.SLOW ? 50 * workMs : workMs),
+                                    () -> respond(e, requestId),
+                                    queueingDelayMs()
+                                            + (behavior == Behavior.SLOW ? 50 * responseDelayMs : responseDelayMs),
                                     TimeUnit.MILLISECONDS));
         });
     }
 
-    private void answer(final HttpServerExchange e, final String requestId) {
-        final Manner how = manner;
-        if (how == Manner.LOSE || how == Manner.FLAKY && requestId.hashCode() % 2 == 0) {
+    private void respond(final HttpServerExchange e, final String requestId) {
+        final Behavior how = behavior;
+        if (how == Behavior.LOSE || how == Behavior.FLAKY && requestId.hashCode() % 2 == 0) {
             IoUtils.safeClose(e.getConnection());
             return;
         }
-        if (how == Manner.GARBAGE) {
-            e.getResponseHeaders().put(ASK, "garbage").put(INSTANCE, "garbage");
+        if (how == Behavior.GARBAGE) {
+            e.getResponseHeaders().put(REQUEST_ID, "garbage").put(INSTANCE, "garbage");
         }
         final byte[] out = ("{\"answerTo\":\"" + requestId + "\",\"by\":\"" + place.instance() + "\"}")
                 .getBytes(StandardCharsets.UTF_8);
         e.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        if (how == Manner.TRUNCATE) {
+        if (how == Behavior.TRUNCATE) {
             e.getResponseHeaders().put(Headers.CONTENT_LENGTH, out.length + 100);
             e.getResponseChannel();
             IoUtils.safeClose(e.getConnection());
--- a/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/FleetJudge.java
@@ -68,7 +68,7 @@
         for (final Ledger.Began b : began) {
             judge.check(
                     Rule.HOME,
-                    Deployment.home(Integer.parseInt(
+                    Deployment.homeRegions(Integer.parseInt(
                                             b.tenant().substring(b.tenant().indexOf('-') + 1)))
                                     .contains(b.region())
                             ? 0
@@ -83,10 +83,10 @@
     }
 
     private void told(final Map<String, List<Long>> begins) throws IOException {
-        if (!Files.exists(fleet.recorded())) {
+        if (!Files.exists(fleet.recordFile())) {
             return;
         }
-        for (final String line : Files.readAllLines(fleet.recorded())) {
+        for (final String line : Files.readAllLines(fleet.recordFile())) {
             final String[] parts = line.split(" ");
             final List<Long> at = begins.getOrDefault(parts[0], List.of());
             if (parts[1].equals("not-run") && parts[0].startsWith("t1-")) {
--- a/testbed/src/test/java/spokestall/testbed/ChangeHistoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/ChangeHistoryTest.java
@@ -18,34 +18,35 @@
     }
 
     @Test
-    void manyLargeChangesLeaveRoomAndCoresComeBackInTime() {
+    void manyLargeChangesKeepTheLogBoundedAndCoresRecoverInTime() {
         final ChangeHistory history = new ChangeHistory(1, List.of(10, 60, 200), 4, 9000);
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
-        assertThat(history.lost()).isEmpty();
-        assertThat(history.rows()).hasSize(3).allSatisfy(row -> {
+        assertThat(history.lostVersions()).isEmpty();
+        assertThat(history.measurements()).hasSize(3).allSatisfy(row -> {
             assertThat(row.logFill()).isLessThan(0.7);
             assertThat(row.configurationStoreBytes()).isLessThan(3 << 20);
         });
-        assertThat(history.backs())
+        assertThat(history.recoveries())
                 .allSatisfy(back -> assertThat(back.tookMs()).as("%s", back).isLessThan(CATCH_UP_MS));
     }
 
     @Test
-    void largeChangesAloneLeaveRoom() {
+    void largeChangesAloneKeepTheLogBounded() {
         final ChangeHistory history = new ChangeHistory(3, List.of(20, 60), 1, 9000);
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
-        assertThat(history.lost()).isEmpty();
-        assertThat(history.rows()).allSatisfy(row -> assertThat(row.logFill()).isLessThan(0.7));
-        assertThat(history.backs())
+        assertThat(history.lostVersions()).isEmpty();
+        assertThat(history.measurements())
+                .allSatisfy(row -> assertThat(row.logFill()).isLessThan(0.7));
+        assertThat(history.recoveries())
                 .allSatisfy(back -> assertThat(back.tookMs()).as("%s", back).isLessThan(CATCH_UP_MS));
     }
 
     @Test
-    void manySmallChangesLeaveRoomAndCoresComeBackInTime() {
+    void coresRecoverInTimeAfterManySmallChanges() {
         final ChangeHistory history = new ChangeHistory(2, List.of(100, 700), 50, 200);
         assertThat(history.play()).as("all changes were acknowledged").isTrue();
-        assertThat(history.lost()).isEmpty();
-        assertThat(history.backs())
+        assertThat(history.lostVersions()).isEmpty();
+        assertThat(history.recoveries())
                 .allSatisfy(back -> assertThat(back.tookMs()).as("%s", back).isLessThan(CATCH_UP_MS));
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
@@ -43,7 +43,7 @@
             new Case(Rule.LEAVING, InjectedFault.SLOW_LEAVING, Scenario.ROLLING, 4));
 
     @Test
-    void eachRuleIsSeenToBreakUnderItsPlantedFault() throws Exception {
+    void eachRuleIsViolatedUnderItsInjectedFault() throws Exception {
         Logger.getLogger("").setLevel(Level.OFF);
         final ExecutorService pool =
                 Executors.newFixedThreadPool(Math.max(2, Runtime.getRuntime().availableProcessors() - 1));
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -30,7 +30,7 @@
     }
 
     /** The longest that any node had a fresh proof and nothing to name, by node. */
-    private static Map<String, Long> longestWithout(final Scenario scenario, final long seed) {
+    private static Map<String, Long> longestWithoutEdges(final Scenario scenario, final long seed) {
         final SimulationRun run = new SimulationRun(seed, Deployment.PADMA, scenario, false, InjectedFault.NONE);
         final Map<String, Long> sinceMs = new HashMap<>();
         final Map<String, Long> longestMs = new TreeMap<>();
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aNodeInContactHasEdgesToName() {
+    void aNodeInContactWithAMajorityListsEdges() {
         for (final Scenario scenario : List.of(
                 Scenario.RESTART_ALL,
                 Scenario.DISTRICT_POWER,
@@ -70,7 +70,7 @@
                 Scenario.CUTS,
                 Scenario.SPLIT,
                 Scenario.MOVED)) {
-            assertThat(longestWithout(scenario, 3)).as(scenario.name()).isEmpty();
+            assertThat(longestWithoutEdges(scenario, 3)).as(scenario.name()).isEmpty();
         }
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
@@ -26,15 +26,15 @@
 class FleetClientsTest {
     private static final int LINES = 60;
     private static final long LINE_MS = 25;
-    private static final long LASTS_MS = 900;
+    private static final long SLOW_RESPONSE_MS = 900;
     /** More than an edge reads ahead at once. */
     private static final int READ_AHEAD_BYTES = 600;
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = "key-one-0001";
-    private static final int PLACES = 16;
+    private static final int REQUEST_SLOTS = 16;
     private static Fleet fleet;
-    private static RawUpstream up;
+    private static RawUpstream upstream;
     private static String edge;
 
     @BeforeAll
@@ -44,10 +44,10 @@
                 folder,
                 FleetLayout.relayed(3, 0),
                 List.of(new Deployment.Place("transfers-0", "transfers", "d1", "r1")),
-                (place, port) -> up = new RawUpstream(place, port),
-                Map.of("askOpenMax", Integer.toString(PLACES), "askSpanMaxMs", "6000"));
+                (place, port) -> upstream = new RawUpstream(place, port),
+                Map.of("askOpenMax", Integer.toString(REQUEST_SLOTS), "askSpanMaxMs", "6000"));
         fleet.start();
-        fleet.ready(fleet.putConfiguration("raw", configuration()));
+        fleet.awaitReady(fleet.putConfiguration("raw", configuration()));
         edge = fleet.members().get("d1-edge").http;
     }
 
@@ -82,18 +82,19 @@
 
     @BeforeEach
     void reset() {
-        up.reset();
+        upstream.reset();
     }
 
-    private static RawClient.Got ask(final String method, final String target, final String more) throws IOException {
+    private static RawClient.Response sendRequest(final String method, final String target, final String more)
+            throws IOException {
         try (RawClient client = new RawClient(edge)) {
-            client.send(RawClient.head(method, target, KEY, RawClient.freshId()) + more + "\r\n");
-            return client.got(method.equals("HEAD"));
+            client.send(RawClient.head(method, target, KEY, RawClient.nextRequestId()) + more + "\r\n");
+            return client.readResponse(method.equals("HEAD"));
         }
     }
 
-    private static RawUpstream.Came came() throws InterruptedException {
-        final RawUpstream.Came came = up.next(5000);
+    private static RawUpstream.ReceivedRequest awaitUpstreamRequest() throws InterruptedException {
+        final RawUpstream.ReceivedRequest came = upstream.awaitRequest(5000);
         assertThat(came).as("an ask came to the upstream").isNotNull();
         return came;
     }
@@ -125,20 +126,20 @@
     }
 
     /** Nothing came before an ask that is sent now. */
-    private static void nothingCame() throws Exception {
-        assertThat(ask("GET", "/transfers/marker", "").status()).isEqualTo(200);
-        assertThat(came().line()).isEqualTo("GET /transfers/marker HTTP/1.1");
+    private static void assertNothingForwarded() throws Exception {
+        assertThat(sendRequest("GET", "/transfers/marker", "").status()).isEqualTo(200);
+        assertThat(awaitUpstreamRequest().requestLine()).isEqualTo("GET /transfers/marker HTTP/1.1");
     }
 
     @Test
-    void theTargetIsForwardedAsItCame() throws Exception {
+    void theRequestTargetIsForwardedUnchanged() throws Exception {
         for (final String target : List.of(
                 "/transfers/a%20b%3fc%23d%25",
                 "/transfers/x?q=%0d%0ay&z=a+b&&e=%C3%A9?/",
                 "/transfers/caf%c3%a9/",
                 "/transfers/a:b@c!$&'()*+,=~-._")) {
-            assertThat(ask("GET", target, "").status()).as(target).isEqualTo(200);
-            assertThat(came().line()).isEqualTo("GET " + target + " HTTP/1.1");
+            assertThat(sendRequest("GET", target, "").status()).as(target).isEqualTo(200);
+            assertThat(awaitUpstreamRequest().requestLine()).isEqualTo("GET " + target + " HTTP/1.1");
         }
     }
 
@@ -168,35 +169,35 @@
                 "http://edge/transfers/payout",
                 "transfers/payout",
                 "*")) {
-            final RawClient.Got got = ask("GET", target, "");
+            final RawClient.Response got = sendRequest("GET", target, "");
             assertThat(got == null ? 400 : got.status()).as(target).isEqualTo(400);
-            assertThat(got == null || got.code() == null ? "2014" : got.code())
+            assertThat(got == null || got.resultCode() == null ? "2014" : got.resultCode())
                     .as(target)
                     .isEqualTo("2014");
         }
         for (final String line : List.of("CONNECT edge:80", "TRACE /transfers/a")) {
-            final RawClient.Got got = ask(line.split(" ")[0], line.split(" ")[1], "");
+            final RawClient.Response got = sendRequest(line.split(" ")[0], line.split(" ")[1], "");
             assertThat(got == null ? 400 : got.status()).as(line).isBetween(400, 499);
         }
-        nothingCame();
+        assertNothingForwarded();
     }
 
     @Test
     void endToEndHeadersPassBothWaysAndHopByHopOnesDoNot() throws Exception {
-        up.manner = (c, out) -> out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c)
+        upstream.responder = (c, out) -> out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(c)
                 + "Content-Length: 2\r\nContent-Type: text/calendar\r\nContent-Disposition: attachment; filename=\"a b.ics\"\r\n"
                 + "Content-Language: de\r\nETag: \"v1\"\r\nLast-Modified: Tue, 01 Dec 2026 00:00:00 GMT\r\n"
                 + "Cache-Control: max-age=60\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nLocation: /transfers/9\r\n"
                 + "Connection: X-Hop, keep-alive\r\nX-Hop: no\r\nKeep-Alive: timeout=9\r\nProxy-Authenticate: Basic\r\n"
                 + "Spokestall-Code: 9999\r\nSpokestall-Outcome: ran\r\nSpokestall-Other: x\r\n\r\nok");
-        final RawClient.Got got = ask(
+        final RawClient.Response got = sendRequest(
                 "GET",
                 "/transfers/a",
                 "Accept: text/calendar\r\nAccept-Language: de\r\n"
                         + "If-None-Match: \"v0\"\r\nRange: bytes=0-1\r\nAuthorization: Bearer t\r\nCookie: c=3\r\nX-Two: 1\r\nX-Two: 2\r\n"
                         + "Connection: X-Mine\r\nX-Mine: no\r\nTE: trailers\r\nProxy-Authorization: Basic x\r\nUpgrade: h2c\r\n"
                         + "Spokestall-Tenant: two\r\nspokestall-instance: else\r\nSpokestall-Service: records\r\nSpokestall-X: 1\r\n");
-        final RawUpstream.Came came = came();
+        final RawUpstream.ReceivedRequest came = awaitUpstreamRequest();
         assertThat(came.header("Accept")).isEqualTo("text/calendar");
         assertThat(came.header("Accept-Language")).isEqualTo("de");
         assertThat(came.header("If-None-Match")).isEqualTo("\"v0\"");
@@ -214,8 +215,8 @@
         assertThat(came.head().toLowerCase(Locale.ROOT).split("spokestall-instance", -1))
                 .hasSize(2);
         assertThat(got.status()).isEqualTo(200);
-        assertThat(got.code()).isEqualTo("1000");
-        assertThat(got.all("Spokestall-Code")).hasSize(1);
+        assertThat(got.resultCode()).isEqualTo("1000");
+        assertThat(got.headerValues("Spokestall-Code")).hasSize(1);
         assertThat(got.header("Spokestall-Outcome")).isEqualTo("ran");
         assertThat(got.header("Content-Disposition")).isEqualTo("attachment; filename=\"a b.ics\"");
         assertThat(got.header("Content-Language")).isEqualTo("de");
@@ -223,7 +224,7 @@
         assertThat(got.header("Last-Modified")).isEqualTo("Tue, 01 Dec 2026 00:00:00 GMT");
         assertThat(got.header("Cache-Control")).isEqualTo("max-age=60");
         assertThat(got.header("Location")).isEqualTo("/transfers/9");
-        assertThat(got.all("Set-Cookie")).containsExactly("a=1", "b=2");
+        assertThat(got.headerValues("Set-Cookie")).containsExactly("a=1", "b=2");
         for (final String hop : List.of("X-Hop", "Proxy-Authenticate", "Spokestall-Other")) {
             assertThat(got.header(hop)).as(hop).isNull();
         }
@@ -231,8 +232,8 @@
     }
 
     @Test
-    void aKeptAnswerHasTheHeadersOfTheFirstOne() throws Exception {
-        up.manner = (c, out) -> out.write("HTTP/1.1 201 Created\r\n" + RawUpstream.names(c)
+    void aRecordedAnswerHasTheHeadersOfTheOriginal() throws Exception {
+        upstream.responder = (c, out) -> out.write("HTTP/1.1 201 Created\r\n" + RawUpstream.identityHeaders(c)
                 + "Content-Length: 4\r\nLocation: /transfers/7\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n\r\npaid");
         final String ticket = fleet.call(
                         fleet.members().get("d1-core").operators,
@@ -241,74 +242,75 @@
                 .path("result")
                 .path("ticket")
                 .asText();
-        final List<RawClient.Got> got = new ArrayList<>();
+        final List<RawClient.Response> got = new ArrayList<>();
         try (RawClient client = new RawClient(edge)) {
             client.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                     + "Content-Length: 2\r\n\r\nhi");
-            got.add(client.got());
+            got.add(client.readResponse());
         }
-        assertThat(got.get(0).code()).isEqualTo("1000");
-        came();
-        Fleet.until("the repeat finds the recorded answer", 5000, () -> {
+        assertThat(got.get(0).resultCode()).isEqualTo("1000");
+        awaitUpstreamRequest();
+        Fleet.waitUntil("the repeat finds the recorded answer", 5000, () -> {
             try (RawClient client = new RawClient(edge)) {
                 client.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                         + "Content-Length: 2\r\n\r\nhi");
-                got.add(client.got());
-                return "1001".equals(got.get(got.size() - 1).code());
+                got.add(client.readResponse());
+                return "1001".equals(got.get(got.size() - 1).resultCode());
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        final RawClient.Got last = got.get(got.size() - 1);
+        final RawClient.Response last = got.get(got.size() - 1);
         assertThat(last.status()).isEqualTo(201);
         assertThat(last.header("Location")).isEqualTo("/transfers/7");
-        assertThat(last.all("Set-Cookie")).containsExactly("a=1", "b=2");
+        assertThat(last.headerValues("Set-Cookie")).containsExactly("a=1", "b=2");
         assertThat(last.body()).isEqualTo("paid");
-        up.manner = RawUpstream::well;
-        nothingCame();
+        upstream.responder = RawUpstream::respondOk;
+        assertNothingForwarded();
     }
 
     @Test
-    void answersWithoutBodyAndInterimOnesAreFramedRight() throws Exception {
-        up.manner =
-                (c, out) -> out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + "Content-Length: 5000\r\n\r\n");
-        final RawClient.Got head = ask("HEAD", "/transfers/a", "");
+    void responsesWithoutBodyAndInterimResponsesAreFramedCorrectly() throws Exception {
+        upstream.responder = (c, out) ->
+                out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(c) + "Content-Length: 5000\r\n\r\n");
+        final RawClient.Response head = sendRequest("HEAD", "/transfers/a", "");
         assertThat(head.status()).isEqualTo(200);
         assertThat(head.header("Content-Length")).isEqualTo("5000");
-        up.manner = (c, out) -> out.write("HTTP/1.1 204 No Content\r\n" + RawUpstream.names(c) + "\r\n");
+        upstream.responder =
+                (c, out) -> out.write("HTTP/1.1 204 No Content\r\n" + RawUpstream.identityHeaders(c) + "\r\n");
         try (RawClient client = new RawClient(edge)) {
-            client.send(RawClient.head("DELETE", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
-            final RawClient.Got none = client.got();
+            client.send(RawClient.head("DELETE", "/transfers/a", KEY, RawClient.nextRequestId()) + "\r\n");
+            final RawClient.Response none = client.readResponse();
             assertThat(none.status()).isEqualTo(204);
             assertThat(none.header("Content-Length")).isNull();
-            up.manner = (c, out) ->
-                    out.write("HTTP/1.1 304 Not Modified\r\nETag: \"v1\"\r\n" + RawUpstream.names(c) + "\r\n");
-            client.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
-            final RawClient.Got same = client.got();
+            upstream.responder = (c, out) -> out.write(
+                    "HTTP/1.1 304 Not Modified\r\nETag: \"v1\"\r\n" + RawUpstream.identityHeaders(c) + "\r\n");
+            client.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.nextRequestId()) + "\r\n");
+            final RawClient.Response same = client.readResponse();
             assertThat(same.status()).isEqualTo(304);
             assertThat(same.header("ETag")).isEqualTo("\"v1\"");
-            up.manner = (c, out) -> out.write("HTTP/1.1 206 Partial Content\r\nContent-Range: bytes 0-1/9\r\n"
-                    + RawUpstream.names(c) + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n");
-            client.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
-            final RawClient.Got part = client.got();
+            upstream.responder = (c, out) -> out.write("HTTP/1.1 206 Partial Content\r\nContent-Range: bytes 0-1/9\r\n"
+                    + RawUpstream.identityHeaders(c) + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n");
+            client.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.nextRequestId()) + "\r\n");
+            final RawClient.Response part = client.readResponse();
             assertThat(part.status()).isEqualTo(206);
             assertThat(part.header("Content-Range")).isEqualTo("bytes 0-1/9");
             assertThat(part.body()).isEqualTo("ab");
         }
-        up.manner = (c, out) -> {
+        upstream.responder = (c, out) -> {
             out.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
-            RawUpstream.well(c, out);
+            RawUpstream.respondOk(c, out);
         };
-        final RawClient.Got after = ask("GET", "/transfers/a", "");
+        final RawClient.Response after = sendRequest("GET", "/transfers/a", "");
         assertThat(after.status())
                 .as("never an interim answer as the final one")
                 .isEqualTo(502);
-        up.manner = RawUpstream::well;
-        assertThat(ask("GET", "/transfers/a", "").status()).isEqualTo(200);
+        upstream.responder = RawUpstream::respondOk;
+        assertThat(sendRequest("GET", "/transfers/a", "").status()).isEqualTo(200);
     }
 
     @Test
-    void anAskWithAmbiguousFramingIsRejectedAndItsWireEnds() throws Exception {
+    void aRequestWithAmbiguousFramingIsRejectedAndItsConnectionCloses() throws Exception {
         for (final String framing : List.of(
                 "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
                 "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
@@ -323,18 +325,18 @@
                 "Content-Length : 3\r\n\r\nabc",
                 "Host: other\r\n\r\n")) {
             try (RawClient client = new RawClient(edge)) {
-                client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + framing
+                client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId()) + framing
                         + "GET /transfers/smuggled HTTP/1.1\r\n\r\n");
-                final RawClient.Got got = client.got();
+                final RawClient.Response got = client.readResponse();
                 assertThat(got == null ? 400 : got.status()).as(framing).isEqualTo(400);
-                assertThat(client.ended()).as(framing).isTrue();
+                assertThat(client.isClosedByPeer()).as(framing).isTrue();
             }
         }
-        nothingCame();
+        assertNothingForwarded();
     }
 
     @Test
-    void anAnswerWithAmbiguousFramingIsNeverPassedOn() throws Exception {
+    void aResponseWithAmbiguousFramingIsNeverForwarded() throws Exception {
         for (final String framing : List.of(
                 "Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
                 "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab",
@@ -345,60 +347,62 @@
                 "Content-Length: x\r\n\r\nab",
                 "Content-Length: -2\r\n\r\nab",
                 "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n")) {
-            up.manner = (c, out) -> {
-                out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + framing);
+            upstream.responder = (c, out) -> {
+                out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(c) + framing);
                 out.close();
             };
-            final RawClient.Got got = ask("GET", "/transfers/a", "");
+            final RawClient.Response got = sendRequest("GET", "/transfers/a", "");
             assertThat(got.status()).as(framing).isEqualTo(502);
-            assertThat(got.code()).as(framing).isEqualTo("3001");
-            up.manner = RawUpstream::well;
-            Fleet.until("the upstream is used again", 8000, FleetClientsTest::usable);
+            assertThat(got.resultCode()).as(framing).isEqualTo("3001");
+            upstream.responder = RawUpstream::respondOk;
+            Fleet.waitUntil("the upstream is used again", 8000, FleetClientsTest::upstreamServes);
         }
     }
 
     @Test
-    void aClientThatAsksMaySendItsBodyIsToldSoOnceItIsLetIn() throws Exception {
+    void expectContinueIsAnsweredOnceTheRequestIsAdmitted() throws Exception {
         final String expecting = "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n";
         try (RawClient client = new RawClient(edge)) {
             for (int i = 0; i < 2; i++) {
-                client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId()) + expecting);
-                assertThat(client.got().status()).isEqualTo(100);
+                client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId()) + expecting);
+                assertThat(client.readResponse().status()).isEqualTo(100);
                 client.send("body");
-                assertThat(client.got().status()).isEqualTo(200);
-                assertThat(came().body()).isEqualTo("body");
+                assertThat(client.readResponse().status()).isEqualTo(200);
+                assertThat(awaitUpstreamRequest().body()).isEqualTo("body");
             }
         }
         try (RawClient client = new RawClient(edge)) {
-            client.send(RawClient.head("POST", "/transfers/a", "no-such-key", RawClient.freshId()) + expecting);
-            assertThat(client.got().status()).as("denied without its body").isEqualTo(401);
-            assertThat(client.ended())
+            client.send(RawClient.head("POST", "/transfers/a", "no-such-key", RawClient.nextRequestId()) + expecting);
+            assertThat(client.readResponse().status())
+                    .as("denied without its body")
+                    .isEqualTo(401);
+            assertThat(client.isClosedByPeer())
                     .as("what comes next could be the body or another ask")
                     .isTrue();
         }
-        nothingCame();
+        assertNothingForwarded();
     }
 
-    private static boolean usable() {
+    private static boolean upstreamServes() {
         try {
-            return ask("GET", "/transfers/a", "").status() == 200;
+            return sendRequest("GET", "/transfers/a", "").status() == 200;
         } catch (final IOException e) {
             return false;
         }
     }
 
     @Test
-    void clientsThatStopInMidBodyLoseTheirPlacesAtTheDeadline() throws Exception {
+    void clientsThatStallInMidBodyLoseTheirSlotsAtTheDeadline() throws Exception {
         final List<RawClient> halves = new ArrayList<>();
         try {
-            for (int i = 0; i < PLACES; i++) {
+            for (int i = 0; i < REQUEST_SLOTS; i++) {
                 final RawClient half = new RawClient(edge);
                 halves.add(half);
-                half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
+                half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId())
                                 .replace("4000", "1500") + "Content-Length: 100\r\n\r\nabc");
             }
             // Another tenant has a place though one has taken all it can, and so has the one itself once they are over.
-            Fleet.until(
+            Fleet.waitUntil(
                     "the halves are in",
                     5000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
@@ -406,16 +410,16 @@
                                     .asInt()
                             > 2);
             try (RawClient other = new RawClient(edge)) {
-                other.send(RawClient.head("GET", "/transfers/a", "key-two-0001", RawClient.freshId()) + "\r\n");
-                assertThat(other.got().status()).isEqualTo(200);
+                other.send(RawClient.head("GET", "/transfers/a", "key-two-0001", RawClient.nextRequestId()) + "\r\n");
+                assertThat(other.readResponse().status()).isEqualTo(200);
             }
             int late = 0;
             for (final RawClient half : halves) {
-                final RawClient.Got got = half.got();
-                assertThat(got.code()).isIn("2006", "2009");
+                final RawClient.Response got = half.readResponse();
+                assertThat(got.resultCode()).isIn("2006", "2009");
                 assertThat(got.header("Retry-After")).isNotNull();
-                late += got.code().equals("2006") ? 1 : 0;
-                assertThat(half.ended()).isTrue();
+                late += got.resultCode().equals("2006") ? 1 : 0;
+                assertThat(half.isClosedByPeer()).isTrue();
             }
             assertThat(late).isPositive();
             assertThat(fleet.status(fleet.members().get("d1-edge")).path("open").asInt())
@@ -425,38 +429,39 @@
                 half.close();
             }
         }
-        assertThat(ask("GET", "/transfers/a", "").status()).isEqualTo(200);
+        assertThat(sendRequest("GET", "/transfers/a", "").status()).isEqualTo(200);
     }
 
     @Test
-    void clientsThatLeaveInMidBodyLoseTheirPlacesAtOnce() throws Exception {
-        for (int i = 0; i < PLACES; i++) {
+    void clientsThatDisconnectInMidBodyLoseTheirSlotsAtOnce() throws Exception {
+        for (int i = 0; i < REQUEST_SLOTS; i++) {
             try (RawClient half = new RawClient(edge)) {
-                half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
-                                .replace("4000", "25000") + "Content-Length: 100\r\n\r\nabc");
+                half.send(
+                        RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId())
+                                        .replace("4000", "25000") + "Content-Length: 100\r\n\r\nabc");
             }
         }
-        Fleet.until(
+        Fleet.waitUntil(
                 "all places are free",
                 5000,
                 () -> fleet.status(fleet.members().get("d1-edge")).path("open").asInt() == 0);
-        nothingCame();
+        assertNothingForwarded();
     }
 
     @Test
-    void aClientThatDoesNotReadItsAnswerHoldsItsBytesOnlySoLong() throws Exception {
-        up.manner = (c, out) -> {
-            out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + "Content-Length: 8000000\r\n\r\n");
+    void aResponseThatItsClientDoesNotReadIsDroppedAfterATimeout() throws Exception {
+        upstream.responder = (c, out) -> {
+            out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(c) + "Content-Length: 8000000\r\n\r\n");
             out.write("x".repeat(8_000_000));
         };
         try (RawClient deaf = new RawClient(edge)) {
-            deaf.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.freshId()) + "\r\n");
-            came();
-            Fleet.until("the place is given back while the answer waits", 5000, () -> {
+            deaf.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.nextRequestId()) + "\r\n");
+            awaitUpstreamRequest();
+            Fleet.waitUntil("the place is given back while the answer waits", 5000, () -> {
                 final JsonNode s = fleet.status(fleet.members().get("d1-edge"));
                 return s.path("open").asInt() == 0 && s.path("heldBytes").asLong() == 8_000_000;
             });
-            Fleet.until(
+            Fleet.waitUntil(
                     "the bytes are given back",
                     15_000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
@@ -467,25 +472,25 @@
     }
 
     @Test
-    void anUpstreamThatAnswersTwiceEarlyOrSlowlyNeverGivesAnotherAsksAnswer() throws Exception {
-        final List<RawUpstream.Manner> manners = List.of(
+    void anUpstreamThatRespondsTwiceEarlyOrSlowlyNeverCausesAnotherRequestsResponse() throws Exception {
+        final List<RawUpstream.Responder> manners = List.of(
                 (c, out) -> {
-                    RawUpstream.well(c, out);
-                    RawUpstream.well(c, out);
+                    RawUpstream.respondOk(c, out);
+                    RawUpstream.respondOk(c, out);
                 },
                 (c, out) -> {
-                    RawUpstream.well(c, out);
+                    RawUpstream.respondOk(c, out);
                     out.write("left over");
                 });
-        for (final RawUpstream.Manner manner : manners) {
+        for (final RawUpstream.Responder manner : manners) {
             for (int i = 0; i < 5; i++) {
-                up.manner = manner;
-                ask("GET", "/transfers/a", "");
-                up.manner = RawUpstream::well;
-                final String id = RawClient.freshId();
+                upstream.responder = manner;
+                sendRequest("GET", "/transfers/a", "");
+                upstream.responder = RawUpstream::respondOk;
+                final String id = RawClient.nextRequestId();
                 try (RawClient client = new RawClient(edge)) {
                     client.send(RawClient.head("GET", "/transfers/b", KEY, id) + "\r\n");
-                    final RawClient.Got got = client.got();
+                    final RawClient.Response got = client.readResponse();
                     assertThat(got.body()).as("turn " + i + " " + got).isEqualTo("answer to " + id);
                     assertThat(got.header("Spokestall-Goes"))
                             .as("no go was lost to what an earlier one left")
@@ -493,17 +498,18 @@
                 }
             }
         }
-        up.early = true;
+        upstream.respondBeforeBody = true;
         try (RawClient client = new RawClient(edge)) {
             final String body = "x".repeat(60_000);
-            client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.freshId())
+            client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId())
                     + "Content-Length: 60000\r\n\r\n" + body);
-            assertThat(client.got().status()).isIn(200, 502);
+            assertThat(client.readResponse().status()).isIn(200, 502);
         }
-        up.reset();
-        up.manner = (c, out) -> {
-            for (final char one :
-                    ("HTTP/1.1 200 OK\r\n" + RawUpstream.names(c) + "Content-Length: 900\r\n\r\n").toCharArray()) {
+        upstream.reset();
+        upstream.responder = (c, out) -> {
+            for (final char one : ("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(c)
+                            + "Content-Length: 900\r\n\r\n")
+                    .toCharArray()) {
                 out.write(String.valueOf(one));
             }
             for (int i = 0; i < 899; i++) {
@@ -511,41 +517,41 @@
             }
         };
         final long fromNs = System.nanoTime();
-        final RawClient.Got slow = ask("GET", "/transfers/a", "");
-        assertThat(slow.code()).isEqualTo("3001");
+        final RawClient.Response slow = sendRequest("GET", "/transfers/a", "");
+        assertThat(slow.resultCode()).isEqualTo("3001");
         assertThat((System.nanoTime() - fromNs) / 1_000_000)
                 .as("ends with the go's span")
                 .isLessThan(8000);
-        up.reset();
-        Fleet.until("the upstream is used again", 8000, FleetClientsTest::usable);
+        upstream.reset();
+        Fleet.waitUntil("the upstream is used again", 8000, FleetClientsTest::upstreamServes);
     }
 
     @Test
-    void aWireThatLeadsToAnotherInstanceIsNotUsedAgain() throws Exception {
+    void aConnectionThatLeadsToAnotherInstanceIsNotReused() throws Exception {
         final int[] elsewhere = {-1};
-        up.manner = (c, out) -> {
+        upstream.responder = (c, out) -> {
             if (elsewhere[0] < 0 || c.connection() == elsewhere[0]) {
                 elsewhere[0] = c.connection();
                 out.write(
                         "HTTP/1.1 421 Misdirected\r\nSpokestall-Ask-Id: " + c.header("Spokestall-Ask-Id")
                                 + "\r\nSpokestall-Instance: another\r\nSpokestall-Outcome: not-run\r\nContent-Length: 0\r\n\r\n");
             } else {
-                RawUpstream.well(c, out);
+                RawUpstream.respondOk(c, out);
             }
         };
-        assertThat(ask("GET", "/transfers/a", "").status()).isEqualTo(503);
-        final int first = came().connection();
-        Fleet.until("asks reach the right instance on another wire", 8000, FleetClientsTest::usable);
-        RawUpstream.Came last = came();
-        while (up.came.peek() != null) {
-            last = came();
+        assertThat(sendRequest("GET", "/transfers/a", "").status()).isEqualTo(503);
+        final int first = awaitUpstreamRequest().connection();
+        Fleet.waitUntil("asks reach the right instance on another wire", 8000, FleetClientsTest::upstreamServes);
+        RawUpstream.ReceivedRequest last = awaitUpstreamRequest();
+        while (upstream.received.peek() != null) {
+            last = awaitUpstreamRequest();
         }
         assertThat(last.connection()).isNotEqualTo(first);
-        assertThat(up.came).isEmpty();
+        assertThat(upstream.received).isEmpty();
     }
 
     @Test
-    void aWithdrawnKeyStopsOnAnOpenWireWithAsksPipelinedAndInMidBody() throws Exception {
+    void aWithdrawnKeyIsRejectedOnOpenConnectionsForPipelinedAndHalfSentRequests() throws Exception {
         final ObjectNode params = JSON.createObjectNode()
                 .put("changeId", "add-gone")
                 .put("cell", "cell")
@@ -563,7 +569,7 @@
                 .path("result")
                 .path("version")
                 .asLong();
-        Fleet.until(
+        Fleet.waitUntil(
                 "the key is in force",
                 5000,
                 () -> fleet.status(fleet.members().get("d1-edge"))
@@ -572,12 +578,12 @@
                         >= added);
         try (RawClient open = new RawClient(edge);
                 RawClient half = new RawClient(edge)) {
-            open.send(RawClient.head("GET", "/transfers/a", "key-gone-0001", RawClient.freshId()) + "\r\n");
-            assertThat(open.got().status()).isEqualTo(200);
-            half.send(RawClient.head("POST", "/transfers/a", "key-gone-0001", RawClient.freshId())
+            open.send(RawClient.head("GET", "/transfers/a", "key-gone-0001", RawClient.nextRequestId()) + "\r\n");
+            assertThat(open.readResponse().status()).isEqualTo(200);
+            half.send(RawClient.head("POST", "/transfers/a", "key-gone-0001", RawClient.nextRequestId())
                             .replace("4000", "20000")
                     + "Content-Length: 4\r\n\r\nab");
-            Fleet.until(
+            Fleet.waitUntil(
                     "the half is in",
                     5000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
@@ -590,33 +596,34 @@
                     .path("version")
                     .asLong();
             assertThat(taken).isGreaterThan(added);
-            Fleet.until(
+            Fleet.waitUntil(
                     "the withdrawal is in force",
                     5000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
                                     .path("version")
                                     .asLong()
                             >= taken);
-            up.came.clear();
+            upstream.received.clear();
             half.send("cd");
-            assertThat(half.got().code()).isEqualTo("2002");
-            final String one = RawClient.head("GET", "/transfers/a", "key-gone-0001", RawClient.freshId()) + "\r\n";
+            assertThat(half.readResponse().resultCode()).isEqualTo("2002");
+            final String one =
+                    RawClient.head("GET", "/transfers/a", "key-gone-0001", RawClient.nextRequestId()) + "\r\n";
             open.send(one + one + one);
             for (int i = 0; i < 3; i++) {
-                final RawClient.Got got = open.got();
+                final RawClient.Response got = open.readResponse();
                 assertThat(got.status()).isEqualTo(401);
-                assertThat(got.code()).isEqualTo("2002");
+                assertThat(got.resultCode()).isEqualTo("2002");
             }
         }
-        nothingCame();
+        assertNothingForwarded();
     }
 
     /** The upstream writes its head line by line, so that it notices that nobody reads any more. */
     @Test
-    void anIdempotentRequestWhoseClientLeftIsEndedAtItsUpstream() throws Exception {
+    void anIdempotentRequestIsCancelledAtItsUpstreamWhenItsClientDisconnects() throws Exception {
         final CountDownLatch ended = new CountDownLatch(1);
         final CountDownLatch never = new CountDownLatch(1);
-        up.manner = (came, out) -> {
+        upstream.responder = (came, out) -> {
             try {
                 out.write("HTTP/1.1 200 OK\r\n");
                 for (int line = 0; line < LINES; line++) {
@@ -628,8 +635,8 @@
             }
         };
         try (RawClient client = new RawClient(edge)) {
-            client.send(RawClient.head("GET", "/transfers/x", KEY, RawClient.freshId()) + "\r\n");
-            came();
+            client.send(RawClient.head("GET", "/transfers/x", KEY, RawClient.nextRequestId()) + "\r\n");
+            awaitUpstreamRequest();
         }
         assertThat(ended.await(500, TimeUnit.MILLISECONDS))
                 .as("half a second after its client left")
@@ -638,28 +645,30 @@
 
     /** While the first is under way the connection is read ahead, to notice that its client leaves. */
     @Test
-    void aRequestThatIsSentBehindOneThatLastsIsAnsweredToo() throws Exception {
+    void aRequestPipelinedBehindASlowOneIsAnswered() throws Exception {
         final CountDownLatch never = new CountDownLatch(1);
-        up.manner = (came, out) -> {
-            if (came.line().contains("/transfers/lasts")) {
-                never.await(LASTS_MS, TimeUnit.MILLISECONDS);
+        upstream.responder = (came, out) -> {
+            if (came.requestLine().contains("/transfers/lasts")) {
+                never.await(SLOW_RESPONSE_MS, TimeUnit.MILLISECONDS);
             }
-            out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.names(came) + "Content-Length: 2\r\n\r\nok");
+            out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(came) + "Content-Length: 2\r\n\r\nok");
         };
         try (RawClient client = new RawClient(edge)) {
-            client.send(RawClient.head("GET", "/transfers/lasts", KEY, RawClient.freshId()) + "\r\n");
-            assertThat(came().line()).isEqualTo("GET /transfers/lasts HTTP/1.1");
-            final String second = RawClient.head("GET", "/transfers/behind", KEY, RawClient.freshId()) + "X-Fill: "
-                    + "x".repeat(READ_AHEAD_BYTES) + "\r\n\r\n";
+            client.send(RawClient.head("GET", "/transfers/lasts", KEY, RawClient.nextRequestId()) + "\r\n");
+            assertThat(awaitUpstreamRequest().requestLine()).isEqualTo("GET /transfers/lasts HTTP/1.1");
+            final String second = RawClient.head("GET", "/transfers/behind", KEY, RawClient.nextRequestId())
+                    + "X-Fill: " + "x".repeat(READ_AHEAD_BYTES) + "\r\n\r\n";
             client.send(second.substring(0, READ_AHEAD_BYTES));
-            assertThat(client.got().status()).isEqualTo(200);
+            assertThat(client.readResponse().status()).isEqualTo(200);
             client.send(second.substring(READ_AHEAD_BYTES));
-            assertThat(client.got().status()).isEqualTo(200);
-            final RawUpstream.Came behind = came();
-            assertThat(behind.line()).isEqualTo("GET /transfers/behind HTTP/1.1");
+            assertThat(client.readResponse().status()).isEqualTo(200);
+            final RawUpstream.ReceivedRequest behind = awaitUpstreamRequest();
+            assertThat(behind.requestLine()).isEqualTo("GET /transfers/behind HTTP/1.1");
             assertThat(behind.header("X-Fill")).hasSize(READ_AHEAD_BYTES);
             client.send(second);
-            assertThat(client.got().status()).as("the connection goes on").isEqualTo(200);
+            assertThat(client.readResponse().status())
+                    .as("the connection goes on")
+                    .isEqualTo(200);
         }
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -25,25 +25,25 @@
 /** Real processes: a fleet in which a core and an edge are killed while asks flow. */
 class FleetTest {
     @Test
-    void servesWhileACoreAndAnEdgeAreKilledAndStopsCleanly(@TempDir final Path folder) throws Exception {
-        try (Fleet fleet = new Fleet(Deployment.PADMA, folder, Deployment.DISTRICTS, 2)) {
+    void aFleetServesWhileACoreAndAnEdgeAreKilledAndStopsCleanly(@TempDir final Path folder) throws Exception {
+        try (Fleet fleet = new Fleet(Deployment.PADMA, folder, Deployment.ZONES, 2)) {
             fleet.start();
             final long version = fleet.putConfiguration();
-            fleet.ready(version);
-            final Process demand = fleet.demand(10, 0.95);
-            Fleet.until("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
+            fleet.awaitReady(version);
+            final Process demand = fleet.startLoadGenerator(10, 0.95);
+            Fleet.waitUntil("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
             fleet.members().get("d2-core").process.destroyForcibly().waitFor();
             fleet.members().get("d5-edge").process.destroyForcibly().waitFor();
             assertThat(demand.waitFor()).as("demand's verdict").isZero();
             assertThat(fleet.ledger().began()).isNotEmpty();
             fleet.start(fleet.members().get("d2-core"));
             fleet.start(fleet.members().get("d5-edge"));
-            fleet.ready(version);
-            Fleet.until("the core votes again", 20_000, () -> {
+            fleet.awaitReady(version);
+            Fleet.waitUntil("the core votes again", 20_000, () -> {
                 final JsonNode s = fleet.status(fleet.members().get("d2-core"));
                 return s.path("voter").asText().equals("VOTING");
             });
-            Fleet.until(
+            Fleet.waitUntil(
                     "a window is reported",
                     20_000,
                     () -> !fleet.ledger().reported().isEmpty());
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
@@ -17,7 +17,7 @@
 
 /** What control sends between regions is the dearest thing, so it has bounds. The figures are in measurements.md. */
 class FleetTrafficTest {
-    private static final Map<String, String> SPARING = Map.of(
+    private static final Map<String, String> LOW_TRAFFIC_SETTINGS = Map.of(
             "probes",
             "0",
             "proofMs",
@@ -36,34 +36,35 @@
         Logger.getLogger("").setLevel(Level.OFF);
     }
 
-    private static double of(final Map<String, MessageTraffic.Sum> sums, final String... kinds) {
+    private static double bytesPerNode(final Map<String, MessageTraffic.Sum> sums, final String... kinds) {
         return MessageTraffic.regionsPerNode(sums, kinds);
     }
 
     @Test
-    void atRestControlIsSmall() {
+    void controlTrafficWithoutRequestsIsBounded() {
         final Map<String, MessageTraffic.Sum> rest = MessageTraffic.of(1, Deployment.PADMA, false, Map.of());
-        assertThat(of(rest, "FreshnessRequest", "FreshnessResponse")).isLessThan(900);
-        assertThat(of(rest, "FeedRequest", "FeedResponse")).isLessThan(900);
-        assertThat(of(rest, "Counts", "CountsAcknowledged")).isLessThan(40);
-        assertThat(of(rest, "Prepare", "Promise", "Accept", "Accepted", "Chosen"))
+        assertThat(bytesPerNode(rest, "FreshnessRequest", "FreshnessResponse")).isLessThan(900);
+        assertThat(bytesPerNode(rest, "FeedRequest", "FeedResponse")).isLessThan(900);
+        assertThat(bytesPerNode(rest, "Counts", "CountsAcknowledged")).isLessThan(40);
+        assertThat(bytesPerNode(rest, "Prepare", "Promise", "Accept", "Accepted", "Chosen"))
                 .isLessThan(350);
-        assertThat(of(rest, "Push")).isLessThan(1000);
-        assertThat(of(rest, "Shuffle")).isLessThan(600);
+        assertThat(bytesPerNode(rest, "Push")).isLessThan(1000);
+        assertThat(bytesPerNode(rest, "Shuffle")).isLessThan(600);
         assertThat(rest.get("FreshnessRequest").bytes() / rest.get("FreshnessRequest").messages)
                 .isLessThan(60);
         assertThat(rest.get("FreshnessResponse").bytes() / rest.get("FreshnessResponse").messages)
                 .isLessThan(70);
-        final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, false, SPARING);
-        assertThat(of(sparing) - of(sparing, "VoterStatus")).isLessThan(1500);
-        assertThat(of(sparing, "Push")).isLessThan(20);
+        final Map<String, MessageTraffic.Sum> sparing =
+                MessageTraffic.of(1, Deployment.PADMA, false, LOW_TRAFFIC_SETTINGS);
+        assertThat(bytesPerNode(sparing) - bytesPerNode(sparing, "VoterStatus")).isLessThan(1500);
+        assertThat(bytesPerNode(sparing, "Push")).isLessThan(20);
     }
 
     @Test
-    void withAsksCountsAreSmall() {
+    void controlTrafficWithRequestsIsBounded() {
         final Map<String, MessageTraffic.Sum> requests = MessageTraffic.of(1, Deployment.PADMA, true, Map.of());
-        assertThat(of(requests, "Counts", "CountsAcknowledged")).isLessThan(3500);
-        assertThat(of(
+        assertThat(bytesPerNode(requests, "Counts", "CountsAcknowledged")).isLessThan(3500);
+        assertThat(bytesPerNode(
                         requests,
                         "FreshnessRequest",
                         "FreshnessResponse",
@@ -72,13 +73,14 @@
                         "Push",
                         "Shuffle"))
                 .isLessThan(3400);
-        final Map<String, MessageTraffic.Sum> sparing = MessageTraffic.of(1, Deployment.PADMA, true, SPARING);
-        assertThat(of(sparing, "Counts", "CountsAcknowledged")).isLessThan(1200);
+        final Map<String, MessageTraffic.Sum> sparing =
+                MessageTraffic.of(1, Deployment.PADMA, true, LOW_TRAFFIC_SETTINGS);
+        assertThat(bytesPerNode(sparing, "Counts", "CountsAcknowledged")).isLessThan(1200);
     }
 
     /** Who is there is known with one shuffle a second and node, too. */
     @Test
-    void aNodeThatIsGoneIsForgottenAndAFreshOneIsKnownByAllSoon() {
+    void allNodesRemoveAKilledNodeAndListItAgainAfterItsRestart() {
         for (long seed = 1; seed <= 3; seed++) {
             final SimulatedWorld world =
                     new SimulatedWorld(seed, Deployment.VERDE, false, InjectedFault.NONE, Scenario.CALM, Map.of());
@@ -87,18 +89,18 @@
             }
             world.sim.run(30_000);
             final SimulatedNode one = world.nodes.get("d3-edge");
-            assertThat(knowing(world, one.name)).isEqualTo(11);
+            assertThat(nodesListing(world, one.name)).isEqualTo(11);
             one.kill();
             world.sim.run(30_000 + 16_000);
-            assertThat(knowing(world, one.name)).isZero();
+            assertThat(nodesListing(world, one.name)).isZero();
             world.sim.run(90_000);
             one.start();
             world.sim.run(90_000 + 3000);
-            assertThat(knowing(world, one.name)).isEqualTo(11);
+            assertThat(nodesListing(world, one.name)).isEqualTo(11);
         }
     }
 
-    private static int knowing(final SimulatedWorld world, final String name) {
+    private static int nodesListing(final SimulatedWorld world, final String name) {
         final int[] found = {0};
         for (final SimulatedNode node : world.nodes.values()) {
             if (!node.name.equals(name)) {
--- a/testbed/src/test/java/spokestall/testbed/fleet/LinkEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/LinkEndTest.java
@@ -13,11 +13,11 @@
     private final LinkConditions links = new LinkConditions(0);
 
     @Test
-    void theNodeWhoseProcessHasTheConnectionIsFoundWhenItIsFirstAskedFor() throws Exception {
+    void theNodeIsLookedUpOnFirstUseAndThenCached() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket connection = new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort())) {
             final LinkEnd end = new LinkEnd(links, connection.getLocalPort());
-            links.node(SELF, ProcessHandle.current().pid());
+            links.registerProcess(SELF, ProcessHandle.current().pid());
             assertThat(end.node()).isEqualTo(SELF);
             connection.close();
             assertThat(end.node()).as("after the connection has ended").isEqualTo(SELF);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void theEndOfNoNodesProcessHasNoName() throws Exception {
+    void aConnectionOfNoKnownProcessHasNoNode() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket connection = new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort())) {
             assertThat(new LinkEnd(links, connection.getLocalPort()).node()).isEqualTo("?");
@@ -33,11 +33,11 @@
     }
 
     @Test
-    void onlyACutNeedsToKnowWhoseAnEndIs() {
+    void anyCutReportsWhetherALinkIsCut() {
         assertThat(links.anyCut()).isFalse();
-        links.cut(SELF, "d2-edge", true);
+        links.setCut(SELF, "d2-edge", true);
         assertThat(links.anyCut()).isTrue();
-        links.cut(SELF, "d2-edge", false);
+        links.setCut(SELF, "d2-edge", false);
         assertThat(links.anyCut()).isFalse();
     }
 }
