--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -73,25 +73,25 @@
     }
 
     /** Starts all nodes and puts the deployment's configuration. */
-    public OperatorFleet begun() {
+    public OperatorFleet start() {
         world.nodes.values().forEach(SimulatedNode::start);
-        fresh();
+        awaitFresh();
         final ObjectNode params = JSON.createObjectNode();
         params.set("policy", world.configuration());
         final SimulatedNode core = world.cores().get(0);
-        until("the first policy is accepted", 10_000, () -> {
+        runUntil("the first policy is accepted", 10_000, () -> {
             params.put("base", version(core)).put("changeId", "first");
-            return done(core, "policy.put", params).result() == ResultCode.OK;
+            return callAndWait(core, "policy.put", params).result() == ResultCode.OK;
         });
         return this;
     }
 
     /** Waits until every node is up and proved fresh, and every core votes. */
-    public void fresh() {
-        until("all nodes are fresh", 30_000, () -> nodes().stream().allMatch(OperatorFleet::able));
+    public void awaitFresh() {
+        runUntil("all nodes are fresh", 30_000, () -> nodes().stream().allMatch(OperatorFleet::isReady));
     }
 
-    private static boolean able(final SimulatedNode node) {
+    private static boolean isReady(final SimulatedNode node) {
         return node.running()
                 && node.node().feedClient().isFresh()
                 && (!node.core || node.node().acceptor().state() == Acceptor.State.VOTING);
@@ -105,7 +105,7 @@
         world.sim.run(nowMs() + spanMs);
     }
 
-    public void until(final String what, final long mostMs, final BooleanSupplier so) {
+    public void runUntil(final String what, final long mostMs, final BooleanSupplier so) {
         final long endMs = nowMs() + mostMs;
         while (!so.getAsBoolean()) {
             if (nowMs() > endMs) {
@@ -115,7 +115,7 @@
         }
     }
 
-    private Consumer<Reply> into(final Call call) {
+    private Consumer<Reply> storeReplyIn(final Call call) {
         return reply -> {
             call.reply = reply;
             call.repliedMs = nowMs();
@@ -125,22 +125,22 @@
     /** Makes a call and does not wait for its reply. */
     Call call(final SimulatedNode to, final String method, final JsonNode params) {
         final Call call = new Call();
-        world.call(to, method, params, into(call));
+        world.call(to, method, params, storeReplyIn(call));
         return call;
     }
 
     /** Gives an order without a base of its own, as a platform's calls do. */
-    public void agree(
+    public void submit(
             final SimulatedNode to,
             final String changeId,
             final ChangeDraft draft,
             final long waitMs,
             final Consumer<Reply> done) {
-        agree(to, changeId, draft, ChangeDeadlines.of(waitMs), done);
+        submit(to, changeId, draft, ChangeDeadlines.of(waitMs), done);
     }
 
     /** Gives an order without a base of its own, which is pursued for longer than its caller waits. */
-    public void agree(
+    public void submit(
             final SimulatedNode to,
             final String changeId,
             final ChangeDraft draft,
@@ -150,7 +150,7 @@
     }
 
     /** Gives an order made against a base, at any node. */
-    public void take(
+    public void submitForBaseVersion(
             final SimulatedNode to,
             final long base,
             final String changeId,
@@ -160,10 +160,11 @@
     }
 
     /** Gives an order made against a base and waits for its reply. */
-    public Call taken(final SimulatedNode to, final long base, final String changeId, final ChangeDraft draft) {
+    public Call submitForBaseVersionAndWait(
+            final SimulatedNode to, final long base, final String changeId, final ChangeDraft draft) {
         final Call call = new Call();
-        take(to, base, changeId, draft, into(call));
-        return waited(call);
+        submitForBaseVersion(to, base, changeId, draft, storeReplyIn(call));
+        return awaitReply(call);
     }
 
     public List<SimulatedNode> nodes() {
@@ -171,11 +172,11 @@
     }
 
     /** Makes a call and waits for its reply. */
-    public Call done(final SimulatedNode to, final String method, final JsonNode params) {
-        return waited(call(to, method, params));
+    public Call callAndWait(final SimulatedNode to, final String method, final JsonNode params) {
+        return awaitReply(call(to, method, params));
     }
 
-    private Call waited(final Call call) {
+    private Call awaitReply(final Call call) {
         final long endMs = nowMs() + REPLY_MS;
         while (call.reply == null && nowMs() < endMs) {
             run(STEP_MS);
@@ -196,14 +197,14 @@
     }
 
     /** A patch that adds one route. */
-    public ObjectNode bind(final long base, final String changeId, final String path) {
+    public ObjectNode addRouteParams(final long base, final String changeId, final String path) {
         final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", changeId);
-        params.set("patch", Deployment.routePatch(path, "/more/" + path, world.deployment.big));
+        params.set("patch", Deployment.routePatch(path, "/more/" + path, world.deployment.largeService));
         return params;
     }
 
     /** A key call on a tenant. */
-    public static ObjectNode key(final long base, final String changeId, final int tenant, final String keyId) {
+    public static ObjectNode keyParams(final long base, final String changeId, final int tenant, final String keyId) {
         return JSON.createObjectNode()
                 .put("base", base)
                 .put("changeId", changeId)
--- a/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
@@ -37,7 +37,7 @@
                 (place, port) -> upstream = new RawUpstream(place, port),
                 Map.of());
         fleet.start();
-        fleet.ready(fleet.putConfiguration("raw", configuration()));
+        fleet.awaitReady(fleet.putConfiguration("raw", configuration()));
     }
 
     private static ObjectNode configuration() {
@@ -60,9 +60,9 @@
         fleet.close();
     }
 
-    private static RawClient.Got ask(final RawClient client) throws IOException {
-        client.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
-        return client.got();
+    private static RawClient.Response sendRequest(final RawClient client) throws IOException {
+        client.send(RawClient.head("GET", TARGET, KEY, RawClient.nextRequestId()) + "\r\n");
+        return client.readResponse();
     }
 
     private static boolean logged(final FleetMember member, final String words) {
@@ -73,41 +73,41 @@
         }
     }
 
-    private static void untilLogged(final FleetMember member, final String words) {
-        Fleet.until(member.name + " logged " + words, 10_000, () -> logged(member, words));
+    private static void awaitLogged(final FleetMember member, final String words) {
+        Fleet.waitUntil(member.name + " logged " + words, 10_000, () -> logged(member, words));
     }
 
     @Test
-    void aHangupHasTheSettingsReadAnewAndCutsNothing() throws Exception {
+    void aHangupReloadsTheSettingsAndKeepsConnectionsOpen() throws Exception {
         for (final String name : List.of("d1-edge", "d1-core")) {
             final FleetMember member = fleet.members().get(name);
             try (RawClient client = new RawClient(fleet.members().get("d1-edge").http)) {
-                assertThat(ask(client).status()).isEqualTo(200);
-                member.change("whereS", "3");
+                assertThat(sendRequest(client).status()).isEqualTo(200);
+                member.changeSetting("whereS", "3");
                 member.signal("HUP");
-                untilLogged(member, "event=settings_renewed node=" + name + " taken=[whereS] waiting=[]");
-                member.change("whereS", "soon");
+                awaitLogged(member, "event=settings_renewed node=" + name + " taken=[whereS] waiting=[]");
+                member.changeSetting("whereS", "soon");
                 member.signal("HUP");
-                untilLogged(member, "event=settings_refused");
-                assertThat(ask(client).status()).isEqualTo(200);
+                awaitLogged(member, "event=settings_refused");
+                assertThat(sendRequest(client).status()).isEqualTo(200);
                 assertThat(member.process.isAlive()).isTrue();
-                member.change("whereS", "2.5");
+                member.changeSetting("whereS", "2.5");
                 member.signal("HUP");
             }
         }
     }
 
     @Test
-    void aFileThatChangesWithoutASignalIsReadToo() throws Exception {
+    void aChangedSettingsFileIsReloadedWithoutASignal() throws Exception {
         final FleetMember member = fleet.members().get("d2-edge");
-        member.change("retryShare", "0.15");
-        untilLogged(member, "taken=[retryShare]");
+        member.changeSetting("retryShare", "0.15");
+        awaitLogged(member, "taken=[retryShare]");
         assertThat(member.process.isAlive()).isTrue();
     }
 
     /** The member takes no more connections; what was open before goes on. */
-    private static void untilRefused(final FleetMember member) {
-        Fleet.until(member.name + " takes no more connections", 5000, () -> {
+    private static void awaitConnectionsRefused(final FleetMember member) {
+        Fleet.waitUntil(member.name + " takes no more connections", 5000, () -> {
             try (RawClient late = new RawClient(member.http)) {
                 return false;
             } catch (final IOException refused) {
@@ -116,58 +116,58 @@
         });
     }
 
-    private static void startAgain(final FleetMember member) throws Exception {
+    private static void restart(final FleetMember member) throws Exception {
         assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("it ended").isTrue();
         fleet.start(member);
-        fleet.ready(1);
+        fleet.awaitReady(1);
     }
 
     @Test
-    void aStopAnswersWhatComesOnKeptConnectionsAndEndsThemWithTheAnswer() throws Exception {
+    void aStoppingNodeAnswersRequestsOnOpenConnectionsAndThenClosesThem() throws Exception {
         final FleetMember member = fleet.members().get("d2-edge");
         try (RawClient first = new RawClient(member.http);
                 RawClient second = new RawClient(member.http);
                 RawClient atRest = new RawClient(member.http)) {
             for (final RawClient client : List.of(first, second, atRest)) {
-                assertThat(ask(client).status()).isEqualTo(200);
+                assertThat(sendRequest(client).status()).isEqualTo(200);
             }
             member.signal("TERM");
-            untilRefused(member);
+            awaitConnectionsRefused(member);
             for (final RawClient client : List.of(first, second)) {
-                final RawClient.Got got = ask(client);
+                final RawClient.Response got = sendRequest(client);
                 assertThat(got).as("an answer, not a cut").isNotNull();
                 assertThat(got.status()).isEqualTo(200);
                 assertThat(got.header("Connection")).isEqualTo("close");
-                assertThat(client.ended()).isTrue();
+                assertThat(client.isClosedByPeer()).isTrue();
                 assertThat(member.process.isAlive()).as("one is at rest").isTrue();
             }
-            assertThat(atRest.endedInOrder()).as("closed, not reset").isTrue();
+            assertThat(atRest.isClosedWithoutReset()).as("closed, not reset").isTrue();
         }
-        startAgain(member);
+        restart(member);
     }
 
     @Test
-    void aStopIsLoggedToItsEnd() throws Exception {
+    void everyStepOfAStopIsLogged() throws Exception {
         final FleetMember member = fleet.members().get("d3-edge");
         member.signal("TERM");
         assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("it ended").isTrue();
         for (final String event : List.of("shutdown_started", "shutdown_drained", "stopped")) {
             assertThat(logged(member, "event=" + event)).as(event).isTrue();
         }
-        startAgain(member);
+        restart(member);
     }
 
     @Test
-    void aRequestThatIsUnderWayAtTheEndOfAStopIsAnswered() throws Exception {
+    void aRequestStillInFlightAtTheEndOfAStopIsAnswered() throws Exception {
         final FleetMember member = fleet.members().get("d1-edge");
         final CountDownLatch over = new CountDownLatch(1);
         try (RawClient client = new RawClient(member.http)) {
-            upstream.manner = (came, out) -> over.await();
-            upstream.came.clear();
-            client.send(RawClient.head("GET", TARGET, KEY, RawClient.freshId()) + "\r\n");
-            assertThat(upstream.next(5000)).isNotNull();
+            upstream.responder = (came, out) -> over.await();
+            upstream.received.clear();
+            client.send(RawClient.head("GET", TARGET, KEY, RawClient.nextRequestId()) + "\r\n");
+            assertThat(upstream.awaitRequest(5000)).isNotNull();
             member.signal("TERM");
-            final RawClient.Got got = client.got();
+            final RawClient.Response got = client.readResponse();
             assertThat(got).as("an answer, not a cut").isNotNull();
             assertThat(got.status()).isEqualTo(503);
             assertThat(got.header("Spokestall-Outcome")).isEqualTo("undecided");
@@ -176,6 +176,6 @@
             over.countDown();
             upstream.reset();
         }
-        startAgain(member);
+        restart(member);
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/simulation/ConcurrentChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/ConcurrentChangesTest.java
@@ -28,8 +28,8 @@
     void eightAtOnceAreAllAcknowledgedInTimeAndEachOnce() {
         final List<Long> waits = new ArrayList<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
-            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).begun();
-            final long oneWayMs = fleet.world.deployment.apartMs;
+            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).start();
+            final long oneWayMs = fleet.world.deployment.interRegionRttMs;
             fleet.nodes().forEach(n -> fleet.world.net.slow(n.address, oneWayMs / 4));
             final Random random = new Random(seed);
             final List<SimulatedNode> nodes = new ArrayList<>(fleet.nodes());
--- a/testbed/src/test/java/spokestall/testbed/simulation/FleetSizeChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/FleetSizeChangesTest.java
@@ -34,7 +34,7 @@
             final OperatorFleet fleet = new OperatorFleet(
                             seed, Deployment.VERDE, InjectedFault.NONE, OperatorFleet.PLATFORM_SETTINGS)
                     .withEdges(edges)
-                    .begun();
+                    .start();
             final Random random = new Random(seed);
             final List<RetriedChange> changes = new ArrayList<>();
             for (int i = 0; i < ROUNDS; i++) {
--- a/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
@@ -74,7 +74,7 @@
             random = new Random(seed);
             fleet = new OperatorFleet(seed, Deployment.values()[Math.floorMod(seed, 2)], InjectedFault.NONE, settings())
                     .withEdges(EDGES)
-                    .begun();
+                    .start();
         }
 
         /** A clean stop, and a start a moment after the process has ended. */
@@ -131,16 +131,16 @@
             for (int i = 0; i < EARLIER_CHANGES; i++) {
                 final int before = acknowledged.size();
                 change(acknowledged::add);
-                fleet.until("a change is acknowledged", ACK_MS, () -> acknowledged.size() > before);
+                fleet.runUntil("a change is acknowledged", ACK_MS, () -> acknowledged.size() > before);
                 fleet.run(random.nextInt(4000));
             }
             change(id -> {
                 acknowledged.add(id);
                 fleet.world.sim.after(random.nextInt(5), this::loseDisksAndPower);
             });
-            fleet.until("the last change is acknowledged", ACK_MS, () -> acknowledged.size() > EARLIER_CHANGES);
+            fleet.runUntil("the last change is acknowledged", ACK_MS, () -> acknowledged.size() > EARLIER_CHANGES);
             fleet.run(RECOVERY_MS);
-            fleet.fresh();
+            fleet.awaitFresh();
             return acknowledged.stream().filter(this::isMissingSomewhere).toList();
         }
 
--- a/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
@@ -24,7 +24,7 @@
 
     @BeforeEach
     void begin() {
-        fleet = new OperatorFleet(1, Deployment.PADMA).begun();
+        fleet = new OperatorFleet(1, Deployment.PADMA).start();
         core = fleet.world.cores().get(0);
         edge = fleet.nodes().stream().filter(node -> !node.core).findFirst().orElseThrow();
         fleet.run(30_000);
@@ -37,7 +37,7 @@
     }
 
     private JsonNode reply(final SimulatedNode to, final String method, final JsonNode params) {
-        return fleet.done(to, method, params).reply.json();
+        return fleet.callAndWait(to, method, params).reply.json();
     }
 
     private List<String> fields(final SimulatedNode to, final String method, final JsonNode params) {
@@ -115,14 +115,14 @@
     @Test
     void ordersAreAnsweredWithVersionsAndChangeIds() {
         final long base = OperatorFleet.version(core);
-        final ObjectNode order = fleet.bind(base, "change-1", "more");
+        final ObjectNode order = fleet.addRouteParams(base, "change-1", "more");
         final String accepted = "{\"code\":1000,\"text\":\"done\",\"result\":{\"version\":" + (base + 1)
                 + ",\"changeId\":\"change-1\"}}";
         assertThat(reply(core, "policy.patch", order).toString()).isEqualTo(accepted);
         assertThat(reply(core, "policy.patch", order).toString())
                 .as("sent again")
                 .isEqualTo(accepted);
-        assertThat(reply(core, "policy.patch", fleet.bind(base, "change-2", "stale"))
+        assertThat(reply(core, "policy.patch", fleet.addRouteParams(base, "change-2", "stale"))
                         .toString())
                 .isEqualTo(
                         "{\"code\":4001,\"text\":\"the base version is not the current one\",\"result\":{\"current\":"
@@ -133,7 +133,7 @@
                 .isEqualTo("{\"code\":4002,\"text\":\"the policy is invalid\",\"result\":{\"current\":" + (base + 1)
                         + ",\"changeId\":\"change-3\",\"troubles\":[{\"pointer\":\"/holds/nowhere\","
                         + "\"reason\":\"unknown district\"}]}}");
-        assertThat(reply(core, "key.withdraw", OperatorFleet.key(base + 1, "change-4", 0, "none"))
+        assertThat(reply(core, "key.withdraw", OperatorFleet.keyParams(base + 1, "change-4", 0, "none"))
                         .path("code")
                         .asInt())
                 .isEqualTo(4007);
--- a/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
@@ -40,12 +40,12 @@
 
     @Test
     void attemptsWhoseAnswersAreLostAreReported() {
-        checkUsage(world -> behave(world, UpstreamStandIn.Manner.FLAKY));
+        checkUsage(world -> behave(world, UpstreamStandIn.Behavior.FLAKY));
     }
 
     @Test
     void attemptsThatSpanWindowsBelongToTheOneInWhichTheyBegan() {
-        checkUsage(world -> behave(world, UpstreamStandIn.Manner.SLOW));
+        checkUsage(world -> behave(world, UpstreamStandIn.Behavior.SLOW));
     }
 
     private interface Trouble {
@@ -56,12 +56,12 @@
         for (int seed = 1; seed <= SEEDS; seed++) {
             final OperatorFleet fleet = new OperatorFleet(
                             seed, Deployment.PADMA, InjectedFault.NONE, OperatorFleet.UNPROBED_SETTINGS)
-                    .begun();
+                    .start();
             fleet.world.clients.start();
             fleet.run(PHASE_MS);
             trouble.begin(fleet.world);
             fleet.run(PHASE_MS);
-            behave(fleet.world, UpstreamStandIn.Manner.WELL);
+            behave(fleet.world, UpstreamStandIn.Behavior.WELL);
             fleet.run(REPORTED_MS);
             assertThat(off(fleet.world))
                     .as("windows that are off, seed %s", seed)
@@ -69,13 +69,13 @@
         }
     }
 
-    private static void behave(final SimulatedWorld world, final UpstreamStandIn.Manner manner) {
+    private static void behave(final SimulatedWorld world, final UpstreamStandIn.Behavior manner) {
         upstreamsOfTheLargeService(world).forEach(up -> up.manner = manner);
     }
 
     private static List<SimulatedEnvironment.Up> upstreamsOfTheLargeService(final SimulatedWorld world) {
         return world.outside.running().stream()
-                .filter(up -> up.service.equals(world.deployment.big))
+                .filter(up -> up.service.equals(world.deployment.largeService))
                 .toList();
     }
 
--- a/testbed/src/test/java/spokestall/testbed/simulation/RepeatedChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RepeatedChangeTest.java
@@ -44,7 +44,8 @@
         }
 
         private ChangeDraft draft() {
-            final ObjectNode patch = (ObjectNode) fleet.bind(base, id, id).get("patch");
+            final ObjectNode patch =
+                    (ObjectNode) fleet.addRouteParams(base, id, id).get("patch");
             return tree -> new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         }
 
@@ -55,7 +56,7 @@
                     send(fleet.world.any(fleet.nodes(), random));
                 }
             });
-            fleet.take(to, base, id, draft(), reply -> {
+            fleet.submitForBaseVersion(to, base, id, draft(), reply -> {
                 if (random.nextDouble() >= ANSWERS_LOST) {
                     hear(reply);
                 }
@@ -74,7 +75,7 @@
     void ofEightOnOneBaseOneIsConfirmedWhateverDiesAndTheOneIsConfirmedAgainEverywhere() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             final Random random = new Random(seed);
-            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).begun();
+            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).start();
             final Map<String, Order> confirmed = new LinkedHashMap<>();
             final List<Order> beaten = new ArrayList<>();
             for (int round = 0; round < ROUNDS; round++) {
@@ -89,7 +90,7 @@
             fleet.nodes().forEach(SimulatedNode::losePower);
             fleet.run(200);
             fleet.nodes().forEach(SimulatedNode::start);
-            fleet.fresh();
+            fleet.awaitFresh();
             sendAgain(fleet, confirmed.values(), ResultCode.OK);
             sendAgain(fleet, beaten.subList(0, 2), ResultCode.STALE_BASE);
         }
@@ -97,7 +98,7 @@
 
     /** Eight orders on one base at eight nodes, while one of these dies and others are cut off or lose power. */
     private static List<Order> race(final OperatorFleet fleet, final Random random, final String name) {
-        fleet.fresh();
+        fleet.awaitFresh();
         final long base = fleet.newestVersion();
         final List<SimulatedNode> nodes = new ArrayList<>(fleet.nodes());
         java.util.Collections.shuffle(nodes, random);
@@ -115,7 +116,7 @@
                 random.nextInt(300),
                 () -> fleet.othersThan(cut).forEach(o -> fleet.world.net.cut(cut.address, o.address, true)));
         fleet.world.sim.after(2500, fleet.world.net::heal);
-        fleet.until(
+        fleet.runUntil(
                 name + " all have a clear answer", 20_000, () -> racers.stream().allMatch(o -> o.told != null));
         return racers;
     }
@@ -123,7 +124,8 @@
     private static void sendAgain(final OperatorFleet fleet, final Iterable<Order> orders, final ResultCode right) {
         for (final Order order : orders) {
             for (final SimulatedNode node : fleet.nodes()) {
-                final OperatorFleet.Call call = fleet.taken(node, order.base, order.id, order.draft());
+                final OperatorFleet.Call call =
+                        fleet.submitForBaseVersionAndWait(node, order.base, order.id, order.draft());
                 assertThat(call.result())
                         .as(order.id + " again at " + node.name)
                         .isEqualTo(right);
@@ -136,36 +138,37 @@
 
     @Test
     void aConfirmedOrderIsConfirmedAgainAfterHundredsOfOthersAndRestartsAndALostMajority() {
-        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).begun();
+        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).start();
         final Order first = followedByHundreds(fleet);
         sendAgain(fleet, List.of(first), ResultCode.OK);
         blank(fleet.world.cores().subList(2, 3));
-        fleet.fresh();
+        fleet.awaitFresh();
         sendAgain(fleet, List.of(first), ResultCode.OK);
         blank(fleet.world.cores().subList(0, 4));
         fleet.run(2000);
-        fleet.fresh();
+        fleet.awaitFresh();
         sendAgain(fleet, List.of(first), ResultCode.OK);
     }
 
     /** Beyond the stated bound, ten minutes and 512 orders, it is stale: by then no one sends it again. */
     @Test
     void anOrderWhoseTimeIsOverIsForgottenAndThisIsSeen() {
-        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA, InjectedFault.LEAPING_CHANGES).begun();
+        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA, InjectedFault.LEAPING_CHANGES).start();
         final Order first = followedByHundreds(fleet);
         final SimulatedNode edge = fleet.world.edges().get(0);
-        assertThat(fleet.taken(edge, first.base, first.id, first.draft()).result())
+        assertThat(fleet.submitForBaseVersionAndWait(edge, first.base, first.id, first.draft())
+                        .result())
                 .isEqualTo(ResultCode.STALE_BASE);
     }
 
     private static Order followedByHundreds(final OperatorFleet fleet) {
         final Order first = new Order(fleet, new Random(1), "first-of-many", fleet.newestVersion());
         first.send(fleet.nodes().get(0));
-        fleet.until("it is confirmed", 5000, () -> first.told == ResultCode.OK);
+        fleet.runUntil("it is confirmed", 5000, () -> first.told == ResultCode.OK);
         for (int i = 0; i < LATER_CHANGES; i++) {
             final SimulatedNode at = fleet.world.cores().get(i % 3);
-            final OperatorFleet.Call call =
-                    fleet.done(at, "policy.patch", fleet.bind(fleet.newestVersion(), "later-" + i, "l" + i % 20));
+            final OperatorFleet.Call call = fleet.callAndWait(
+                    at, "policy.patch", fleet.addRouteParams(fleet.newestVersion(), "later-" + i, "l" + i % 20));
             assertThat(call.result()).isEqualTo(ResultCode.OK);
         }
         return first;
--- a/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RetriedChange.java
@@ -75,9 +75,9 @@
         final int call = ++calls;
         callInProgress = call;
         // It fits on whatever is newest, as an evacuation does.
-        final ObjectNode patch = (ObjectNode) fleet.bind(0, id, id).get("patch");
+        final ObjectNode patch = (ObjectNode) fleet.addRouteParams(0, id, id).get("patch");
         final ChangeDraft draft = tree -> new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
-        fleet.agree(node, id, draft, caller.patience(), reply -> onReply(call, reply));
+        fleet.submit(node, id, draft, caller.patience(), reply -> onReply(call, reply));
         if (caller.silenceMs() != NEVER) {
             fleet.world.sim.after(caller.silenceMs(), () -> retryElsewhere(call));
         }
--- a/testbed/src/test/java/spokestall/testbed/simulation/SlowNodeChangesTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/SlowNodeChangesTest.java
@@ -41,7 +41,7 @@
             final OperatorFleet fleet = new OperatorFleet(
                             seed, Deployment.VERDE, InjectedFault.NONE, OperatorFleet.PLATFORM_SETTINGS)
                     .withEdges(EDGES)
-                    .begun();
+                    .start();
             fleet.world.edges().forEach(edge -> fleet.world.net.slow(edge.address, SLOW_MS));
             fleet.run(3000);
             final Random random = new Random(seed);
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -76,11 +76,11 @@
     /** The cut-off node that still names edges or is ready when it should not, or null. */
     private static SimulatedNode namesNoneWhenCut(final long seed, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
-                new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).begun();
+                new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).start();
         final Random random = new Random(seed);
         final SimulatedNode lone =
                 fleet.nodes().get(random.nextInt(fleet.nodes().size()));
-        fleet.until(
+        fleet.runUntil(
                 "it names edges",
                 CONTACT_MS,
                 () -> named(lone) > 0 && lone.node().ready());
@@ -95,7 +95,7 @@
             return lone;
         }
         fleet.world.net.heal();
-        fleet.until(
+        fleet.runUntil(
                 "it names edges again",
                 CONTACT_MS,
                 () -> named(lone) > 0 && lone.node().ready());
@@ -109,7 +109,7 @@
 
     private void play(final long seed, final Apart how, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
-                new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], injectedFault).begun();
+                new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], injectedFault).start();
         final Random random = new Random(seed);
         final List<SimulatedNode> cores = fleet.world.cores();
         final SimulatedNode lone = cores.get(how == Apart.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
@@ -117,9 +117,9 @@
         apart(fleet, lone, how, true);
         for (int turn = 0; turn < TURNS; turn++) {
             final String id = how + "-" + seed + "-" + turn;
-            final ObjectNode added =
-                    OperatorFleet.key(fleet.newestVersion(), id, 3, "k" + turn).put("key", "another-key-" + turn);
-            expect(id, fleet.done(other, "key.add", added), ResultCode.OK);
+            final ObjectNode added = OperatorFleet.keyParams(fleet.newestVersion(), id, 3, "k" + turn)
+                    .put("key", "another-key-" + turn);
+            expect(id, fleet.callAndWait(other, "key.add", added), ResultCode.OK);
             if (how == Apart.RESTARTED_WHILE_CUT && turn == 2) {
                 lone.kill();
                 fleet.run(500);
@@ -132,17 +132,21 @@
             askLone(fleet, lone, other, id, turn);
         }
         apart(fleet, lone, how, false);
-        fleet.until(
+        fleet.runUntil(
                 how + " " + seed + " is back in touch",
                 CONTACT_MS,
                 () -> lone.running()
                         && lone.node().acceptor().state() == Acceptor.State.VOTING
                         && lone.node().feedClient().isFresh()
                         && OperatorFleet.version(lone) == fleet.newestVersion());
-        expect(how + " back", fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode()), ResultCode.OK);
+        expect(
+                how + " back",
+                fleet.callAndWait(lone, "policy.get", OperatorFleet.JSON.createObjectNode()),
+                ResultCode.OK);
         expect(
                 how + " taken when back",
-                fleet.done(lone, "policy.patch", fleet.bind(fleet.newestVersion(), "back-" + seed, "back")),
+                fleet.callAndWait(
+                        lone, "policy.patch", fleet.addRouteParams(fleet.newestVersion(), "back-" + seed, "back")),
                 ResultCode.OK);
     }
 
@@ -153,7 +157,7 @@
         again.forEach(SimulatedNode::kill);
         fleet.run(300);
         again.forEach(SimulatedNode::start);
-        fleet.until(
+        fleet.runUntil(
                 "nodes are back by the other seeds",
                 CONTACT_MS,
                 () -> again.stream().allMatch(n -> n.node().feedClient().isFresh()));
@@ -173,7 +177,7 @@
             return;
         }
         final long newest = fleet.newestVersion();
-        final OperatorFleet.Call got = fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode());
+        final OperatorFleet.Call got = fleet.callAndWait(lone, "policy.get", OperatorFleet.JSON.createObjectNode());
         if (got.result() == ResultCode.OK && got.reply.fields().path("version").asLong() < newest) {
             wrong.add(id + " handed out " + got.reply.fields().path("version"));
         } else if (got.result() != ResultCode.OK && !SAYS_NOTHING.contains(got.result())) {
@@ -182,21 +186,29 @@
         nothingOr(
                 ResultCode.OK,
                 id + " patch on the newest",
-                fleet.done(lone, "policy.patch", fleet.bind(newest, id + "-p", "p" + turn)));
+                fleet.callAndWait(lone, "policy.patch", fleet.addRouteParams(newest, id + "-p", "p" + turn)));
         nothingOr(
                 ResultCode.OK,
                 id + " withdraw of a key that the majority has",
-                fleet.done(lone, "key.withdraw", OperatorFleet.key(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
+                fleet.callAndWait(
+                        lone,
+                        "key.withdraw",
+                        OperatorFleet.keyParams(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
         nothingOr(
                 ResultCode.OK,
                 id + " repeat of what the majority confirmed",
-                fleet.done(
-                        lone, "key.add", OperatorFleet.key(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
+                fleet.callAndWait(
+                        lone,
+                        "key.add",
+                        OperatorFleet.keyParams(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
         nothingOr(
                 ResultCode.STALE_BASE,
                 id + " patch on its own version",
-                fleet.done(lone, "policy.patch", fleet.bind(OperatorFleet.version(lone) - 1, id + "-s", "s" + turn)));
-        final OperatorFleet.Call where = fleet.done(
+                fleet.callAndWait(
+                        lone,
+                        "policy.patch",
+                        fleet.addRouteParams(OperatorFleet.version(lone) - 1, id + "-s", "s" + turn)));
+        final OperatorFleet.Call where = fleet.callAndWait(
                 lone,
                 "where",
                 OperatorFleet.JSON.createObjectNode().put("client", "c").put("key", "another-key-" + turn));
--- a/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WaitingChangeTest.java
@@ -35,7 +35,7 @@
     private static OperatorFleet.Call ordered(final OperatorFleet fleet, final SimulatedNode at, final boolean begin) {
         final OperatorFleet.Call call = new OperatorFleet.Call();
         order(fleet, at, begin, reply -> call.reply = reply);
-        fleet.until("a hold is settled", 3000, () -> call.reply != null);
+        fleet.runUntil("a hold is settled", 3000, () -> call.reply != null);
         return call;
     }
 
@@ -66,8 +66,8 @@
     void anOrderThatWaitedAtAFrozenNodeDoesNotUndoWhatWasConfirmedSince() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             final Random random = new Random(seed);
-            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).begun();
-            fleet.fresh();
+            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).start();
+            fleet.awaitFresh();
             final SimulatedNode frozen =
                     fleet.nodes().get(random.nextInt(fleet.nodes().size()));
             final SimulatedNode other = fleet.world.any(fleet.othersThan(frozen), random);
@@ -93,11 +93,11 @@
     /** The attack itself: an order that is taken without that look does empty the zone anew. */
     @Test
     void takenLikeAnOrderWithAnIdItWouldUndoIt() {
-        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).begun();
-        fleet.fresh();
+        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).start();
+        fleet.awaitFresh();
         final SimulatedNode frozen = fleet.nodes().get(3);
         frozen.freeze();
-        fleet.agree(frozen, "waited", hold(true), WAIT_MS, reply -> {});
+        fleet.submit(frozen, "waited", hold(true), WAIT_MS, reply -> {});
         assertThat(ordered(fleet, fleet.nodes().get(0), true).result()).isEqualTo(ResultCode.OK);
         fleet.run(3000);
         assertThat(ordered(fleet, fleet.nodes().get(0), false).result()).isEqualTo(ResultCode.OK);
--- a/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
@@ -75,7 +75,7 @@
     }
 
     private static void checkWarmUps(final int seed, final OperatorFleet fleet, final Runnable meanwhile) {
-        final SimulatedWorld world = fleet.begun().world;
+        final SimulatedWorld world = fleet.start().world;
         world.outside.reckonWarmUpOnAnswer();
         world.clients.start();
         fleet.run(5000);
@@ -95,7 +95,7 @@
 
     private static List<SimulatedEnvironment.Up> replaceMost(final SimulatedWorld world) {
         final List<SimulatedEnvironment.Up> gone = world.outside.running().stream()
-                .filter(up -> up.service.equals(world.deployment.big))
+                .filter(up -> up.service.equals(world.deployment.largeService))
                 .toList();
         gone.forEach(up -> {
             world.outside.stop(up);
--- a/testbed/src/test/java/spokestall/testbed/soak/SoakTest.java
+++ b/testbed/src/test/java/spokestall/testbed/soak/SoakTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void requestsRunAgainOnceEveryNodeIsFresh() {
+    void requestsAreServedAgainOnceEveryNodeIsFresh() {
         assertThat(broken).noneMatch(line -> line.startsWith(RECOVERY));
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/soak/SoakVerdictTest.java
+++ b/testbed/src/test/java/spokestall/testbed/soak/SoakVerdictTest.java
@@ -16,14 +16,15 @@
     private final SoakVerdict verdict = new SoakVerdict(history);
     private final List<Ledger.Began> began = new ArrayList<>();
 
-    private void ended(final boolean runOnce, final SoakExchange.End end, final long tookMs, final int timesRun) {
+    private void recordExchange(
+            final boolean runOnce, final SoakExchange.End end, final long tookMs, final int timesRun) {
         verdict.onExchange(new SoakExchange("id", runOnce, PID, end, null, SENT_MS, SENT_MS + tookMs));
         for (int i = 0; i < timesRun; i++) {
             began.add(new Ledger.Began("i", "s", "d", "r", "t", "id", SENT_MS));
         }
     }
 
-    private List<SoakVerdict.SoakRule> broken() {
+    private List<SoakVerdict.SoakRule> violatedRules() {
         verdict.judgeExchanges(began);
         return verdict.violations().stream()
                 .map(SoakVerdict.Violation::rule)
@@ -32,70 +33,70 @@
     }
 
     @Test
-    void answersThatKeepTheirPromiseBreakNothing() {
-        ended(true, SoakExchange.End.RAN, 20, 1);
-        assertThat(broken()).isEmpty();
+    void aRequestThatRanOnceViolatesNoRule() {
+        recordExchange(true, SoakExchange.End.RAN, 20, 1);
+        assertThat(violatedRules()).isEmpty();
     }
 
     @Test
-    void aRunOnceRequestThatRanTwiceBreaksOnce() {
-        ended(true, SoakExchange.End.RAN, 20, 2);
-        assertThat(broken()).containsExactly(SoakVerdict.SoakRule.ONCE);
+    void aRunOnceRequestThatRanTwiceViolatesOnce() {
+        recordExchange(true, SoakExchange.End.RAN, 20, 2);
+        assertThat(violatedRules()).containsExactly(SoakVerdict.SoakRule.ONCE);
     }
 
     @Test
     void aRequestThatMayBeRepeatedMayRunTwice() {
-        ended(false, SoakExchange.End.RAN, 20, 2);
-        assertThat(broken()).isEmpty();
+        recordExchange(false, SoakExchange.End.RAN, 20, 2);
+        assertThat(violatedRules()).isEmpty();
     }
 
     @Test
-    void aRequestThatRanThoughItWasSaidNotToBreaksNotRun() {
-        ended(false, SoakExchange.End.NOT_RUN, 20, 1);
-        assertThat(broken()).containsExactly(SoakVerdict.SoakRule.NOT_RUN);
+    void aRequestThatRanDespiteANotRunResponseViolatesNotRun() {
+        recordExchange(false, SoakExchange.End.NOT_RUN, 20, 1);
+        assertThat(violatedRules()).containsExactly(SoakVerdict.SoakRule.NOT_RUN);
     }
 
     @Test
-    void anAnswerToAnotherRequestBreaksAnswer() {
-        ended(false, SoakExchange.End.WRONG, 20, 1);
-        assertThat(broken()).containsExactly(SoakVerdict.SoakRule.ANSWER);
+    void aResponseToAnotherRequestViolatesAnswer() {
+        recordExchange(false, SoakExchange.End.WRONG, 20, 1);
+        assertThat(violatedRules()).containsExactly(SoakVerdict.SoakRule.ANSWER);
     }
 
     @Test
-    void aConnectionThatEndsAfterTheRequestWasPassedOnBreaksLost() {
-        history.stopped(PID);
-        ended(false, SoakExchange.End.CLOSED, 20, 1);
-        assertThat(broken()).containsExactly(SoakVerdict.SoakRule.LOST);
+    void aConnectionThatClosesAfterTheRequestWasForwardedViolatesLost() {
+        history.recordStop(PID);
+        recordExchange(false, SoakExchange.End.CLOSED, 20, 1);
+        assertThat(violatedRules()).containsExactly(SoakVerdict.SoakRule.LOST);
     }
 
     @Test
-    void aProcessThatIsKilledMayLeaveRequestsUnanswered() {
-        history.killed(PID);
-        ended(false, SoakExchange.End.CLOSED, 20, 1);
-        ended(false, SoakExchange.End.CLOSED, 2000, 0);
-        assertThat(broken()).isEmpty();
+    void aKilledProcessMayLeaveRequestsUnanswered() {
+        history.recordKill(PID);
+        recordExchange(false, SoakExchange.End.CLOSED, 20, 1);
+        recordExchange(false, SoakExchange.End.CLOSED, 2000, 0);
+        assertThat(violatedRules()).isEmpty();
     }
 
     @Test
-    void aRequestThatCrossesTheCloseIsNotCounted() {
-        ended(false, SoakExchange.End.CLOSED, 100, 0);
-        assertThat(broken()).isEmpty();
+    void aRequestSentWhileTheConnectionClosesViolatesNoRule() {
+        recordExchange(false, SoakExchange.End.CLOSED, 100, 0);
+        assertThat(violatedRules()).isEmpty();
     }
 
     @Test
-    void aRequestThatIsKeptAndThenDroppedBreaksMute() {
-        ended(false, SoakExchange.End.CLOSED, 2000, 0);
-        assertThat(broken()).containsExactly(SoakVerdict.SoakRule.MUTE);
+    void aRequestHeldBeforeTheConnectionClosesViolatesMute() {
+        recordExchange(false, SoakExchange.End.CLOSED, 2000, 0);
+        assertThat(violatedRules()).containsExactly(SoakVerdict.SoakRule.MUTE);
     }
 
     @Test
-    void aRequestThatNeverEndsBreaksSilent() {
-        ended(false, SoakExchange.End.SILENT, 20_000, 0);
-        assertThat(broken()).containsExactly(SoakVerdict.SoakRule.SILENT);
+    void aRequestWithoutResponseOrCloseViolatesSilent() {
+        recordExchange(false, SoakExchange.End.SILENT, 20_000, 0);
+        assertThat(violatedRules()).containsExactly(SoakVerdict.SoakRule.SILENT);
     }
 
     @Test
-    void anAcknowledgedChangeThatIsGoneBreaksChange() {
+    void anAcknowledgedChangeThatIsMissingViolatesChange() {
         verdict.onAcknowledged("soak1");
         verdict.onAcknowledged("soak2");
         verdict.judgeConfiguration(JsonNodeFactory.instance.objectNode().put("soak1", 1));
