--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -143,17 +143,17 @@
             return;
         }
         final int call = ++calls;
-        final boolean whole = changesMade % largeEvery == 0 || changesMade % largeEvery == largeEvery / 2;
+        final boolean replace = changesMade % largeEvery == 0 || changesMade % largeEvery == largeEvery / 2;
         final ObjectNode params = ConfigurationStore.JSON.createObjectNode();
         params.put("base", core.node().configurationStore().configuration().version())
                 .put("changeId", "change-" + changesMade);
-        if (whole) {
+        if (replace) {
             params.set("policy", changesMade % largeEvery == 0 ? large : small);
         } else {
             params.set("patch", patch());
         }
         world.sim.after(CALL_TIMEOUT_MS, () -> retryIfUnanswered(call));
-        world.call(core, whole ? "policy.put" : "policy.patch", params, reply -> onReply(call, reply));
+        world.call(core, replace ? "policy.put" : "policy.patch", params, reply -> onReply(call, reply));
     }
 
     private ObjectNode patch() {
@@ -319,7 +319,7 @@
     static int run(final long seed, final List<Integer> marks) {
         final ChangeHistory history = new ChangeHistory(seed, marks, 10, 9000);
         final long fromNs = System.nanoTime();
-        final boolean whole = history.play();
+        final boolean complete = history.play();
         System.out.println(
                 "| changes | ring fill | registers | their KiB | changes kept KiB | heap KiB | back | ms | KiB sent to it"
                         + " | made in us |");
@@ -354,12 +354,12 @@
         }
         System.out.printf(
                 "whole=%s changes=%d lost=%s longestMs=%d virtualS=%d wallS=%d%n",
-                whole,
+                complete,
                 history.changesMade,
                 history.lostVersions,
                 history.longestGapMs,
                 history.world.sim.nowMs() / 1000,
                 (System.nanoTime() - fromNs) / 1_000_000_000L);
-        return whole && history.lostVersions.isEmpty() ? 0 : 1;
+        return complete && history.lostVersions.isEmpty() ? 0 : 1;
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -95,18 +95,18 @@
     public static void main(final String[] args) throws Exception {
         ShutdownLogging.install();
         LogLineFormatter.install();
-        final String what = args.length == 0 ? "" : args[0];
-        final String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
-        final int code = switch (what) {
-            case "fleet" -> fleet(rest);
-            case "faults" -> faults(rest);
-            case "upgrade" -> upgrade(rest);
-            case "soak" -> soak(rest);
-            case "sim" -> sim(rest);
+        final String command = args.length == 0 ? "" : args[0];
+        final String[] commandArgs = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
+        final int code = switch (command) {
+            case "fleet" -> fleet(commandArgs);
+            case "faults" -> faults(commandArgs);
+            case "upgrade" -> upgrade(commandArgs);
+            case "soak" -> soak(commandArgs);
+            case "sim" -> sim(commandArgs);
             case "growth" -> ConfigurationGrowth.run();
-            case "history" -> history(rest);
-            case "traffic" -> traffic(rest);
-            case "scale" -> scale(rest);
+            case "history" -> history(commandArgs);
+            case "traffic" -> traffic(commandArgs);
+            case "scale" -> scale(commandArgs);
             default -> {
                 System.err.println(
                         "testbed fleet|faults|upgrade|soak|sim|scale [--help], testbed growth, testbed history [CHANGES]..., testbed traffic [key=value]...");
@@ -118,11 +118,11 @@
     }
 
     /** Reads flags; the exit code if that is all there is to do, else null. */
-    private static Integer parseFlags(final Object flags, final String[] args, final Runnable more) {
+    private static Integer parseFlags(final Object flags, final String[] args, final Runnable validate) {
         final CmdLineParser parser = new CmdLineParser(flags);
         try {
             parser.parseArgument(args);
-            more.run();
+            validate.run();
         } catch (final CmdLineException | IllegalArgumentException e) {
             if (!Arrays.asList(args).contains("--help")) {
                 System.err.println(e.getMessage());
@@ -172,12 +172,12 @@
                 Runtime.getRuntime().addShutdownHook(new Thread(fleet::close));
                 new java.util.concurrent.CountDownLatch(1).await();
             }
-            final int verdict = fleet.startLoadGenerator(flags.seconds, 0.99).waitFor();
+            final int exitCode = fleet.startLoadGenerator(flags.seconds, 0.99).waitFor();
             System.out.println("upstreams_began=" + fleet.ledger().began().size() + " reports="
                     + fleet.ledger().reported().size());
             final boolean clean = fleet.stopAll();
             System.out.println("stopped=" + (clean ? "clean" : "unclean"));
-            return verdict == 0 && clean ? 0 : 1;
+            return exitCode == 0 && clean ? 0 : 1;
         }
     }
 
@@ -254,7 +254,7 @@
             final Process demand = fleet.startLoadGenerator(flags.seconds, fault.minServedRatio());
             Fleet.waitUntil("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
             fault.inject(fleet, judge);
-            final int verdict = demand.waitFor();
+            final int exitCode = demand.waitFor();
             for (final FleetMember m : fleet.members().values()) {
                 fleet.awaitFresh(m);
             }
@@ -270,10 +270,10 @@
                 }
             });
             System.out.println("fault=" + fault + " deployment=" + deployment + " demand="
-                    + (verdict == 0 ? "good" : "bad") + " least=" + fault.minServedRatio() + " broken=" + broken
+                    + (exitCode == 0 ? "good" : "bad") + " least=" + fault.minServedRatio() + " broken=" + broken
                     + " stopped="
                     + (clean ? "clean" : "unclean"));
-            return verdict == 0 && broken.isEmpty() && clean;
+            return exitCode == 0 && broken.isEmpty() && clean;
         } catch (final IllegalStateException e) {
             System.out.println("fault=" + fault + " deployment=" + deployment + " trouble=\"" + e.getMessage() + "\"");
             return false;
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -32,7 +32,7 @@
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (int i = 0; i < 2; i++) {
-                killAndRestart(fleet, List.of(fleet.dutyHolder().name), 5000);
+                killAndRestart(fleet, List.of(fleet.leaseHolder().name), 5000);
                 Fleet.pause(3000);
             }
         }
@@ -66,7 +66,7 @@
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             for (final FleetMember m :
-                    List.of(fleet.dutyHolder(), fleet.members().get("d3-edge"))) {
+                    List.of(fleet.leaseHolder(), fleet.members().get("d3-edge"))) {
                 m.signal("STOP");
                 Fleet.pause(6000);
                 m.signal("CONT");
@@ -76,12 +76,12 @@
     FREEZE_AT_SEND {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            final FleetMember holder = fleet.dutyHolder();
+            final FleetMember holder = fleet.leaseHolder();
             Files.createFile(holder.faultHooks.resolve("gap"));
             Fleet.waitUntil(
                     "another holds the duty",
                     20_000,
-                    () -> !fleet.dutyHolder().name.equals(holder.name));
+                    () -> !fleet.leaseHolder().name.equals(holder.name));
             Files.delete(holder.faultHooks.resolve("gap"));
         }
     },
@@ -130,7 +130,7 @@
     DISK_STALLS {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            final Path stall = fleet.dutyHolder().faultHooks.resolve("stall");
+            final Path stall = fleet.leaseHolder().faultHooks.resolve("stall");
             Files.createFile(stall);
             Fleet.pause(8000);
             Files.delete(stall);
@@ -166,7 +166,7 @@
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
             // Nothing leaves the holder, then nothing leaves an edge; both still hear all.
-            for (final String name : List.of(fleet.dutyHolder().name, "d4-edge")) {
+            for (final String name : List.of(fleet.leaseHolder().name, "d4-edge")) {
                 fleet.memberNames(m -> true).forEach(o -> fleet.links().setCut(name, o, true));
                 Fleet.pause(5000);
                 fleet.memberNames(m -> true).forEach(o -> fleet.links().setCut(name, o, false));
@@ -195,7 +195,7 @@
     SPLIT_51 {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            partitionFor(fleet, List.of(fleet.dutyHolder().name), 6000);
+            partitionFor(fleet, List.of(fleet.leaseHolder().name), 6000);
         }
     },
     LOSSY {
@@ -387,11 +387,11 @@
         }
     }
 
-    private static void partitionFor(final Fleet fleet, final List<String> ones, final long spanMs) {
-        final List<String> others = fleet.memberNames(m -> !ones.contains(m.name));
-        fleet.links().setPartitioned(ones, others, true);
-        Fleet.pause(spanMs);
-        fleet.links().setPartitioned(ones, others, false);
+    private static void partitionFor(final Fleet fleet, final List<String> isolated, final long durationMs) {
+        final List<String> others = fleet.memberNames(m -> !isolated.contains(m.name));
+        fleet.links().setPartitioned(isolated, others, true);
+        Fleet.pause(durationMs);
+        fleet.links().setPartitioned(isolated, others, false);
     }
 
     private static void wipeAndRestart(final Fleet fleet, final List<String> names) throws Exception {
@@ -424,25 +424,25 @@
     /** Has a change accepted, repeating it by its change id, and gives its version. */
     private static long callUntilAccepted(
             final Fleet fleet, final FleetMember core, final String method, final ObjectNode params) {
-        final long[] found = {0};
+        final long[] version = {0};
         Fleet.waitUntil(method + " is accepted", 20_000, () -> {
             params.put("base", configurationVersion(fleet, core));
             final JsonNode reply = fleet.call(core.operators, method, params);
-            found[0] = reply.path("result").path("version").asLong();
+            version[0] = reply.path("result").path("version").asLong();
             return reply.path("code").asInt() == 1000;
         });
-        return found[0];
+        return version[0];
     }
 
     /** Two operators at once, on two cores, against one base: one is accepted and soon everywhere, the other nowhere. */
-    private static void raceOperators(final Fleet fleet, final FleetJudge judge, final int turn)
+    private static void raceOperators(final Fleet fleet, final FleetJudge judge, final int round)
             throws InterruptedException {
         final long base = configurationVersion(fleet, fleet.members().get("d1-core"));
         final List<JsonNode> replies = new ArrayList<>();
         final List<Thread> racers = new ArrayList<>();
         for (final String at : List.of("d2-core", "d5-core")) {
-            final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", "race-" + turn + at);
-            params.set("patch", Deployment.routePatch("race-" + turn + at, "/race/" + turn + at, anyService(fleet)));
+            final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", "race-" + round + at);
+            params.set("patch", Deployment.routePatch("race-" + round + at, "/race/" + round + at, anyService(fleet)));
             final Thread racer = new Thread(() -> {
                 final JsonNode reply = fleet.call(fleet.members().get(at).operators, "policy.patch", params);
                 synchronized (replies) {
@@ -456,11 +456,11 @@
             racer.join();
         }
         final long atMs = System.currentTimeMillis();
-        final long won =
+        final long acceptedCount =
                 replies.stream().filter(r -> r.path("code").asInt() == 1000).count();
-        judge.judge().check(Rule.POLICY, won <= 1 ? 0 : 2, won + " of two were accepted on one base");
+        judge.judge().check(Rule.POLICY, acceptedCount <= 1 ? 0 : 2, acceptedCount + " of two were accepted on one base");
         for (final FleetMember m : fleet.members().values()) {
-            if (won == 1) {
+            if (acceptedCount == 1) {
                 Fleet.waitUntil(
                         "it is in force",
                         20_000,
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -163,15 +163,15 @@
     }
 
     private static List<Integer> freePorts(final int count) throws IOException {
-        final List<ServerSocket> held = new ArrayList<>();
+        final List<ServerSocket> sockets = new ArrayList<>();
         final List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
             socket.setReuseAddress(true);
-            held.add(socket);
+            sockets.add(socket);
             ports.add(socket.getLocalPort());
         }
-        for (final ServerSocket socket : held) {
+        for (final ServerSocket socket : sockets) {
             socket.close();
         }
         return ports;
@@ -294,7 +294,7 @@
     }
 
     /** The core that holds the duty, as the cores see it. */
-    public FleetMember dutyHolder() {
+    public FleetMember leaseHolder() {
         final String[] name = {""};
         waitUntil("someone holds the duty", 20_000, () -> {
             name[0] = status(anyCore()).path("duty").path("holder").asText();
@@ -357,11 +357,11 @@
                         }));
     }
 
-    public static void waitUntil(final String what, final long waitMs, final BooleanSupplier holds) {
+    public static void waitUntil(final String condition, final long waitMs, final BooleanSupplier holds) {
         final long endMs = System.nanoTime() / 1_000_000 + waitMs;
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() / 1_000_000 > endMs) {
-                throw new IllegalStateException("not within " + waitMs + " ms: " + what);
+                throw new IllegalStateException("not within " + waitMs + " ms: " + condition);
             }
             pause(POLL_MS);
         }
@@ -376,11 +376,11 @@
     }
 
     /** Runs the load generator as a process and gives its exit code. */
-    public Process startLoadGenerator(final int seconds, final double least) throws IOException {
-        return startLoadGenerator(seconds, least, deployment.rate, recordFile());
+    public Process startLoadGenerator(final int seconds, final double minServedRatio) throws IOException {
+        return startLoadGenerator(seconds, minServedRatio, deployment.rate, recordFile());
     }
 
-    public Process startLoadGenerator(final int seconds, final double least, final int rate, final Path record)
+    public Process startLoadGenerator(final int seconds, final double minServedRatio, final int rate, final Path recordFile)
             throws IOException {
         final Path plan = folder.resolve("plan.json");
         Files.writeString(plan, deployment.loadPlan().toPrettyString());
@@ -404,10 +404,10 @@
                         "--seconds",
                         Integer.toString(seconds),
                         "--least",
-                        Double.toString(least),
+                        Double.toString(minServedRatio),
                         "--echo",
                         "--record",
-                        record.toString())
+                        recordFile.toString())
                 .inheritIO()
                 .start();
     }
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
@@ -24,8 +24,8 @@
         pids.put(name, pid);
     }
 
-    public void setCut(final String from, final String to, final boolean now) {
-        if (now) {
+    public void setCut(final String from, final String to, final boolean isCut) {
+        if (isCut) {
             cuts.add(from + ">" + to);
         } else {
             cuts.remove(from + ">" + to);
@@ -33,18 +33,18 @@
     }
 
     /** Cuts two groups off from each other, or joins them again. */
-    public void setPartitioned(final List<String> ones, final List<String> others, final boolean now) {
-        for (final String one : ones) {
-            for (final String other : others) {
-                setCut(one, other, now);
-                setCut(other, one, now);
+    public void setPartitioned(final List<String> group, final List<String> otherGroup, final boolean isCut) {
+        for (final String one : group) {
+            for (final String other : otherGroup) {
+                setCut(one, other, isCut);
+                setCut(other, one, isCut);
             }
         }
     }
 
-    public synchronized void setLoss(final double share, final long extraMs) {
-        lossRatio = share;
-        delayMs += extraMs;
+    public synchronized void setLoss(final double ratio, final long addedDelayMs) {
+        lossRatio = ratio;
+        delayMs += addedDelayMs;
     }
 
     /** Whether any link is cut. */
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
@@ -30,8 +30,8 @@
         thread(this::accept).start();
     }
 
-    private static Thread thread(final Runnable what) {
-        final Thread made = new Thread(what, "relay");
+    private static Thread thread(final Runnable task) {
+        final Thread made = new Thread(task, "relay");
         made.setDaemon(true);
         return made;
     }
--- a/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
@@ -64,12 +64,12 @@
     }
 
     /** Writes characters as bytes. */
-    public void send(final String latin) throws IOException {
-        socket.getOutputStream().write(latin.getBytes(StandardCharsets.ISO_8859_1));
+    public void send(final String latin1) throws IOException {
+        socket.getOutputStream().write(latin1.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** The next answer; null when the wire ended instead. */
-    public Response readResponse(final boolean ofHead) throws IOException {
+    public Response readResponse(final boolean toHeadRequest) throws IOException {
         final String line = readLine();
         if (line == null) {
             return null;
@@ -80,11 +80,11 @@
             headers.add(header);
             header = readLine();
         }
-        final Response got = new Response(Integer.parseInt(line.split(" ")[1]), headers, "");
-        final String length = got.header("Content-Length");
-        final boolean none = ofHead || length == null || got.status == 304 || got.status == 204;
-        final byte[] body = none ? new byte[0] : in.readNBytes(Integer.parseInt(length));
-        return new Response(got.status, headers, new String(body, StandardCharsets.ISO_8859_1));
+        final Response response = new Response(Integer.parseInt(line.split(" ")[1]), headers, "");
+        final String length = response.header("Content-Length");
+        final boolean withoutBody = toHeadRequest || length == null || response.status == 304 || response.status == 204;
+        final byte[] body = withoutBody ? new byte[0] : in.readNBytes(Integer.parseInt(length));
+        return new Response(response.status, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
     /** The next answer to a request that wasn't HEAD; null when the connection ended instead. */
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
@@ -69,15 +69,15 @@
     }
 
     /** Tells a member to stop, so often, waits for its end and starts it again. */
-    void restart(final Random random, final int times) throws IOException, InterruptedException {
+    void restart(final Random random, final int stopSignals) throws IOException, InterruptedException {
         final FleetMember member = anyMember(random);
         runWithMemberDown(member, () -> {
             final Process process = member.process;
             history.recordStop(process.pid());
-            for (int i = 0; i < times; i++) {
+            for (int i = 0; i < stopSignals; i++) {
                 process.destroy();
                 Fleet.pause(random.nextInt(200));
-                if (i + 1 < times && process.isAlive()) {
+                if (i + 1 < stopSignals && process.isAlive()) {
                     sendHangupIfStarted(member);
                 }
             }
@@ -103,12 +103,12 @@
     /** Does something that ends a member, starts it again and waits until it serves; nothing if too many are down. */
     private void runWithMemberDown(final FleetMember member, final Action action)
             throws IOException, InterruptedException {
-        final Semaphore down = member.core ? coresDown : edgesDown;
+        final Semaphore permits = member.core ? coresDown : edgesDown;
         if (!busy.add(member)) {
             return;
         }
         try {
-            if (!down.tryAcquire()) {
+            if (!permits.tryAcquire()) {
                 return;
             }
             try {
@@ -118,7 +118,7 @@
                 verdict.onRestarted();
                 fleet.awaitFresh(member);
             } finally {
-                down.release();
+                permits.release();
             }
         } finally {
             busy.remove(member);
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
@@ -104,8 +104,8 @@
             fleet.awaitReady(version);
             readyMs = elapsedMs(fromNanos);
             return true;
-        } catch (final IllegalStateException late) {
-            verdict.addViolation(SoakVerdict.SoakRule.START, late.getMessage());
+        } catch (final IllegalStateException timeout) {
+            verdict.addViolation(SoakVerdict.SoakRule.START, timeout.getMessage());
             return false;
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
@@ -118,8 +118,8 @@
         });
     }
 
-    private static void thread(final Runnable what) {
-        final Thread made = new Thread(what, "raw-upstream");
+    private static void thread(final Runnable task) {
+        final Thread made = new Thread(task, "raw-upstream");
         made.setDaemon(true);
         made.start();
     }
@@ -152,21 +152,21 @@
             };
             String head = head(in);
             while (head != null) {
-                final ReceivedRequest first = new ReceivedRequest(number, head, "");
-                if (first.requestLine().startsWith("GET /spokestall/status ")) {
+                final ReceivedRequest request = new ReceivedRequest(number, head, "");
+                if (request.requestLine().startsWith("GET /spokestall/status ")) {
                     final String body = "{\"instance\":\"" + place.instance() + "\",\"service\":\"" + place.service()
                             + "\",\"leaving\":false,\"readyForMs\":600000}";
                     out.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
                 } else if (respondBeforeBody) {
-                    received.add(first);
-                    responder.respond(first, out);
+                    received.add(request);
+                    responder.respond(request, out);
                 } else {
-                    final String length = first.header("Content-Length");
+                    final String length = request.header("Content-Length");
                     final byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                    final ReceivedRequest whole =
+                    final ReceivedRequest requestWithBody =
                             new ReceivedRequest(number, head, new String(body, StandardCharsets.ISO_8859_1));
-                    received.add(whole);
-                    responder.respond(whole, out);
+                    received.add(requestWithBody);
+                    responder.respond(requestWithBody, out);
                 }
                 head = head(in);
             }
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
@@ -44,12 +44,12 @@
             final XnioWorker worker,
             final Ledger ledger,
             final long workMs,
-            final long warmForMs) {
+            final long readyForMs) {
         this.place = place;
         this.address = "127.0.0.1:" + port;
         this.ledger = ledger;
         this.responseDelayMs = workMs;
-        this.readyAtMs = System.currentTimeMillis() - warmForMs;
+        this.readyAtMs = System.currentTimeMillis() - readyForMs;
         this.server = Undertow.builder()
                 .setWorker(worker)
                 .addHttpListener(port, "127.0.0.1")
@@ -87,8 +87,8 @@
         return busyUntilMs - nowMs;
     }
 
-    public void setBehavior(final Behavior how) {
-        behavior = how;
+    public void setBehavior(final Behavior newBehavior) {
+        behavior = newBehavior;
     }
 
     @Override
@@ -139,18 +139,18 @@
     }
 
     private void respond(final HttpServerExchange e, final String requestId) {
-        final Behavior how = behavior;
-        if (how == Behavior.LOSE || how == Behavior.FLAKY && requestId.hashCode() % 2 == 0) {
+        final Behavior current = behavior;
+        if (current == Behavior.LOSE || current == Behavior.FLAKY && requestId.hashCode() % 2 == 0) {
             IoUtils.safeClose(e.getConnection());
             return;
         }
-        if (how == Behavior.GARBAGE) {
+        if (current == Behavior.GARBAGE) {
             e.getResponseHeaders().put(REQUEST_ID, "garbage").put(INSTANCE, "garbage");
         }
         final byte[] out = ("{\"answerTo\":\"" + requestId + "\",\"by\":\"" + place.instance() + "\"}")
                 .getBytes(StandardCharsets.UTF_8);
         e.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        if (how == Behavior.TRUNCATE) {
+        if (current == Behavior.TRUNCATE) {
             e.getResponseHeaders().put(Headers.CONTENT_LENGTH, out.length + 100);
             e.getResponseChannel();
             IoUtils.safeClose(e.getConnection());
--- a/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
@@ -48,11 +48,11 @@
         final ExecutorService pool =
                 Executors.newFixedThreadPool(Math.max(2, Runtime.getRuntime().availableProcessors() - 1));
         final List<Future<Set<Rule>>> runs = new ArrayList<>();
-        final List<Case> of = new ArrayList<>();
+        final List<Case> caseOfRun = new ArrayList<>();
         for (final Case c : CASES) {
             for (long seed = 1; seed <= c.seeds; seed++) {
                 final long s = seed;
-                of.add(c);
+                caseOfRun.add(c);
                 runs.add(pool.submit(() -> {
                     final Set<Rule> broken = EnumSet.noneOf(Rule.class);
                     ScenarioSweep.one(s, Deployment.PADMA, c.scenario, c.injectedFault)
@@ -68,8 +68,8 @@
         }
         final Set<Case> found = new HashSet<>();
         for (int i = 0; i < runs.size(); i++) {
-            if (runs.get(i).get().contains(of.get(i).rule)) {
-                found.add(of.get(i));
+            if (runs.get(i).get().contains(caseOfRun.get(i).rule)) {
+                found.add(caseOfRun.get(i));
             }
         }
         pool.shutdown();
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -34,16 +34,16 @@
         final SimulationRun run = new SimulationRun(seed, Deployment.PADMA, scenario, false, InjectedFault.NONE);
         final Map<String, Long> sinceMs = new HashMap<>();
         final Map<String, Long> longestMs = new TreeMap<>();
-        final Runnable look = new Runnable() {
+        final Runnable sample = new Runnable() {
             @Override
             public void run() {
                 final long nowMs = run.world.sim.nowMs();
                 for (final SimulatedNode node : run.world.nodes.values()) {
-                    final boolean without = node.running()
+                    final boolean withoutEdges = node.running()
                             && node.node().directory().edges().isEmpty()
                             && !node.node().leaving()
                             && node.node().feedClient().isFresh();
-                    if (!without) {
+                    if (!withoutEdges) {
                         sinceMs.remove(node.name);
                     } else {
                         sinceMs.putIfAbsent(node.name, nowMs);
@@ -55,7 +55,7 @@
                 }
             }
         };
-        run.world.sim.after(FROM_MS, look);
+        run.world.sim.after(FROM_MS, sample);
         assertThat(run.play()).isTrue();
         longestMs.values().removeIf(ms -> ms <= WITHOUT_MAX_MS);
         return longestMs;
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -105,11 +105,11 @@
         world.sim.run(nowMs() + spanMs);
     }
 
-    public void runUntil(final String what, final long mostMs, final BooleanSupplier so) {
-        final long endMs = nowMs() + mostMs;
-        while (!so.getAsBoolean()) {
+    public void runUntil(final String condition, final long timeoutMs, final BooleanSupplier holds) {
+        final long endMs = nowMs() + timeoutMs;
+        while (!holds.getAsBoolean()) {
             if (nowMs() > endMs) {
-                throw new AssertionError(what + " has not come about within " + mostMs + " ms");
+                throw new AssertionError(condition + " has not come about within " + timeoutMs + " ms");
             }
             run(STEP_MS);
         }
@@ -144,9 +144,9 @@
             final SimulatedNode to,
             final String changeId,
             final ChangeDraft draft,
-            final ChangeDeadlines patience,
+            final ChangeDeadlines deadlines,
             final Consumer<Reply> done) {
-        to.run(to.incarnation(), () -> to.node().changeCoordinator().submit(changeId, draft, patience, done));
+        to.run(to.incarnation(), () -> to.node().changeCoordinator().submit(changeId, draft, deadlines, done));
     }
 
     /** Gives an order made against a base, at any node. */
