--- a/test-support/src/main/java/spokestall/testsupport/GoldenFile.java
+++ b/test-support/src/main/java/spokestall/testsupport/GoldenFile.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Reads the literal texts of external formats that tests compare with what the program reads and writes: files of the folder
- * {@code golden} among the resources of the tests that run.
+ * Reads golden files: literal texts of external formats, which tests compare with the program's input and output. The files are in the
+ * folder {@code golden} of the test resources on the class path.
  */
 public final class GoldenFile {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -35,7 +35,7 @@
         return parsed(text(name));
     }
 
-    /** Returns any text as JSON. */
+    /** Parses a text as JSON. */
     public static JsonNode parsed(final String text) {
         try {
             return JSON.readTree(text);
--- a/test-support/src/main/java/spokestall/testsupport/KnownFailureExtension.java
+++ b/test-support/src/main/java/spokestall/testsupport/KnownFailureExtension.java
@@ -10,14 +10,14 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over the failure of a test method that {@link KnownFailures} lists, and prints it. A listed method that passes fails
- * instead: what is mended is taken off the list.
+ * Aborts a test method that {@link KnownFailures} lists instead of failing it, and prints the failure. A listed method that passes fails
+ * instead, so that the entry of a fixed fault is removed from the list.
  *
- * <p>Registered for all tests by the service loader. A failure outside the method itself, in a method that prepares it, is
- * never passed over.
+ * <p>JUnit registers the extension for all tests through the service loader. A failure outside the test method, in a setup method, always
+ * fails the test.
  */
 public final class KnownFailureExtension implements InvocationInterceptor {
-    /** How often a test method runs. */
+    /** Whether a test method runs once or once for each set of arguments. */
     enum Repetition {
         ONCE,
         WITH_PARAMETERS
@@ -43,7 +43,7 @@
         run(invocation, entryOf(method, context), Repetition.ONCE, System.out::println);
     }
 
-    /** A listed method with parameters may pass for some of them, so that it passes tells nothing. */
+    /** A listed method with parameters may pass for some arguments, so a pass doesn't show that the fault is fixed. */
     @Override
     public void interceptTestTemplateMethod(
             final Invocation<Void> invocation,
@@ -80,7 +80,7 @@
             throw new TestAbortedException(notice, failure);
         }
         if (repetition == Repetition.ONCE) {
-            throw new AssertionFailedError("passes, so its line is to be taken out of KNOWN-RED.txt: " + notice);
+            throw new AssertionFailedError("the test passes; its line must be taken out of KNOWN-RED.txt: " + notice);
         }
     }
 }
--- a/test-support/src/main/java/spokestall/testsupport/KnownFailures.java
+++ b/test-support/src/main/java/spokestall/testsupport/KnownFailures.java
@@ -10,10 +10,10 @@
 import java.util.regex.Pattern;
 
 /**
- * The list of tests that fail for a real fault which is not mended yet: KNOWN-RED.txt in the root of the repository.
+ * The list of tests that fail because of a real fault that is not fixed yet: KNOWN-RED.txt in the root of the repository.
  *
- * <p>One line each: {@code <test class> <what fails in it>: <cause>; issue <number>}. For a test method the second part is its
- * name; a test that judges many runs gives it a form of its own. At most {@value #MAX_ENTRIES} lines.
+ * <p>Each line has the form {@code <test class> <subject>: <cause>; issue <number>}. The subject is the name of a test method; a test that
+ * judges many runs defines a format of its own. At most {@value #MAX_ENTRIES} lines.
  *
  * <p>Immutable.
  */
@@ -22,21 +22,21 @@
      * One line of the list.
      *
      * @param testClass the simple name of the test class
-     * @param subject what fails in that class: a method's name, or what a run is told apart by
-     * @param cause why it fails
-     * @param issue the number of the issue under which it is mended
+     * @param subject the failing test method's name, or the identification of a run
+     * @param cause the cause of the failure
+     * @param issue the number of the issue that tracks the fix
      */
     public record Entry(String testClass, String subject, String cause, int issue) {
-        /** Returns the entry as it is printed in a test run: its line of the file, marked as known. */
+        /** Returns the text that a test run prints for the entry: its line of the file, marked as known. */
         public String notice() {
             return "known red: " + testClass + " " + subject + ": " + cause + "; issue " + issue;
         }
     }
 
-    /** How many tests may be listed at a time. */
+    /** The maximum number of listed tests. */
     public static final int MAX_ENTRIES = 3;
 
-    /** Names the file, as an absolute path; set by the build. */
+    /** The system property with the absolute path of the file; set by the build. */
     private static final String FILE_PROPERTY = "spokestall.knownRed";
 
     private static final Pattern LINE = Pattern.compile("(\\S+) ([^:]+): (.+); issue (\\d+)");
@@ -48,7 +48,7 @@
         this.entries = entries;
     }
 
-    /** Returns the list of this repository; empty without the file. */
+    /** Returns the list of this repository; empty if the file doesn't exist. */
     public static KnownFailures listed() {
         return LISTED;
     }
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Parses the file's lines; blank ones are skipped.
+     * Parses the file's lines and skips blank ones.
      *
-     * @throws IllegalArgumentException if a line has another form, or if there are too many
+     * @throws IllegalArgumentException if a line is malformed or there are too many lines
      */
     static KnownFailures parse(final List<String> lines) {
         final List<Entry> entries = lines.stream()
--- a/test-support/src/main/java/spokestall/testsupport/package-info.java
+++ b/test-support/src/main/java/spokestall/testsupport/package-info.java
@@ -1,2 +1,2 @@
-/** What the tests of all modules share: the list of known failures, golden files, and free ports. Never shipped. */
+/** Utilities for the tests of all modules: the list of known failures, golden files, and free ports. Never shipped. */
 package spokestall.testsupport;
--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -18,12 +18,11 @@
 import spokestall.testbed.simulation.SimulatedWorld;
 
 /**
- * A long history of changes, large and small mixed, one after the other without a pause, while cores are restarted, lose
- * their power or their disk and are cut off, one at a time. At some counts of changes it measures what a core has grown to
- * and how a core comes back.
+ * Simulates a long sequence of large and small configuration changes without pauses, while one core at a time is restarted, loses its power
+ * or its disk, has a full disk, or is cut off. At given numbers of changes it measures the size of a core's state and the cores' recovery.
  */
 final class ChangeHistory {
-    /** What a core comes back from. */
+    /** A failure that a core recovers from. */
     enum Failure {
         RESTART,
         POWER,
@@ -32,10 +31,17 @@
         CUT
     }
 
-    /** How one core came back: from when it was reachable until it voted with the newest configuration, and what it was sent. */
+    /**
+     * One recovery of a core.
+     *
+     * @param failure the failure that the core recovered from
+     * @param tookMs the virtual time from when the core was reachable until it voted with the newest configuration
+     * @param receivedBytes the bytes that other nodes sent to the core in this time
+     * @param startUs the real time to start the node, 0 if it wasn't restarted
+     */
     record Recovery(Failure failure, long tookMs, long receivedBytes, long startUs) {}
 
-    /** What there was at so many changes: the most of any core, and how cores came back. */
+    /** The measurement after a number of changes: the maximum over all cores of each size, and one recovery from each failure. */
     record Measurement(
             int changes,
             double logFill,
@@ -72,7 +78,7 @@
     private long longestGapMs;
     private long acknowledgedAtMs;
 
-    /** Every so many changes a configuration with so many routes is put. */
+    /** Creates a history in which every {@code largeEvery} changes replace the configuration by one with {@code largeRoutes} routes. */
     ChangeHistory(final long seed, final List<Integer> marks, final int largeEvery, final int largeRoutes) {
         this.world = new SimulatedWorld(
                 seed,
@@ -93,22 +99,22 @@
         return measurements;
     }
 
-    /** Every time that a core came back. */
+    /** Returns all recoveries of cores. */
     List<Recovery> recoveries() {
         return recoveries;
     }
 
-    /** Acknowledged versions that too few cores had, seen after each return. */
+    /** Returns the acknowledged versions that fewer than a majority of the cores had, checked after each recovery. */
     List<String> lostVersions() {
         return lostVersions;
     }
 
-    /** The longest time between two acknowledgements. */
+    /** Returns the longest time between two acknowledgements. */
     long longestGapMs() {
         return longestGapMs;
     }
 
-    /** Plays it; whether all changes were made. */
+    /** Runs the history; returns whether all changes were acknowledged and all failures are over. */
     boolean play() {
         for (final SimulatedNode node : world.nodes.values()) {
             world.sim.after(random.nextInt(1500), node::start);
@@ -127,7 +133,7 @@
         return changesMade >= targetCount && measureAtCounts.isEmpty() && !failureInProgress;
     }
 
-    /** The next change, at any core that runs, again and again until it is acknowledged. */
+    /** Submits the next change at a random running core, with retries until it is acknowledged. */
     private void change() {
         if (isFinished()) {
             return;
@@ -210,7 +216,7 @@
         runFailures(recoveriesHere, new ArrayDeque<>(List.of(Failure.values())));
     }
 
-    /** A node's part of the memory in use, its disk left out. */
+    /** Returns the used heap per node, without the simulated disks. */
     private long heapBytes() {
         System.gc();
         final long used =
@@ -273,7 +279,7 @@
         });
     }
 
-    /** Waits until the core votes and has a proof that what it has is newest. */
+    /** Waits until the core votes and has a new proof that its configuration is current, then records the recovery. */
     private void awaitRecovery(
             final SimulatedNode core, final Failure failure, final long startUs, final Runnable then) {
         final long fromMs = world.sim.nowMs();
@@ -300,7 +306,7 @@
         }
     }
 
-    /** What was acknowledged is with a majority of the voters, as a register or below the floor of a kept snapshot. */
+    /** Checks that a majority of the voters has the acknowledged version, as a register or below the version floor of a snapshot. */
     private void checkAcknowledgedVersion() {
         long coresWithVersion = 0;
         for (final SimulatedNode core : world.cores()) {
--- a/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
+++ b/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
@@ -12,7 +12,7 @@
 import spokestall.configuration.ConfigurationValidator;
 import spokestall.message.MessageCodec;
 
-/** What one more route costs a core and the feed, against how many there are. */
+/** Measures the cost of adding one route, at a core and in the feed, for configurations with different numbers of routes. */
 final class ConfigurationGrowth {
     private static final int SAMPLES = 41;
 
@@ -41,7 +41,7 @@
                 final JsonNode after = configurationStore.preview(one);
                 if (!rules.check(after, configurationStore.configuration().tree())
                         .isEmpty()) {
-                    throw new IllegalStateException("the policy is invalid");
+                    throw new IllegalStateException("the generated configuration is invalid");
                 }
                 configurationStore.apply(configurationStore.configuration().version() + 1, one);
                 us[i] = (System.nanoTime() - fromNs) / 1000;
--- a/testbed/src/main/java/spokestall/testbed/Deployment.java
+++ b/testbed/src/main/java/spokestall/testbed/Deployment.java
@@ -8,7 +8,7 @@
 import spokestall.configuration.KeyHash;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** The shape of one of the two deployments: its services, sizes, distances, tenants and demand. */
+/** One of the two simulated deployments: its services, sizes, distances, tenants and load. */
 public enum Deployment {
     PADMA("transfers", "records", 35, 200, "/transfers/payout", "/transfers/status", "/records/receipt"),
     VERDE("routes", "publishing", 55, 180, "/routes/confirm", "/routes/days", "/publishing/calendar");
@@ -43,10 +43,10 @@
         this.smallServicePath = other;
     }
 
-    /** One upstream's place. */
+    /** The identity and location of one upstream. */
     public record Place(String instance, String service, String zone, String region) {}
 
-    /** One kind of ask that clients make. */
+    /** One kind of request that clients send, with its weight in the load. */
     public record RequestKind(String tenant, String key, String path, boolean runOnce, int weight) {}
 
     public static String zone(final int i) {
@@ -86,7 +86,7 @@
         return "cell-" + (i % 2);
     }
 
-    /** Tenants 0 and 1 are large; 6 is at home in one region only, 7 in two. */
+    /** Returns the kinds of requests of all tenants. Tenants 0 and 1 send more than the others. */
     public List<RequestKind> requestKinds() {
         final List<RequestKind> all = new ArrayList<>();
         for (int i = 0; i < TENANTS; i++) {
@@ -98,11 +98,12 @@
         return all;
     }
 
+    /** Returns a tenant's home regions: one region for tenant 6, two for tenant 7, and all for the others. */
     public static List<String> homeRegions(final int tenant) {
         return tenant == 6 ? List.of("r1") : tenant == 7 ? List.of("r2", "r3") : List.of("r1", "r2", "r3");
     }
 
-    /** Returns a patch of the configuration that adds a route to a tenant that is at home everywhere. */
+    /** Returns a configuration patch that adds a route to a tenant whose home regions include all regions. */
     public static ObjectNode routePatch(final String name, final String path, final String service) {
         final ObjectNode patch = JSON.createObjectNode();
         patch.putObject("cells")
--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -31,67 +31,67 @@
 import spokestall.testbed.verdict.FleetJudge;
 import spokestall.testbed.verdict.Rule;
 
-/** The proof's own program: a fleet on one machine, and later the simulator's sweeps. */
+/** The testbed's command line: fleets of processes on one machine, simulations, soak runs and measurements. */
 public final class Main {
-    /** Flags of the fleet. */
+    /** Flags of the commands {@code fleet} and {@code faults}. */
     static final class FleetFlags {
         @Option(name = "--deployment", usage = "padma or verde")
         private String deployment = "padma";
 
-        @Option(name = "--seconds", usage = "how long demand runs")
+        @Option(name = "--seconds", usage = "how long clients send requests")
         private int seconds = 20;
 
-        @Option(name = "--distant", usage = "put half the deployment's distance on every wire between nodes")
+        @Option(name = "--distant", usage = "delay every link between nodes by half the deployment's round trip between regions")
         private boolean distant;
 
-        @Option(name = "--fault", usage = "faults only: one of the faults, or all")
+        @Option(name = "--fault", usage = "faults only: a fault, or all")
         private String fault = "all";
 
-        @Option(name = "--repeat", usage = "faults only: how often each")
+        @Option(name = "--repeat", usage = "faults only: number of runs of each fault")
         private int repeat = 1;
 
-        @Option(name = "--keep", usage = "no demand: keep the fleet up until Ctrl-C")
+        @Option(name = "--keep", usage = "send no requests; keep the fleet running until Ctrl-C")
         private boolean keep;
 
-        @Option(name = "--folder", usage = "where settings, data and logs go")
+        @Option(name = "--folder", usage = "folder for settings, data and logs")
         private Path folder = Path.of("target", "fleet");
 
-        @Option(name = "--help", help = true, usage = "this page")
-        @SuppressWarnings("UnusedVariable") // args4j looks for the option, not at the field.
+        @Option(name = "--help", help = true, usage = "print this help")
+        @SuppressWarnings("UnusedVariable") // args4j needs the option; no code reads the field.
         private boolean help;
     }
 
-    /** Flags of the simulator. */
+    /** Flags of the command {@code sim}. */
     static final class SimFlags {
-        @Option(name = "--scenario", usage = "one of the scenarios, or all")
+        @Option(name = "--scenario", usage = "a scenario, or all")
         private String scenario = "all";
 
         @Option(name = "--deployment", usage = "padma, verde or both")
         private String deployment = "both";
 
-        @Option(name = "--seeds", usage = "from-until")
+        @Option(name = "--seeds", usage = "range of seeds, as from-until")
         private String seeds = "1-3";
 
-        @Option(name = "--threads", usage = "runs at the same time")
+        @Option(name = "--threads", usage = "number of concurrent runs")
         private int threads = 6;
 
-        @Option(name = "--plant", usage = "a fault to plant, to see that the rules' judge finds it")
+        @Option(name = "--plant", usage = "a fault to inject, to verify that the judge detects it")
         private InjectedFault injectedFault = InjectedFault.NONE;
 
-        @Option(name = "--trace", usage = "print the trace of the one run")
+        @Option(name = "--trace", usage = "print the trace of one run")
         private boolean trace;
 
-        @Option(name = "--story", usage = "with --trace: print all that is known of this ask")
+        @Option(name = "--story", usage = "with --trace: print all events of this request")
         private String story;
 
-        @Option(name = "--help", help = true, usage = "this page")
-        @SuppressWarnings("UnusedVariable") // args4j looks for the option, not at the field.
+        @Option(name = "--help", help = true, usage = "print this help")
+        @SuppressWarnings("UnusedVariable") // args4j needs the option; no code reads the field.
         private boolean help;
     }
 
     private Main() {}
 
-    /** Example: {@code java -cp ... spokestall.testbed.Main fleet --deployment padma} */
+    /** Runs the command named by the first argument with the remaining arguments as its flags, and exits with its exit code. */
     public static void main(final String[] args) throws Exception {
         ShutdownLogging.install();
         LogLineFormatter.install();
@@ -117,7 +117,7 @@
         Runtime.getRuntime().halt(code);
     }
 
-    /** Reads flags; the exit code if that is all there is to do, else null. */
+    /** Parses flags; returns the exit code after help or an error, or null if the command is to run. */
     private static Integer parseFlags(final Object flags, final String[] args, final Runnable validate) {
         final CmdLineParser parser = new CmdLineParser(flags);
         try {
@@ -135,7 +135,7 @@
         }
         parser.printUsage(System.out);
         System.out.println("faults: " + List.of(ProcessFault.values()));
-        System.out.println("scenarios: " + List.of(Scenario.values()) + "; all leaves LONG out");
+        System.out.println("scenarios: " + List.of(Scenario.values()) + "; all excludes LONG");
         return 0;
     }
 
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Each fault on a fleet of its own, while asks flow. */
+    /** Injects each fault into a fleet of its own while clients send requests. */
     private static int faults(final String[] args) throws Exception {
         final FleetFlags flags = new FleetFlags();
         final List<ProcessFault> faults = new ArrayList<>();
@@ -218,21 +218,21 @@
         return bad == 0 ? 0 : 1;
     }
 
-    /** Seeded series of signals, restarts and changes that overlap. */
+    /** Runs overlapping series of signals, restarts and changes, chosen by seed. */
     private static int soak(final String[] args) throws Exception {
         final SoakFlags flags = new SoakFlags();
         final Integer ended = parseFlags(flags, args, flags::nodeSettings);
         return ended != null ? ended : SoakRun.run(flags);
     }
 
-    /** An older build replaced by this one, node by node. */
+    /** Upgrades a fleet from an older build to this one, node by node. */
     private static int upgrade(final String[] args) throws Exception {
         final RollingUpgrade.Flags flags = new RollingUpgrade.Flags();
         final Integer done = parseFlags(flags, args, () -> {});
         return done != null ? done : RollingUpgrade.run(flags);
     }
 
-    /** One fault on a fleet of its own; whether all came out as it must. */
+    /** Injects one fault into a fleet of its own; returns whether the run met all requirements. */
     private static boolean runFault(
             final FleetFlags flags,
             final Deployment deployment,
@@ -252,7 +252,7 @@
             fleet.awaitReady(fleet.putConfiguration());
             final FleetJudge judge = new FleetJudge(fleet);
             final Process demand = fleet.startLoadGenerator(flags.seconds, fault.minServedRatio());
-            Fleet.waitUntil("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
+            Fleet.waitUntil("requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fault.inject(fleet, judge);
             final int exitCode = demand.waitFor();
             for (final FleetMember m : fleet.members().values()) {
@@ -280,14 +280,14 @@
         }
     }
 
-    /** At how many changes it is measured; the seed is 1. */
+    /** Runs the history of changes with seed 1; the arguments are the numbers of changes at which to measure. */
     private static int history(final String[] args) {
         Logger.getLogger("").setLevel(Level.OFF);
         final List<Integer> marks = Arrays.stream(args).map(Integer::parseInt).toList();
         return ChangeHistory.run(1, marks.isEmpty() ? List.of(10, 100, 1000) : marks);
     }
 
-    /** Settings as key=value; the seed is 1. */
+    /** Measures message traffic with seed 1; the arguments are settings as key=value. */
     private static int traffic(final String[] args) {
         Logger.getLogger("").setLevel(Level.OFF);
         final Map<String, String> settings = new java.util.TreeMap<>();
--- a/testbed/src/main/java/spokestall/testbed/SettingArguments.java
+++ b/testbed/src/main/java/spokestall/testbed/SettingArguments.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Nodes' settings that are given on the command line by {@code --set key=value}. */
+/** Parses nodes' settings from {@code --set key=value} on the command line. */
 public final class SettingArguments {
     private SettingArguments() {}
 
     /**
-     * Returns the settings by their names, in their order.
+     * Returns the settings by name, in the order of the arguments.
      *
-     * @throws IllegalArgumentException if one isn't of the form {@code key=value}
+     * @throws IllegalArgumentException if an argument isn't of the form {@code key=value}
      */
     public static Map<String, String> parse(final List<String> arguments) {
         final Map<String, String> settings = new LinkedHashMap<>();
--- a/testbed/src/main/java/spokestall/testbed/fault/InjectedFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/InjectedFault.java
@@ -2,46 +2,52 @@
 
 import java.util.Map;
 
-/** Faults that are planted to see that the judge finds them: a guard widened by settings, or the world made to lie. */
+/**
+ * Faults that a simulation injects to verify that the judge detects them. A fault either relaxes a guard by means of settings or makes
+ * the simulated environment misbehave.
+ */
 public enum InjectedFault {
     NONE(Map.of()),
-    /** Proofs of the configuration count twelve times as long and are asked for as seldom; words on upstreams five times. A cut-off
-     * edge is not stopped by its counts either, or they would hide it. */
+    /**
+     * Freshness proofs of the configuration are valid twelve times as long, and nodes request them twelve times as rarely; reports on
+     * upstreams are valid five times as long. The limit on uncounted attempts is disabled too: it would stop an isolated edge and so hide
+     * the fault.
+     */
     OLD_PROOFS(Map.of("keyBoundMs", "60000", "leaveBoundMs", "20000", "uncountedMs", "0")),
-    /** Upstreams are probed and views shuffled fifteen times as seldom. */
+    /** Nodes probe upstreams and shuffle membership views fifteen times as rarely. */
     SELDOM_PROBES(Map.of("leaveBoundMs", "60000")),
-    /** Nodes believe that their zones lie in other regions. */
+    /** Nodes are configured with the wrong regions for the zones. */
     WRONG_REGIONS(Map.of("districts", "d1=r2,d2=r2,d3=r1,d4=r1,d5=r3,d6=r3")),
-    /** Each edge takes a shared bound as its own. */
+    /** Each edge applies a bound that all edges share as if it were the only edge. */
     UNDIVIDED(Map.of("edges", "1")),
-    /** Retries are not held to their share. */
+    /** Retries are not limited to their share of requests. */
     FREE_RETRIES(Map.of("retryShare", "1", "retryAllowance", "1000")),
-    /** Reports are thought to have half a minute. */
+    /** Nodes assume that a usage report is due only after 30 seconds. */
     LATE_REPORTS(Map.of("reportDueMs", "30000")),
-    /** Disks say that a write is down seconds before it is. */
+    /** Disks acknowledge a write seconds before it is durable. */
     LYING_DISK(Map.of()),
-    /** Bytes leave without a last look at the time, however long the machine froze before. */
+    /** Nodes send a usage report without checking its deadline immediately before the send, however long the machine froze. */
     NO_LAST_LOOK(Map.of()),
-    /** A garbled answer is passed on. */
+    /** A corrupt upstream response is forwarded to the client. */
     GARBAGE_PASSED(Map.of()),
-    /** A wire that broke after the work counts as never used. */
+    /** A connection that broke after the upstream ran the request is treated as if the request had never been sent. */
     LOST_AS_NOT_SENT(Map.of()),
-    /** Two tenants' counts are told as each other's; their sum stays right. */
+    /** Usage reports swap the counts of two tenants; the sum stays correct. */
     SWAPPED_TENANTS(Map.of()),
-    /** One answer comes with the headers of another. */
+    /** A response carries the headers of another response. */
     OTHERS_HEADERS(Map.of()),
-    /** Kept answers go to cores outside the home regions too. */
+    /** Recorded responses are also stored at cores outside the tenant's home regions. */
     KEPT_ABROAD(Map.of()),
-    /** Nothing that is reported arrives for a while, though the fleet could. */
+    /** The platform receives no usage reports for a while although the fleet could deliver them. */
     DEAF_PLATFORM(Map.of()),
-    /** Words on upstreams are a little too old: over three seconds, not over five. */
+    /** Reports on upstreams are slightly too old: more than three seconds, but not more than five. */
     SLOW_LEAVING(Map.of("leaveBoundMs", "24000")),
-    /** Whoever asks a core that it is cut off from hears that what it has is the newest. */
+    /** A node that requests a freshness proof from a core that it is cut off from receives a forged confirmation. */
     FORGED_PROOFS(Map.of()),
-    /** Each change of the configuration says that it was made an hour after the one before. */
+    /** Each configuration change carries a timestamp one hour after the previous change. */
     LEAPING_CHANGES(Map.of());
 
-    @SuppressWarnings("ImmutableEnumChecker") // All are made by Map.of.
+    @SuppressWarnings("ImmutableEnumChecker") // All values are created by Map.of.
     private final Map<String, String> settings;
 
     InjectedFault(final Map<String, String> settings) {
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -18,7 +18,7 @@
 import spokestall.testbed.verdict.FleetJudge;
 import spokestall.testbed.verdict.Rule;
 
-/** A failure brought about on real processes while asks flow. */
+/** A failure that is injected into a fleet of real processes while clients send requests. */
 public enum ProcessFault {
     KILL {
         @Override
@@ -79,7 +79,7 @@
             final FleetMember holder = fleet.leaseHolder();
             Files.createFile(holder.faultHooks.resolve("gap"));
             Fleet.waitUntil(
-                    "another holds the duty",
+                    "another core holds the lease",
                     20_000,
                     () -> !fleet.leaseHolder().name.equals(holder.name));
             Files.delete(holder.faultHooks.resolve("gap"));
@@ -143,11 +143,11 @@
             final Path full = core.faultHooks.resolve("full");
             Files.createFile(full);
             Fleet.waitUntil(
-                    "its voter has stopped",
+                    "the core's voter has stopped",
                     20_000,
                     () -> fleet.status(core).path("voter").asText().equals("STOPPED"));
             Fleet.pause(4000);
-            // What an operator does: another disk.
+            // An operator replaces the disk: the core restarts with an empty data folder.
             core.process.destroyForcibly().waitFor();
             Files.delete(full);
             delete(core.data);
@@ -165,7 +165,7 @@
     CUT_ONE_WAY {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            // Nothing leaves the holder, then nothing leaves an edge; both still hear all.
+            // First the lease holder and then an edge can't send; both still receive everything.
             for (final String name : List.of(fleet.leaseHolder().name, "d4-edge")) {
                 fleet.memberNames(m -> true).forEach(o -> fleet.links().setCut(name, o, true));
                 Fleet.pause(5000);
@@ -208,8 +208,8 @@
 
         @Override
         public double minServedRatio() {
-            // A piece in twenty holds its wire up by 0.2 to 0.6 s: counts that are not with a majority in time bar
-            // asks.
+            // One chunk in twenty delays its connection by 0.2 to 0.6 s. An edge rejects requests while a majority of the
+            // cores hasn't acknowledged its counts in time.
             return 0.8;
         }
     },
@@ -270,7 +270,7 @@
     OVERLOAD {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            // Upstreams take twice the usual demand; ten times as much comes, and then the usual again.
+            // Upstreams can serve twice the usual load. Clients send ten times the usual load, then the usual load again.
             fleet.standIns().forEach(u -> u.setServiceTimeMs(90));
             final Process more =
                     fleet.startLoadGenerator(8, 0, 1800, fleet.folder().resolve("more"));
@@ -359,20 +359,24 @@
     };
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** A fleet whose processes were all started at once is up within this. */
+    /** Upper bound for a fleet to become available after all of its processes were started at once. */
     private static final long START_MS = 4000;
 
+    /** Injects the failure and, where it is temporary, ends it again. */
     public abstract void inject(Fleet fleet, FleetJudge judge) throws Exception;
 
-    /** What must be so before the fleet starts. */
+    /** Prepares the fleet before it starts. */
     public void prepare(final Fleet fleet) throws IOException {}
 
-    /** The share of asks that must run; where a majority is away or a key is withdrawn, asks are denied meanwhile. */
+    /**
+     * Returns the ratio of requests that must be served. It is lower for failures during which nodes deny requests: without a majority of
+     * the cores, or with a withdrawn key.
+     */
     public double minServedRatio() {
         return 0.95;
     }
 
-    /** Kills them all at once, and starts them again after a while. */
+    /** Kills the named processes at once, waits, and starts them again. */
     private static void killAndRestart(final Fleet fleet, final List<String> names, final long downMs)
             throws Exception {
         for (final String name : names) {
@@ -421,7 +425,7 @@
                 .asLong();
     }
 
-    /** Has a change accepted, repeating it by its change id, and gives its version. */
+    /** Repeats a change with the same change id until it is accepted; returns its version. */
     private static long callUntilAccepted(
             final Fleet fleet, final FleetMember core, final String method, final ObjectNode params) {
         final long[] version = {0};
@@ -434,7 +438,10 @@
         return version[0];
     }
 
-    /** Two operators at once, on two cores, against one base: one is accepted and soon everywhere, the other nowhere. */
+    /**
+     * Has two operators submit a change at the same time, to two cores and against the same base version. At most one change may be accepted,
+     * and an accepted one must soon be in force at every node.
+     */
     private static void raceOperators(final Fleet fleet, final FleetJudge judge, final int round)
             throws InterruptedException {
         final long base = configurationVersion(fleet, fleet.members().get("d1-core"));
@@ -458,11 +465,11 @@
         final long atMs = System.currentTimeMillis();
         final long acceptedCount =
                 replies.stream().filter(r -> r.path("code").asInt() == 1000).count();
-        judge.judge().check(Rule.POLICY, acceptedCount <= 1 ? 0 : 2, acceptedCount + " of two were accepted on one base");
+        judge.judge().check(Rule.POLICY, acceptedCount <= 1 ? 0 : 2, acceptedCount + " of two changes against the same base were accepted");
         for (final FleetMember m : fleet.members().values()) {
             if (acceptedCount == 1) {
                 Fleet.waitUntil(
-                        "it is in force",
+                        "the accepted change is in force",
                         20_000,
                         () -> fleet.status(m).path("version").asLong() > base);
                 judge.judge()
--- a/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
@@ -13,9 +13,9 @@
 import spokestall.testbed.verdict.FleetJudge;
 
 /**
- * A fleet of processes that begins with an older build and is replaced by this one under load, a node at a time: first the
- * cores, each on the data that the older build left, then the edges. The configuration is changed before, in the middle of
- * and after the replacement, and each change must be in force at nodes of both builds. All rules are judged.
+ * Upgrades a fleet of processes from an older build to this one under load, one node at a time: first the cores, each on the data that
+ * the older build wrote, then the edges. The configuration is changed before, during and after the upgrade, and each change must come
+ * into force at nodes of both builds. The judge checks all rules.
  */
 public final class RollingUpgrade {
     /** Flags of the command. */
@@ -36,7 +36,7 @@
         private Path folder = Path.of("target", "fleet");
 
         @Option(name = "--help", help = true, usage = "this page")
-        @SuppressWarnings("UnusedVariable") // args4j looks for the option, not at the field.
+        @SuppressWarnings("UnusedVariable") // args4j needs the option; no code reads the field.
         private boolean help;
     }
 
@@ -46,7 +46,7 @@
 
     private RollingUpgrade() {}
 
-    /** Runs it; zero if every rule was kept, enough requests were served and all processes stopped cleanly. */
+    /** Runs the upgrade; returns 0 if no rule was violated, enough requests were served and all processes stopped cleanly. */
     public static int run(final Flags flags) throws Exception {
         final Path folder = flags.folder.resolve("upgrade-" + System.currentTimeMillis());
         try (Fleet fleet = new Fleet(flags.deployment, folder, Deployment.ZONES, 0)) {
@@ -91,7 +91,7 @@
         change(fleet, deployment, "all-of-this-build");
     }
 
-    /** Stops a node in order and starts this build with the same settings and data. */
+    /** Stops a node gracefully and starts this build with the same settings and data. */
     private static void replace(final Fleet fleet, final FleetMember member) throws IOException, InterruptedException {
         member.process.destroy();
         member.process.waitFor();
@@ -101,7 +101,7 @@
         System.out.println("upgraded " + member.name);
     }
 
-    /** Puts the configuration as another version and waits until every node has it. */
+    /** Submits the configuration as a new version and waits until every node applies it. */
     private static void change(final Fleet fleet, final Deployment deployment, final String changeId) {
         final ObjectNode configuration = deployment.configuration();
         final long version = fleet.putConfiguration(changeId, configuration);
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -19,8 +19,8 @@
 import spokestall.usage.UsageReportClient;
 
 /**
- * The shipped node with a failing machine around it: while a file {@code stall}, {@code full} or {@code pauseBeforeSend} stands in
- * the hook folder, its disk stalls, its disk takes nothing more, or it stands still between a report's check and its send.
+ * The shipped node with fault hooks. Files in the hook folder activate faults while they exist: with {@code stall} commits to disk wait,
+ * with {@code full} commits fail, and with {@code gap} the node pauses between the deadline check of a usage report and its send.
  */
 public final class FaultHookNode {
     private static final long SEND_PAUSE_MS = 6500;
@@ -28,7 +28,7 @@
 
     private FaultHookNode() {}
 
-    /** Example: {@code java ... spokestall.testbed.fleet.FaultHookNode core d1-core.json /tmp/hooks} */
+    /** Runs a node; the arguments are its role ({@code core} or {@code edge}), its settings file and the hook folder. */
     public static void main(final String[] args) throws Exception {
         ShutdownLogging.install();
         LogLineFormatter.install();
@@ -71,7 +71,7 @@
         };
     }
 
-    /** A disk that is as the files in a folder say. */
+    /** A segment store that stalls or fails commits while the corresponding hook file exists. */
     private record FaultyStore(SegmentStore disk, Path hooks) implements SegmentStore {
         @Override
         public int count() {
@@ -90,7 +90,7 @@
 
         @Override
         public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-            // Commits pile up behind a stall, in their order, as they do in front of a disk that doesn't answer.
+            // During a stall commits queue in order, as they do in front of an unresponsive disk.
             COMMITS.execute(() -> {
                 while (Files.exists(hooks.resolve("stall"))) {
                     Fleet.pause(20);
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -34,13 +34,13 @@
 import spokestall.testbed.standin.UpstreamStandIn;
 import spokestall.testbed.verdict.Ledger;
 
-/** A fleet on one machine: real processes for the nodes, stand-ins for the world around them. */
+/** A fleet on one machine: real processes for the nodes, and stand-ins for the upstreams and the platform. */
 public final class Fleet implements AutoCloseable {
     private static final int PORTS_PER_NODE = 4;
     private static final int SEED_COUNT = 3;
     /**
-     * How long a count may be without a majority of the cores before its edge refuses requests, unless a fleet's own settings say otherwise. All
-     * processes share one machine: beside other load an acknowledgement takes longer than the default of 200 ms there.
+     * How long a count may lack the acknowledgement of a majority of the cores before its edge rejects requests; a fleet's own settings
+     * override it. All processes share one machine, where under other load an acknowledgement takes longer than the default of 200 ms.
      */
     private static final int UNCOUNTED_MS = 500;
 
@@ -51,7 +51,7 @@
     private final Path folder;
     private final LinkConditions links;
     private boolean faultHooksEnabled;
-    /** The build that members start with, where that isn't this one. */
+    /** The builds of the members that don't run the testbed's own build. */
     private final Map<FleetMember, NodeBuild> builds = new HashMap<>();
 
     private final Ledger ledger = new Ledger();
@@ -63,7 +63,7 @@
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
-    /** Makes one stand-in for an upstream. */
+    /** Creates the stand-in for one upstream. */
     interface UpstreamFactory {
         UpstreamInstance create(Deployment.Place place, int port);
     }
@@ -73,7 +73,7 @@
         this(deployment, folder, FleetLayout.relayed(zones, delayMs), deployment.upstreams(), null, Map.of());
     }
 
-    /** With a layout, upstreams other than the deployment's, and settings of its own. */
+    /** Creates a fleet with the given layout, upstreams and additional node settings; a null factory creates {@link UpstreamStandIn}s. */
     public Fleet(
             final Deployment deployment,
             final Path folder,
@@ -115,14 +115,14 @@
         }
     }
 
-    /** The ports of one node: where others reach it, where it listens for them, for clients, and for operators. */
+    /** The ports of one node: the port that other nodes connect to, the port it listens on for them, and those for clients and operators. */
     private record MemberPorts(int advertised, int listen, int http, int operators) {}
 
     private static String loopbackAddress(final int port) {
         return "127.0.0.1:" + port;
     }
 
-    /** Adds a zone's core, which is its node 0, or one of its edges. */
+    /** Adds a zone's core, which is node 0 of the zone, or one of its edges. */
     private void addMember(
             final FleetLayout layout,
             final int zone,
@@ -193,7 +193,7 @@
         return upstreams;
     }
 
-    /** Another upstream, cold, at the address of one that is gone; the platform lists it from now on. */
+    /** Starts a cold upstream at the address of one that has stopped, and lists it at the platform; returns the new instance's name. */
     public String replaceUpstream(final UpstreamStandIn old, final Deployment.Place place) {
         final int port = Integer.parseInt(old.address().substring(old.address().indexOf(':') + 1));
         final UpstreamStandIn made = new UpstreamStandIn(place, port, worker, ledger, 5, 0);
@@ -203,26 +203,26 @@
         return place.instance();
     }
 
-    /** The upstreams that can misbehave. */
+    /** Returns the upstreams as stand-ins whose behavior can be changed. */
     public List<UpstreamStandIn> standIns() {
         return upstreams.stream().map(UpstreamStandIn.class::cast).toList();
     }
 
-    /** Nodes are started with a failing machine around them. */
+    /** Starts all nodes with fault hooks from now on. */
     public void faultHooksEnabled() {
         faultHooksEnabled = true;
     }
 
-    /** Has a member run this build from its next start on. */
+    /** Sets the build that a member runs from its next start on. */
     public void useBuild(final FleetMember member, final NodeBuild build) {
         builds.put(member, build);
     }
 
     /**
-     * Starts everything and waits until every node's process has logged its start. Launching processes takes as long as the machine
-     * needs for it; what the nodes do after that is waited for apart, by what they are held to.
+     * Starts the stand-ins and nodes, and waits until every node's process has logged its start. The time to launch processes depends on
+     * the machine, so callers apply the nodes' own time bounds only after this method returns.
      *
-     * @throws IllegalStateException if not all have started within {@link #STARTED_WAIT_MS}
+     * @throws IllegalStateException if not all processes have started within {@link #STARTED_WAIT_MS}
      */
     public void start() throws IOException {
         platform.start();
@@ -238,7 +238,7 @@
                 () -> members.values().stream().allMatch(FleetMember::hasStarted));
     }
 
-    /** Starts a member's process, or starts it again. */
+    /** Starts or restarts a member's process. */
     public void start(final FleetMember member) throws IOException {
         member.launch(
                 builds.getOrDefault(member, faultHooksEnabled ? NodeBuild.WITH_FAULT_HOOKS : NodeBuild.THIS),
@@ -246,7 +246,7 @@
         links.registerProcess(member.name, member.process.pid());
     }
 
-    /** A setting of all nodes, from their next start on. */
+    /** Changes a setting of all nodes; it applies from their next start on at the latest. */
     public void changeSetting(final String key, final int value) throws IOException {
         for (final FleetMember member : members.values()) {
             member.changeSetting(key, Integer.toString(value));
@@ -293,10 +293,10 @@
                 .orElseThrow();
     }
 
-    /** The core that holds the duty, as the cores see it. */
+    /** Waits until the cores report a running lease holder and returns it. */
     public FleetMember leaseHolder() {
         final String[] name = {""};
-        waitUntil("someone holds the duty", 20_000, () -> {
+        waitUntil("a core holds the lease", 20_000, () -> {
             name[0] = status(anyCore()).path("duty").path("holder").asText();
             return members.containsKey(name[0]) && members.get(name[0]).process.isAlive();
         });
@@ -307,7 +307,7 @@
         waitUntil(m.name + " is fresh", 20_000, () -> status(m).path("fresh").asBoolean());
     }
 
-    /** Puts the deployment's configuration, asking again with the same change id until the outcome is known. */
+    /** Submits the deployment's configuration, with retries under the same change id until it is accepted; returns its version. */
     public long putConfiguration() {
         return putConfiguration("first-policy", deployment.configuration());
     }
@@ -331,7 +331,7 @@
         return version[0];
     }
 
-    /** Waits until every live node is fresh at this version and edges see upstreams. */
+    /** Waits until every running node is fresh at this version or a later one, and every running edge sees all upstreams as ready. */
     public void awaitReady(final long version) {
         waitUntil(
                 "every node is fresh at " + version,
@@ -341,7 +341,7 @@
                     return s.path("fresh").asBoolean() && s.path("version").asLong() >= version;
                 }));
         waitUntil(
-                "edges see the upstreams",
+                "edges see all upstreams as ready",
                 30_000,
                 () -> members.values().stream()
                         .filter(m -> !m.core)
@@ -367,7 +367,7 @@
         }
     }
 
-    /** Waits for a while. */
+    /** Sleeps on the calling thread; ignores interrupts. */
     public static void pause(final long ms) {
         final long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         while (System.nanoTime() < endNanos) {
@@ -375,7 +375,7 @@
         }
     }
 
-    /** Runs the load generator as a process and gives its exit code. */
+    /** Starts the load generator as a process; its exit code is zero if enough requests were served. */
     public Process startLoadGenerator(final int seconds, final double minServedRatio) throws IOException {
         return startLoadGenerator(seconds, minServedRatio, deployment.rate, recordFile());
     }
@@ -412,7 +412,7 @@
                 .start();
     }
 
-    /** Stops every node cleanly; true if all ended with 0 in time. */
+    /** Stops every node; returns whether all processes exited cleanly within 15 s each. */
     public boolean stopAll() throws InterruptedException {
         boolean clean = true;
         for (final FleetMember m : members.values()) {
--- a/testbed/src/main/java/spokestall/testbed/fleet/FleetLayout.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FleetLayout.java
@@ -1,28 +1,28 @@
 package spokestall.testbed.fleet;
 
 /**
- * How many nodes a fleet has, and how they reach each other.
+ * The number of nodes of a fleet and the links between them.
  *
- * @param zones how many zones there are, with a core each
- * @param edgesPerZone how many edges each zone has
- * @param links how messages get from one node to another
- * @param delayMs how long a relayed piece is on its way; without relays of no effect
+ * @param zones the number of zones, each with one core
+ * @param edgesPerZone the number of edges in each zone
+ * @param links how nodes connect to each other
+ * @param delayMs the delay of each relayed chunk; ignored without relays
  */
 public record FleetLayout(int zones, int edgesPerZone, Links links, long delayMs) {
-    /** How messages get from one node to another. */
+    /** How nodes connect to each other. */
     public enum Links {
-        /** Each node listens at its own address. Nothing can be cut or delayed; bears hundreds of nodes. */
+        /** Each node listens at its own address. Links can't be cut or delayed; suitable for hundreds of nodes. */
         DIRECT,
-        /** A relay stands before each node, with two threads for each connection. */
+        /** A relay in front of each node uses two threads for each connection. */
         RELAYED
     }
 
-    /** A zone's core and one edge each, with relays. */
+    /** Returns a layout with one core and one edge in each zone, connected by relays. */
     public static FleetLayout relayed(final int zones, final long delayMs) {
         return new FleetLayout(zones, 1, Links.RELAYED, delayMs);
     }
 
-    /** Nodes that reach each other directly. */
+    /** Returns a layout whose nodes connect to each other directly. */
     public static FleetLayout direct(final int zones, final int edgesPerZone) {
         return new FleetLayout(zones, edgesPerZone, Links.DIRECT, 0);
     }
--- a/testbed/src/main/java/spokestall/testbed/fleet/FleetMember.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FleetMember.java
@@ -10,35 +10,35 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One node of a fleet: where it is reached, its files, and the process that runs it now, which may have been launched several times.
+ * One node of a fleet: its addresses, its files, and its current process. A node may be launched several times.
  *
- * <p>Its settings may be changed from any thread; it is launched by one thread at a time.
+ * <p>Any thread may change the settings; only one thread at a time may launch the node.
  */
 public final class FleetMember {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String STARTED = "event=start ";
     private static final int EXITED = 0;
-    /** A JVM that ends by TERM gives this after its hooks have run. */
+    /** The exit code of a JVM that received TERM and has run its shutdown hooks. */
     private static final int EXITED_BY_TERM = 143;
 
     public final String name;
     public final boolean core;
-    /** Where clients reach it. */
+    /** The host and port for clients. */
     public final String http;
-    /** Where operators reach it. */
+    /** The host and port for operators. */
     public final String operators;
 
     private final Path settings;
     public final Path data;
-    /** Files in this folder make the machine around it fail, if it is launched so. */
+    /** Files in this folder activate faults, if the node is launched with fault hooks. */
     public final Path faultHooks;
 
     private final Path logFile;
-    /** Null if other nodes reach it directly. */
+    /** Null if other nodes connect to this node directly. */
     private final LinkRelay relay;
 
     private final AtomicInteger launches = new AtomicInteger();
-    /** Null until it is first launched. */
+    /** Null until the first launch. */
     public volatile Process process;
 
     FleetMember(
@@ -60,7 +60,7 @@
         this.relay = relay;
     }
 
-    /** Launches a process with this build, with a failing machine around it or without one. */
+    /** Launches a process with this build, with or without fault hooks. */
     void launch(final NodeBuild build, final boolean hooked) throws IOException {
         launches.incrementAndGet();
         final String java =
@@ -82,7 +82,7 @@
                 .start();
     }
 
-    /** Whether its present process runs and has logged its start, so that it handles signals. */
+    /** Returns whether the current process runs and has logged its start, and thus handles signals. */
     public boolean hasStarted() {
         try {
             return process.isAlive() && log().split(STARTED, -1).length - 1 >= launches.get();
@@ -91,34 +91,34 @@
         }
     }
 
-    /** Whether it was launched and its present process runs. */
+    /** Returns whether the node was launched and its current process runs. */
     public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** Sends its process a signal, named as {@code kill} takes it, and waits until it is sent. */
+    /** Sends a signal to the process and waits until it is sent; the name is one that {@code kill} accepts. */
     public void signal(final String signalName) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
-    /** Whether an exit value is that of a node that was told to stop and did. */
+    /** Returns whether an exit value is that of a node that stopped cleanly after a stop signal. */
     public static boolean isCleanExit(final int exitValue) {
         return exitValue == EXITED || exitValue == EXITED_BY_TERM;
     }
 
-    /** What it has logged, in all of its lives. */
+    /** Returns the log of all launches of this node. */
     public String log() throws IOException {
         return Files.readString(logFile);
     }
 
-    /** Writes its settings. */
+    /** Writes the settings file. */
     void writeSettings(final ObjectNode all) throws IOException {
         Files.writeString(settings, all.toPrettyString());
     }
 
-    /** Changes one setting in its file, all at once for whoever reads it. */
+    /** Changes one setting and replaces the settings file atomically. */
     public synchronized void changeSetting(final String key, final String value) throws IOException {
         final ObjectNode changed = (ObjectNode) JSON.readTree(settings.toFile());
         final Path next = settings.resolveSibling(name + ".next");
@@ -126,7 +126,7 @@
         Files.move(next, settings, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Ends its process and its relay at once. */
+    /** Kills the process and closes the relay. */
     void close() throws IOException {
         if (process != null) {
             process.destroyForcibly();
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** The links between nodes' processes, each way by itself: cut, slow or lossy. A relay asks here for each piece. */
+/**
+ * The conditions of the links between the nodes' processes: cut, delayed or lossy. Cuts apply to each direction separately. A relay looks
+ * up the conditions for each chunk. Thread-safe.
+ */
 public final class LinkConditions {
     private final Set<String> cuts = ConcurrentHashMap.newKeySet();
     private final Map<String, Long> pids = new ConcurrentHashMap<>();
@@ -32,7 +35,7 @@
         }
     }
 
-    /** Cuts two groups off from each other, or joins them again. */
+    /** Cuts all links between two groups of nodes in both directions, or restores them. */
     public void setPartitioned(final List<String> group, final List<String> otherGroup, final boolean isCut) {
         for (final String one : group) {
             for (final String other : otherGroup) {
@@ -47,7 +50,7 @@
         delayMs += addedDelayMs;
     }
 
-    /** Whether any link is cut. */
+    /** Returns whether any link is cut. */
     boolean anyCut() {
         return !cuts.isEmpty();
     }
@@ -56,13 +59,13 @@
         return cuts.contains(from + ">" + to);
     }
 
-    /** How late the next piece is; what is lost comes late, as on TCP. */
+    /** Returns the delay of the next chunk. A lost chunk arrives 200 to 600 ms late, as after a TCP retransmission. */
     long nextDelayMs() {
         final ThreadLocalRandom random = ThreadLocalRandom.current();
         return delayMs + (lossRatio > 0 && random.nextDouble() < lossRatio ? 200 + random.nextInt(400) : 0);
     }
 
-    /** Which node's process has a wire from this local port; the kernel's own tables tell. */
+    /** Returns the node whose process has a connection from this local port, or {@code "?"}; reads the kernel's connection tables. */
     String nodeWithLocalPort(final int port) {
         try {
             final String end = String.format(":%04X", port);
@@ -93,7 +96,7 @@
                     }
                 }
             } catch (final IOException e) {
-                // The process, or the descriptor, went away while it was looked at.
+                // The process ended or closed the descriptor during the lookup.
             }
         }
         return null;
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkEnd.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkEnd.java
@@ -1,28 +1,28 @@
 package spokestall.testbed.fleet;
 
 /**
- * One end of a relayed connection. Whose it is, is looked up in the kernel's tables when it is first asked for, since that reads the
- * tables of all connections and of all nodes' descriptors. Thread-safe.
+ * One end of a relayed connection. The node at this end is looked up in the kernel's tables on first use only, because the lookup reads
+ * the tables of all connections and the descriptors of all nodes. Thread-safe.
  */
 final class LinkEnd {
     private final LinkConditions links;
     private final int port;
     private String node;
 
-    /** The end that a node has. */
+    /** Creates the end of a known node. */
     LinkEnd(final String node) {
         this.links = null;
         this.port = 0;
         this.node = node;
     }
 
-    /** The end of whichever node's process has a connection from this local port. */
+    /** Creates the end of the node whose process has a connection from this local port. */
     LinkEnd(final LinkConditions links, final int port) {
         this.links = links;
         this.port = port;
     }
 
-    /** Returns the node's name, or {@code "?"} if no node's process has the connection. */
+    /** Returns the node's name, or {@code "?"} if the connection belongs to no node's process. */
     synchronized String node() {
         if (node == null) {
             node = links.nodeWithLocalPort(port);
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** A relay in front of one node's wire address: each way of each wire is as its link is now. */
+/** A relay in front of one node's peer address. It applies the current link conditions to each direction of each connection. */
 final class LinkRelay implements AutoCloseable {
     private final ServerSocket server;
     private final int targetPort;
@@ -72,7 +72,7 @@
                 if (links.anyCut() && links.isCut(sender.node(), receiver.node())) {
                     discarded = true;
                 } else if (discarded) {
-                    // What went missing would make nonsense of what comes now.
+                    // Bytes are missing from the stream, so the receiver couldn't decode any that follow.
                     return;
                 } else {
                     final byte[] chunk = java.util.Arrays.copyOf(buffer, n);
--- a/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A client that writes and reads bytes on one connection. Not thread-safe. */
+/** An HTTP client that writes and reads raw bytes on one connection. Not thread-safe. */
 public final class RawClient implements AutoCloseable {
-    /** One answer as it came. */
+    /** One response as received, without decoding. */
     public record Response(int status, List<String> headers, String body) {
-        /** The first header of a name, or null. */
+        /** Returns the value of the first header with this name, or null. */
         public String header(final String name) {
             final List<String> all = headerValues(name);
             return all.isEmpty() ? null : all.get(0);
         }
 
-        /** All headers of a name. */
+        /** Returns the values of all headers with this name. */
         public List<String> headerValues(final String name) {
             final String start = name.toLowerCase(Locale.ROOT) + ":";
             return headers.stream()
@@ -28,7 +28,7 @@
                     .toList();
         }
 
-        /** The numbered result code, or null. */
+        /** Returns the numbered result code, or null. */
         public String resultCode() {
             return header("Spokestall-Code");
         }
@@ -39,10 +39,10 @@
     private final InputStream in;
 
     /**
-     * Connects.
+     * Connects to a server.
      *
      * @param to host and port
-     * @throws IOException if nobody listens there
+     * @throws IOException if the connection fails
      */
     public RawClient(final String to) throws IOException {
         final int colon = to.indexOf(':');
@@ -52,23 +52,23 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** A request id that no other request of this process has. */
+    /** Returns a request id that is unique within this process. */
     public static synchronized String nextRequestId() {
         return "raw-" + ++requests;
     }
 
-    /** The head of an ask, without its empty line. */
+    /** Returns the head of a request, without the empty line at its end. */
     public static String head(final String method, final String target, final String key, final String id) {
         return method + " " + target + " HTTP/1.1\r\nHost: edge\r\nSpokestall-Key: " + key + "\r\nSpokestall-Ask-Id: "
                 + id + "\r\nSpokestall-Deadline-Ms: 4000\r\n";
     }
 
-    /** Writes characters as bytes. */
+    /** Writes the characters as ISO 8859-1 bytes. */
     public void send(final String latin1) throws IOException {
         socket.getOutputStream().write(latin1.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer; null when the wire ended instead. */
+    /** Reads the next response; returns null if the connection ended instead. */
     public Response readResponse(final boolean toHeadRequest) throws IOException {
         final String line = readLine();
         if (line == null) {
@@ -87,12 +87,12 @@
         return new Response(response.status, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer to a request that wasn't HEAD; null when the connection ended instead. */
+    /** Reads the next response to a request other than HEAD; returns null if the connection ended instead. */
     public Response readResponse() throws IOException {
         return readResponse(false);
     }
 
-    /** Whether the other side has ended the wire, waited for. */
+    /** Waits for the next byte or the end of the connection; returns whether the peer closed or reset the connection. */
     boolean isClosedByPeer() throws IOException {
         try {
             return in.read() < 0;
@@ -101,7 +101,11 @@
         }
     }
 
-    /** Whether the other side has closed the wire, not reset it, waited for. */
+    /**
+     * Waits for the next byte or the end of the connection; returns whether the peer closed the connection.
+     *
+     * @throws IOException if the peer reset the connection
+     */
     boolean isClosedWithoutReset() throws IOException {
         return in.read() < 0;
     }
--- a/testbed/src/main/java/spokestall/testbed/soak/ProcessHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/ProcessHistory.java
@@ -3,12 +3,12 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What was done to each process of a soak run, by its id. Thread-safe. */
+/** The processes, by process id, that a soak run stopped or killed. Thread-safe. */
 final class ProcessHistory {
     private final Set<Long> recordStop = new HashSet<>();
     private final Set<Long> recordKill = new HashSet<>();
 
-    /** Records that a process is told to stop now. */
+    /** Records that a process receives a stop signal now. */
     synchronized void recordStop(final long pid) {
         recordStop.add(pid);
     }
@@ -18,12 +18,12 @@
         recordKill.add(pid);
     }
 
-    /** Returns whether a process was killed at some time. */
+    /** Returns whether the run killed a process. */
     synchronized boolean wasKilled(final long pid) {
         return recordKill.contains(pid);
     }
 
-    /** Returns whether a process was killed or told to stop at some time. */
+    /** Returns whether the run killed a process or told it to stop. */
     synchronized boolean wasEnded(final long pid) {
         return recordKill.contains(pid) || recordStop.contains(pid);
     }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
@@ -16,8 +16,8 @@
 import spokestall.testbed.fleet.FleetMember;
 
 /**
- * What a soak run does to its fleet. Thread-safe: several series are played at the same time. Of the cores, a majority is left
- * running; of the edges, one.
+ * The actions of a soak run on its fleet. Thread-safe: several series run concurrently. A majority of the cores and at least one edge
+ * always keep running.
  */
 final class SoakActions {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -31,7 +31,7 @@
     private final ProcessHistory history;
     private final SoakVerdict verdict;
     private final List<FleetMember> members;
-    /** Members that are being stopped, killed or started. */
+    /** Members that an action is stopping, killing or starting. */
     private final Set<FleetMember> busy = ConcurrentHashMap.newKeySet();
 
     private final Semaphore coresDown;
@@ -54,21 +54,21 @@
         return members.get(random.nextInt(members.size()));
     }
 
-    /** Changes a member's settings and tells its process so, unless that hasn't started yet. */
+    /** Changes a setting of a random member and sends its process HUP, unless the process hasn't started yet. */
     void changeSettingAndHangup(final Random random) throws IOException, InterruptedException {
         final FleetMember member = anyMember(random);
         member.changeSetting("whereS", random.nextBoolean() ? "2" : "3");
         sendHangupIfStarted(member);
     }
 
-    /** A signal that comes before the program handles it would end the process, so it must have logged its start. */
+    /** Sends HUP only to a process that has logged its start: before the program installs its handler, the signal would end it. */
     private static void sendHangupIfStarted(final FleetMember member) throws IOException, InterruptedException {
         if (member.hasStarted()) {
             member.signal("HUP");
         }
     }
 
-    /** Tells a member to stop, so often, waits for its end and starts it again. */
+    /** Sends a random member this number of stop signals, waits for its process to end and starts it again. */
     void restart(final Random random, final int stopSignals) throws IOException, InterruptedException {
         final FleetMember member = anyMember(random);
         runWithMemberDown(member, () -> {
@@ -86,7 +86,7 @@
         });
     }
 
-    /** Kills a member and starts it again a while later. */
+    /** Kills a random member and starts it again after a delay. */
     void kill(final Random random, final long downMs) throws IOException, InterruptedException {
         final FleetMember member = anyMember(random);
         runWithMemberDown(member, () -> {
@@ -100,7 +100,10 @@
         void run() throws IOException, InterruptedException;
     }
 
-    /** Does something that ends a member, starts it again and waits until it serves; nothing if too many are down. */
+    /**
+     * Runs an action that ends a member, starts the member again and waits until it is fresh. Does nothing if another action uses the member
+     * or if too many members are down.
+     */
     private void runWithMemberDown(final FleetMember member, final Action action)
             throws IOException, InterruptedException {
         final Semaphore permits = member.core ? coresDown : edgesDown;
@@ -125,7 +128,7 @@
         }
     }
 
-    /** Adds a route, at one node after the other until it is known to be accepted. */
+    /** Adds a route; retries at random nodes until one of them acknowledges the change or {@link #CHANGE_WAIT_MS} is over. */
     void change(final Random random) {
         final String name = "soak" + changes.incrementAndGet();
         final long untilMs = System.currentTimeMillis() + CHANGE_WAIT_MS;
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
@@ -13,8 +13,8 @@
 import spokestall.testbed.fleet.RawClient;
 
 /**
- * A client that sends one request after the other on one connection for as long as the other side keeps it open, whatever happens to
- * the process there, and then connects anew. Runs on a thread of its own.
+ * A client that sends sequential requests on one connection for as long as the edge keeps it open, also while the edge's process stops or
+ * is killed, and then reconnects. Runs on a thread of its own.
  */
 final class SoakClient implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Sends one request and reads its answer; returns whether the connection may be used again. */
+    /** Sends one request and reads the response; returns whether the connection may be reused. */
     private boolean exchange(
             final RawClient connection, final long pid, final Deployment.RequestKind kind, final String ticket)
             throws IOException {
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakExchange.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakExchange.java
@@ -1,30 +1,30 @@
 package spokestall.testbed.soak;
 
 /**
- * One request of a client, and how it ended.
+ * One request of a client and its outcome.
  *
- * @param requestId its id
- * @param runOnce whether it must run once at most
- * @param pid the process that took the connection
- * @param end how it ended
- * @param code the numbered result code of its answer, null if there was none
- * @param sentMs when its last byte was written, on the wall clock
- * @param endedMs when the answer was there or the connection had ended
+ * @param requestId the request's id
+ * @param runOnce whether the request must run at most once
+ * @param pid the process at the other end of the connection
+ * @param end the outcome
+ * @param code the numbered result code of the response, null without a response or a code
+ * @param sentMs the wall-clock time at which the client wrote the last byte of the request
+ * @param endedMs the wall-clock time at which the response was complete or the connection had ended
  */
 record SoakExchange(String requestId, boolean runOnce, long pid, End end, String code, long sentMs, long endedMs) {
-    /** How a request ended for its client. */
+    /** The outcome of a request for its client. */
     enum End {
-        /** The whole answer of the upstream that ran it. */
+        /** The client received the complete response of the upstream that ran the request. */
         RAN,
-        /** An answer that says that it has not run and never will. */
+        /** The response states that the request has not run and never will. */
         NOT_RUN,
-        /** An answer that promises nothing. */
+        /** The response doesn't state whether the request ran. */
         UNDECIDED,
-        /** An answer to another request, or one that is not whole. */
+        /** The response belongs to another request or is incomplete. */
         WRONG,
-        /** The connection ended without an answer. */
+        /** The connection ended without a response. */
         CLOSED,
-        /** Neither an answer nor the connection's end came in time. */
+        /** The client's read timed out: there was neither a response nor the end of the connection. */
         SILENT
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
@@ -18,14 +18,17 @@
 import spokestall.testbed.fleet.Fleet;
 import spokestall.testbed.standin.UpstreamStandIn;
 
-/** Plays one soak run: a fleet starts, clients send, series come on several lanes at once, the fleet recovers and is judged. */
+/**
+ * Runs one soak test: starts a fleet and its clients, plays series of actions on several lanes concurrently, waits for the fleet to recover
+ * and judges the outcome.
+ */
 public final class SoakRun {
-    /** One upstream in so many takes a quarter of a second, so that requests are under way whenever something happens. */
+    /** One upstream in this many takes a quarter of a second per request, so that requests are in flight during every action. */
     private static final int UPSTREAMS_PER_SLOW_ONE = 3;
 
     private static final long RECOVERY_OBSERVATION_MS = 3000;
     private static final long NOT_REACHED = -1;
-    /** Requests of the last span that may be rejected: connections from before are used up in it. */
+    /** The ratio of unserved requests allowed in the observation period at the end; clients still use up older connections then. */
     private static final double UNSERVED_RATIO_MAX = 0.02;
 
     private final SoakFlags flags;
@@ -34,8 +37,8 @@
     private final SoakVerdict verdict = new SoakVerdict(history);
     private final AtomicBoolean clientsKeepRunning = new AtomicBoolean(true);
     /**
-     * How long after the first process was launched all had started, the first configuration was accepted, and every edge saw all
-     * upstreams.
+     * Times since the launch of the first process: until all processes had started, until the first configuration was accepted, and until
+     * every edge saw all upstreams.
      */
     private long startedMs = NOT_REACHED;
 
@@ -48,7 +51,7 @@
         this.seed = seed;
     }
 
-    /** Plays all seeds; returns zero if no rule was broken. */
+    /** Runs all seeds; returns zero if no rule was violated. */
     public static int run(final SoakFlags flags) throws IOException, InterruptedException {
         int broken = 0;
         for (long seed = flags.seed; seed < flags.seed + flags.seeds; seed++) {
@@ -58,7 +61,7 @@
         return broken == 0 ? 0 : 1;
     }
 
-    /** Plays one seed; returns the rules that were broken, a line each. */
+    /** Runs one seed; returns the violated rules, one line each. */
     public static List<String> play(final SoakFlags flags) throws IOException, InterruptedException {
         return new SoakRun(flags, flags.seed).play();
     }
@@ -93,7 +96,7 @@
         return report(folder);
     }
 
-    /** Starts the fleet and waits until it serves; returns whether it does in time. */
+    /** Starts the fleet and waits until it serves requests; returns whether it does so in time. */
     private boolean start(final Fleet fleet) throws IOException {
         final long fromNanos = System.nanoTime();
         try {
@@ -136,7 +139,7 @@
         }
     }
 
-    /** Requests of tenants that are at home everywhere, so that every edge serves them. */
+    /** Returns the requests of tenants whose home regions include all regions, so that every edge serves them. */
     private List<Deployment.RequestKind> kinds() {
         final Set<String> everywhere = new HashSet<>();
         for (int tenant = 0; tenant < Deployment.TENANTS; tenant++) {
@@ -186,11 +189,11 @@
         try {
             task.get();
         } catch (final java.util.concurrent.ExecutionException e) {
-            verdict.addViolation(SoakVerdict.SoakRule.RECOVERY, "gave up: " + e.getCause());
+            verdict.addViolation(SoakVerdict.SoakRule.RECOVERY, "a lane or client failed: " + e.getCause());
         }
     }
 
-    /** Waits until every node is fresh, and sees requests run for a while. */
+    /** Waits until every node is fresh, then checks for {@link #RECOVERY_OBSERVATION_MS} that requests are served. */
     private void recover(final Fleet fleet) {
         try {
             fleet.members().values().forEach(fleet::awaitFresh);
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakSeries.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakSeries.java
@@ -4,9 +4,9 @@
 import java.util.Random;
 import spokestall.testbed.fleet.Fleet;
 
-/** Series of the same thing, one after the other; several are played at the same time. */
+/** Series of similar actions in sequence; several series run concurrently. */
 enum SoakSeries {
-    /** A member's settings change and it is told so, again and again. */
+    /** Members' settings change repeatedly, each time followed by HUP. */
     HANGUPS {
         @Override
         void play(final SoakActions actions, final Random random) throws IOException, InterruptedException {
@@ -17,7 +17,7 @@
             }
         }
     },
-    /** Members are told to stop, and started again once they have. */
+    /** Members are stopped and then started again. */
     RESTARTS {
         @Override
         void play(final SoakActions actions, final Random random) throws IOException, InterruptedException {
@@ -28,7 +28,7 @@
             }
         }
     },
-    /** A member is told to stop several times, with a hang-up in between. */
+    /** A member receives several stop signals with HUP in between. */
     IMPATIENT_RESTART {
         @Override
         void play(final SoakActions actions, final Random random) throws IOException, InterruptedException {
@@ -42,7 +42,7 @@
             actions.kill(random, random.nextInt(1000));
         }
     },
-    /** The configuration changes in quick succession, each time at another node. */
+    /** The configuration changes in quick succession, each time through a random node. */
     CHANGES {
         @Override
         void play(final SoakActions actions, final Random random) throws IOException, InterruptedException {
@@ -54,6 +54,6 @@
         }
     };
 
-    /** Plays the series to its end on the calling thread. */
+    /** Plays the whole series on the calling thread. */
     abstract void play(SoakActions actions, Random random) throws IOException, InterruptedException;
 }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
@@ -13,42 +13,48 @@
 import spokestall.testbed.fleet.FleetMember;
 import spokestall.testbed.verdict.Ledger;
 
-/** Collects what a soak run sees and says which rules it broke. Thread-safe. */
+/** Collects the observations of a soak run and determines which rules it violated. Thread-safe. */
 final class SoakVerdict {
-    /** What must hold, whatever comes in whichever order. */
+    /** The rules that hold for every sequence of actions. */
     enum SoakRule {
-        /** The fleet takes its first configuration, and every edge sees all upstreams, within 30 s each after every process has started. */
+        /**
+         * After every process has started, the fleet accepts its first configuration within 30 s, and then every edge sees all upstreams
+         * within another 30 s.
+         */
         START,
-        /** An answer is whole and belongs to its request. */
+        /** A response is complete and belongs to its request. */
         ANSWER,
-        /** A run-once request runs once at most. */
+        /** A run-once request runs at most once. */
         ONCE,
-        /** A request that is answered as not run never runs. */
+        /** A request whose response says that it did not run never runs. */
         NOT_RUN,
-        /** A process that isn't killed answers what it has passed on, also while it stops. */
+        /** A process that isn't killed responds to every request it has forwarded, also while it stops. */
         LOST,
-        /** A process that isn't killed doesn't keep a request and then close without an answer. */
+        /** A process that isn't killed doesn't hold a request and then close the connection without a response. */
         MUTE,
-        /** Each request ends. */
+        /** Each request ends with a response or with the end of its connection. */
         SILENT,
-        /** Each process that is told to stop ends in time, with an exit code that says so. */
+        /** Each process that is told to stop exits in time with the exit code of a clean stop. */
         STOP,
-        /** No process ends by itself. */
+        /** No process exits without being killed or told to stop. */
         EXIT,
-        /** Nothing is logged as a fault of the program. */
+        /** No process logs a program fault. */
         FAULT,
-        /** A change that was acknowledged stays. */
+        /** An acknowledged change stays in the configuration. */
         CHANGE,
-        /** A change is acknowledged within 15 s at some node. */
+        /** Some node acknowledges each change within 15 s. */
         UNACKNOWLEDGED,
-        /** After the last series every node is fresh and every request runs. */
+        /** After the last series every node is fresh, and nearly all requests are served. */
         RECOVERY
     }
 
-    /** One broken rule. */
+    /** One violation of a rule. */
     record Violation(SoakRule rule, String detail) {}
 
-    /** How long a request may be kept that is then not answered: it crossed the closing of its connection. */
+    /**
+     * The longest time from the last byte of a request to the close of its connection without a response. Such a request is allowed: the
+     * client sent it while the other side was closing the connection.
+     */
     private static final long CLOSE_RACE_MAX_MS = 500;
 
     private final ProcessHistory history;
@@ -79,16 +85,16 @@
 
     synchronized void onStopEnded(final FleetMember member, final Process process, final boolean inTime) {
         if (!inTime) {
-            addViolation(SoakRule.STOP, member.name + " still runs");
+            addViolation(SoakRule.STOP, member.name + " did not stop in time");
         } else if (!FleetMember.isCleanExit(process.exitValue())) {
-            addViolation(SoakRule.STOP, member.name + " ended with " + process.exitValue());
+            addViolation(SoakRule.STOP, member.name + " stopped with exit code " + process.exitValue());
         }
     }
 
-    /** A member that nobody ended must run. */
+    /** Checks that a member's process runs unless the soak run ended it. */
     synchronized void checkAlive(final FleetMember member) {
         if (!member.process.isAlive() && !history.wasEnded(member.process.pid())) {
-            addViolation(SoakRule.EXIT, member.name + " ended by itself with " + member.process.exitValue());
+            addViolation(SoakRule.EXIT, member.name + " exited unexpectedly with exit code " + member.process.exitValue());
         }
     }
 
@@ -96,7 +102,7 @@
         violations.add(new Violation(rule, what));
     }
 
-    /** Judges how requests ended, by what upstreams began. */
+    /** Judges the outcomes of requests against the requests that upstreams began to run. */
     synchronized void judgeExchanges(final List<Ledger.Began> allBegan) {
         final Map<String, Integer> timesRun = new HashMap<>();
         for (final Ledger.Began began : allBegan) {
@@ -105,7 +111,7 @@
         exchanges.forEach(exchange -> judge(exchange, timesRun.getOrDefault(exchange.requestId(), 0)));
     }
 
-    /** Judges the configuration as it is at the end. */
+    /** Checks that the final configuration has all acknowledged changes. */
     synchronized void judgeConfiguration(final JsonNode configuration) {
         final String text = configuration.toString();
         for (final String change : acknowledged) {
@@ -115,7 +121,7 @@
         }
     }
 
-    /** Judges the processes as they are before the last stop, and what they have logged. */
+    /** Checks the processes and their logs; called before the fleet stops at the end. */
     synchronized void judgeMembers(final Fleet fleet) throws IOException {
         for (final FleetMember member : fleet.members().values()) {
             checkAlive(member);
@@ -153,26 +159,26 @@
         }
     }
 
-    /** Returns the broken rules so far. */
+    /** Returns the violations so far. */
     synchronized List<Violation> violations() {
         return List.copyOf(violations);
     }
 
-    /** Returns the number of requests that ended after a time. */
+    /** Returns the number of requests that clients sent at or after a time. */
     synchronized long exchangesAfter(final long fromMs) {
         return exchanges.stream()
                 .filter(exchange -> exchange.sentMs() >= fromMs)
                 .count();
     }
 
-    /** Returns the requests that were sent after a time and did not run. */
+    /** Returns the requests that clients sent at or after a time and that were not served. */
     synchronized List<SoakExchange> unservedAfter(final long fromMs) {
         return exchanges.stream()
                 .filter(exchange -> exchange.sentMs() >= fromMs && exchange.end() != SoakExchange.End.RAN)
                 .toList();
     }
 
-    /** Returns how many requests ended in which way, and how many changes were acknowledged, on one line. */
+    /** Returns a line with the number of requests by outcome and by result code, of restarts and of acknowledged changes. */
     synchronized String summary() {
         final Map<SoakExchange.End, Integer> ends = new EnumMap<>(SoakExchange.End.class);
         exchanges.forEach(exchange -> ends.merge(exchange.end(), 1, Integer::sum));
@@ -183,7 +189,7 @@
                 + " changes=" + acknowledged.size();
     }
 
-    /** Counts requests by their answers' result codes; those without an answer have the code "null". */
+    /** Counts requests by result code; the key of those without a code is "null". */
     static Map<String, Long> byCode(final List<SoakExchange> exchanges) {
         return exchanges.stream()
                 .collect(Collectors.groupingBy(
--- a/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
@@ -15,7 +15,7 @@
 import org.xnio.XnioWorker;
 import spokestall.testbed.verdict.Ledger;
 
-/** A stand-in platform: lists upstreams with some lag and takes usage reports without looking at them. */
+/** A stand-in for the platform: lists upstreams with some delay, and records usage reports without validating their content. */
 public final class PlatformStandIn {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Ledger ledger;
--- a/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
@@ -14,9 +14,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import spokestall.testbed.Deployment;
 
-/** An upstream made of bytes: it keeps what came as it came, and answers whatever it was told to write. */
+/** An upstream that records requests without decoding them and writes raw responses chosen by the test. */
 public final class RawUpstream implements UpstreamInstance {
-    /** One ask as it was on the wire; head ends before the empty line, each wire has a number of its own. */
+    /**
+     * One request as received.
+     *
+     * @param connection the number of the connection that carried it
+     * @param head the head, without the empty line at its end
+     * @param body the body
+     */
     public record ReceivedRequest(int connection, String head, String body) {
         public String requestLine() {
             return head.substring(0, head.indexOf("\r\n"));
@@ -32,12 +38,12 @@
         }
     }
 
-    /** Writes the answer to one ask, byte by byte as it likes. */
+    /** Writes the raw response to one request. */
     public interface Responder {
         void respond(ReceivedRequest came, Writer out) throws IOException, InterruptedException;
     }
 
-    /** The wire's far side. */
+    /** The connection to the client of this upstream. */
     public interface Writer {
         void write(String latin) throws IOException;
 
@@ -51,7 +57,7 @@
     private ServerSocket server;
     public final LinkedBlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
     public volatile Responder responder = RawUpstream::respondOk;
-    /** Answers before the body has come, as soon as the head is there. */
+    /** Whether the upstream responds as soon as it has read a request's head, without reading the body. */
     public volatile boolean respondBeforeBody;
 
     public RawUpstream(final Deployment.Place place, final int port) {
@@ -59,7 +65,7 @@
         this.port = port;
     }
 
-    /** The head of a good answer, without its end; more is put in front of it. */
+    /** Returns the header lines that identify a valid response: those of the request id and the instance. */
     public static String identityHeaders(final ReceivedRequest c) {
         return "Spokestall-Ask-Id: " + c.header("Spokestall-Ask-Id") + "\r\nSpokestall-Instance: "
                 + c.header("Spokestall-Instance") + "\r\n";
@@ -71,7 +77,7 @@
                 + body.length() + "\r\n\r\n" + body);
     }
 
-    /** The next ask that came, or null if none came in time. */
+    /** Returns the next request, or null if none arrives in time. */
     public ReceivedRequest awaitRequest(final long waitMs) throws InterruptedException {
         return received.poll(waitMs, TimeUnit.MILLISECONDS);
     }
@@ -171,7 +177,7 @@
                 head = head(in);
             }
         } catch (final IOException e) {
-            // The other side went, which is part of what is tried.
+            // The client closed the connection, which tests do on purpose.
             open.remove(connection);
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamInstance.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamInstance.java
@@ -2,15 +2,15 @@
 
 import spokestall.testbed.Deployment;
 
-/** What stands for an upstream: where it is, what it says it is, and how it comes and goes. */
+/** A stand-in for an upstream instance: its identity, its address and its lifecycle. */
 public interface UpstreamInstance {
-    /** Its instance, service, zone and region. */
+    /** Returns its instance, service, zone and region. */
     Deployment.Place place();
 
-    /** Its IP number and port. */
+    /** Returns its IP address and port. */
     String address();
 
-    /** Whether the platform lists it as leaving. */
+    /** Returns whether the platform lists it as leaving. */
     boolean leaving();
 
     void start();
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
@@ -13,9 +13,9 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.verdict.Ledger;
 
-/** A stand-in upstream: warms up slowly, keeps a ledger, and misbehaves when told to. */
+/** A stand-in for an upstream: warms up slowly, records requests in a ledger, and misbehaves on demand. */
 public final class UpstreamStandIn implements UpstreamInstance {
-    /** How it behaves. */
+    /** How the upstream responds to requests. */
     public enum Behavior {
         WELL,
         LOSE,
@@ -76,7 +76,7 @@
         leaving = true;
     }
 
-    /** From now on it takes one ask at a time, for so long; 0 is without limit. */
+    /** Limits the upstream to one request at a time with this service time; 0 removes the limit. */
     public void setServiceTimeMs(final long ms) {
         serviceTimeMs = ms;
     }
--- a/testbed/src/main/java/spokestall/testbed/standin/package-info.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for what lies outside the fleet: upstreams and the platform, over real sockets. They keep a ledger and misbehave
- * when they are told to.
+ * Stand-ins for the systems outside the fleet, upstreams and the platform, over real sockets. They record events in a ledger and misbehave
+ * on demand.
  */
 package spokestall.testbed.standin;
