--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -41,7 +41,9 @@
         @Option(name = "--seconds", usage = "how long clients send requests")
         private int seconds = 20;
 
-        @Option(name = "--distant", usage = "delay every link between nodes by half the deployment's round trip between regions")
+        @Option(
+                name = "--distant",
+                usage = "delay every link between nodes by half the deployment's round trip between regions")
         private boolean distant;
 
         @Option(name = "--fault", usage = "faults only: a fault, or all")
@@ -252,7 +254,8 @@
             fleet.awaitReady(fleet.putConfiguration());
             final FleetJudge judge = new FleetJudge(fleet);
             final Process demand = fleet.startLoadGenerator(flags.seconds, fault.minServedRatio());
-            Fleet.waitUntil("requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
+            Fleet.waitUntil(
+                    "requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fault.inject(fleet, judge);
             final int exitCode = demand.waitFor();
             for (final FleetMember m : fleet.members().values()) {
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -208,7 +208,8 @@
 
         @Override
         public double minServedRatio() {
-            // One chunk in twenty delays its connection by 0.2 to 0.6 s. An edge rejects requests while a majority of the
+            // One chunk in twenty delays its connection by 0.2 to 0.6 s. An edge rejects requests while a majority of
+            // the
             // cores hasn't acknowledged its counts in time.
             return 0.8;
         }
@@ -270,7 +271,8 @@
     OVERLOAD {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            // Upstreams can serve twice the usual load. Clients send ten times the usual load, then the usual load again.
+            // Upstreams can serve twice the usual load. Clients send ten times the usual load, then the usual load
+            // again.
             fleet.standIns().forEach(u -> u.setServiceTimeMs(90));
             final Process more =
                     fleet.startLoadGenerator(8, 0, 1800, fleet.folder().resolve("more"));
@@ -465,7 +467,11 @@
         final long atMs = System.currentTimeMillis();
         final long acceptedCount =
                 replies.stream().filter(r -> r.path("code").asInt() == 1000).count();
-        judge.judge().check(Rule.POLICY, acceptedCount <= 1 ? 0 : 2, acceptedCount + " of two changes against the same base were accepted");
+        judge.judge()
+                .check(
+                        Rule.POLICY,
+                        acceptedCount <= 1 ? 0 : 2,
+                        acceptedCount + " of two changes against the same base were accepted");
         for (final FleetMember m : fleet.members().values()) {
             if (acceptedCount == 1) {
                 Fleet.waitUntil(
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -380,8 +380,8 @@
         return startLoadGenerator(seconds, minServedRatio, deployment.rate, recordFile());
     }
 
-    public Process startLoadGenerator(final int seconds, final double minServedRatio, final int rate, final Path recordFile)
-            throws IOException {
+    public Process startLoadGenerator(
+            final int seconds, final double minServedRatio, final int rate, final Path recordFile) throws IOException {
         final Path plan = folder.resolve("plan.json");
         Files.writeString(plan, deployment.loadPlan().toPrettyString());
         final String nodes = String.join(
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
@@ -94,7 +94,8 @@
     /** Checks that a member's process runs unless the soak run ended it. */
     synchronized void checkAlive(final FleetMember member) {
         if (!member.process.isAlive() && !history.wasEnded(member.process.pid())) {
-            addViolation(SoakRule.EXIT, member.name + " exited unexpectedly with exit code " + member.process.exitValue());
+            addViolation(
+                    SoakRule.EXIT, member.name + " exited unexpectedly with exit code " + member.process.exitValue());
         }
     }
 
