--- a/testbed/src/test/java/spokestall/testbed/ChangeHistoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/ChangeHistoryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of changes with cores coming back all along: what a core grows to is bounded, and how it comes back too. */
+/** During hundreds of changes and repeated core failures, the size of a core's state and the time of its recovery stay bounded. */
 class ChangeHistoryTest {
     private static final long CATCH_UP_MS = 4000;
 
--- a/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
@@ -18,7 +18,7 @@
 import spokestall.testbed.simulation.ScenarioSweep;
 import spokestall.testbed.verdict.Rule;
 
-/** A judge that can't find anything is worth nothing: with a fault planted, each rule must be seen to break. */
+/** Guards against a judge that misses violations: for each rule, an injected fault must lead to a violation that the judge reports. */
 class InjectedFaultTest {
     private record Case(Rule rule, InjectedFault injectedFault, Scenario scenario, long seeds) {}
 
@@ -35,7 +35,7 @@
             new Case(Rule.SAME_COUNTS, InjectedFault.LYING_DISK, Scenario.BLINK, 1),
             new Case(Rule.TOKEN, InjectedFault.NO_LAST_LOOK, Scenario.FREEZE_AT_SEND, 4),
             new Case(Rule.IN_TIME, InjectedFault.LATE_REPORTS, Scenario.REGION_KILL, 2),
-            // What an earlier judge let pass.
+            // Faults that an earlier version of the judge missed.
             new Case(Rule.IN_TIME, InjectedFault.SWAPPED_TENANTS, Scenario.CALM, 1),
             new Case(Rule.IN_TIME, InjectedFault.DEAF_PLATFORM, Scenario.LOSSY, 1),
             new Case(Rule.OWN_ANSWER, InjectedFault.OTHERS_HEADERS, Scenario.CALM, 1),
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -16,12 +16,12 @@
 import spokestall.testbed.simulation.SimulatedNode;
 import spokestall.testbed.simulation.SimulationRun;
 
-/** Whatever has gone, a node that is in contact with a majority has edges to name to clients. */
+/** After any failure, a node that is in contact with a majority of the cores can direct clients to edges. */
 class DirectoryTest {
     private static final long TICK_MS = 100;
     private static final long FROM_MS = 2000;
     private static final long UNTIL_MS = 90_000;
-    /** Clients give a node a second to answer. */
+    /** Clients wait at most one second for a node's response. */
     private static final long WITHOUT_MAX_MS = 1000;
 
     @BeforeAll
@@ -29,7 +29,7 @@
         Logger.getLogger("").setLevel(Level.OFF);
     }
 
-    /** The longest that any node had a fresh proof and nothing to name, by node. */
+    /** Returns, by node, the longest time that the node was fresh but listed no edges, where longer than {@link #WITHOUT_MAX_MS}. */
     private static Map<String, Long> longestWithoutEdges(final Scenario scenario, final long seed) {
         final SimulationRun run = new SimulationRun(seed, Deployment.PADMA, scenario, false, InjectedFault.NONE);
         final Map<String, Long> sinceMs = new HashMap<>();
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
@@ -22,12 +22,12 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.standin.RawUpstream;
 
-/** What a client sends and gets, byte by byte, through a real core and a real edge to an upstream made of bytes. */
+/** The bytes that a client sends and receives through real nodes, with an upstream that records raw requests and writes raw responses. */
 class FleetClientsTest {
     private static final int LINES = 60;
     private static final long LINE_MS = 25;
     private static final long SLOW_RESPONSE_MS = 900;
-    /** More than an edge reads ahead at once. */
+    /** More bytes than an edge reads ahead at once. */
     private static final int READ_AHEAD_BYTES = 600;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -95,7 +95,7 @@
 
     private static RawUpstream.ReceivedRequest awaitUpstreamRequest() throws InterruptedException {
         final RawUpstream.ReceivedRequest came = upstream.awaitRequest(5000);
-        assertThat(came).as("an ask came to the upstream").isNotNull();
+        assertThat(came).as("a request reaches the upstream").isNotNull();
         return came;
     }
 
@@ -125,7 +125,7 @@
                 .isEqualTo(before);
     }
 
-    /** Nothing came before an ask that is sent now. */
+    /** Checks that the next request to reach the upstream is one that is sent now. */
     private static void assertNothingForwarded() throws Exception {
         assertThat(sendRequest("GET", "/transfers/marker", "").status()).isEqualTo(200);
         assertThat(awaitUpstreamRequest().requestLine()).isEqualTo("GET /transfers/marker HTTP/1.1");
@@ -303,7 +303,7 @@
         };
         final RawClient.Response after = sendRequest("GET", "/transfers/a", "");
         assertThat(after.status())
-                .as("never an interim answer as the final one")
+                .as("an interim response is never the final one")
                 .isEqualTo(502);
         upstream.responder = RawUpstream::respondOk;
         assertThat(sendRequest("GET", "/transfers/a", "").status()).isEqualTo(200);
@@ -374,10 +374,10 @@
         try (RawClient client = new RawClient(edge)) {
             client.send(RawClient.head("POST", "/transfers/a", "no-such-key", RawClient.nextRequestId()) + expecting);
             assertThat(client.readResponse().status())
-                    .as("denied without its body")
+                    .as("denied before the body is sent")
                     .isEqualTo(401);
             assertThat(client.isClosedByPeer())
-                    .as("what comes next could be the body or another ask")
+                    .as("the next bytes could be the body or another request")
                     .isTrue();
         }
         assertNothingForwarded();
@@ -401,9 +401,9 @@
                 half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId())
                                 .replace("4000", "1500") + "Content-Length: 100\r\n\r\nabc");
             }
-            // Another tenant has a place though one has taken all it can, and so has the one itself once they are over.
+            // Another tenant still gets a slot while one tenant uses all it may; the first tenant gets one again after these requests end.
             Fleet.waitUntil(
-                    "the halves are in",
+                    "the half-sent requests are admitted",
                     5000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
                                     .path("open")
@@ -442,7 +442,7 @@
             }
         }
         Fleet.waitUntil(
-                "all places are free",
+                "all slots are free",
                 5000,
                 () -> fleet.status(fleet.members().get("d1-edge")).path("open").asInt() == 0);
         assertNothingForwarded();
@@ -457,12 +457,12 @@
         try (RawClient deaf = new RawClient(edge)) {
             deaf.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.nextRequestId()) + "\r\n");
             awaitUpstreamRequest();
-            Fleet.waitUntil("the place is given back while the answer waits", 5000, () -> {
+            Fleet.waitUntil("the slot is free while the response waits for its client", 5000, () -> {
                 final JsonNode s = fleet.status(fleet.members().get("d1-edge"));
                 return s.path("open").asInt() == 0 && s.path("heldBytes").asLong() == 8_000_000;
             });
             Fleet.waitUntil(
-                    "the bytes are given back",
+                    "the held bytes are released",
                     15_000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
                                     .path("heldBytes")
@@ -493,7 +493,7 @@
                     final RawClient.Response got = client.readResponse();
                     assertThat(got.body()).as("turn " + i + " " + got).isEqualTo("answer to " + id);
                     assertThat(got.header("Spokestall-Goes"))
-                            .as("no go was lost to what an earlier one left")
+                            .as("no attempt failed because of bytes left by an earlier response")
                             .isEqualTo("1");
                 }
             }
@@ -520,7 +520,7 @@
         final RawClient.Response slow = sendRequest("GET", "/transfers/a", "");
         assertThat(slow.resultCode()).isEqualTo("3001");
         assertThat((System.nanoTime() - fromNs) / 1_000_000)
-                .as("ends with the go's span")
+                .as("ends when the attempt times out")
                 .isLessThan(8000);
         upstream.reset();
         Fleet.waitUntil("the upstream is used again", 8000, FleetClientsTest::upstreamServes);
@@ -541,7 +541,7 @@
         };
         assertThat(sendRequest("GET", "/transfers/a", "").status()).isEqualTo(503);
         final int first = awaitUpstreamRequest().connection();
-        Fleet.waitUntil("asks reach the right instance on another wire", 8000, FleetClientsTest::upstreamServes);
+        Fleet.waitUntil("requests reach the right instance on another connection", 8000, FleetClientsTest::upstreamServes);
         RawUpstream.ReceivedRequest last = awaitUpstreamRequest();
         while (upstream.received.peek() != null) {
             last = awaitUpstreamRequest();
@@ -584,7 +584,7 @@
                             .replace("4000", "20000")
                     + "Content-Length: 4\r\n\r\nab");
             Fleet.waitUntil(
-                    "the half is in",
+                    "the half-sent request is admitted",
                     5000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
                                     .path("open")
@@ -618,7 +618,7 @@
         assertNothingForwarded();
     }
 
-    /** The upstream writes its head line by line, so that it notices that nobody reads any more. */
+    /** The upstream writes the response head line by line, so that a write fails once the edge has closed the connection. */
     @Test
     void anIdempotentRequestIsCancelledAtItsUpstreamWhenItsClientDisconnects() throws Exception {
         final CountDownLatch ended = new CountDownLatch(1);
@@ -639,11 +639,11 @@
             awaitUpstreamRequest();
         }
         assertThat(ended.await(500, TimeUnit.MILLISECONDS))
-                .as("half a second after its client left")
+                .as("cancelled within half a second after the client disconnects")
                 .isTrue();
     }
 
-    /** While the first is under way the connection is read ahead, to notice that its client leaves. */
+    /** While the first request is in flight, the edge reads ahead on the connection to detect that the client disconnects. */
     @Test
     void aRequestPipelinedBehindASlowOneIsAnswered() throws Exception {
         final CountDownLatch never = new CountDownLatch(1);
@@ -667,7 +667,7 @@
             assertThat(behind.header("X-Fill")).hasSize(READ_AHEAD_BYTES);
             client.send(second);
             assertThat(client.readResponse().status())
-                    .as("the connection goes on")
+                    .as("the connection stays usable")
                     .isEqualTo(200);
         }
     }
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -22,7 +22,7 @@
 import spokestall.testbed.verdict.FleetJudge;
 import spokestall.testbed.verdict.Rule;
 
-/** Real processes: a fleet in which a core and an edge are killed while asks flow. */
+/** A fleet of real processes in which a core and an edge are killed while clients send requests. */
 class FleetTest {
     @Test
     void aFleetServesWhileACoreAndAnEdgeAreKilledAndStopsCleanly(@TempDir final Path folder) throws Exception {
@@ -31,10 +31,10 @@
             final long version = fleet.putConfiguration();
             fleet.awaitReady(version);
             final Process demand = fleet.startLoadGenerator(10, 0.95);
-            Fleet.waitUntil("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
+            Fleet.waitUntil("requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fleet.members().get("d2-core").process.destroyForcibly().waitFor();
             fleet.members().get("d5-edge").process.destroyForcibly().waitFor();
-            assertThat(demand.waitFor()).as("demand's verdict").isZero();
+            assertThat(demand.waitFor()).as("the load generator's exit code").isZero();
             assertThat(fleet.ledger().began()).isNotEmpty();
             fleet.start(fleet.members().get("d2-core"));
             fleet.start(fleet.members().get("d5-edge"));
@@ -77,7 +77,7 @@
                             .map(l -> new String(
                                     Base64.getUrlDecoder().decode(l.split("\\.")[1]), StandardCharsets.UTF_8))
                             .toList())
-                    .as("all kinds of decisions")
+                    .as("the audit log has every kind of decision")
                     .anyMatch(l -> l.contains("\"voters\""))
                     .anyMatch(l -> l.contains("\"first-policy\""))
                     .anyMatch(l -> l.contains("\"lease\""))
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTrafficTest.java
@@ -15,7 +15,7 @@
 import spokestall.testbed.simulation.SimulatedNode;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** What control sends between regions is the dearest thing, so it has bounds. The figures are in measurements.md. */
+/** Bounds of the control traffic between regions, which is the most expensive traffic. The figures are in measurements.md. */
 class FleetTrafficTest {
     private static final Map<String, String> LOW_TRAFFIC_SETTINGS = Map.of(
             "probes",
@@ -78,7 +78,7 @@
         assertThat(bytesPerNode(sparing, "Counts", "CountsAcknowledged")).isLessThan(1200);
     }
 
-    /** Who is there is known with one shuffle a second and node, too. */
+    /** Checks that one membership shuffle per second and node suffices to keep the lists of nodes current. */
     @Test
     void allNodesRemoveAKilledNodeAndListItAgainAfterItsRestart() {
         for (long seed = 1; seed <= 3; seed++) {
--- a/testbed/src/test/java/spokestall/testbed/fleet/LinkEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/LinkEndTest.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** Whose an end of a relayed connection is, is looked up in the kernel's tables once, and not before it is asked for. */
+/** The node at the end of a relayed connection is looked up in the kernel's tables once, on first use. */
 class LinkEndTest {
     private static final String SELF = "d1-edge";
     private final LinkConditions links = new LinkConditions(0);
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -21,10 +21,10 @@
 import spokestall.testbed.simulation.SimulatedNode;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** A simulated fleet without clients whose operators' calls a test makes one by one. */
+/** A simulated fleet without clients, to which a test makes operators' calls one by one. */
 public final class OperatorFleet {
     public static final ObjectMapper JSON = new ObjectMapper();
-    /** The settings of a node on the platform, as far as they bear on shared state. */
+    /** The settings of a node on the platform that affect shared state. */
     public static final Map<String, String> PLATFORM_SETTINGS =
             Map.of("cores", "0", "edges", "0", "alsoEdge", "1", "proofMs", "500", "bootstrap", "1");
 
@@ -36,7 +36,7 @@
     private static final long REPLY_MS = 5000;
     public final SimulatedWorld world;
 
-    /** A call's reply, once it has come. */
+    /** A call and its reply, null until the reply arrives. */
     public static final class Call {
         public Reply reply;
         long repliedMs;
@@ -63,7 +63,7 @@
         world = new SimulatedWorld(seed, deployment, false, injectedFault, Scenario.CALM, settings);
     }
 
-    /** Adds edges until there are so many. Called before the nodes are started. */
+    /** Adds edges until the fleet has {@code count} of them; called before the nodes start. */
     public OperatorFleet withEdges(final int count) {
         final int present = (int) nodes().stream().filter(node -> !node.core).count();
         for (int i = present; i < count; i++) {
@@ -72,7 +72,7 @@
         return this;
     }
 
-    /** Starts all nodes and puts the deployment's configuration. */
+    /** Starts all nodes and submits the deployment's configuration until it is accepted. */
     public OperatorFleet start() {
         world.nodes.values().forEach(SimulatedNode::start);
         awaitFresh();
@@ -86,7 +86,7 @@
         return this;
     }
 
-    /** Waits until every node is up and proved fresh, and every core votes. */
+    /** Waits until every node runs and is fresh, and every core votes. */
     public void awaitFresh() {
         runUntil("all nodes are fresh", 30_000, () -> nodes().stream().allMatch(OperatorFleet::isReady));
     }
@@ -109,7 +109,7 @@
         final long endMs = nowMs() + timeoutMs;
         while (!holds.getAsBoolean()) {
             if (nowMs() > endMs) {
-                throw new AssertionError(condition + " has not come about within " + timeoutMs + " ms");
+                throw new AssertionError(condition + " not reached within " + timeoutMs + " ms");
             }
             run(STEP_MS);
         }
@@ -122,14 +122,14 @@
         };
     }
 
-    /** Makes a call and does not wait for its reply. */
+    /** Makes a call without waiting for its reply. */
     Call call(final SimulatedNode to, final String method, final JsonNode params) {
         final Call call = new Call();
         world.call(to, method, params, storeReplyIn(call));
         return call;
     }
 
-    /** Gives an order without a base of its own, as a platform's calls do. */
+    /** Submits a change without a base version, as the platform's calls do. */
     public void submit(
             final SimulatedNode to,
             final String changeId,
@@ -139,7 +139,7 @@
         submit(to, changeId, draft, ChangeDeadlines.of(waitMs), done);
     }
 
-    /** Gives an order without a base of its own, which is pursued for longer than its caller waits. */
+    /** Submits a change without a base version, with separate deadlines for the change and for the caller's wait. */
     public void submit(
             final SimulatedNode to,
             final String changeId,
@@ -149,7 +149,7 @@
         to.run(to.incarnation(), () -> to.node().changeCoordinator().submit(changeId, draft, deadlines, done));
     }
 
-    /** Gives an order made against a base, at any node. */
+    /** Submits a change against a base version, at any node. */
     public void submitForBaseVersion(
             final SimulatedNode to,
             final long base,
@@ -159,7 +159,7 @@
         to.run(to.incarnation(), () -> to.node().changeCoordinator().submitForBaseVersion(base, changeId, draft, done));
     }
 
-    /** Gives an order made against a base and waits for its reply. */
+    /** Submits a change against a base version and waits for the reply. */
     public Call submitForBaseVersionAndWait(
             final SimulatedNode to, final long base, final String changeId, final ChangeDraft draft) {
         final Call call = new Call();
@@ -196,14 +196,14 @@
                 .orElse(0);
     }
 
-    /** A patch that adds one route. */
+    /** Returns the parameters of a {@code policy.patch} call that adds one route. */
     public ObjectNode addRouteParams(final long base, final String changeId, final String path) {
         final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", changeId);
         params.set("patch", Deployment.routePatch(path, "/more/" + path, world.deployment.largeService));
         return params;
     }
 
-    /** A key call on a tenant. */
+    /** Returns the parameters of a key call for a tenant. */
     public static ObjectNode keyParams(final long base, final String changeId, final int tenant, final String keyId) {
         return JSON.createObjectNode()
                 .put("base", base)
--- a/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
@@ -19,7 +19,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.standin.RawUpstream;
 
-/** What signals do to a real process that serves on kept connections. */
+/** The effect of signals on a real process that serves clients on persistent connections. */
 class SignalsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = "key-one-0001";
@@ -74,7 +74,7 @@
     }
 
     private static void awaitLogged(final FleetMember member, final String words) {
-        Fleet.waitUntil(member.name + " logged " + words, 10_000, () -> logged(member, words));
+        Fleet.waitUntil(member.name + " logs " + words, 10_000, () -> logged(member, words));
     }
 
     @Test
@@ -105,9 +105,9 @@
         assertThat(member.process.isAlive()).isTrue();
     }
 
-    /** The member takes no more connections; what was open before goes on. */
+    /** Waits until the member accepts no more connections; connections that are already open stay usable. */
     private static void awaitConnectionsRefused(final FleetMember member) {
-        Fleet.waitUntil(member.name + " takes no more connections", 5000, () -> {
+        Fleet.waitUntil(member.name + " accepts no more connections", 5000, () -> {
             try (RawClient late = new RawClient(member.http)) {
                 return false;
             } catch (final IOException refused) {
@@ -117,7 +117,7 @@
     }
 
     private static void restart(final FleetMember member) throws Exception {
-        assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("it ended").isTrue();
+        assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("the process ended").isTrue();
         fleet.start(member);
         fleet.awaitReady(1);
     }
@@ -127,21 +127,21 @@
         final FleetMember member = fleet.members().get("d2-edge");
         try (RawClient first = new RawClient(member.http);
                 RawClient second = new RawClient(member.http);
-                RawClient atRest = new RawClient(member.http)) {
-            for (final RawClient client : List.of(first, second, atRest)) {
+                RawClient idle = new RawClient(member.http)) {
+            for (final RawClient client : List.of(first, second, idle)) {
                 assertThat(sendRequest(client).status()).isEqualTo(200);
             }
             member.signal("TERM");
             awaitConnectionsRefused(member);
             for (final RawClient client : List.of(first, second)) {
                 final RawClient.Response got = sendRequest(client);
-                assertThat(got).as("an answer, not a cut").isNotNull();
+                assertThat(got).as("a response instead of a closed connection").isNotNull();
                 assertThat(got.status()).isEqualTo(200);
                 assertThat(got.header("Connection")).isEqualTo("close");
                 assertThat(client.isClosedByPeer()).isTrue();
-                assertThat(member.process.isAlive()).as("one is at rest").isTrue();
+                assertThat(member.process.isAlive()).as("one connection is still idle").isTrue();
             }
-            assertThat(atRest.isClosedWithoutReset()).as("closed, not reset").isTrue();
+            assertThat(idle.isClosedWithoutReset()).as("closed, not reset").isTrue();
         }
         restart(member);
     }
@@ -150,7 +150,7 @@
     void everyStepOfAStopIsLogged() throws Exception {
         final FleetMember member = fleet.members().get("d3-edge");
         member.signal("TERM");
-        assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("it ended").isTrue();
+        assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("the process ended").isTrue();
         for (final String event : List.of("shutdown_started", "shutdown_drained", "stopped")) {
             assertThat(logged(member, "event=" + event)).as(event).isTrue();
         }
@@ -168,7 +168,7 @@
             assertThat(upstream.awaitRequest(5000)).isNotNull();
             member.signal("TERM");
             final RawClient.Response got = client.readResponse();
-            assertThat(got).as("an answer, not a cut").isNotNull();
+            assertThat(got).as("a response instead of a closed connection").isNotNull();
             assertThat(got.status()).isEqualTo(503);
             assertThat(got.header("Spokestall-Outcome")).isEqualTo("undecided");
             assertThat(got.header("Connection")).isEqualTo("close");
--- a/testbed/src/test/java/spokestall/testbed/soak/SoakTest.java
+++ b/testbed/src/test/java/spokestall/testbed/soak/SoakTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short soak run with real processes; longer ones and more seeds are played by hand: {@code bin/testbed soak --seeds 50}. */
+/** A short soak run with real processes. Run longer ones and more seeds by hand: {@code bin/testbed soak --seeds 50}. */
 class SoakTest {
     private static final long SEED = 1;
     private static final int SECONDS = 25;
--- a/testbed/src/test/java/spokestall/testbed/soak/SoakVerdictTest.java
+++ b/testbed/src/test/java/spokestall/testbed/soak/SoakVerdictTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import spokestall.testbed.verdict.Ledger;
 
-/** Each rule that is judged from what clients and upstreams saw is broken by what breaks it, and by nothing else. */
+/** Each rule that is judged from the observations of clients and upstreams reports its own violations and nothing else. */
 class SoakVerdictTest {
     private static final long PID = 17;
     private static final long SENT_MS = 1000;
