--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -79,7 +79,7 @@
     private long acknowledgedAtMs;
 
     /** Creates a history in which every {@code largeEvery} changes replace the configuration by one with {@code largeRoutes} routes. */
-    ChangeHistory(final long seed, final List<Integer> marks, final int largeEvery, final int largeRoutes) {
+    ChangeHistory(final long seed, final List<Integer> measureAtCounts, final int largeEvery, final int largeRoutes) {
         this.world = new SimulatedWorld(
                 seed,
                 Deployment.PADMA,
@@ -88,8 +88,8 @@
                 Scenario.CALM,
                 Map.of("ringSegmentBytes", Integer.toString(SEGMENT_BYTES)));
         this.random = world.sim.random("history");
-        this.measureAtCounts = new ArrayDeque<>(marks);
-        this.targetCount = marks.get(marks.size() - 1);
+        this.measureAtCounts = new ArrayDeque<>(measureAtCounts);
+        this.targetCount = measureAtCounts.get(measureAtCounts.size() - 1);
         this.small = ConfigurationGrowth.configuration(SMALL_ROUTES);
         this.large = ConfigurationGrowth.configuration(largeRoutes);
         this.largeEvery = largeEvery;
@@ -322,8 +322,8 @@
         }
     }
 
-    static int run(final long seed, final List<Integer> marks) {
-        final ChangeHistory history = new ChangeHistory(seed, marks, 10, 9000);
+    static int run(final long seed, final List<Integer> measureAtCounts) {
+        final ChangeHistory history = new ChangeHistory(seed, measureAtCounts, 10, 9000);
         final long fromNs = System.nanoTime();
         final boolean complete = history.play();
         System.out.println(
@@ -331,7 +331,7 @@
                         + " | made in us |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (final Measurement row : history.measurements) {
-            for (final Recovery back : row.recoveries) {
+            for (final Recovery recovery : row.recoveries) {
                 System.out.printf(
                         "| %d | %.3f | %d | %d | %d | %d | %s | %d | %d | %d |%n",
                         row.changes,
@@ -340,22 +340,22 @@
                         row.registerBytes >> 10,
                         row.configurationStoreBytes >> 10,
                         row.heapBytes >> 10,
-                        back.failure,
-                        back.tookMs,
-                        back.receivedBytes >> 10,
-                        back.startUs);
+                        recovery.failure,
+                        recovery.tookMs,
+                        recovery.receivedBytes >> 10,
+                        recovery.startUs);
             }
         }
-        for (final Failure from : Failure.values()) {
+        for (final Failure failure : Failure.values()) {
             final List<Long> took = history.recoveries.stream()
-                    .filter(b -> b.failure == from)
+                    .filter(b -> b.failure == failure)
                     .map(Recovery::tookMs)
                     .sorted()
                     .toList();
             if (!took.isEmpty()) {
                 System.out.printf(
                         "%s times=%d p50Ms=%d mostMs=%d%n",
-                        from, took.size(), took.get(took.size() / 2), took.get(took.size() - 1));
+                        failure, took.size(), took.get(took.size() / 2), took.get(took.size() - 1));
             }
         }
         System.out.printf(
--- a/testbed/src/main/java/spokestall/testbed/Deployment.java
+++ b/testbed/src/main/java/spokestall/testbed/Deployment.java
@@ -21,26 +21,26 @@
     public final String largeService;
     public final String smallService;
     public final long interRegionRttMs;
-    public final int rate;
+    public final int ratePerS;
     private final String runOncePath;
     private final String readPath;
     private final String smallServicePath;
 
     Deployment(
-            final String big,
-            final String small,
-            final long apartMs,
-            final int rate,
-            final String once,
-            final String look,
-            final String other) {
-        this.largeService = big;
-        this.smallService = small;
-        this.interRegionRttMs = apartMs;
-        this.rate = rate;
-        this.runOncePath = once;
-        this.readPath = look;
-        this.smallServicePath = other;
+            final String largeService,
+            final String smallService,
+            final long interRegionRttMs,
+            final int ratePerS,
+            final String runOncePath,
+            final String readPath,
+            final String smallServicePath) {
+        this.largeService = largeService;
+        this.smallService = smallService;
+        this.interRegionRttMs = interRegionRttMs;
+        this.ratePerS = ratePerS;
+        this.runOncePath = runOncePath;
+        this.readPath = readPath;
+        this.smallServicePath = smallServicePath;
     }
 
     /** The identity and location of one upstream. */
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -448,21 +448,24 @@
             throws InterruptedException {
         final long base = configurationVersion(fleet, fleet.members().get("d1-core"));
         final List<JsonNode> replies = new ArrayList<>();
-        final List<Thread> racers = new ArrayList<>();
-        for (final String at : List.of("d2-core", "d5-core")) {
-            final ObjectNode params = JSON.createObjectNode().put("base", base).put("changeId", "race-" + round + at);
-            params.set("patch", Deployment.routePatch("race-" + round + at, "/race/" + round + at, anyService(fleet)));
-            final Thread racer = new Thread(() -> {
-                final JsonNode reply = fleet.call(fleet.members().get(at).operators, "policy.patch", params);
+        final List<Thread> operators = new ArrayList<>();
+        for (final String coreName : List.of("d2-core", "d5-core")) {
+            final ObjectNode params =
+                    JSON.createObjectNode().put("base", base).put("changeId", "race-" + round + coreName);
+            params.set(
+                    "patch",
+                    Deployment.routePatch("race-" + round + coreName, "/race/" + round + coreName, anyService(fleet)));
+            final Thread operator = new Thread(() -> {
+                final JsonNode reply = fleet.call(fleet.members().get(coreName).operators, "policy.patch", params);
                 synchronized (replies) {
                     replies.add(reply);
                 }
             });
-            racers.add(racer);
-            racer.start();
+            operators.add(operator);
+            operator.start();
         }
-        for (final Thread racer : racers) {
-            racer.join();
+        for (final Thread operator : operators) {
+            operator.join();
         }
         final long atMs = System.currentTimeMillis();
         final long acceptedCount =
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -63,11 +63,11 @@
 
     private static SendDeadline pauseBeforeSend(final Path hooks, final SendDeadline deadline) {
         return () -> {
-            final long untilMs = deadline.latestMs();
+            final long latestMs = deadline.latestMs();
             if (Files.exists(hooks.resolve("gap"))) {
                 Fleet.pause(SEND_PAUSE_MS);
             }
-            return untilMs;
+            return latestMs;
         };
     }
 
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -196,10 +196,10 @@
     /** Starts a cold upstream at the address of one that has stopped, and lists it at the platform; returns the new instance's name. */
     public String replaceUpstream(final UpstreamStandIn old, final Deployment.Place place) {
         final int port = Integer.parseInt(old.address().substring(old.address().indexOf(':') + 1));
-        final UpstreamStandIn made = new UpstreamStandIn(place, port, worker, ledger, 5, 0);
+        final UpstreamStandIn replacement = new UpstreamStandIn(place, port, worker, ledger, 5, 0);
         upstreams.remove(old);
-        upstreams.add(made);
-        made.start();
+        upstreams.add(replacement);
+        replacement.start();
         return place.instance();
     }
 
@@ -257,23 +257,23 @@
         return links;
     }
 
-    public List<String> memberNames(final java.util.function.Predicate<FleetMember> which) {
-        return members.values().stream().filter(which).map(m -> m.name).toList();
+    public List<String> memberNames(final java.util.function.Predicate<FleetMember> filter) {
+        return members.values().stream().filter(filter).map(m -> m.name).toList();
     }
 
     public Path recordFile() {
         return folder.resolve("recorded");
     }
 
-    public JsonNode call(final String to, final String method, final ObjectNode params) {
+    public JsonNode call(final String address, final String method, final ObjectNode params) {
         try {
-            final HttpResponse<String> got = http.send(
-                    HttpRequest.newBuilder(URI.create("http://" + to + "/rpc/" + method))
+            final HttpResponse<String> response = http.send(
+                    HttpRequest.newBuilder(URI.create("http://" + address + "/rpc/" + method))
                             .timeout(Duration.ofSeconds(6))
                             .POST(HttpRequest.BodyPublishers.ofString(params.toString()))
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
-            return JSON.readTree(got.body());
+            return JSON.readTree(response.body());
         } catch (final IOException e) {
             return JSON.createObjectNode();
         } catch (final InterruptedException e) {
@@ -377,11 +377,11 @@
 
     /** Starts the load generator as a process; its exit code is zero if enough requests were served. */
     public Process startLoadGenerator(final int seconds, final double minServedRatio) throws IOException {
-        return startLoadGenerator(seconds, minServedRatio, deployment.rate, recordFile());
+        return startLoadGenerator(seconds, minServedRatio, deployment.ratePerS, recordFile());
     }
 
-    public Process startLoadGenerator(
-            final int seconds, final double minServedRatio, final int rate, final Path recordFile) throws IOException {
+    public Process startLoadGenerator(final int seconds, final double minServedRatio, final int rate, final Path record)
+            throws IOException {
         final Path plan = folder.resolve("plan.json");
         Files.writeString(plan, deployment.loadPlan().toPrettyString());
         final String nodes = String.join(
@@ -407,7 +407,7 @@
                         Double.toString(minServedRatio),
                         "--echo",
                         "--record",
-                        recordFile.toString())
+                        record.toString())
                 .inheritIO()
                 .start();
     }
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
@@ -68,14 +68,14 @@
     /** Returns the node whose process has a connection from this local port, or {@code "?"}; reads the kernel's connection tables. */
     String nodeWithLocalPort(final int port) {
         try {
-            final String end = String.format(":%04X", port);
+            final String addressSuffix = String.format(":%04X", port);
             for (final String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
                 for (final String line : Files.readAllLines(Path.of(table))) {
                     final String[] parts = line.trim().split("\\s+");
-                    if (parts.length > 9 && parts[1].endsWith(end)) {
-                        final String found = nodeWithSocket("socket:[" + parts[9] + "]");
-                        if (found != null) {
-                            return found;
+                    if (parts.length > 9 && parts[1].endsWith(addressSuffix)) {
+                        final String node = nodeWithSocket("socket:[" + parts[9] + "]");
+                        if (node != null) {
+                            return node;
                         }
                     }
                 }
@@ -87,12 +87,13 @@
     }
 
     private String nodeWithSocket(final String socket) {
-        for (final Map.Entry<String, Long> one : pids.entrySet()) {
-            try (var all = Files.newDirectoryStream(Path.of("/proc", Long.toString(one.getValue()), "fd"))) {
-                for (final Path fd : all) {
+        for (final Map.Entry<String, Long> process : pids.entrySet()) {
+            try (var descriptors =
+                    Files.newDirectoryStream(Path.of("/proc", Long.toString(process.getValue()), "fd"))) {
+                for (final Path fd : descriptors) {
                     if (Files.isSymbolicLink(fd)
                             && Files.readSymbolicLink(fd).toString().equals(socket)) {
-                        return one.getKey();
+                        return process.getKey();
                     }
                 }
             } catch (final IOException e) {
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkRelay.java
@@ -22,18 +22,19 @@
     private final ScheduledExecutorService delayedWrites =
             Executors.newSingleThreadScheduledExecutor(LinkRelay::thread);
 
-    LinkRelay(final int from, final int to, final String name, final LinkConditions links) throws IOException {
-        this.server = new ServerSocket(from, 64, InetAddress.getLoopbackAddress());
-        this.targetPort = to;
+    LinkRelay(final int listenPort, final int targetPort, final String name, final LinkConditions links)
+            throws IOException {
+        this.server = new ServerSocket(listenPort, 64, InetAddress.getLoopbackAddress());
+        this.targetPort = targetPort;
         this.name = name;
         this.links = links;
         thread(this::accept).start();
     }
 
     private static Thread thread(final Runnable task) {
-        final Thread made = new Thread(task, "relay");
-        made.setDaemon(true);
-        return made;
+        final Thread thread = new Thread(task, "relay");
+        thread.setDaemon(true);
+        return thread;
     }
 
     private void accept() {
--- a/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
@@ -41,12 +41,12 @@
     /**
      * Connects to a server.
      *
-     * @param to host and port
+     * @param address host and port
      * @throws IOException if the connection fails
      */
-    public RawClient(final String to) throws IOException {
-        final int colon = to.indexOf(':');
-        socket = new Socket(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1)));
+    public RawClient(final String address) throws IOException {
+        final int colon = address.indexOf(':');
+        socket = new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
         socket.setTcpNoDelay(true);
         socket.setSoTimeout(20_000);
         in = new BufferedInputStream(socket.getInputStream());
@@ -112,14 +112,14 @@
 
     private String readLine() throws IOException {
         final StringBuilder out = new StringBuilder();
-        int one = in.read();
-        while (one >= 0 && one != '\n') {
-            if (one != '\r') {
-                out.append((char) one);
+        int next = in.read();
+        while (next >= 0 && next != '\n') {
+            if (next != '\r') {
+                out.append((char) next);
             }
-            one = in.read();
+            next = in.read();
         }
-        return one < 0 ? null : out.toString();
+        return next < 0 ? null : out.toString();
     }
 
     @Override
--- a/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -46,7 +46,7 @@
     COLD_RETURN {
         @Override
         void play(final SimulationRun run) {
-            run.world.clients.rate(3 * run.world.deployment.rate);
+            run.world.clients.rate(3 * run.world.deployment.ratePerS);
             for (final SimulatedEnvironment.Up old : run.world.outside.running()) {
                 if (old.service.equals(run.world.deployment.largeService)) {
                     run.world.outside.stop(old);
@@ -54,7 +54,7 @@
                     run.later(4000, () -> run.world.outside.replace(old));
                 }
             }
-            run.later(16_000, () -> run.world.clients.rate(run.world.deployment.rate));
+            run.later(16_000, () -> run.world.clients.rate(run.world.deployment.ratePerS));
         }
     },
     BAD_ANSWERS {
@@ -235,10 +235,10 @@
         void play(final SimulationRun run) {
             // Upstreams take twice the usual demand, and ten times as much comes.
             for (final SimulatedEnvironment.Up up : run.world.outside.running()) {
-                up.eachMs = 1000L * run.world.outside.running().size() / (2L * run.world.deployment.rate);
+                up.eachMs = 1000L * run.world.outside.running().size() / (2L * run.world.deployment.ratePerS);
             }
-            run.world.clients.rate(10 * run.world.deployment.rate);
-            run.later(12_000, () -> run.world.clients.rate(run.world.deployment.rate));
+            run.world.clients.rate(10 * run.world.deployment.ratePerS);
+            run.later(12_000, () -> run.world.clients.rate(run.world.deployment.ratePerS));
         }
     },
     SEEDS_DEAD {
@@ -317,8 +317,8 @@
     CLAIMS_FULL {
         @Override
         void play(final SimulationRun run) {
-            run.world.clients.rate(4 * run.world.deployment.rate);
-            run.later(15_000, () -> run.world.clients.rate(run.world.deployment.rate));
+            run.world.clients.rate(4 * run.world.deployment.ratePerS);
+            run.later(15_000, () -> run.world.clients.rate(run.world.deployment.ratePerS));
             run.later(6000, run.operator::bind);
             run.later(12_000, run.operator::bind);
         }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedClients.java
@@ -36,7 +36,7 @@
     SimulatedClients(final SimulatedWorld world) {
         this.world = world;
         this.random = world.sim.random("callers");
-        this.rate = world.deployment.rate;
+        this.rate = world.deployment.ratePerS;
         this.clients = 20 + random.nextInt(400);
         for (final Deployment.RequestKind k : world.deployment.requestKinds()) {
             for (int i = 0; i < k.weight(); i++) {
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakActions.java
@@ -106,12 +106,12 @@
      */
     private void runWithMemberDown(final FleetMember member, final Action action)
             throws IOException, InterruptedException {
-        final Semaphore permits = member.core ? coresDown : edgesDown;
+        final Semaphore downLimit = member.core ? coresDown : edgesDown;
         if (!busy.add(member)) {
             return;
         }
         try {
-            if (!permits.tryAcquire()) {
+            if (!downLimit.tryAcquire()) {
                 return;
             }
             try {
@@ -121,7 +121,7 @@
                 verdict.onRestarted();
                 fleet.awaitFresh(member);
             } finally {
-                permits.release();
+                downLimit.release();
             }
         } finally {
             busy.remove(member);
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
@@ -33,14 +33,14 @@
             final Fleet fleet,
             final List<Deployment.RequestKind> kinds,
             final long seed,
-            final BooleanSupplier goesOn,
-            final Consumer<SoakExchange> ended) {
+            final BooleanSupplier keepRunning,
+            final Consumer<SoakExchange> onExchange) {
         this.fleet = fleet;
         this.edges = fleet.members().values().stream().filter(m -> !m.core).toList();
         this.kinds = kinds;
         this.random = new Random(seed);
-        this.keepRunning = goesOn;
-        this.onExchange = ended;
+        this.keepRunning = keepRunning;
+        this.onExchange = onExchange;
     }
 
     @Override
@@ -85,25 +85,25 @@
         final String own = "soak-" + RawClient.nextRequestId();
         final String requestId = kind.runOnce() ? ticket + "." + own : own;
         final String body = kind.runOnce() ? "pay " + own : "";
-        final long beganMs = System.currentTimeMillis();
+        final long sendStartMs = System.currentTimeMillis();
         try {
             connection.send(RawClient.head(kind.runOnce() ? "POST" : "GET", kind.path(), kind.key(), requestId)
                     + (kind.runOnce() ? "Content-Length: " + body.length() + "\r\n" : "")
                     + "\r\n"
                     + body);
         } catch (final IOException closed) {
-            record(requestId, kind, pid, SoakExchange.End.CLOSED, null, beganMs);
+            record(requestId, kind, pid, SoakExchange.End.CLOSED, null, sendStartMs);
             return false;
         }
         final long sentMs = System.currentTimeMillis();
         try {
-            final RawClient.Response got = connection.readResponse();
-            if (got == null) {
+            final RawClient.Response response = connection.readResponse();
+            if (response == null) {
                 record(requestId, kind, pid, SoakExchange.End.CLOSED, null, sentMs);
                 return false;
             }
-            record(requestId, kind, pid, end(got, requestId), got.resultCode(), sentMs);
-            return !"close".equalsIgnoreCase(got.header("Connection"));
+            record(requestId, kind, pid, end(response, requestId), response.resultCode(), sentMs);
+            return !"close".equalsIgnoreCase(response.header("Connection"));
         } catch (final SocketTimeoutException silent) {
             record(requestId, kind, pid, SoakExchange.End.SILENT, null, sentMs);
         } catch (final IOException closed) {
@@ -112,11 +112,13 @@
         return false;
     }
 
-    private static SoakExchange.End end(final RawClient.Response got, final String requestId) {
-        if (got.status() == 200) {
-            return got.body().contains("\"" + requestId + "\"") ? SoakExchange.End.RAN : SoakExchange.End.WRONG;
+    private static SoakExchange.End end(final RawClient.Response response, final String requestId) {
+        if (response.status() == 200) {
+            return response.body().contains("\"" + requestId + "\"") ? SoakExchange.End.RAN : SoakExchange.End.WRONG;
         }
-        return NOT_RUN.equals(got.header("Spokestall-Outcome")) ? SoakExchange.End.NOT_RUN : SoakExchange.End.UNDECIDED;
+        return NOT_RUN.equals(response.header("Spokestall-Outcome"))
+                ? SoakExchange.End.NOT_RUN
+                : SoakExchange.End.UNDECIDED;
     }
 
     private void record(
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakVerdict.java
@@ -99,8 +99,8 @@
         }
     }
 
-    synchronized void addViolation(final SoakRule rule, final String what) {
-        violations.add(new Violation(rule, what));
+    synchronized void addViolation(final SoakRule rule, final String detail) {
+        violations.add(new Violation(rule, detail));
     }
 
     /** Judges the outcomes of requests against the requests that upstreams began to run. */
--- a/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/PlatformStandIn.java
@@ -30,10 +30,10 @@
             final XnioWorker worker,
             final Ledger ledger,
             final Supplier<Collection<UpstreamInstance>> upstreams,
-            final long lagMs) {
+            final long listRefreshMs) {
         this.ledger = ledger;
         this.upstreams = upstreams;
-        this.listRefreshMs = lagMs;
+        this.listRefreshMs = listRefreshMs;
         this.server = Undertow.builder()
                 .setWorker(worker)
                 .addHttpListener(port, "127.0.0.1")
--- a/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
@@ -40,7 +40,7 @@
 
     /** Writes the raw response to one request. */
     public interface Responder {
-        void respond(ReceivedRequest came, Writer out) throws IOException, InterruptedException;
+        void respond(ReceivedRequest request, Writer out) throws IOException, InterruptedException;
     }
 
     /** The connection to the client of this upstream. */
@@ -66,14 +66,14 @@
     }
 
     /** Returns the header lines that identify a valid response: those of the request id and the instance. */
-    public static String identityHeaders(final ReceivedRequest c) {
-        return "Spokestall-Ask-Id: " + c.header("Spokestall-Ask-Id") + "\r\nSpokestall-Instance: "
-                + c.header("Spokestall-Instance") + "\r\n";
+    public static String identityHeaders(final ReceivedRequest request) {
+        return "Spokestall-Ask-Id: " + request.header("Spokestall-Ask-Id") + "\r\nSpokestall-Instance: "
+                + request.header("Spokestall-Instance") + "\r\n";
     }
 
-    public static void respondOk(final ReceivedRequest c, final Writer out) throws IOException {
-        final String body = "answer to " + c.header("Spokestall-Ask-Id");
-        out.write("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" + identityHeaders(c) + "Content-Length: "
+    public static void respondOk(final ReceivedRequest request, final Writer out) throws IOException {
+        final String body = "answer to " + request.header("Spokestall-Ask-Id");
+        out.write("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" + identityHeaders(request) + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body);
     }
 
@@ -125,9 +125,9 @@
     }
 
     private static void thread(final Runnable task) {
-        final Thread made = new Thread(task, "raw-upstream");
-        made.setDaemon(true);
-        made.start();
+        final Thread thread = new Thread(task, "raw-upstream");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     @Override
@@ -189,11 +189,11 @@
     private static String head(final InputStream in) throws IOException {
         final StringBuilder out = new StringBuilder();
         while (out.length() < 4 || !out.substring(out.length() - 4).equals("\r\n\r\n")) {
-            final int one = in.read();
-            if (one < 0) {
+            final int next = in.read();
+            if (next < 0) {
                 return null;
             }
-            out.append((char) one);
+            out.append((char) next);
         }
         return out.substring(0, out.length() - 4);
     }
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
@@ -43,12 +43,12 @@
             final int port,
             final XnioWorker worker,
             final Ledger ledger,
-            final long workMs,
+            final long responseDelayMs,
             final long readyForMs) {
         this.place = place;
         this.address = "127.0.0.1:" + port;
         this.ledger = ledger;
-        this.responseDelayMs = workMs;
+        this.responseDelayMs = responseDelayMs;
         this.readyAtMs = System.currentTimeMillis() - readyForMs;
         this.server = Undertow.builder()
                 .setWorker(worker)
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
@@ -94,9 +94,9 @@
     }
 
     private static RawUpstream.ReceivedRequest awaitUpstreamRequest() throws InterruptedException {
-        final RawUpstream.ReceivedRequest came = upstream.awaitRequest(5000);
-        assertThat(came).as("a request reaches the upstream").isNotNull();
-        return came;
+        final RawUpstream.ReceivedRequest request = upstream.awaitRequest(5000);
+        assertThat(request).as("a request reaches the upstream").isNotNull();
+        return request;
     }
 
     @Test
@@ -169,15 +169,15 @@
                 "http://edge/transfers/payout",
                 "transfers/payout",
                 "*")) {
-            final RawClient.Response got = sendRequest("GET", target, "");
-            assertThat(got == null ? 400 : got.status()).as(target).isEqualTo(400);
-            assertThat(got == null || got.resultCode() == null ? "2014" : got.resultCode())
+            final RawClient.Response response = sendRequest("GET", target, "");
+            assertThat(response == null ? 400 : response.status()).as(target).isEqualTo(400);
+            assertThat(response == null || response.resultCode() == null ? "2014" : response.resultCode())
                     .as(target)
                     .isEqualTo("2014");
         }
         for (final String line : List.of("CONNECT edge:80", "TRACE /transfers/a")) {
-            final RawClient.Response got = sendRequest(line.split(" ")[0], line.split(" ")[1], "");
-            assertThat(got == null ? 400 : got.status()).as(line).isBetween(400, 499);
+            final RawClient.Response response = sendRequest(line.split(" ")[0], line.split(" ")[1], "");
+            assertThat(response == null ? 400 : response.status()).as(line).isBetween(400, 499);
         }
         assertNothingForwarded();
     }
@@ -190,45 +190,45 @@
                 + "Cache-Control: max-age=60\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nLocation: /transfers/9\r\n"
                 + "Connection: X-Hop, keep-alive\r\nX-Hop: no\r\nKeep-Alive: timeout=9\r\nProxy-Authenticate: Basic\r\n"
                 + "Spokestall-Code: 9999\r\nSpokestall-Outcome: ran\r\nSpokestall-Other: x\r\n\r\nok");
-        final RawClient.Response got = sendRequest(
+        final RawClient.Response response = sendRequest(
                 "GET",
                 "/transfers/a",
                 "Accept: text/calendar\r\nAccept-Language: de\r\n"
                         + "If-None-Match: \"v0\"\r\nRange: bytes=0-1\r\nAuthorization: Bearer t\r\nCookie: c=3\r\nX-Two: 1\r\nX-Two: 2\r\n"
                         + "Connection: X-Mine\r\nX-Mine: no\r\nTE: trailers\r\nProxy-Authorization: Basic x\r\nUpgrade: h2c\r\n"
                         + "Spokestall-Tenant: two\r\nspokestall-instance: else\r\nSpokestall-Service: records\r\nSpokestall-X: 1\r\n");
-        final RawUpstream.ReceivedRequest came = awaitUpstreamRequest();
-        assertThat(came.header("Accept")).isEqualTo("text/calendar");
-        assertThat(came.header("Accept-Language")).isEqualTo("de");
-        assertThat(came.header("If-None-Match")).isEqualTo("\"v0\"");
-        assertThat(came.header("Range")).isEqualTo("bytes=0-1");
-        assertThat(came.header("Authorization")).isEqualTo("Bearer t");
-        assertThat(came.header("Cookie")).isEqualTo("c=3");
-        assertThat(came.head()).contains("X-Two: 1\r\nX-Two: 2");
+        final RawUpstream.ReceivedRequest request = awaitUpstreamRequest();
+        assertThat(request.header("Accept")).isEqualTo("text/calendar");
+        assertThat(request.header("Accept-Language")).isEqualTo("de");
+        assertThat(request.header("If-None-Match")).isEqualTo("\"v0\"");
+        assertThat(request.header("Range")).isEqualTo("bytes=0-1");
+        assertThat(request.header("Authorization")).isEqualTo("Bearer t");
+        assertThat(request.header("Cookie")).isEqualTo("c=3");
+        assertThat(request.head()).contains("X-Two: 1\r\nX-Two: 2");
         for (final String hop :
                 List.of("X-Mine", "TE", "Proxy-Authorization", "Upgrade", "Spokestall-Key", "Spokestall-X")) {
-            assertThat(came.header(hop)).as(hop).isNull();
+            assertThat(request.header(hop)).as(hop).isNull();
         }
-        assertThat(came.header("Spokestall-Tenant")).isEqualTo("one");
-        assertThat(came.header("Spokestall-Instance")).isEqualTo("transfers-0");
-        assertThat(came.header("Spokestall-Service")).isEqualTo("transfers");
-        assertThat(came.head().toLowerCase(Locale.ROOT).split("spokestall-instance", -1))
+        assertThat(request.header("Spokestall-Tenant")).isEqualTo("one");
+        assertThat(request.header("Spokestall-Instance")).isEqualTo("transfers-0");
+        assertThat(request.header("Spokestall-Service")).isEqualTo("transfers");
+        assertThat(request.head().toLowerCase(Locale.ROOT).split("spokestall-instance", -1))
                 .hasSize(2);
-        assertThat(got.status()).isEqualTo(200);
-        assertThat(got.resultCode()).isEqualTo("1000");
-        assertThat(got.headerValues("Spokestall-Code")).hasSize(1);
-        assertThat(got.header("Spokestall-Outcome")).isEqualTo("ran");
-        assertThat(got.header("Content-Disposition")).isEqualTo("attachment; filename=\"a b.ics\"");
-        assertThat(got.header("Content-Language")).isEqualTo("de");
-        assertThat(got.header("ETag")).isEqualTo("\"v1\"");
-        assertThat(got.header("Last-Modified")).isEqualTo("Tue, 01 Dec 2026 00:00:00 GMT");
-        assertThat(got.header("Cache-Control")).isEqualTo("max-age=60");
-        assertThat(got.header("Location")).isEqualTo("/transfers/9");
-        assertThat(got.headerValues("Set-Cookie")).containsExactly("a=1", "b=2");
+        assertThat(response.status()).isEqualTo(200);
+        assertThat(response.resultCode()).isEqualTo("1000");
+        assertThat(response.headerValues("Spokestall-Code")).hasSize(1);
+        assertThat(response.header("Spokestall-Outcome")).isEqualTo("ran");
+        assertThat(response.header("Content-Disposition")).isEqualTo("attachment; filename=\"a b.ics\"");
+        assertThat(response.header("Content-Language")).isEqualTo("de");
+        assertThat(response.header("ETag")).isEqualTo("\"v1\"");
+        assertThat(response.header("Last-Modified")).isEqualTo("Tue, 01 Dec 2026 00:00:00 GMT");
+        assertThat(response.header("Cache-Control")).isEqualTo("max-age=60");
+        assertThat(response.header("Location")).isEqualTo("/transfers/9");
+        assertThat(response.headerValues("Set-Cookie")).containsExactly("a=1", "b=2");
         for (final String hop : List.of("X-Hop", "Proxy-Authenticate", "Spokestall-Other")) {
-            assertThat(got.header(hop)).as(hop).isNull();
+            assertThat(response.header(hop)).as(hop).isNull();
         }
-        assertThat(got.body()).isEqualTo("ok");
+        assertThat(response.body()).isEqualTo("ok");
     }
 
     @Test
@@ -242,25 +242,25 @@
                 .path("result")
                 .path("ticket")
                 .asText();
-        final List<RawClient.Response> got = new ArrayList<>();
+        final List<RawClient.Response> responses = new ArrayList<>();
         try (RawClient client = new RawClient(edge)) {
             client.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                     + "Content-Length: 2\r\n\r\nhi");
-            got.add(client.readResponse());
+            responses.add(client.readResponse());
         }
-        assertThat(got.get(0).resultCode()).isEqualTo("1000");
+        assertThat(responses.get(0).resultCode()).isEqualTo("1000");
         awaitUpstreamRequest();
         Fleet.waitUntil("the repeat finds the recorded answer", 5000, () -> {
             try (RawClient client = new RawClient(edge)) {
                 client.send(RawClient.head("POST", "/transfers/payout", KEY, ticket + ".pay-1")
                         + "Content-Length: 2\r\n\r\nhi");
-                got.add(client.readResponse());
-                return "1001".equals(got.get(got.size() - 1).resultCode());
+                responses.add(client.readResponse());
+                return "1001".equals(responses.get(responses.size() - 1).resultCode());
             } catch (final IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        final RawClient.Response last = got.get(got.size() - 1);
+        final RawClient.Response last = responses.get(responses.size() - 1);
         assertThat(last.status()).isEqualTo(201);
         assertThat(last.header("Location")).isEqualTo("/transfers/7");
         assertThat(last.headerValues("Set-Cookie")).containsExactly("a=1", "b=2");
@@ -327,8 +327,10 @@
             try (RawClient client = new RawClient(edge)) {
                 client.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId()) + framing
                         + "GET /transfers/smuggled HTTP/1.1\r\n\r\n");
-                final RawClient.Response got = client.readResponse();
-                assertThat(got == null ? 400 : got.status()).as(framing).isEqualTo(400);
+                final RawClient.Response response = client.readResponse();
+                assertThat(response == null ? 400 : response.status())
+                        .as(framing)
+                        .isEqualTo(400);
                 assertThat(client.isClosedByPeer()).as(framing).isTrue();
             }
         }
@@ -351,9 +353,9 @@
                 out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(c) + framing);
                 out.close();
             };
-            final RawClient.Response got = sendRequest("GET", "/transfers/a", "");
-            assertThat(got.status()).as(framing).isEqualTo(502);
-            assertThat(got.resultCode()).as(framing).isEqualTo("3001");
+            final RawClient.Response response = sendRequest("GET", "/transfers/a", "");
+            assertThat(response.status()).as(framing).isEqualTo(502);
+            assertThat(response.resultCode()).as(framing).isEqualTo("3001");
             upstream.responder = RawUpstream::respondOk;
             Fleet.waitUntil("the upstream is used again", 8000, FleetClientsTest::upstreamServes);
         }
@@ -401,7 +403,8 @@
                 half.send(RawClient.head("POST", "/transfers/a", KEY, RawClient.nextRequestId())
                                 .replace("4000", "1500") + "Content-Length: 100\r\n\r\nabc");
             }
-            // Another tenant still gets a slot while one tenant uses all it may; the first tenant gets one again after these requests end.
+            // Another tenant still gets a slot while one tenant uses all it may; the first tenant gets one again after
+            // these requests end.
             Fleet.waitUntil(
                     "the half-sent requests are admitted",
                     5000,
@@ -413,15 +416,15 @@
                 other.send(RawClient.head("GET", "/transfers/a", "key-two-0001", RawClient.nextRequestId()) + "\r\n");
                 assertThat(other.readResponse().status()).isEqualTo(200);
             }
-            int late = 0;
+            int timedOut = 0;
             for (final RawClient half : halves) {
-                final RawClient.Response got = half.readResponse();
-                assertThat(got.resultCode()).isIn("2006", "2009");
-                assertThat(got.header("Retry-After")).isNotNull();
-                late += got.resultCode().equals("2006") ? 1 : 0;
+                final RawClient.Response response = half.readResponse();
+                assertThat(response.resultCode()).isIn("2006", "2009");
+                assertThat(response.header("Retry-After")).isNotNull();
+                timedOut += response.resultCode().equals("2006") ? 1 : 0;
                 assertThat(half.isClosedByPeer()).isTrue();
             }
-            assertThat(late).isPositive();
+            assertThat(timedOut).isPositive();
             assertThat(fleet.status(fleet.members().get("d1-edge")).path("open").asInt())
                     .isZero();
         } finally {
@@ -454,8 +457,8 @@
             out.write("HTTP/1.1 200 OK\r\n" + RawUpstream.identityHeaders(c) + "Content-Length: 8000000\r\n\r\n");
             out.write("x".repeat(8_000_000));
         };
-        try (RawClient deaf = new RawClient(edge)) {
-            deaf.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.nextRequestId()) + "\r\n");
+        try (RawClient notReading = new RawClient(edge)) {
+            notReading.send(RawClient.head("GET", "/transfers/a", KEY, RawClient.nextRequestId()) + "\r\n");
             awaitUpstreamRequest();
             Fleet.waitUntil("the slot is free while the response waits for its client", 5000, () -> {
                 final JsonNode s = fleet.status(fleet.members().get("d1-edge"));
@@ -473,7 +476,7 @@
 
     @Test
     void anUpstreamThatRespondsTwiceEarlyOrSlowlyNeverCausesAnotherRequestsResponse() throws Exception {
-        final List<RawUpstream.Responder> manners = List.of(
+        final List<RawUpstream.Responder> responders = List.of(
                 (c, out) -> {
                     RawUpstream.respondOk(c, out);
                     RawUpstream.respondOk(c, out);
@@ -482,17 +485,17 @@
                     RawUpstream.respondOk(c, out);
                     out.write("left over");
                 });
-        for (final RawUpstream.Responder manner : manners) {
+        for (final RawUpstream.Responder responder : responders) {
             for (int i = 0; i < 5; i++) {
-                upstream.responder = manner;
+                upstream.responder = responder;
                 sendRequest("GET", "/transfers/a", "");
                 upstream.responder = RawUpstream::respondOk;
                 final String id = RawClient.nextRequestId();
                 try (RawClient client = new RawClient(edge)) {
                     client.send(RawClient.head("GET", "/transfers/b", KEY, id) + "\r\n");
-                    final RawClient.Response got = client.readResponse();
-                    assertThat(got.body()).as("turn " + i + " " + got).isEqualTo("answer to " + id);
-                    assertThat(got.header("Spokestall-Goes"))
+                    final RawClient.Response response = client.readResponse();
+                    assertThat(response.body()).as("turn " + i + " " + response).isEqualTo("answer to " + id);
+                    assertThat(response.header("Spokestall-Goes"))
                             .as("no attempt failed because of bytes left by an earlier response")
                             .isEqualTo("1");
                 }
@@ -541,7 +544,8 @@
         };
         assertThat(sendRequest("GET", "/transfers/a", "").status()).isEqualTo(503);
         final int first = awaitUpstreamRequest().connection();
-        Fleet.waitUntil("requests reach the right instance on another connection", 8000, FleetClientsTest::upstreamServes);
+        Fleet.waitUntil(
+                "requests reach the right instance on another connection", 8000, FleetClientsTest::upstreamServes);
         RawUpstream.ReceivedRequest last = awaitUpstreamRequest();
         while (upstream.received.peek() != null) {
             last = awaitUpstreamRequest();
@@ -591,18 +595,18 @@
                                     .asInt()
                             == 1);
             params.put("changeId", "take-gone").put("base", added).remove("key");
-            final long taken = fleet.call(core, "key.withdraw", params)
+            final long withdrawn = fleet.call(core, "key.withdraw", params)
                     .path("result")
                     .path("version")
                     .asLong();
-            assertThat(taken).isGreaterThan(added);
+            assertThat(withdrawn).isGreaterThan(added);
             Fleet.waitUntil(
                     "the withdrawal is in force",
                     5000,
                     () -> fleet.status(fleet.members().get("d1-edge"))
                                     .path("version")
                                     .asLong()
-                            >= taken);
+                            >= withdrawn);
             upstream.received.clear();
             half.send("cd");
             assertThat(half.readResponse().resultCode()).isEqualTo("2002");
@@ -610,9 +614,9 @@
                     RawClient.head("GET", "/transfers/a", "key-gone-0001", RawClient.nextRequestId()) + "\r\n";
             open.send(one + one + one);
             for (int i = 0; i < 3; i++) {
-                final RawClient.Response got = open.readResponse();
-                assertThat(got.status()).isEqualTo(401);
-                assertThat(got.resultCode()).isEqualTo("2002");
+                final RawClient.Response response = open.readResponse();
+                assertThat(response.status()).isEqualTo(401);
+                assertThat(response.resultCode()).isEqualTo("2002");
             }
         }
         assertNothingForwarded();
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -31,7 +31,8 @@
             final long version = fleet.putConfiguration();
             fleet.awaitReady(version);
             final Process demand = fleet.startLoadGenerator(10, 0.95);
-            Fleet.waitUntil("requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
+            Fleet.waitUntil(
+                    "requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fleet.members().get("d2-core").process.destroyForcibly().waitFor();
             fleet.members().get("d5-edge").process.destroyForcibly().waitFor();
             assertThat(demand.waitFor()).as("the load generator's exit code").isZero();
--- a/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/SignalsTest.java
@@ -117,7 +117,9 @@
     }
 
     private static void restart(final FleetMember member) throws Exception {
-        assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("the process ended").isTrue();
+        assertThat(member.process.waitFor(10, TimeUnit.SECONDS))
+                .as("the process ended")
+                .isTrue();
         fleet.start(member);
         fleet.awaitReady(1);
     }
@@ -134,12 +136,16 @@
             member.signal("TERM");
             awaitConnectionsRefused(member);
             for (final RawClient client : List.of(first, second)) {
-                final RawClient.Response got = sendRequest(client);
-                assertThat(got).as("a response instead of a closed connection").isNotNull();
-                assertThat(got.status()).isEqualTo(200);
-                assertThat(got.header("Connection")).isEqualTo("close");
+                final RawClient.Response response = sendRequest(client);
+                assertThat(response)
+                        .as("a response instead of a closed connection")
+                        .isNotNull();
+                assertThat(response.status()).isEqualTo(200);
+                assertThat(response.header("Connection")).isEqualTo("close");
                 assertThat(client.isClosedByPeer()).isTrue();
-                assertThat(member.process.isAlive()).as("one connection is still idle").isTrue();
+                assertThat(member.process.isAlive())
+                        .as("one connection is still idle")
+                        .isTrue();
             }
             assertThat(idle.isClosedWithoutReset()).as("closed, not reset").isTrue();
         }
@@ -150,7 +156,9 @@
     void everyStepOfAStopIsLogged() throws Exception {
         final FleetMember member = fleet.members().get("d3-edge");
         member.signal("TERM");
-        assertThat(member.process.waitFor(10, TimeUnit.SECONDS)).as("the process ended").isTrue();
+        assertThat(member.process.waitFor(10, TimeUnit.SECONDS))
+                .as("the process ended")
+                .isTrue();
         for (final String event : List.of("shutdown_started", "shutdown_drained", "stopped")) {
             assertThat(logged(member, "event=" + event)).as(event).isTrue();
         }
@@ -167,11 +175,11 @@
             client.send(RawClient.head("GET", TARGET, KEY, RawClient.nextRequestId()) + "\r\n");
             assertThat(upstream.awaitRequest(5000)).isNotNull();
             member.signal("TERM");
-            final RawClient.Response got = client.readResponse();
-            assertThat(got).as("a response instead of a closed connection").isNotNull();
-            assertThat(got.status()).isEqualTo(503);
-            assertThat(got.header("Spokestall-Outcome")).isEqualTo("undecided");
-            assertThat(got.header("Connection")).isEqualTo("close");
+            final RawClient.Response response = client.readResponse();
+            assertThat(response).as("a response instead of a closed connection").isNotNull();
+            assertThat(response.status()).isEqualTo(503);
+            assertThat(response.header("Spokestall-Outcome")).isEqualTo("undecided");
+            assertThat(response.header("Connection")).isEqualTo("close");
         } finally {
             over.countDown();
             upstream.reset();
--- a/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
@@ -79,7 +79,7 @@
         world.outside.reckonWarmUpOnAnswer();
         world.clients.start();
         fleet.run(5000);
-        world.clients.rate(DEMAND * world.deployment.rate);
+        world.clients.rate(DEMAND * world.deployment.ratePerS);
         final List<SimulatedEnvironment.Up> replacements = replaceMost(world);
         meanwhile.run();
         fleet.run(SimulatedWorld.WARMUP_MS + 2000);
