--- a/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/ChangeHistory.java
@@ -306,7 +306,7 @@
         }
     }
 
-    /** Checks that a majority of the voters has the acknowledged version, as a register or below the version floor of a snapshot. */
+    /** Checks that voters with the acknowledged version, as a register or below their version floor, form a majority of the cores. */
     private void checkAcknowledgedVersion() {
         long coresWithVersion = 0;
         for (final SimulatedNode core : world.cores()) {
--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -71,7 +71,7 @@
         @Option(name = "--deployment", usage = "padma, verde or both")
         private String deployment = "both";
 
-        @Option(name = "--seeds", usage = "range of seeds, as from-until")
+        @Option(name = "--seeds", usage = "from-until")
         private String seeds = "1-3";
 
         @Option(name = "--threads", usage = "number of concurrent runs")
@@ -83,7 +83,7 @@
         @Option(name = "--trace", usage = "print the trace of one run")
         private boolean trace;
 
-        @Option(name = "--story", usage = "with --trace: print all events of this request")
+        @Option(name = "--story", usage = "with --trace: print everything known about this request")
         private String story;
 
         @Option(name = "--help", help = true, usage = "print this help")
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -271,8 +271,7 @@
     OVERLOAD {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            // Upstreams can serve twice the usual load. Clients send ten times the usual load, then the usual load
-            // again.
+            // Upstreams can serve twice the usual load. For 8 s clients send ten times the usual load.
             fleet.standIns().forEach(u -> u.setServiceTimeMs(90));
             final Process more =
                     fleet.startLoadGenerator(8, 0, 1800, fleet.folder().resolve("more"));
@@ -316,7 +315,7 @@
     PASSED_ON {
         @Override
         public void inject(final Fleet fleet, final FleetJudge judge) throws Exception {
-            // Upstreams go at once, and each address passes to a cold one of the other service.
+            // Upstreams stop without notice, and a cold upstream of the other service takes over each address.
             for (int i = 0; i < 4; i++) {
                 final UpstreamStandIn old = fleet.standIns().get(3 + i * 8);
                 old.stop();
--- a/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
@@ -23,7 +23,7 @@
         @Option(name = "--older", required = true, usage = "class path of the older build: its classes and libraries")
         private String olderClassPath;
 
-        @Option(name = "--older-main", usage = "its main class")
+        @Option(name = "--older-main", usage = "main class of the older build")
         private String olderMainClass = "spokestall.Main";
 
         @Option(name = "--deployment", usage = "padma or verde")
@@ -32,10 +32,10 @@
         @Option(name = "--seconds", usage = "how long clients send requests")
         private int seconds = 90;
 
-        @Option(name = "--folder", usage = "where settings, data and logs go")
+        @Option(name = "--folder", usage = "folder for settings, data and logs")
         private Path folder = Path.of("target", "fleet");
 
-        @Option(name = "--help", help = true, usage = "this page")
+        @Option(name = "--help", help = true, usage = "print this help")
         @SuppressWarnings("UnusedVariable") // args4j needs the option; no code reads the field.
         private boolean help;
     }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Returns the requests of tenants whose home regions include all regions, so that every edge serves them. */
+    /** Returns the kinds of requests of tenants whose home regions include all regions, so that every edge serves them. */
     private List<Deployment.RequestKind> kinds() {
         final Set<String> everywhere = new HashSet<>();
         for (int tenant = 0; tenant < Deployment.TENANTS; tenant++) {
--- a/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/UpstreamStandIn.java
@@ -81,6 +81,7 @@
         serviceTimeMs = ms;
     }
 
+    /** Reserves the next service time; returns the delay until it is over. */
     private synchronized long queueingDelayMs() {
         final long nowMs = System.currentTimeMillis();
         busyUntilMs = Math.max(busyUntilMs, nowMs) + serviceTimeMs;
