--- a/testbed/src/main/java/spokestall/testbed/Main.java
+++ b/testbed/src/main/java/spokestall/testbed/Main.java
@@ -253,11 +253,11 @@
             fleet.start();
             fleet.awaitReady(fleet.putConfiguration());
             final FleetJudge judge = new FleetJudge(fleet);
-            final Process demand = fleet.startLoadGenerator(flags.seconds, fault.minServedRatio());
+            final Process loadGenerator = fleet.startLoadGenerator(flags.seconds, fault.minServedRatio());
             Fleet.waitUntil(
                     "requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fault.inject(fleet, judge);
-            final int exitCode = demand.waitFor();
+            final int exitCode = loadGenerator.waitFor();
             for (final FleetMember m : fleet.members().values()) {
                 fleet.awaitFresh(m);
             }
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -337,8 +337,8 @@
                 "every node is fresh at " + version,
                 30_000,
                 () -> members.values().stream().filter(FleetMember::isAlive).allMatch(m -> {
-                    final JsonNode s = status(m);
-                    return s.path("fresh").asBoolean() && s.path("version").asLong() >= version;
+                    final JsonNode status = status(m);
+                    return status.path("fresh").asBoolean() && status.path("version").asLong() >= version;
                 }));
         waitUntil(
                 "edges see all upstreams as ready",
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetClientsTest.java
@@ -475,7 +475,7 @@
     }
 
     @Test
-    void anUpstreamThatRespondsTwiceEarlyOrSlowlyNeverCausesAnotherRequestsResponse() throws Exception {
+    void anUpstreamThatRespondsTwiceEarlyOrSlowlyNeverCausesAWrongResponse() throws Exception {
         final List<RawUpstream.Responder> responders = List.of(
                 (c, out) -> {
                     RawUpstream.respondOk(c, out);
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -30,12 +30,12 @@
             fleet.start();
             final long version = fleet.putConfiguration();
             fleet.awaitReady(version);
-            final Process demand = fleet.startLoadGenerator(10, 0.95);
+            final Process loadGenerator = fleet.startLoadGenerator(10, 0.95);
             Fleet.waitUntil(
                     "requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fleet.members().get("d2-core").process.destroyForcibly().waitFor();
             fleet.members().get("d5-edge").process.destroyForcibly().waitFor();
-            assertThat(demand.waitFor()).as("the load generator's exit code").isZero();
+            assertThat(loadGenerator.waitFor()).as("the load generator's exit code").isZero();
             assertThat(fleet.ledger().began()).isNotEmpty();
             fleet.start(fleet.members().get("d2-core"));
             fleet.start(fleet.members().get("d5-edge"));
