--- a/testbed/src/main/java/spokestall/testbed/Deployment.java
+++ b/testbed/src/main/java/spokestall/testbed/Deployment.java
@@ -8,7 +8,7 @@
 import spokestall.configuration.KeyHash;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** One of the two simulated deployments: its services, sizes, distances, tenants and load. */
+/** One of the two deployments that the testbed models: its services, sizes, distances, tenants and load. */
 public enum Deployment {
     PADMA("transfers", "records", 35, 200, "/transfers/payout", "/transfers/status", "/records/receipt"),
     VERDE("routes", "publishing", 55, 180, "/routes/confirm", "/routes/days", "/publishing/calendar");
--- a/testbed/src/main/java/spokestall/testbed/fault/InjectedFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/InjectedFault.java
@@ -22,7 +22,7 @@
     UNDIVIDED(Map.of("edges", "1")),
     /** Retries are not limited to their share of requests. */
     FREE_RETRIES(Map.of("retryShare", "1", "retryAllowance", "1000")),
-    /** Nodes assume that a usage report is due only after 30 seconds. */
+    /** Nodes assume a deadline of 30 seconds for usage reports. */
     LATE_REPORTS(Map.of("reportDueMs", "30000")),
     /** Disks acknowledge a write seconds before it is durable. */
     LYING_DISK(Map.of()),
