--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -338,7 +338,8 @@
                 30_000,
                 () -> members.values().stream().filter(FleetMember::isAlive).allMatch(m -> {
                     final JsonNode status = status(m);
-                    return status.path("fresh").asBoolean() && status.path("version").asLong() >= version;
+                    return status.path("fresh").asBoolean()
+                            && status.path("version").asLong() >= version;
                 }));
         waitUntil(
                 "edges see all upstreams as ready",
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -35,7 +35,9 @@
                     "requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fleet.members().get("d2-core").process.destroyForcibly().waitFor();
             fleet.members().get("d5-edge").process.destroyForcibly().waitFor();
-            assertThat(loadGenerator.waitFor()).as("the load generator's exit code").isZero();
+            assertThat(loadGenerator.waitFor())
+                    .as("the load generator's exit code")
+                    .isZero();
             assertThat(fleet.ledger().began()).isNotEmpty();
             fleet.start(fleet.members().get("d2-core"));
             fleet.start(fleet.members().get("d5-edge"));
