--- a/spokestall/src/main/java/spokestall/cli/LoadClient.java
+++ b/spokestall/src/main/java/spokestall/cli/LoadClient.java
@@ -15,15 +15,15 @@
 import spokestall.io.http.HttpResult;
 
 /**
- * Sends requests as a well-behaved client does: looks up edges, sends to one of them, and retries what has not run, or what may
- * run twice, until the deadline.
+ * Client of the load generator. For each request it looks up edges, sends the request to one of them, and retries until the
+ * deadline if the request did not run or is idempotent.
  *
  * <p>Thread-safe; attempts run on the timer's threads and the HTTP client's I/O threads.
  */
 final class LoadClient {
     private static final int ATTEMPTS_MAX = 5;
     private static final int RESPONSE_MAX_BYTES = 16 << 20;
-    /** How much longer than the deadline a response is awaited, so that the edge's own time-out is seen. */
+    /** Time beyond the deadline to wait for a response, so that the edge's own time-out response still arrives. */
     private static final long DEADLINE_MARGIN_MS = 500;
 
     private static final long NO_EDGE_BACKOFF_MS = 300;
@@ -36,7 +36,7 @@
     private final LoadReport report;
     private final Queue<String> recorded = new ConcurrentLinkedQueue<>();
 
-    /** The timer is the caller's to shut down; requests that are waiting then end at their next retry. */
+    /** Creates a client. The caller shuts the timer down; requests in flight then finish instead of retrying. */
     LoadClient(
             final LoadOptions options,
             final CommandHttpClient httpClient,
@@ -49,16 +49,16 @@
         this.report = report;
     }
 
-    /** Returns a line for each response, if responses are recorded. */
+    /** Returns one line per response; empty unless {@code --record} is set. */
     Iterable<String> recorded() {
         return recorded;
     }
 
-    /** Makes the request's present attempt, and further ones if it fails; the report receives its end. */
+    /** Makes the current attempt of a request, and retries if it fails. Reports the final result. */
     void attempt(final LoadRequest request) {
         lookup.find(request, found -> {
             if (found.isPresent()) {
-                send(request.named(found.get().ticket()), found.get());
+                send(request.withRequestId(found.get().ticket()), found.get());
             } else {
                 retry(request, "nowhere", NO_EDGE_BACKOFF_MS);
             }
@@ -66,21 +66,21 @@
     }
 
     private void send(final LoadRequest request, final EdgeLookup.Edges edges) {
-        final long leftMs = options.deadlineMs() - (MonotonicTime.nowMs() - request.begunMs());
+        final long leftMs = options.deadlineMs() - (MonotonicTime.nowMs() - request.startedAtMs());
         if (leftMs <= 0) {
-            end(request, "out-of-time", null);
+            finish(request, "out-of-time", null);
             return;
         }
         final String edge =
                 edges.addresses().get(request.attempt() % edges.addresses().size());
         final Map<String, String> headers = new TreeMap<>();
         headers.put("Spokestall-Key", request.kind().key());
-        headers.put("Spokestall-Ask-Id", request.name());
+        headers.put("Spokestall-Ask-Id", request.requestId());
         headers.put("Spokestall-Deadline-Ms", Long.toString(leftMs));
         final boolean runOnce = request.kind().runOnce();
-        final String body = runOnce ? "{\"do\":\"" + request.id() + "\"}" : "";
+        final String body = runOnce ? "{\"do\":\"" + request.runUniqueId() + "\"}" : "";
         httpClient.send(
-                HttpCall.plain(
+                HttpCall.withoutGate(
                         edge,
                         runOnce ? "POST" : "GET",
                         request.kind().path(),
@@ -92,24 +92,24 @@
     }
 
     private void onResult(final LoadRequest request, final String edge, final HttpResult result) {
-        if (result instanceof HttpResult.Whole response) {
+        if (result instanceof HttpResult.Complete response) {
             onResponse(request, edge, response);
         } else if (result instanceof HttpResult.NotSent || !request.kind().runOnce()) {
             lookup.invalidate(request);
             retry(request, "unreached", BACKOFF_MS);
         } else {
-            end(request, "no-answer", edge);
+            finish(request, "no-answer", edge);
         }
     }
 
-    private void onResponse(final LoadRequest request, final String edge, final HttpResult.Whole response) {
+    private void onResponse(final LoadRequest request, final String edge, final HttpResult.Complete response) {
         final String outcome = response.header("Spokestall-Outcome");
         final String code = response.header("Spokestall-Code");
         if (options.record() != null) {
-            recorded.add(request.name() + " " + outcome + " " + code + " " + System.currentTimeMillis());
+            recorded.add(request.requestId() + " " + outcome + " " + code + " " + System.currentTimeMillis());
         }
         if ("ran".equals(outcome)) {
-            end(request, resultOf(request, response), edge);
+            finish(request, resultOf(request, response), edge);
             return;
         }
         lookup.invalidate(request);
@@ -119,31 +119,31 @@
                     retryAfterS == null ? BACKOFF_MS : TimeUnit.SECONDS.toMillis(Long.parseLong(retryAfterS));
             retry(request, outcome + "-" + code, waitMs);
         } else {
-            end(request, outcome + "-" + code, edge);
+            finish(request, outcome + "-" + code, edge);
         }
     }
 
-    private String resultOf(final LoadRequest request, final HttpResult.Whole response) {
-        if (options.echo() && response.status() == 200 && !echoes(response.body(), request.name())) {
+    private String resultOf(final LoadRequest request, final HttpResult.Complete response) {
+        if (options.echo() && response.status() == 200 && !echoes(response.body(), request.requestId())) {
             return LoadReport.WRONG_ANSWER;
         }
         return response.status() < 500 ? LoadReport.RAN : LoadReport.RAN + "-" + response.status();
     }
 
-    private static boolean echoes(final byte[] body, final String name) {
+    private static boolean echoes(final byte[] body, final String requestId) {
         try {
             final JsonNode read = ConfigurationStore.JSON.readTree(body);
-            return read != null && read.path("answerTo").asText().equals(name);
+            return read != null && read.path("answerTo").asText().equals(requestId);
         } catch (final IOException e) {
-            // A body that is no JSON names no request.
+            // A body that is not JSON doesn't contain the request's id.
             return false;
         }
     }
 
     private void retry(final LoadRequest request, final String reason, final long waitMs) {
-        final boolean inTime = MonotonicTime.nowMs() + waitMs - request.begunMs() < options.deadlineMs();
+        final boolean inTime = MonotonicTime.nowMs() + waitMs - request.startedAtMs() < options.deadlineMs();
         if (request.attempt() + 1 >= ATTEMPTS_MAX || !inTime || timer.isShutdown()) {
-            end(request, reason, null);
+            finish(request, reason, null);
             return;
         }
         report.onRetry();
@@ -151,7 +151,7 @@
                 timer.schedule(() -> attempt(request.nextAttempt()), waitMs, TimeUnit.MILLISECONDS);
     }
 
-    private void end(final LoadRequest request, final String result, final String edge) {
-        report.onEnd(result, edge, MonotonicTime.nowMs() - request.begunMs());
+    private void finish(final LoadRequest request, final String result, final String edge) {
+        report.onFinished(result, edge, MonotonicTime.nowMs() - request.startedAtMs());
     }
 }
--- a/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
+++ b/spokestall/src/main/java/spokestall/io/process/SettingsReloader.java
@@ -14,54 +14,54 @@
 import spokestall.settings.SettingsSource;
 
 /**
- * Notices that the settings have changed, by a signal or by the file's state, reads them anew and hands on what is good.
- * Settings that can't be read or are wrong are logged and leave those in force.
+ * Reloads the settings on a signal or when the state of their file changes, and passes valid ones on. If the settings can't be read or
+ * are invalid, that is logged and the current settings remain in effect.
  */
 final class SettingsReloader {
-    /** What tells two states of a file apart without reading it. */
+    /** The attributes that show a change of the file without reading it. */
     private record FileState(FileTime modified, long bytes, Object fileKey) {}
 
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private final SettingsSource source;
     private final Executor reader;
-    private final Consumer<Settings> taker;
-    private Optional<FileState> seen;
+    private final Consumer<Settings> onChanged;
+    private Optional<FileState> lastSeen;
 
-    /** The reader carries out one task after the other. */
-    SettingsReloader(final SettingsSource source, final Executor reader, final Consumer<Settings> taker) {
+    /** Creates a reloader; {@code reader} must run one task at a time. */
+    SettingsReloader(final SettingsSource source, final Executor reader, final Consumer<Settings> onChanged) {
         this.source = source;
         this.reader = reader;
-        this.taker = taker;
-        this.seen = state();
+        this.onChanged = onChanged;
+        this.lastSeen = currentState();
     }
 
-    /** Reads anew if the file is another than at the last look. */
-    void look() {
+    /** Reloads the settings if the file has changed since it was last read. */
+    void checkFile() {
         reader.execute(() -> {
-            if (!state().equals(seen)) {
+            if (!currentState().equals(lastSeen)) {
                 read();
             }
         });
     }
 
-    /** Reads anew, whether or not the file seems changed. */
-    void signalled() {
+    /** Reloads the settings, even if the file looks unchanged. */
+    void reload() {
         reader.execute(this::read);
     }
 
     private void read() {
-        // The state is taken before the content: a change in between is read at the next look.
-        seen = state();
+        // The state is read before the content, so a change in between is detected by the next check.
+        lastSeen = currentState();
         final SettingsResult read = source.read();
         if (read instanceof SettingsResult.Invalid bad) {
             LOG.atWarning().log("event=settings_refused why=\"%s\"", bad.errors());
         } else if (read instanceof SettingsResult.Valid good) {
-            taker.accept(good.settings());
+            onChanged.accept(good.settings());
         }
     }
 
-    /** A file that is gone or can't be looked at has no state; it is read again once it has one. */
-    private Optional<FileState> state() {
+    /** Returns the file's state; empty if the file is missing or inaccessible. The file is read again once it has a state. */
+    private Optional<FileState> currentState() {
         final Optional<Path> file = source.file();
         if (file.isEmpty()) {
             return Optional.empty();
--- a/spokestall/src/main/java/spokestall/node/CoreStatus.java
+++ b/spokestall/src/main/java/spokestall/node/CoreStatus.java
@@ -60,11 +60,11 @@
 
     /** Adds the number of requests in flight at the zone's edges; the zone is empty once there are none. */
     @Override
-    public void describeEvacuation(final String zone, final ObjectNode evacuation) {
+    public void describeEvacuation(final String zone, final ObjectNode evacuationStatus) {
         int openRequests = 0;
         for (final TrackedEdge edge : feedServer.edges().values()) {
             openRequests += edge.info().zone().equals(zone) ? edge.openRequests() : 0;
         }
-        evacuation.put("open", openRequests).put("empty", openRequests == 0);
+        evacuationStatus.put("open", openRequests).put("empty", openRequests == 0);
     }
 }
--- a/spokestall/src/main/java/spokestall/node/ProxyComponent.java
+++ b/spokestall/src/main/java/spokestall/node/ProxyComponent.java
@@ -123,7 +123,7 @@
 
     /**
      * Restarts the slow start of upstreams in zones whose evacuation has ended, because they received no requests
-     * during the evacuation.
+     * during that time.
      */
     void onConfigurationApplied() {
         final Configuration configuration = configurationStore.configuration();
--- a/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
+++ b/spokestall/src/main/java/spokestall/proxy/AdmissionController.java
@@ -128,7 +128,7 @@
                 found.tenant(),
                 route,
                 service,
-                context.clock().nowMs() + timeoutMs(head, route));
+                context.clock().nowMs() + timeoutMillis(head, route));
         return admit(grant, rejectedStatus, responded);
     }
 
@@ -194,7 +194,7 @@
         return new AdmissionResult.Admitted(request);
     }
 
-    private long timeoutMs(final RequestHead head, final Route route) {
+    private long timeoutMillis(final RequestHead head, final Route route) {
         final long spanMs = Math.min(head.remainingMs(), limits.requestTimeoutMaxMs());
         return route.timeoutMillis() > 0 ? Math.min(spanMs, route.timeoutMillis()) : spanMs;
     }
--- a/spokestall/src/main/java/spokestall/proxy/Attempt.java
+++ b/spokestall/src/main/java/spokestall/proxy/Attempt.java
@@ -10,7 +10,7 @@
  * @param tenant the tenant's name, null on a route without keys
  * @param instance the id of the upstream's instance, which must be the one that responds at the address
  * @param target the request target as the client sent it
- * @param timeoutMs the attempt's time-out
+ * @param timeoutMillis the attempt's time-out
  * @param responseMaxBytes the maximum length of the response body
  * @param idempotent whether the request may be sent more than once
  */
@@ -24,6 +24,6 @@
         String target,
         List<Header> headers,
         byte[] body,
-        long timeoutMs,
+        long timeoutMillis,
         int responseMaxBytes,
         boolean idempotent) {}
--- a/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
+++ b/spokestall/src/main/java/spokestall/proxy/AttemptBudget.java
@@ -44,8 +44,8 @@
     }
 
     /** Returns whether one more attempt may start; if so, takes its cost from the retry budget. */
-    boolean tryAcquire(final int maxAttempts, final RetryBudget budget) {
-        return (unsentFree ? started - unsent : started) < maxAttempts
+    boolean tryAcquire(final int attemptsMax, final RetryBudget budget) {
+        return (unsentFree ? started - unsent : started) < attemptsMax
                 && started < MAX_ATTEMPTS
                 && (unsentFree && inFlight() == 0 && lastUnsent || budget.tryAcquire());
     }
--- a/spokestall/src/main/java/spokestall/settings/SettingsValidator.java
+++ b/spokestall/src/main/java/spokestall/settings/SettingsValidator.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * Checks the values of all settings, first each by itself, then, if each is valid, against each other. Adds all errors to a
- * list; throws nothing. Not thread-safe; used once.
+ * Validator of all settings. Checks each value on its own and then, if all are valid, the values against each other. Adds errors
+ * to a list and throws nothing. Not thread-safe; used once.
  */
 final class SettingsValidator {
-    /** Seeds of a fleet whose settings say how many cores it has. */
-    private static final int SEEDS = 3;
+    /** Number of seeds required if the number of cores is configured. */
+    private static final int REQUIRED_SEEDS = 3;
 
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
@@ -17,17 +17,18 @@
     private final Map<String, String> values;
     private final List<SettingsError> errors;
 
-    /** @param values every setting with its value, null where none is given and there is no default */
+    /** @param values every setting with its value; null if none is given and there is no default */
     SettingsValidator(final Map<String, String> values, final List<SettingsError> errors) {
         this.values = values;
         this.errors = errors;
     }
 
     void validate(final boolean core) {
-        SettingKeys.all().forEach((name, key) -> checkValue(name, key, values.get(name)));
-        final int seeds =
-                values.get("seeds") == null ? SEEDS : values.get("seeds").split(",", -1).length;
-        if (seeds != SEEDS && !(seeds < SEEDS && "0".equals(values.get("cores")))) {
+        SettingDefinitions.all().forEach((name, key) -> checkValue(name, key, values.get(name)));
+        final int seeds = values.get("seeds") == null
+                ? REQUIRED_SEEDS
+                : values.get("seeds").split(",", -1).length;
+        if (seeds != REQUIRED_SEEDS && !(seeds < REQUIRED_SEEDS && "0".equals(values.get("cores")))) {
             error("seeds", "needs three addresses, has " + seeds);
         }
         if (errors.isEmpty()) {
@@ -41,7 +42,7 @@
         errors.add(new SettingsError(key, reason));
     }
 
-    private void checkValue(final String name, final SettingKey key, final String value) {
+    private void checkValue(final String name, final SettingDefinition key, final String value) {
         if (value == null) {
             error(name, "must be given: " + key.description());
             return;
@@ -77,8 +78,8 @@
         }
     }
 
-    private void checkNumber(final String name, final SettingKey key, final String value) {
-        if (key.fraction() != null && value.isEmpty()) {
+    private void checkNumber(final String name, final SettingDefinition key, final String value) {
+        if (key.defaultFraction() != null && value.isEmpty()) {
             return;
         }
         try {
@@ -121,45 +122,48 @@
         return port > 0 && port <= MAX_PORT;
     }
 
-    private void checkAddresses(final Settings s, final boolean core) {
-        if (!s.zones().containsKey(s.text("district"))) {
-            error("district", "'" + s.text("district") + "' is not among districts");
+    private void checkAddresses(final Settings settings, final boolean core) {
+        if (!settings.zones().containsKey(settings.text("district"))) {
+            error("district", "'" + settings.text("district") + "' is not one of districts");
         }
-        if (core && s.text("data").isEmpty()) {
-            error("data", "a core needs a data folder");
+        if (core && settings.text("data").isEmpty()) {
+            error("data", "must be given: a core needs a data directory");
         }
-        if (s.seeds().stream().distinct().count() != s.seeds().size()) {
-            error("seeds", "names an address twice");
+        if (settings.seeds().stream().distinct().count() != settings.seeds().size()) {
+            error("seeds", "contains an address twice");
         }
-        if (s.integer("bootstrap") == 1 && s.integer("cores") != 0) {
-            error("bootstrap", "is for a fleet with cores 0 only");
+        if (settings.integer("bootstrap") == 1 && settings.integer("cores") != 0) {
+            error("bootstrap", "must be 0 unless cores is 0");
         }
-        if (s.text("address").equals(s.text("http"))) {
-            error("http", "is the same as address");
+        if (settings.text("address").equals(settings.text("http"))) {
+            error("http", "must differ from address");
         }
-        checkAddress("operators", s.operators());
-        if (s.operators().equals(s.text("http"))
-                || s.operators().equals(s.text("address"))
-                || s.operators().equals(s.listen())) {
-            error("operators", s.operators() + " is an address of this node for others");
+        checkAddress("operators", settings.operatorAddress());
+        if (settings.operatorAddress().equals(settings.text("http"))
+                || settings.operatorAddress().equals(settings.text("address"))
+                || settings.operatorAddress().equals(settings.listenAddress())) {
+            error("operators", settings.operatorAddress() + " is already used as http, address or listen");
         }
     }
 
-    private void checkTimings(final Settings s) {
-        if (s.integer("freshMs") < 2 * s.integer("proofMs")) {
-            error("freshMs", "must be at least 2 x proofMs, for a proof to be renewed in time");
+    private void checkTimings(final Settings settings) {
+        if (settings.integer("freshMs") < 2 * settings.integer("proofMs")) {
+            error("freshMs", "must be at least 2 x proofMs, so that proofs are renewed in time");
         }
-        if (s.integer("freshMs") + s.integer("farMs") >= s.integer("keyBoundMs")) {
-            error("freshMs", "must be under keyBoundMs less farMs, for a withdrawn key to stop in time");
+        if (settings.integer("freshMs") + settings.integer("farMs") >= settings.integer("keyBoundMs")) {
+            error("freshMs", "must be less than keyBoundMs - farMs, so that a withdrawn key stops working in time");
         }
-        if (s.integer("uncountedMs") > 0 && s.integer("uncountedMs") < 2 * s.integer("countPushMs")) {
-            error("uncountedMs", "must be 0 or at least 2 x countPushMs, for counts to be with a majority in time");
+        if (settings.integer("uncountedMs") > 0
+                && settings.integer("uncountedMs") < 2 * settings.integer("countPushMs")) {
+            error(
+                    "uncountedMs",
+                    "must be 0 or at least 2 x countPushMs, so that a majority acknowledges counts in time");
         }
-        if (s.integer("leaseMs") < 8 * s.integer("farMs")) {
-            error("leaseMs", "must be at least 8 x farMs, to be renewed in time");
+        if (settings.integer("leaseMs") < 8 * settings.integer("farMs")) {
+            error("leaseMs", "must be at least 8 x farMs, so that the lease is renewed in time");
         }
-        if (s.integer("reportDueMs") < 3 * s.integer("leaseMs")) {
-            error("reportDueMs", "must be at least 3 x leaseMs, for a takeover to fit in");
+        if (settings.integer("reportDueMs") < 3 * settings.integer("leaseMs")) {
+            error("reportDueMs", "must be at least 3 x leaseMs, so that another node can take over reporting in time");
         }
     }
 }
--- a/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
+++ b/spokestall/src/test/java/spokestall/cli/OperatorArgumentsTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void paramsAreReadByTheirTypes() {
+    void paramsAreParsedByTheirSchemaTypes() {
         final OperatorArguments.Call call = (OperatorArguments.Call)
                 parse("--to", TO, "--base", "7", "--changeId", "12", "--patch", "{\"holds\":{}}", "--waitMs", "250");
         assertThat(call.address()).isEqualTo(TO);
@@ -32,12 +32,12 @@
     }
 
     @Test
-    void theWaitHasADefault() {
+    void waitDefaultsToTenSeconds() {
         assertThat(((OperatorArguments.Call) parse("--to", TO)).waitMs()).isEqualTo(10_000);
     }
 
     @Test
-    void aValueWithAnAtSignIsReadFromItsFile(@TempDir final Path folder) throws IOException {
+    void aValueStartingWithAtIsReadFromTheNamedFile(@TempDir final Path folder) throws IOException {
         final Path file = Files.writeString(folder.resolve("patch.json"), "{\"cells\":{}}");
         final OperatorArguments.Call call =
                 (OperatorArguments.Call) parse("--to", TO, "--patch", "@" + file, "--changeId", "c-1");
@@ -45,27 +45,26 @@
     }
 
     @Test
-    void helpWinsOverWhatFollowsIt() {
+    void helpTakesPrecedenceOverLaterArguments() {
         assertThat(parse("--to", TO, "--help", "--no-such-flag")).isEqualTo(new OperatorArguments.Help());
     }
 
     @Test
-    void theFirstArgumentThatCantBeUsedIsNamed() {
-        assertThat(parse("to", TO))
-                .isEqualTo(new OperatorArguments.Invalid("a flag with a value was expected, not: to"));
-        assertThat(parse("--to"))
-                .isEqualTo(new OperatorArguments.Invalid("a flag with a value was expected, not: --to"));
+    void theFirstInvalidArgumentIsReported() {
+        assertThat(parse("to", TO)).isEqualTo(new OperatorArguments.Invalid("expected a flag with a value, not: to"));
+        assertThat(parse("--to")).isEqualTo(new OperatorArguments.Invalid("expected a flag with a value, not: --to"));
         assertThat(parse("--pach", "{}"))
-                .isEqualTo(new OperatorArguments.Invalid("--pach: no such flag for this method"));
+                .isEqualTo(new OperatorArguments.Invalid("--pach: unknown flag for this method"));
         assertThat(parse("--waitMs", "0", "--pach", "{}"))
-                .isEqualTo(new OperatorArguments.Invalid("--waitMs: needs a number of milliseconds, not: 0"));
+                .isEqualTo(new OperatorArguments.Invalid(
+                        "--waitMs: must be a number of milliseconds from 1 to 9999999, not: 0"));
         assertThat(parse("--to", "localhost:7200"))
-                .isEqualTo(new OperatorArguments.Invalid("--to: needs a node's IP number and port"));
-        assertThat(parse()).isEqualTo(new OperatorArguments.Invalid("--to: needs a node's IP number and port"));
+                .isEqualTo(new OperatorArguments.Invalid("--to: must be the IP address and port of a node"));
+        assertThat(parse()).isEqualTo(new OperatorArguments.Invalid("--to: must be the IP address and port of a node"));
     }
 
     @Test
-    void valuesThatAreNoJsonAreNamedByTheirFlag() {
+    void aValueThatIsNotJsonIsReportedWithItsFlag() {
         assertThat(((OperatorArguments.Invalid) parse("--to", TO, "--patch", "{")).reason())
                 .startsWith("--patch: ");
     }
--- a/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
+++ b/spokestall/src/test/java/spokestall/io/AuditFilesTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void anyTamperingWithTheChainIsDetected(@TempDir final Path folder) throws Exception {
+    void detectsAnyTamperingWithTheChain(@TempDir final Path folder) throws Exception {
         fill(open(folder, 100), 0, 20);
         fill(open(folder, 100), 20, 40);
         final List<String> good = lines(folder);
@@ -58,7 +58,7 @@
                 case 2 -> bad.add(at, bad.get(random.nextInt(bad.size())));
                 default -> {
                     final char[] line = bad.get(at).toCharArray();
-                    // The last character of a base64url part may have bits that don't count.
+                    // The last character of a base64url part may contain unused bits.
                     final int c = random.nextInt(line.length - 1);
                     line[c] = line[c] == 'A' ? 'B' : 'A';
                     bad.set(at, new String(line));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void filesAreBoundedAndATornTailIsCutAndReported(@TempDir final Path folder) throws Exception {
+    void limitsFilesAndTruncatesAndReportsATornTail(@TempDir final Path folder) throws Exception {
         fill(open(folder, 3), 0, 60);
         assertThat(AuditFiles.files(folder)).hasSize(3);
         final List<Path> files = AuditFiles.files(folder);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aFullDiskLosesEntriesButNeverTheChain(@TempDir final Path folder) throws Exception {
+    void dropsEntriesOnAFullDiskWithoutBreakingTheChain(@TempDir final Path folder) throws Exception {
         final AuditFiles audit = open(folder, 100);
         fill(audit, 0, 3);
         final FileChannel good = FileChannel.open(AuditFiles.files(folder).get(0), StandardOpenOption.APPEND);
--- a/spokestall/src/test/java/spokestall/io/EventLoopTest.java
+++ b/spokestall/src/test/java/spokestall/io/EventLoopTest.java
@@ -10,7 +10,7 @@
 class EventLoopTest {
     private static final int CAPACITY = 3;
 
-    /** Turns that the loop asked its workers to run. */
+    /** Turns that the event loop submitted to its workers. */
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
 
     private final List<Integer> ran = new ArrayList<>();
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void eventsRunInTheirOrderInOneTurnAtATime() {
+    void runsEventsInOrderInOneTurnAtATime() {
         for (int i = 0; i < 1000; i++) {
             final int number = i;
             loop.execute(() -> ran.add(number));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void offersAreRejectedWhileTheQueueIsFullAndExecutionsAreNot() {
+    void rejectsOffersButNotExecutionsWhileTheQueueIsFull() {
         for (int i = 0; i < CAPACITY; i++) {
             assertThat(loop.offer(() -> ran.add(1))).isTrue();
         }
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void anEventThatThrowsDoesNotStopTheLoop() {
+    void continuesAfterAnEventThatThrows() {
         loop.execute(() -> {
             throw new IllegalStateException("thrown by a test");
         });
--- a/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
+++ b/spokestall/src/test/java/spokestall/io/http/HttpClientTest.java
@@ -25,7 +25,7 @@
 import org.xnio.XnioWorker;
 import spokestall.message.Header;
 
-/** Which connection a request leaves on, and what its outcome is called, against a server made of bytes. */
+/** Which connection a request is sent on, and with which result the exchange ends, against a server that writes raw bytes. */
 class HttpClientTest {
     private static final int WAIT_MS = 10_000;
     private static final String NAME = "X-Request";
@@ -47,7 +47,7 @@
         server.close();
     }
 
-    /** The far end of one connection. */
+    /** Accepts one connection on the server's side. */
     private Socket accept() throws IOException {
         final Socket socket = server.accept();
         socket.setSoTimeout(WAIT_MS);
@@ -55,7 +55,7 @@
         return socket;
     }
 
-    /** The value of the request's name, once its head has come. */
+    /** Reads a request's head and returns the value of its name header. */
     private static String request(final Socket socket) throws IOException {
         final StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -67,7 +67,7 @@
         return head.substring(at, head.indexOf("\r", at));
     }
 
-    private static String answer(final String name, final String more) {
+    private static String response(final String name, final String more) {
         return "HTTP/1.1 200 OK\r\n" + NAME + ": " + name + "\r\n" + more + "Content-Length: 2\r\n\r\nok";
     }
 
@@ -75,7 +75,7 @@
         socket.getOutputStream().write(latin.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Comes back when the client has closed its end. */
+    /** Waits until the client closes the connection. */
     private static void awaitClosed(final Socket socket) throws IOException {
         final InputStream in = socket.getInputStream();
         assertThat(in.read()).as("the client closes the connection").isEqualTo(-1);
@@ -89,8 +89,8 @@
             final String name, final String instance, final byte[] body, final Executor gate) {
         final BlockingQueue<HttpResult> results = new LinkedBlockingQueue<>();
         final Predicate<HttpResult> own =
-                r -> !(r instanceof HttpResult.Whole whole) || name.equals(whole.header(NAME));
-        client.judged(
+                r -> !(r instanceof HttpResult.Complete whole) || name.equals(whole.header(NAME));
+        client.execute(
                 new HttpCall(
                         "127.0.0.1:" + server.getLocalPort(),
                         instance,
@@ -113,24 +113,24 @@
         return results;
     }
 
-    private static HttpResult got(final BlockingQueue<HttpResult> results) throws InterruptedException {
+    private static HttpResult await(final BlockingQueue<HttpResult> results) throws InterruptedException {
         final HttpResult result = results.poll(WAIT_MS, TimeUnit.MILLISECONDS);
         assertThat(result).as("the exchange ends").isNotNull();
         return result;
     }
 
-    /** A first exchange, whose connection is kept. */
-    private Socket kept(final String instance) throws Exception {
+    /** Completes a first exchange, and returns its connection on the server's side; the client keeps it for reuse. */
+    private Socket idleConnection(final String instance) throws Exception {
         final BlockingQueue<HttpResult> first = call("first", instance, Runnable::run);
         final Socket socket = accept();
         assertThat(request(socket)).isEqualTo("first");
-        write(socket, answer("first", ""));
-        assertThat(got(first)).isInstanceOf(HttpResult.Whole.class);
+        write(socket, response("first", ""));
+        assertThat(await(first)).isInstanceOf(HttpResult.Complete.class);
         settle();
         return socket;
     }
 
-    /** Comes back when the I/O thread has done what it was at, and what that left to be done. */
+    /** Waits until the I/O thread has run its current task and the tasks that this one queued. */
     private void settle() throws InterruptedException {
         final CountDownLatch done = new CountDownLatch(1);
         worker.getIoThread().execute(() -> worker.getIoThread().execute(done::countDown));
@@ -141,49 +141,53 @@
         final BlockingQueue<HttpResult> results = call(name, instance, Runnable::run);
         try (Socket fresh = accept()) {
             assertThat(request(fresh)).isEqualTo(name);
-            write(fresh, answer(name, ""));
-            assertThat(((HttpResult.Whole) got(results)).header(NAME)).isEqualTo(name);
+            write(fresh, response(name, ""));
+            assertThat(((HttpResult.Complete) await(results)).header(NAME)).isEqualTo(name);
         }
     }
 
     @Test
-    void aConnectionWhoseExchangesWereCleanIsUsedAgain() throws Exception {
-        try (Socket socket = kept("i-1")) {
+    void reusesAConnectionAfterACompleteExchange() throws Exception {
+        try (Socket socket = idleConnection("i-1")) {
             final BlockingQueue<HttpResult> second = call("second", "i-1", Runnable::run);
             assertThat(request(socket)).isEqualTo("second");
-            write(socket, answer("second", ""));
-            assertThat(got(second)).isInstanceOf(HttpResult.Whole.class);
+            write(socket, response("second", ""));
+            assertThat(await(second)).isInstanceOf(HttpResult.Complete.class);
         }
     }
 
-    /** A second answer to the first request, in the place where that to the second one is expected: the second one's is
-     * still to come, and would be taken for the third one's. */
+    /**
+     * The server sends a second response to the first request where the response to the second request is expected. If the connection were
+     * reused, the second request's response would be taken for the third request's.
+     */
     @Test
-    void anAnswerToAnotherRequestEndsItsConnection() throws Exception {
-        try (Socket socket = kept("i-1")) {
+    void closesTheConnectionAfterAResponseToAnotherRequest() throws Exception {
+        try (Socket socket = idleConnection("i-1")) {
             final BlockingQueue<HttpResult> second = call("second", "i-1", Runnable::run);
             assertThat(request(socket)).isEqualTo("second");
-            write(socket, answer("first", ""));
-            assertThat(got(second)).isInstanceOf(HttpResult.Whole.class);
+            write(socket, response("first", ""));
+            assertThat(await(second)).isInstanceOf(HttpResult.Complete.class);
             awaitClosed(socket);
             answeredOnANewConnection("third", "i-1");
         }
     }
 
-    /** A part of an extra answer, and the request's own answer right behind it, make one message: with the status of the
-     * one and the rest of the other, wherever the part ends. */
+    /**
+     * Part of an extra response, directly followed by the request's own response, can be parsed as a single message with the status of the
+     * first and the remainder of the second. Checked for each length of the part.
+     */
     @Test
-    void whatIsLeftOfAnExtraAnswerNeverBecomesPartOfTheNext() throws Exception {
+    void neverMixesAPartialExtraResponseIntoTheNextOne() throws Exception {
         final String extra = "HTTP/1.1 500 Bad\r\n" + NAME + ": first\r\nX-More: and more\r\n\r";
         for (int length = 1; length <= extra.length(); length++) {
-            try (Socket socket = kept("i-1")) {
+            try (Socket socket = idleConnection("i-1")) {
                 final BlockingQueue<HttpResult> second = call("second", "i-1", Runnable::run);
                 assertThat(request(socket)).isEqualTo("second");
-                write(socket, extra.substring(0, length) + answer("second", "Connection: close\r\n"));
+                write(socket, extra.substring(0, length) + response("second", "Connection: close\r\n"));
                 socket.shutdownOutput();
-                final HttpResult result = got(second);
+                final HttpResult result = await(second);
                 final boolean another =
-                        result instanceof HttpResult.Whole whole && !"second".equals(whole.header(NAME));
+                        result instanceof HttpResult.Complete whole && !"second".equals(whole.header(NAME));
                 assertThat(another || result instanceof HttpResult.Lost)
                         .as("after <" + extra.substring(0, length) + "> " + result)
                         .isTrue();
@@ -193,9 +197,9 @@
     }
 
     @Test
-    void aKeptConnectionThatEndsBeforeTheRequestLeavesIsReplaced() throws Exception {
-        for (final String last : List.of("", answer("first", ""), "bytes of no answer")) {
-            try (Socket socket = kept("i-1")) {
+    void replacesAnIdleConnectionThatClosesBeforeTheRequestIsSent() throws Exception {
+        for (final String last : List.of("", response("first", ""), "bytes of no answer")) {
+            try (Socket socket = idleConnection("i-1")) {
                 final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
                 final BlockingQueue<HttpResult> second = call("second", "i-1", held::add);
                 final Runnable attempt = held.poll(WAIT_MS, TimeUnit.MILLISECONDS);
@@ -206,10 +210,10 @@
                 try (Socket fresh = accept()) {
                     held.poll(WAIT_MS, TimeUnit.MILLISECONDS).run();
                     assertThat(request(fresh)).isEqualTo("second");
-                    write(fresh, answer("second", "Connection: close\r\n"));
-                    final HttpResult result = got(second);
-                    assertThat(result).as("after <" + last + ">").isInstanceOf(HttpResult.Whole.class);
-                    assertThat(((HttpResult.Whole) result).header(NAME)).isEqualTo("second");
+                    write(fresh, response("second", "Connection: close\r\n"));
+                    final HttpResult result = await(second);
+                    assertThat(result).as("after <" + last + ">").isInstanceOf(HttpResult.Complete.class);
+                    assertThat(((HttpResult.Complete) result).header(NAME)).isEqualTo("second");
                     awaitClosed(fresh);
                 }
             }
@@ -217,7 +221,7 @@
     }
 
     @Test
-    void aNewConnectionThatEndsBeforeTheRequestLeavesHasSentNothing() throws Exception {
+    void reportsNotSentIfANewConnectionClosesBeforeTheRequestIsSent() throws Exception {
         final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
         final BlockingQueue<HttpResult> only = call("only", "i-1", held::add);
         try (Socket socket = accept()) {
@@ -225,38 +229,38 @@
             socket.shutdownOutput();
             awaitClosed(socket);
             attempt.run();
-            assertThat(got(only)).isInstanceOf(HttpResult.NotSent.class);
+            assertThat(await(only)).isInstanceOf(HttpResult.NotSent.class);
         }
     }
 
     @Test
-    void aConnectionIsNotUsedForAnotherInstanceThatHasTheAddressNow() throws Exception {
-        try (Socket old = kept("i-1")) {
+    void doesNotReuseAConnectionForAnotherInstanceAtTheSameAddress() throws Exception {
+        try (Socket old = idleConnection("i-1")) {
             answeredOnANewConnection("second", "i-2");
             assertThat(old.isClosed()).isFalse();
         }
     }
 
     @Test
-    void aResponseThatSaysSoAnywhereEndsItsConnection() throws Exception {
+    void closesTheConnectionIfAnyConnectionOptionIsClose() throws Exception {
         for (final String closing : List.of("Connection: close", "Connection: X-Hop, Close")) {
             final BlockingQueue<HttpResult> first = call("first", "i-1", Runnable::run);
             try (Socket socket = accept()) {
                 assertThat(request(socket)).isEqualTo("first");
-                write(socket, answer("first", closing + "\r\n"));
-                assertThat(got(first)).as(closing).isInstanceOf(HttpResult.Whole.class);
+                write(socket, response("first", closing + "\r\n"));
+                assertThat(await(first)).as(closing).isInstanceOf(HttpResult.Complete.class);
                 awaitClosed(socket);
             }
         }
     }
 
     @Test
-    void anAnswerThatComesBeforeItsRequestIsOutEndsTheConnection() throws Exception {
+    void doesNotReuseAConnectionWhoseResponseCameBeforeTheRequestWasSent() throws Exception {
         final BlockingQueue<HttpResult> results = call("large", "i-1", new byte[32 << 20], Runnable::run);
         try (Socket socket = accept()) {
             assertThat(request(socket)).isEqualTo("large");
-            write(socket, answer("large", ""));
-            assertThat(got(results)).isInstanceOf(HttpResult.Whole.class);
+            write(socket, response("large", ""));
+            assertThat(await(results)).isInstanceOf(HttpResult.Complete.class);
             answeredOnANewConnection("second", "i-1");
         }
     }
--- a/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
+++ b/spokestall/src/test/java/spokestall/proxy/AttemptBudgetTest.java
@@ -10,12 +10,12 @@
     }
 
     private static int attempts(
-            final boolean unsentFree, final int maxAttempts, final RetryBudget budget, final boolean sent) {
+            final boolean unsentFree, final int attemptsMax, final RetryBudget budget, final boolean sent) {
         final AttemptBudget attempts = new AttemptBudget(unsentFree);
         do {
             assertThat(attempts.onStarted()).isEqualTo(attempts.started() == 1);
             attempts.ended(sent);
-        } while (attempts.tryAcquire(maxAttempts, budget));
+        } while (attempts.tryAcquire(attemptsMax, budget));
         return attempts.started();
     }
 
--- a/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
+++ b/spokestall/src/test/java/spokestall/storage/DelayedSegmentStore.java
@@ -5,11 +5,11 @@
 import java.util.function.IntSupplier;
 import spokestall.time.Clock;
 
-/** A disk in memory that syncs each commit after a delay on a virtual clock, unless power is lost before. */
+/** In-memory segments that sync each commit after a delay on a virtual clock, unless the test loses power first. */
 public final class DelayedSegmentStore extends InMemorySegmentStore {
     private final Clock clock;
     private final IntSupplier delayMs;
-    private long slowMs;
+    private long addedDelayMs;
     private long incarnation;
 
     public DelayedSegmentStore(final int count, final int sizeBytes, final Clock clock, final IntSupplier delayMs) {
@@ -21,7 +21,7 @@
     @Override
     public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
         final long incarnationAtCommit = incarnation;
-        clock.after(slowMs + delayMs.getAsInt(), () -> {
+        clock.after(addedDelayMs + delayMs.getAsInt(), () -> {
             if (incarnation == incarnationAtCommit) {
                 write(chunks);
                 done.accept(true);
@@ -29,12 +29,12 @@
         });
     }
 
-    /** Delays each further commit by so many milliseconds more. */
-    public void slowBy(final long byMs) {
-        slowMs = byMs;
+    /** Sets the milliseconds that are added to the delay of each later commit. */
+    public void setAddedDelayMs(final long addedMs) {
+        addedDelayMs = addedMs;
     }
 
-    /** Loses all commits in flight; their callbacks are never called. */
+    /** Discards all commits in flight, as a power loss does; their callbacks are never called. */
     public void losePower() {
         incarnation++;
     }
--- a/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
+++ b/spokestall/src/test/java/spokestall/storage/FileSegmentStoreTest.java
@@ -24,7 +24,7 @@
         return data.resolve("ring").resolve("segment-" + segment);
     }
 
-    /** Fills segments up to the fourth. */
+    /** Writes enough records to reach the fourth segment. */
     private void write() throws IOException {
         final SegmentedLog log = open();
         for (int i = 0; i < 200; i++) {
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void anyLostFileMakesTheLogBlank() throws IOException {
+    void losingAnyFileMakesTheLogBlank() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             Files.delete(file(segment));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anyTruncatedFileMakesTheLogBlank() throws IOException {
+    void truncatingAnyFileMakesTheLogBlank() throws IOException {
         for (int segment = 0; segment < FILES; segment++) {
             write();
             try (RandomAccessFile cut = new RandomAccessFile(file(segment).toFile(), "rw")) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aFirstStartThatWasInterruptedIsCompleted() throws IOException {
+    void completesAnInterruptedFirstStart() throws IOException {
         open();
         Files.delete(file(3));
         try (RandomAccessFile cut = new RandomAccessFile(file(5).toFile(), "rw")) {
@@ -70,10 +70,10 @@
     }
 
     @Test
-    void aLossIsStillDetectedAfterAnInterruptedClearing() throws IOException {
+    void detectsALostFileAfterZeroingWasInterrupted() throws IOException {
         write();
         Files.delete(file(3));
-        // Zeroed this far, and the lost file not created again yet.
+        // The zeroing was interrupted after the first file; the lost file is not recreated yet.
         Files.write(file(0), new byte[SIZE]);
         assertThat(open().blank()).isTrue();
         write();
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void filesThatGrowKeepTheirRecords() throws IOException {
+    void recordsSurviveEnlargingTheFiles() throws IOException {
         write();
         final SegmentStore larger =
                 FileSegmentStore.open(data.resolve("ring"), FILES, 2 * SIZE, Runnable::run, Runnable::run);
--- a/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
+++ b/spokestall/src/test/java/spokestall/storage/SegmentedLogPowerLossTest.java
@@ -12,49 +12,52 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** What is recovered after random power losses, which lose or tear any chunks of the commit in flight. */
+/** Recovery after random power losses, each of which loses or tears chunks of the commit in flight. */
 class SegmentedLogPowerLossTest {
-    /** Each key has the value that was synced last or one that was put since; it counts as synced from now on. */
+    /**
+     * Checks that each key has its last synced value or one that was put later, and marks the found value as synced for later
+     * checks.
+     */
     private static void verifyRecovered(
             final SegmentedLog log,
             final int keys,
             final Map<String, String> synced,
-            final Map<String, List<String>> maybe,
+            final Map<String, List<String>> unsynced,
             final String run) {
         for (int k = 0; k < keys; k++) {
             final String key = "key-" + k;
             final byte[] found = log.table().get(key);
             final String text = found == null ? null : new String(found, StandardCharsets.UTF_8);
-            final List<String> allowed = new ArrayList<>(maybe.getOrDefault(key, List.of()));
+            final List<String> allowed = new ArrayList<>(unsynced.getOrDefault(key, List.of()));
             allowed.add(synced.get(key));
             assertThat(allowed).as("%s of %s", key, run).contains(text);
             synced.put(key, text);
         }
-        maybe.clear();
+        unsynced.clear();
     }
 
     @Test
-    void syncedPutsSurviveAnyPowerLossAndNothingElseAppears() {
+    void eachRecoveredValueIsTheLastSyncedOrALaterPut() {
         long losses = 0;
         for (int seed = 0; seed < 60; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(6, 4096);
             SegmentedLog log = new SegmentedLog(disk);
             assertThat(log.blank()).isTrue();
-            // For each key the value that was synced last, and those that were put since.
+            // For each key, the last synced value, and the values put since.
             final Map<String, String> synced = new HashMap<>();
-            final Map<String, List<String>> maybe = new HashMap<>();
+            final Map<String, List<String>> unsynced = new HashMap<>();
             for (int step = 0; step < 1500; step++) {
                 final String key = "key-" + random.nextInt(12);
                 final String value = random.nextInt(5) == 0
                         ? null
                         : String.format("%03d/%05d", seed, step)
                                 + "x".repeat(random.nextBoolean() ? 20 : random.nextInt(200));
-                maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
+                unsynced.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
                 log.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
                     assertThat(ok).isTrue();
                     synced.put(key, value);
-                    maybe.get(key).remove(0);
+                    unsynced.get(key).remove(0);
                 });
                 if (random.nextInt(3) == 0) {
                     disk.sync();
@@ -63,36 +66,38 @@
                     disk.losePower(random);
                     log = new SegmentedLog(disk);
                     losses++;
-                    assertThat(log.blank() && !synced.isEmpty()).as("not blank").isFalse();
-                    verifyRecovered(log, 12, synced, maybe, "seed " + seed);
+                    assertThat(log.blank() && !synced.isEmpty())
+                            .as("blank after synced puts")
+                            .isFalse();
+                    verifyRecovered(log, 12, synced, unsynced, "seed " + seed);
                 }
             }
         }
         assertThat(losses).isGreaterThan(500);
     }
 
-    /** Records of up to a file, in a log that is nearly as full as it may be. */
+    /** Writes records of up to a segment's size to a log that is close to its capacity. */
     @Test
-    void largeRecordsOverwriteNothingThatRecoveryStillNeeds() {
+    void largeRecordsDoNotOverwriteRecordsThatRecoveryNeeds() {
         final int size = 4096;
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(8, size);
             SegmentedLog log = new SegmentedLog(disk);
-            final AtomicBoolean anything = new AtomicBoolean();
+            final AtomicBoolean anySynced = new AtomicBoolean();
             final Map<String, String> synced = new HashMap<>();
-            final Map<String, List<String>> maybe = new HashMap<>();
+            final Map<String, List<String>> unsynced = new HashMap<>();
             for (int step = 0; step < 400; step++) {
                 final String key = "key-" + random.nextInt(9);
                 final int bytes = random.nextInt(3) == 0 ? 20 + random.nextInt(size - 100) : random.nextInt(200);
                 final String value = random.nextInt(9) == 0 ? null : step + "/" + "x".repeat(bytes);
-                maybe.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
+                unsynced.computeIfAbsent(key, k -> new ArrayList<>()).add(value);
                 log.put(key, value == null ? null : value.getBytes(StandardCharsets.UTF_8), ok -> {
                     if (ok) {
                         synced.put(key, value);
-                        anything.set(true);
+                        anySynced.set(true);
                     }
-                    maybe.get(key).remove(value);
+                    unsynced.get(key).remove(value);
                 });
                 if (random.nextInt(4) == 0) {
                     disk.sync();
@@ -100,16 +105,16 @@
                 if (random.nextInt(40) == 0) {
                     disk.losePower(random);
                     log = new SegmentedLog(disk);
-                    assertThat(log.blank() && anything.get())
+                    assertThat(log.blank() && anySynced.get())
                             .as("blank, seed %s step %s", seed, step)
                             .isFalse();
-                    verifyRecovered(log, 9, synced, maybe, "seed " + seed + " step " + step);
+                    verifyRecovered(log, 9, synced, unsynced, "seed " + seed + " step " + step);
                 }
             }
         }
     }
 
-    /** A value of any length that begins with the number of its put. */
+    /** Returns a value that starts with the number of its put, followed by {@code bytes} zero bytes. */
     private static byte[] numbered(final int number, final int bytes) {
         return ByteBuffer.allocate(Integer.BYTES + bytes).putInt(number).array();
     }
@@ -120,13 +125,14 @@
     }
 
     @Test
-    void aPowerLossKeepsAPrefixOfThePuts() {
+    void recoveredPutsAreAPrefixOfAllPuts() {
         for (int seed = 0; seed < 100; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(8, 4096);
             SegmentedLog log = new SegmentedLog(disk);
             for (int step = 1; step <= 300; step++) {
-                // As a snapshot is put before the floor below which it makes other records superfluous.
+                // Mirrors the production order: a snapshot is put before the floor below which it replaces other
+                // records.
                 log.put("snapshot", numbered(step, random.nextInt(1500)), ok -> {});
                 log.put("floor", numbered(step, 0), ok -> {});
                 if (random.nextInt(3) == 0) {
@@ -143,9 +149,12 @@
         }
     }
 
-    /** Incarnations that end in their first commit, of which only what was written last is left. */
+    /**
+     * Power losses during an incarnation's first commit may leave only the commit's last chunks on disk. If a later incarnation
+     * reached the sequence numbers before these records, recovery could take them for its continuation.
+     */
     @Test
-    void recordsLeftBehindATornTailNeverFollowALaterIncarnationsRecords() {
+    void staleRecordsBeyondATornTailNeverReplaceSyncedOnes() {
         for (int seed = 0; seed < 300; seed++) {
             final Random random = new Random(seed);
             final ManualSegmentStore disk = new ManualSegmentStore(8, 1024);
@@ -159,7 +168,7 @@
                     disk.sync();
                     continue;
                 }
-                disk.losePowerBut(random.nextInt(3));
+                disk.losePowerDroppingFirst(random.nextInt(3));
                 log = new SegmentedLog(disk);
                 for (final Map.Entry<String, Integer> e : synced.entrySet()) {
                     assertThat(number(log, e.getKey()))
--- a/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
+++ b/testbed/src/main/java/spokestall/testbed/ConfigurationGrowth.java
@@ -12,9 +12,9 @@
 import spokestall.configuration.ConfigurationValidator;
 import spokestall.message.MessageCodec;
 
-/** What one more route costs a core and the feed, against how many there are. */
+/** Measures the cost of adding one route, at a core and in the feed, for configurations with different numbers of routes. */
 final class ConfigurationGrowth {
-    private static final int TURNS = 41;
+    private static final int SAMPLES = 41;
 
     private ConfigurationGrowth() {}
 
@@ -33,22 +33,22 @@
                             ConfigurationChange.Kind.PUT,
                             configuration(routes).toString().getBytes(StandardCharsets.UTF_8),
                             0));
-            final long[] us = new long[TURNS];
+            final long[] us = new long[SAMPLES];
             int bytes = 0;
-            for (int i = 0; i < TURNS; i++) {
+            for (int i = 0; i < SAMPLES; i++) {
                 final ConfigurationChange one = patch(i);
                 final long fromNs = System.nanoTime();
                 final JsonNode after = configurationStore.preview(one);
                 if (!rules.check(after, configurationStore.configuration().tree())
                         .isEmpty()) {
-                    throw new IllegalStateException("the policy is invalid");
+                    throw new IllegalStateException("the generated configuration is invalid");
                 }
                 configurationStore.apply(configurationStore.configuration().version() + 1, one);
                 us[i] = (System.nanoTime() - fromNs) / 1000;
                 bytes = MessageCodec.encodeRecord(one).length;
             }
             Arrays.sort(us);
-            final double cost = us[TURNS / 2];
+            final double cost = us[SAMPLES / 2];
             first = first == 0 || routes == 100 ? cost : first;
             System.out.printf(
                     "bindings=%d acceptAndApplyUs=%.0f overHundred=%.1f feedBytes=%d snapshotBytes=%d heapKiB=%d%n",
@@ -57,7 +57,7 @@
                     cost / first,
                     bytes,
                     MessageCodec.encodeRecord(configurationStore.snapshot()).length,
-                    heap(() -> {
+                    heapKiBPerStore(() -> {
                         final ConfigurationStore other = new ConfigurationStore(1024);
                         other.load(configurationStore.snapshot());
                         return other;
@@ -66,7 +66,7 @@
         return 0;
     }
 
-    private static long heap(final Supplier<ConfigurationStore> make) {
+    private static long heapKiBPerStore(final Supplier<ConfigurationStore> make) {
         final ConfigurationStore[] kept = new ConfigurationStore[8];
         System.gc();
         final long before =
@@ -86,7 +86,7 @@
             routes(configuration, i % Deployment.TENANTS)
                     .putObject("more" + i)
                     .put("path", "/more/" + i)
-                    .put("service", Deployment.PADMA.big);
+                    .put("service", Deployment.PADMA.largeService);
         }
         return configuration;
     }
@@ -97,7 +97,7 @@
     }
 
     private static ConfigurationChange patch(final int i) {
-        final ObjectNode patch = Deployment.routePatch("new" + i, "/new/" + i, Deployment.PADMA.big);
+        final ObjectNode patch = Deployment.routePatch("new" + i, "/new/" + i, Deployment.PADMA.largeService);
         return new ConfigurationChange(
                 "new" + i, ConfigurationChange.Kind.PATCH, patch.toString().getBytes(StandardCharsets.UTF_8), 0);
     }
--- a/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/RollingUpgrade.java
@@ -13,9 +13,9 @@
 import spokestall.testbed.verdict.FleetJudge;
 
 /**
- * A fleet of processes that begins with an older build and is replaced by this one under load, a node at a time: first the
- * cores, each on the data that the older build left, then the edges. The configuration is changed before, in the middle of
- * and after the replacement, and each change must be in force at nodes of both builds. All rules are judged.
+ * Upgrades a fleet of processes from an older build to this one under load, one node at a time: first the cores, each on the data that
+ * the older build wrote, then the edges. The configuration is changed before, during and after the upgrade, and each change must come
+ * into force at nodes of both builds. The judge checks all rules.
  */
 public final class RollingUpgrade {
     /** Flags of the command. */
@@ -23,7 +23,7 @@
         @Option(name = "--older", required = true, usage = "class path of the older build: its classes and libraries")
         private String olderClassPath;
 
-        @Option(name = "--older-main", usage = "its main class")
+        @Option(name = "--older-main", usage = "main class of the older build")
         private String olderMainClass = "spokestall.Main";
 
         @Option(name = "--deployment", usage = "padma or verde")
@@ -32,11 +32,11 @@
         @Option(name = "--seconds", usage = "how long clients send requests")
         private int seconds = 90;
 
-        @Option(name = "--folder", usage = "where settings, data and logs go")
+        @Option(name = "--folder", usage = "folder for settings, data and logs")
         private Path folder = Path.of("target", "fleet");
 
-        @Option(name = "--help", help = true, usage = "this page")
-        @SuppressWarnings("UnusedVariable") // args4j looks for the option, not at the field.
+        @Option(name = "--help", help = true, usage = "print this help")
+        @SuppressWarnings("UnusedVariable") // args4j needs the option; no code reads the field.
         private boolean help;
     }
 
@@ -46,26 +46,26 @@
 
     private RollingUpgrade() {}
 
-    /** Runs it; zero if every rule was kept, enough requests were served and all processes stopped cleanly. */
+    /** Runs the upgrade; returns 0 if no rule was violated, enough requests were served and all processes stopped cleanly. */
     public static int run(final Flags flags) throws Exception {
         final Path folder = flags.folder.resolve("upgrade-" + System.currentTimeMillis());
-        try (Fleet fleet = new Fleet(flags.deployment, folder, Deployment.DISTRICTS, 0)) {
+        try (Fleet fleet = new Fleet(flags.deployment, folder, Deployment.ZONES, 0)) {
             final NodeBuild older = new NodeBuild(flags.olderClassPath, flags.olderMainClass);
-            fleet.members().values().forEach(member -> fleet.build(member, older));
+            fleet.members().values().forEach(member -> fleet.useBuild(member, older));
             fleet.start();
-            fleet.ready(fleet.putConfiguration());
+            fleet.awaitReady(fleet.putConfiguration());
             final FleetJudge judge = new FleetJudge(fleet);
-            final Process clients = fleet.demand(flags.seconds, SERVED_RATIO_MIN);
-            Fleet.until(
+            final Process clients = fleet.startLoadGenerator(flags.seconds, SERVED_RATIO_MIN);
+            Fleet.waitUntil(
                     "requests arrive",
                     REQUESTS_WAIT_MS,
                     () -> fleet.ledger().began().size() > REQUESTS_BEFORE_UPGRADE);
             upgrade(fleet, flags.deployment);
             final int served = clients.waitFor();
             for (final FleetMember member : fleet.members().values()) {
-                fleet.freshAgain(member);
+                fleet.awaitFresh(member);
             }
-            judge.end();
+            judge.judgeRun();
             final boolean clean = fleet.stopAll();
             final List<String> broken = broken(judge);
             System.out.println("upgrade deployment=" + flags.deployment + " served=" + (served == 0 ? "good" : "bad")
@@ -91,29 +91,29 @@
         change(fleet, deployment, "all-of-this-build");
     }
 
-    /** Stops a node in order and starts this build with the same settings and data. */
+    /** Stops a node gracefully and starts this build with the same settings and data. */
     private static void replace(final Fleet fleet, final FleetMember member) throws IOException, InterruptedException {
         member.process.destroy();
         member.process.waitFor();
-        fleet.build(member, NodeBuild.THIS);
+        fleet.useBuild(member, NodeBuild.THIS);
         fleet.start(member);
-        fleet.freshAgain(member);
+        fleet.awaitFresh(member);
         System.out.println("upgraded " + member.name);
     }
 
-    /** Puts the configuration as another version and waits until every node has it. */
+    /** Submits the configuration as a new version and waits until every node applies it. */
     private static void change(final Fleet fleet, final Deployment deployment, final String changeId) {
         final ObjectNode configuration = deployment.configuration();
         final long version = fleet.putConfiguration(changeId, configuration);
-        fleet.ready(version);
+        fleet.awaitReady(version);
         System.out.println("changed " + changeId + " version=" + version);
     }
 
     private static List<String> broken(final FleetJudge judge) {
         final List<String> broken = new ArrayList<>();
         judge.judge().tallies().forEach((rule, tally) -> {
-            if (tally.broken > 0) {
-                broken.add(rule + " x" + tally.broken + " " + tally.first);
+            if (tally.violations > 0) {
+                broken.add(rule + " x" + tally.violations + " " + tally.firstViolation);
             }
         });
         return broken;
--- a/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/FaultHookNode.java
@@ -19,16 +19,16 @@
 import spokestall.usage.UsageReportClient;
 
 /**
- * The shipped node with a failing machine around it: while a file {@code stall}, {@code full} or {@code gap} stands in
- * the hook folder, its disk stalls, its disk takes nothing more, or it stands still between a report's check and its send.
+ * The shipped node with fault hooks. Files in the hook folder activate faults while they exist: with {@code stall} commits to disk wait,
+ * with {@code full} commits fail, and with {@code gap} the node pauses between the deadline check of a usage report and its send.
  */
 public final class FaultHookNode {
-    private static final long GAP_MS = 6500;
-    private static final Executor FRONT = Executors.newSingleThreadExecutor();
+    private static final long SEND_PAUSE_MS = 6500;
+    private static final Executor COMMITS = Executors.newSingleThreadExecutor();
 
     private FaultHookNode() {}
 
-    /** Example: {@code java ... spokestall.testbed.fleet.FaultHookNode core d1-core.json /tmp/hooks} */
+    /** Runs a node; the arguments are its role ({@code core} or {@code edge}), its settings file and the hook folder. */
     public static void main(final String[] args) throws Exception {
         ShutdownLogging.install();
         LogLineFormatter.install();
@@ -40,34 +40,39 @@
                 .halt(new NodeProcess(
                                 settings,
                                 core,
-                                new NodeProcess.Around() {
+                                new NodeProcess.Wrappers() {
                                     @Override
-                                    public SegmentStore disk(final SegmentStore disk) {
-                                        return new Hooked(disk, hooks);
+                                    public SegmentStore wrapStore(final SegmentStore disk) {
+                                        return new FaultyStore(disk, hooks);
                                     }
 
                                     @Override
-                                    public UsageReportClient platform(final UsageReportClient platform) {
+                                    public UsageReportClient wrapUsageReports(final UsageReportClient platform) {
                                         return (holder, token, window, waitMs, deadline, callback) -> platform.report(
-                                                holder, token, window, waitMs, gap(hooks, deadline), callback);
+                                                holder,
+                                                token,
+                                                window,
+                                                waitMs,
+                                                pauseBeforeSend(hooks, deadline),
+                                                callback);
                                     }
                                 },
-                                ProtocolAdapter.own())
+                                ProtocolAdapter.nativeAdapter())
                         .run());
     }
 
-    private static SendDeadline gap(final Path hooks, final SendDeadline deadline) {
+    private static SendDeadline pauseBeforeSend(final Path hooks, final SendDeadline deadline) {
         return () -> {
-            final long untilMs = deadline.latestMs();
+            final long latestMs = deadline.latestMs();
             if (Files.exists(hooks.resolve("gap"))) {
-                Fleet.pause(GAP_MS);
+                Fleet.pause(SEND_PAUSE_MS);
             }
-            return untilMs;
+            return latestMs;
         };
     }
 
-    /** A disk that is as the files in a folder say. */
-    private record Hooked(SegmentStore disk, Path hooks) implements SegmentStore {
+    /** A segment store that stalls or fails commits while the corresponding hook file exists. */
+    private record FaultyStore(SegmentStore disk, Path hooks) implements SegmentStore {
         @Override
         public int count() {
             return disk.count();
@@ -85,8 +90,8 @@
 
         @Override
         public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-            // Commits pile up behind a stall, in their order, as they do in front of a disk that doesn't answer.
-            FRONT.execute(() -> {
+            // During a stall commits queue in order, as they do in front of an unresponsive disk.
+            COMMITS.execute(() -> {
                 while (Files.exists(hooks.resolve("stall"))) {
                     Fleet.pause(20);
                 }
--- a/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/Fleet.java
@@ -34,13 +34,13 @@
 import spokestall.testbed.standin.UpstreamStandIn;
 import spokestall.testbed.verdict.Ledger;
 
-/** A fleet on one machine: real processes for the nodes, stand-ins for the world around them. */
+/** A fleet on one machine: real processes for the nodes, and stand-ins for the upstreams and the platform. */
 public final class Fleet implements AutoCloseable {
     private static final int PORTS_PER_NODE = 4;
-    private static final int SEEDS = 3;
+    private static final int SEED_COUNT = 3;
     /**
-     * How long a count may be without a majority of the cores before its edge refuses requests, unless a fleet's own settings say otherwise. All
-     * processes share one machine: beside other load an acknowledgement takes longer than the default of 200 ms there.
+     * How long a count may lack the acknowledgement of a majority of the cores before its edge rejects requests; a fleet's own settings
+     * override it. All processes share one machine, where under other load an acknowledgement takes longer than the default of 200 ms.
      */
     private static final int UNCOUNTED_MS = 500;
 
@@ -50,8 +50,8 @@
     private final Deployment deployment;
     private final Path folder;
     private final LinkConditions links;
-    private boolean hooked;
-    /** The build that members start with, where that isn't this one. */
+    private boolean faultHooksEnabled;
+    /** The builds of the members that don't run the testbed's own build. */
     private final Map<FleetMember, NodeBuild> builds = new HashMap<>();
 
     private final Ledger ledger = new Ledger();
@@ -63,9 +63,9 @@
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
-    /** Makes one stand-in for an upstream. */
-    interface Maker {
-        UpstreamInstance make(Deployment.Place place, int port);
+    /** Creates the stand-in for one upstream. */
+    interface UpstreamFactory {
+        UpstreamInstance create(Deployment.Place place, int port);
     }
 
     public Fleet(final Deployment deployment, final Path folder, final int zones, final long delayMs)
@@ -73,13 +73,13 @@
         this(deployment, folder, FleetLayout.relayed(zones, delayMs), deployment.upstreams(), null, Map.of());
     }
 
-    /** With a layout, upstreams other than the deployment's, and settings of its own. */
+    /** Creates a fleet with the given layout, upstreams and additional node settings; a null factory creates {@link UpstreamStandIn}s. */
     public Fleet(
             final Deployment deployment,
             final Path folder,
             final FleetLayout layout,
             final List<Deployment.Place> places,
-            final Maker maker,
+            final UpstreamFactory maker,
             final Map<String, String> more)
             throws IOException {
         this.deployment = deployment;
@@ -90,13 +90,13 @@
         final Iterator<Integer> ports =
                 freePorts(1 + places.size() + PORTS_PER_NODE * layout.nodes()).iterator();
         final int platformPort = ports.next();
-        platformAddress = local(platformPort);
+        platformAddress = loopbackAddress(platformPort);
         platform = new PlatformStandIn(platformPort, worker, ledger, () -> upstreams, 1000);
         for (final Deployment.Place place : places) {
             final int port = ports.next();
             upstreams.add(
                     maker != null
-                            ? maker.make(place, port)
+                            ? maker.create(place, port)
                             : new UpstreamStandIn(place, port, worker, ledger, 5, 60_000));
         }
         final List<MemberPorts> memberPorts = new ArrayList<>();
@@ -104,8 +104,8 @@
             memberPorts.add(new MemberPorts(ports.next(), ports.next(), ports.next(), ports.next()));
         }
         final List<String> seeds = new ArrayList<>();
-        for (int i = 0; i < SEEDS; i++) {
-            seeds.add(local(memberPorts.get((1 + layout.edgesPerZone()) * (i % layout.zones())).outside));
+        for (int i = 0; i < SEED_COUNT; i++) {
+            seeds.add(loopbackAddress(memberPorts.get((1 + layout.edgesPerZone()) * (i % layout.zones())).advertised));
         }
         final Iterator<MemberPorts> nextPorts = memberPorts.iterator();
         for (int zone = 0; zone < layout.zones(); zone++) {
@@ -115,14 +115,14 @@
         }
     }
 
-    /** The ports of one node: where others reach it, where it listens for them, for clients, and for operators. */
-    private record MemberPorts(int outside, int inside, int http, int operators) {}
+    /** The ports of one node: the port that other nodes connect to, the port it listens on for them, and those for clients and operators. */
+    private record MemberPorts(int advertised, int listen, int http, int operators) {}
 
-    private static String local(final int port) {
+    private static String loopbackAddress(final int port) {
         return "127.0.0.1:" + port;
     }
 
-    /** Adds a zone's core, which is its node 0, or one of its edges. */
+    /** Adds a zone's core, which is node 0 of the zone, or one of its edges. */
     private void addMember(
             final FleetLayout layout,
             final int zone,
@@ -136,12 +136,12 @@
         final String name = Deployment.zone(zone) + (core ? "-core" : node == 1 ? "-edge" : "-edge-" + node);
         final ObjectNode settings = JSON.createObjectNode()
                 .put("name", name)
-                .put("address", local(ports.outside))
-                .put("listen", local(relayed ? ports.inside : ports.outside))
-                .put("http", local(ports.http))
+                .put("address", loopbackAddress(ports.advertised))
+                .put("listen", loopbackAddress(relayed ? ports.listen : ports.advertised))
+                .put("http", loopbackAddress(ports.http))
                 .put("district", Deployment.zone(zone))
-                .put("operators", local(ports.operators))
-                .put("districts", Deployment.zones())
+                .put("operators", loopbackAddress(ports.operators))
+                .put("districts", Deployment.zoneSetting())
                 .put("seeds", String.join(",", seeds))
                 .put("platform", platformAddress)
                 .put("cores", layout.zones())
@@ -155,23 +155,23 @@
                 folder,
                 name,
                 core,
-                local(ports.http),
-                local(ports.operators),
-                relayed ? new LinkRelay(ports.outside, ports.inside, name, links) : null);
+                loopbackAddress(ports.http),
+                loopbackAddress(ports.operators),
+                relayed ? new LinkRelay(ports.advertised, ports.listen, name, links) : null);
         member.writeSettings(settings);
         members.put(name, member);
     }
 
     private static List<Integer> freePorts(final int count) throws IOException {
-        final List<ServerSocket> held = new ArrayList<>();
+        final List<ServerSocket> sockets = new ArrayList<>();
         final List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
             socket.setReuseAddress(true);
-            held.add(socket);
+            sockets.add(socket);
             ports.add(socket.getLocalPort());
         }
-        for (final ServerSocket socket : held) {
+        for (final ServerSocket socket : sockets) {
             socket.close();
         }
         return ports;
@@ -193,36 +193,36 @@
         return upstreams;
     }
 
-    /** Another upstream, cold, at the address of one that is gone; the platform lists it from now on. */
-    public String replace(final UpstreamStandIn old, final Deployment.Place place) {
+    /** Starts a cold upstream at the address of one that has stopped, and lists it at the platform; returns the new instance's name. */
+    public String replaceUpstream(final UpstreamStandIn old, final Deployment.Place place) {
         final int port = Integer.parseInt(old.address().substring(old.address().indexOf(':') + 1));
-        final UpstreamStandIn made = new UpstreamStandIn(place, port, worker, ledger, 5, 0);
+        final UpstreamStandIn replacement = new UpstreamStandIn(place, port, worker, ledger, 5, 0);
         upstreams.remove(old);
-        upstreams.add(made);
-        made.start();
+        upstreams.add(replacement);
+        replacement.start();
         return place.instance();
     }
 
-    /** The upstreams that can misbehave. */
+    /** Returns the upstreams as stand-ins whose behavior can be changed. */
     public List<UpstreamStandIn> standIns() {
         return upstreams.stream().map(UpstreamStandIn.class::cast).toList();
     }
 
-    /** Nodes are started with a failing machine around them. */
-    public void hooked() {
-        hooked = true;
+    /** Starts all nodes with fault hooks from now on. */
+    public void faultHooksEnabled() {
+        faultHooksEnabled = true;
     }
 
-    /** Has a member run this build from its next start on. */
-    public void build(final FleetMember member, final NodeBuild build) {
+    /** Sets the build that a member runs from its next start on. */
+    public void useBuild(final FleetMember member, final NodeBuild build) {
         builds.put(member, build);
     }
 
     /**
-     * Starts everything and waits until every node's process has logged its start. Launching processes takes as long as the machine
-     * needs for it; what the nodes do after that is waited for apart, by what they are held to.
+     * Starts the stand-ins and nodes, and waits until every node's process has logged its start. The time to launch processes depends on
+     * the machine, so callers apply the nodes' own time bounds only after this method returns.
      *
-     * @throws IllegalStateException if not all have started within {@link #STARTED_WAIT_MS}
+     * @throws IllegalStateException if not all processes have started within {@link #STARTED_WAIT_MS}
      */
     public void start() throws IOException {
         platform.start();
@@ -232,22 +232,24 @@
         for (final FleetMember m : members.values()) {
             start(m);
         }
-        until(
+        waitUntil(
                 "every process has logged its start",
                 STARTED_WAIT_MS,
                 () -> members.values().stream().allMatch(FleetMember::hasStarted));
     }
 
-    /** Starts a member's process, or starts it again. */
+    /** Starts or restarts a member's process. */
     public void start(final FleetMember member) throws IOException {
-        member.launch(builds.getOrDefault(member, hooked ? NodeBuild.HOOKED : NodeBuild.THIS), hooked);
-        links.node(member.name, member.process.pid());
+        member.launch(
+                builds.getOrDefault(member, faultHooksEnabled ? NodeBuild.WITH_FAULT_HOOKS : NodeBuild.THIS),
+                faultHooksEnabled);
+        links.registerProcess(member.name, member.process.pid());
     }
 
-    /** A setting of all nodes, from their next start on. */
-    public void set(final String key, final int value) throws IOException {
+    /** Changes a setting of all nodes; it applies from their next start on at the latest. */
+    public void changeSetting(final String key, final int value) throws IOException {
         for (final FleetMember member : members.values()) {
-            member.change(key, Integer.toString(value));
+            member.changeSetting(key, Integer.toString(value));
         }
     }
 
@@ -255,23 +257,23 @@
         return links;
     }
 
-    public List<String> names(final java.util.function.Predicate<FleetMember> which) {
-        return members.values().stream().filter(which).map(m -> m.name).toList();
+    public List<String> memberNames(final java.util.function.Predicate<FleetMember> filter) {
+        return members.values().stream().filter(filter).map(m -> m.name).toList();
     }
 
-    public Path recorded() {
+    public Path recordFile() {
         return folder.resolve("recorded");
     }
 
-    public JsonNode call(final String to, final String method, final ObjectNode params) {
+    public JsonNode call(final String address, final String method, final ObjectNode params) {
         try {
-            final HttpResponse<String> got = http.send(
-                    HttpRequest.newBuilder(URI.create("http://" + to + "/rpc/" + method))
+            final HttpResponse<String> response = http.send(
+                    HttpRequest.newBuilder(URI.create("http://" + address + "/rpc/" + method))
                             .timeout(Duration.ofSeconds(6))
                             .POST(HttpRequest.BodyPublishers.ofString(params.toString()))
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
-            return JSON.readTree(got.body());
+            return JSON.readTree(response.body());
         } catch (final IOException e) {
             return JSON.createObjectNode();
         } catch (final InterruptedException e) {
@@ -291,21 +293,21 @@
                 .orElseThrow();
     }
 
-    /** The core that holds the duty, as the cores see it. */
-    public FleetMember holder() {
+    /** Waits until the cores report a running lease holder and returns it. */
+    public FleetMember leaseHolder() {
         final String[] name = {""};
-        until("someone holds the duty", 20_000, () -> {
+        waitUntil("a core holds the lease", 20_000, () -> {
             name[0] = status(anyCore()).path("duty").path("holder").asText();
             return members.containsKey(name[0]) && members.get(name[0]).process.isAlive();
         });
         return members.get(name[0]);
     }
 
-    public void freshAgain(final FleetMember m) {
-        until(m.name + " is fresh", 20_000, () -> status(m).path("fresh").asBoolean());
+    public void awaitFresh(final FleetMember m) {
+        waitUntil(m.name + " is fresh", 20_000, () -> status(m).path("fresh").asBoolean());
     }
 
-    /** Puts the deployment's configuration, asking again with the same change id until the outcome is known. */
+    /** Submits the deployment's configuration, with retries under the same change id until it is accepted; returns its version. */
     public long putConfiguration() {
         return putConfiguration("first-policy", deployment.configuration());
     }
@@ -314,7 +316,7 @@
         final ObjectNode params = JSON.createObjectNode().put("changeId", changeId);
         params.set("policy", configuration);
         final long[] version = {-1};
-        until("the policy is accepted", 30_000, () -> {
+        waitUntil("the policy is accepted", 30_000, () -> {
             final String to = anyCore().operators;
             params.put(
                     "base",
@@ -329,17 +331,18 @@
         return version[0];
     }
 
-    /** Waits until every live node is fresh at this version and edges see upstreams. */
-    public void ready(final long version) {
-        until(
+    /** Waits until every running node is fresh at this version or a later one, and every running edge sees all upstreams as ready. */
+    public void awaitReady(final long version) {
+        waitUntil(
                 "every node is fresh at " + version,
                 30_000,
                 () -> members.values().stream().filter(FleetMember::isAlive).allMatch(m -> {
-                    final JsonNode s = status(m);
-                    return s.path("fresh").asBoolean() && s.path("version").asLong() >= version;
+                    final JsonNode status = status(m);
+                    return status.path("fresh").asBoolean()
+                            && status.path("version").asLong() >= version;
                 }));
-        until(
-                "edges see the upstreams",
+        waitUntil(
+                "edges see all upstreams as ready",
                 30_000,
                 () -> members.values().stream()
                         .filter(m -> !m.core)
@@ -355,17 +358,17 @@
                         }));
     }
 
-    public static void until(final String what, final long waitMs, final BooleanSupplier holds) {
+    public static void waitUntil(final String condition, final long waitMs, final BooleanSupplier holds) {
         final long endMs = System.nanoTime() / 1_000_000 + waitMs;
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() / 1_000_000 > endMs) {
-                throw new IllegalStateException("not within " + waitMs + " ms: " + what);
+                throw new IllegalStateException("not within " + waitMs + " ms: " + condition);
             }
             pause(POLL_MS);
         }
     }
 
-    /** Waits for a while. */
+    /** Sleeps on the calling thread; ignores interrupts. */
     public static void pause(final long ms) {
         final long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         while (System.nanoTime() < endNanos) {
@@ -373,14 +376,15 @@
         }
     }
 
-    /** Runs the load generator as a process and gives its exit code. */
-    public Process demand(final int seconds, final double least) throws IOException {
-        return demand(seconds, least, deployment.rate, recorded());
+    /** Starts the load generator as a process; its exit code is zero if enough requests were served. */
+    public Process startLoadGenerator(final int seconds, final double minServedRatio) throws IOException {
+        return startLoadGenerator(seconds, minServedRatio, deployment.ratePerS, recordFile());
     }
 
-    public Process demand(final int seconds, final double least, final int rate, final Path record) throws IOException {
+    public Process startLoadGenerator(final int seconds, final double minServedRatio, final int rate, final Path record)
+            throws IOException {
         final Path plan = folder.resolve("plan.json");
-        Files.writeString(plan, deployment.plan().toPrettyString());
+        Files.writeString(plan, deployment.loadPlan().toPrettyString());
         final String nodes = String.join(
                 ",",
                 members.values().stream().filter(m -> !m.core).map(m -> m.http).toList());
@@ -401,7 +405,7 @@
                         "--seconds",
                         Integer.toString(seconds),
                         "--least",
-                        Double.toString(least),
+                        Double.toString(minServedRatio),
                         "--echo",
                         "--record",
                         record.toString())
@@ -409,7 +413,7 @@
                 .start();
     }
 
-    /** Stops every node cleanly; true if all ended with 0 in time. */
+    /** Stops every node; returns whether all processes exited cleanly within 15 s each. */
     public boolean stopAll() throws InterruptedException {
         boolean clean = true;
         for (final FleetMember m : members.values()) {
--- a/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/LinkConditions.java
@@ -9,45 +9,48 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** The links between nodes' processes, each way by itself: cut, slow or lossy. A relay asks here for each piece. */
+/**
+ * The conditions of the links between the nodes' processes: cut, delayed or lossy. Cuts apply to each direction separately. A relay looks
+ * up the conditions for each chunk. Thread-safe.
+ */
 public final class LinkConditions {
     private final Set<String> cuts = ConcurrentHashMap.newKeySet();
     private final Map<String, Long> pids = new ConcurrentHashMap<>();
     private volatile long delayMs;
-    private volatile double loss;
+    private volatile double lossRatio;
 
     LinkConditions(final long delayMs) {
         this.delayMs = delayMs;
     }
 
-    void node(final String name, final long pid) {
+    void registerProcess(final String name, final long pid) {
         pids.put(name, pid);
     }
 
-    public void cut(final String from, final String to, final boolean now) {
-        if (now) {
+    public void setCut(final String from, final String to, final boolean isCut) {
+        if (isCut) {
             cuts.add(from + ">" + to);
         } else {
             cuts.remove(from + ">" + to);
         }
     }
 
-    /** Cuts two groups off from each other, or joins them again. */
-    public void part(final List<String> ones, final List<String> others, final boolean now) {
-        for (final String one : ones) {
-            for (final String other : others) {
-                cut(one, other, now);
-                cut(other, one, now);
+    /** Cuts all links between two groups of nodes in both directions, or restores them. */
+    public void setPartitioned(final List<String> group, final List<String> otherGroup, final boolean isCut) {
+        for (final String one : group) {
+            for (final String other : otherGroup) {
+                setCut(one, other, isCut);
+                setCut(other, one, isCut);
             }
         }
     }
 
-    public synchronized void lossy(final double share, final long extraMs) {
-        loss = share;
-        delayMs += extraMs;
+    public synchronized void setLoss(final double ratio, final long addedDelayMs) {
+        lossRatio = ratio;
+        delayMs += addedDelayMs;
     }
 
-    /** Whether any link is cut. */
+    /** Returns whether any link is cut. */
     boolean anyCut() {
         return !cuts.isEmpty();
     }
@@ -56,23 +59,23 @@
         return cuts.contains(from + ">" + to);
     }
 
-    /** How late the next piece is; what is lost comes late, as on TCP. */
-    long lateMs() {
+    /** Returns the delay of the next chunk. A lost chunk arrives 200 to 600 ms late, as after a TCP retransmission. */
+    long nextDelayMs() {
         final ThreadLocalRandom random = ThreadLocalRandom.current();
-        return delayMs + (loss > 0 && random.nextDouble() < loss ? 200 + random.nextInt(400) : 0);
+        return delayMs + (lossRatio > 0 && random.nextDouble() < lossRatio ? 200 + random.nextInt(400) : 0);
     }
 
-    /** Which node's process has a wire from this local port; the kernel's own tables tell. */
-    String who(final int port) {
+    /** Returns the node whose process has a connection from this local port, or {@code "?"}; reads the kernel's connection tables. */
+    String nodeWithLocalPort(final int port) {
         try {
-            final String end = String.format(":%04X", port);
+            final String addressSuffix = String.format(":%04X", port);
             for (final String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
                 for (final String line : Files.readAllLines(Path.of(table))) {
                     final String[] parts = line.trim().split("\\s+");
-                    if (parts.length > 9 && parts[1].endsWith(end)) {
-                        final String found = holder("socket:[" + parts[9] + "]");
-                        if (found != null) {
-                            return found;
+                    if (parts.length > 9 && parts[1].endsWith(addressSuffix)) {
+                        final String node = nodeWithSocket("socket:[" + parts[9] + "]");
+                        if (node != null) {
+                            return node;
                         }
                     }
                 }
@@ -83,17 +86,18 @@
         return "?";
     }
 
-    private String holder(final String socket) {
-        for (final Map.Entry<String, Long> one : pids.entrySet()) {
-            try (var all = Files.newDirectoryStream(Path.of("/proc", Long.toString(one.getValue()), "fd"))) {
-                for (final Path fd : all) {
+    private String nodeWithSocket(final String socket) {
+        for (final Map.Entry<String, Long> process : pids.entrySet()) {
+            try (var descriptors =
+                    Files.newDirectoryStream(Path.of("/proc", Long.toString(process.getValue()), "fd"))) {
+                for (final Path fd : descriptors) {
                     if (Files.isSymbolicLink(fd)
                             && Files.readSymbolicLink(fd).toString().equals(socket)) {
-                        return one.getKey();
+                        return process.getKey();
                     }
                 }
             } catch (final IOException e) {
-                // The process, or the descriptor, went away while it was looked at.
+                // The process ended or closed the descriptor during the lookup.
             }
         }
         return null;
--- a/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
+++ b/testbed/src/main/java/spokestall/testbed/fleet/RawClient.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A client that writes and reads bytes on one connection. Not thread-safe. */
+/** An HTTP client that writes and reads raw bytes on one connection. Not thread-safe. */
 public final class RawClient implements AutoCloseable {
-    /** One answer as it came. */
-    public record Got(int status, List<String> headers, String body) {
-        /** The first header of a name, or null. */
+    /** One response as received, without decoding. */
+    public record Response(int status, List<String> headers, String body) {
+        /** Returns the value of the first header with this name, or null. */
         public String header(final String name) {
-            final List<String> all = all(name);
+            final List<String> all = headerValues(name);
             return all.isEmpty() ? null : all.get(0);
         }
 
-        /** All headers of a name. */
-        public List<String> all(final String name) {
+        /** Returns the values of all headers with this name. */
+        public List<String> headerValues(final String name) {
             final String start = name.toLowerCase(Locale.ROOT) + ":";
             return headers.stream()
                     .filter(h -> h.toLowerCase(Locale.ROOT).startsWith(start))
@@ -28,8 +28,8 @@
                     .toList();
         }
 
-        /** The numbered result code, or null. */
-        public String code() {
+        /** Returns the numbered result code, or null. */
+        public String resultCode() {
             return header("Spokestall-Code");
         }
     }
@@ -39,61 +39,61 @@
     private final InputStream in;
 
     /**
-     * Connects.
+     * Connects to a server.
      *
-     * @param to host and port
-     * @throws IOException if nobody listens there
+     * @param address host and port
+     * @throws IOException if the connection fails
      */
-    public RawClient(final String to) throws IOException {
-        final int colon = to.indexOf(':');
-        socket = new Socket(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1)));
+    public RawClient(final String address) throws IOException {
+        final int colon = address.indexOf(':');
+        socket = new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
         socket.setTcpNoDelay(true);
         socket.setSoTimeout(20_000);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** A request id that no other request of this process has. */
-    public static synchronized String freshId() {
+    /** Returns a request id that is unique within this process. */
+    public static synchronized String nextRequestId() {
         return "raw-" + ++requests;
     }
 
-    /** The head of an ask, without its empty line. */
+    /** Returns the head of a request, without the empty line at its end. */
     public static String head(final String method, final String target, final String key, final String id) {
         return method + " " + target + " HTTP/1.1\r\nHost: edge\r\nSpokestall-Key: " + key + "\r\nSpokestall-Ask-Id: "
                 + id + "\r\nSpokestall-Deadline-Ms: 4000\r\n";
     }
 
-    /** Writes characters as bytes. */
-    public void send(final String latin) throws IOException {
-        socket.getOutputStream().write(latin.getBytes(StandardCharsets.ISO_8859_1));
+    /** Writes the characters as ISO 8859-1 bytes. */
+    public void send(final String latin1) throws IOException {
+        socket.getOutputStream().write(latin1.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer; null when the wire ended instead. */
-    public Got got(final boolean ofHead) throws IOException {
-        final String line = line();
+    /** Reads the next response; returns null if the connection ended instead. */
+    public Response readResponse(final boolean toHeadRequest) throws IOException {
+        final String line = readLine();
         if (line == null) {
             return null;
         }
         final List<String> headers = new ArrayList<>();
-        String header = line();
+        String header = readLine();
         while (header != null && !header.isEmpty()) {
             headers.add(header);
-            header = line();
+            header = readLine();
         }
-        final Got got = new Got(Integer.parseInt(line.split(" ")[1]), headers, "");
-        final String length = got.header("Content-Length");
-        final boolean none = ofHead || length == null || got.status == 304 || got.status == 204;
-        final byte[] body = none ? new byte[0] : in.readNBytes(Integer.parseInt(length));
-        return new Got(got.status, headers, new String(body, StandardCharsets.ISO_8859_1));
+        final Response response = new Response(Integer.parseInt(line.split(" ")[1]), headers, "");
+        final String length = response.header("Content-Length");
+        final boolean withoutBody = toHeadRequest || length == null || response.status == 304 || response.status == 204;
+        final byte[] body = withoutBody ? new byte[0] : in.readNBytes(Integer.parseInt(length));
+        return new Response(response.status, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer to a request that wasn't HEAD; null when the connection ended instead. */
-    public Got got() throws IOException {
-        return got(false);
+    /** Reads the next response to a request other than HEAD; returns null if the connection ended instead. */
+    public Response readResponse() throws IOException {
+        return readResponse(false);
     }
 
-    /** Whether the other side has ended the wire, waited for. */
-    boolean ended() throws IOException {
+    /** Waits for the next byte or the end of the connection; returns whether the peer closed or reset the connection. */
+    boolean isClosedByPeer() throws IOException {
         try {
             return in.read() < 0;
         } catch (final java.net.SocketException reset) {
@@ -101,21 +101,25 @@
         }
     }
 
-    /** Whether the other side has closed the wire, not reset it, waited for. */
-    boolean endedInOrder() throws IOException {
+    /**
+     * Waits for the next byte or the end of the connection; returns whether the peer closed the connection.
+     *
+     * @throws IOException if the peer reset the connection
+     */
+    boolean isClosedWithoutReset() throws IOException {
         return in.read() < 0;
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         final StringBuilder out = new StringBuilder();
-        int one = in.read();
-        while (one >= 0 && one != '\n') {
-            if (one != '\r') {
-                out.append((char) one);
+        int next = in.read();
+        while (next >= 0 && next != '\n') {
+            if (next != '\r') {
+                out.append((char) next);
             }
-            one = in.read();
+            next = in.read();
         }
-        return one < 0 ? null : out.toString();
+        return next < 0 ? null : out.toString();
     }
 
     @Override
--- a/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/MessageForger.java
@@ -10,14 +10,17 @@
 import spokestall.message.MessageCodec;
 import spokestall.testbed.fault.InjectedFault;
 
-/** Alters messages on their way, for the planted faults that need it. */
+/** Alters messages in transit, for the injected faults that need it. */
 final class MessageForger {
     private static final long HOUR_MS = 3_600_000;
 
     private MessageForger() {}
 
-    /** The note as it arrives under a plant. */
-    static Message altered(final InjectedFault injectedFault, final Message message) {
+    /**
+     * Returns the message that arrives under an injected fault. With LEAPING_CHANGES, the acceptance times of configuration changes
+     * advance by an hour with each change.
+     */
+    static Message alter(final InjectedFault injectedFault, final Message message) {
         if (injectedFault != InjectedFault.LEAPING_CHANGES) {
             return message;
         }
@@ -29,39 +32,43 @@
                     a.epoch(),
                     a.key(),
                     a.proposalNumber(),
-                    leapt(ConfigurationKeys.versionOf(a.key()), a.value()));
+                    withLeapedTime(ConfigurationKeys.versionOf(a.key()), a.value()));
         }
         if (message instanceof FeedMessage.FeedUpdate n && n.encodedChange() != null) {
-            return new FeedMessage.FeedUpdate(n.version(), leapt(n.version(), n.encodedChange()));
+            return new FeedMessage.FeedUpdate(n.version(), withLeapedTime(n.version(), n.encodedChange()));
         }
         return message;
     }
 
-    private static byte[] leapt(final long version, final byte[] value) {
+    private static byte[] withLeapedTime(final long version, final byte[] value) {
         final ConfigurationChange c = MessageCodec.decodeRecord(value, ConfigurationChange.class);
         final long changes = version & (1L << VoterSet.GENERATION_SHIFT) - 1;
         return MessageCodec.encodeRecord(new ConfigurationChange(
                 c.changeId(), c.kind(), c.json(), SimulatedWorld.EPOCH_MS + changes * HOUR_MS, c.earlierChanges()));
     }
 
-    /** The proof that an asker hears in place of one that can't reach it, or null where the note asks for none. */
-    static Message proof(final Message message, final SimulatedNode asker, final SimulatedNode core) {
+    /**
+     * Returns the freshness response that a node receives in place of the core's own, which can't reach it, or null if the message
+     * requests none or the core has no state to answer from.
+     */
+    static Message forgeFreshnessResponse(
+            final Message message, final SimulatedNode requester, final SimulatedNode core) {
         final long requestId = message instanceof FeedMessage.FreshnessRequest p
                 ? p.requestId()
                 : message instanceof FeedMessage.FeedRequest f ? f.requestId() : 0;
-        if (requestId == 0 || !core.up() || core.node().acceptor() == null) {
+        if (requestId == 0 || !core.isUp() || core.node().acceptor() == null) {
             return null;
         }
-        final VoterSet table = core.node().acceptor().voterSet();
+        final VoterSet voterSet = core.node().acceptor().voterSet();
         return new FeedMessage.FreshnessResponse(
                 core.name,
                 requestId,
-                table.generation(),
-                table.epoch(),
+                voterSet.generation(),
+                voterSet.epoch(),
                 Fingerprints.of(core.node().acceptor().diskId()),
                 true,
                 false,
-                asker.node().configurationStore().configuration().version(),
+                requester.node().configurationStore().configuration().version(),
                 0);
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/ScenarioSweep.java
@@ -14,35 +14,38 @@
 
 /** Runs scenarios over a range of seeds and prints, for each rule, checks, violations and the worst margin. */
 public final class ScenarioSweep {
-    /** What came of one run. */
+    /** Result and figures of one run. */
     public record Outcome(
             Scenario scenario,
             Deployment deployment,
             long seed,
-            boolean up,
+            boolean started,
             long digest,
-            double playShare,
-            double lastShare,
-            double lacking,
-            double commits,
-            double takeover,
-            double feed,
-            double edges,
-            double upstreams,
-            double inDeadline,
-            String byTenant,
+            double scenarioSuccessShare,
+            double finalSuccessShare,
+            double missingRegisterShare,
+            double commitsPerOrder,
+            double longestTakeover,
+            double propagationShare,
+            double edgeImbalance,
+            double upstreamImbalance,
+            double inDeadlineShare,
+            String successByTenantSize,
             long[] recoveryMs,
-            long recoverMaxMs,
+            long maxRecoveryMs,
             Map<Rule, Judge.Tally> tallies) {}
 
-    /** Whether asks ran again, a report had come and all voters voted in time; null if so. */
-    static String notBack(final Outcome o) {
-        if (!o.up || o.lastShare < 0.95) {
-            return "up=" + o.up + " lastShare=" + o.lastShare;
+    /**
+     * Returns why the fleet did not recover in time, or null if it did. A recovered fleet serves requests, has sent a usage report,
+     * and all its voters vote.
+     */
+    static String recoveryFailure(final Outcome o) {
+        if (!o.started || o.finalSuccessShare < 0.95) {
+            return "up=" + o.started + " lastShare=" + o.finalSuccessShare;
         }
         for (final long ms : o.recoveryMs) {
-            if (ms < 0 || ms > o.recoverMaxMs) {
-                return "recoverMs=" + Arrays.toString(o.recoveryMs) + " most " + o.recoverMaxMs;
+            if (ms < 0 || ms > o.maxRecoveryMs) {
+                return "recoverMs=" + Arrays.toString(o.recoveryMs) + " most " + o.maxRecoveryMs;
             }
         }
         return null;
@@ -58,7 +61,7 @@
 
     private ScenarioSweep() {}
 
-    public static Outcome one(
+    public static Outcome runOne(
             final long seed, final Deployment deployment, final Scenario scenario, final InjectedFault injectedFault) {
         final SimulationRun run = new SimulationRun(seed, deployment, scenario, false, injectedFault);
         final boolean up = run.play();
@@ -68,22 +71,25 @@
                 seed,
                 up,
                 run.world.sim.digest(),
-                run.playShare(),
-                run.lastShare(),
-                run.lacking(),
+                run.scenarioSuccessShare(),
+                run.finalSuccessShare(),
+                run.missingRegisterShare(),
                 run.commitsPerOrder(),
-                run.takeover(),
-                run.operator.slowestMs / 4000.0,
-                run.unevenEdges(),
-                run.unevenUpstreams(),
-                run.inDeadline(),
-                run.byTenant(),
+                run.longestTakeover(),
+                run.operator.slowestPropagationMs / 4000.0,
+                run.edgeImbalance(),
+                run.upstreamImbalance(),
+                run.inDeadlineShare(),
+                run.successByTenantSize(),
                 run.recoveryMs(),
-                run.recoverMaxMs(),
+                run.maxRecoveryMs(),
                 run.world.judge.tallies());
     }
 
-    /** The number of violations and of runs that did not come back. */
+    /**
+     * Runs the scenarios and prints the results. Returns the number of failures: each rule that a run broke, each run that did not
+     * recover in time, and each run that ended in an exception.
+     */
     public static int run(
             final List<Scenario> scenarios,
             final List<Deployment> deployments,
@@ -104,14 +110,14 @@
                     final long s = seed;
                     pool.execute(() -> {
                         try {
-                            final Outcome o = one(s, deployment, scenario, injectedFault);
+                            final Outcome o = runOne(s, deployment, scenario, injectedFault);
                             synchronized (sums) {
                                 bad[0] += add(o, sums);
                             }
                         } catch (final RuntimeException | AssertionError e) {
                             synchronized (sums) {
                                 bad[0]++;
-                                System.out.println("FAULT " + again(scenario, deployment, s) + " " + e);
+                                System.out.println("FAULT " + command(scenario, deployment, s) + " " + e);
                                 e.printStackTrace(System.out);
                             }
                         }
@@ -128,36 +134,37 @@
                 sum.checks,
                 sum.broken,
                 sum.worst,
-                rule.nearMs == 0 ? sum.worst : sum.worst * rule.nearMs / rule.farMs,
+                rule.strictBoundMs == 0 ? sum.worst : sum.worst * rule.strictBoundMs / rule.lenientBoundMs,
                 sum.worstRun,
                 sum.worstWhat));
         return bad[0];
     }
 
-    static String again(final Scenario scenario, final Deployment deployment, final long seed) {
+    static String command(final Scenario scenario, final Deployment deployment, final long seed) {
         return "bin/testbed sim --scenario " + scenario + " --deployment " + deployment + " --seeds " + seed + "-"
                 + seed;
     }
 
     private static int add(final Outcome o, final Map<Rule, Sum> sums) {
-        final String again = again(o.scenario, o.deployment, o.seed);
+        final String again = command(o.scenario, o.deployment, o.seed);
         int bad = 0;
-        if (notBack(o) != null) {
-            System.out.println("NOT BACK " + again + " " + notBack(o));
+        if (recoveryFailure(o) != null) {
+            System.out.println("NOT BACK " + again + " " + recoveryFailure(o));
             bad++;
         }
         for (final Map.Entry<Rule, Judge.Tally> e : o.tallies.entrySet()) {
             final Sum sum = sums.get(e.getKey());
             final Judge.Tally t = e.getValue();
             sum.checks += t.checks;
-            sum.broken += t.broken;
-            if (t.worst > sum.worst) {
-                sum.worst = t.worst;
+            sum.broken += t.violations;
+            if (t.worstShare > sum.worst) {
+                sum.worst = t.worstShare;
                 sum.worstRun = again;
-                sum.worstWhat = t.worstWhat;
+                sum.worstWhat = t.worstCase;
             }
-            if (t.broken > 0) {
-                System.out.println("BROKEN " + e.getKey() + " x" + t.broken + " " + again + " first " + t.first);
+            if (t.violations > 0) {
+                System.out.println(
+                        "BROKEN " + e.getKey() + " x" + t.violations + " " + again + " first " + t.firstViolation);
                 bad++;
             }
         }
@@ -168,16 +175,16 @@
                 o.deployment,
                 o.seed,
                 o.digest,
-                o.playShare,
-                o.lastShare,
-                o.lacking,
-                o.commits,
-                o.takeover,
-                o.feed,
-                o.edges,
-                o.upstreams,
-                o.inDeadline,
-                o.byTenant,
+                o.scenarioSuccessShare,
+                o.finalSuccessShare,
+                o.missingRegisterShare,
+                o.commitsPerOrder,
+                o.longestTakeover,
+                o.propagationShare,
+                o.edgeImbalance,
+                o.upstreamImbalance,
+                o.inDeadlineShare,
+                o.successByTenantSize,
                 Arrays.toString(o.recoveryMs));
         return bad;
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedDisk.java
@@ -7,31 +7,31 @@
 import java.util.function.Consumer;
 import spokestall.storage.SegmentStore;
 
-/** A disk that keeps what was synced, may lose or tear what was not, stalls, fails and can be wiped. */
+/** Simulated disk. It keeps synced writes, may lose or tear unsynced ones, and can stall, fail, fill up and be wiped. */
 public final class SimulatedDisk implements SegmentStore {
     private final VirtualTime sim;
     private final Random random;
     private final int size;
-    private final byte[][] down;
-    private final List<Chunk> flying = new ArrayList<>();
+    private final byte[][] synced;
+    private final List<Chunk> unsynced = new ArrayList<>();
     private long stalledUntilMs;
-    private long slowMs = 2;
+    private long latencyMs = 2;
     private boolean failing;
     private boolean full;
-    private boolean lied;
+    private boolean ackedBeforeSync;
     private long commits;
-    private boolean wiped = true;
+    private boolean blank = true;
 
     SimulatedDisk(final VirtualTime sim, final Random random, final int count, final int size) {
         this.sim = sim;
         this.random = random;
         this.size = size;
-        this.down = new byte[count][size];
+        this.synced = new byte[count][size];
     }
 
     @Override
     public int count() {
-        return down.length;
+        return synced.length;
     }
 
     @Override
@@ -41,16 +41,17 @@
 
     @Override
     public byte[] read(final int segment) {
-        return failing ? null : down[segment].clone();
+        return failing ? null : synced[segment].clone();
     }
 
     @Override
     public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-        throw new IllegalStateException("through a life only");
+        throw new IllegalStateException("commits go through the store of an incarnation");
     }
 
-    /** The same disk as seen by one life of a node: what comes back after its death is dropped. */
-    SegmentStore incarnation(final BooleanSupplier alive, final Consumer<Runnable> back, final boolean lies) {
+    /** Returns the store for one incarnation of a node. Completions that are due after the incarnation ended are dropped. */
+    SegmentStore incarnation(
+            final BooleanSupplier alive, final Consumer<Runnable> onNode, final boolean acksBeforeSync) {
         final SimulatedDisk disk = this;
         return new SegmentStore() {
             @Override
@@ -70,7 +71,7 @@
 
             @Override
             public void commit(final List<Chunk> chunks, final Consumer<Boolean> done) {
-                disk.commit(chunks, done, alive, back, lies);
+                disk.commit(chunks, done, alive, onNode, acksBeforeSync);
             }
         };
     }
@@ -79,97 +80,98 @@
             final List<Chunk> chunks,
             final Consumer<Boolean> done,
             final BooleanSupplier alive,
-            final Consumer<Runnable> back,
-            final boolean lies) {
+            final Consumer<Runnable> onNode,
+            final boolean acksBeforeSync) {
         commits++;
-        lied = lies;
-        if (lies) {
-            // Says at once that all is down, and gets it down seconds later, as a cache without a battery would.
-            flying.addAll(chunks);
+        ackedBeforeSync = acksBeforeSync;
+        if (acksBeforeSync) {
+            // Acknowledges the commit at once and writes it seconds later, like a disk cache without a battery.
+            unsynced.addAll(chunks);
             sim.after(4000, () -> {
                 if (alive.getAsBoolean()) {
-                    flying.removeAll(chunks);
-                    chunks.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
+                    unsynced.removeAll(chunks);
+                    chunks.forEach(
+                            p -> System.arraycopy(p.bytes(), 0, synced[p.segment()], p.offset(), p.bytes().length));
                 }
             });
-            sim.after(1, () -> back.accept(() -> done.accept(true)));
+            sim.after(1, () -> onNode.accept(() -> done.accept(true)));
             return;
         }
-        flying.addAll(chunks);
-        final long waitMs = Math.max(0, stalledUntilMs - sim.nowMs()) + 1 + random.nextInt((int) slowMs);
+        unsynced.addAll(chunks);
+        final long waitMs = Math.max(0, stalledUntilMs - sim.nowMs()) + 1 + random.nextInt((int) latencyMs);
         sim.after(waitMs, () -> {
             if (!alive.getAsBoolean()) {
                 return;
             }
             final boolean ok = !failing && !full;
-            flying.removeAll(chunks);
+            unsynced.removeAll(chunks);
             if (ok) {
-                chunks.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
+                chunks.forEach(p -> System.arraycopy(p.bytes(), 0, synced[p.segment()], p.offset(), p.bytes().length));
             }
-            back.accept(() -> done.accept(ok));
+            onNode.accept(() -> done.accept(ok));
         });
     }
 
-    /** The power goes: each write that was not synced is there whole, in part, or not at all. */
+    /** Simulates a power loss: each unsynced write is kept whole, in part or not at all. */
     void losePower() {
-        if (lied) {
-            flying.clear();
+        if (ackedBeforeSync) {
+            unsynced.clear();
         }
-        for (final Chunk p : flying) {
+        for (final Chunk p : unsynced) {
             final int kept = switch (random.nextInt(3)) {
                 case 0 -> 0;
                 case 1 -> random.nextInt(p.bytes().length + 1);
                 default -> p.bytes().length;
             };
-            System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), kept);
+            System.arraycopy(p.bytes(), 0, synced[p.segment()], p.offset(), kept);
         }
-        flying.clear();
+        unsynced.clear();
     }
 
-    /** The process alone goes: what it had written is in the machine's memory and gets down. */
+    /** Simulates the end of the process alone: the operating system still writes the unsynced data to the disk. */
     void loseProcess() {
-        flying.forEach(p -> System.arraycopy(p.bytes(), 0, down[p.segment()], p.at(), p.bytes().length));
-        flying.clear();
+        unsynced.forEach(p -> System.arraycopy(p.bytes(), 0, synced[p.segment()], p.offset(), p.bytes().length));
+        unsynced.clear();
     }
 
-    /** Neither failing, full nor in a stall. */
-    boolean working() {
+    /** Returns whether the disk is neither failing, full nor stalled. */
+    boolean isWorking() {
         return !failing && !full && sim.nowMs() >= stalledUntilMs;
     }
 
-    /** Whether it was wiped and nothing that counts was written since. */
-    boolean blank() {
-        return wiped;
+    /** Returns whether the disk is new or was wiped, and no voter has voted from it since. */
+    boolean isBlank() {
+        return blank;
     }
 
-    /** A voter votes from it again. */
-    void written() {
-        wiped = false;
+    /** Records that a voter votes from this disk, which ends its being blank. */
+    void markWritten() {
+        blank = false;
     }
 
     public void wipe() {
-        wiped = true;
-        flying.clear();
-        for (int i = 0; i < down.length; i++) {
-            down[i] = new byte[size];
+        blank = true;
+        unsynced.clear();
+        for (int i = 0; i < synced.length; i++) {
+            synced[i] = new byte[size];
         }
         failing = false;
         full = false;
     }
 
-    /** All that is on it now. */
+    /** Returns a copy of the synced contents. */
     byte[][] copy() {
-        final byte[][] copy = new byte[down.length][];
-        for (int i = 0; i < down.length; i++) {
-            copy[i] = down[i].clone();
+        final byte[][] copy = new byte[synced.length][];
+        for (int i = 0; i < synced.length; i++) {
+            copy[i] = synced[i].clone();
         }
         return copy;
     }
 
-    /** Puts it back to what it was. */
+    /** Restores contents that {@link #copy} returned. */
     void restore(final byte[][] copy) {
-        for (int i = 0; i < down.length; i++) {
-            down[i] = copy[i].clone();
+        for (int i = 0; i < synced.length; i++) {
+            synced[i] = copy[i].clone();
         }
     }
 
@@ -177,21 +179,21 @@
         stalledUntilMs = sim.nowMs() + spanMs;
     }
 
-    void slow(final long ms) {
-        slowMs = Math.max(1, ms);
+    void setLatency(final long ms) {
+        latencyMs = Math.max(1, ms);
     }
 
-    public void fill(final boolean now) {
+    public void setFull(final boolean now) {
         full = now;
     }
 
-    void fail(final boolean now) {
+    void setFailing(final boolean now) {
         failing = now;
     }
 
-    /** Turns a byte of what had been synced, as a bad sector would. */
-    void rot(final int segment, final int at) {
-        down[segment][at] ^= 0x55;
+    /** Corrupts one byte of the synced contents, like a bad sector. */
+    void corrupt(final int segment, final int at) {
+        synced[segment][at] ^= 0x55;
     }
 
     long commits() {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedEnvironment.java
@@ -32,7 +32,7 @@
 /** The upstreams and the platform of a simulated run. */
 final class SimulatedEnvironment {
     /** One upstream process. */
-    static final class Up {
+    static final class Upstream {
         final String instance;
         final String service;
         final String address;
@@ -42,17 +42,17 @@
         boolean running = true;
         boolean leaving;
         boolean listed = true;
-        UpstreamStandIn.Manner manner = UpstreamStandIn.Manner.WELL;
-        /** How long one ask keeps it busy, one at a time; 0 is without limit. */
-        long eachMs;
+        UpstreamStandIn.Behavior behavior = UpstreamStandIn.Behavior.WELL;
+        /** Service time of one request; requests are served one at a time. 0 means unlimited capacity. */
+        long serviceTimeMs;
 
-        /** Whether it rejects every second attempt and runs nothing of it. */
+        /** Whether the upstream rejects every second attempt without running it. */
         boolean rejectsHalf;
 
         private long busyUntilMs;
-        private int turns;
+        private int attempts;
 
-        Up(
+        Upstream(
                 final String instance,
                 final String service,
                 final String address,
@@ -68,27 +68,27 @@
         }
 
         private boolean rejectsNext() {
-            return rejectsHalf && ++turns % 2 == 0;
+            return rejectsHalf && ++attempts % 2 == 0;
         }
     }
 
     private final SimulatedWorld world;
     private final Random random;
-    private final Map<String, Up> byAddress = new TreeMap<>();
-    private final Map<String, Up> byInstance = new LinkedHashMap<>();
-    private final Map<String, Integer> turns = new TreeMap<>();
-    private List<ListedEndpoint> list = new ArrayList<>();
-    /** Whether the platform reckons the rest of a warm-up when it answers, half way between call and answer. */
-    private boolean reckonsWarmUpOnAnswer;
+    private final Map<String, Upstream> byAddress = new TreeMap<>();
+    private final Map<String, Upstream> byInstance = new LinkedHashMap<>();
+    private final Map<String, Integer> attemptCounts = new TreeMap<>();
+    private List<ListedEndpoint> listedEndpoints = new ArrayList<>();
+    /** Whether the platform computes the remaining warm-up when it answers, halfway between call and response. */
+    private boolean computesWarmUpOnAnswer;
 
-    private int made;
-    private long lastGapMs = -20_000;
+    private int upstreamsMade;
+    private long lastReportFreezeMs = -20_000;
 
     SimulatedEnvironment(final SimulatedWorld world) {
         this.world = world;
         this.random = world.sim.random("outside");
         for (final Deployment.Place p : world.deployment.upstreams()) {
-            add(p.service(), address(made), p.zone(), p.region(), -60_000);
+            add(p.service(), address(upstreamsMade), p.zone(), p.region(), -60_000);
         }
         refresh();
     }
@@ -97,24 +97,25 @@
         return "10.1." + (i / 200) + "." + (i % 200 + 1) + ":80";
     }
 
-    Up add(final String service, final String address, final String zone, final String region, final long readyAtMs) {
-        final Up up = new Up(service + "-" + made++, service, address, zone, region, readyAtMs);
+    Upstream add(
+            final String service, final String address, final String zone, final String region, final long readyAtMs) {
+        final Upstream up = new Upstream(service + "-" + upstreamsMade++, service, address, zone, region, readyAtMs);
         byAddress.put(address, up);
         byInstance.put(up.instance, up);
         world.net.place(address, region);
         return up;
     }
 
-    /** A new instance at a fresh address in the place of one. */
-    Up replace(final Up old) {
-        return add(old.service, address(made), old.zone, old.region, world.sim.nowMs());
+    /** Starts a new instance at a new address as the replacement of an old one. */
+    Upstream replace(final Upstream old) {
+        return add(old.service, address(upstreamsMade), old.zone, old.region, world.sim.nowMs());
     }
 
-    List<Up> running() {
+    List<Upstream> running() {
         return byInstance.values().stream().filter(u -> u.running && !u.leaving).toList();
     }
 
-    void stop(final Up up) {
+    void stop(final Upstream up) {
         world.sim.trace("upstream " + up.instance + " stops");
         up.running = false;
         if (byAddress.get(up.address) == up) {
@@ -122,7 +123,7 @@
         }
     }
 
-    /** The platform's list is made anew now and then, so it lags. */
+    /** Rebuilds the platform's list of endpoints every 500 to 1500 ms, so that the list lags behind. */
     private void refresh() {
         final List<ListedEndpoint> now = new ArrayList<>();
         byInstance.values().forEach(u -> {
@@ -131,16 +132,16 @@
                         u.instance, u.service, u.address, u.zone, u.region, u.leaving, warmUpLeftMs(u), 0));
             }
         });
-        list = now;
+        listedEndpoints = now;
         world.sim.after(500 + random.nextInt(1000), this::refresh);
     }
 
-    /** Has the platform reckon the rest of a warm-up when it answers; the list's entries lag as before. */
-    void reckonWarmUpOnAnswer() {
-        reckonsWarmUpOnAnswer = true;
+    /** Makes the platform compute the remaining warm-up when it answers; the entries of its list still lag. */
+    void computeWarmUpOnAnswer() {
+        computesWarmUpOnAnswer = true;
     }
 
-    private List<ListedEndpoint> withPresentWarmUp(final List<ListedEndpoint> lagging) {
+    private List<ListedEndpoint> withCurrentWarmUp(final List<ListedEndpoint> lagging) {
         return lagging.stream()
                 .map(entry -> new ListedEndpoint(
                         entry.instance(),
@@ -154,53 +155,53 @@
                 .toList();
     }
 
-    private long warmUpLeftMs(final Up up) {
+    private long warmUpLeftMs(final Upstream up) {
         return Math.max(0, up.readyAtMs + SimulatedWorld.WARMUP_MS - world.sim.nowMs());
     }
 
-    /** What one life of a node reaches the outside by. */
-    NodeEnvironment of(final SimulatedNode node, final long incarnation) {
-        return new NodeEnvironment(node, incarnation);
+    /** Returns the clients through which one incarnation of a node reaches the upstreams and the platform. */
+    NodeClients clientsOf(final SimulatedNode node, final long incarnation) {
+        return new NodeClients(node, incarnation);
     }
 
-    /** The rim of one life. */
-    final class NodeEnvironment implements UpstreamClient, DiscoveryClient, UsageReportClient {
+    /** Upstream, discovery and usage report clients of one incarnation of a node. */
+    final class NodeClients implements UpstreamClient, DiscoveryClient, UsageReportClient {
         private final SimulatedNode node;
         private final long incarnation;
 
-        NodeEnvironment(final SimulatedNode node, final long incarnation) {
+        NodeClients(final SimulatedNode node, final long incarnation) {
             this.node = node;
             this.incarnation = incarnation;
         }
 
-        private void back(final long waitMs, final Runnable event) {
+        private void runOnNode(final long waitMs, final Runnable event) {
             world.sim.after(waitMs, () -> node.run(incarnation, event));
         }
 
         @Override
         public void listEndpoints(final long timeoutMillis, final Consumer<Optional<List<ListedEndpoint>>> done) {
-            if (reckonsWarmUpOnAnswer) {
-                final long wayMs = world.deployment.apartMs;
+            if (computesWarmUpOnAnswer) {
+                final long wayMs = world.deployment.interRegionRttMs;
                 world.sim.after(wayMs, () -> {
-                    final List<ListedEndpoint> answer = withPresentWarmUp(list);
-                    back(wayMs, () -> done.accept(Optional.of(answer)));
+                    final List<ListedEndpoint> answer = withCurrentWarmUp(listedEndpoints);
+                    runOnNode(wayMs, () -> done.accept(Optional.of(answer)));
                 });
                 return;
             }
-            final List<ListedEndpoint> now = list;
-            back(10 + random.nextInt(40), () -> done.accept(Optional.of(now)));
+            final List<ListedEndpoint> now = listedEndpoints;
+            runOnNode(10 + random.nextInt(40), () -> done.accept(Optional.of(now)));
         }
 
         @Override
         public void probe(final String address, final long timeoutMillis, final Consumer<Optional<ProbeResult>> done) {
-            final Up up = byAddress.get(address);
-            final long way = world.net.wayMs(node.address, address);
-            if (up == null || way < 0 || !up.running) {
-                back(way < 0 ? timeoutMillis : 2 * way, () -> done.accept(Optional.empty()));
+            final Upstream up = byAddress.get(address);
+            final long oneWayMs = world.net.oneWayMs(node.address, address);
+            if (up == null || oneWayMs < 0 || !up.running) {
+                runOnNode(oneWayMs < 0 ? timeoutMillis : 2 * oneWayMs, () -> done.accept(Optional.empty()));
                 return;
             }
-            back(
-                    2 * way + 1,
+            runOnNode(
+                    2 * oneWayMs + 1,
                     () -> done.accept(
                             !up.running
                                     ? Optional.empty()
@@ -216,9 +217,9 @@
                 final long waitMs,
                 final SendDeadline deadline,
                 final ReportCallback callback) {
-            final long way = 5L + random.nextInt(20);
-            // Connecting takes a round trip; the check is made when the bytes are about to leave.
-            leave(2 * way, deadline::latestMs, () -> callback.onResult(ReportResult.UNCONFIRMED), () -> {
+            final long oneWayMs = 5L + random.nextInt(20);
+            // Connecting takes a round trip; the deadline is checked just before the bytes are sent.
+            sendIfInTime(2 * oneWayMs, deadline::latestMs, () -> callback.onResult(ReportResult.UNCONFIRMED), () -> {
                 final TreeMap<String, Long> counts = new TreeMap<>(sealed.counts());
                 if (world.injectedFault == InjectedFault.SWAPPED_TENANTS) {
                     final Long first = counts.get(Deployment.tenant(0));
@@ -227,13 +228,13 @@
                 }
                 if (world.injectedFault != InjectedFault.DEAF_PLATFORM || world.sim.nowMs() > 35_000) {
                     world.sim.after(
-                            way,
-                            () -> world.reported.add(
+                            oneWayMs,
+                            () -> world.reports.add(
                                     new Ledger.Reported(holder, token, sealed.window(), counts, world.sim.nowMs())));
                 }
                 final boolean lost = random.nextInt(50) == 0;
-                back(
-                        lost ? waitMs : 2 * way,
+                runOnNode(
+                        lost ? waitMs : 2 * oneWayMs,
                         () -> callback.onResult(lost ? ReportResult.UNCONFIRMED : ReportResult.ACCEPTED));
             });
         }
@@ -244,66 +245,73 @@
                 final LongSupplier until,
                 final Runnable counted,
                 final Consumer<AttemptResult> done) {
-            final int turn = turns.merge(attempt.requestId(), 1, Integer::sum);
-            final SimulatedWorld.Asked asked = world.asked.get(attempt.requestId());
+            final int turn = attemptCounts.merge(attempt.requestId(), 1, Integer::sum);
+            final SimulatedWorld.ClientRequest clientRequest = world.requests.get(attempt.requestId());
             world.attempts.add(new SimulatedWorld.Gone(
-                    attempt.requestId(), attempt.service(), asked.kind.runOnce() ? 1 : turn, world.sim.nowMs()));
-            final long way = world.net.wayMs(node.address, attempt.address());
-            final boolean[] over = {false};
+                    attempt.requestId(),
+                    attempt.service(),
+                    clientRequest.kind.runOnce() ? 1 : turn,
+                    world.sim.nowMs()));
+            final long oneWayMs = world.net.oneWayMs(node.address, attempt.address());
+            final boolean[] finished = {false};
             final boolean[] sent = {false};
-            back(attempt.timeoutMs(), () -> {
-                if (!over[0]) {
-                    over[0] = true;
+            runOnNode(attempt.timeoutMillis(), () -> {
+                if (!finished[0]) {
+                    finished[0] = true;
                     done.accept(sent[0] ? new AttemptResult.Lost("timeout") : new AttemptResult.NotSent("timeout"));
                 }
             });
             final Consumer<AttemptResult> once = r -> {
-                if (!over[0]) {
-                    over[0] = true;
+                if (!finished[0]) {
+                    finished[0] = true;
                     done.accept(r);
                 }
             };
-            final AttemptHandle handle = () -> back(
+            final AttemptHandle handle = () -> runOnNode(
                     0,
                     () -> once.accept(
                             sent[0] ? new AttemptResult.Lost("cancelled") : new AttemptResult.NotSent("cancelled")));
-            if (way < 0) {
+            if (oneWayMs < 0) {
                 return handle;
             }
-            back(2 * way, () -> {
-                if (over[0]) {
+            runOnNode(2 * oneWayMs, () -> {
+                if (finished[0]) {
                     return;
                 }
                 if (byAddress.get(attempt.address()) == null) {
                     once.accept(new AttemptResult.NotSent("refused"));
                     return;
                 }
-                leave(0, until, () -> once.accept(new AttemptResult.NotSent("barred")), () -> {
-                    if (!over[0]) {
+                sendIfInTime(0, until, () -> once.accept(new AttemptResult.NotSent("barred")), () -> {
+                    if (!finished[0]) {
                         sent[0] = true;
                         counted.run();
-                        travel(attempt, once);
+                        deliver(attempt, once);
                     }
                 });
             });
             return handle;
         }
 
-        /** Asks, changes threads, looks once more, and lets the bytes go; a freeze may come between. */
-        private void leave(
+        /**
+         * Reads the deadline, switches threads, and sends the bytes unless the deadline has passed by then. The node may freeze
+         * after reading the deadline.
+         */
+        private void sendIfInTime(
                 final long waitMs, final LongSupplier until, final Runnable blocked, final Runnable attempt) {
-            back(waitMs, () -> {
+            runOnNode(waitMs, () -> {
                 final long untilMs = until.getAsLong();
-                // A report is hit often, but not two in a row: no window outlives that.
+                // A report is hit 300 times as often as an attempt, but never two within 20 s: a usage window does not
+                // survive two freezes in a row.
                 final boolean report = waitMs > 0;
-                if (random.nextDouble() < (report ? 300 : 1) * world.gapShare
-                        && (!report || world.sim.nowMs() - lastGapMs > 20_000)) {
-                    lastGapMs = report ? world.sim.nowMs() : lastGapMs;
+                if (random.nextDouble() < (report ? 300 : 1) * world.freezeProbability
+                        && (!report || world.sim.nowMs() - lastReportFreezeMs > 20_000)) {
+                    lastReportFreezeMs = report ? world.sim.nowMs() : lastReportFreezeMs;
                     node.freeze();
-                    world.disturb(node, world.sim.nowMs() + world.gapMs + 6000);
-                    world.sim.after(world.gapMs, node::thaw);
+                    world.markDisturbed(node, world.sim.nowMs() + world.freezeMs + 6000);
+                    world.sim.after(world.freezeMs, node::thaw);
                 }
-                back(random.nextInt(2), () -> {
+                runOnNode(random.nextInt(2), () -> {
                     if (node.nowMs() >= untilMs && world.injectedFault != InjectedFault.NO_LAST_LOOK) {
                         blocked.run();
                     } else {
@@ -313,40 +321,42 @@
             });
         }
 
-        private String askOf(final Attempt attempt) {
+        private String answeredRequestId(final Attempt attempt) {
             return world.injectedFault == InjectedFault.OTHERS_HEADERS && random.nextInt(100) == 0
                     ? "another"
                     : attempt.requestId();
         }
 
-        private AttemptResult whole(final Attempt attempt, final String body) {
+        private AttemptResult answered(final Attempt attempt, final String body) {
             return new AttemptResult.Answered(new ResponseContent(
                     200,
-                    List.of(new Header("Content-Type", "text/plain"), new Header("X-Answer-To", askOf(attempt))),
+                    List.of(
+                            new Header("Content-Type", "text/plain"),
+                            new Header("X-Answer-To", answeredRequestId(attempt))),
                     body.getBytes(StandardCharsets.UTF_8)));
         }
 
-        private void travel(final Attempt attempt, final Consumer<AttemptResult> once) {
-            final long way = world.net.sureMs(node.address, attempt.address());
-            if (way < 0) {
+        private void deliver(final Attempt attempt, final Consumer<AttemptResult> once) {
+            final long oneWayMs = world.net.reliableOneWayMs(node.address, attempt.address());
+            if (oneWayMs < 0) {
                 return;
             }
-            world.sim.after(way, () -> {
-                final Up up = byAddress.get(attempt.address());
+            world.sim.after(oneWayMs, () -> {
+                final Upstream up = byAddress.get(attempt.address());
                 if (up == null || !up.running) {
-                    back(way, () -> once.accept(new AttemptResult.Lost("reset")));
+                    runOnNode(oneWayMs, () -> once.accept(new AttemptResult.Lost("reset")));
                 } else if (!up.instance.equals(attempt.instance())) {
-                    back(way, () -> once.accept(new AttemptResult.NotRun("not the instance that was meant")));
+                    runOnNode(oneWayMs, () -> once.accept(new AttemptResult.NotRun("not the instance that was meant")));
                 } else if (up.rejectsNext()) {
-                    back(way, () -> once.accept(new AttemptResult.NotRun("rejected")));
+                    runOnNode(oneWayMs, () -> once.accept(new AttemptResult.NotRun("rejected")));
                 } else {
-                    work(attempt, up, once);
+                    execute(attempt, up, once);
                 }
             });
         }
 
-        private void work(final Attempt attempt, final Up up, final Consumer<AttemptResult> once) {
-            world.begun.add(new SimulatedWorld.Begun(
+        private void execute(final Attempt attempt, final Upstream up, final Consumer<AttemptResult> once) {
+            world.executions.add(new SimulatedWorld.Begun(
                     attempt.requestId(),
                     up.instance,
                     up.zone,
@@ -356,35 +366,35 @@
                     world.sim.nowMs() - up.readyAtMs,
                     world.sim.nowMs()));
             final boolean warmingUp = world.sim.nowMs() - up.readyAtMs < SimulatedWorld.WARMUP_MS;
-            up.busyUntilMs = Math.max(up.busyUntilMs, world.sim.nowMs()) + up.eachMs;
+            up.busyUntilMs = Math.max(up.busyUntilMs, world.sim.nowMs()) + up.serviceTimeMs;
             final long workMs = up.busyUntilMs
                     - world.sim.nowMs()
                     + (warmingUp ? 20 : 3)
                     + random.nextInt(10)
-                    + (up.manner == UpstreamStandIn.Manner.SLOW ? 1500 : 0);
+                    + (up.behavior == UpstreamStandIn.Behavior.SLOW ? 1500 : 0);
             world.sim.after(workMs, () -> {
-                final long way = world.net.sureMs(attempt.address(), node.address);
-                if (way < 0) {
+                final long oneWayMs = world.net.reliableOneWayMs(attempt.address(), node.address);
+                if (oneWayMs < 0) {
                     return;
                 }
                 final String whole = "answer to " + attempt.requestId() + " by " + up.instance + " whole";
                 final AttemptResult result = !up.running
                         ? new AttemptResult.Lost("reset")
-                        : switch (up.manner) {
+                        : switch (up.behavior) {
                             case LOSE ->
                                 world.injectedFault == InjectedFault.LOST_AS_NOT_SENT
                                         ? new AttemptResult.NotSent("closed")
                                         : new AttemptResult.Lost("closed");
                             case FLAKY ->
-                                random.nextBoolean() ? new AttemptResult.Lost("closed") : whole(attempt, whole);
+                                random.nextBoolean() ? new AttemptResult.Lost("closed") : answered(attempt, whole);
                             case GARBAGE ->
                                 world.injectedFault == InjectedFault.GARBAGE_PASSED
-                                        ? whole(attempt, "garbage")
+                                        ? answered(attempt, "garbage")
                                         : new AttemptResult.Lost("answer of another instance");
                             case TRUNCATE -> new AttemptResult.Lost("answer: truncated");
-                            default -> whole(attempt, whole);
+                            default -> answered(attempt, whole);
                         };
-                back(way, () -> once.accept(result));
+                runOnNode(oneWayMs, () -> once.accept(result));
             });
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedNode.java
@@ -17,7 +17,7 @@
 import spokestall.testbed.verdict.Rule;
 import spokestall.time.Clock;
 
-/** A machine that runs the real node: it can be killed, lose power or its disk, freeze, and have its clock jump. */
+/** Simulated machine that runs the real node. It can be killed, lose power, freeze, and have its wall clock jump. */
 public final class SimulatedNode {
     public final String name;
     public final boolean core;
@@ -29,44 +29,44 @@
     private final SimulatedWorld world;
     private final Map<String, String> flags;
     private Settings settings;
-    private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-    private final long monotonicMs;
+    private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
+    private final long monotonicOffsetMs;
     private Node node;
     private long incarnation;
     private boolean frozen;
-    private long wallJumpMs;
+    private long wallOffsetMs;
     private long versionSeen;
 
     SimulatedNode(
             final SimulatedWorld world,
             final String name,
             final boolean core,
-            final int i,
-            final Map<String, String> more) {
+            final int zoneIndex,
+            final Map<String, String> extraSettings) {
         this.world = world;
         this.name = name;
         this.core = core;
-        this.zone = Deployment.zone(i);
-        this.region = Deployment.region(i);
-        this.address = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7100";
-        this.http = "10.0." + (core ? 1 : 2) + "." + (i + 1) + ":7200";
-        this.monotonicMs = 1000L + world.sim.random(name + "/mono").nextInt(1_000_000);
+        this.zone = Deployment.zone(zoneIndex);
+        this.region = Deployment.region(zoneIndex);
+        this.address = "10.0." + (core ? 1 : 2) + "." + (zoneIndex + 1) + ":7100";
+        this.http = "10.0." + (core ? 1 : 2) + "." + (zoneIndex + 1) + ":7200";
+        this.monotonicOffsetMs = 1000L + world.sim.random(name + "/mono").nextInt(1_000_000);
         this.disk = core ? new SimulatedDisk(world.sim, world.sim.random(name + "/disk"), 8, world.segmentBytes) : null;
         this.flags = new HashMap<>();
         flags.put("name", name);
         flags.put("address", address);
         flags.put("http", http);
         flags.put("district", zone);
-        flags.put("districts", Deployment.zones());
+        flags.put("districts", Deployment.zoneSetting());
         flags.put("seeds", "10.0.1.1:7100,10.0.1.3:7100,10.0.1.5:7100");
         flags.put("platform", "10.0.9.1:80");
         flags.put("data", "/sim/" + name);
-        flags.putAll(more);
-        read();
+        flags.putAll(extraSettings);
+        readSettings();
         world.net.place(address, region);
     }
 
-    private void read() {
+    private void readSettings() {
         final SettingsResult read = SettingsReader.read(null, flags, core);
         if (read instanceof SettingsResult.Invalid bad) {
             throw new IllegalStateException(bad.errors().toString());
@@ -74,8 +74,8 @@
         settings = ((SettingsResult.Valid) read).settings();
     }
 
-    /** From its next start on. */
-    void set(final String key, final String value) {
+    /** Changes a setting; the change takes effect at the node's next start. */
+    void changeSetting(final String key, final String value) {
         flags.put(key, value);
     }
 
@@ -87,20 +87,20 @@
         return node;
     }
 
-    public boolean up() {
+    public boolean isUp() {
         return node != null;
     }
 
-    public boolean running() {
+    public boolean isRunning() {
         return node != null && !frozen;
     }
 
     long wallMs() {
-        return SimulatedWorld.EPOCH_MS + world.sim.nowMs() + wallJumpMs;
+        return SimulatedWorld.EPOCH_MS + world.sim.nowMs() + wallOffsetMs;
     }
 
     long nowMs() {
-        return monotonicMs + world.sim.nowMs();
+        return monotonicOffsetMs + world.sim.nowMs();
     }
 
     public void start() {
@@ -108,10 +108,10 @@
             return;
         }
         incarnation++;
-        read();
-        // Only a machine's very first start may be told that the fleet has never run.
-        set("bootstrap", "0");
-        final long mine = incarnation;
+        readSettings();
+        // The bootstrap setting says that the fleet has never run, which is true only at a machine's first start.
+        changeSetting("bootstrap", "0");
+        final long ownIncarnation = incarnation;
         final Clock clock = new Clock() {
             @Override
             public long nowMs() {
@@ -125,7 +125,7 @@
 
             @Override
             public void after(final long waitMs, final Runnable event) {
-                world.sim.after(Math.max(0, waitMs), () -> run(mine, event));
+                world.sim.after(Math.max(0, waitMs), () -> run(ownIncarnation, event));
             }
         };
         final Random random = world.sim.random(name + "/" + incarnation);
@@ -133,37 +133,37 @@
         final NodeEnvironment environment = new NodeEnvironment(
                 clock,
                 random,
-                (to, message) -> world.send(this, mine, to, message),
+                (to, message) -> world.send(this, ownIncarnation, to, message),
                 core
                         ? disk.incarnation(
-                                () -> incarnation == mine && node != null,
-                                e -> run(mine, e),
+                                () -> incarnation == ownIncarnation && node != null,
+                                e -> run(ownIncarnation, e),
                                 world.injectedFault == InjectedFault.LYING_DISK)
                         : null,
-                world.outside.of(this, mine),
-                world.outside.of(this, mine),
-                world.outside.of(this, mine),
+                world.environment.clientsOf(this, ownIncarnation),
+                world.environment.clientsOf(this, ownIncarnation),
+                world.environment.clientsOf(this, ownIncarnation),
                 AuditSink.NONE);
         node = new Node(settings, core, environment);
         node.start();
         versionSeen = 0;
     }
 
-    /** Runs an event of one life: not after its end, and not while frozen. */
+    /** Runs an event of one incarnation. Drops the event if the incarnation has ended, and defers it while the node is frozen. */
     public void run(final long ofIncarnation, final Runnable event) {
         if (incarnation != ofIncarnation || node == null) {
             return;
         }
         if (frozen) {
-            held.add(() -> run(ofIncarnation, event));
+            deferredEvents.add(() -> run(ofIncarnation, event));
             return;
         }
         event.run();
-        watch();
+        checkInvariants();
     }
 
-    /** Invariants that hold at every step of a life. */
-    private void watch() {
+    /** Checks the invariants that hold after every event of an incarnation. */
+    private void checkInvariants() {
         if (node == null) {
             return;
         }
@@ -178,24 +178,24 @@
         return incarnation;
     }
 
-    void hear(final long ofIncarnation, final Message message) {
+    void deliver(final long ofIncarnation, final Message message) {
         run(ofIncarnation, () -> node.onMessage(message));
     }
 
     public void kill() {
-        down("kill", SimulatedDisk::loseProcess);
+        stop("kill", SimulatedDisk::loseProcess);
     }
 
     public void losePower() {
-        down("power", SimulatedDisk::losePower);
+        stop("power", SimulatedDisk::losePower);
     }
 
-    private void down(final String how, final Consumer<SimulatedDisk> loss) {
+    private void stop(final String reason, final Consumer<SimulatedDisk> loss) {
         if (node != null) {
-            world.sim.trace(how + " " + name);
+            world.sim.trace(reason + " " + name);
             node = null;
             incarnation++;
-            held.clear();
+            deferredEvents.clear();
             frozen = false;
             if (disk != null) {
                 loss.accept(disk);
@@ -212,14 +212,14 @@
         if (frozen) {
             world.sim.trace("thaw " + name);
             frozen = false;
-            while (!held.isEmpty() && !frozen && node != null) {
-                held.poll().run();
+            while (!deferredEvents.isEmpty() && !frozen && node != null) {
+                deferredEvents.poll().run();
             }
         }
     }
 
-    void jump(final long ms) {
+    void jumpWallClock(final long ms) {
         world.sim.trace("jump " + name + " " + ms);
-        wallJumpMs += ms;
+        wallOffsetMs += ms;
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedOperator.java
@@ -14,16 +14,19 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.verdict.Rule;
 
-/** Operators that change the configuration, race each other, send what is stale or invalid, and repeat what is unclear. */
+/**
+ * Simulated operators. They change the configuration, race each other, send stale and invalid changes, and retry changes whose
+ * outcome is unknown.
+ */
 final class SimulatedOperator {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long IN_FORCE_MS = Rule.POLICY.nearMs;
+    private static final long PROPAGATION_MS = Rule.POLICY.strictBoundMs;
     private final SimulatedWorld world;
     private final Random random;
     private final Set<String> accepted = new HashSet<>();
     private final Set<String> rejected = new HashSet<>();
-    private int made;
-    long slowestMs;
+    private int changesMade;
+    long slowestPropagationMs;
 
     SimulatedOperator(final SimulatedWorld world) {
         this.world = world;
@@ -34,26 +37,26 @@
         return accepted;
     }
 
-    /** Puts the deployment's configuration; then is run once it is accepted. */
-    void first(final Runnable then) {
+    /** Sends the deployment's configuration, and runs {@code then} once it is accepted. */
+    void putInitialConfiguration(final Runnable then) {
         final ObjectNode params = JSON.createObjectNode();
         params.set("policy", world.configuration());
         change("policy.put", params, "first", world.sim.nowMs() + 60_000, at -> then.run());
     }
 
-    /** Adds a route that carries the change's own name, so that it can be looked for later. */
-    void bind() {
-        bind(world.sim.nowMs() + 8000);
+    /** Adds a route that is named after the change, so that {@link #checkFinalConfiguration} can look for it. */
+    void addRoute() {
+        addRoute(world.sim.nowMs() + 8000);
     }
 
-    private void bind(final long untilMs) {
-        final String id = "bind-" + made++;
+    private void addRoute(final long untilMs) {
+        final String id = "bind-" + changesMade++;
         change("policy.patch", patch(id, 1), id, untilMs, at -> {});
     }
 
-    /** Adds very many routes at once. */
-    void grow(final int routes) {
-        final String id = "bind-" + made++;
+    /** Adds many routes in one change. */
+    void addRoutes(final int routes) {
+        final String id = "bind-" + changesMade++;
         change("policy.patch", patch(id, routes), id, world.sim.nowMs() + 8000, at -> {});
     }
 
@@ -65,22 +68,24 @@
                 .putObject("tenants")
                 .putObject(Deployment.tenant(3))
                 .putObject("bindings");
-        at.putObject(id).put("path", "/more/" + id).put("service", world.deployment.big);
+        at.putObject(id).put("path", "/more/" + id).put("service", world.deployment.largeService);
         for (int i = 1; i < routes; i++) {
-            at.putObject(id + "." + i).put("path", "/more/" + id + "/" + i).put("service", world.deployment.big);
+            at.putObject(id + "." + i)
+                    .put("path", "/more/" + id + "/" + i)
+                    .put("service", world.deployment.largeService);
         }
         return params;
     }
 
-    /** Two operators at once, on two cores, against the same base. */
-    void race() {
-        bind();
-        bind();
+    /** Starts two changes at the same time, each at a random core, so that they race on one base version. */
+    void raceTwoChanges() {
+        addRoute();
+        addRoute();
     }
 
-    /** What must be denied: unknown home region, and a base that is long gone. */
-    void wrong() {
-        final String bad = "bad-" + made++;
+    /** Sends two changes that must be rejected: one with an unknown home region, and one on a long outdated base version. */
+    void sendInvalidChanges() {
+        final String bad = "bad-" + changesMade++;
         final ObjectNode invalid = patch(bad, 1);
         ((ObjectNode) invalid.at("/patch/cells/" + Deployment.cell(3) + "/tenants/" + Deployment.tenant(3)))
                 .putArray("homeRegions")
@@ -91,8 +96,8 @@
                 bad,
                 world.sim.nowMs() + 3000,
                 at -> world.judge.violated(Rule.POLICY, bad + " is invalid and was accepted"));
-        final String stale = "stale-" + made++;
-        final SimulatedNode core = world.any(world.cores(), random);
+        final String stale = "stale-" + changesMade++;
+        final SimulatedNode core = world.pick(world.cores(), random);
         final ObjectNode old = patch(stale, 1);
         old.put("base", 1).put("changeId", stale);
         world.call(core, "policy.patch", old, reply -> {
@@ -101,34 +106,35 @@
         });
     }
 
-    void hold(final String zone, final long spanMs) {
+    void drainZone(final String zone, final long spanMs) {
         final ObjectNode set = JSON.createObjectNode().put("district", zone);
-        change("hold.set", set, "hold-" + made++, world.sim.nowMs() + 8000, at -> {
-            final int slot = world.emptied.size();
-            world.emptied.add(new SimulatedWorld.Span(zone, at, Long.MAX_VALUE));
+        change("hold.set", set, "hold-" + changesMade++, world.sim.nowMs() + 8000, at -> {
+            final int slot = world.drained.size();
+            world.drained.add(new SimulatedWorld.Interval(zone, at, Long.MAX_VALUE));
             world.sim.after(spanMs, () -> {
-                world.emptied.set(slot, new SimulatedWorld.Span(zone, at, world.sim.nowMs()));
+                world.drained.set(slot, new SimulatedWorld.Interval(zone, at, world.sim.nowMs()));
                 change(
                         "hold.clear",
                         JSON.createObjectNode().put("district", zone),
-                        "clear-" + made++,
+                        "clear-" + changesMade++,
                         world.sim.nowMs() + 30_000,
                         done -> {});
             });
         });
     }
 
-    void withdraw(final int tenant, final long spanMs) {
+    void withdrawKey(final int tenant, final long spanMs) {
         final ObjectNode params = key(tenant);
-        change("key.withdraw", params, "withdraw-" + made++, world.sim.nowMs() + 8000, at -> {
-            final int slot = world.withdrawn.size();
-            world.withdrawn.add(new SimulatedWorld.Span(Deployment.key(tenant), at, Long.MAX_VALUE));
+        change("key.withdraw", params, "withdraw-" + changesMade++, world.sim.nowMs() + 8000, at -> {
+            final int slot = world.withdrawnKeys.size();
+            world.withdrawnKeys.add(new SimulatedWorld.Interval(Deployment.key(tenant), at, Long.MAX_VALUE));
             world.sim.after(spanMs, () -> {
-                world.withdrawn.set(slot, new SimulatedWorld.Span(Deployment.key(tenant), at, world.sim.nowMs()));
+                world.withdrawnKeys.set(
+                        slot, new SimulatedWorld.Interval(Deployment.key(tenant), at, world.sim.nowMs()));
                 change(
                         "key.add",
                         key(tenant).put("key", Deployment.key(tenant)),
-                        "add-" + made++,
+                        "add-" + changesMade++,
                         world.sim.nowMs() + 30_000,
                         done -> {});
             });
@@ -142,27 +148,27 @@
                 .put("keyId", "main");
     }
 
-    /** One change from its first try until its outcome is known or the time is over. */
+    /** Sends a change, and retries it until its outcome is known or the time is over. */
     private void change(
             final String method,
             final ObjectNode params,
             final String id,
             final long untilMs,
             final LongConsumer then) {
-        new Try(method, params, id, untilMs, then).fresh();
+        new ChangeAttempt(method, params, id, untilMs, then).rebaseAndSend();
     }
 
-    /** One change's tries. */
-    private final class Try {
+    /** One change and its retries. */
+    private final class ChangeAttempt {
         private final String method;
         private final ObjectNode params;
         private final String id;
         private final long untilMs;
         private final LongConsumer then;
         private int calls;
-        private boolean unclear;
+        private boolean outcomeUnknown;
 
-        Try(
+        ChangeAttempt(
                 final String method,
                 final ObjectNode params,
                 final String id,
@@ -175,43 +181,43 @@
             this.then = then;
         }
 
-        /** Begins against the newest version a core tells. */
-        void fresh() {
-            final SimulatedNode core = world.any(world.cores(), random);
-            ask(core, "policy.get", JSON.createObjectNode(), reply -> based(core, reply), this::fresh);
+        /** Reads the configuration version from a random core, and sends the change on that base. */
+        void rebaseAndSend() {
+            final SimulatedNode core = world.pick(world.cores(), random);
+            call(core, "policy.get", JSON.createObjectNode(), reply -> sendOnBase(core, reply), this::rebaseAndSend);
         }
 
-        private void based(final SimulatedNode core, final Reply reply) {
+        private void sendOnBase(final SimulatedNode core, final Reply reply) {
             if (reply.result() != ResultCode.OK) {
-                world.sim.after(300, this::fresh);
+                world.sim.after(300, this::rebaseAndSend);
                 return;
             }
             params.put("base", reply.fields().path("version").asLong()).put("changeId", id);
             send(core);
         }
 
-        private void ask(
+        private void call(
                 final SimulatedNode core,
                 final String what,
                 final ObjectNode with,
                 final Consumer<Reply> done,
-                final Runnable silent) {
+                final Runnable onTimeout) {
             if (world.sim.nowMs() > untilMs) {
-                world.sim.trace("change " + id + " given up, unclear " + unclear);
+                world.sim.trace("change " + id + " given up, unclear " + outcomeUnknown);
                 return;
             }
             final int call = ++calls;
             world.sim.after(4000, () -> {
                 if (calls == call) {
-                    unclear |= what.equals(method);
-                    silent.run();
+                    outcomeUnknown |= what.equals(method);
+                    onTimeout.run();
                 }
             });
-            if (!core.running()) {
+            if (!core.isRunning()) {
                 world.sim.after(200, () -> {
                     if (calls == call) {
                         calls++;
-                        silent.run();
+                        onTimeout.run();
                     }
                 });
                 return;
@@ -225,68 +231,67 @@
         }
 
         private void send(final SimulatedNode core) {
-            ask(core, method, params.deepCopy(), this::told, () -> send(world.any(world.cores(), random)));
+            call(core, method, params.deepCopy(), this::onReply, () -> send(world.pick(world.cores(), random)));
         }
 
-        private void told(final Reply reply) {
+        private void onReply(final Reply reply) {
             world.sim.trace("change " + id + " told " + reply.result());
             switch (reply.result()) {
                 case OK -> {
                     accepted.add(id);
                     then.accept(world.sim.nowMs());
-                    arrives(reply.fields().path("version").asLong(), world.sim.nowMs(), world.edges());
-                    inForce(reply.fields().path("version").asLong(), world.sim.nowMs());
+                    measurePropagation(reply.fields().path("version").asLong(), world.sim.nowMs(), world.edges());
+                    checkPropagated(reply.fields().path("version").asLong(), world.sim.nowMs());
                 }
                 case UNDECIDED, NOT_READY -> {
-                    unclear |= reply.result() == ResultCode.UNDECIDED;
+                    outcomeUnknown |= reply.result() == ResultCode.UNDECIDED;
                     world.sim.after(300, () -> {
-                        if (unclear) {
-                            send(world.any(world.cores(), random));
+                        if (outcomeUnknown) {
+                            send(world.pick(world.cores(), random));
                         } else {
-                            fresh();
+                            rebaseAndSend();
                         }
                     });
                 }
                 case STALE_BASE -> {
-                    // Its one place went to another change: it may be tried anew under a new name, as an operator
-                    // would.
+                    // Another change took the next version. As an operator would, retry under a new id.
                     rejected.add(id);
                     if (!id.startsWith("bind")) {
-                        new Try(method, params, id + "+", untilMs, then).fresh();
+                        new ChangeAttempt(method, params, id + "+", untilMs, then).rebaseAndSend();
                     }
                 }
                 default -> rejected.add(id);
             }
         }
 
-        /** How long until each edge that is left alone has it. */
-        private void arrives(final long version, final long atMs, final List<SimulatedNode> lacking) {
+        /** Checks how long each undisturbed edge takes to apply the change. */
+        private void measurePropagation(final long version, final long atMs, final List<SimulatedNode> edgesBehind) {
             final long spentMs = world.sim.nowMs() - atMs;
             final List<SimulatedNode> left = new ArrayList<>();
-            for (final SimulatedNode edge : lacking) {
-                if (!edge.running() || !world.undisturbed(edge, atMs)) {
+            for (final SimulatedNode edge : edgesBehind) {
+                if (!edge.isRunning() || !world.undisturbed(edge, atMs)) {
                     continue;
                 }
                 if (edge.node().configurationStore().configuration().version() >= version) {
-                    slowestMs = Math.max(slowestMs, spentMs);
+                    slowestPropagationMs = Math.max(slowestPropagationMs, spentMs);
                     world.judge.check(
                             Rule.POLICY,
-                            spentMs / (double) Rule.POLICY.nearMs,
+                            spentMs / (double) Rule.POLICY.strictBoundMs,
                             edge.name + " had " + id + " after " + spentMs + " ms");
                 } else {
                     left.add(edge);
                 }
             }
-            if (!left.isEmpty() && spentMs <= IN_FORCE_MS) {
-                world.sim.after(10, () -> arrives(version, atMs, left));
+            if (!left.isEmpty() && spentMs <= PROPAGATION_MS) {
+                world.sim.after(10, () -> measurePropagation(version, atMs, left));
             }
         }
 
-        /** When the bound is over, every edge that was left alone has it, and none that serves lacks it. */
-        private void inForce(final long version, final long atMs) {
-            world.sim.after(IN_FORCE_MS, () -> {
+        /** Checks after the bound that every undisturbed edge has the change, and that no edge without it serves requests. */
+        private void checkPropagated(final long version, final long atMs) {
+            world.sim.after(PROPAGATION_MS, () -> {
                 for (final SimulatedNode edge : world.edges()) {
-                    if (edge.running()) {
+                    if (edge.isRunning()) {
                         final boolean has =
                                 edge.node().configurationStore().configuration().version() >= version;
                         final boolean serves = edge.node().feedClient().isFresh();
@@ -294,18 +299,21 @@
                         world.judge.check(
                                 Rule.POLICY,
                                 !has && (serves || alone) ? 2 : 0,
-                                edge.name + " lacks " + version + " of " + id + " after " + IN_FORCE_MS + " ms, serves "
-                                        + serves);
+                                edge.name + " lacks " + version + " of " + id + " after " + PROPAGATION_MS
+                                        + " ms, serves " + serves);
                     }
                 }
             });
         }
     }
 
-    /** At the end: each accepted route is in force on every fresh node, and no denied one on any. */
-    void end(final boolean wiped) {
+    /**
+     * Checks at the end of a run that every fresh node has each accepted route, unless a majority of the disks was lost, and that none
+     * has a rejected one.
+     */
+    void checkFinalConfiguration(final boolean majorityDisksLost) {
         for (final SimulatedNode node : world.nodes.values()) {
-            if (!node.running() || !node.node().feedClient().isFresh()) {
+            if (!node.isRunning() || !node.node().feedClient().isFresh()) {
                 continue;
             }
             final var routes = node.node()
@@ -319,7 +327,8 @@
                     .path("bindings");
             for (final String id : List.copyOf(accepted)) {
                 if (id.startsWith("bind")) {
-                    world.judge.check(Rule.POLICY, routes.has(id) || wiped ? 0 : 2, node.name + " lost " + id);
+                    world.judge.check(
+                            Rule.POLICY, routes.has(id) || majorityDisksLost ? 0 : 2, node.name + " lost " + id);
                 }
             }
             for (final String id : List.copyOf(rejected)) {
--- a/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/SimulatedWorld.java
@@ -20,14 +20,14 @@
 import spokestall.testbed.verdict.Ledger;
 import spokestall.testbed.verdict.Rule;
 
-/** One simulated run's whole world: machines, network, upstreams, platform, clients, operators, and what they saw. */
+/** State of one simulated run: machines, network, upstreams, platform and clients, and what they recorded. */
 public final class SimulatedWorld {
     public static final long EPOCH_MS = 1_800_000_000_000L;
     public static final long WINDOW_MS = 5000;
     public static final long WARMUP_MS = 10_000;
     public static final double WARM_PER_S = 5;
 
-    /** One ask that an upstream began, and through which edge. */
+    /** One request that an upstream began to run, and the place of the edge that sent it. */
     public record Begun(
             String requestId,
             String instance,
@@ -38,29 +38,29 @@
             long ageMs,
             long atMs) {}
 
-    /** One go that an edge sent out. */
+    /** One attempt that an edge sent to an upstream. */
     public record Gone(String requestId, String service, int turn, long atMs) {}
 
-    /** One final answer that a client got. */
+    /** One final response that a client received. */
     public record Told(
             String requestId, int code, ExecutionStatus ran, String instance, ResponseContent content, long atMs) {}
 
-    /** Something held from one time to another. */
-    public record Span(String what, long fromMs, long untilMs) {}
+    /** Interval in which a condition held for its subject, such as a withdrawn key or a drained zone. */
+    public record Interval(String subject, long fromMs, long untilMs) {}
 
-    /** One ask as its client knows it. */
-    public static final class Asked {
+    /** One request as its client sees it. */
+    public static final class ClientRequest {
         final String requestId;
-        public final Deployment.Kind kind;
+        public final Deployment.RequestKind kind;
         public final List<Long> sentMs = new ArrayList<>();
-        /** When it was admitted, and its span from there; -1 if it never was. */
+        /** When an edge admitted the request, or -1 if none has. {@link #remainingMs} counts from this time. */
         long admittedMs = -1;
 
-        long spanMs;
+        long remainingMs;
         long answeredMs = -1;
         boolean ran;
 
-        Asked(final String requestId, final Deployment.Kind kind) {
+        ClientRequest(final String requestId, final Deployment.RequestKind kind) {
             this.requestId = requestId;
             this.kind = kind;
         }
@@ -69,29 +69,29 @@
     final InjectedFault injectedFault;
     final int segmentBytes;
     private final Map<String, String> settings;
-    /** How often, and for how long, a machine freezes just between its last check and its bytes leaving. */
-    double gapShare;
+    /** Probability and duration of a freeze between a node's last deadline check and its sending of the bytes. */
+    double freezeProbability;
 
-    long gapMs;
+    long freezeMs;
     public final VirtualTime sim;
     public final Deployment deployment;
     final SimulatedNetwork net;
     public final MessageTraffic traffic = new MessageTraffic();
     final Judge judge;
-    final SimulatedEnvironment outside;
+    final SimulatedEnvironment environment;
     final SimulatedClients clients;
     public final ExpectedAvailability availability;
-    private final Map<String, List<String>> homes = new TreeMap<>();
+    private final Map<String, List<String>> homeRegions = new TreeMap<>();
     public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
     final Map<String, SimulatedNode> byAddress = new TreeMap<>();
-    public final List<Begun> begun = new ArrayList<>();
+    public final List<Begun> executions = new ArrayList<>();
     public final List<Gone> attempts = new ArrayList<>();
-    public final List<Told> told = new ArrayList<>();
-    public final Map<String, Asked> asked = new LinkedHashMap<>();
-    public final List<Ledger.Reported> reported = new ArrayList<>();
-    public final List<Span> withdrawn = new ArrayList<>();
-    public final List<Span> emptied = new ArrayList<>();
-    private final Map<String, Long> disturbedMs = new TreeMap<>();
+    public final List<Told> responses = new ArrayList<>();
+    public final Map<String, ClientRequest> requests = new LinkedHashMap<>();
+    public final List<Ledger.Reported> reports = new ArrayList<>();
+    public final List<Interval> withdrawnKeys = new ArrayList<>();
+    public final List<Interval> drained = new ArrayList<>();
+    private final Map<String, Long> disturbedUntilMs = new TreeMap<>();
 
     public SimulatedWorld(
             final long seed,
@@ -108,39 +108,39 @@
             final boolean traced,
             final InjectedFault injectedFault,
             final Scenario scenario,
-            final Map<String, String> more) {
+            final Map<String, String> extraSettings) {
         this.settings = new TreeMap<>(scenario.settings());
         settings.putAll(injectedFault.settings());
-        settings.putAll(more);
+        settings.putAll(extraSettings);
         this.segmentBytes = Integer.parseInt(settings.getOrDefault("ringSegmentBytes", "" + scenario.segmentBytes()));
         this.injectedFault = injectedFault;
         this.sim = new VirtualTime(seed, traced);
         this.deployment = deployment;
-        this.net = new SimulatedNetwork(sim, deployment.apartMs);
+        this.net = new SimulatedNetwork(sim, deployment.interRegionRttMs);
         this.judge = new Judge(sim::nowMs, sim::trace);
-        this.outside = new SimulatedEnvironment(this);
+        this.environment = new SimulatedEnvironment(this);
         this.clients = new SimulatedClients(this);
         this.availability = new ExpectedAvailability(this);
         final Random shape = sim.random("shape");
         for (int i = 0; i < Deployment.TENANTS; i++) {
-            final List<String> all = new ArrayList<>(Deployment.home(0));
+            final List<String> all = new ArrayList<>(Deployment.homeRegions(0));
             Collections.shuffle(all, shape);
-            homes.put(
+            homeRegions.put(
                     Deployment.tenant(i),
-                    i < 2 ? Deployment.home(i) : List.copyOf(all.subList(0, 1 + shape.nextInt(3))));
+                    i < 2 ? Deployment.homeRegions(i) : List.copyOf(all.subList(0, 1 + shape.nextInt(3))));
         }
-        for (int i = 0; i < Deployment.DISTRICTS; i++) {
+        for (int i = 0; i < Deployment.ZONES; i++) {
             add(new SimulatedNode(this, Deployment.zone(i) + "-core", true, i, settings));
             add(new SimulatedNode(this, Deployment.zone(i) + "-edge", false, i, settings));
         }
     }
 
-    /** Where a tenant is at home in this run; the large ones are everywhere. */
-    public List<String> home(final String tenant) {
-        return homes.get(tenant);
+    /** Returns a tenant's home regions in this run. The two large tenants are at home in all regions. */
+    public List<String> homeRegions(final String tenant) {
+        return homeRegions.get(tenant);
     }
 
-    /** The configuration that this run begins with: homes of its own, and some routes that nobody asks by. */
+    /** Returns the initial configuration of this run, with its own home regions and some routes that no client uses. */
     public ObjectNode configuration() {
         final ObjectNode configuration = deployment.configuration();
         final Random shape = sim.random("policy");
@@ -148,36 +148,36 @@
                 .path("cells")
                 .forEach(c -> c.path("tenants").fields().forEachRemaining(t -> {
                     final ArrayNode at = ((ObjectNode) t.getValue()).putArray("homeRegions");
-                    homes.get(t.getKey()).forEach(at::add);
+                    homeRegions.get(t.getKey()).forEach(at::add);
                     final ObjectNode routes = (ObjectNode) t.getValue().get("bindings");
                     for (int i = shape.nextInt(1 << shape.nextInt(8)); i > 0; i--) {
-                        routes.putObject("idle" + i).put("path", "/idle/" + i).put("service", deployment.small);
+                        routes.putObject("idle" + i).put("path", "/idle/" + i).put("service", deployment.smallService);
                     }
                 }));
         return configuration;
     }
 
-    /** A machine goes, and comes back at another address with its disk. */
-    void move(final SimulatedNode node, final String to) {
+    /** Kills a node and moves it with its disk to another address. The caller starts it again. */
+    void moveAddress(final SimulatedNode node, final String to) {
         node.kill();
         byAddress.remove(node.address);
         node.address = to;
-        node.set("address", to);
+        node.changeSetting("address", to);
         byAddress.put(to, node);
         net.place(to, node.region);
     }
 
-    /** A core more, of a name of its own. */
-    SimulatedNode grow(final String name, final int place) {
-        final SimulatedNode node = new SimulatedNode(this, name, true, place, settings);
-        node.set("bootstrap", "0");
+    /** Adds a core under a new name, without starting it. */
+    SimulatedNode addCore(final String name, final int zoneIndex) {
+        final SimulatedNode node = new SimulatedNode(this, name, true, zoneIndex, settings);
+        node.changeSetting("bootstrap", "0");
         add(node);
         return node;
     }
 
     /** Adds an edge beyond the deployment's own. */
-    public SimulatedNode addEdge(final String name, final int place) {
-        final SimulatedNode node = new SimulatedNode(this, name, false, place, settings);
+    public SimulatedNode addEdge(final String name, final int zoneIndex) {
+        final SimulatedNode node = new SimulatedNode(this, name, false, zoneIndex, settings);
         add(node);
         return node;
     }
@@ -203,7 +203,7 @@
         return nodes.values().stream().filter(n -> n.zone.equals(zone)).toList();
     }
 
-    public <T> T any(final List<T> of, final Random random) {
+    public <T> T pick(final List<T> of, final Random random) {
         return of.get(random.nextInt(of.size()));
     }
 
@@ -213,62 +213,65 @@
             return;
         }
         final long targetIncarnation = target.incarnation();
-        if (message instanceof HandoffMessage.Store keep) {
-            carried(keep.key(), target);
+        if (message instanceof HandoffMessage.Store store) {
+            checkAnswerLocation(store.key(), target);
             if (injectedFault == InjectedFault.KEPT_ABROAD) {
-                cores().forEach(c -> carried(keep.key(), c));
+                cores().forEach(c -> checkAnswerLocation(store.key(), c));
             }
-        } else if (message instanceof HandoffMessage.FetchResult back && back.content() != null) {
-            carried(back.key(), target);
+        } else if (message instanceof HandoffMessage.FetchResult fetchResult && fetchResult.content() != null) {
+            checkAnswerLocation(fetchResult.key(), target);
         }
-        if (injectedFault == InjectedFault.FORGED_PROOFS && !net.open(from.address, to)) {
-            final Message forged = MessageForger.proof(message, from, target);
+        if (injectedFault == InjectedFault.FORGED_PROOFS && !net.isOpen(from.address, to)) {
+            final Message forged = MessageForger.forgeFreshnessResponse(message, from, target);
             if (forged != null) {
-                sim.after(1, () -> from.hear(incarnation, forged));
+                sim.after(1, () -> from.deliver(incarnation, forged));
             }
         }
-        traffic.sent(
+        traffic.onSent(
                 from,
                 target,
                 message,
                 net.carry(
                         from.address,
                         to,
-                        MessageForger.altered(injectedFault, message),
+                        MessageForger.alter(injectedFault, message),
                         from.messageVersion(),
-                        arrived -> target.hear(targetIncarnation, arrived)));
+                        arrived -> target.deliver(targetIncarnation, arrived)));
     }
 
-    /** A kept answer goes to a node: it must be at home there. */
-    private void carried(final String key, final SimulatedNode to) {
+    /** Checks that a stored response is sent only to nodes in its tenant's home regions. */
+    private void checkAnswerLocation(final String key, final SimulatedNode to) {
         final String tenant = key.split("/")[1];
-        judge.check(Rule.HOME, home(tenant).contains(to.region) ? 0 : 2, "kept " + key + " carried to " + to.region);
+        judge.check(
+                Rule.HOME, homeRegions(tenant).contains(to.region) ? 0 : 2, "kept " + key + " carried to " + to.region);
     }
 
-    /** Cuts two groups of nodes off from each other, or joins them again. */
-    public void part(final List<SimulatedNode> ones, final List<SimulatedNode> others, final boolean now) {
+    /** Cuts all links between two groups of nodes, or restores them. */
+    public void setPartitioned(
+            final List<SimulatedNode> ones, final List<SimulatedNode> others, final boolean partitioned) {
         for (final SimulatedNode one : ones) {
             for (final SimulatedNode other : others) {
                 if (one != other) {
-                    net.cutBoth(one.address, other.address, now);
+                    net.cutBoth(one.address, other.address, partitioned);
                 }
             }
         }
     }
 
-    /** Says that a node is being meddled with until then. */
-    void disturb(final SimulatedNode node, final long untilMs) {
-        disturbedMs.merge(node.name, untilMs, Math::max);
+    /** Records that injected failures affect a node until the given time. */
+    void markDisturbed(final SimulatedNode node, final long untilMs) {
+        disturbedUntilMs.merge(node.name, untilMs, Math::max);
     }
 
     boolean undisturbed(final SimulatedNode node, final long sinceMs) {
-        return disturbedMs.getOrDefault(node.name, -1L) < sinceMs && !availability.unable(sinceMs, sim.nowMs());
+        return disturbedUntilMs.getOrDefault(node.name, -1L) < sinceMs
+                && !availability.unavailable(sinceMs, sim.nowMs());
     }
 
-    /** The core that holds the duty now, or null. */
-    SimulatedNode holder() {
+    /** Returns a core that has a lease session, or null if none has. */
+    SimulatedNode leaseHolder() {
         for (final SimulatedNode core : cores()) {
-            if (core.up() && core.node().leaseManager().session() != null) {
+            if (core.isUp() && core.node().leaseManager().session() != null) {
                 return core;
             }
         }
@@ -280,7 +283,7 @@
             final String method,
             final JsonNode params,
             final java.util.function.Consumer<spokestall.api.Reply> done) {
-        if (to.running()) {
+        if (to.isRunning()) {
             to.run(to.incarnation(), () -> to.node().call(method, params, done));
         }
     }
--- a/testbed/src/main/java/spokestall/testbed/simulation/VirtualTime.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/VirtualTime.java
@@ -4,9 +4,9 @@
 import java.util.Random;
 import java.util.zip.CRC32;
 
-/** Virtual time: events in the order of their time, and of their making when the time is the same. */
+/** Virtual clock and event queue. Events run in the order of their time, and in the order of scheduling if the time is the same. */
 public final class VirtualTime {
-    private record Event(long atMs, long number, Runnable what) implements Comparable<Event> {
+    private record Event(long atMs, long number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(final Event other) {
             final int byTime = Long.compare(atMs, other.atMs);
@@ -19,8 +19,8 @@
     private final CRC32 digest = new CRC32();
     private final StringBuilder trace;
     private long nowMs;
-    private long made;
-    private long ran;
+    private long scheduled;
+    private long executed;
 
     VirtualTime(final long seed, final boolean traced) {
         this.seed = seed;
@@ -31,30 +31,30 @@
         return nowMs;
     }
 
-    /** A source of chance of its own for each part, so that a change in one leaves the others as they were. */
+    /** Returns a separate random source for each part, so that more draws in one part don't change those of the others. */
     public Random random(final String part) {
         return new Random(seed * 0x9e3779b97f4a7c15L ^ (long) part.hashCode() << 17);
     }
 
-    void at(final long atMs, final Runnable what) {
-        events.add(new Event(Math.max(atMs, nowMs), made++, what));
+    void at(final long atMs, final Runnable action) {
+        events.add(new Event(Math.max(atMs, nowMs), scheduled++, action));
     }
 
-    public void after(final long waitMs, final Runnable what) {
-        at(nowMs + waitMs, what);
+    public void after(final long waitMs, final Runnable action) {
+        at(nowMs + waitMs, action);
     }
 
     public void run(final long untilMs) {
         while (!events.isEmpty() && events.peek().atMs <= untilMs) {
             final Event event = events.poll();
             nowMs = event.atMs;
-            ran++;
-            event.what.run();
+            executed++;
+            event.action.run();
         }
         nowMs = untilMs;
     }
 
-    /** Every line counts in the digest; it is kept only when the run is traced. */
+    /** Adds a line to the digest, and also to the trace if the run is traced. */
     void trace(final String line) {
         final String whole = nowMs + " " + line + "\n";
         digest.update(whole.getBytes(java.nio.charset.StandardCharsets.UTF_8));
@@ -63,16 +63,16 @@
         }
     }
 
-    /** What goes over the wires counts in the digest too. */
-    void carried(final byte[] frame) {
+    /** Adds an encoded message to the digest. */
+    void recordFrame(final byte[] frame) {
         digest.update(frame);
     }
 
-    public String traced() {
+    public String traceText() {
         return trace == null ? "" : trace.toString();
     }
 
     long digest() {
-        return digest.getValue() ^ ran << 32;
+        return digest.getValue() ^ executed << 32;
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/soak/ProcessHistory.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/ProcessHistory.java
@@ -3,28 +3,28 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What was done to each process of a soak run, by its id. Thread-safe. */
+/** The processes, by process id, that a soak run stopped or killed. Thread-safe. */
 final class ProcessHistory {
-    private final Set<Long> stopped = new HashSet<>();
-    private final Set<Long> killed = new HashSet<>();
+    private final Set<Long> recordStop = new HashSet<>();
+    private final Set<Long> recordKill = new HashSet<>();
 
-    /** Records that a process is told to stop now. */
-    synchronized void stopped(final long pid) {
-        stopped.add(pid);
+    /** Records that a process receives a stop signal now. */
+    synchronized void recordStop(final long pid) {
+        recordStop.add(pid);
     }
 
     /** Records that a process is killed now. */
-    synchronized void killed(final long pid) {
-        killed.add(pid);
+    synchronized void recordKill(final long pid) {
+        recordKill.add(pid);
     }
 
-    /** Returns whether a process was killed at some time. */
+    /** Returns whether the run killed a process. */
     synchronized boolean wasKilled(final long pid) {
-        return killed.contains(pid);
+        return recordKill.contains(pid);
     }
 
-    /** Returns whether a process was killed or told to stop at some time. */
+    /** Returns whether the run killed a process or told it to stop. */
     synchronized boolean wasEnded(final long pid) {
-        return killed.contains(pid) || stopped.contains(pid);
+        return recordKill.contains(pid) || recordStop.contains(pid);
     }
 }
