--- a/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakClient.java
@@ -13,8 +13,8 @@
 import spokestall.testbed.fleet.RawClient;
 
 /**
- * A client that sends one request after the other on one connection for as long as the other side keeps it open, whatever happens to
- * the process there, and then connects anew. Runs on a thread of its own.
+ * A client that sends sequential requests on one connection for as long as the edge keeps it open, also while the edge's process stops or
+ * is killed, and then reconnects. Runs on a thread of its own.
  */
 final class SoakClient implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -24,41 +24,41 @@
 
     private final Fleet fleet;
     private final List<FleetMember> edges;
-    private final List<Deployment.Kind> kinds;
+    private final List<Deployment.RequestKind> kinds;
     private final Random random;
-    private final BooleanSupplier goesOn;
-    private final Consumer<SoakExchange> ended;
+    private final BooleanSupplier keepRunning;
+    private final Consumer<SoakExchange> onExchange;
 
     SoakClient(
             final Fleet fleet,
-            final List<Deployment.Kind> kinds,
+            final List<Deployment.RequestKind> kinds,
             final long seed,
-            final BooleanSupplier goesOn,
-            final Consumer<SoakExchange> ended) {
+            final BooleanSupplier keepRunning,
+            final Consumer<SoakExchange> onExchange) {
         this.fleet = fleet;
         this.edges = fleet.members().values().stream().filter(m -> !m.core).toList();
         this.kinds = kinds;
         this.random = new Random(seed);
-        this.goesOn = goesOn;
-        this.ended = ended;
+        this.keepRunning = keepRunning;
+        this.onExchange = onExchange;
     }
 
     @Override
     public void run() {
-        while (goesOn.getAsBoolean()) {
+        while (keepRunning.getAsBoolean()) {
             final FleetMember edge = edges.get(random.nextInt(edges.size()));
             final Process process = edge.process;
-            final Deployment.Kind kind = kinds.get(random.nextInt(kinds.size()));
+            final Deployment.RequestKind kind = kinds.get(random.nextInt(kinds.size()));
             final String ticket = ticket(edge, kind);
             try (RawClient connection = new RawClient(edge.http)) {
-                use(connection, process.pid(), kind, ticket);
+                sendRequests(connection, process.pid(), kind, ticket);
             } catch (final IOException refused) {
                 Fleet.pause(CONNECT_PAUSE_MS);
             }
         }
     }
 
-    private String ticket(final FleetMember edge, final Deployment.Kind kind) {
+    private String ticket(final FleetMember edge, final Deployment.RequestKind kind) {
         return fleet.call(
                         edge.http,
                         "where",
@@ -68,41 +68,42 @@
                 .asText();
     }
 
-    private void use(final RawClient connection, final long pid, final Deployment.Kind kind, final String ticket)
+    private void sendRequests(
+            final RawClient connection, final long pid, final Deployment.RequestKind kind, final String ticket)
             throws IOException {
         boolean open = true;
-        while (open && goesOn.getAsBoolean()) {
+        while (open && keepRunning.getAsBoolean()) {
             open = exchange(connection, pid, kind, ticket);
             Fleet.pause(random.nextInt(PAUSE_MAX_MS));
         }
     }
 
-    /** Sends one request and reads its answer; returns whether the connection may be used again. */
+    /** Sends one request and reads the response; returns whether the connection may be reused. */
     private boolean exchange(
-            final RawClient connection, final long pid, final Deployment.Kind kind, final String ticket)
+            final RawClient connection, final long pid, final Deployment.RequestKind kind, final String ticket)
             throws IOException {
-        final String own = "soak-" + RawClient.freshId();
+        final String own = "soak-" + RawClient.nextRequestId();
         final String requestId = kind.runOnce() ? ticket + "." + own : own;
         final String body = kind.runOnce() ? "pay " + own : "";
-        final long beganMs = System.currentTimeMillis();
+        final long sendStartMs = System.currentTimeMillis();
         try {
             connection.send(RawClient.head(kind.runOnce() ? "POST" : "GET", kind.path(), kind.key(), requestId)
                     + (kind.runOnce() ? "Content-Length: " + body.length() + "\r\n" : "")
                     + "\r\n"
                     + body);
         } catch (final IOException closed) {
-            record(requestId, kind, pid, SoakExchange.End.CLOSED, null, beganMs);
+            record(requestId, kind, pid, SoakExchange.End.CLOSED, null, sendStartMs);
             return false;
         }
         final long sentMs = System.currentTimeMillis();
         try {
-            final RawClient.Got got = connection.got();
-            if (got == null) {
+            final RawClient.Response response = connection.readResponse();
+            if (response == null) {
                 record(requestId, kind, pid, SoakExchange.End.CLOSED, null, sentMs);
                 return false;
             }
-            record(requestId, kind, pid, end(got, requestId), got.code(), sentMs);
-            return !"close".equalsIgnoreCase(got.header("Connection"));
+            record(requestId, kind, pid, end(response, requestId), response.resultCode(), sentMs);
+            return !"close".equalsIgnoreCase(response.header("Connection"));
         } catch (final SocketTimeoutException silent) {
             record(requestId, kind, pid, SoakExchange.End.SILENT, null, sentMs);
         } catch (final IOException closed) {
@@ -111,20 +112,23 @@
         return false;
     }
 
-    private static SoakExchange.End end(final RawClient.Got got, final String requestId) {
-        if (got.status() == 200) {
-            return got.body().contains("\"" + requestId + "\"") ? SoakExchange.End.RAN : SoakExchange.End.WRONG;
+    private static SoakExchange.End end(final RawClient.Response response, final String requestId) {
+        if (response.status() == 200) {
+            return response.body().contains("\"" + requestId + "\"") ? SoakExchange.End.RAN : SoakExchange.End.WRONG;
         }
-        return NOT_RUN.equals(got.header("Spokestall-Outcome")) ? SoakExchange.End.NOT_RUN : SoakExchange.End.UNDECIDED;
+        return NOT_RUN.equals(response.header("Spokestall-Outcome"))
+                ? SoakExchange.End.NOT_RUN
+                : SoakExchange.End.UNDECIDED;
     }
 
     private void record(
             final String requestId,
-            final Deployment.Kind kind,
+            final Deployment.RequestKind kind,
             final long pid,
             final SoakExchange.End end,
             final String code,
             final long sentMs) {
-        ended.accept(new SoakExchange(requestId, kind.runOnce(), pid, end, code, sentMs, System.currentTimeMillis()));
+        onExchange.accept(
+                new SoakExchange(requestId, kind.runOnce(), pid, end, code, sentMs, System.currentTimeMillis()));
     }
 }
--- a/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
+++ b/testbed/src/main/java/spokestall/testbed/soak/SoakRun.java
@@ -18,24 +18,27 @@
 import spokestall.testbed.fleet.Fleet;
 import spokestall.testbed.standin.UpstreamStandIn;
 
-/** Plays one soak run: a fleet starts, clients send, series come on several lanes at once, the fleet recovers and is judged. */
+/**
+ * Runs one soak test: starts a fleet and its clients, plays series of actions on several lanes concurrently, waits for the fleet to recover
+ * and judges the outcome.
+ */
 public final class SoakRun {
-    /** One upstream in so many takes a quarter of a second, so that requests are under way whenever something happens. */
+    /** One upstream in this many takes a quarter of a second per request, so that requests are in flight during every action. */
     private static final int UPSTREAMS_PER_SLOW_ONE = 3;
 
-    private static final long RECOVERED_MS = 3000;
+    private static final long RECOVERY_OBSERVATION_MS = 3000;
     private static final long NOT_REACHED = -1;
-    /** Requests of the last span that may be rejected: connections from before are used up in it. */
+    /** The ratio of unserved requests allowed in the observation period at the end; clients still use up older connections then. */
     private static final double UNSERVED_RATIO_MAX = 0.02;
 
     private final SoakFlags flags;
     private final long seed;
     private final ProcessHistory history = new ProcessHistory();
     private final SoakVerdict verdict = new SoakVerdict(history);
-    private final AtomicBoolean clientsGoOn = new AtomicBoolean(true);
+    private final AtomicBoolean clientsKeepRunning = new AtomicBoolean(true);
     /**
-     * How long after the first process was launched all had started, the first configuration was accepted, and every edge saw all
-     * upstreams.
+     * Times since the launch of the first process: until all processes had started, until the first configuration was accepted, and until
+     * every edge saw all upstreams.
      */
     private long startedMs = NOT_REACHED;
 
@@ -48,7 +51,7 @@
         this.seed = seed;
     }
 
-    /** Plays all seeds; returns zero if no rule was broken. */
+    /** Runs all seeds; returns zero if no rule was violated. */
     public static int run(final SoakFlags flags) throws IOException, InterruptedException {
         int broken = 0;
         for (long seed = flags.seed; seed < flags.seed + flags.seeds; seed++) {
@@ -58,7 +61,7 @@
         return broken == 0 ? 0 : 1;
     }
 
-    /** Plays one seed; returns the rules that were broken, a line each. */
+    /** Runs one seed; returns the violated rules, one line each. */
     public static List<String> play(final SoakFlags flags) throws IOException, InterruptedException {
         return new SoakRun(flags, flags.seed).play();
     }
@@ -75,7 +78,7 @@
             final List<Future<?>> clients = startClients(fleet, threads);
             playLanes(fleet, threads);
             recover(fleet);
-            clientsGoOn.set(false);
+            clientsKeepRunning.set(false);
             for (final Future<?> client : clients) {
                 await(client);
             }
@@ -84,16 +87,16 @@
                     fleet.call(fleet.anyCore().operators, "policy.get", new ObjectMapper().createObjectNode()));
             verdict.judgeMembers(fleet);
             if (!fleet.stopAll()) {
-                verdict.violated(SoakVerdict.SoakRule.STOP, "not all processes stopped cleanly at the end");
+                verdict.addViolation(SoakVerdict.SoakRule.STOP, "not all processes stopped cleanly at the end");
             }
         } finally {
-            clientsGoOn.set(false);
+            clientsKeepRunning.set(false);
             threads.shutdownNow();
         }
         return report(folder);
     }
 
-    /** Starts the fleet and waits until it serves; returns whether it does in time. */
+    /** Starts the fleet and waits until it serves requests; returns whether it does so in time. */
     private boolean start(final Fleet fleet) throws IOException {
         final long fromNanos = System.nanoTime();
         try {
@@ -101,11 +104,11 @@
             startedMs = elapsedMs(fromNanos);
             final long version = fleet.putConfiguration();
             acceptedMs = elapsedMs(fromNanos);
-            fleet.ready(version);
+            fleet.awaitReady(version);
             readyMs = elapsedMs(fromNanos);
             return true;
-        } catch (final IllegalStateException late) {
-            verdict.violated(SoakVerdict.SoakRule.START, late.getMessage());
+        } catch (final IllegalStateException timeout) {
+            verdict.addViolation(SoakVerdict.SoakRule.START, timeout.getMessage());
             return false;
         }
     }
@@ -119,7 +122,7 @@
                 folder.resolve("unserved.log"),
                 verdict.unservedAfter(0).stream().map(SoakExchange::toString).toList());
         final List<String> lines = verdict.violations().stream()
-                .map(violation -> violation.rule() + " " + violation.what())
+                .map(violation -> violation.rule() + " " + violation.detail())
                 .toList();
         System.out.println("soak seed=" + seed + " nodes=" + flags.layout().nodes() + " "
                 + verdict.summary() + " startedMs=" + startedMs + " acceptedMs=" + acceptedMs + " readyMs=" + readyMs
@@ -132,29 +135,30 @@
     private static void slowSomeUpstreams(final Fleet fleet) {
         final List<UpstreamStandIn> upstreams = fleet.standIns();
         for (int i = 0; i < upstreams.size(); i += UPSTREAMS_PER_SLOW_ONE) {
-            upstreams.get(i).behave(UpstreamStandIn.Manner.SLOW);
+            upstreams.get(i).setBehavior(UpstreamStandIn.Behavior.SLOW);
         }
     }
 
-    /** Requests of tenants that are at home everywhere, so that every edge serves them. */
-    private List<Deployment.Kind> kinds() {
+    /** Returns the kinds of requests of tenants whose home regions include all regions, so that every edge serves them. */
+    private List<Deployment.RequestKind> kinds() {
         final Set<String> everywhere = new HashSet<>();
         for (int tenant = 0; tenant < Deployment.TENANTS; tenant++) {
-            if (Deployment.home(tenant).size() == Deployment.home(0).size()) {
+            if (Deployment.homeRegions(tenant).size()
+                    == Deployment.homeRegions(0).size()) {
                 everywhere.add(Deployment.tenant(tenant));
             }
         }
-        return flags.deployment.kinds().stream()
+        return flags.deployment.requestKinds().stream()
                 .filter(kind -> everywhere.contains(kind.tenant()))
                 .toList();
     }
 
     private List<Future<?>> startClients(final Fleet fleet, final ExecutorService threads) {
-        final List<Deployment.Kind> kinds = kinds();
+        final List<Deployment.RequestKind> kinds = kinds();
         final List<Future<?>> clients = new ArrayList<>();
         for (int i = 0; i < flags.clients; i++) {
-            clients.add(threads.submit(
-                    new SoakClient(fleet, kinds, seed * flags.clients + i, clientsGoOn::get, verdict::onExchange)));
+            clients.add(threads.submit(new SoakClient(
+                    fleet, kinds, seed * flags.clients + i, clientsKeepRunning::get, verdict::onExchange)));
         }
         return clients;
     }
@@ -185,23 +189,23 @@
         try {
             task.get();
         } catch (final java.util.concurrent.ExecutionException e) {
-            verdict.violated(SoakVerdict.SoakRule.RECOVERY, "gave up: " + e.getCause());
+            verdict.addViolation(SoakVerdict.SoakRule.RECOVERY, "a lane or client failed: " + e.getCause());
         }
     }
 
-    /** Waits until every node is fresh, and sees requests run for a while. */
+    /** Waits until every node is fresh, then checks for {@link #RECOVERY_OBSERVATION_MS} that requests are served. */
     private void recover(final Fleet fleet) {
         try {
-            fleet.members().values().forEach(fleet::freshAgain);
+            fleet.members().values().forEach(fleet::awaitFresh);
         } catch (final IllegalStateException e) {
-            verdict.violated(SoakVerdict.SoakRule.RECOVERY, e.getMessage());
+            verdict.addViolation(SoakVerdict.SoakRule.RECOVERY, e.getMessage());
             return;
         }
         final long fromMs = System.currentTimeMillis();
-        Fleet.pause(RECOVERED_MS);
+        Fleet.pause(RECOVERY_OBSERVATION_MS);
         final List<SoakExchange> unserved = verdict.unservedAfter(fromMs);
         if (unserved.size() > UNSERVED_RATIO_MAX * verdict.exchangesAfter(fromMs)) {
-            verdict.violated(
+            verdict.addViolation(
                     SoakVerdict.SoakRule.RECOVERY,
                     unserved.size() + " unserved of " + verdict.exchangesAfter(fromMs) + ", by code "
                             + SoakVerdict.byCode(unserved) + ", first " + unserved.get(0));
--- a/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
+++ b/testbed/src/main/java/spokestall/testbed/standin/RawUpstream.java
@@ -14,11 +14,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import spokestall.testbed.Deployment;
 
-/** An upstream made of bytes: it keeps what came as it came, and answers whatever it was told to write. */
+/** An upstream that records requests without decoding them and writes raw responses chosen by the test. */
 public final class RawUpstream implements UpstreamInstance {
-    /** One ask as it was on the wire; head ends before the empty line, each wire has a number of its own. */
-    public record Came(int connection, String head, String body) {
-        public String line() {
+    /**
+     * One request as received.
+     *
+     * @param connection the number of the connection that carried it
+     * @param head the head, without the empty line at its end
+     * @param body the body
+     */
+    public record ReceivedRequest(int connection, String head, String body) {
+        public String requestLine() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
@@ -32,12 +38,12 @@
         }
     }
 
-    /** Writes the answer to one ask, byte by byte as it likes. */
-    public interface Manner {
-        void answer(Came came, Writer out) throws IOException, InterruptedException;
+    /** Writes the raw response to one request. */
+    public interface Responder {
+        void respond(ReceivedRequest request, Writer out) throws IOException, InterruptedException;
     }
 
-    /** The wire's far side. */
+    /** The connection to the client of this upstream. */
     public interface Writer {
         void write(String latin) throws IOException;
 
@@ -49,37 +55,37 @@
     private final AtomicInteger connections = new AtomicInteger();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private ServerSocket server;
-    public final LinkedBlockingQueue<Came> came = new LinkedBlockingQueue<>();
-    public volatile Manner manner = RawUpstream::well;
-    /** Answers before the body has come, as soon as the head is there. */
-    public volatile boolean early;
+    public final LinkedBlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+    public volatile Responder responder = RawUpstream::respondOk;
+    /** Whether the upstream responds as soon as it has read a request's head, without reading the body. */
+    public volatile boolean respondBeforeBody;
 
     public RawUpstream(final Deployment.Place place, final int port) {
         this.place = place;
         this.port = port;
     }
 
-    /** The head of a good answer, without its end; more is put in front of it. */
-    public static String names(final Came c) {
-        return "Spokestall-Ask-Id: " + c.header("Spokestall-Ask-Id") + "\r\nSpokestall-Instance: "
-                + c.header("Spokestall-Instance") + "\r\n";
+    /** Returns the header lines that identify a valid response: those of the request id and the instance. */
+    public static String identityHeaders(final ReceivedRequest request) {
+        return "Spokestall-Ask-Id: " + request.header("Spokestall-Ask-Id") + "\r\nSpokestall-Instance: "
+                + request.header("Spokestall-Instance") + "\r\n";
     }
 
-    public static void well(final Came c, final Writer out) throws IOException {
-        final String body = "answer to " + c.header("Spokestall-Ask-Id");
-        out.write("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" + names(c) + "Content-Length: " + body.length()
-                + "\r\n\r\n" + body);
+    public static void respondOk(final ReceivedRequest request, final Writer out) throws IOException {
+        final String body = "answer to " + request.header("Spokestall-Ask-Id");
+        out.write("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" + identityHeaders(request) + "Content-Length: "
+                + body.length() + "\r\n\r\n" + body);
     }
 
-    /** The next ask that came, or null if none came in time. */
-    public Came next(final long waitMs) throws InterruptedException {
-        return came.poll(waitMs, TimeUnit.MILLISECONDS);
+    /** Returns the next request, or null if none arrives in time. */
+    public ReceivedRequest awaitRequest(final long waitMs) throws InterruptedException {
+        return received.poll(waitMs, TimeUnit.MILLISECONDS);
     }
 
     public void reset() {
-        manner = RawUpstream::well;
-        early = false;
-        came.clear();
+        responder = RawUpstream::respondOk;
+        respondBeforeBody = false;
+        received.clear();
     }
 
     @Override
@@ -118,10 +124,10 @@
         });
     }
 
-    private static void thread(final Runnable what) {
-        final Thread made = new Thread(what, "raw-upstream");
-        made.setDaemon(true);
-        made.start();
+    private static void thread(final Runnable task) {
+        final Thread thread = new Thread(task, "raw-upstream");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     @Override
@@ -152,25 +158,26 @@
             };
             String head = head(in);
             while (head != null) {
-                final Came first = new Came(number, head, "");
-                if (first.line().startsWith("GET /spokestall/status ")) {
+                final ReceivedRequest request = new ReceivedRequest(number, head, "");
+                if (request.requestLine().startsWith("GET /spokestall/status ")) {
                     final String body = "{\"instance\":\"" + place.instance() + "\",\"service\":\"" + place.service()
                             + "\",\"leaving\":false,\"readyForMs\":600000}";
                     out.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-                } else if (early) {
-                    came.add(first);
-                    manner.answer(first, out);
+                } else if (respondBeforeBody) {
+                    received.add(request);
+                    responder.respond(request, out);
                 } else {
-                    final String length = first.header("Content-Length");
+                    final String length = request.header("Content-Length");
                     final byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                    final Came whole = new Came(number, head, new String(body, StandardCharsets.ISO_8859_1));
-                    came.add(whole);
-                    manner.answer(whole, out);
+                    final ReceivedRequest requestWithBody =
+                            new ReceivedRequest(number, head, new String(body, StandardCharsets.ISO_8859_1));
+                    received.add(requestWithBody);
+                    responder.respond(requestWithBody, out);
                 }
                 head = head(in);
             }
         } catch (final IOException e) {
-            // The other side went, which is part of what is tried.
+            // The client closed the connection, which tests do on purpose.
             open.remove(connection);
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -182,11 +189,11 @@
     private static String head(final InputStream in) throws IOException {
         final StringBuilder out = new StringBuilder();
         while (out.length() < 4 || !out.substring(out.length() - 4).equals("\r\n\r\n")) {
-            final int one = in.read();
-            if (one < 0) {
+            final int next = in.read();
+            if (next < 0) {
                 return null;
             }
-            out.append((char) one);
+            out.append((char) next);
         }
         return out.substring(0, out.length() - 4);
     }
--- a/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
+++ b/testbed/src/main/java/spokestall/testbed/verdict/Judge.java
@@ -14,15 +14,15 @@
 import spokestall.message.Header;
 import spokestall.testbed.simulation.SimulatedWorld;
 
-/** Judges a run from outside, from what clients, upstreams and the platform saw. */
+/** Checks a run against the rules, only from what clients, upstreams and the platform saw. */
 public final class Judge {
-    /** What came of one rule: how often it was looked at, how often broken, and the closest it came (1 = at the bound). */
+    /** Results of one rule: checks, violations, and the largest part of the bound that was used up (1 = at the bound). */
     public static final class Tally {
         public long checks;
-        public long broken;
-        public double worst;
-        public String worstWhat = "";
-        public String first = "";
+        public long violations;
+        public double worstShare;
+        public String worstCase = "";
+        public String firstViolation = "";
     }
 
     private final LongSupplier nowMs;
@@ -41,66 +41,67 @@
         return tallies;
     }
 
-    public void violated(final Rule rule, final String what) {
-        check(rule, 2, what);
+    public void violated(final Rule rule, final String description) {
+        check(rule, 2, description);
     }
 
-    /** One look at a rule: share is how much of the bound was used up; above 1 it is broken. */
-    public void check(final Rule rule, final double share, final String what) {
+    /** Records one check of a rule. The share is the part of the bound that was used up; above 1 the rule is broken. */
+    public void check(final Rule rule, final double share, final String description) {
         final Tally t = tallies.get(rule);
         t.checks++;
-        if (share > t.worst) {
-            t.worst = share;
-            t.worstWhat = what;
+        if (share > t.worstShare) {
+            t.worstShare = share;
+            t.worstCase = description;
         }
         if (share > 1) {
-            t.broken++;
-            if (t.first.isEmpty()) {
-                t.first = "at " + nowMs.getAsLong() + ": " + what;
+            t.violations++;
+            if (t.firstViolation.isEmpty()) {
+                t.firstViolation = "at " + nowMs.getAsLong() + ": " + description;
             }
-            trace.accept("VIOLATION " + rule + " " + what);
+            trace.accept("VIOLATION " + rule + " " + description);
         }
     }
 
-    /** Judges the whole ledger at the end of a run. */
-    public void end(final SimulatedWorld world) {
-        once(world);
-        told(world);
-        begun(world);
-        warmingUp(world);
-        retries(world);
-        reports(world);
+    /** Checks everything that was recorded, at the end of a run. */
+    public void judgeRun(final SimulatedWorld world) {
+        checkRunOnce(world);
+        checkAnswers(world);
+        checkExecutions(world);
+        checkWarmUps(world);
+        checkRetries(world);
+        checkReports(world);
     }
 
-    private void once(final SimulatedWorld w) {
+    private void checkRunOnce(final SimulatedWorld w) {
         final Map<String, Integer> runs = new HashMap<>();
-        for (final SimulatedWorld.Begun b : w.begun) {
-            final SimulatedWorld.Asked asked = w.asked.get(b.requestId());
-            if (asked != null && asked.kind.runOnce()) {
+        for (final SimulatedWorld.Begun b : w.executions) {
+            final SimulatedWorld.ClientRequest clientRequest = w.requests.get(b.requestId());
+            if (clientRequest != null && clientRequest.kind.runOnce()) {
                 runs.merge(b.requestId(), 1, Integer::sum);
             }
         }
         runs.forEach((id, n) -> check(Rule.ONCE, n > 1 ? n : 0.5, id + " ran " + n + " times"));
     }
 
-    private void told(final SimulatedWorld w) {
+    private void checkAnswers(final SimulatedWorld w) {
         final Map<String, List<Long>> begins = new HashMap<>();
-        for (final SimulatedWorld.Begun b : w.begun) {
+        for (final SimulatedWorld.Begun b : w.executions) {
             begins.computeIfAbsent(b.requestId(), i -> new ArrayList<>()).add(b.atMs());
         }
-        for (final SimulatedWorld.Told t : w.told) {
-            final SimulatedWorld.Asked asked = w.asked.get(t.requestId());
+        for (final SimulatedWorld.Told t : w.responses) {
+            final SimulatedWorld.ClientRequest clientRequest = w.requests.get(t.requestId());
             if (t.ran() == spokestall.proxy.ExecutionStatus.NOT_RUN) {
                 boolean broken = false;
                 for (final long at : begins.getOrDefault(t.requestId(), List.of())) {
-                    // A begin after the answer is the client's own later go at it, if there was one before that begin.
-                    final boolean later = asked.sentMs.stream().anyMatch(s -> s >= t.atMs() && s <= at);
+                    // The request may begin after the response if the client sent it again in between.
+                    final boolean later = clientRequest.sentMs.stream().anyMatch(s -> s >= t.atMs() && s <= at);
                     broken |= !(at > t.atMs() && later);
                 }
                 check(
                         Rule.NOT_RUN,
                         broken ? 2 : 0,
-                        t.requestId() + " told not run at " + t.atMs() + " begun at " + begins.get(t.requestId()));
+                        t.requestId() + " reported as not run at " + t.atMs() + ", began at "
+                                + begins.get(t.requestId()));
             } else if (t.ran() == spokestall.proxy.ExecutionStatus.RAN) {
                 final boolean ran = begins.containsKey(t.requestId());
                 final String want = "answer to " + t.requestId() + " by " + t.instance();
@@ -117,46 +118,51 @@
         }
     }
 
-    private void begun(final SimulatedWorld w) {
-        for (final SimulatedWorld.Begun b : w.begun) {
-            final SimulatedWorld.Asked asked = w.asked.get(b.requestId());
-            final List<String> home = w.home(asked.kind.tenant());
+    private void checkExecutions(final SimulatedWorld w) {
+        for (final SimulatedWorld.Begun b : w.executions) {
+            final SimulatedWorld.ClientRequest clientRequest = w.requests.get(b.requestId());
+            final List<String> home = w.homeRegions(clientRequest.kind.tenant());
             check(
                     Rule.HOME,
                     home.contains(b.region()) && home.contains(b.edgeRegion()) ? 0 : 2,
-                    b.requestId() + " of " + asked.kind.tenant() + " in " + b.edgeRegion() + " and " + b.region());
-            for (final SimulatedWorld.Span span : w.withdrawn) {
-                if (span.what().equals(asked.kind.key()) && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
+                    b.requestId() + " of " + clientRequest.kind.tenant() + " in " + b.edgeRegion() + " and "
+                            + b.region());
+            for (final SimulatedWorld.Interval span : w.withdrawnKeys) {
+                if (span.subject().equals(clientRequest.kind.key())
+                        && b.atMs() > span.fromMs()
+                        && b.atMs() < span.untilMs()) {
                     check(
                             Rule.KEY,
-                            (b.atMs() - span.fromMs()) / (double) Rule.KEY.nearMs,
-                            b.requestId() + " with " + span.what() + " " + (b.atMs() - span.fromMs()) + " ms after");
+                            (b.atMs() - span.fromMs()) / (double) Rule.KEY.strictBoundMs,
+                            b.requestId() + " with " + span.subject() + " " + (b.atMs() - span.fromMs())
+                                    + " ms after its withdrawal");
                 }
             }
-            for (final SimulatedWorld.Span span : w.emptied) {
-                final boolean there = span.what().equals(b.instance())
-                        || span.what().equals(b.zone())
-                        || span.what().equals(b.edgeZone());
+            for (final SimulatedWorld.Interval span : w.drained) {
+                final boolean there = span.subject().equals(b.instance())
+                        || span.subject().equals(b.zone())
+                        || span.subject().equals(b.edgeZone());
                 if (there && b.atMs() > span.fromMs() && b.atMs() < span.untilMs()) {
                     check(
                             Rule.LEAVING,
-                            (b.atMs() - span.fromMs()) / (double) Rule.LEAVING.nearMs,
-                            b.requestId() + " to " + span.what() + " " + (b.atMs() - span.fromMs()) + " ms after");
+                            (b.atMs() - span.fromMs()) / (double) Rule.LEAVING.strictBoundMs,
+                            b.requestId() + " to " + span.subject() + " " + (b.atMs() - span.fromMs())
+                                    + " ms after its drain began");
                 }
             }
         }
-        for (final SimulatedWorld.Span span : w.withdrawn) {
-            check(Rule.KEY, 0, span.what());
+        for (final SimulatedWorld.Interval span : w.withdrawnKeys) {
+            check(Rule.KEY, 0, span.subject());
         }
-        for (final SimulatedWorld.Span span : w.emptied) {
-            check(Rule.LEAVING, 0, span.what());
+        for (final SimulatedWorld.Interval span : w.drained) {
+            check(Rule.LEAVING, 0, span.subject());
         }
     }
 
-    /** In each second of its warm-up, at most one and a half times the ramp, plus a few. */
-    private void warmingUp(final SimulatedWorld w) {
+    /** Checks that a warming upstream gets at most one and a half times its ramp in each second, plus the rule's slack. */
+    private void checkWarmUps(final SimulatedWorld w) {
         final Map<String, Map<Long, Integer>> perSecond = new HashMap<>();
-        for (final SimulatedWorld.Begun b : w.begun) {
+        for (final SimulatedWorld.Begun b : w.executions) {
             if (b.ageMs() < SimulatedWorld.WARMUP_MS) {
                 perSecond
                         .computeIfAbsent(b.instance() + "@" + (b.atMs() - b.ageMs()), i -> new TreeMap<>())
@@ -164,103 +170,104 @@
             }
         }
         perSecond.forEach((incarnation, seconds) -> seconds.forEach((second, n) -> {
-            final double most = rampMost(second);
+            final double most = maxWarmUpRequests(second);
             check(Rule.COLD, n / most, incarnation + " got " + n + " in second " + second + ", most " + most);
         }));
     }
 
-    /** The most that a cold upstream may get in that second of its warm-up. */
-    static double rampMost(final long second) {
-        return 1.5 * SimulatedWorld.WARM_PER_S * (second + 1) * 1000 / SimulatedWorld.WARMUP_MS + Rule.COLD.few;
+    /** Returns the most requests that a cold upstream may get in the given second of its warm-up. */
+    static double maxWarmUpRequests(final long second) {
+        return 1.5 * SimulatedWorld.WARM_PER_S * (second + 1) * 1000 / SimulatedWorld.WARMUP_MS + Rule.COLD.slack;
     }
 
-    private void retries(final SimulatedWorld w) {
+    private void checkRetries(final SimulatedWorld w) {
         final Map<String, List<SimulatedWorld.Gone>> byService = new TreeMap<>();
         w.attempts.forEach(g ->
                 byService.computeIfAbsent(g.service(), s -> new ArrayList<>()).add(g));
         byService.forEach((service, attempts) -> {
             int from = 0;
             int first = 0;
-            int again = 0;
+            int retries = 0;
             for (int to = 0; to < attempts.size(); to++) {
                 final SimulatedWorld.Gone g = attempts.get(to);
                 first += g.turn() == 1 ? 1 : 0;
-                again += g.turn() > 1 ? 1 : 0;
-                while (g.atMs() - attempts.get(from).atMs() > Rule.RETRIES.nearMs) {
+                retries += g.turn() > 1 ? 1 : 0;
+                while (g.atMs() - attempts.get(from).atMs() > Rule.RETRIES.strictBoundMs) {
                     first -= attempts.get(from).turn() == 1 ? 1 : 0;
-                    again -= attempts.get(from).turn() > 1 ? 1 : 0;
+                    retries -= attempts.get(from).turn() > 1 ? 1 : 0;
                     from++;
                 }
                 check(
                         Rule.RETRIES,
-                        again / (0.2 * first + Rule.RETRIES.few),
-                        again + " retries on " + first + " asks of " + service + " until " + g.atMs());
+                        retries / (0.2 * first + Rule.RETRIES.slack),
+                        retries + " retries on " + first + " requests of " + service + " until " + g.atMs());
             }
         });
     }
 
-    private void reports(final SimulatedWorld w) {
+    private void checkReports(final SimulatedWorld w) {
         final Map<Long, Map<String, Long>> counts = new HashMap<>();
         final Map<Long, String> holderOf = new HashMap<>();
         long newest = 0;
         final Map<Long, Long> firstOf = new TreeMap<>();
-        for (final Ledger.Reported r : w.reported) {
-            final Map<String, Long> had = counts.putIfAbsent(r.window(), r.counts());
+        for (final Ledger.Reported r : w.reports) {
+            final Map<String, Long> earlier = counts.putIfAbsent(r.window(), r.counts());
             check(
                     Rule.SAME_COUNTS,
-                    had == null || had.equals(r.counts()) ? 0 : 2,
-                    "window " + r.window() + " " + had + " and " + r.counts());
+                    earlier == null || earlier.equals(r.counts()) ? 0 : 2,
+                    "window " + r.window() + " was reported with " + earlier + " and " + r.counts());
             final String other = holderOf.putIfAbsent(r.token(), r.holder());
             check(
                     Rule.TOKEN,
                     other == null || other.equals(r.holder()) ? 0 : 2,
-                    "token " + r.token() + " of " + other + " and " + r.holder());
+                    "token " + r.token() + " held by " + other + " and " + r.holder());
             check(
                     Rule.TOKEN,
                     r.token() >= newest ? 0 : 2,
-                    r.holder() + " with " + r.token() + " at " + r.atMs() + " after " + newest);
+                    r.holder() + " reported with token " + r.token() + " at " + r.atMs() + " after token " + newest);
             newest = Math.max(newest, r.token());
             final long endMs = (r.window() + 1) * SimulatedWorld.WINDOW_MS - SimulatedWorld.EPOCH_MS;
             if (firstOf.putIfAbsent(r.window(), r.atMs()) == null) {
                 check(
                         Rule.IN_TIME,
-                        (r.atMs() - endMs) / (double) Rule.IN_TIME.nearMs,
-                        "window " + r.window() + " came " + (r.atMs() - endMs) + " ms after its end");
+                        (r.atMs() - endMs) / (double) Rule.IN_TIME.strictBoundMs,
+                        "report of window " + r.window() + " arrived " + (r.atMs() - endMs) + " ms after its end");
             }
         }
         final Map<Long, Map<String, Long>> truth = new TreeMap<>();
-        w.begun.forEach(b -> truth.computeIfAbsent(
+        w.executions.forEach(b -> truth.computeIfAbsent(
                         (SimulatedWorld.EPOCH_MS + b.atMs()) / SimulatedWorld.WINDOW_MS, x -> new TreeMap<>())
-                .merge(w.asked.get(b.requestId()).kind.tenant(), 1L, Long::sum));
+                .merge(w.requests.get(b.requestId()).kind.tenant(), 1L, Long::sum));
         truth.forEach((window, real) -> {
             final long endMs = (window + 1) * SimulatedWorld.WINDOW_MS - SimulatedWorld.EPOCH_MS;
-            if (endMs + Rule.IN_TIME.nearMs > nowMs.getAsLong()) {
+            if (endMs + Rule.IN_TIME.strictBoundMs > nowMs.getAsLong()) {
                 return;
             }
             final Map<String, Long> said = counts.get(window);
             if (said == null) {
-                if (!w.availability.unable(endMs, endMs + Rule.IN_TIME.nearMs)) {
-                    violated(Rule.IN_TIME, "window " + window + " ended at " + endMs + " and never came");
+                if (!w.availability.unavailable(endMs, endMs + Rule.IN_TIME.strictBoundMs)) {
+                    violated(Rule.IN_TIME, "window " + window + " ended at " + endMs + " and was never reported");
                 }
                 return;
             }
-            if (!w.availability.forgot(endMs - SimulatedWorld.WINDOW_MS, firstOf.get(window))) {
-                counted(window, real, said);
+            if (!w.availability.allCoresWentDown(endMs - SimulatedWorld.WINDOW_MS, firstOf.get(window))) {
+                checkCounts(window, real, said);
             }
         });
     }
 
-    /** Each tenant's count by itself: a few at the window's edges may fall to the neighbour window. */
-    void counted(final long window, final Map<String, Long> real, final Map<String, Long> said) {
-        final Set<String> tenants = new TreeSet<>(real.keySet());
-        tenants.addAll(said.keySet());
+    /** Checks each tenant's count separately. A few requests at a window's edges may be counted in the adjacent window. */
+    void checkCounts(final long window, final Map<String, Long> actual, final Map<String, Long> reported) {
+        final Set<String> tenants = new TreeSet<>(actual.keySet());
+        tenants.addAll(reported.keySet());
         for (final String tenant : tenants) {
-            final long was = real.getOrDefault(tenant, 0L);
-            final long told = said.getOrDefault(tenant, 0L);
+            final long actualCount = actual.getOrDefault(tenant, 0L);
+            final long reportedCount = reported.getOrDefault(tenant, 0L);
             check(
                     Rule.IN_TIME,
-                    Math.max(0, Math.abs(was - told) - Rule.IN_TIME.few) / Math.max(1, 0.05 * was),
-                    "window " + window + " has " + was + " of " + tenant + ", told " + told);
+                    Math.max(0, Math.abs(actualCount - reportedCount) - Rule.IN_TIME.slack)
+                            / Math.max(1, 0.05 * actualCount),
+                    "window " + window + " has " + actualCount + " of " + tenant + ", reported " + reportedCount);
         }
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fault/InjectedFaultTest.java
@@ -18,7 +18,7 @@
 import spokestall.testbed.simulation.ScenarioSweep;
 import spokestall.testbed.verdict.Rule;
 
-/** A judge that can't find anything is worth nothing: with a fault planted, each rule must be seen to break. */
+/** Guards against a judge that misses violations: for each rule, an injected fault must lead to a violation that the judge reports. */
 class InjectedFaultTest {
     private record Case(Rule rule, InjectedFault injectedFault, Scenario scenario, long seeds) {}
 
@@ -35,7 +35,7 @@
             new Case(Rule.SAME_COUNTS, InjectedFault.LYING_DISK, Scenario.BLINK, 1),
             new Case(Rule.TOKEN, InjectedFault.NO_LAST_LOOK, Scenario.FREEZE_AT_SEND, 4),
             new Case(Rule.IN_TIME, InjectedFault.LATE_REPORTS, Scenario.REGION_KILL, 2),
-            // What an earlier judge let pass.
+            // Faults that an earlier version of the judge missed.
             new Case(Rule.IN_TIME, InjectedFault.SWAPPED_TENANTS, Scenario.CALM, 1),
             new Case(Rule.IN_TIME, InjectedFault.DEAF_PLATFORM, Scenario.LOSSY, 1),
             new Case(Rule.OWN_ANSWER, InjectedFault.OTHERS_HEADERS, Scenario.CALM, 1),
@@ -43,22 +43,22 @@
             new Case(Rule.LEAVING, InjectedFault.SLOW_LEAVING, Scenario.ROLLING, 4));
 
     @Test
-    void eachRuleIsSeenToBreakUnderItsPlantedFault() throws Exception {
+    void eachRuleIsViolatedUnderItsInjectedFault() throws Exception {
         Logger.getLogger("").setLevel(Level.OFF);
         final ExecutorService pool =
                 Executors.newFixedThreadPool(Math.max(2, Runtime.getRuntime().availableProcessors() - 1));
         final List<Future<Set<Rule>>> runs = new ArrayList<>();
-        final List<Case> of = new ArrayList<>();
+        final List<Case> caseOfRun = new ArrayList<>();
         for (final Case c : CASES) {
             for (long seed = 1; seed <= c.seeds; seed++) {
                 final long s = seed;
-                of.add(c);
+                caseOfRun.add(c);
                 runs.add(pool.submit(() -> {
                     final Set<Rule> broken = EnumSet.noneOf(Rule.class);
-                    ScenarioSweep.one(s, Deployment.PADMA, c.scenario, c.injectedFault)
+                    ScenarioSweep.runOne(s, Deployment.PADMA, c.scenario, c.injectedFault)
                             .tallies()
                             .forEach((rule, t) -> {
-                                if (t.broken > 0) {
+                                if (t.violations > 0) {
                                     broken.add(rule);
                                 }
                             });
@@ -68,8 +68,8 @@
         }
         final Set<Case> found = new HashSet<>();
         for (int i = 0; i < runs.size(); i++) {
-            if (runs.get(i).get().contains(of.get(i).rule)) {
-                found.add(of.get(i));
+            if (runs.get(i).get().contains(caseOfRun.get(i).rule)) {
+                found.add(caseOfRun.get(i));
             }
         }
         pool.shutdown();
--- a/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/DirectoryTest.java
@@ -16,12 +16,12 @@
 import spokestall.testbed.simulation.SimulatedNode;
 import spokestall.testbed.simulation.SimulationRun;
 
-/** Whatever has gone, a node that is in contact with a majority has edges to name to clients. */
+/** After any failure, a node that is in contact with a majority of the cores can direct clients to edges. */
 class DirectoryTest {
     private static final long TICK_MS = 100;
     private static final long FROM_MS = 2000;
     private static final long UNTIL_MS = 90_000;
-    /** Clients give a node a second to answer. */
+    /** Clients wait at most one second for a node's response. */
     private static final long WITHOUT_MAX_MS = 1000;
 
     @BeforeAll
@@ -29,21 +29,21 @@
         Logger.getLogger("").setLevel(Level.OFF);
     }
 
-    /** The longest that any node had a fresh proof and nothing to name, by node. */
-    private static Map<String, Long> longestWithout(final Scenario scenario, final long seed) {
+    /** Returns, by node, the longest time that the node was fresh but listed no edges, where longer than {@link #WITHOUT_MAX_MS}. */
+    private static Map<String, Long> longestWithoutEdges(final Scenario scenario, final long seed) {
         final SimulationRun run = new SimulationRun(seed, Deployment.PADMA, scenario, false, InjectedFault.NONE);
         final Map<String, Long> sinceMs = new HashMap<>();
         final Map<String, Long> longestMs = new TreeMap<>();
-        final Runnable look = new Runnable() {
+        final Runnable sample = new Runnable() {
             @Override
             public void run() {
                 final long nowMs = run.world.sim.nowMs();
                 for (final SimulatedNode node : run.world.nodes.values()) {
-                    final boolean without = node.running()
+                    final boolean withoutEdges = node.isRunning()
                             && node.node().directory().edges().isEmpty()
                             && !node.node().leaving()
                             && node.node().feedClient().isFresh();
-                    if (!without) {
+                    if (!withoutEdges) {
                         sinceMs.remove(node.name);
                     } else {
                         sinceMs.putIfAbsent(node.name, nowMs);
@@ -55,14 +55,14 @@
                 }
             }
         };
-        run.world.sim.after(FROM_MS, look);
+        run.world.sim.after(FROM_MS, sample);
         assertThat(run.play()).isTrue();
         longestMs.values().removeIf(ms -> ms <= WITHOUT_MAX_MS);
         return longestMs;
     }
 
     @Test
-    void aNodeInContactHasEdgesToName() {
+    void aNodeInContactWithAMajorityListsEdges() {
         for (final Scenario scenario : List.of(
                 Scenario.RESTART_ALL,
                 Scenario.DISTRICT_POWER,
@@ -70,7 +70,7 @@
                 Scenario.CUTS,
                 Scenario.SPLIT,
                 Scenario.MOVED)) {
-            assertThat(longestWithout(scenario, 3)).as(scenario.name()).isEmpty();
+            assertThat(longestWithoutEdges(scenario, 3)).as(scenario.name()).isEmpty();
         }
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/FleetTest.java
@@ -22,37 +22,41 @@
 import spokestall.testbed.verdict.FleetJudge;
 import spokestall.testbed.verdict.Rule;
 
-/** Real processes: a fleet in which a core and an edge are killed while asks flow. */
+/** A fleet of real processes in which a core and an edge are killed while clients send requests. */
 class FleetTest {
     @Test
-    void servesWhileACoreAndAnEdgeAreKilledAndStopsCleanly(@TempDir final Path folder) throws Exception {
-        try (Fleet fleet = new Fleet(Deployment.PADMA, folder, Deployment.DISTRICTS, 2)) {
+    void aFleetServesWhileACoreAndAnEdgeAreKilledAndStopsCleanly(@TempDir final Path folder) throws Exception {
+        try (Fleet fleet = new Fleet(Deployment.PADMA, folder, Deployment.ZONES, 2)) {
             fleet.start();
             final long version = fleet.putConfiguration();
-            fleet.ready(version);
-            final Process demand = fleet.demand(10, 0.95);
-            Fleet.until("asks flow", 10_000, () -> fleet.ledger().began().size() > 200);
+            fleet.awaitReady(version);
+            final Process loadGenerator = fleet.startLoadGenerator(10, 0.95);
+            Fleet.waitUntil(
+                    "requests arrive", 10_000, () -> fleet.ledger().began().size() > 200);
             fleet.members().get("d2-core").process.destroyForcibly().waitFor();
             fleet.members().get("d5-edge").process.destroyForcibly().waitFor();
-            assertThat(demand.waitFor()).as("demand's verdict").isZero();
+            assertThat(loadGenerator.waitFor())
+                    .as("the load generator's exit code")
+                    .isZero();
             assertThat(fleet.ledger().began()).isNotEmpty();
             fleet.start(fleet.members().get("d2-core"));
             fleet.start(fleet.members().get("d5-edge"));
-            fleet.ready(version);
-            Fleet.until("the core votes again", 20_000, () -> {
+            fleet.awaitReady(version);
+            Fleet.waitUntil("the core votes again", 20_000, () -> {
                 final JsonNode s = fleet.status(fleet.members().get("d2-core"));
                 return s.path("voter").asText().equals("VOTING");
             });
-            Fleet.until(
+            Fleet.waitUntil(
                     "a window is reported",
                     20_000,
                     () -> !fleet.ledger().reported().isEmpty());
             final FleetJudge judge = new FleetJudge(fleet);
-            judge.end();
+            judge.judgeRun();
             judge.judge()
                     .tallies()
-                    .forEach((rule, t) ->
-                            assertThat(t.broken).as(rule + " " + t.first).isZero());
+                    .forEach((rule, t) -> assertThat(t.violations)
+                            .as(rule + " " + t.firstViolation)
+                            .isZero());
             assertThat(judge.judge().tallies().get(Rule.ONCE).checks).isPositive();
             final HttpResponse<String> tooLarge = HttpClient.newHttpClient()
                     .send(
@@ -77,7 +81,7 @@
                             .map(l -> new String(
                                     Base64.getUrlDecoder().decode(l.split("\\.")[1]), StandardCharsets.UTF_8))
                             .toList())
-                    .as("all kinds of decisions")
+                    .as("the audit log has every kind of decision")
                     .anyMatch(l -> l.contains("\"voters\""))
                     .anyMatch(l -> l.contains("\"first-policy\""))
                     .anyMatch(l -> l.contains("\"lease\""))
--- a/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/LossAfterRestartsTest.java
@@ -17,8 +17,8 @@
 import spokestall.testbed.fleet.OperatorFleet;
 
 /**
- * Nodes are stopped and started in turn while the configuration changes; then, right after an acknowledgement, as many cores as may
- * be lost lose their disks while all other nodes lose power. What was acknowledged must be there when all are back.
+ * Restarts nodes in turn while the configuration changes. Right after an acknowledgement, all nodes lose power and as many cores as
+ * the fleet tolerates lose their disks as well. Every node must have all acknowledged changes after it has started again.
  */
 class LossAfterRestartsTest {
     private static final int SEEDS = Integer.getInteger("seeds", 12);
@@ -40,7 +40,7 @@
         return settings;
     }
 
-    /** Connections that stay open for a while after a stop has begun. */
+    /** Client connections that stay open for a while after a shutdown has begun. */
     private static final class OpenFor implements ClientConnections {
         private final OperatorFleet fleet;
         private final long untilMs;
@@ -65,21 +65,21 @@
         }
     }
 
-    private static final class Day {
+    private static final class Play {
         private final Random random;
         private final OperatorFleet fleet;
         private int changes;
 
-        Day(final long seed) {
+        Play(final long seed) {
             random = new Random(seed);
             fleet = new OperatorFleet(seed, Deployment.values()[Math.floorMod(seed, 2)], InjectedFault.NONE, settings())
                     .withEdges(EDGES)
-                    .begun();
+                    .start();
         }
 
-        /** A clean stop, and a start a moment after the process has ended. */
+        /** Shuts a node down cleanly, and starts it again shortly after its process has ended. */
         private void restart(final SimulatedNode node) {
-            if (!node.running()) {
+            if (!node.isRunning()) {
                 return;
             }
             final long incarnation = node.incarnation();
@@ -105,7 +105,7 @@
             int coresDown = 0;
             for (int i = 0; i < nodes.size(); i++) {
                 final SimulatedNode node = nodes.get(i);
-                // Cores are stopped one after the other, as far as they may be lost together.
+                // Cores are stopped 2.5 s apart, to limit how many are down at the same time.
                 final long atMs = node.core ? 2500L * coresDown++ + random.nextInt(500) : gapMs * (i / together);
                 fleet.world.sim.after(atMs, () -> restart(node));
             }
@@ -131,16 +131,16 @@
             for (int i = 0; i < EARLIER_CHANGES; i++) {
                 final int before = acknowledged.size();
                 change(acknowledged::add);
-                fleet.until("a change is acknowledged", ACK_MS, () -> acknowledged.size() > before);
+                fleet.runUntil("a change is acknowledged", ACK_MS, () -> acknowledged.size() > before);
                 fleet.run(random.nextInt(4000));
             }
             change(id -> {
                 acknowledged.add(id);
                 fleet.world.sim.after(random.nextInt(5), this::loseDisksAndPower);
             });
-            fleet.until("the last change is acknowledged", ACK_MS, () -> acknowledged.size() > EARLIER_CHANGES);
+            fleet.runUntil("the last change is acknowledged", ACK_MS, () -> acknowledged.size() > EARLIER_CHANGES);
             fleet.run(RECOVERY_MS);
-            fleet.fresh();
+            fleet.awaitFresh();
             return acknowledged.stream().filter(this::isMissingSomewhere).toList();
         }
 
@@ -156,11 +156,11 @@
     }
 
     @Test
-    void whatWasAcknowledgedOutlivesTheLossOfTwoDisksAndAllPower() {
+    void acknowledgedChangesSurviveTheLossOfTwoDisksAndAllPower() {
         final List<String> bad = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
             try {
-                final List<String> missing = new Day(seed).play();
+                final List<String> missing = new Play(seed).play();
                 if (!missing.isEmpty()) {
                     bad.add("seed " + seed + " lost " + missing);
                 }
--- a/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/OperatorRepliesFormatTest.java
@@ -15,7 +15,7 @@
 import spokestall.testbed.Deployment;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** The replies to operators and clients as a whole fleet gives them: every field's name and kind, against literals. */
+/** Format of a whole fleet's replies to operators and clients: each field's name and type, compared with literals. */
 class OperatorRepliesFormatTest {
     private static final ObjectNode NOTHING = OperatorFleet.JSON.createObjectNode();
     private OperatorFleet fleet;
@@ -24,7 +24,7 @@
 
     @BeforeEach
     void begin() {
-        fleet = new OperatorFleet(1, Deployment.PADMA).begun();
+        fleet = new OperatorFleet(1, Deployment.PADMA).start();
         core = fleet.world.cores().get(0);
         edge = fleet.nodes().stream().filter(node -> !node.core).findFirst().orElseThrow();
         fleet.run(30_000);
@@ -37,7 +37,7 @@
     }
 
     private JsonNode reply(final SimulatedNode to, final String method, final JsonNode params) {
-        return fleet.done(to, method, params).reply.json();
+        return fleet.callAndWait(to, method, params).reply.json();
     }
 
     private List<String> fields(final SimulatedNode to, final String method, final JsonNode params) {
@@ -46,7 +46,7 @@
         return new ArrayList<>(found);
     }
 
-    /** One line for each field and its kind; what is named after a node, an instance or a zone is one star. */
+    /** Adds a line for each field with its type. Fields named after a node or a zone, and list items, are shown as a star. */
     private void describe(final String at, final JsonNode json, final Collection<String> found) {
         if (json.isContainerNode()) {
             found.add(at + (json.isObject() ? " object" : " list"));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void whereNamesEdgesWithASpanAndATicket() throws Exception {
+    void whereReturnsEdgesValidityAndTicket() throws Exception {
         final ObjectNode params = OperatorFleet.JSON.createObjectNode();
         params.put("client", "client-7").put("key", Deployment.key(0));
         assertThat(fields(core, "where", params)).isEqualTo(golden("where-fields.txt"));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void theConfigurationIsToldWithItsVersionAndAge() {
+    void policyGetReturnsVersionAgeAndConfiguration() {
         final JsonNode reply = reply(edge, "policy.get", NOTHING);
         final List<String> names = new ArrayList<>();
         reply.path("result").fieldNames().forEachRemaining(names::add);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aCoreTellsItsStatus() throws Exception {
+    void coreStatusHasTheExpectedFields() throws Exception {
         final ObjectNode hold = OperatorFleet.JSON.createObjectNode();
         hold.put("base", OperatorFleet.version(core)).put("changeId", "hold-1");
         hold.put("district", "d1").put("reason", "new cables");
@@ -98,13 +98,13 @@
     }
 
     @Test
-    void anEdgeTellsItsStatus() throws Exception {
+    void edgeStatusHasTheExpectedFields() throws Exception {
         assertThat(fields(edge, "status", NOTHING)).isEqualTo(golden("edge-status-fields.txt"));
         assertThat(reply(edge, "status", NOTHING).at("/result/role").asText()).isEqualTo("edge");
     }
 
     @Test
-    void upstreamsAreToldWithTheirStatus() throws Exception {
+    void upstreamsReturnsEachStatus() throws Exception {
         assertThat(fields(core, "upstreams", NOTHING)).isEqualTo(golden("upstreams-fields.txt"));
         assertThat(reply(core, "upstreams", NOTHING)
                         .at("/result/upstreams/0/status")
@@ -113,16 +113,16 @@
     }
 
     @Test
-    void ordersAreAnsweredWithVersionsAndChangeIds() {
+    void changeRepliesCarryVersionsAndChangeIds() {
         final long base = OperatorFleet.version(core);
-        final ObjectNode order = fleet.bind(base, "change-1", "more");
+        final ObjectNode order = fleet.addRouteParams(base, "change-1", "more");
         final String accepted = "{\"code\":1000,\"text\":\"done\",\"result\":{\"version\":" + (base + 1)
                 + ",\"changeId\":\"change-1\"}}";
         assertThat(reply(core, "policy.patch", order).toString()).isEqualTo(accepted);
         assertThat(reply(core, "policy.patch", order).toString())
                 .as("sent again")
                 .isEqualTo(accepted);
-        assertThat(reply(core, "policy.patch", fleet.bind(base, "change-2", "stale"))
+        assertThat(reply(core, "policy.patch", fleet.addRouteParams(base, "change-2", "stale"))
                         .toString())
                 .isEqualTo(
                         "{\"code\":4001,\"text\":\"the base version is not the current one\",\"result\":{\"current\":"
@@ -133,14 +133,14 @@
                 .isEqualTo("{\"code\":4002,\"text\":\"the policy is invalid\",\"result\":{\"current\":" + (base + 1)
                         + ",\"changeId\":\"change-3\",\"troubles\":[{\"pointer\":\"/holds/nowhere\","
                         + "\"reason\":\"unknown district\"}]}}");
-        assertThat(reply(core, "key.withdraw", OperatorFleet.key(base + 1, "change-4", 0, "none"))
+        assertThat(reply(core, "key.withdraw", OperatorFleet.keyParams(base + 1, "change-4", 0, "none"))
                         .path("code")
                         .asInt())
                 .isEqualTo(4007);
     }
 
     @Test
-    void aSealedWindowIsToldWithItsCounts() throws Exception {
+    void usageGetReturnsTheCountsOfASealedWindow() throws Exception {
         final long last =
                 reply(core, "status", NOTHING).at("/result/duty/lastSealed").asLong();
         final ObjectNode params = OperatorFleet.JSON.createObjectNode().put("window", last);
--- a/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RejectedAttemptUsageTest.java
@@ -16,14 +16,14 @@
 import spokestall.testbed.verdict.Ledger;
 
 /**
- * What a window's report says of each tenant, against the upstreams' own count of what they began, while attempts end in other ways than
- * by an answer.
+ * Compares each tenant's count in a window's usage report with the requests that the upstreams began, while attempts end in other
+ * ways than by a response.
  */
 class RejectedAttemptUsageTest {
     private static final int SEEDS = 2;
     private static final long PHASE_MS = 4 * SimulatedWorld.WINDOW_MS;
     private static final long REPORTED_MS = 3 * SimulatedWorld.WINDOW_MS;
-    /** The part of a tenant's count that a report may be off by, and how many more at the window's edges. */
+    /** Largest relative error of a tenant's reported count, and the number of requests allowed beyond it at a window's edges. */
     private static final double OFF_MAX = 0.05;
 
     private static final int EDGE_MAX = 3;
@@ -40,69 +40,70 @@
 
     @Test
     void attemptsWhoseAnswersAreLostAreReported() {
-        checkUsage(world -> behave(world, UpstreamStandIn.Manner.FLAKY));
+        checkUsage(world -> behave(world, UpstreamStandIn.Behavior.FLAKY));
     }
 
     @Test
-    void attemptsThatSpanWindowsBelongToTheOneInWhichTheyBegan() {
-        checkUsage(world -> behave(world, UpstreamStandIn.Manner.SLOW));
+    void attemptsThatSpanWindowsCountInTheWindowInWhichTheyBegan() {
+        checkUsage(world -> behave(world, UpstreamStandIn.Behavior.SLOW));
     }
 
-    private interface Trouble {
+    private interface Disturbance {
         void begin(SimulatedWorld world);
     }
 
-    private static void checkUsage(final Trouble trouble) {
+    private static void checkUsage(final Disturbance trouble) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             final OperatorFleet fleet = new OperatorFleet(
                             seed, Deployment.PADMA, InjectedFault.NONE, OperatorFleet.UNPROBED_SETTINGS)
-                    .begun();
+                    .start();
             fleet.world.clients.start();
             fleet.run(PHASE_MS);
             trouble.begin(fleet.world);
             fleet.run(PHASE_MS);
-            behave(fleet.world, UpstreamStandIn.Manner.WELL);
+            behave(fleet.world, UpstreamStandIn.Behavior.WELL);
             fleet.run(REPORTED_MS);
-            assertThat(off(fleet.world))
-                    .as("windows that are off, seed %s", seed)
+            assertThat(mismatches(fleet.world))
+                    .as("windows with wrong counts, seed %s", seed)
                     .isEmpty();
         }
     }
 
-    private static void behave(final SimulatedWorld world, final UpstreamStandIn.Manner manner) {
-        upstreamsOfTheLargeService(world).forEach(up -> up.manner = manner);
+    private static void behave(final SimulatedWorld world, final UpstreamStandIn.Behavior manner) {
+        upstreamsOfTheLargeService(world).forEach(up -> up.behavior = manner);
     }
 
-    private static List<SimulatedEnvironment.Up> upstreamsOfTheLargeService(final SimulatedWorld world) {
-        return world.outside.running().stream()
-                .filter(up -> up.service.equals(world.deployment.big))
+    private static List<SimulatedEnvironment.Upstream> upstreamsOfTheLargeService(final SimulatedWorld world) {
+        return world.environment.running().stream()
+                .filter(up -> up.service.equals(world.deployment.largeService))
                 .toList();
     }
 
     private static void replaceAtTheirAddresses(final SimulatedWorld world) {
-        final List<SimulatedEnvironment.Up> all = upstreamsOfTheLargeService(world);
+        final List<SimulatedEnvironment.Upstream> all = upstreamsOfTheLargeService(world);
         all.subList(0, all.size() / 2).forEach(up -> {
-            world.outside.stop(up);
-            world.outside.add(up.service, up.address, up.zone, up.region, world.sim.nowMs());
+            world.environment.stop(up);
+            world.environment.add(up.service, up.address, up.zone, up.region, world.sim.nowMs());
         });
     }
 
-    /** The tenants' counts that are off, a line each. */
-    private static List<String> off(final SimulatedWorld world) {
+    /** Returns a line for each reported count that is too far from the upstreams' count. */
+    private static List<String> mismatches(final SimulatedWorld world) {
         final Map<Long, Map<String, Long>> begun = new TreeMap<>();
-        world.begun.forEach(each -> begun.computeIfAbsent(window(each.atMs()), w -> new HashMap<>())
-                .merge(world.asked.get(each.requestId()).kind.tenant(), 1L, Long::sum));
+        world.executions.forEach(each -> begun.computeIfAbsent(window(each.atMs()), w -> new HashMap<>())
+                .merge(world.requests.get(each.requestId()).kind.tenant(), 1L, Long::sum));
         final Map<Long, Map<String, Long>> reported = new TreeMap<>();
-        for (final Ledger.Reported report : world.reported) {
+        for (final Ledger.Reported report : world.reports) {
             reported.putIfAbsent(report.window(), report.counts());
         }
         assertThat(reported.keySet()).as("reported windows").hasSizeGreaterThan(5);
         final List<String> found = new ArrayList<>();
-        reported.forEach((window, counts) -> found.addAll(off(window, begun.getOrDefault(window, Map.of()), counts)));
+        reported.forEach(
+                (window, counts) -> found.addAll(mismatches(window, begun.getOrDefault(window, Map.of()), counts)));
         return found;
     }
 
-    private static List<String> off(
+    private static List<String> mismatches(
             final long window, final Map<String, Long> begun, final Map<String, Long> reported) {
         final List<String> found = new ArrayList<>();
         final TreeSet<String> tenants = new TreeSet<>(begun.keySet());
--- a/testbed/src/test/java/spokestall/testbed/simulation/RepeatedChangeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/RepeatedChangeTest.java
@@ -17,7 +17,7 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** Orders that race on one base, and orders that come again: one is confirmed, always, everywhere, and never two. */
+/** Of the changes that race on one base version exactly one is confirmed, and every node confirms it again if it is resent. */
 class RepeatedChangeTest {
     private static final int RACERS = 8;
     private static final int ROUNDS = 5;
@@ -26,13 +26,13 @@
     private static final long SILENCE_MS = 1000;
     private static final double ANSWERS_LOST = 0.4;
 
-    /** One order of one operator: sent as it was, to any node, until it has a clear answer. */
+    /** One operator's change, which is resent unchanged to random nodes until its outcome is clear. */
     private static final class Order {
         private final OperatorFleet fleet;
         private final Random random;
         private final String id;
         private final long base;
-        private ResultCode told;
+        private ResultCode outcome;
         private long version;
         private int calls;
 
@@ -44,60 +44,61 @@
         }
 
         private ChangeDraft draft() {
-            final ObjectNode patch = (ObjectNode) fleet.bind(base, id, id).get("patch");
+            final ObjectNode patch =
+                    (ObjectNode) fleet.addRouteParams(base, id, id).get("patch");
             return tree -> new ChangeDraft.Drafted.Write(ConfigurationChange.Kind.PATCH, patch);
         }
 
         void send(final SimulatedNode to) {
             final int call = ++calls;
             fleet.world.sim.after(SILENCE_MS, () -> {
-                if (told == null && calls == call) {
-                    send(fleet.world.any(fleet.nodes(), random));
+                if (outcome == null && calls == call) {
+                    send(fleet.world.pick(fleet.nodes(), random));
                 }
             });
-            fleet.take(to, base, id, draft(), reply -> {
+            fleet.submitForBaseVersion(to, base, id, draft(), reply -> {
                 if (random.nextDouble() >= ANSWERS_LOST) {
-                    hear(reply);
+                    onReply(reply);
                 }
             });
         }
 
-        private void hear(final Reply reply) {
-            if (told == null && (reply.result() == ResultCode.OK || reply.result() == ResultCode.STALE_BASE)) {
-                told = reply.result();
+        private void onReply(final Reply reply) {
+            if (outcome == null && (reply.result() == ResultCode.OK || reply.result() == ResultCode.STALE_BASE)) {
+                outcome = reply.result();
                 version = reply.fields().path("version").asLong();
             }
         }
     }
 
     @Test
-    void ofEightOnOneBaseOneIsConfirmedWhateverDiesAndTheOneIsConfirmedAgainEverywhere() {
+    void oneOfEightRacingOrdersIsConfirmedDespiteFailuresAndEveryNodeConfirmsItAgain() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             final Random random = new Random(seed);
-            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).begun();
+            final OperatorFleet fleet = new OperatorFleet(seed, Deployment.values()[seed % 2]).start();
             final Map<String, Order> confirmed = new LinkedHashMap<>();
             final List<Order> beaten = new ArrayList<>();
             for (int round = 0; round < ROUNDS; round++) {
                 final List<Order> racers = race(fleet, random, "s" + seed + "r" + round);
                 final List<Order> won =
-                        racers.stream().filter(o -> o.told == ResultCode.OK).toList();
+                        racers.stream().filter(o -> o.outcome == ResultCode.OK).toList();
                 assertThat(won).as("seed %s, round %s", seed, round).hasSize(1);
                 confirmed.put(won.get(0).id, won.get(0));
-                racers.stream().filter(o -> o.told != ResultCode.OK).forEach(beaten::add);
+                racers.stream().filter(o -> o.outcome != ResultCode.OK).forEach(beaten::add);
             }
             sendAgain(fleet, confirmed.values(), ResultCode.OK);
             fleet.nodes().forEach(SimulatedNode::losePower);
             fleet.run(200);
             fleet.nodes().forEach(SimulatedNode::start);
-            fleet.fresh();
+            fleet.awaitFresh();
             sendAgain(fleet, confirmed.values(), ResultCode.OK);
             sendAgain(fleet, beaten.subList(0, 2), ResultCode.STALE_BASE);
         }
     }
 
-    /** Eight orders on one base at eight nodes, while one of these dies and others are cut off or lose power. */
+    /** Sends eight changes on one base to eight nodes, while one of these loses power and one can't send to any other node. */
     private static List<Order> race(final OperatorFleet fleet, final Random random, final String name) {
-        fleet.fresh();
+        fleet.awaitFresh();
         final long base = fleet.newestVersion();
         final List<SimulatedNode> nodes = new ArrayList<>(fleet.nodes());
         java.util.Collections.shuffle(nodes, random);
@@ -115,15 +116,18 @@
                 random.nextInt(300),
                 () -> fleet.othersThan(cut).forEach(o -> fleet.world.net.cut(cut.address, o.address, true)));
         fleet.world.sim.after(2500, fleet.world.net::heal);
-        fleet.until(
-                name + " all have a clear answer", 20_000, () -> racers.stream().allMatch(o -> o.told != null));
+        fleet.runUntil(
+                name + " all changes have a clear outcome",
+                20_000,
+                () -> racers.stream().allMatch(o -> o.outcome != null));
         return racers;
     }
 
     private static void sendAgain(final OperatorFleet fleet, final Iterable<Order> orders, final ResultCode right) {
         for (final Order order : orders) {
             for (final SimulatedNode node : fleet.nodes()) {
-                final OperatorFleet.Call call = fleet.taken(node, order.base, order.id, order.draft());
+                final OperatorFleet.Call call =
+                        fleet.submitForBaseVersionAndWait(node, order.base, order.id, order.draft());
                 assertThat(call.result())
                         .as(order.id + " again at " + node.name)
                         .isEqualTo(right);
@@ -135,43 +139,44 @@
     }
 
     @Test
-    void aConfirmedOrderIsConfirmedAgainAfterHundredsOfOthersAndRestartsAndALostMajority() {
-        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).begun();
-        final Order first = followedByHundreds(fleet);
+    void aConfirmedOrderIsConfirmedAgainAfterHundredsOfOthersAndALostMajority() {
+        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA).start();
+        final Order first = confirmOneThenHundreds(fleet);
         sendAgain(fleet, List.of(first), ResultCode.OK);
-        blank(fleet.world.cores().subList(2, 3));
-        fleet.fresh();
+        restartWithWipedDisks(fleet.world.cores().subList(2, 3));
+        fleet.awaitFresh();
         sendAgain(fleet, List.of(first), ResultCode.OK);
-        blank(fleet.world.cores().subList(0, 4));
+        restartWithWipedDisks(fleet.world.cores().subList(0, 4));
         fleet.run(2000);
-        fleet.fresh();
+        fleet.awaitFresh();
         sendAgain(fleet, List.of(first), ResultCode.OK);
     }
 
-    /** Beyond the stated bound, ten minutes and 512 orders, it is stale: by then no one sends it again. */
+    /** Beyond the stated bound of ten minutes and 512 changes a resent change is stale; by then no operator resends it. */
     @Test
-    void anOrderWhoseTimeIsOverIsForgottenAndThisIsSeen() {
-        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA, InjectedFault.LEAPING_CHANGES).begun();
-        final Order first = followedByHundreds(fleet);
+    void anOrderBeyondTheRepeatBoundIsAnsweredAsStale() {
+        final OperatorFleet fleet = new OperatorFleet(1, Deployment.PADMA, InjectedFault.LEAPING_CHANGES).start();
+        final Order first = confirmOneThenHundreds(fleet);
         final SimulatedNode edge = fleet.world.edges().get(0);
-        assertThat(fleet.taken(edge, first.base, first.id, first.draft()).result())
+        assertThat(fleet.submitForBaseVersionAndWait(edge, first.base, first.id, first.draft())
+                        .result())
                 .isEqualTo(ResultCode.STALE_BASE);
     }
 
-    private static Order followedByHundreds(final OperatorFleet fleet) {
+    private static Order confirmOneThenHundreds(final OperatorFleet fleet) {
         final Order first = new Order(fleet, new Random(1), "first-of-many", fleet.newestVersion());
         first.send(fleet.nodes().get(0));
-        fleet.until("it is confirmed", 5000, () -> first.told == ResultCode.OK);
+        fleet.runUntil("the first change is confirmed", 5000, () -> first.outcome == ResultCode.OK);
         for (int i = 0; i < LATER_CHANGES; i++) {
             final SimulatedNode at = fleet.world.cores().get(i % 3);
-            final OperatorFleet.Call call =
-                    fleet.done(at, "policy.patch", fleet.bind(fleet.newestVersion(), "later-" + i, "l" + i % 20));
+            final OperatorFleet.Call call = fleet.callAndWait(
+                    at, "policy.patch", fleet.addRouteParams(fleet.newestVersion(), "later-" + i, "l" + i % 20));
             assertThat(call.result()).isEqualTo(ResultCode.OK);
         }
         return first;
     }
 
-    private static void blank(final List<SimulatedNode> cores) {
+    private static void restartWithWipedDisks(final List<SimulatedNode> cores) {
         cores.forEach(c -> {
             c.losePower();
             c.disk.wipe();
--- a/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/StaleNodeTest.java
@@ -18,21 +18,21 @@
 import spokestall.testbed.fault.InjectedFault;
 import spokestall.testbed.fleet.OperatorFleet;
 
-/** What a core that the majority has left behind answers its operators, and how soon it is back in touch. */
+/** An isolated core must not answer operators from outdated state, and must catch up within a bound after the isolation. */
 class StaleNodeTest {
     private static final long CUT_MS = 20_000;
     private static final long CONTACT_MS = 5000;
     private static final int SEEDS = 6;
     private static final int TURNS = 8;
     private static final long SLOW_MS = 400;
-    /** How long a node that hears no one may still name edges. */
-    private static final long NAMED_MS = 20_000;
-    /** Answers that say nothing of the configuration: come back, or ask elsewhere. */
-    private static final Set<ResultCode> SAYS_NOTHING =
+    /** How long a node that receives no messages may still list edges. */
+    private static final long MAX_LISTED_MS = 20_000;
+    /** Results that say nothing about the configuration: the caller retries later or at another node. */
+    private static final Set<ResultCode> INCONCLUSIVE =
             EnumSet.of(ResultCode.NOT_READY, ResultCode.UNDECIDED, ResultCode.NOT_FRESH, ResultCode.BUSY);
 
-    /** How a core is set apart from the rest. */
-    private enum Apart {
+    /** How a core is isolated from the other nodes. */
+    private enum Isolation {
         BOTH_WAYS,
         HEARS_NOTHING,
         IS_NOT_HEARD,
@@ -43,161 +43,175 @@
         DISK_STALLED
     }
 
-    private final List<String> wrong = new ArrayList<>();
+    private final List<String> failures = new ArrayList<>();
 
     @Test
-    void aCoreThatIsLeftBehindSaysNothingThatTheMajorityWouldNotSay() {
-        for (final Apart how : Apart.values()) {
-            IntStream.rangeClosed(1, SEEDS).forEach(seed -> play(seed, how, InjectedFault.NONE));
+    void anIsolatedCoreGivesNoAnswerThatContradictsTheMajority() {
+        for (final Isolation isolation : Isolation.values()) {
+            IntStream.rangeClosed(1, SEEDS).forEach(seed -> checkIsolatedCore(seed, isolation, InjectedFault.NONE));
         }
-        assertThat(wrong).isEmpty();
+        assertThat(failures).isEmpty();
     }
 
     @Test
-    void aCoreThatAnswersWithoutAProofIsSeen() {
-        play(1, Apart.BOTH_WAYS, InjectedFault.FORGED_PROOFS);
-        assertThat(wrong).anyMatch(w -> w.contains("handed out")).anyMatch(w -> w.contains("STALE_BASE"));
+    void theCheckDetectsACoreThatAnswersWithoutAFreshnessProof() {
+        checkIsolatedCore(1, Isolation.BOTH_WAYS, InjectedFault.FORGED_PROOFS);
+        assertThat(failures).anyMatch(w -> w.contains("handed out")).anyMatch(w -> w.contains("STALE_BASE"));
     }
 
-    /** A directory answer is made of who is known: who can't be reached is let go of within the bound, and named no longer. */
+    /** A node lists edges from its directory, which must drop the edges that the node can't reach within the bound. */
     @Test
-    void aCutOffNodeLetsGoOfTheEdgesThatItCannotReachAndIsNotReady() {
+    void anIsolatedNodeDropsUnreachableEdgesAndIsNotReady() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            final SimulatedNode lone = namesNoneWhenCut(seed, InjectedFault.NONE);
-            assertThat(lone).as("seed %s", seed).isNull();
+            final SimulatedNode isolated = listsEdgesWhileIsolated(seed, InjectedFault.NONE);
+            assertThat(isolated).as("seed %s", seed).isNull();
         }
     }
 
     @Test
-    void aNodeThatNamesEdgesWithoutAProofIsSeen() {
-        assertThat(namesNoneWhenCut(2, InjectedFault.FORGED_PROOFS)).isNotNull();
+    void theCheckDetectsANodeThatListsEdgesWithoutAFreshnessProof() {
+        assertThat(listsEdgesWhileIsolated(2, InjectedFault.FORGED_PROOFS)).isNotNull();
     }
 
-    /** The cut-off node that still names edges or is ready when it should not, or null. */
-    private static SimulatedNode namesNoneWhenCut(final long seed, final InjectedFault injectedFault) {
+    /** Returns the isolated node if it still lists edges or is ready after the bound, else null. */
+    private static SimulatedNode listsEdgesWhileIsolated(final long seed, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
-                new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).begun();
+                new OperatorFleet(seed, Deployment.PADMA, injectedFault, Map.of("alsoEdge", "1")).start();
         final Random random = new Random(seed);
-        final SimulatedNode lone =
+        final SimulatedNode isolated =
                 fleet.nodes().get(random.nextInt(fleet.nodes().size()));
-        fleet.until(
-                "it names edges",
+        fleet.runUntil(
+                "the node lists edges",
                 CONTACT_MS,
-                () -> named(lone) > 0 && lone.node().ready());
-        for (final SimulatedNode other : fleet.othersThan(lone)) {
-            fleet.world.net.cut(other.address, lone.address, true);
+                () -> listedEdges(isolated) > 0 && isolated.node().ready());
+        for (final SimulatedNode other : fleet.othersThan(isolated)) {
+            fleet.world.net.cut(other.address, isolated.address, true);
             if (seed % 2 == 0) {
-                fleet.world.net.cut(lone.address, other.address, true);
+                fleet.world.net.cut(isolated.address, other.address, true);
             }
         }
-        fleet.run(NAMED_MS);
-        if (lone.node().ready() || named(lone) > 0) {
-            return lone;
+        fleet.run(MAX_LISTED_MS);
+        if (isolated.node().ready() || listedEdges(isolated) > 0) {
+            return isolated;
         }
         fleet.world.net.heal();
-        fleet.until(
-                "it names edges again",
+        fleet.runUntil(
+                "the node lists edges again",
                 CONTACT_MS,
-                () -> named(lone) > 0 && lone.node().ready());
+                () -> listedEdges(isolated) > 0 && isolated.node().ready());
         return null;
     }
 
-    private static int named(final SimulatedNode node) {
+    private static int listedEdges(final SimulatedNode node) {
         return EdgeSelector.nearest(node.node().directory().edges(), node.region, node.zone)
                 .size();
     }
 
-    private void play(final long seed, final Apart how, final InjectedFault injectedFault) {
+    private void checkIsolatedCore(final long seed, final Isolation isolation, final InjectedFault injectedFault) {
         final OperatorFleet fleet =
-                new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], injectedFault).begun();
+                new OperatorFleet(seed, Deployment.values()[(int) (seed % 2)], injectedFault).start();
         final Random random = new Random(seed);
         final List<SimulatedNode> cores = fleet.world.cores();
-        final SimulatedNode lone = cores.get(how == Apart.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
-        final SimulatedNode other = cores.get((cores.indexOf(lone) + 1 + random.nextInt(5)) % 6);
-        apart(fleet, lone, how, true);
+        final SimulatedNode isolated =
+                cores.get(isolation == Isolation.FIRST_SEED_CUT ? 0 : random.nextInt(cores.size()));
+        final SimulatedNode other = cores.get((cores.indexOf(isolated) + 1 + random.nextInt(5)) % 6);
+        setIsolated(fleet, isolated, isolation, true);
         for (int turn = 0; turn < TURNS; turn++) {
-            final String id = how + "-" + seed + "-" + turn;
-            final ObjectNode added =
-                    OperatorFleet.key(fleet.newestVersion(), id, 3, "k" + turn).put("key", "another-key-" + turn);
-            expect(id, fleet.done(other, "key.add", added), ResultCode.OK);
-            if (how == Apart.RESTARTED_WHILE_CUT && turn == 2) {
-                lone.kill();
+            final String id = isolation + "-" + seed + "-" + turn;
+            final ObjectNode added = OperatorFleet.keyParams(fleet.newestVersion(), id, 3, "k" + turn)
+                    .put("key", "another-key-" + turn);
+            expect(id, fleet.callAndWait(other, "key.add", added), ResultCode.OK);
+            if (isolation == Isolation.RESTARTED_WHILE_CUT && turn == 2) {
+                isolated.kill();
                 fleet.run(500);
-                lone.start();
+                isolated.start();
             }
-            if (how == Apart.FIRST_SEED_CUT && turn == 2) {
-                restartByTheSeeds(fleet, lone, other);
+            if (isolation == Isolation.FIRST_SEED_CUT && turn == 2) {
+                restartWhileFirstSeedIsCut(fleet, isolated, other);
             }
             fleet.run(500 + random.nextInt(1000));
-            askLone(fleet, lone, other, id, turn);
+            checkAnswersOfIsolatedCore(fleet, isolated, other, id, turn);
         }
-        apart(fleet, lone, how, false);
-        fleet.until(
-                how + " " + seed + " is back in touch",
+        setIsolated(fleet, isolated, isolation, false);
+        fleet.runUntil(
+                isolation + " " + seed + " has caught up",
                 CONTACT_MS,
-                () -> lone.running()
-                        && lone.node().acceptor().state() == Acceptor.State.VOTING
-                        && lone.node().feedClient().isFresh()
-                        && OperatorFleet.version(lone) == fleet.newestVersion());
-        expect(how + " back", fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode()), ResultCode.OK);
+                () -> isolated.isRunning()
+                        && isolated.node().acceptor().state() == Acceptor.State.VOTING
+                        && isolated.node().feedClient().isFresh()
+                        && OperatorFleet.version(isolated) == fleet.newestVersion());
         expect(
-                how + " taken when back",
-                fleet.done(lone, "policy.patch", fleet.bind(fleet.newestVersion(), "back-" + seed, "back")),
+                isolation + " after the isolation",
+                fleet.callAndWait(isolated, "policy.get", OperatorFleet.JSON.createObjectNode()),
+                ResultCode.OK);
+        expect(
+                isolation + " patch after the isolation",
+                fleet.callAndWait(
+                        isolated, "policy.patch", fleet.addRouteParams(fleet.newestVersion(), "back-" + seed, "back")),
                 ResultCode.OK);
     }
 
-    /** Nodes that start now are told of seeds the first of which is cut off from all. */
-    private void restartByTheSeeds(final OperatorFleet fleet, final SimulatedNode lone, final SimulatedNode other) {
+    /** Restarts nodes while the first of their seeds is cut off from all nodes. They must join through the other seeds. */
+    private void restartWhileFirstSeedIsCut(
+            final OperatorFleet fleet, final SimulatedNode isolated, final SimulatedNode other) {
         final List<SimulatedNode> again =
                 List.of(fleet.world.edges().get(1), fleet.world.edges().get(4), other);
         again.forEach(SimulatedNode::kill);
         fleet.run(300);
         again.forEach(SimulatedNode::start);
-        fleet.until(
-                "nodes are back by the other seeds",
+        fleet.runUntil(
+                "nodes have joined through the other seeds",
                 CONTACT_MS,
                 () -> again.stream().allMatch(n -> n.node().feedClient().isFresh()));
-        if (lone.node().feedClient().isFresh()) {
-            wrong.add(lone.name + " is fresh by nodes that it can't reach");
+        if (isolated.node().feedClient().isFresh()) {
+            failures.add(isolated.name + " is fresh although it can't reach any node");
         }
     }
 
-    /** Calls that the majority would take or answer otherwise than by what the lone core has. */
-    private void askLone(
+    /** Sends calls to which the majority's answer differs from the one that the isolated core's own state would give. */
+    private void checkAnswersOfIsolatedCore(
             final OperatorFleet fleet,
-            final SimulatedNode lone,
+            final SimulatedNode isolated,
             final SimulatedNode other,
             final String id,
             final int turn) {
-        if (!lone.running()) {
+        if (!isolated.isRunning()) {
             return;
         }
         final long newest = fleet.newestVersion();
-        final OperatorFleet.Call got = fleet.done(lone, "policy.get", OperatorFleet.JSON.createObjectNode());
+        final OperatorFleet.Call got = fleet.callAndWait(isolated, "policy.get", OperatorFleet.JSON.createObjectNode());
         if (got.result() == ResultCode.OK && got.reply.fields().path("version").asLong() < newest) {
-            wrong.add(id + " handed out " + got.reply.fields().path("version"));
-        } else if (got.result() != ResultCode.OK && !SAYS_NOTHING.contains(got.result())) {
-            wrong.add(id + " policy.get " + got.result());
+            failures.add(id + " handed out " + got.reply.fields().path("version"));
+        } else if (got.result() != ResultCode.OK && !INCONCLUSIVE.contains(got.result())) {
+            failures.add(id + " policy.get " + got.result());
         }
-        nothingOr(
+        expectInconclusiveOr(
                 ResultCode.OK,
                 id + " patch on the newest",
-                fleet.done(lone, "policy.patch", fleet.bind(newest, id + "-p", "p" + turn)));
-        nothingOr(
+                fleet.callAndWait(isolated, "policy.patch", fleet.addRouteParams(newest, id + "-p", "p" + turn)));
+        expectInconclusiveOr(
                 ResultCode.OK,
                 id + " withdraw of a key that the majority has",
-                fleet.done(lone, "key.withdraw", OperatorFleet.key(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
-        nothingOr(
+                fleet.callAndWait(
+                        isolated,
+                        "key.withdraw",
+                        OperatorFleet.keyParams(fleet.newestVersion(), id + "-w", 3, "k" + turn)));
+        expectInconclusiveOr(
                 ResultCode.OK,
                 id + " repeat of what the majority confirmed",
-                fleet.done(
-                        lone, "key.add", OperatorFleet.key(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
-        nothingOr(
+                fleet.callAndWait(
+                        isolated,
+                        "key.add",
+                        OperatorFleet.keyParams(1, id, 3, "k" + turn).put("key", "another-key-" + turn)));
+        expectInconclusiveOr(
                 ResultCode.STALE_BASE,
                 id + " patch on its own version",
-                fleet.done(lone, "policy.patch", fleet.bind(OperatorFleet.version(lone) - 1, id + "-s", "s" + turn)));
-        final OperatorFleet.Call where = fleet.done(
-                lone,
+                fleet.callAndWait(
+                        isolated,
+                        "policy.patch",
+                        fleet.addRouteParams(OperatorFleet.version(isolated) - 1, id + "-s", "s" + turn)));
+        final OperatorFleet.Call where = fleet.callAndWait(
+                isolated,
                 "where",
                 OperatorFleet.JSON.createObjectNode().put("client", "c").put("key", "another-key-" + turn));
         if (where.result() == ResultCode.BAD_KEY
@@ -207,40 +221,41 @@
                         .tree()
                         .toString()
                         .contains("\"k" + turn + "\"")) {
-            wrong.add(id + " where refused a key that the majority knows");
+            failures.add(id + " where refused a key that the majority knows");
         }
     }
 
-    private void nothingOr(final ResultCode right, final String what, final OperatorFleet.Call call) {
-        if (call.result() != right && !SAYS_NOTHING.contains(call.result())) {
-            wrong.add(what + ": " + call.result());
+    private void expectInconclusiveOr(final ResultCode right, final String what, final OperatorFleet.Call call) {
+        if (call.result() != right && !INCONCLUSIVE.contains(call.result())) {
+            failures.add(what + ": " + call.result());
         }
     }
 
     private void expect(final String what, final OperatorFleet.Call call, final ResultCode right) {
         if (call.result() != right) {
-            wrong.add(what + ": " + call.result());
+            failures.add(what + ": " + call.result());
         }
     }
 
-    private static void apart(final OperatorFleet fleet, final SimulatedNode lone, final Apart how, final boolean now) {
-        for (final SimulatedNode other : fleet.othersThan(lone)) {
-            switch (how) {
+    private static void setIsolated(
+            final OperatorFleet fleet, final SimulatedNode isolated, final Isolation isolation, final boolean now) {
+        for (final SimulatedNode other : fleet.othersThan(isolated)) {
+            switch (isolation) {
                 case BOTH_WAYS, RESTARTED_WHILE_CUT, FIRST_SEED_CUT ->
-                    fleet.world.net.cutBoth(lone.address, other.address, now);
-                case HEARS_NOTHING -> fleet.world.net.cut(other.address, lone.address, now);
-                case IS_NOT_HEARD -> fleet.world.net.cut(lone.address, other.address, now);
+                    fleet.world.net.cutBoth(isolated.address, other.address, now);
+                case HEARS_NOTHING -> fleet.world.net.cut(other.address, isolated.address, now);
+                case IS_NOT_HEARD -> fleet.world.net.cut(isolated.address, other.address, now);
                 default -> {}
             }
         }
-        if (how == Apart.FROZEN && now) {
-            lone.freeze();
-        } else if (how == Apart.FROZEN) {
-            lone.thaw();
-        } else if (how == Apart.SLOWED) {
-            fleet.world.net.slow(lone.address, now ? SLOW_MS : 0);
-        } else if (how == Apart.DISK_STALLED && now) {
-            lone.disk.stall(CUT_MS);
+        if (isolation == Isolation.FROZEN && now) {
+            isolated.freeze();
+        } else if (isolation == Isolation.FROZEN) {
+            isolated.thaw();
+        } else if (isolation == Isolation.SLOWED) {
+            fleet.world.net.slow(isolated.address, now ? SLOW_MS : 0);
+        } else if (isolation == Isolation.DISK_STALLED && now) {
+            isolated.disk.stall(CUT_MS);
         }
     }
 }
--- a/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
+++ b/testbed/src/test/java/spokestall/testbed/simulation/WarmUpEndTest.java
@@ -11,9 +11,9 @@
 import spokestall.testbed.fleet.OperatorFleet;
 
 /**
- * Most upstreams of a service are gone and the few that replace them warm up, while more is asked than they may take. The limit on
- * what they are sent must hold until the last moment of their warm-up, though the platform is some way off and its list says how
- * much of a warm-up is left when it answers.
+ * Most upstreams of a service are gone and the few that replace them warm up, while clients send more requests than these may take.
+ * The limit on the requests to an upstream must hold until the end of its warm-up, although the platform is distant and its list
+ * tells the warm-up that remains at the time of its answer.
  */
 class WarmUpEndTest {
     private static final int SEEDS = 3;
@@ -22,13 +22,13 @@
     private static final int MANY_EDGES = 16;
     private static final long RESTART_MS = 300;
     private static final long RESTART_GAP_MS = 600;
-    /** Fewer in the busiest second would show that the limit is kept by hardly using the upstream. */
+    /** Fewer requests in the busiest second would show that the limit holds only because the upstream is hardly used. */
     private static final int LEAST_USED = 7;
 
     private static final long SECOND_MS = 1000;
     private static final double OVERAGE = 1.5;
     private static final double SLACK_PER_S = 5;
-    /** The part of the platform's bounds that nodes keep to. */
+    /** Fraction of the platform's bounds that the nodes are set to use. */
     private static final double KEPT_WITHIN = 0.8;
 
     private static final Map<String, String> SETTINGS = new HashMap<>(OperatorFleet.UNPROBED_SETTINGS);
@@ -41,13 +41,13 @@
     @Test
     void anUpstreamIsSentNoMoreThanItsBoundInAnySecondOfItsWarmUp() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            checkWarmUps(seed, new OperatorFleet(seed, Deployment.PADMA, InjectedFault.NONE, SETTINGS));
+            checkWarmUpBound(seed, new OperatorFleet(seed, Deployment.PADMA, InjectedFault.NONE, SETTINGS));
         }
     }
 
     @Test
-    void theBoundHoldsInAnySecondHoweverManyEdgesThereAre() {
-        checkWarmUps(1, new OperatorFleet(1, Deployment.PADMA, InjectedFault.NONE, SETTINGS).withEdges(MANY_EDGES));
+    void theBoundHoldsInAnySecondWithManyEdges() {
+        checkWarmUpBound(1, new OperatorFleet(1, Deployment.PADMA, InjectedFault.NONE, SETTINGS).withEdges(MANY_EDGES));
     }
 
     @Test
@@ -55,7 +55,7 @@
         for (int seed = 1; seed <= SEEDS; seed++) {
             final OperatorFleet fleet =
                     new OperatorFleet(seed, Deployment.PADMA, InjectedFault.NONE, SETTINGS).withEdges(MANY_EDGES);
-            checkWarmUps(seed, fleet, () -> restartEdgesInTurn(fleet.world));
+            checkWarmUpBound(seed, fleet, () -> restartEdgesInTurn(fleet.world));
         }
     }
 
@@ -70,20 +70,20 @@
         }
     }
 
-    private static void checkWarmUps(final int seed, final OperatorFleet fleet) {
-        checkWarmUps(seed, fleet, () -> {});
+    private static void checkWarmUpBound(final int seed, final OperatorFleet fleet) {
+        checkWarmUpBound(seed, fleet, () -> {});
     }
 
-    private static void checkWarmUps(final int seed, final OperatorFleet fleet, final Runnable meanwhile) {
-        final SimulatedWorld world = fleet.begun().world;
-        world.outside.reckonWarmUpOnAnswer();
+    private static void checkWarmUpBound(final int seed, final OperatorFleet fleet, final Runnable meanwhile) {
+        final SimulatedWorld world = fleet.start().world;
+        world.environment.computeWarmUpOnAnswer();
         world.clients.start();
         fleet.run(5000);
-        world.clients.rate(DEMAND * world.deployment.rate);
-        final List<SimulatedEnvironment.Up> replacements = replaceMost(world);
+        world.clients.rate(DEMAND * world.deployment.ratePerS);
+        final List<SimulatedEnvironment.Upstream> replacements = replaceMost(world);
         meanwhile.run();
         fleet.run(SimulatedWorld.WARMUP_MS + 2000);
-        for (final SimulatedEnvironment.Up up : replacements) {
+        for (final SimulatedEnvironment.Upstream up : replacements) {
             final int most = mostInASecond(world, up);
             System.out.println("warm-up of " + up.instance + " with seed " + seed + " and "
                     + fleet.nodes().size() + " edges: " + most + " in one second");
@@ -93,19 +93,19 @@
         }
     }
 
-    private static List<SimulatedEnvironment.Up> replaceMost(final SimulatedWorld world) {
-        final List<SimulatedEnvironment.Up> gone = world.outside.running().stream()
-                .filter(up -> up.service.equals(world.deployment.big))
+    private static List<SimulatedEnvironment.Upstream> replaceMost(final SimulatedWorld world) {
+        final List<SimulatedEnvironment.Upstream> gone = world.environment.running().stream()
+                .filter(up -> up.service.equals(world.deployment.largeService))
                 .toList();
         gone.forEach(up -> {
-            world.outside.stop(up);
+            world.environment.stop(up);
             up.listed = false;
         });
-        return gone.stream().limit(REPLACED).map(world.outside::replace).toList();
+        return gone.stream().limit(REPLACED).map(world.environment::replace).toList();
     }
 
-    private static int mostInASecond(final SimulatedWorld world, final SimulatedEnvironment.Up up) {
-        final List<Long> arrivalsMs = world.begun.stream()
+    private static int mostInASecond(final SimulatedWorld world, final SimulatedEnvironment.Upstream up) {
+        final List<Long> arrivalsMs = world.executions.stream()
                 .filter(begun -> begun.instance().equals(up.instance) && begun.ageMs() < SimulatedWorld.WARMUP_MS)
                 .map(SimulatedWorld.Begun::atMs)
                 .toList();
