--- a/spokestall/src/main/java/spokestall/consensus/Acceptor.java
+++ b/spokestall/src/main/java/spokestall/consensus/Acceptor.java
@@ -206,8 +206,7 @@
         voterSet = next;
         final long update = ++voterSetUpdates;
         // The acceptor casts no vote until the voter set is synced. Otherwise it could vote in the new epoch, lose
-        // power and
-        // restart in the old one.
+        // power and restart in the old one.
         final boolean staysVoter = previous == State.VOTING && !newGeneration && hasVoterSlot();
         // A resignation holds for all epochs of its generation, also while the acceptor writes the voter set of a later
         // epoch.
--- a/spokestall/src/main/java/spokestall/io/http/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -310,9 +310,8 @@
             final HeaderMap headers = response.getResponseHeaders();
             final boolean reusable =
                     end(new HttpResult.Complete(response.getResponseCode(), headers, responseBody.toByteArray()));
-            // A connection isn't reused if the response arrived before the request was sent completely, or if it leads
-            // to
-            // another instance (421), which would receive the next request too.
+            // A connection isn't reused if the response arrived before the request was sent completely, or if it
+            // leads to another instance (421), which would receive the next request too.
             final boolean requestSent = !exchange.getRequestChannel().isOpen();
             if (reusable && requestSent && response.getResponseCode() != MISDIRECTED && !announcesClose(headers)) {
                 final long idleMs = idleTimeoutMs(headers.getFirst(Headers.KEEP_ALIVE));
--- a/spokestall/src/main/java/spokestall/lease/LeaseManager.java
+++ b/spokestall/src/main/java/spokestall/lease/LeaseManager.java
@@ -245,9 +245,8 @@
                 return;
             }
         }
-        // No session starts after a rejected, late or unknown outcome. If the acquisition was stored nevertheless, the
-        // next
-        // read returns it and the watch starts again from there.
+        // No session starts after a rejected, late or unknown outcome. If the acquisition was stored nevertheless,
+        // the next read returns it and the watch starts again from there.
         transitionTo(State.WATCHING, outcome instanceof ProposalOutcome.Committed ? "not_acquired" : "outcome_unknown");
     }
 
--- a/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
+++ b/testbed/src/main/java/spokestall/testbed/fault/ProcessFault.java
@@ -209,8 +209,7 @@
         @Override
         public double minServedRatio() {
             // One chunk in twenty delays its connection by 0.2 to 0.6 s. An edge rejects requests while a majority of
-            // the
-            // cores hasn't acknowledged its counts in time.
+            // the cores hasn't acknowledged its counts in time.
             return 0.8;
         }
     },
--- a/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
+++ b/testbed/src/main/java/spokestall/testbed/simulation/Scenario.java
@@ -155,9 +155,8 @@
     SPARING {
         @Override
         void play(final SimulationRun run) {
-            // Settings for a fleet with expensive network traffic: no probes, few freshness requests, and usage counts
-            // that
-            // never keep an edge from starting requests.
+            // Settings for a fleet with expensive network traffic: no probes, few freshness requests, and usage
+            // counts that never keep an edge from starting requests.
             final List<SimulatedEnvironment.Upstream> all = run.world.environment.running();
             for (int i = 0; i < 8; i++) {
                 final SimulatedEnvironment.Upstream old = all.get(i * 4);
