--- a/spokestall/src/main/java/spokestall/io/http/HttpCall.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpCall.java
@@ -12,7 +12,7 @@
  *
  * @param instance the instance expected at the address, {@link #ANY_INSTANCE} for any; an idle connection that was opened to an
  *     instance that had the address before is not reused
- * @param timeoutMs the time for the whole exchange
+ * @param timeoutMillis the time for the whole exchange
  * @param connectTimeoutMs the time for the connection to open; after it the exchange ends, and nothing was sent
  * @param responseMaxBytes the largest response body that is accepted
  * @param freshConnection whether to open a new connection even if an idle one could be reused
@@ -30,7 +30,7 @@
         String target,
         List<Header> headers,
         byte[] body,
-        long timeoutMs,
+        long timeoutMillis,
         long connectTimeoutMs,
         int responseMaxBytes,
         boolean freshConnection,
@@ -48,7 +48,7 @@
             final String target,
             final Map<String, String> headers,
             final byte[] body,
-            final long timeoutMs,
+            final long timeoutMillis,
             final int responseMaxBytes) {
         return new HttpCall(
                 address,
@@ -57,8 +57,8 @@
                 target,
                 list(headers),
                 body,
-                timeoutMs,
-                timeoutMs,
+                timeoutMillis,
+                timeoutMillis,
                 responseMaxBytes,
                 false,
                 true,
--- a/spokestall/src/main/java/spokestall/io/http/HttpClient.java
+++ b/spokestall/src/main/java/spokestall/io/http/HttpClient.java
@@ -120,7 +120,7 @@
             final ClientConnection kept =
                     call.freshConnection() ? null : idle.take(peer, call.idempotent(), nowMs.getAsLong());
             io = kept != null ? kept.getIoThread() : worker.getIoThread();
-            timer = io.executeAfter(() -> fail("timeout"), Math.max(1, call.timeoutMs()), TimeUnit.MILLISECONDS);
+            timer = io.executeAfter(() -> fail("timeout"), Math.max(1, call.timeoutMillis()), TimeUnit.MILLISECONDS);
             if (kept != null) {
                 reused = true;
                 io.execute(() -> onConnected(kept));
@@ -130,7 +130,7 @@
         }
 
         private void connect(final XnioIoThread io) {
-            if (call.connectTimeoutMs() < call.timeoutMs()) {
+            if (call.connectTimeoutMs() < call.timeoutMillis()) {
                 connectTimer = io.executeAfter(
                         () -> {
                             if (connection == null) {
--- a/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/HttpUpstreamClient.java
@@ -103,7 +103,7 @@
     private void getJson(
             final String address,
             final String target,
-            final long timeoutMs,
+            final long timeoutMillis,
             final boolean freshConnection,
             final Consumer<JsonNode> done) {
         client.call(
@@ -114,8 +114,8 @@
                         target,
                         List.of(),
                         new byte[0],
-                        timeoutMs,
-                        timeoutMs,
+                        timeoutMillis,
+                        timeoutMillis,
                         MAX_RESPONSE_BYTES,
                         freshConnection,
                         true,
@@ -143,11 +143,11 @@
 
     private void fetchPage(
             final String target,
-            final long timeoutMs,
+            final long timeoutMillis,
             final List<ListedEndpoint> endpoints,
             final int pageNumber,
             final Consumer<Optional<List<ListedEndpoint>>> done) {
-        getJson(platformAddress, target, timeoutMs, false, tree -> {
+        getJson(platformAddress, target, timeoutMillis, false, tree -> {
             final PlatformProtocol.Page page = tree == null ? null : platform.parsePage(tree);
             if (page == null || pageNumber > MAX_PAGES) {
                 done.accept(Optional.empty());
@@ -157,7 +157,7 @@
             if (page.nextTarget() == null) {
                 done.accept(Optional.of(endpoints));
             } else {
-                fetchPage(page.nextTarget(), timeoutMs, endpoints, pageNumber + 1, done);
+                fetchPage(page.nextTarget(), timeoutMillis, endpoints, pageNumber + 1, done);
             }
         });
     }
@@ -177,7 +177,7 @@
             final String holder,
             final long token,
             final SealedWindow sealed,
-            final long timeoutMs,
+            final long timeoutMillis,
             final SendDeadline deadline,
             final ReportCallback callback) {
         final PlatformProtocol.Report report = platform.report(holder, token, sealed);
@@ -189,8 +189,8 @@
                         report.target(),
                         report.headers(),
                         report.body(),
-                        timeoutMs,
-                        timeoutMs,
+                        timeoutMillis,
+                        timeoutMillis,
                         MAX_RESPONSE_BYTES,
                         true,
                         false,
--- a/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
+++ b/spokestall/src/main/java/spokestall/io/protocol/RequestHandler.java
@@ -85,7 +85,7 @@
     }
 
     /** Closes the exchange's connection if {@code done} is still false after the timeout. */
-    static void closeUnless(final HttpServerExchange exchange, final long timeoutMs, final BooleanSupplier done) {
+    static void closeUnless(final HttpServerExchange exchange, final long timeoutMillis, final BooleanSupplier done) {
         final XnioExecutor.Key timer = exchange.getIoThread()
                 .executeAfter(
                         () -> {
@@ -93,7 +93,7 @@
                                 IoUtils.safeClose(exchange.getConnection());
                             }
                         },
-                        timeoutMs,
+                        timeoutMillis,
                         TimeUnit.MILLISECONDS);
         exchange.addExchangeCompleteListener((e, next) -> {
             timer.remove();
--- a/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
+++ b/testbed/src/test/java/spokestall/testbed/fleet/OperatorFleet.java
@@ -105,11 +105,11 @@
         world.sim.run(nowMs() + spanMs);
     }
 
-    public void runUntil(final String condition, final long timeoutMs, final BooleanSupplier holds) {
-        final long endMs = nowMs() + timeoutMs;
+    public void runUntil(final String condition, final long timeoutMillis, final BooleanSupplier holds) {
+        final long endMs = nowMs() + timeoutMillis;
         while (!holds.getAsBoolean()) {
             if (nowMs() > endMs) {
-                throw new AssertionError(condition + " not reached within " + timeoutMs + " ms");
+                throw new AssertionError(condition + " not reached within " + timeoutMillis + " ms");
             }
             run(STEP_MS);
         }
